--- a/benchmarks/src/main/java/shalepaddle/benchmarks/JoiningCost.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/CoalescingCost.java
@@ -10,11 +10,11 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import shalepaddle.joining.Caller;
-import shalepaddle.joining.Ending;
-import shalepaddle.joining.Joining;
-import shalepaddle.joining.JoiningTuning;
-import shalepaddle.joining.Verdict;
+import shalepaddle.coalescing.CoalescingConfig;
+import shalepaddle.coalescing.FlightDecision;
+import shalepaddle.coalescing.FlightResult;
+import shalepaddle.coalescing.FlightWaiter;
+import shalepaddle.coalescing.RequestCoalescer;
 
 /** What the decisions on joining take of a read, with 64 reads of other keys open beside it. */
 @State(Scope.Thread)
@@ -23,22 +23,22 @@
 @Fork(2)
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
-public class JoiningCost {
+public class CoalescingCost {
   private static final int KEYS = 5000;
   private static final int OPEN = 64;
   private static final long PATIENCE = 2_000_000_000L;
 
   private final String[] keys = new String[KEYS];
-  private final Joining<Integer> joining = new Joining<>(JoiningTuning.USUAL);
+  private final RequestCoalescer<Integer> joining = new RequestCoalescer<>(CoalescingConfig.USUAL);
 
   @SuppressWarnings({"unchecked", "rawtypes"})
-  private final Caller<Integer>[] open = new Caller[OPEN];
+  private final FlightWaiter<Integer>[] open = new FlightWaiter[OPEN];
 
   private int next;
   private long now;
 
   /** Keys as they come off a connection: each request has words of its own. */
-  public JoiningCost() {
+  public CoalescingCost() {
     for (int i = 0; i < KEYS; i++) {
       keys[i] = "key" + i;
     }
@@ -47,7 +47,7 @@
     }
   }
 
-  private Caller<Integer> arrive() {
+  private FlightWaiter<Integer> arrive() {
     now += 30_000;
     // A new string has no hash yet, as one that was just read.
     String key = new String(keys[next++ % KEYS]);
@@ -56,9 +56,9 @@
 
   /** A read that nobody joins: it arrives, and is answered later. */
   @Benchmark
-  public Verdict<Integer> neverJoined() {
+  public FlightDecision<Integer> neverJoined() {
     int place = next % OPEN;
-    Verdict<Integer> verdict = joining.ended(open[place].flight(), Ending.SERVED, now);
+    FlightDecision<Integer> verdict = joining.ended(open[place].flight(), FlightResult.SERVED, now);
     open[place] = arrive();
     return verdict;
   }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/ColdCaches.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/ColdCaches.java
@@ -19,13 +19,13 @@
 import org.knowm.xchart.CategoryChartBuilder;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import shalepaddle.testkit.Ledger;
+import shalepaddle.testkit.EffectLog;
+import shalepaddle.testkit.LoopbackTransport;
 import shalepaddle.testkit.ServerModel;
 import shalepaddle.testkit.StandInClients;
 import shalepaddle.testkit.StandInOrigin;
 import shalepaddle.testkit.StandInServer;
 import shalepaddle.testkit.Traffic;
-import shalepaddle.testkit.Wire;
 
 /**
  * What joining like reads spares the origin where caches are cold and popular keys are written: a
@@ -92,8 +92,8 @@
   private void turn(int round, String name, Path temporary, Path operator) throws Exception {
     var group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     EventLoop loop = group.next();
-    Wire wire = Wire.sockets(loop);
-    Ledger ledger = new Ledger();
+    LoopbackTransport wire = LoopbackTransport.sockets(loop);
+    EffectLog ledger = new EffectLog();
     StandInOrigin origin = new StandInOrigin(wire, round, workers, 0.06);
     List<StandInServer> fleet = new ArrayList<>();
     try {
@@ -134,9 +134,9 @@
   }
 
   private Turn ask(
-      Wire wire,
+      LoopbackTransport wire,
       EventLoop loop,
-      Ledger ledger,
+      EffectLog ledger,
       StandInOrigin origin,
       int port,
       int round,
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/DecisionCost.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/DecisionCost.java
@@ -20,8 +20,8 @@
 import shalepaddle.model.Request;
 import shalepaddle.model.ServerEntry;
 import shalepaddle.model.Settings;
-import shalepaddle.policy.Actions;
-import shalepaddle.policy.Balancer;
+import shalepaddle.policy.RequestRouter;
+import shalepaddle.policy.RoutingActions;
 
 /**
  * What the decisions on one read take, from its arrival to its one outcome, with 64 others open, as
@@ -50,7 +50,7 @@
 
   private final String[] ids = new String[OPEN];
   private final long[] sentTo = new long[OPEN];
-  private Balancer balancer;
+  private RequestRouter balancer;
   private int next;
   private double now;
   private int slot;
@@ -58,7 +58,7 @@
   /** A balancer that has seen each key of those that are held. */
   @Setup(Level.Trial)
   public void start() {
-    balancer = new Balancer(settings(), 1, new Sent());
+    balancer = new RequestRouter(settings(), 1, new Sent());
     List<ServerEntry> list = new ArrayList<>();
     for (long id = 1; id <= servers; id++) {
       list.add(new ServerEntry(id, "a", "m", 0, ServerEntry.State.READY, 1, 0));
@@ -96,7 +96,7 @@
   }
 
   /** Notes where the request of the present slot goes. */
-  private final class Sent implements Actions {
+  private final class Sent implements RoutingActions {
     @Override
     public void send(String requestId, long server, double within) {
       sentTo[slot] = server;
--- a/scale/src/main/java/shalepaddle/scale/Scale.java
+++ b/capacity/src/main/java/shalepaddle/capacity/CapacityRun.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.ToDoubleFunction;
-import shalepaddle.feed.Publisher;
+import shalepaddle.changefeed.ChangeFeedPublisher;
 import shalepaddle.settings.FormatException;
 
 /** Measures each role in steps of its size, and fits slopes. */
-public final class Scale {
+public final class CapacityRun {
   /** What can be measured. */
   public enum Role {
     /** The decisions of one node, as servers grow in number. */
@@ -62,13 +62,14 @@
 
   private static final int READS = 20_000;
 
-  private final Size size;
+  private final FleetSize size;
   private final HollowFleet.Parts parts;
   private final long seed;
   private final Consumer<String> progress;
   private final List<Slope> slopes = new ArrayList<>();
 
-  private Scale(Size size, HollowFleet.Parts parts, long seed, Consumer<String> progress) {
+  private CapacityRun(
+      FleetSize size, HollowFleet.Parts parts, long seed, Consumer<String> progress) {
     this.size = size;
     this.parts = parts;
     this.seed = seed;
@@ -82,10 +83,10 @@
    * @param progress gets a line for each step
    */
   public static List<Slope> measure(
-      Size size, Set<Role> roles, double seconds, long seed, Consumer<String> progress)
+      FleetSize size, Set<Role> roles, double seconds, long seed, Consumer<String> progress)
       throws FormatException {
     HollowFleet.Parts parts = new HollowFleet.Parts(1.5 * seconds, seconds, 2 * seconds);
-    Scale scale = new Scale(size, parts, seed, progress);
+    CapacityRun scale = new CapacityRun(size, parts, seed, progress);
     for (Role role : EnumSet.copyOf(roles)) {
       switch (role) {
         case DECISIONS -> scale.decisions();
@@ -98,22 +99,22 @@
     return List.copyOf(scale.slopes);
   }
 
-  private Size withServers(int servers) {
-    return new Size(size.nodes(), servers, size.perSecond(), size.zones());
+  private FleetSize withServers(int servers) {
+    return new FleetSize(size.nodes(), servers, size.perSecond(), size.zones());
   }
 
   private void decisions() {
     List<Integer> steps = size.serverSteps();
     // Twice over: the first compiles.
     for (int servers : steps) {
-      Size step = withServers(servers);
-      Decisions.measure(step, READS, actions -> Decisions.real(step, actions));
+      FleetSize step = withServers(servers);
+      DecisionCost.measure(step, READS, actions -> DecisionCost.real(step, actions));
     }
-    List<Decisions.Measured> measured = new ArrayList<>();
+    List<DecisionCost.Measured> measured = new ArrayList<>();
     for (int servers : steps) {
-      Size step = withServers(servers);
-      Decisions.Measured one =
-          Decisions.measure(step, READS, actions -> Decisions.real(step, actions));
+      FleetSize step = withServers(servers);
+      DecisionCost.Measured one =
+          DecisionCost.measure(step, READS, actions -> DecisionCost.real(step, actions));
       measured.add(one);
       progress.accept(
           "decisions  %4d servers  held %.2f us  missing %.2f us  list %.2f ms"
@@ -134,11 +135,11 @@
   private void lists() throws FormatException {
     List<Integer> steps = size.serverSteps();
     for (int servers : steps) {
-      Lists.measure(withServers(servers));
+      ServerListPayload.measure(withServers(servers));
     }
-    List<Lists.Measured> measured = new ArrayList<>();
+    List<ServerListPayload.Measured> measured = new ArrayList<>();
     for (int servers : steps) {
-      Lists.Measured one = Lists.measure(withServers(servers));
+      ServerListPayload.Measured one = ServerListPayload.measure(withServers(servers));
       measured.add(one);
       progress.accept(
           "list       %4d servers  %.0f bytes  read in %.0f us"
@@ -186,10 +187,11 @@
   private void discoveries() {
     List<Integer> steps = size.nodeSteps();
     for (double calls : CALLS) {
-      List<Asking.Counted> counted = new ArrayList<>();
+      List<DiscoveryPolling.Counted> counted = new ArrayList<>();
       for (int nodes : steps) {
-        Size step = size.withNodes(nodes);
-        Asking.Counted one = Asking.play(step, calls, seed, Asking.real(step));
+        FleetSize step = size.withNodes(nodes);
+        DiscoveryPolling.Counted one =
+            DiscoveryPolling.play(step, calls, seed, DiscoveryPolling.real(step));
         counted.add(one);
         progress.accept(
             "discovery  %4d nodes  %.1f calls/s  half %.1f s  last %.1f s  %.1f calls a node"
@@ -228,7 +230,7 @@
                 ENTRIES,
                 BODY_BYTES,
                 FEED_SECONDS,
-                Publisher.Limits.USUAL,
+                ChangeFeedPublisher.Limits.USUAL,
                 HollowFeed.real(3),
                 seed));
     if (weather.vanishes >= 0) {
--- a/scale/src/main/java/shalepaddle/scale/Decisions.java
+++ b/capacity/src/main/java/shalepaddle/capacity/DecisionCost.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,14 +7,14 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.Request;
 import shalepaddle.model.ServerEntry;
-import shalepaddle.policy.Actions;
-import shalepaddle.policy.Balancer;
+import shalepaddle.policy.RequestRouter;
+import shalepaddle.policy.RoutingActions;
 
 /**
  * What the decisions on a read take at one node, from its arrival to its one outcome, and what a
  * node holds and does for the list, as servers grow in number.
  */
-final class Decisions {
+final class DecisionCost {
   /** Reads that are open: what a node of the coming size has in flight. */
   private static final int OPEN = 30;
 
@@ -39,8 +39,8 @@
   }
 
   /** The decisions of the node. */
-  static Decider real(Size size, Actions actions) {
-    Balancer balancer = new Balancer(HollowSettings.of(0, size, false), 1, actions);
+  static Decider real(FleetSize size, RoutingActions actions) {
+    RequestRouter balancer = new RequestRouter(HollowSettings.of(0, size, false), 1, actions);
     return new Decider() {
       @Override
       public void membership(double now, MembershipUpdate update) {
@@ -67,7 +67,7 @@
   private int slot;
   private double now;
 
-  private Decisions(Size size, Function<Actions, Decider> deciders) {
+  private DecisionCost(FleetSize size, Function<RoutingActions, Decider> deciders) {
     decider = deciders.apply(new Noted());
     gap = size.nodes() / size.perSecond();
   }
@@ -77,13 +77,13 @@
    *
    * @param reads in each round
    */
-  static Measured measure(Size size, int reads, Function<Actions, Decider> deciders) {
+  static Measured measure(FleetSize size, int reads, Function<RoutingActions, Decider> deciders) {
     List<ServerEntry> entries = new ArrayList<>();
     for (int server = 0; server < size.servers(); server++) {
       entries.add(HollowSettings.entry(server, size, 0));
     }
     MembershipUpdate list = new MembershipUpdate(MembershipUpdate.Kind.FULL, 1, entries);
-    Decisions decisions = new Decisions(size, deciders);
+    DecisionCost decisions = new DecisionCost(size, deciders);
     decisions.decider.membership(0, list);
     decisions.round(reads, true);
     List<Double> held = new ArrayList<>();
--- a/scale/src/main/java/shalepaddle/scale/Asking.java
+++ b/capacity/src/main/java/shalepaddle/capacity/DiscoveryPolling.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,14 +6,14 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import shalepaddle.model.MembershipUpdate;
-import shalepaddle.policy.Actions;
-import shalepaddle.policy.Balancer;
+import shalepaddle.policy.RequestRouter;
+import shalepaddle.policy.RoutingActions;
 
 /**
  * Hollow nodes that ask one discovery for the list, which works through calls in turn: all of them
  * start within a second while it is down, and are to have the list once it is back. Virtual time.
  */
-final class Asking {
+final class DiscoveryPolling {
   /** When discovery is back, in seconds. */
   private static final double BACK = 8;
 
@@ -41,7 +41,7 @@
 
   /** Makes the feed of a node. */
   interface Feeds {
-    Feed of(int node, Actions actions);
+    Feed of(int node, RoutingActions actions);
   }
 
   private record Event(double at, int node, long token) {}
@@ -68,7 +68,7 @@
   private boolean busy;
   private long asked;
 
-  private Asking(Size size, double perSecond, Feeds made) {
+  private DiscoveryPolling(FleetSize size, double perSecond, Feeds made) {
     this.perSecond = perSecond;
     this.known =
         new MembershipUpdate(
@@ -79,9 +79,10 @@
   }
 
   /** The feeds of the node's decisions. */
-  static Feeds real(Size size) {
+  static Feeds real(FleetSize size) {
     return (node, actions) -> {
-      Balancer balancer = new Balancer(HollowSettings.of(node, size, true), node, actions);
+      RequestRouter balancer =
+          new RequestRouter(HollowSettings.of(node, size, true), node, actions);
       return new Feed() {
         @Override
         public void told(double now, MembershipUpdate update) {
@@ -97,8 +98,8 @@
   }
 
   /** Plays one return of a discovery that works through so many calls a second. */
-  static Counted play(Size size, double perSecond, long seed, Feeds made) {
-    Asking asking = new Asking(size, perSecond, made);
+  static Counted play(FleetSize size, double perSecond, long seed, Feeds made) {
+    DiscoveryPolling asking = new DiscoveryPolling(size, perSecond, made);
     SplittableRandom random = new SplittableRandom(seed);
     for (int node = 0; node < size.nodes(); node++) {
       asking.events.add(new Event(random.nextDouble(), node, START));
--- a/scale/src/main/java/shalepaddle/scale/Size.java
+++ b/capacity/src/main/java/shalepaddle/capacity/FleetSize.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import java.util.List;
 import java.util.stream.IntStream;
@@ -11,15 +11,15 @@
  * @param perSecond requests a second of all nodes together
  * @param zones in which servers stand, each alike
  */
-public record Size(int nodes, int servers, double perSecond, int zones) {
+public record FleetSize(int nodes, int servers, double perSecond, int zones) {
   /** The size that is coming. */
-  public static final Size COMING = new Size(430, 110, 270_000, 27);
+  public static final FleetSize COMING = new FleetSize(430, 110, 270_000, 27);
 
   /** Bytes of a hollow node: its table of slots, its sketch, and what it remembers of keys. */
   private static final long NODE_BYTES = 2_500_000;
 
   /** Refuses what makes no sense. */
-  public Size {
+  public FleetSize {
     if (nodes < 1 || servers < 1 || zones < 1 || !(perSecond > 0)) {
       throw new IllegalArgumentException("a size needs a node, a server, a zone and a request");
     }
@@ -42,8 +42,8 @@
   }
 
   /** The same fleet's traffic over another number of nodes. */
-  public Size withNodes(int count) {
-    return new Size(count, servers, perSecond, zones);
+  public FleetSize withNodes(int count) {
+    return new FleetSize(count, servers, perSecond, zones);
   }
 
   /** The memory that a run up to this size is expected to take at most, in bytes. */
--- a/scale/src/main/java/shalepaddle/scale/HollowActions.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowActions.java
@@ -1,11 +1,11 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
-import shalepaddle.policy.Actions;
+import shalepaddle.policy.RoutingActions;
 
 /**
  * Carries out nothing of what a hollow node decides; for what a play looks at, see who extends it.
  */
-abstract class HollowActions implements Actions {
+abstract class HollowActions implements RoutingActions {
   @Override
   public void send(String requestId, long server, double within) {}
 
--- a/scale/src/main/java/shalepaddle/scale/HollowFeed.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowFeed.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -8,11 +8,11 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import shalepaddle.feed.FeedEntry;
-import shalepaddle.feed.Follower;
-import shalepaddle.feed.Publisher;
-import shalepaddle.feed.Said;
-import shalepaddle.feed.Told;
+import shalepaddle.changefeed.ChangeEntry;
+import shalepaddle.changefeed.ChangeFeedPublisher;
+import shalepaddle.changefeed.ChangeFeedSubscriber;
+import shalepaddle.changefeed.PublisherMessage;
+import shalepaddle.changefeed.SubscriberMessage;
 
 /**
  * Many hollow nodes that follow the members of a group, with the real decisions on both sides, over
@@ -62,19 +62,20 @@
       double perSecond,
       int bodyBytes,
       int seconds,
-      Publisher.Limits limits,
+      ChangeFeedPublisher.Limits limits,
       Followers followers,
       long seed) {}
 
   /** Makes the decisions of a node. */
   interface Followers {
-    Follower make(int node, long seed, long now, Follower.Carrier carrier);
+    ChangeFeedSubscriber make(int node, long seed, long now, ChangeFeedSubscriber.Carrier carrier);
   }
 
   /** The decisions that are built, before so many members. */
   static Followers real(int members) {
     return (node, seed, now, carrier) ->
-        new Follower("g", "n" + node, members, seed, now, Follower.Pace.USUAL, carrier);
+        new ChangeFeedSubscriber(
+            "g", "n" + node, members, seed, now, ChangeFeedSubscriber.Pace.USUAL, carrier);
   }
 
   /**
@@ -105,7 +106,7 @@
 
   private record Event(long at, long order, Runnable what) {}
 
-  private record Logged(FeedEntry entry, long before, long at) {}
+  private record Logged(ChangeEntry entry, long before, long at) {}
 
   /** One connection of a node to a member. */
   private final class Connection {
@@ -145,13 +146,13 @@
       return Math.max(at, last);
     }
 
-    void down(Told told) {
+    void down(PublisherMessage told) {
       node.bytes += bytes(told);
       lastDown = arrival(lastDown, node.cutFrom[member.number]);
       at(lastDown, () -> node.comes(this, told));
     }
 
-    void up(Said said) {
+    void up(SubscriberMessage said) {
       node.bytes += PACKET_BYTES + FRAME_BYTES;
       lastUp = arrival(lastUp, node.cutTo[member.number]);
       at(
@@ -174,13 +175,13 @@
     }
   }
 
-  private static int bytes(Told told) {
+  private static int bytes(PublisherMessage told) {
     int bytes = PACKET_BYTES + FRAME_BYTES;
-    if (told instanceof Told.Entries entries) {
-      for (FeedEntry entry : entries.entries()) {
+    if (told instanceof PublisherMessage.Entries entries) {
+      for (ChangeEntry entry : entries.entries()) {
         bytes += ENTRY_BYTES + entry.body().length;
       }
-    } else if (told instanceof Told.Snapshot snapshot) {
+    } else if (told instanceof PublisherMessage.Snapshot snapshot) {
       bytes += snapshot.image().length;
     }
     // One header for each packet of 1,400 bytes.
@@ -188,7 +189,7 @@
   }
 
   /** A member of the group: its part of the log, and who follows it. */
-  private final class Member implements Publisher.Carrier {
+  private final class Member implements ChangeFeedPublisher.Carrier {
     final int number;
     final int region;
     final Map<Long, Connection> followers = new HashMap<>();
@@ -199,7 +200,7 @@
     long nanos;
     int mostFollowers;
     long mostOutBytes;
-    Publisher publisher;
+    ChangeFeedPublisher publisher;
 
     Member(int number) {
       this.number = number;
@@ -208,7 +209,7 @@
     }
 
     void begins() {
-      publisher = new Publisher("g", now, plan.limits, this);
+      publisher = new ChangeFeedPublisher("g", now, plan.limits, this);
       publisher.led(now, true);
       followers.clear();
     }
@@ -227,8 +228,8 @@
     }
 
     @Override
-    public void tell(long connection, Told told) {
-      snapshots += told instanceof Told.Snapshot ? 1 : 0;
+    public void tell(long connection, PublisherMessage told) {
+      snapshots += told instanceof PublisherMessage.Snapshot ? 1 : 0;
       Connection to = followers.get(connection);
       if (to != null) {
         to.down(told);
@@ -246,8 +247,8 @@
     }
 
     @Override
-    public Told.Snapshot snapshot() {
-      return new Told.Snapshot(publisher.index(), new byte[2000]);
+    public PublisherMessage.Snapshot snapshot() {
+      return new PublisherMessage.Snapshot(publisher.index(), new byte[2000]);
     }
 
     void hearsOfEnd(Connection connection) {
@@ -258,12 +259,12 @@
   }
 
   /** A node. */
-  private final class Node implements Follower.Carrier {
+  private final class Node implements ChangeFeedSubscriber.Carrier {
     final int number;
     final int region;
     final long[] cutFrom = new long[plan.members];
     final long[] cutTo = new long[plan.members];
-    Follower follower;
+    ChangeFeedSubscriber follower;
     Connection connection;
     long bytes;
     long nanos;
@@ -295,7 +296,7 @@
     }
 
     /** Runs it, or lets it wait until it goes on. */
-    void run(Consumer<Follower> what) {
+    void run(Consumer<ChangeFeedSubscriber> what) {
       if (stoppedUntil > now) {
         at(stoppedUntil, () -> run(what));
         return;
@@ -307,7 +308,7 @@
     }
 
     private void arm() {
-      Follower present = follower;
+      ChangeFeedSubscriber present = follower;
       long due = present.nextDue();
       at(
           Math.max(due, now),
@@ -318,7 +319,7 @@
           });
     }
 
-    void comes(Connection from, Told told) {
+    void comes(Connection from, PublisherMessage told) {
       if (from == connection && !from.ended) {
         run(
             f -> {
@@ -382,14 +383,14 @@
     }
 
     @Override
-    public void say(Said said) {
+    public void say(SubscriberMessage said) {
       if (connection != null) {
         connection.up(said);
       }
     }
 
     @Override
-    public void apply(FeedEntry entry) {
+    public void apply(ChangeEntry entry) {
       int place = (int) (entry.index() / 2) - 1;
       if (log.get(place).before != inForce) {
         breach("node %d has entry %d after %d", number, entry.index(), inForce);
@@ -492,7 +493,7 @@
     }
     long before = log.isEmpty() ? 0 : log.get(log.size() - 1).entry.index();
     // Every second place of the log is none of the feed's.
-    FeedEntry entry = new FeedEntry(before + 2, new byte[plan.bodyBytes]);
+    ChangeEntry entry = new ChangeEntry(before + 2, new byte[plan.bodyBytes]);
     log.add(new Logged(entry, before, now));
     int upTo = log.size();
     for (Member member : members) {
--- a/scale/src/main/java/shalepaddle/scale/HollowFleet.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowFleet.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.Request;
 import shalepaddle.model.ServerEntry;
-import shalepaddle.policy.Balancer;
+import shalepaddle.policy.RequestRouter;
 
 /**
  * Hollow nodes: the real decisions of many balancers before servers that are a set of keys and a
@@ -77,15 +77,15 @@
   /** An answer that comes, or a timer that is due. */
   private record Event(double at, int node, String id, int server, long token, boolean miss) {}
 
-  private final Size size;
+  private final FleetSize size;
   private final Parts parts;
   private final SplittableRandom random;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
-  private final Balancer[] nodes;
+  private final RequestRouter[] nodes;
 
   /** Learns each key's first server: it is idle, and so sends nothing anywhere else. */
-  private final Balancer idle;
+  private final RequestRouter idle;
 
   private final int[] homes = new int[KEYS];
   private final Map<Long, Integer> numbers = new HashMap<>();
@@ -117,11 +117,11 @@
   /** What the call to a node's decisions that is under way has sent. */
   private final List<Sent> sent = new ArrayList<>();
 
-  private HollowFleet(Size size, Parts parts, long seed) {
+  private HollowFleet(FleetSize size, Parts parts, long seed) {
     this.size = size;
     this.parts = parts;
     this.random = new SplittableRandom(seed);
-    nodes = new Balancer[size.nodes()];
+    nodes = new RequestRouter[size.nodes()];
     ids = new long[size.servers()];
     held = new BitSet[size.servers()];
     askers = new BitSet[size.servers()];
@@ -136,16 +136,16 @@
     }
     for (int node = 0; node < size.nodes(); node++) {
       nodes[node] =
-          new Balancer(HollowSettings.of(node, size, false), seed + node, new Carried(node));
+          new RequestRouter(HollowSettings.of(node, size, false), seed + node, new Carried(node));
       nodes[node].membership(now, list(MembershipUpdate.Kind.FULL, 0));
     }
-    idle = new Balancer(HollowSettings.of(0, size, false), seed, new Carried(-1));
+    idle = new RequestRouter(HollowSettings.of(0, size, false), seed, new Carried(-1));
     idle.membership(now, list(MembershipUpdate.Kind.FULL, 0));
     Arrays.fill(homes, -1);
   }
 
   /** Plays one fleet. */
-  static Counted play(Size size, Parts parts, long seed) {
+  static Counted play(FleetSize size, Parts parts, long seed) {
     long before = usedHeap();
     HollowFleet fleet = new HollowFleet(size, parts, seed);
     fleet.play();
--- a/scale/src/main/java/shalepaddle/scale/HollowSettings.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowSettings.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import java.util.List;
 import java.util.stream.IntStream;
@@ -24,7 +24,7 @@
   private HollowSettings() {}
 
   /** Those of one node, which is told the list or has to ask for it. */
-  static Settings of(int node, Size size, boolean asks) {
+  static Settings of(int node, FleetSize size, boolean asks) {
     Settings.ServiceClass read =
         new Settings.ServiceClass(
             "read", 0.75, 0, 2, 2, 0.3, Settings.Effect.SAFE, Settings.Group.ALL, 0, false);
@@ -47,7 +47,7 @@
         0.005);
   }
 
-  private static String zone(int number, Size size) {
+  private static String zone(int number, FleetSize size) {
     return "z" + number % size.zones();
   }
 
@@ -56,13 +56,13 @@
     return MemberList.number("s-" + server);
   }
 
-  static ServerEntry entry(int server, Size size, double startedAt) {
+  static ServerEntry entry(int server, FleetSize size, double startedAt) {
     return new ServerEntry(
         id(server), zone(server, size), "m", 0, ServerEntry.State.READY, 1, startedAt);
   }
 
   /** Requests a second that a warm server can do. */
-  static double capacity(Size size) {
+  static double capacity(FleetSize size) {
     return size.perSecond() / size.servers() / USUAL;
   }
 
--- a/scale/src/main/java/shalepaddle/scale/Lists.java
+++ b/capacity/src/main/java/shalepaddle/capacity/ServerListPayload.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
 import shalepaddle.settings.JsonObject;
 
 /** The list of cache servers on its way to a node: its bytes, and what reading it takes. */
-final class Lists {
+final class ServerListPayload {
   private static final int READS = 200;
 
   /**
@@ -21,16 +21,16 @@
    */
   record Measured(double bytes, double readMicros) {}
 
-  private Lists() {}
+  private ServerListPayload() {}
 
-  private static String entry(int server, Size size) {
+  private static String entry(int server, FleetSize size) {
     return """
         {"id":"s-%08x","addr":"10.%d.%d.18:11211","zone":"z%d","kind":"m2","cell":%d,\
         "state":"active","weight":1.0,"started_ms":1796183058123}"""
         .formatted(server, server % 256, server / 256, server % size.zones(), server / 8);
   }
 
-  static Measured measure(Size size) throws FormatException {
+  static Measured measure(FleetSize size) throws FormatException {
     String list =
         IntStream.range(0, size.servers())
             .mapToObj(server -> entry(server, size))
@@ -44,6 +44,6 @@
         throw new FormatException("a list that lacks some");
       }
     }
-    return new Measured(list.getBytes(StandardCharsets.UTF_8).length, Decisions.median(times));
+    return new Measured(list.getBytes(StandardCharsets.UTF_8).length, DecisionCost.median(times));
   }
 }
--- a/scale/src/main/java/shalepaddle/scale/Slope.java
+++ b/capacity/src/main/java/shalepaddle/capacity/Slope.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import java.util.List;
 
--- a/scale/src/main/java/shalepaddle/scale/Picture.java
+++ b/capacity/src/main/java/shalepaddle/capacity/SlopeChart.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -12,10 +12,10 @@
 /**
  * Slopes as small charts side by side: what was measured, the line, and the size that is coming.
  */
-public final class Picture {
+public final class SlopeChart {
   private static final int COLUMNS = 3;
 
-  private Picture() {}
+  private SlopeChart() {}
 
   /**
    * Draws them.
--- a/scale/src/test/java/shalepaddle/scale/ScaleTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,32 +11,33 @@
 import shalepaddle.model.MembershipUpdate;
 import shalepaddle.model.Outcome;
 import shalepaddle.model.Request;
-import shalepaddle.policy.Actions;
+import shalepaddle.policy.RoutingActions;
 
 /**
  * Each scale test in a small and fixed form, which fails where a slope gets steeper by the factor
  * that it states; each is seen to find a variant that is broken on purpose.
  */
-class ScaleTest {
-  private static final Size SMALL = new Size(54, 55, 34_000, 5);
+class CapacityRunTest {
+  private static final FleetSize SMALL = new FleetSize(54, 55, 34_000, 5);
   private static final int EIGHTFOLD = 8;
 
   /** Measured: eight times the servers take four times as long. Proportional is the most. */
   private static final double MOST_GROWTH = EIGHTFOLD;
 
-  private interface Deciders extends Function<Size, Function<Actions, Decisions.Decider>> {}
+  private interface Deciders
+      extends Function<FleetSize, Function<RoutingActions, DecisionCost.Decider>> {}
 
   /** Rounds of which the median counts: one alone is off by half now and then. */
   private static final int ROUNDS = 3;
 
   /** How many times as long a read takes before eight times the servers. */
   private static double growth(int reads, Deciders deciders) {
-    Size large = new Size(54, EIGHTFOLD * 55, 34_000, 5);
-    Decisions.measure(large, reads, deciders.apply(large));
+    FleetSize large = new FleetSize(54, EIGHTFOLD * 55, 34_000, 5);
+    DecisionCost.measure(large, reads, deciders.apply(large));
     double[] growths = new double[ROUNDS];
     for (int i = 0; i < ROUNDS; i++) {
-      Decisions.Measured few = Decisions.measure(SMALL, reads, deciders.apply(SMALL));
-      Decisions.Measured many = Decisions.measure(large, reads, deciders.apply(large));
+      DecisionCost.Measured few = DecisionCost.measure(SMALL, reads, deciders.apply(SMALL));
+      DecisionCost.Measured many = DecisionCost.measure(large, reads, deciders.apply(large));
       growths[i] =
           Math.max(
               many.heldMicros() / few.heldMicros(), many.missingMicros() / few.missingMicros());
@@ -47,15 +48,15 @@
 
   @Test
   void decisionsGrowNoFasterThanTheServers() {
-    double growth = growth(2000, size -> actions -> Decisions.real(size, actions));
+    double growth = growth(2000, size -> actions -> DecisionCost.real(size, actions));
     assertTrue(growth < MOST_GROWTH, "eight times the servers take " + growth + " times as long");
   }
 
   /** Looks at each pair of servers on each read. */
-  private static Decisions.Decider quadratic(Size size, Actions actions) {
-    Decisions.Decider real = Decisions.real(size, actions);
+  private static DecisionCost.Decider quadratic(FleetSize size, RoutingActions actions) {
+    DecisionCost.Decider real = DecisionCost.real(size, actions);
     long[] servers = new long[size.servers()];
-    return new Decisions.Decider() {
+    return new DecisionCost.Decider() {
       @Override
       public void membership(double now, MembershipUpdate update) {
         real.membership(now, update);
@@ -85,11 +86,13 @@
   }
 
   /** What the returns of a discovery at these sizes break of its bounds. */
-  private static List<String> breaches(double perSecond, Function<Size, Asking.Feeds> feeds) {
+  private static List<String> breaches(
+      double perSecond, Function<FleetSize, DiscoveryPolling.Feeds> feeds) {
     List<String> breaches = new ArrayList<>();
     for (int nodes : new int[] {27, 54, 108}) {
-      Size size = SMALL.withNodes(nodes);
-      Asking.Counted counted = Asking.play(size, perSecond, 7, feeds.apply(size));
+      FleetSize size = SMALL.withNodes(nodes);
+      DiscoveryPolling.Counted counted =
+          DiscoveryPolling.play(size, perSecond, 7, feeds.apply(size));
       // Calls are worked through in turn: no feed is sooner. Half as much again, and a round.
       double most = 1.5 * nodes / perSecond + 4;
       if (counted.lastSeconds() > most) {
@@ -105,14 +108,14 @@
 
   @Test
   void discoveryIsAskedAgainWithoutAStorm() {
-    assertEquals(List.of(), breaches(2.5, Asking::real));
-    assertEquals(List.of(), breaches(6, Asking::real));
+    assertEquals(List.of(), breaches(2.5, DiscoveryPolling::real));
+    assertEquals(List.of(), breaches(6, DiscoveryPolling::real));
   }
 
   /** Asks again at once. */
-  private static Asking.Feeds hasty(Size size) {
+  private static DiscoveryPolling.Feeds hasty(FleetSize size) {
     return (node, actions) ->
-        new Asking.Feed() {
+        new DiscoveryPolling.Feed() {
           @Override
           public void told(double now, MembershipUpdate update) {
             if (update.kind() != MembershipUpdate.Kind.FULL) {
@@ -129,7 +132,7 @@
 
   @Test
   void aStormOfCallsIsFound() {
-    List<String> found = breaches(2.5, ScaleTest::hasty);
+    List<String> found = breaches(2.5, CapacityRunTest::hasty);
     assertTrue(found.stream().anyMatch(breach -> breach.endsWith("calls each")), found.toString());
   }
 
@@ -167,14 +170,14 @@
 
   @Test
   void theListGrowsInProportion() throws Exception {
-    double few = Lists.measure(SMALL).bytes();
-    double many = Lists.measure(new Size(54, EIGHTFOLD * 55, 34_000, 5)).bytes();
+    double few = ServerListPayload.measure(SMALL).bytes();
+    double many = ServerListPayload.measure(new FleetSize(54, EIGHTFOLD * 55, 34_000, 5)).bytes();
     assertEquals(EIGHTFOLD, many / few, 0.2);
   }
 
   @Test
   void stepsEndOneBeyondTheSizeThatIsAskedFor() {
-    assertEquals(List.of(27, 54, 108, 215, 430, 860), Size.COMING.nodeSteps());
-    assertEquals(List.of(1, 2), new Size(1, 1, 1, 1).nodeSteps());
+    assertEquals(List.of(27, 54, 108, 215, 430, 860), FleetSize.COMING.nodeSteps());
+    assertEquals(List.of(1, 2), new FleetSize(1, 1, 1, 1).nodeSteps());
   }
 }
--- a/scale/src/test/java/shalepaddle/scale/FeedDayTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/ChangeFeedSimulationTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import shalepaddle.feed.Follower;
-import shalepaddle.feed.Publisher;
+import shalepaddle.changefeed.ChangeFeedPublisher;
+import shalepaddle.changefeed.ChangeFeedSubscriber;
 
 /**
  * Days of nodes that follow a group, in virtual time, by seeds: members vanish, are killed, restart
@@ -17,16 +17,16 @@
  * Never an older state after a newer one, never a hole, and each that is in contact has an entry in
  * time.
  */
-class FeedDayTest {
+class ChangeFeedSimulationTest {
   private static final long SECOND = 1_000_000_000L;
   private static final int DAYS = Integer.getInteger("feed.days", 300);
   private static final long CALM = 12 * SECOND;
 
   private static HollowFeed.Plan plan(
       int nodes, double loss, long keptBytes, long seed, HollowFeed.Followers followers) {
-    Publisher.Limits usual = Publisher.Limits.USUAL;
-    Publisher.Limits limits =
-        new Publisher.Limits(
+    ChangeFeedPublisher.Limits usual = ChangeFeedPublisher.Limits.USUAL;
+    ChangeFeedPublisher.Limits limits =
+        new ChangeFeedPublisher.Limits(
             usual.mostFollowers(),
             keptBytes,
             4000,
@@ -82,15 +82,16 @@
   }
 
   /** Changes what a follower is made with, and nothing else. */
-  private static HollowFeed.Followers broken(Follower.Pace pace) {
-    return (node, seed, now, carrier) -> new Follower("g", "n" + node, 3, seed, now, pace, carrier);
+  private static HollowFeed.Followers broken(ChangeFeedSubscriber.Pace pace) {
+    return (node, seed, now, carrier) ->
+        new ChangeFeedSubscriber("g", "n" + node, 3, seed, now, pace, carrier);
   }
 
   @Test
   void aNodeThatWaitsForeverOnASilentMemberIsFound() {
-    Follower.Pace usual = Follower.Pace.USUAL;
-    Follower.Pace patient =
-        new Follower.Pace(
+    ChangeFeedSubscriber.Pace usual = ChangeFeedSubscriber.Pace.USUAL;
+    ChangeFeedSubscriber.Pace patient =
+        new ChangeFeedSubscriber.Pace(
             60 * SECOND,
             usual.connectNanos(),
             usual.firstWaitNanos(),
@@ -103,9 +104,9 @@
 
   @Test
   void aMemberThatPublishesWhatItLostSightOfIsFound() {
-    Publisher.Limits usual = Publisher.Limits.USUAL;
-    Publisher.Limits never =
-        new Publisher.Limits(
+    ChangeFeedPublisher.Limits usual = ChangeFeedPublisher.Limits.USUAL;
+    ChangeFeedPublisher.Limits never =
+        new ChangeFeedPublisher.Limits(
             usual.mostFollowers(),
             usual.mostBytes(),
             usual.windowBytes(),
@@ -158,7 +159,7 @@
                   6,
                   120,
                   15,
-                  Publisher.Limits.USUAL,
+                  ChangeFeedPublisher.Limits.USUAL,
                   HollowFeed.real(3),
                   seed));
       feed.vanish(6 * SECOND, 1, 6 * SECOND);
--- a/scale/src/test/java/shalepaddle/scale/SlopeTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/SlopeTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.scale;
+package shalepaddle.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/cli/src/main/java/shalepaddle/cli/ScaleCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/CapacityCommand.java
@@ -15,30 +15,30 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import shalepaddle.scale.Picture;
-import shalepaddle.scale.Scale;
-import shalepaddle.scale.Size;
-import shalepaddle.scale.Slope;
+import shalepaddle.capacity.CapacityRun;
+import shalepaddle.capacity.FleetSize;
+import shalepaddle.capacity.Slope;
+import shalepaddle.capacity.SlopeChart;
 
 /** Measures what each role costs in steps up to a size, and one step beyond. */
 @Command(
     name = "scale",
     description = "Measures what each role costs as the fleet grows, with hollow nodes.",
     mixinStandardHelpOptions = true)
-final class ScaleCommand implements Callable<Integer> {
+final class CapacityCommand implements Callable<Integer> {
   @Option(names = "--nodes", description = "Nodes (default: ${DEFAULT-VALUE}).")
-  private int nodes = Size.COMING.nodes();
+  private int nodes = FleetSize.COMING.nodes();
 
   @Option(names = "--servers", description = "Cache servers (default: ${DEFAULT-VALUE}).")
-  private int servers = Size.COMING.servers();
+  private int servers = FleetSize.COMING.servers();
 
   @Option(names = "--zones", description = "Zones of servers (default: ${DEFAULT-VALUE}).")
-  private int zones = Size.COMING.zones();
+  private int zones = FleetSize.COMING.zones();
 
   @Option(
       names = "--rate",
       description = "Requests a second, all nodes together (default: ${DEFAULT-VALUE}).")
-  private double perSecond = Size.COMING.perSecond();
+  private double perSecond = FleetSize.COMING.perSecond();
 
   @Option(
       names = "--seconds",
@@ -52,7 +52,7 @@
       names = "--role",
       split = ",",
       description = "Which: ${COMPLETION-CANDIDATES} (default: all).")
-  private Set<Scale.Role> roles = EnumSet.allOf(Scale.Role.class);
+  private Set<CapacityRun.Role> roles = EnumSet.allOf(CapacityRun.Role.class);
 
   @Option(names = "--json", paramLabel = "FILE", description = "Writes all points there as well.")
   private Path json;
@@ -64,22 +64,23 @@
 
   private final PrintStream out;
 
-  ScaleCommand() {
+  CapacityCommand() {
     this(System.out);
   }
 
-  ScaleCommand(PrintStream out) {
+  CapacityCommand(PrintStream out) {
     this.out = out;
   }
 
   /** All that a run gave. */
-  private record Report(Size size, long seed, double seconds, List<Slope> slopes, long peakBytes) {}
+  private record Report(
+      FleetSize size, long seed, double seconds, List<Slope> slopes, long peakBytes) {}
 
   @Override
   public Integer call() throws Exception {
-    Size size;
+    FleetSize size;
     try {
-      size = new Size(nodes, servers, perSecond, zones);
+      size = new FleetSize(nodes, servers, perSecond, zones);
     } catch (IllegalArgumentException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
@@ -92,7 +93,7 @@
       return 2;
     }
     long began = System.nanoTime();
-    List<Slope> slopes = Scale.measure(size, roles, seconds, seed, System.err::println);
+    List<Slope> slopes = CapacityRun.measure(size, roles, seconds, seed, System.err::println);
     for (Slope slope : slopes) {
       int asked = slope.size().equals("nodes") ? nodes : servers;
       out.printf(
@@ -117,7 +118,7 @@
           .writeValue(json.toFile(), new Report(size, seed, seconds, slopes, peak));
     }
     if (picture != null) {
-      Picture.draw(picture, slopes, nodes, servers);
+      SlopeChart.draw(picture, slopes, nodes, servers);
     }
     return peak > machineBytes() / 2 ? 1 : 0;
   }
--- a/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
@@ -14,16 +14,16 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import shalepaddle.agreement.Agreement;
-import shalepaddle.agreement.Standing;
-import shalepaddle.cluster.GroupCaller;
+import shalepaddle.cluster.GroupClient;
 import shalepaddle.cluster.GroupMember;
-import shalepaddle.cluster.Place;
+import shalepaddle.cluster.MemberConfig;
 import shalepaddle.membership.MemberList;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Entry;
-import shalepaddle.promises.Promises;
-import shalepaddle.promises.Proposal;
+import shalepaddle.raft.MemberStatus;
+import shalepaddle.raft.RaftMember;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.ReplicatedState;
+import shalepaddle.replicatedstate.StateCommand;
 import shalepaddle.settings.FormatException;
 
 /** A group of members that hold promises by majority. */
@@ -72,8 +72,8 @@
       return addresses;
     }
 
-    GroupCaller caller() throws IOException, FormatException {
-      return new GroupCaller(group, addresses(), System.err::println);
+    GroupClient caller() throws IOException, FormatException {
+      return new GroupClient(group, addresses(), System.err::println);
     }
   }
 
@@ -98,8 +98,8 @@
         description = "Where others find it (default: where it listens).")
     private String advertise;
 
-    Place place(Group group) throws FormatException {
-      return new Place(
+    MemberConfig place(Group group) throws FormatException {
+      return new MemberConfig(
           group.group,
           name,
           folder,
@@ -202,19 +202,19 @@
   }
 
   /** A line for each change of the group. */
-  private static final class Lines implements Agreement.Listener {
+  private static final class Lines implements RaftMember.Listener {
     private String last = "";
 
     @Override
-    public void applied(long index, byte[] body, Proposal proposal, Answer answer) {}
+    public void applied(long index, byte[] body, Proposal proposal, CommandResult answer) {}
 
     @Override
-    public void restored(Promises.Image image) {
+    public void restored(ReplicatedState.Image image) {
       System.err.println("caught up by a snapshot to entry " + image.index());
     }
 
     @Override
-    public void changed(Standing now) {
+    public void changed(MemberStatus now) {
       String line =
           "group: term %d, leader %s, voting %s%s"
               .formatted(
@@ -243,7 +243,7 @@
           "status",
           () -> {
             boolean led = false;
-            try (GroupCaller caller = group.caller()) {
+            try (GroupClient caller = group.caller()) {
               for (String member : group.addresses().keySet()) {
                 led |= line(caller, member);
               }
@@ -252,9 +252,9 @@
           });
     }
 
-    private static boolean line(GroupCaller caller, String member) throws InterruptedException {
+    private static boolean line(GroupClient caller, String member) throws InterruptedException {
       try {
-        Standing standing = standing(caller, member);
+        MemberStatus standing = standing(caller, member);
         System.out.printf(
             "%-12s %-9s term %-4d leader %-12s committed %-8d last %-8d voting %s%s%n",
             member,
@@ -273,7 +273,7 @@
     }
 
     /** The first question only opens the connection. */
-    private static Standing standing(GroupCaller caller, String member)
+    private static MemberStatus standing(GroupClient caller, String member)
         throws IOException, InterruptedException {
       for (int i = 0; i < 20; i++) {
         try {
@@ -319,11 +319,13 @@
             }
             Proposal proposal =
                 new Proposal(
-                    id, System.currentTimeMillis(), new Entry.Say(server, word.equals("exclude")));
-            try (GroupCaller caller = group.caller()) {
-              Answer answer = caller.hold(proposal, null, millis);
+                    id,
+                    System.currentTimeMillis(),
+                    new StateCommand.Say(server, word.equals("exclude")));
+            try (GroupClient caller = group.caller()) {
+              CommandResult answer = caller.hold(proposal, null, millis);
               System.out.println(answer.kind() + " as entry " + answer.index());
-              return answer.kind() == Answer.Kind.HELD ? 0 : 1;
+              return answer.kind() == CommandResult.Kind.HELD ? 0 : 1;
             } catch (IOException e) {
               throw new IOException(e.getMessage() + "; ask again with --id " + id, e);
             }
@@ -344,7 +346,7 @@
       return told(
           "held",
           () -> {
-            try (GroupCaller caller = group.caller()) {
+            try (GroupClient caller = group.caller()) {
               caller.read(null, 3000).out().forEach(System.out::println);
             }
             return 0;
@@ -368,7 +370,7 @@
       return told(
           "remove",
           () -> {
-            try (GroupCaller caller = group.caller()) {
+            try (GroupClient caller = group.caller()) {
               caller.remove(name, 10_000);
             }
             return 0;
--- a/cli/src/main/java/shalepaddle/cli/Embedded.java
+++ b/cli/src/main/java/shalepaddle/cli/Embedded.java
@@ -16,14 +16,14 @@
 import shalepaddle.node.Node;
 import shalepaddle.settings.FormatException;
 import shalepaddle.settings.JsonObject;
-import shalepaddle.testkit.Ledger;
+import shalepaddle.testkit.EffectLog;
+import shalepaddle.testkit.LoopbackTransport;
 import shalepaddle.testkit.ServerModel;
 import shalepaddle.testkit.StandInClients;
 import shalepaddle.testkit.StandInDiscovery;
 import shalepaddle.testkit.StandInOrigin;
 import shalepaddle.testkit.StandInServer;
 import shalepaddle.testkit.Traffic;
-import shalepaddle.testkit.Wire;
 
 /**
  * A real node between stand-ins, all on loopback sockets of this process: cache servers in two
@@ -36,9 +36,9 @@
 
   private final MultiThreadIoEventLoopGroup groups =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final Wire servers = Wire.sockets(groups.next());
-  private final Wire callers = Wire.sockets(groups.next());
-  private final Ledger ledger = new Ledger();
+  private final LoopbackTransport servers = LoopbackTransport.sockets(groups.next());
+  private final LoopbackTransport callers = LoopbackTransport.sockets(groups.next());
+  private final EffectLog ledger = new EffectLog();
   private final List<StandInServer> fleet = new ArrayList<>();
   private final StandInOrigin origin = new StandInOrigin(servers, SEED, 16, 0.03);
   private final StandInDiscovery discovery = new StandInDiscovery(servers);
@@ -127,7 +127,7 @@
         .formatted(port, discovery.address(), list);
   }
 
-  private static <T> T on(Wire wire, Callable<T> step)
+  private static <T> T on(LoopbackTransport wire, Callable<T> step)
       throws InterruptedException, ExecutionException {
     EventLoop loop = wire.loop();
     return loop.submit(step).get();
--- a/cli/src/main/java/shalepaddle/cli/FollowCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/FollowCommand.java
@@ -14,10 +14,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import shalepaddle.links.FeedLink;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Promises;
-import shalepaddle.promises.Proposal;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.ReplicatedState;
+import shalepaddle.transport.ChangeFeedClient;
 
 /** Follows the members of a group as nodes do, and tells how far those are. */
 @Command(
@@ -42,9 +42,9 @@
   private String last = "";
 
   /** One of them. */
-  private static final class Follower implements FeedLink.Listener {
+  private static final class Follower implements ChangeFeedClient.Listener {
     private final String name;
-    private FeedLink link;
+    private ChangeFeedClient link;
     private long index;
 
     Follower(String name) {
@@ -59,12 +59,12 @@
     }
 
     @Override
-    public void applied(long to, Proposal proposal, Answer answer) {
+    public void applied(long to, Proposal proposal, CommandResult answer) {
       goesOn(to);
     }
 
     @Override
-    public void restored(Promises.Image image) {
+    public void restored(ReplicatedState.Image image) {
       goesOn(image.index());
     }
 
@@ -94,7 +94,7 @@
           for (int i = 0; i < many; i++) {
             Follower follower = new Follower(name + i);
             follower.link =
-                new FeedLink(
+                new ChangeFeedClient(
                     loop, group.name(), follower.name, members, System.nanoTime(), follower);
             followers.add(follower);
           }
--- a/cli/src/main/java/shalepaddle/cli/Main.java
+++ b/cli/src/main/java/shalepaddle/cli/Main.java
@@ -28,9 +28,9 @@
     versionProvider = Main.Version.class,
     subcommands = {
       TryCommand.class,
-      DayCommand.class,
+      SimulateCommand.class,
       ClusterCommand.class,
-      ScaleCommand.class,
+      CapacityCommand.class,
       Main.Serve.class,
       Main.SimHostCommand.class,
       Main.Rehearse.class
--- a/cli/src/main/java/shalepaddle/cli/DayCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/SimulateCommand.java
@@ -11,16 +11,16 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.TypeConversionException;
-import shalepaddle.days.DayPlan;
-import shalepaddle.days.DayReport;
-import shalepaddle.days.SimulatedDay;
+import shalepaddle.simulation.ScenarioPlan;
+import shalepaddle.simulation.ScenarioReport;
+import shalepaddle.simulation.ScenarioSimulation;
 
 /** Plays simulated days and prints those on which a rule broke or something leaked. */
 @Command(
     name = "day",
     description = "Plays simulated days in virtual time, and prints the seeds of those that fail.",
     mixinStandardHelpOptions = true)
-final class DayCommand implements Callable<Integer> {
+final class SimulateCommand implements Callable<Integer> {
   @Option(
       names = "--seeds",
       paramLabel = "FROM..TO",
@@ -55,11 +55,11 @@
 
   private final PrintStream out;
 
-  DayCommand() {
+  SimulateCommand() {
     this(System.out);
   }
 
-  DayCommand(PrintStream out) {
+  SimulateCommand(PrintStream out) {
     this.out = out;
   }
 
@@ -86,7 +86,7 @@
   public Integer call() throws Exception {
     long began = System.nanoTime();
     ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, threads));
-    var played = new ExecutorCompletionService<DayReport>(pool);
+    var played = new ExecutorCompletionService<ScenarioReport>(pool);
     List<Long> failing = new ArrayList<>();
     long asked = 0;
     long served = 0;
@@ -97,14 +97,14 @@
       for (long i = 1; i <= days; i++) {
         // A few ahead of those that are played: a range may be long.
         for (; next <= seeds.to() && next - seeds.from() < i + 2L * threads; next++) {
-          DayPlan drawn =
+          ScenarioPlan drawn =
               crossing
-                  ? DayPlan.crossing(next, seconds * 1000L)
-                  : DayPlan.of(next, seconds * 1000L);
-          DayPlan plan = joining ? drawn.joined() : drawn;
-          played.submit(() -> SimulatedDay.play(plan));
+                  ? ScenarioPlan.crossing(next, seconds * 1000L)
+                  : ScenarioPlan.of(next, seconds * 1000L);
+          ScenarioPlan plan = joining ? drawn.joined() : drawn;
+          played.submit(() -> ScenarioSimulation.play(plan));
         }
-        DayReport report = played.take().get();
+        ScenarioReport report = played.take().get();
         asked += report.asked();
         served += report.served();
         shared += report.shared();
@@ -134,8 +134,8 @@
     return failing.isEmpty() ? 0 : 1;
   }
 
-  private void print(DayReport report) {
-    DayPlan plan = report.plan();
+  private void print(ScenarioReport report) {
+    ScenarioPlan plan = report.plan();
     out.printf(
         "seed %d: %d servers, %d nodes, %d asked, %d served, %d refused, %d failed, p99 %d ms%n",
         plan.seed(),
--- a/cli/src/test/java/shalepaddle/cli/FeedIT.java
+++ b/cli/src/test/java/shalepaddle/cli/ChangeFeedIT.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import shalepaddle.cluster.GroupCaller;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Entry;
-import shalepaddle.promises.Proposal;
+import shalepaddle.cluster.GroupClient;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.StateCommand;
 import shalepaddle.testkit.FaultyLink;
 
 /**
@@ -31,7 +31,7 @@
  * words are agreed on. {@code -Dfeed.runs=20} plays more.
  */
 @Timeout(600)
-class FeedIT {
+class ChangeFeedIT {
   private static final int RUNS = Integer.getInteger("feed.runs", 1);
   private static final int FOLLOWERS = 40;
   private static final int WORDS = 150;
@@ -141,12 +141,13 @@
     startFollowers("f");
     startFollowers("g");
     long index = 0;
-    try (GroupCaller caller = new GroupCaller("g", members, line -> {})) {
+    try (GroupClient caller = new GroupClient("g", members, line -> {})) {
       for (int word = 0; word < WORDS; word++) {
         Proposal proposal =
-            new Proposal("r" + run + "w" + word, 1000 + word, new Entry.Say("s-" + word, true));
-        Answer answer = caller.hold(proposal, null, 60_000);
-        assertEquals(Answer.Kind.HELD, answer.kind());
+            new Proposal(
+                "r" + run + "w" + word, 1000 + word, new StateCommand.Say("s-" + word, true));
+        CommandResult answer = caller.hold(proposal, null, 60_000);
+        assertEquals(CommandResult.Kind.HELD, answer.kind());
         index = answer.index();
         trouble(word, random);
         Thread.sleep(random.nextInt(60));
--- a/cli/src/test/java/shalepaddle/cli/ClusterIT.java
+++ b/cli/src/test/java/shalepaddle/cli/ClusterIT.java
@@ -24,11 +24,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import shalepaddle.cluster.GroupCaller;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Entry;
-import shalepaddle.promises.Promises;
-import shalepaddle.promises.Proposal;
+import shalepaddle.cluster.GroupClient;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.ReplicatedState;
+import shalepaddle.replicatedstate.StateCommand;
 import shalepaddle.testkit.FaultyLink;
 
 /**
@@ -120,26 +120,27 @@
     return made;
   }
 
-  private GroupCaller caller() throws IOException {
+  private GroupClient caller() throws IOException {
     Map<String, InetSocketAddress> addresses = new HashMap<>();
     machines.values().forEach(machine -> addresses.put(machine.name, machine.address()));
-    return new GroupCaller("g", addresses, line -> {});
+    return new GroupClient("g", addresses, line -> {});
   }
 
   /** Asks for one promise after the other, each until it is answered; and reads in between. */
-  private void call(GroupCaller caller, int number, int run) {
+  private void call(GroupClient caller, int number, int run) {
     SplittableRandom random = new SplittableRandom(run * 100L + number);
     try {
       for (int i = 0; i < CALLS; i++) {
         String id = "r" + run + "c" + number + "i" + i;
         Proposal proposal =
-            new Proposal(id, 1000 + i, new Entry.Say("s-" + number + "-" + i % 7, i % 3 != 0));
-        Answer answer = caller.hold(proposal, null, 60_000);
+            new Proposal(
+                id, 1000 + i, new StateCommand.Say("s-" + number + "-" + i % 7, i % 3 != 0));
+        CommandResult answer = caller.hold(proposal, null, 60_000);
         yes.put(id, answer.index());
         highestYes.accumulateAndGet(answer.index(), Math::max);
         if (random.nextInt(5) == 0) {
           long atLeast = highestYes.get();
-          Promises.Image image = caller.read(null, 60_000);
+          ReplicatedState.Image image = caller.read(null, 60_000);
           if (image.index() < atLeast) {
             broken.add("read up to " + image.index() + ", " + atLeast + " was answered before");
           }
@@ -180,7 +181,7 @@
       machine.process = machine.command("member", began);
     }
     int lost = 0;
-    try (GroupCaller caller = caller()) {
+    try (GroupClient caller = caller()) {
       List<Thread> threads = new ArrayList<>();
       for (int i = 0; i < CALLERS; i++) {
         int number = i;
@@ -229,7 +230,7 @@
   }
 
   /** A machine goes with its disk; another comes under a new name, and the old one is taken out. */
-  private void replace(Machine lost, GroupCaller caller, String name) throws Exception {
+  private void replace(Machine lost, GroupClient caller, String name) throws Exception {
     lost.kill();
     lost.loseFolder();
     for (Machine machine : machines.values()) {
@@ -256,12 +257,12 @@
   }
 
   /** Each yes, asked again, is answered as before: it is there, and has no second entry. */
-  private void verify(GroupCaller caller, int run) throws Exception {
+  private void verify(GroupClient caller, int run) throws Exception {
     for (int number = 0; number < CALLERS; number++) {
       for (int i = 0; i < CALLS; i++) {
         String id = "r" + run + "c" + number + "i" + i;
-        Answer again =
-            caller.hold(new Proposal(id, 1, new Entry.Say("another", true)), null, 30_000);
+        CommandResult again =
+            caller.hold(new Proposal(id, 1, new StateCommand.Say("another", true)), null, 30_000);
         if (again.index() != yes.getOrDefault(id, -1L)) {
           broken.add(id + " was " + yes.get(id) + " and is " + again.index());
         }
--- a/cluster/src/main/java/shalepaddle/cluster/GroupCaller.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
@@ -13,12 +13,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
-import shalepaddle.agreement.Standing;
-import shalepaddle.formats.PromiseForms;
-import shalepaddle.links.MemberLinks;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Promises;
-import shalepaddle.promises.Proposal;
+import shalepaddle.encoding.ReplicatedStateCodec;
+import shalepaddle.raft.MemberStatus;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.ReplicatedState;
+import shalepaddle.transport.MemberTransport;
 
 /**
  * Somebody outside of a group who asks its members: a command line, a test. Each call waits on the
@@ -26,25 +26,25 @@
  *
  * <p>Thread-safe.
  */
-public final class GroupCaller implements AutoCloseable {
+public final class GroupClient implements AutoCloseable {
   private static final long ONE_MILLIS = 700;
 
   /** Before the members are asked once more. */
   private static final long AGAIN_MILLIS = 30;
 
-  private final MemberLinks links;
+  private final MemberTransport links;
   private final Map<String, InetSocketAddress> members = new LinkedHashMap<>();
 
   /** A caller of these members. */
-  public GroupCaller(String group, Map<String, InetSocketAddress> members, Consumer<String> log)
+  public GroupClient(String group, Map<String, InetSocketAddress> members, Consumer<String> log)
       throws IOException {
     links =
-        new MemberLinks(
+        new MemberTransport(
             group,
             "",
             null,
             "",
-            new MemberLinks.Listener() {
+            new MemberTransport.Listener() {
               @Override
               public void agree(byte[] message) {}
 
@@ -86,15 +86,16 @@
    * @param first who is asked before all others, null for any
    * @throws IOException if nobody has answered by then: it may be held, ask again under the same id
    */
-  public Answer hold(Proposal proposal, String first, long millis)
+  public CommandResult hold(Proposal proposal, String first, long millis)
       throws IOException, InterruptedException {
-    return PromiseForms.answer(
-        ask(GroupMember.HOLD, PromiseForms.proposal(proposal), first, millis));
+    return ReplicatedStateCodec.answer(
+        ask(GroupMember.HOLD, ReplicatedStateCodec.proposal(proposal), first, millis));
   }
 
   /** What is held now. */
-  public Promises.Image read(String first, long millis) throws IOException, InterruptedException {
-    return PromiseForms.image(ask(GroupMember.READ, new byte[0], first, millis));
+  public ReplicatedState.Image read(String first, long millis)
+      throws IOException, InterruptedException {
+    return ReplicatedStateCodec.image(ask(GroupMember.READ, new byte[0], first, millis));
   }
 
   /** Takes a member out of the group for good. */
@@ -104,7 +105,7 @@
     while (System.nanoTime() - until < 0) {
       for (String one : all(null)) {
         try {
-          Standing standing = standing(one);
+          MemberStatus standing = standing(one);
           if (!standing.leads()) {
             continue;
           }
@@ -122,8 +123,8 @@
   }
 
   /** How a member sees the group. */
-  public Standing standing(String member) throws IOException, InterruptedException {
-    return StandingForms.standing(once(member, GroupMember.STANDING, new byte[0], ONE_MILLIS));
+  public MemberStatus standing(String member) throws IOException, InterruptedException {
+    return MemberStatusCodec.standing(once(member, GroupMember.STANDING, new byte[0], ONE_MILLIS));
   }
 
   private byte[] ask(String what, byte[] body, String first, long millis)
--- a/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
@@ -12,21 +12,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import shalepaddle.agreement.Agreement;
-import shalepaddle.agreement.NotHeldException;
-import shalepaddle.agreement.NotHeldException.Known;
-import shalepaddle.agreement.Standing;
-import shalepaddle.feed.Told;
-import shalepaddle.formats.MessageForms;
-import shalepaddle.formats.PromiseForms;
-import shalepaddle.links.FeedPort;
-import shalepaddle.links.MemberLinks;
-import shalepaddle.links.TurnedDownException;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Promises;
-import shalepaddle.promises.Proposal;
-import shalepaddle.storage.FolderDisk;
-import shalepaddle.storage.Journal;
+import shalepaddle.changefeed.PublisherMessage;
+import shalepaddle.encoding.RaftMessageCodec;
+import shalepaddle.encoding.ReplicatedStateCodec;
+import shalepaddle.raft.MemberStatus;
+import shalepaddle.raft.NotCommittedException;
+import shalepaddle.raft.NotCommittedException.Known;
+import shalepaddle.raft.RaftMember;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.ReplicatedState;
+import shalepaddle.storage.FileLogDirectory;
+import shalepaddle.storage.RaftLogStore;
+import shalepaddle.transport.ChangeFeedServer;
+import shalepaddle.transport.HandshakeRejectedException;
+import shalepaddle.transport.MemberTransport;
 
 /**
  * One member of a group, as a process has it. What is asked of it goes to whoever leads, again and
@@ -58,15 +58,15 @@
   /** Entries between two snapshots. */
   private static final int SNAPSHOT_EVERY = 10_000;
 
-  private final Place place;
+  private final MemberConfig place;
   private final Consumer<String> log;
   private final MemberThread turns;
-  private final Journal journal;
-  private final MemberLinks links;
-  private volatile Agreement agreement;
+  private final RaftLogStore journal;
+  private final MemberTransport links;
+  private volatile RaftMember agreement;
 
   /** Null where no node follows this member. */
-  private FeedPort feed;
+  private ChangeFeedServer feed;
 
   /**
    * Opens the member's folder and listens; {@link #start} takes part.
@@ -74,24 +74,24 @@
    * @throws IOException if the folder can't be had or believed, or is none that was begun, or the
    *     address is taken; with the remedy
    */
-  public GroupMember(Place place, Consumer<String> log) throws IOException {
+  public GroupMember(MemberConfig place, Consumer<String> log) throws IOException {
     this.place = place;
     this.log = log;
-    FolderDisk disk = new FolderDisk(place.folder());
-    Journal opened = null;
+    FileLogDirectory disk = new FileLogDirectory(place.folder());
+    RaftLogStore opened = null;
     try {
-      if (Journal.owner(disk) == null) {
+      if (RaftLogStore.owner(disk) == null) {
         throw new IOException(
             place.folder()
                 + " holds no member: begin it with init where the group begins, and with join, under a"
                 + " name that was never used, where a machine is new or has lost its disk");
       }
-      opened = new Journal(disk, place.group(), place.name());
+      opened = new RaftLogStore(disk, place.group(), place.name());
       journal = opened;
       opened.told().forEach(log);
       turns = new MemberThread(log);
       links =
-          new MemberLinks(
+          new MemberTransport(
               place.group(), place.name(), place.listen(), advertised(place), new Incoming());
     } catch (IOException e) {
       disk.close();
@@ -100,7 +100,7 @@
     place.others().forEach(links::know);
   }
 
-  private static String advertised(Place place) {
+  private static String advertised(MemberConfig place) {
     InetSocketAddress found = place.advertised() == null ? place.listen() : place.advertised();
     return found.getPort() == 0 ? "" : text(found);
   }
@@ -114,12 +114,12 @@
    *
    * @throws IOException if there is a member in it already
    */
-  public static void init(Place place) throws IOException {
+  public static void init(MemberConfig place) throws IOException {
     begin(place.beginning(), true);
   }
 
   /** Makes the folder of a member that joins a group that is there. */
-  public static void join(Place place) throws IOException {
+  public static void join(MemberConfig place) throws IOException {
     if (place.members().containsKey(place.name())) {
       throw new IOException(
           "'%s' is one of those with whom the group began, and may have voted: join under a new name"
@@ -128,16 +128,16 @@
     begin(place, false);
   }
 
-  private static void begin(Place place, boolean first) throws IOException {
-    FolderDisk disk = new FolderDisk(place.folder());
+  private static void begin(MemberConfig place, boolean first) throws IOException {
+    FileLogDirectory disk = new FileLogDirectory(place.folder());
     try {
-      List<String> owner = Journal.owner(disk);
+      List<String> owner = RaftLogStore.owner(disk);
       if (owner != null) {
         throw new IOException(
             "%s holds member '%s' of group '%s' already: nothing was changed"
                 .formatted(place.folder(), owner.get(1), owner.get(0)));
       }
-      Journal journal = new Journal(disk, place.group(), place.name());
+      RaftLogStore journal = new RaftLogStore(disk, place.group(), place.name());
       if (first) {
         journal.beginGroup(place.members().keySet());
       }
@@ -153,34 +153,34 @@
    * @throws IOException if it can not listen there
    */
   public InetSocketAddress feed(InetSocketAddress listen) throws IOException {
-    feed = new FeedPort(place.group(), listen, turns, this::state, log);
+    feed = new ChangeFeedServer(place.group(), listen, turns, this::state, log);
     return feed.address();
   }
 
-  private Told.Snapshot state() {
-    Promises.Image image = agreement.applied();
-    return new Told.Snapshot(image.index(), PromiseForms.image(image));
+  private PublisherMessage.Snapshot state() {
+    ReplicatedState.Image image = agreement.applied();
+    return new PublisherMessage.Snapshot(image.index(), ReplicatedStateCodec.image(image));
   }
 
-  private Agreement.Listener fed(Agreement.Listener listener) {
+  private RaftMember.Listener fed(RaftMember.Listener listener) {
     if (feed == null) {
       return listener;
     }
-    return new Agreement.Listener() {
+    return new RaftMember.Listener() {
       @Override
-      public void applied(long index, byte[] body, Proposal proposal, Answer answer) {
+      public void applied(long index, byte[] body, Proposal proposal, CommandResult answer) {
         listener.applied(index, body, proposal, answer);
         feed.applied(index, body);
       }
 
       @Override
-      public void restored(Promises.Image image) {
+      public void restored(ReplicatedState.Image image) {
         listener.restored(image);
         feed.restored(image.index());
       }
 
       @Override
-      public void changed(Standing now) {
+      public void changed(MemberStatus now) {
         listener.changed(now);
         feed.led(now.leader() != null && now.steppedAside() == null);
       }
@@ -197,7 +197,7 @@
    *
    * @param listener is told on the member's thread
    */
-  public void start(Agreement.Listener listener) {
+  public void start(RaftMember.Listener listener) {
     if (journal.restored() != null) {
       agree(place.members().keySet(), listener);
       log.accept("member " + place.name() + " of " + place.group() + " goes on");
@@ -207,22 +207,22 @@
     askToJoin(listener);
   }
 
-  private void agree(Collection<String> began, Agreement.Listener listener) {
+  private void agree(Collection<String> began, RaftMember.Listener listener) {
     agreement =
-        new Agreement(
+        new RaftMember(
             place.group(),
             place.name(),
             began,
             SNAPSHOT_EVERY,
             journal,
             turns,
-            (to, message) -> links.send(to, MessageForms.message(message)),
+            (to, message) -> links.send(to, RaftMessageCodec.message(message)),
             System.nanoTime(),
             fed(listener));
     agreement.start();
   }
 
-  private void askToJoin(Agreement.Listener listener) {
+  private void askToJoin(RaftMember.Listener listener) {
     CompletableFuture<byte[]> first = new CompletableFuture<>();
     for (String other : place.others().keySet()) {
       links
@@ -248,7 +248,7 @@
 
   /** A member that has joined hears all; it asks for its vote until it has one. */
   private void askForVote() {
-    Standing standing = standing();
+    MemberStatus standing = standing();
     if (standing.voting().contains(place.name())) {
       return;
     }
@@ -259,10 +259,10 @@
   }
 
   /** How the group stands, as this member sees it. */
-  public Standing standing() {
-    Agreement now = agreement;
+  public MemberStatus standing() {
+    RaftMember now = agreement;
     return now == null
-        ? new Standing(place.name(), "JOINING", null, 0, List.of(), List.of(), 0, 0, null)
+        ? new MemberStatus(place.name(), "JOINING", null, 0, List.of(), List.of(), 0, 0, null)
         : now.standing();
   }
 
@@ -270,22 +270,23 @@
    * Asks the group to hold this, whoever leads.
    *
    * @param millis how long the caller waits
-   * @return the answer, once a majority has it on disk; else fails with {@link NotHeldException}
+   * @return the answer, once a majority has it on disk; else fails with {@link
+   *     NotCommittedException}
    */
-  public CompletionStage<Answer> hold(Proposal proposal, long millis) {
-    return new Asking<Answer>(
+  public CompletionStage<CommandResult> hold(Proposal proposal, long millis) {
+    return new Asking<CommandResult>(
             HOLD,
-            PromiseForms.proposal(proposal),
-            PromiseForms::answer,
+            ReplicatedStateCodec.proposal(proposal),
+            ReplicatedStateCodec::answer,
             () -> agreement.propose(proposal),
             millis)
         .begin();
   }
 
   /** What is held at this moment: whoever was answered before this call finds it here. */
-  public CompletionStage<Promises.Image> read(long millis) {
-    return new Asking<Promises.Image>(
-            READ, new byte[0], PromiseForms::image, () -> agreement.read(), millis)
+  public CompletionStage<ReplicatedState.Image> read(long millis) {
+    return new Asking<ReplicatedState.Image>(
+            READ, new byte[0], ReplicatedStateCodec::image, () -> agreement.read(), millis)
         .begin();
   }
 
@@ -323,11 +324,11 @@
       long left = TimeUnit.NANOSECONDS.toMillis(until - turns.nanos());
       if (left <= 0) {
         answer.completeExceptionally(
-            new NotHeldException(
+            new NotCommittedException(
                 maybe ? Known.MAYBE : Known.NEVER, "the group has no majority in contact", null));
         return;
       }
-      Standing standing = standing();
+      MemberStatus standing = standing();
       if (standing.leads()) {
         here.get().whenComplete(this::came);
       } else if (standing.leader() != null) {
@@ -355,9 +356,10 @@
       }
       Throwable root = cause instanceof CompletionException ? cause.getCause() : cause;
       boolean never =
-          root instanceof NotHeldException held
+          root instanceof NotCommittedException held
               ? held.known() == Known.NEVER
-              : root instanceof TurnedDownException down && down.getMessage().startsWith("never");
+              : root instanceof HandshakeRejectedException down
+                  && down.getMessage().startsWith("never");
       turns.run(
           () -> {
             maybe |= !never;
@@ -371,16 +373,16 @@
   }
 
   /** What comes from others. */
-  private final class Incoming implements MemberLinks.Listener {
+  private final class Incoming implements MemberTransport.Listener {
     @Override
     public void agree(byte[] message) {
-      Agreement now = agreement;
+      RaftMember now = agreement;
       if (now == null) {
         return;
       }
       RaftMessage read;
       try {
-        read = MessageForms.message(message);
+        read = RaftMessageCodec.message(message);
       } catch (IOException e) {
         log.accept("a message is passed over: " + e.getMessage());
         return;
@@ -390,9 +392,9 @@
 
     @Override
     public CompletionStage<byte[]> asked(String what, byte[] body) {
-      Agreement now = agreement;
+      RaftMember now = agreement;
       if (what.equals(STANDING)) {
-        return CompletableFuture.completedFuture(StandingForms.standing(standing()));
+        return CompletableFuture.completedFuture(MemberStatusCodec.standing(standing()));
       }
       if (now == null) {
         return CompletableFuture.failedFuture(
@@ -400,16 +402,19 @@
       }
       try {
         return switch (what) {
-          case HOLD -> told(here(PromiseForms.proposal(body), now).thenApply(PromiseForms::answer));
-          case READ -> told(read(now).thenApply(PromiseForms::image));
+          case HOLD ->
+              told(
+                  here(ReplicatedStateCodec.proposal(body), now)
+                      .thenApply(ReplicatedStateCodec::answer));
+          case READ -> told(read(now).thenApply(ReplicatedStateCodec::image));
           case JOIN -> joins(now, new String(body, StandardCharsets.UTF_8));
           case VOTE ->
               told(
-                  now.change(new String(body, StandardCharsets.UTF_8), Agreement.Change.VOTE)
+                  now.change(new String(body, StandardCharsets.UTF_8), RaftMember.Change.VOTE)
                       .thenApply(done -> new byte[0]));
           case REMOVE ->
               told(
-                  now.change(new String(body, StandardCharsets.UTF_8), Agreement.Change.LEAVE)
+                  now.change(new String(body, StandardCharsets.UTF_8), RaftMember.Change.LEAVE)
                       .thenApply(done -> new byte[0]));
           default ->
               CompletableFuture.failedFuture(
@@ -421,15 +426,15 @@
     }
 
     /** Whoever does not lead passes on what a caller from outside asks; members ask the leader. */
-    private CompletionStage<Answer> here(Proposal proposal, Agreement now) {
+    private CompletionStage<CommandResult> here(Proposal proposal, RaftMember now) {
       return now.standing().leads() ? now.propose(proposal) : hold(proposal, ASK_MILLIS);
     }
 
-    private CompletionStage<Promises.Image> read(Agreement now) {
+    private CompletionStage<ReplicatedState.Image> read(RaftMember now) {
       return now.standing().leads() ? now.read() : GroupMember.this.read(ASK_MILLIS);
     }
 
-    private CompletionStage<byte[]> joins(Agreement now, String name) {
+    private CompletionStage<byte[]> joins(RaftMember now, String name) {
       byte[] began = String.join(" ", now.began()).getBytes(StandardCharsets.UTF_8);
       if (now.standing().members().contains(name)) {
         return CompletableFuture.completedFuture(began);
@@ -438,7 +443,7 @@
         return CompletableFuture.failedFuture(
             new IOException("never: " + place.name() + " does not lead"));
       }
-      return told(now.change(name, Agreement.Change.LEARN).thenApply(done -> began));
+      return told(now.change(name, RaftMember.Change.LEARN).thenApply(done -> began));
     }
 
     /** A failure tells at its begin whether it can have been held. */
@@ -449,7 +454,8 @@
               return value;
             }
             Throwable root = cause instanceof CompletionException ? cause.getCause() : cause;
-            boolean never = root instanceof NotHeldException held && held.known() == Known.NEVER;
+            boolean never =
+                root instanceof NotCommittedException held && held.known() == Known.NEVER;
             throw new CompletionException(
                 new IOException((never ? "never: " : "maybe: ") + root.getMessage()));
           });
--- a/cluster/src/main/java/shalepaddle/cluster/Place.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberConfig.java
@@ -17,7 +17,7 @@
  * @param members those with whom the group began, and where this member finds them; a member that
  *     joins need not know all
  */
-public record Place(
+public record MemberConfig(
     String group,
     String name,
     Path folder,
@@ -31,7 +31,7 @@
    *
    * @throws IllegalArgumentException says what is wrong, and what would be right
    */
-  public Place {
+  public MemberConfig {
     named("group", group);
     named("name", name);
     if (members.isEmpty()) {
@@ -50,7 +50,7 @@
   }
 
   /** For the members that begin a group, which are 1, 3, 5 or 7: an even one more helps nobody. */
-  Place beginning() {
+  MemberConfig beginning() {
     if (members.size() % 2 == 0 || members.size() > 7) {
       throw new IllegalArgumentException(
           members.size()
--- a/cluster/src/main/java/shalepaddle/cluster/StandingForms.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberStatusCodec.java
@@ -1,16 +1,16 @@
 package shalepaddle.cluster;
 
 import java.io.IOException;
-import shalepaddle.agreement.Standing;
-import shalepaddle.formats.Values;
+import shalepaddle.encoding.CborValues;
+import shalepaddle.raft.MemberStatus;
 
 /** The form of how a member sees its group. */
-final class StandingForms {
-  private StandingForms() {}
+final class MemberStatusCodec {
+  private MemberStatusCodec() {}
 
   /** Its bytes. */
-  static byte[] standing(Standing standing) {
-    return Values.write(
+  static byte[] standing(MemberStatus standing) {
+    return CborValues.write(
         standing,
         (value, out) -> {
           out.put(value.name()).put(value.role()).put(value.leader()).put(value.term());
@@ -21,17 +21,17 @@
   }
 
   /** The same, read. */
-  static Standing standing(byte[] bytes) throws IOException {
-    return Values.read(
+  static MemberStatus standing(byte[] bytes) throws IOException {
+    return CborValues.read(
         bytes,
         in ->
-            new Standing(
+            new MemberStatus(
                 in.text(),
                 in.text(),
                 in.text(),
                 in.small(),
-                in.each(Values.Reader::text),
-                in.each(Values.Reader::text),
+                in.each(CborValues.Reader::text),
+                in.each(CborValues.Reader::text),
                 in.number(),
                 in.number(),
                 in.text()));
--- a/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import shalepaddle.agreement.Turns;
+import shalepaddle.raft.MemberExecutor;
 
 /** The one thread of a member that runs as a process. */
-final class MemberThread implements Turns, AutoCloseable {
+final class MemberThread implements MemberExecutor, AutoCloseable {
   private final ScheduledThreadPoolExecutor thread;
   private final Consumer<String> log;
 
--- a/cluster/src/main/java/shalepaddle/formats/Values.java
+++ b/cluster/src/main/java/shalepaddle/encoding/CborValues.java
@@ -1,4 +1,4 @@
-package shalepaddle.formats;
+package shalepaddle.encoding;
 
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
@@ -11,10 +11,10 @@
 import java.util.List;
 
 /** Values one behind the other, in CBOR (RFC 8949), as arrays within arrays. */
-public final class Values {
+public final class CborValues {
   private static final CBORFactory FACTORY = new CBORFactory();
 
-  private Values() {}
+  private CborValues() {}
 
   /** Writes values. */
   public static final class Writer {
--- a/cluster/src/main/java/shalepaddle/formats/Endpoint.java
+++ b/cluster/src/main/java/shalepaddle/encoding/Endpoint.java
@@ -1,4 +1,4 @@
-package shalepaddle.formats;
+package shalepaddle.encoding;
 
 import io.microraft.RaftEndpoint;
 
--- a/cluster/src/main/java/shalepaddle/formats/LogForms.java
+++ b/cluster/src/main/java/shalepaddle/encoding/LogEntryCodec.java
@@ -1,4 +1,4 @@
-package shalepaddle.formats;
+package shalepaddle.encoding;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
@@ -16,7 +16,7 @@
 import java.util.List;
 
 /** The forms of what the log is made of. */
-public final class LogForms {
+public final class LogEntryCodec {
   /** What a new leader begins its term with: it asks for nothing. */
   public static final byte[] NOTHING = new byte[0];
 
@@ -24,31 +24,31 @@
   private static final int BYTES = 1;
   private static final int MEMBERS = 2;
 
-  private LogForms() {}
+  private LogEntryCodec() {}
 
   /** Makes what the library works with. */
   public static RaftModelFactory model() {
     return MODEL;
   }
 
-  static void members(Collection<RaftEndpoint> members, Values.Writer out) throws IOException {
+  static void members(Collection<RaftEndpoint> members, CborValues.Writer out) throws IOException {
     out.each(members, (member, to) -> to.put(Endpoint.of(member)));
   }
 
-  static Collection<RaftEndpoint> members(Values.Reader in) throws IOException {
+  static Collection<RaftEndpoint> members(CborValues.Reader in) throws IOException {
     List<RaftEndpoint> members = in.each(from -> Endpoint.named(from.text()));
     return new LinkedHashSet<>(members);
   }
 
   /** Who is in the group, and who votes. */
-  public static void view(RaftGroupMembersView view, Values.Writer out) throws IOException {
+  public static void view(RaftGroupMembersView view, CborValues.Writer out) throws IOException {
     out.put(view.getLogIndex());
     members(view.getMembers(), out);
     members(view.getVotingMembers(), out);
   }
 
   /** The same, read. */
-  public static RaftGroupMembersView view(Values.Reader in) throws IOException {
+  public static RaftGroupMembersView view(CborValues.Reader in) throws IOException {
     return MODEL
         .createRaftGroupMembersViewBuilder()
         .setLogIndex(in.number())
@@ -57,7 +57,7 @@
         .build();
   }
 
-  private static void operation(Object operation, Values.Writer out) throws IOException {
+  private static void operation(Object operation, CborValues.Writer out) throws IOException {
     if (operation instanceof byte[] bytes) {
       out.put(BYTES).put(bytes);
     } else if (operation instanceof UpdateRaftGroupMembersOp change) {
@@ -70,7 +70,7 @@
     }
   }
 
-  private static Object operation(Values.Reader in) throws IOException {
+  private static Object operation(CborValues.Reader in) throws IOException {
     int kind = in.small();
     return switch (kind) {
       case BYTES -> in.bytes();
@@ -87,13 +87,13 @@
   }
 
   /** An entry of the log. */
-  public static void entry(LogEntry entry, Values.Writer out) throws IOException {
+  public static void entry(LogEntry entry, CborValues.Writer out) throws IOException {
     out.put(entry.getIndex()).put(entry.getTerm());
     operation(entry.getOperation(), out);
   }
 
   /** The same, read. */
-  public static LogEntry entry(Values.Reader in) throws IOException {
+  public static LogEntry entry(CborValues.Reader in) throws IOException {
     return MODEL
         .createLogEntryBuilder()
         .setIndex(in.number())
@@ -103,7 +103,7 @@
   }
 
   /** A part of a snapshot. */
-  public static void chunk(SnapshotChunk chunk, Values.Writer out) throws IOException {
+  public static void chunk(SnapshotChunk chunk, CborValues.Writer out) throws IOException {
     out.put(chunk.getIndex())
         .put(chunk.getTerm())
         .put(chunk.getSnapshotChunkIndex())
@@ -113,7 +113,7 @@
   }
 
   /** The same, read. */
-  public static SnapshotChunk chunk(Values.Reader in) throws IOException {
+  public static SnapshotChunk chunk(CborValues.Reader in) throws IOException {
     return MODEL
         .createSnapshotChunkBuilder()
         .setIndex(in.number())
@@ -126,12 +126,12 @@
   }
 
   /** The term, and who has this member's vote in it. */
-  public static void term(RaftTermPersistentState term, Values.Writer out) throws IOException {
+  public static void term(RaftTermPersistentState term, CborValues.Writer out) throws IOException {
     out.put(term.getTerm()).put(Endpoint.of(term.getVotedFor()));
   }
 
   /** The same, read. */
-  public static RaftTermPersistentState term(Values.Reader in) throws IOException {
+  public static RaftTermPersistentState term(CborValues.Reader in) throws IOException {
     return MODEL
         .createRaftTermPersistentStateBuilder()
         .setTerm(in.small())
--- a/cluster/src/main/java/shalepaddle/formats/MessageForms.java
+++ b/cluster/src/main/java/shalepaddle/encoding/RaftMessageCodec.java
@@ -1,4 +1,4 @@
-package shalepaddle.formats;
+package shalepaddle.encoding;
 
 import io.microraft.RaftEndpoint;
 import io.microraft.model.RaftModelFactory;
@@ -18,21 +18,21 @@
 import java.util.List;
 
 /** The forms of what members send each other to agree. */
-public final class MessageForms {
-  private static final RaftModelFactory MODEL = LogForms.model();
+public final class RaftMessageCodec {
+  private static final RaftModelFactory MODEL = LogEntryCodec.model();
 
-  private MessageForms() {}
+  private RaftMessageCodec() {}
 
   /** A message's bytes. */
   public static byte[] message(RaftMessage message) {
-    return Values.write(message, MessageForms::write);
+    return CborValues.write(message, RaftMessageCodec::write);
   }
 
-  private static void write(RaftMessage message, Values.Writer out) throws IOException {
+  private static void write(RaftMessage message, CborValues.Writer out) throws IOException {
     if (message instanceof AppendEntriesRequest m) {
       head(1, m, out);
       out.put(m.getPreviousLogTerm()).put(m.getPreviousLogIndex()).put(m.getCommitIndex());
-      out.each(m.getLogEntries(), LogForms::entry);
+      out.each(m.getLogEntries(), LogEntryCodec::entry);
       out.put(m.getQuerySequenceNumber()).put(m.getFlowControlSequenceNumber());
     } else if (message instanceof AppendEntriesSuccessResponse m) {
       head(2, m, out);
@@ -62,9 +62,9 @@
       out.put(m.isSenderLeader()).put(m.getSnapshotTerm()).put(m.getSnapshotIndex());
       out.put(m.getTotalSnapshotChunkCount());
       SnapshotChunk chunk = m.getSnapshotChunk();
-      out.each(chunk == null ? List.of() : List.of(chunk), LogForms::chunk);
-      LogForms.members(m.getSnapshottedMembers(), out);
-      LogForms.view(m.getGroupMembersView(), out);
+      out.each(chunk == null ? List.of() : List.of(chunk), LogEntryCodec::chunk);
+      LogEntryCodec.members(m.getSnapshottedMembers(), out);
+      LogEntryCodec.view(m.getGroupMembersView(), out);
       out.put(m.getQuerySequenceNumber()).put(m.getFlowControlSequenceNumber());
     } else if (message instanceof InstallSnapshotResponse m) {
       head(10, m, out);
@@ -76,7 +76,8 @@
   }
 
   /** What each message begins with; the kind tells what follows. */
-  private static void head(int kind, RaftMessage message, Values.Writer out) throws IOException {
+  private static void head(int kind, RaftMessage message, CborValues.Writer out)
+      throws IOException {
     out.put(kind)
         .put((String) message.getGroupId())
         .put(Endpoint.of(message.getSender()))
@@ -89,10 +90,10 @@
    * @throws IOException if it is of a form that is not known, or cut short
    */
   public static RaftMessage message(byte[] bytes) throws IOException {
-    return Values.read(bytes, MessageForms::read);
+    return CborValues.read(bytes, RaftMessageCodec::read);
   }
 
-  private static RaftMessage read(Values.Reader in) throws IOException {
+  private static RaftMessage read(CborValues.Reader in) throws IOException {
     int kind = in.small();
     String group = in.text();
     RaftEndpoint sender = Endpoint.named(in.text());
@@ -107,7 +108,7 @@
               .setPreviousLogTerm(in.small())
               .setPreviousLogIndex(in.number())
               .setCommitIndex(in.number())
-              .setLogEntries(in.each(LogForms::entry))
+              .setLogEntries(in.each(LogEntryCodec::entry))
               .setQuerySequenceNumber(in.number())
               .setFlowControlSequenceNumber(in.number())
               .build();
@@ -185,9 +186,9 @@
               .setSnapshotTerm(in.small())
               .setSnapshotIndex(in.number())
               .setTotalSnapshotChunkCount(in.small())
-              .setSnapshotChunk(in.each(LogForms::chunk).stream().findFirst().orElse(null))
-              .setSnapshottedMembers(LogForms.members(in))
-              .setGroupMembersView(LogForms.view(in))
+              .setSnapshotChunk(in.each(LogEntryCodec::chunk).stream().findFirst().orElse(null))
+              .setSnapshottedMembers(LogEntryCodec.members(in))
+              .setGroupMembersView(LogEntryCodec.view(in))
               .setQuerySequenceNumber(in.number())
               .setFlowControlSequenceNumber(in.number())
               .build();
--- a/cluster/src/main/java/shalepaddle/formats/package-info.java
+++ b/cluster/src/main/java/shalepaddle/encoding/package-info.java
@@ -3,4 +3,4 @@
  * first value is the number of their form. What a later version adds at an array's end is passed
  * over; a form whose number is not known is turned down by name.
  */
-package shalepaddle.formats;
+package shalepaddle.encoding;
--- a/cluster/src/main/java/shalepaddle/agreement/Turns.java
+++ b/cluster/src/main/java/shalepaddle/raft/MemberExecutor.java
@@ -1,7 +1,7 @@
-package shalepaddle.agreement;
+package shalepaddle.raft;
 
 /** The one thread of a member, whatever that is. What is handed in runs in order, never at once. */
-public interface Turns {
+public interface MemberExecutor {
   /** Runs a task after those before it. From any thread. */
   void run(Runnable task);
 
--- a/cluster/src/main/java/shalepaddle/agreement/Standing.java
+++ b/cluster/src/main/java/shalepaddle/raft/MemberStatus.java
@@ -1,4 +1,4 @@
-package shalepaddle.agreement;
+package shalepaddle.raft;
 
 import java.util.List;
 
@@ -15,7 +15,7 @@
  * @param last the last entry that is here
  * @param steppedAside why it takes no part, null while it does
  */
-public record Standing(
+public record MemberStatus(
     String name,
     String role,
     String leader,
--- a/cluster/src/main/java/shalepaddle/agreement/NotHeldException.java
+++ b/cluster/src/main/java/shalepaddle/raft/NotCommittedException.java
@@ -1,7 +1,7 @@
-package shalepaddle.agreement;
+package shalepaddle.raft;
 
 /** A proposal is not held by the group, or nobody knows. */
-public final class NotHeldException extends Exception {
+public final class NotCommittedException extends Exception {
   private static final long serialVersionUID = 1;
 
   /** What is known of it. */
@@ -16,7 +16,7 @@
   private final String leader;
 
   /** With a reason for people, and who may know better, null for nobody. */
-  public NotHeldException(Known known, String why, String leader) {
+  public NotCommittedException(Known known, String why, String leader) {
     super(why);
     this.known = known;
     this.leader = leader;
--- a/cluster/src/main/java/shalepaddle/agreement/Agreement.java
+++ b/cluster/src/main/java/shalepaddle/raft/RaftMember.java
@@ -1,4 +1,4 @@
-package shalepaddle.agreement;
+package shalepaddle.raft;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.QueryPolicy;
@@ -28,14 +28,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.CompletionStage;
-import shalepaddle.agreement.NotHeldException.Known;
-import shalepaddle.formats.Endpoint;
-import shalepaddle.formats.LogForms;
-import shalepaddle.formats.PromiseForms;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Promises;
-import shalepaddle.promises.Proposal;
-import shalepaddle.storage.Journal;
+import shalepaddle.encoding.Endpoint;
+import shalepaddle.encoding.LogEntryCodec;
+import shalepaddle.encoding.ReplicatedStateCodec;
+import shalepaddle.raft.NotCommittedException.Known;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.ReplicatedState;
+import shalepaddle.storage.RaftLogStore;
 
 /**
  * One member's part in the group: it proposes, votes, and applies what a majority holds.
@@ -47,7 +47,7 @@
  *
  * <p>All methods may be called from any thread; futures complete on the member's.
  */
-public final class Agreement implements AutoCloseable {
+public final class RaftMember implements AutoCloseable {
   /** Is told of what happens, on the member's thread. */
   public interface Listener {
     /**
@@ -55,13 +55,13 @@
      *
      * @param body its bytes as the log has them, with what a later version may have put into them
      */
-    void applied(long index, byte[] body, Proposal proposal, Answer answer);
+    void applied(long index, byte[] body, Proposal proposal, CommandResult answer);
 
     /** A snapshot took the place of all that was applied. */
-    void restored(Promises.Image image);
+    void restored(ReplicatedState.Image image);
 
     /** The group stands otherwise than before. */
-    void changed(Standing standing);
+    void changed(MemberStatus standing);
   }
 
   /** Carries messages to other members; may lose, delay, double and reorder them. */
@@ -71,7 +71,7 @@
   }
 
   /** No word of a leader for so long, and none asked for a vote: the library is stuck. */
-  private static final long STUCK_NANOS = 3 * Pace.lostMillis() * 1_000_000;
+  private static final long STUCK_NANOS = 3 * RaftTimeouts.lostMillis() * 1_000_000;
 
   /** How often it is tried to hold again after the journal has failed. */
   private static final long RECOVER_NANOS = 250_000_000;
@@ -80,19 +80,19 @@
   private final String name;
   private final Collection<RaftEndpoint> first = new LinkedHashSet<>();
   private final int snapshotEvery;
-  private final Journal journal;
-  private final Turns turns;
+  private final RaftLogStore journal;
+  private final MemberExecutor turns;
   private final Links links;
   private final Random random;
   private final Listener listener;
 
   // Changed on the member's thread alone.
-  private PromiseMachine machine;
+  private ReplicatedStateMachine machine;
   private volatile RaftNode node;
-  private volatile Standing standing;
+  private volatile MemberStatus standing;
   private volatile long heardAt;
   private volatile long askedAt;
-  private volatile Seam seam;
+  private volatile SnapshotBoundary seam;
 
   private boolean closed;
 
@@ -104,13 +104,13 @@
    * @param snapshotEvery entries between two snapshots
    * @param seed for the times of elections
    */
-  public Agreement(
+  public RaftMember(
       String group,
       String name,
       Collection<String> members,
       int snapshotEvery,
-      Journal journal,
-      Turns turns,
+      RaftLogStore journal,
+      MemberExecutor turns,
       Links links,
       long seed,
       Listener listener) {
@@ -123,29 +123,30 @@
     this.random = new Random(seed);
     this.listener = listener;
     members.forEach(member -> first.add(new Endpoint(member)));
-    standing = new Standing(name, "FOLLOWER", null, 0, List.of(), List.of(), 0, 0, null);
+    standing = new MemberStatus(name, "FOLLOWER", null, 0, List.of(), List.of(), 0, 0, null);
     node = build();
   }
 
   private RaftNode build() {
-    machine = new PromiseMachine(machine == null ? 0 : machine.promises().index(), listener);
+    machine =
+        new ReplicatedStateMachine(machine == null ? 0 : machine.promises().index(), listener);
     heardAt = turns.nanos();
     askedAt = heardAt;
     RaftNode.RaftNodeBuilder builder =
         RaftNode.newBuilder()
             .setGroupId(group)
-            .setConfig(Pace.config(snapshotEvery))
-            .setExecutor(Pace.executor(turns))
-            .setClock(Pace.clock(turns::nanos))
+            .setConfig(RaftTimeouts.config(snapshotEvery))
+            .setExecutor(RaftTimeouts.executor(turns))
+            .setClock(RaftTimeouts.clock(turns::nanos))
             .setRandom(random)
             .setTransport(transport())
             .setStateMachine(machine)
             .setStore(journal)
-            .setModelFactory(LogForms.model())
+            .setModelFactory(LogEntryCodec.model())
             .setRaftNodeReportListener(this::reported);
     RestoredRaftState restored = journal.restored();
     seam =
-        new Seam(
+        new SnapshotBoundary(
             restored == null || restored.getSnapshotEntry() == null
                 ? 0
                 : restored.getSnapshotEntry().getIndex());
@@ -246,7 +247,7 @@
     RaftTerm own = node.getTerm();
     if (own.getLeaderEndpoint() == null && response.getTerm() > own.getTerm() + 1) {
       node.handle(
-          LogForms.model()
+          LogEntryCodec.model()
               .createVoteRequestBuilder()
               .setGroupId(group)
               .setSender(response.getSender())
@@ -263,19 +264,19 @@
       // Of a part that was left behind.
       return;
     }
-    Standing before = standing;
+    MemberStatus before = standing;
     IOException failed = journal.failed();
     boolean over = RaftNodeStatus.isTerminal(report.getStatus());
     standing =
-        new Standing(
+        new MemberStatus(
             name,
             report.getRole().name(),
             report.getTerm().getLeaderEndpoint() == null
                 ? null
                 : ((Endpoint) report.getTerm().getLeaderEndpoint()).name(),
             report.getTerm().getTerm(),
-            LogForms.names(report.getCommittedMembers().getMembers()),
-            LogForms.names(report.getCommittedMembers().getVotingMembers()),
+            LogEntryCodec.names(report.getCommittedMembers().getMembers()),
+            LogEntryCodec.names(report.getCommittedMembers().getVotingMembers()),
             report.getLog().getCommitIndex(),
             report.getLog().getLastLogOrSnapshotIndex(),
             failed != null ? failed.getMessage() : over ? "it has ended" : null);
@@ -285,26 +286,27 @@
   }
 
   /** How the group stands, as it was last reported. */
-  public Standing standing() {
+  public MemberStatus standing() {
     return standing;
   }
 
   /**
    * Asks the group to hold this, where this member leads.
    *
-   * @return the answer, once a majority has it on disk; else fails with {@link NotHeldException}
+   * @return the answer, once a majority has it on disk; else fails with {@link
+   *     NotCommittedException}
    */
-  public CompletionStage<Answer> propose(Proposal proposal) {
-    CompletableFuture<Answer> answered = new CompletableFuture<>();
+  public CompletionStage<CommandResult> propose(Proposal proposal) {
+    CompletableFuture<CommandResult> answered = new CompletableFuture<>();
     turns.run(
         () -> {
-          Answer before = machine.promises().answered(proposal.id());
+          CommandResult before = machine.promises().answered(proposal.id());
           if (before != null) {
             // Asked again, and applied, so it is held: no second entry.
             answered.complete(before);
             return;
           }
-          node.<Answer>replicate(PromiseForms.proposal(proposal))
+          node.<CommandResult>replicate(ReplicatedStateCodec.proposal(proposal))
               .whenComplete(
                   (ordered, cause) -> {
                     if (cause == null) {
@@ -317,19 +319,19 @@
     return answered;
   }
 
-  private NotHeldException notHeld(Throwable cause) {
+  private NotCommittedException notHeld(Throwable cause) {
     Throwable root = cause instanceof CompletionException ? cause.getCause() : cause;
     if (root instanceof NotLeaderException e) {
       String leader = e.getLeader() == null ? null : ((Endpoint) e.getLeader()).name();
-      return new NotHeldException(Known.NEVER, name + " does not lead", leader);
+      return new NotCommittedException(Known.NEVER, name + " does not lead", leader);
     }
     if (root instanceof CannotReplicateException) {
-      return new NotHeldException(Known.NEVER, "too much waits for the majority", null);
+      return new NotCommittedException(Known.NEVER, "too much waits for the majority", null);
     }
     if (root instanceof IndeterminateStateException) {
-      return new NotHeldException(Known.MAYBE, name + " lost its lead meanwhile", null);
+      return new NotCommittedException(Known.MAYBE, name + " lost its lead meanwhile", null);
     }
-    return new NotHeldException(Known.MAYBE, String.valueOf(root.getMessage()), null);
+    return new NotCommittedException(Known.MAYBE, String.valueOf(root.getMessage()), null);
   }
 
   /**
@@ -337,12 +339,15 @@
    *
    * @return the image, from the leader alone, which asks a majority whether it still leads
    */
-  public CompletionStage<Promises.Image> read() {
-    CompletableFuture<Promises.Image> answered = new CompletableFuture<>();
+  public CompletionStage<ReplicatedState.Image> read() {
+    CompletableFuture<ReplicatedState.Image> answered = new CompletableFuture<>();
     turns.run(
         () ->
             node.query(
-                    LogForms.NOTHING, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+                    LogEntryCodec.NOTHING,
+                    QueryPolicy.LINEARIZABLE,
+                    Optional.empty(),
+                    Optional.empty())
                 .whenComplete(
                     (ordered, cause) -> {
                       if (cause == null) {
@@ -355,7 +360,7 @@
   }
 
   /** What is held as far as it is applied here, perhaps less than at others; on its thread. */
-  public Promises.Image applied() {
+  public ReplicatedState.Image applied() {
     return machine.promises().image();
   }
 
@@ -395,7 +400,7 @@
 
   /** The members with whom the group began: a new one has to be told. */
   public List<String> began() {
-    return LogForms.names(node.getInitialMembers().getMembers());
+    return LogEntryCodec.names(node.getInitialMembers().getMembers());
   }
 
   /** Takes no part any more. The journal is left to whoever opened it. */
--- a/cluster/src/main/java/shalepaddle/agreement/Pace.java
+++ b/cluster/src/main/java/shalepaddle/raft/RaftTimeouts.java
@@ -1,4 +1,4 @@
-package shalepaddle.agreement;
+package shalepaddle.raft;
 
 import io.microraft.RaftConfig;
 import io.microraft.executor.RaftNodeExecutor;
@@ -15,7 +15,7 @@
  * its timers alike. The clock is monotonic: a machine whose time of day jumps by hours changes
  * nothing for the group.
  */
-public final class Pace {
+public final class RaftTimeouts {
   /** Real milliseconds of one of the library's seconds. */
   public static final long SECOND_MILLIS = 200;
 
@@ -34,7 +34,7 @@
   /** Entries that wait for the majority at most; what comes then is turned down at once. */
   private static final int PENDING = 4096;
 
-  private Pace() {}
+  private RaftTimeouts() {}
 
   static RaftConfig config(int snapshotEvery) {
     return RaftConfig.newBuilder()
@@ -81,7 +81,7 @@
   }
 
   /** The member's thread, with the library's timers. */
-  static RaftNodeExecutor executor(Turns turns) {
+  static RaftNodeExecutor executor(MemberExecutor turns) {
     return new RaftNodeExecutor() {
       @Override
       public void execute(Runnable task) {
--- a/cluster/src/main/java/shalepaddle/agreement/PromiseMachine.java
+++ b/cluster/src/main/java/shalepaddle/raft/ReplicatedStateMachine.java
@@ -1,4 +1,4 @@
-package shalepaddle.agreement;
+package shalepaddle.raft;
 
 import io.microraft.statemachine.StateMachine;
 import java.io.ByteArrayOutputStream;
@@ -6,33 +6,33 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Consumer;
-import shalepaddle.formats.LogForms;
-import shalepaddle.formats.PromiseForms;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Promises;
-import shalepaddle.promises.Proposal;
+import shalepaddle.encoding.LogEntryCodec;
+import shalepaddle.encoding.ReplicatedStateCodec;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.ReplicatedState;
 
 /** Applies the log to the promises. Runs on the member's thread. */
-final class PromiseMachine implements StateMachine {
+final class ReplicatedStateMachine implements StateMachine {
   /** Bytes of a part of a snapshot: one message each. */
   private static final int PART = 256 << 10;
 
-  private final Promises promises = new Promises();
-  private final Agreement.Listener listener;
+  private final ReplicatedState promises = new ReplicatedState();
+  private final RaftMember.Listener listener;
 
   /** Entries up to here were told of before. */
   private final long told;
 
-  PromiseMachine(long told, Agreement.Listener listener) {
+  ReplicatedStateMachine(long told, RaftMember.Listener listener) {
     this.told = told;
     this.listener = listener;
   }
 
-  Promises promises() {
+  ReplicatedState promises() {
     return promises;
   }
 
-  /** Returns the {@link Answer}; null for an entry that asks for nothing. */
+  /** Returns the {@link CommandResult}; null for an entry that asks for nothing. */
   @Override
   public Object runOperation(long index, Object operation) {
     byte[] bytes = (byte[]) operation;
@@ -41,12 +41,12 @@
     }
     Proposal proposal;
     try {
-      proposal = PromiseForms.proposal(bytes);
+      proposal = ReplicatedStateCodec.proposal(bytes);
     } catch (IOException e) {
       // The same bytes on every member: all pass it over.
-      return new Answer(Answer.Kind.NOT_KNOWN, index);
+      return new CommandResult(CommandResult.Kind.NOT_KNOWN, index);
     }
-    Answer answer = promises.apply(index, proposal);
+    CommandResult answer = promises.apply(index, proposal);
     if (index > told) {
       listener.applied(index, bytes, proposal, answer);
     }
@@ -55,7 +55,7 @@
 
   @Override
   public void takeSnapshot(long index, Consumer<Object> parts) {
-    byte[] image = PromiseForms.image(promises.image());
+    byte[] image = ReplicatedStateCodec.image(promises.image());
     for (int from = 0; from == 0 || from < image.length; from += PART) {
       parts.accept(Arrays.copyOfRange(image, from, Math.min(image.length, from + PART)));
     }
@@ -66,7 +66,7 @@
     ByteArrayOutputStream image = new ByteArrayOutputStream();
     parts.forEach(part -> image.writeBytes((byte[]) part));
     try {
-      promises.restore(PromiseForms.image(image.toByteArray()));
+      promises.restore(ReplicatedStateCodec.image(image.toByteArray()));
     } catch (IOException e) {
       throw new IllegalStateException("the snapshot can't be read: " + e.getMessage(), e);
     }
@@ -77,6 +77,6 @@
 
   @Override
   public Object getNewTermOperation() {
-    return LogForms.NOTHING;
+    return LogEntryCodec.NOTHING;
   }
 }
--- a/cluster/src/main/java/shalepaddle/agreement/Seam.java
+++ b/cluster/src/main/java/shalepaddle/raft/SnapshotBoundary.java
@@ -1,9 +1,9 @@
-package shalepaddle.agreement;
+package shalepaddle.raft;
 
 import io.microraft.RaftEndpoint;
 import io.microraft.model.message.AppendEntriesRequest;
 import io.microraft.model.message.AppendEntriesSuccessResponse;
-import shalepaddle.formats.LogForms;
+import shalepaddle.encoding.LogEntryCodec;
 
 /**
  * Where a member's log goes on behind the snapshot from which it began.
@@ -17,13 +17,13 @@
  *
  * <p>Thread-safe: messages come from any thread.
  */
-final class Seam {
+final class SnapshotBoundary {
   private final long begunAfter;
   private RaftEndpoint asker;
   private long asked;
 
   /** Of a member that began from a snapshot that ends there, 0 for none. */
-  Seam(long begunAfter) {
+  SnapshotBoundary(long begunAfter) {
     this.begunAfter = begunAfter;
   }
 
@@ -35,7 +35,7 @@
     }
     asker = request.getSender();
     asked = request.getFlowControlSequenceNumber();
-    return LogForms.model()
+    return LogEntryCodec.model()
         .createAppendEntriesRequestBuilder()
         .setGroupId(request.getGroupId())
         .setSender(request.getSender())
@@ -56,7 +56,7 @@
         || response.getLastLogIndex() >= begunAfter) {
       return response;
     }
-    return LogForms.model()
+    return LogEntryCodec.model()
         .createAppendEntriesSuccessResponseBuilder()
         .setGroupId(response.getGroupId())
         .setSender(response.getSender())
--- a/cluster/src/main/java/shalepaddle/storage/DamagedException.java
+++ b/cluster/src/main/java/shalepaddle/storage/CorruptLogException.java
@@ -5,10 +5,10 @@
 /**
  * What is on a disk can't be believed; the message says which file, what is wrong and what to do.
  */
-public final class DamagedException extends IOException {
+public final class CorruptLogException extends IOException {
   private static final long serialVersionUID = 1;
 
-  DamagedException(String message) {
+  CorruptLogException(String message) {
     super(message);
   }
 }
--- a/cluster/src/main/java/shalepaddle/storage/FolderDisk.java
+++ b/cluster/src/main/java/shalepaddle/storage/FileLogDirectory.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 
 /** A real folder, held by one process at a time. */
-public final class FolderDisk implements Disk {
+public final class FileLogDirectory implements LogDirectory {
   private static final String LOCK = "lock";
 
   private final Path folder;
@@ -25,7 +25,7 @@
    *
    * @throws IOException if it can't be had, or another process holds it; says which
    */
-  public FolderDisk(Path folder) throws IOException {
+  public FileLogDirectory(Path folder) throws IOException {
     this.folder = folder;
     Files.createDirectories(folder);
     lockFile =
--- a/cluster/src/main/java/shalepaddle/storage/Disk.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogDirectory.java
@@ -8,7 +8,7 @@
  * A folder of files, as far as a journal needs one: few enough calls that a test can stop at each
  * of them and see what a machine would find after it.
  */
-public interface Disk extends Closeable {
+public interface LogDirectory extends Closeable {
   /** The names of all files. */
   List<String> names() throws IOException;
 
--- a/cluster/src/main/java/shalepaddle/storage/Journal.java
+++ b/cluster/src/main/java/shalepaddle/storage/RaftLogStore.java
@@ -19,9 +19,9 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import shalepaddle.formats.Endpoint;
-import shalepaddle.formats.LogForms;
-import shalepaddle.formats.Values;
+import shalepaddle.encoding.CborValues;
+import shalepaddle.encoding.Endpoint;
+import shalepaddle.encoding.LogEntryCodec;
 
 /**
  * A member's term, vote, log and snapshot in one file that only grows, until it is written anew
@@ -42,7 +42,7 @@
  *
  * <p>Not thread-safe: it belongs to the member's one thread.
  */
-public final class Journal implements RaftStore, Closeable {
+public final class RaftLogStore implements RaftStore, Closeable {
   /** Bytes that may be of no use before a file is written anew. */
   static final long ROOM = 4 << 20;
 
@@ -60,7 +60,7 @@
   private static final byte CHUNK = 8;
   private static final byte DROP_CHUNKS = 9;
 
-  private final Disk disk;
+  private final LogDirectory disk;
   private final String group;
   private final String name;
   private final long room;
@@ -73,7 +73,7 @@
   private final SortedMap<Long, Map<Integer, SnapshotChunk>> chunks = new TreeMap<>();
 
   private long generation;
-  private Disk.Appender file;
+  private LogDirectory.Appender file;
   private long length;
   private long lengthAtBegin;
 
@@ -88,13 +88,13 @@
    *
    * @param group the group's name; a folder of another is turned down
    * @param name the member's; likewise
-   * @throws DamagedException if what is there can't be believed, with file and remedy
+   * @throws CorruptLogException if what is there can't be believed, with file and remedy
    */
-  public Journal(Disk disk, String group, String name) throws IOException {
+  public RaftLogStore(LogDirectory disk, String group, String name) throws IOException {
     this(disk, group, name, ROOM);
   }
 
-  Journal(Disk disk, String group, String name, long room) throws IOException {
+  RaftLogStore(LogDirectory disk, String group, String name, long room) throws IOException {
     this.disk = disk;
     this.group = group;
     this.name = name;
@@ -103,37 +103,38 @@
   }
 
   /** The names of the group and of the member that a folder belongs to, null if it is empty. */
-  public static List<String> owner(Disk disk) throws IOException {
+  public static List<String> owner(LogDirectory disk) throws IOException {
     String newest = newest(disk);
     if (newest == null) {
       return null;
     }
-    Records.Read read = Records.read(disk.place() + "/" + newest, disk.read(newest));
+    RecordFormat.Read read = RecordFormat.read(disk.place() + "/" + newest, disk.read(newest));
     return header(disk, newest, read);
   }
 
-  private static String newest(Disk disk) throws IOException {
+  private static String newest(LogDirectory disk) throws IOException {
     return disk.names().stream()
         .filter(file -> file.startsWith(PREFIX))
         .max(String::compareTo)
         .orElse(null);
   }
 
-  private static List<String> header(Disk disk, String file, Records.Read read) throws IOException {
+  private static List<String> header(LogDirectory disk, String file, RecordFormat.Read read)
+      throws IOException {
     if (read.whole().isEmpty() || read.whole().get(0).kind() != HEADER) {
-      throw new DamagedException(
+      throw new CorruptLogException(
           disk.place()
               + "/"
               + file
               + " is no journal: take this folder away, and let the member join anew under a new"
               + " name");
     }
-    return Values.read(
+    return CborValues.read(
         read.whole().get(0).body(),
         in -> {
           int format = in.small();
           if (format != FORMAT) {
-            throw new DamagedException(
+            throw new CorruptLogException(
                 "%s/%s is of format %d, and this version reads %d: start the version that wrote it"
                     .formatted(disk.place(), file, format, FORMAT));
           }
@@ -160,10 +161,10 @@
       return;
     }
     String place = disk.place() + "/" + newest;
-    Records.Read read = Records.read(place, disk.read(newest));
+    RecordFormat.Read read = RecordFormat.read(place, disk.read(newest));
     List<String> owner = header(disk, newest, read);
     if (!owner.equals(List.of(group, name))) {
-      throw new DamagedException(
+      throw new CorruptLogException(
           "%s belongs to member '%s' of group '%s', not to '%s' of '%s': name the folder of this member"
               .formatted(place, owner.get(1), owner.get(0), name, group));
     }
@@ -175,14 +176,14 @@
   }
 
   /** Takes what the records of a file say, and nothing else, for what holds. */
-  private void restore(String name, Records.Read read) throws IOException {
+  private void restore(String name, RecordFormat.Read read) throws IOException {
     endpoint = null;
     members = null;
     term = null;
     entries.clear();
     chunks.clear();
     String place = disk.place() + "/" + name;
-    for (Records.Framed record : read.whole().subList(1, read.whole().size())) {
+    for (RecordFormat.Framed record : read.whole().subList(1, read.whole().size())) {
       take(place, record);
     }
     check(place);
@@ -211,7 +212,7 @@
       byte[] bytes = disk.read(newest);
       boolean current = newest.equals(PREFIX + number(generation));
       byte[] sure = current ? Arrays.copyOf(bytes, (int) Math.min(bytes.length, forced)) : bytes;
-      Records.Read read = Records.read(disk.place() + "/" + newest, sure);
+      RecordFormat.Read read = RecordFormat.read(disk.place() + "/" + newest, sure);
       header(disk, newest, read);
       removeAllBut(newest);
       restore(newest, read);
@@ -224,32 +225,33 @@
     }
   }
 
-  private void take(String place, Records.Framed record) throws IOException {
+  private void take(String place, RecordFormat.Framed record) throws IOException {
     byte[] body = record.body();
     switch (record.kind()) {
       case ENDPOINT -> {
-        boolean voting = Values.read(body, Values.Reader::flag);
+        boolean voting = CborValues.read(body, CborValues.Reader::flag);
         endpoint = endpoint(voting);
       }
-      case MEMBERS -> members = Values.read(body, LogForms::view);
-      case TERM -> term = Values.read(body, LogForms::term);
+      case MEMBERS -> members = CborValues.read(body, LogEntryCodec::view);
+      case TERM -> term = CborValues.read(body, LogEntryCodec::term);
       case ENTRY -> {
-        LogEntry entry = Values.read(body, LogForms::entry);
+        LogEntry entry = CborValues.read(body, LogEntryCodec::entry);
         entries.put(entry.getIndex(), entry);
       }
-      case CUT_FROM -> entries.tailMap(Values.read(body, Values.Reader::number)).clear();
-      case CUT_UNTIL -> entries.headMap(Values.read(body, Values.Reader::number) + 1).clear();
-      case CHUNK -> keep(Values.read(body, LogForms::chunk));
-      case DROP_CHUNKS -> chunks.remove(Values.read(body, Values.Reader::number));
+      case CUT_FROM -> entries.tailMap(CborValues.read(body, CborValues.Reader::number)).clear();
+      case CUT_UNTIL ->
+          entries.headMap(CborValues.read(body, CborValues.Reader::number) + 1).clear();
+      case CHUNK -> keep(CborValues.read(body, LogEntryCodec::chunk));
+      case DROP_CHUNKS -> chunks.remove(CborValues.read(body, CborValues.Reader::number));
       default ->
-          throw new DamagedException(
+          throw new CorruptLogException(
               "%s holds a record of kind %d, made by a later version: start that one"
                   .formatted(place, record.kind()));
     }
   }
 
   private RaftEndpointPersistentState endpoint(boolean voting) {
-    return LogForms.model()
+    return LogEntryCodec.model()
         .createRaftEndpointPersistentStateBuilder()
         .setLocalEndpoint(new Endpoint(name))
         .setVoting(voting)
@@ -267,12 +269,12 @@
     SnapshotEntry snapshot = snapshot();
     long last = snapshot == null ? 0 : snapshot.getIndex();
     if (!entries.isEmpty() && entries.firstKey() > last + 1) {
-      throw new DamagedException(
+      throw new CorruptLogException(
           "%s lacks the entries %d to %d: take this folder away, and let the member join anew"
               .formatted(place, last + 1, entries.firstKey() - 1));
     }
     if (!entries.isEmpty() && entries.lastKey() - entries.firstKey() + 1 != entries.size()) {
-      throw new DamagedException(
+      throw new CorruptLogException(
           place + " lacks entries: take this folder away, and let the member join anew");
     }
   }
@@ -284,7 +286,7 @@
       SnapshotChunk first = parts.values().iterator().next();
       if (parts.size() == first.getSnapshotChunkCount()) {
         newest =
-            LogForms.model()
+            LogEntryCodec.model()
                 .createSnapshotEntryBuilder()
                 .setIndex(first.getIndex())
                 .setTerm(first.getTerm())
@@ -301,7 +303,7 @@
     Collection<RaftEndpoint> all = new LinkedHashSet<>();
     names.forEach(member -> all.add(new Endpoint(member)));
     persistAndFlushInitialGroupMembers(
-        LogForms.model()
+        LogEntryCodec.model()
             .createRaftGroupMembersViewBuilder()
             .setLogIndex(0)
             .setMembers(all)
@@ -320,7 +322,7 @@
     RaftTermPersistentState known =
         term != null
             ? term
-            : LogForms.model()
+            : LogEntryCodec.model()
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(0)
                 .setVotedFor(null)
@@ -364,29 +366,31 @@
   private void begin(long next) throws IOException {
     List<byte[]> all = new ArrayList<>();
     all.add(
-        Records.frame(
-            HEADER, Values.write(this, (own, out) -> out.put(FORMAT).put(group).put(name))));
+        RecordFormat.frame(
+            HEADER, CborValues.write(this, (own, out) -> out.put(FORMAT).put(group).put(name))));
     if (endpoint != null) {
-      all.add(Records.frame(ENDPOINT, Values.write(endpoint.isVoting(), (v, out) -> out.put(v))));
+      all.add(
+          RecordFormat.frame(
+              ENDPOINT, CborValues.write(endpoint.isVoting(), (v, out) -> out.put(v))));
     }
     if (members != null) {
-      all.add(Records.frame(MEMBERS, Values.write(members, LogForms::view)));
+      all.add(RecordFormat.frame(MEMBERS, CborValues.write(members, LogEntryCodec::view)));
     }
     if (term != null) {
-      all.add(Records.frame(TERM, Values.write(term, LogForms::term)));
+      all.add(RecordFormat.frame(TERM, CborValues.write(term, LogEntryCodec::term)));
     }
     for (Map<Integer, SnapshotChunk> parts : chunks.values()) {
       for (SnapshotChunk chunk : parts.values()) {
-        all.add(Records.frame(CHUNK, Values.write(chunk, LogForms::chunk)));
+        all.add(RecordFormat.frame(CHUNK, CborValues.write(chunk, LogEntryCodec::chunk)));
       }
     }
     for (LogEntry entry : entries.values()) {
-      all.add(Records.frame(ENTRY, Values.write(entry, LogForms::entry)));
+      all.add(RecordFormat.frame(ENTRY, CborValues.write(entry, LogEntryCodec::entry)));
     }
     String old = PREFIX + number(generation);
-    Disk.Appender before = file;
-    byte[] bytes = Records.join(all);
-    Disk.Appender written = create(next, bytes);
+    LogDirectory.Appender before = file;
+    byte[] bytes = RecordFormat.join(all);
+    LogDirectory.Appender written = create(next, bytes);
     boolean hadFile = generation > 0;
     file = written;
     generation = next;
@@ -402,8 +406,8 @@
   }
 
   /** Makes the file of this number, whole and named, or closes what it has begun. */
-  private Disk.Appender create(long number, byte[] bytes) throws IOException {
-    Disk.Appender made = disk.create(NEXT + number(number));
+  private LogDirectory.Appender create(long number, byte[] bytes) throws IOException {
+    LogDirectory.Appender made = disk.create(NEXT + number(number));
     try {
       made.write(bytes);
       made.force();
@@ -440,7 +444,7 @@
   }
 
   private void append(int kind, byte[] body) throws IOException {
-    byte[] framed = Records.frame(kind, body);
+    byte[] framed = RecordFormat.frame(kind, body);
     file.write(framed);
     length += framed.length;
   }
@@ -450,7 +454,7 @@
     guarded(
         () -> {
           endpoint = endpoint(state.isVoting());
-          append(ENDPOINT, Values.write(state.isVoting(), (voting, out) -> out.put(voting)));
+          append(ENDPOINT, CborValues.write(state.isVoting(), (voting, out) -> out.put(voting)));
           force();
         });
   }
@@ -460,7 +464,7 @@
     guarded(
         () -> {
           members = view;
-          append(MEMBERS, Values.write(view, LogForms::view));
+          append(MEMBERS, CborValues.write(view, LogEntryCodec::view));
           force();
         });
   }
@@ -470,7 +474,7 @@
     guarded(
         () -> {
           term = state;
-          append(TERM, Values.write(state, LogForms::term));
+          append(TERM, CborValues.write(state, LogEntryCodec::term));
           force();
         });
   }
@@ -481,7 +485,7 @@
         () -> {
           for (LogEntry entry : more) {
             entries.put(entry.getIndex(), entry);
-            append(ENTRY, Values.write(entry, LogForms::entry));
+            append(ENTRY, CborValues.write(entry, LogEntryCodec::entry));
           }
         });
   }
@@ -491,7 +495,7 @@
     guarded(
         () -> {
           keep(chunk);
-          append(CHUNK, Values.write(chunk, LogForms::chunk));
+          append(CHUNK, CborValues.write(chunk, LogEntryCodec::chunk));
         });
   }
 
@@ -500,7 +504,7 @@
     guarded(
         () -> {
           entries.tailMap(index).clear();
-          append(CUT_FROM, Values.write(index, (value, out) -> out.put(value)));
+          append(CUT_FROM, CborValues.write(index, (value, out) -> out.put(value)));
         });
   }
 
@@ -509,7 +513,7 @@
     guarded(
         () -> {
           entries.headMap(index + 1).clear();
-          append(CUT_UNTIL, Values.write(index, (value, out) -> out.put(value)));
+          append(CUT_UNTIL, CborValues.write(index, (value, out) -> out.put(value)));
         });
   }
 
@@ -518,7 +522,7 @@
     guarded(
         () -> {
           chunks.remove(index);
-          append(DROP_CHUNKS, Values.write(index, (value, out) -> out.put(value)));
+          append(DROP_CHUNKS, CborValues.write(index, (value, out) -> out.put(value)));
         });
   }
 
--- a/cluster/src/main/java/shalepaddle/storage/Records.java
+++ b/cluster/src/main/java/shalepaddle/storage/RecordFormat.java
@@ -12,13 +12,13 @@
  * other. The checksum covers the length as well, so that a frame whose length is damaged is not
  * taken for one that was cut short.
  */
-final class Records {
+final class RecordFormat {
   /** Bytes of a body at most; a length past it is damage. */
   static final int MOST_BYTES = 16 << 20;
 
   private static final int HEAD = 9;
 
-  private Records() {}
+  private RecordFormat() {}
 
   /**
    * A record.
@@ -70,9 +70,9 @@
    * Reads a file's records. What can't be read at its end is a write that a crash cut short; where
    * a whole record follows it, something in the middle is damaged.
    *
-   * @throws DamagedException if so
+   * @throws CorruptLogException if so
    */
-  static Read read(String file, byte[] bytes) throws DamagedException {
+  static Read read(String file, byte[] bytes) throws CorruptLogException {
     List<Framed> whole = new ArrayList<>();
     int at = 0;
     for (int length = lengthAt(bytes, at); length >= 0; length = lengthAt(bytes, at)) {
@@ -83,7 +83,7 @@
     }
     for (int later = at + 1; later < bytes.length; later++) {
       if (lengthAt(bytes, later) >= 0) {
-        throw new DamagedException(
+        throw new CorruptLogException(
             "%s is damaged at byte %d, with whole records behind it: take this folder away, and let"
                     .formatted(file, at)
                 + " the member join anew under a new name");
--- a/cluster/src/main/java/shalepaddle/links/Listening.java
+++ b/cluster/src/main/java/shalepaddle/transport/BoundedListener.java
@@ -1,4 +1,4 @@
-package shalepaddle.links;
+package shalepaddle.transport;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -15,12 +15,12 @@
 /**
  * What comes to an address, so many connections at once; of those that come then, none is taken.
  */
-final class Listening extends ChannelInitializer<Channel> {
+final class BoundedListener extends ChannelInitializer<Channel> {
   private final int most;
   private final Consumer<Channel> taken;
   private int open;
 
-  private Listening(int most, Consumer<Channel> taken) {
+  private BoundedListener(int most, Consumer<Channel> taken) {
     this.most = most;
     this.taken = taken;
   }
@@ -46,7 +46,7 @@
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new Listening(most, taken))
+            .childHandler(new BoundedListener(most, taken))
             .bind(address)
             .awaitUninterruptibly();
     if (!bound.isSuccess()) {
--- a/cluster/src/main/java/shalepaddle/links/FeedLink.java
+++ b/cluster/src/main/java/shalepaddle/transport/ChangeFeedClient.java
@@ -1,4 +1,4 @@
-package shalepaddle.links;
+package shalepaddle.transport;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -13,25 +13,25 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import shalepaddle.feed.FeedEntry;
-import shalepaddle.feed.Follower;
-import shalepaddle.feed.Said;
-import shalepaddle.feed.Told;
-import shalepaddle.formats.FeedForms;
-import shalepaddle.formats.PromiseForms;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Promises;
-import shalepaddle.promises.Proposal;
+import shalepaddle.changefeed.ChangeEntry;
+import shalepaddle.changefeed.ChangeFeedSubscriber;
+import shalepaddle.changefeed.PublisherMessage;
+import shalepaddle.changefeed.SubscriberMessage;
+import shalepaddle.encoding.ChangeFeedCodec;
+import shalepaddle.encoding.ReplicatedStateCodec;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.ReplicatedState;
 
 /** A node that follows the members of a group, and holds what they hold. All on one event loop. */
-public final class FeedLink implements AutoCloseable {
+public final class ChangeFeedClient implements AutoCloseable {
   /** Is told of what happens, on the event loop. */
   public interface Listener {
     /** An entry is in force, in the order of the log. */
-    void applied(long index, Proposal proposal, Answer answer);
+    void applied(long index, Proposal proposal, CommandResult answer);
 
     /** A state took the place of all that was in force. */
-    void restored(Promises.Image image);
+    void restored(ReplicatedState.Image image);
 
     /** Whether the node is in contact has changed. */
     void contact(boolean in);
@@ -43,8 +43,8 @@
   private final EventLoop loop;
   private final List<InetSocketAddress> members;
   private final Listener listener;
-  private final Promises held = new Promises();
-  private final Follower follower;
+  private final ReplicatedState held = new ReplicatedState();
+  private final ChangeFeedSubscriber follower;
   private Channel channel;
   private boolean closed;
 
@@ -58,7 +58,7 @@
    * @param members where they listen for followers
    * @param seed another one at each node
    */
-  public FeedLink(
+  public ChangeFeedClient(
       EventLoop loop,
       String group,
       String name,
@@ -69,8 +69,14 @@
     this.members = List.copyOf(members);
     this.listener = listener;
     this.follower =
-        new Follower(
-            group, name, members.size(), seed, System.nanoTime(), Follower.Pace.USUAL, new Doing());
+        new ChangeFeedSubscriber(
+            group,
+            name,
+            members.size(),
+            seed,
+            System.nanoTime(),
+            ChangeFeedSubscriber.Pace.USUAL,
+            new Doing());
     loop.execute(this::arm);
   }
 
@@ -91,7 +97,7 @@
   }
 
   /** What is in force here, up to which place; on the event loop. */
-  public Promises.Image held() {
+  public ReplicatedState.Image held() {
     return held.image();
   }
 
@@ -106,7 +112,7 @@
   }
 
   /** Carries out what the follower decides. */
-  private final class Doing implements Follower.Carrier {
+  private final class Doing implements ChangeFeedSubscriber.Carrier {
     @Override
     public void connect(int member) {
       ChannelFuture opened =
@@ -116,7 +122,7 @@
               .option(ChannelOption.TCP_NODELAY, true)
               .option(
                   ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                  (int) (Follower.Pace.USUAL.connectNanos() / 1_000_000))
+                  (int) (ChangeFeedSubscriber.Pace.USUAL.connectNanos() / 1_000_000))
               .handler(
                   new ChannelInitializer<>() {
                     @Override
@@ -157,19 +163,19 @@
     }
 
     @Override
-    public void say(Said said) {
+    public void say(SubscriberMessage said) {
       if (channel != null) {
         channel.writeAndFlush(
-            new Frame(Frame.Kind.FOLLOW, FeedForms.said(said)).write(channel.alloc()),
+            new Frame(Frame.Kind.FOLLOW, ChangeFeedCodec.said(said)).write(channel.alloc()),
             channel.voidPromise());
       }
     }
 
     @Override
-    public void apply(FeedEntry entry) {
+    public void apply(ChangeEntry entry) {
       Proposal proposal;
       try {
-        proposal = PromiseForms.proposal(entry.body());
+        proposal = ReplicatedStateCodec.proposal(entry.body());
       } catch (IOException | IllegalArgumentException e) {
         // The members passed it over as well; what was in force holds.
         listener.line("entry " + entry.index() + " can't be read: " + e.getMessage());
@@ -181,9 +187,9 @@
 
     @Override
     public boolean load(long index, byte[] image) {
-      Promises.Image read;
+      ReplicatedState.Image read;
       try {
-        read = PromiseForms.image(image);
+        read = ReplicatedStateCodec.image(image);
       } catch (IOException | IllegalArgumentException e) {
         listener.line("the state up to " + index + " can't be read: " + e.getMessage());
         return false;
@@ -210,7 +216,7 @@
       if (frame.kind() != Frame.Kind.FEED) {
         throw new IOException("a frame of kind " + frame.kind() + " out of place");
       }
-      Told told = FeedForms.told(frame.body());
+      PublisherMessage told = ChangeFeedCodec.told(frame.body());
       if (ctx.channel() == channel) {
         follower.told(System.nanoTime(), told);
         arm();
--- a/cluster/src/main/java/shalepaddle/links/FeedPort.java
+++ b/cluster/src/main/java/shalepaddle/transport/ChangeFeedServer.java
@@ -1,4 +1,4 @@
-package shalepaddle.links;
+package shalepaddle.transport;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -15,27 +15,27 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import shalepaddle.agreement.Turns;
-import shalepaddle.feed.FeedEntry;
-import shalepaddle.feed.Publisher;
-import shalepaddle.feed.Said;
-import shalepaddle.feed.Told;
-import shalepaddle.formats.FeedForms;
+import shalepaddle.changefeed.ChangeEntry;
+import shalepaddle.changefeed.ChangeFeedPublisher;
+import shalepaddle.changefeed.PublisherMessage;
+import shalepaddle.changefeed.SubscriberMessage;
+import shalepaddle.encoding.ChangeFeedCodec;
+import shalepaddle.raft.MemberExecutor;
 
 /**
  * Where nodes follow a member. What is sent whom is decided on the member's thread ({@link
- * Publisher}), which {@link #applied}, {@link #restored} and {@link #led} are called on; the bytes
- * go on an event loop and a thread of their own.
+ * ChangeFeedPublisher}), which {@link #applied}, {@link #restored} and {@link #led} are called on;
+ * the bytes go on an event loop and a thread of their own.
  */
-public final class FeedPort implements AutoCloseable {
+public final class ChangeFeedServer implements AutoCloseable {
   /** A follower that has not said who it is by then is closed. */
   private static final long HELLO_MILLIS = 2000;
 
   private final MultiThreadIoEventLoopGroup loops;
   private final Channel listening;
-  private final Turns turns;
+  private final MemberExecutor turns;
   private final Consumer<String> log;
-  private final Publisher publisher;
+  private final ChangeFeedPublisher publisher;
 
   /** By number; on the member's thread alone. */
   private final Map<Long, Channel> followers = new HashMap<>();
@@ -52,23 +52,28 @@
    * @param snapshot the member's state, on its thread
    * @throws IOException if it can not listen there
    */
-  public FeedPort(
+  public ChangeFeedServer(
       String group,
       InetSocketAddress listen,
-      Turns turns,
-      Supplier<Told.Snapshot> snapshot,
+      MemberExecutor turns,
+      Supplier<PublisherMessage.Snapshot> snapshot,
       Consumer<String> log)
       throws IOException {
     this.turns = turns;
     this.log = log;
     this.publisher =
-        new Publisher(group, turns.nanos(), Publisher.Limits.USUAL, new Telling(snapshot));
+        new ChangeFeedPublisher(
+            group, turns.nanos(), ChangeFeedPublisher.Limits.USUAL, new Telling(snapshot));
     this.loops =
         new MultiThreadIoEventLoopGroup(
             1, new DefaultThreadFactory("feed", true), NioIoHandler.newFactory());
     this.listening =
-        Listening.at(
-            loops, listen, "followers", 2 * Publisher.Limits.USUAL.mostFollowers(), this::accept);
+        BoundedListener.at(
+            loops,
+            listen,
+            "followers",
+            2 * ChangeFeedPublisher.Limits.USUAL.mostFollowers(),
+            this::accept);
     turns.run(this::tick);
   }
 
@@ -94,13 +99,13 @@
   private void tick() {
     if (!closed) {
       publisher.tick(turns.nanos());
-      turns.runIn(Publisher.Limits.USUAL.aliveNanos() / 4, this::tick);
+      turns.runIn(ChangeFeedPublisher.Limits.USUAL.aliveNanos() / 4, this::tick);
     }
   }
 
   /** An entry was applied at this member. */
   public void applied(long index, byte[] body) {
-    publisher.applied(turns.nanos(), new FeedEntry(index, body));
+    publisher.applied(turns.nanos(), new ChangeEntry(index, body));
   }
 
   /** A snapshot took the place of all that was applied at this member. */
@@ -114,19 +119,19 @@
   }
 
   /** Carries out what the publisher decides, on the member's thread. */
-  private final class Telling implements Publisher.Carrier {
-    private final Supplier<Told.Snapshot> snapshot;
+  private final class Telling implements ChangeFeedPublisher.Carrier {
+    private final Supplier<PublisherMessage.Snapshot> snapshot;
 
-    Telling(Supplier<Told.Snapshot> snapshot) {
+    Telling(Supplier<PublisherMessage.Snapshot> snapshot) {
       this.snapshot = snapshot;
     }
 
     @Override
-    public void tell(long connection, Told told) {
+    public void tell(long connection, PublisherMessage told) {
       Channel channel = followers.get(connection);
       if (channel != null) {
         channel.writeAndFlush(
-            new Frame(Frame.Kind.FEED, FeedForms.told(told)).write(channel.alloc()),
+            new Frame(Frame.Kind.FEED, ChangeFeedCodec.told(told)).write(channel.alloc()),
             channel.voidPromise());
       }
     }
@@ -140,7 +145,7 @@
     }
 
     @Override
-    public Told.Snapshot snapshot() {
+    public PublisherMessage.Snapshot snapshot() {
       return snapshot.get();
     }
   }
@@ -172,7 +177,7 @@
       if (frame.kind() != Frame.Kind.FOLLOW) {
         throw new IOException("a frame of kind " + frame.kind() + " out of place");
       }
-      Said said = FeedForms.said(frame.body());
+      SubscriberMessage said = ChangeFeedCodec.said(frame.body());
       known = true;
       turns.run(() -> publisher.said(turns.nanos(), number, said));
     }
--- a/cluster/src/main/java/shalepaddle/links/Words.java
+++ b/cluster/src/main/java/shalepaddle/transport/ControlMessages.java
@@ -1,11 +1,11 @@
-package shalepaddle.links;
+package shalepaddle.transport;
 
 import java.io.IOException;
-import shalepaddle.formats.Values;
+import shalepaddle.encoding.CborValues;
 
 /** What frames other than those of the agreement carry. */
-final class Words {
-  private Words() {}
+final class ControlMessages {
+  private ControlMessages() {}
 
   /**
    * Who speaks.
@@ -16,12 +16,12 @@
    */
   record Hello(String group, String name, String address) {
     byte[] bytes() {
-      return Values.write(
+      return CborValues.write(
           this, (hello, out) -> out.put(hello.group).put(hello.name).put(hello.address));
     }
 
     static Hello of(byte[] bytes) throws IOException {
-      return Values.read(bytes, in -> new Hello(in.text(), in.text(), in.text()));
+      return CborValues.read(bytes, in -> new Hello(in.text(), in.text(), in.text()));
     }
   }
 
@@ -35,11 +35,12 @@
    */
   record Said(long number, String what, byte[] body) {
     byte[] bytes() {
-      return Values.write(this, (said, out) -> out.put(said.number).put(said.what).put(said.body));
+      return CborValues.write(
+          this, (said, out) -> out.put(said.number).put(said.what).put(said.body));
     }
 
     static Said of(byte[] bytes) throws IOException {
-      return Values.read(bytes, in -> new Said(in.number(), in.text(), in.bytes()));
+      return CborValues.read(bytes, in -> new Said(in.number(), in.text(), in.bytes()));
     }
   }
 }
--- a/cluster/src/main/java/shalepaddle/links/Frame.java
+++ b/cluster/src/main/java/shalepaddle/transport/Frame.java
@@ -1,4 +1,4 @@
-package shalepaddle.links;
+package shalepaddle.transport;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
--- a/cluster/src/main/java/shalepaddle/links/MemberLinks.java
+++ b/cluster/src/main/java/shalepaddle/transport/MemberTransport.java
@@ -1,4 +1,4 @@
-package shalepaddle.links;
+package shalepaddle.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -22,7 +22,7 @@
  * This member's links to all others: listens, speaks, asks and is asked. On an event loop and a
  * thread of its own; all methods may be called from any thread.
  */
-public final class MemberLinks implements AutoCloseable {
+public final class MemberTransport implements AutoCloseable {
   /** Connections at once; of those that come then, none is taken. */
   private static final int MOST_CONNECTIONS = 256;
 
@@ -43,11 +43,11 @@
 
   private final MultiThreadIoEventLoopGroup group;
   private final EventLoop loop;
-  private final Map<String, Peer> peers = new HashMap<>();
+  private final Map<String, PeerConnection> peers = new HashMap<>();
   private final Map<String, String> told = new HashMap<>();
   private final Listener listener;
   private final String ofGroup;
-  private final Words.Hello hello;
+  private final ControlMessages.Hello hello;
   private final Channel listening;
 
   /**
@@ -58,12 +58,12 @@
    * @param advertised where others find it, as text; empty for nowhere
    * @throws IOException if it can not listen there
    */
-  public MemberLinks(
+  public MemberTransport(
       String ofGroup, String name, InetSocketAddress listen, String advertised, Listener listener)
       throws IOException {
     this.ofGroup = ofGroup;
     this.listener = listener;
-    hello = new Words.Hello(ofGroup, name, advertised);
+    hello = new ControlMessages.Hello(ofGroup, name, advertised);
     group =
         new MultiThreadIoEventLoopGroup(
             1, new DefaultThreadFactory("links", true), NioIoHandler.newFactory());
@@ -71,7 +71,7 @@
     listening =
         listen == null
             ? null
-            : Listening.at(
+            : BoundedListener.at(
                 group,
                 listen,
                 "the group",
@@ -91,7 +91,7 @@
 
   private void peer(String member, InetSocketAddress address) {
     if (!member.isEmpty() && !member.equals(hello.name())) {
-      peers.computeIfAbsent(member, name -> new Peer(loop, address, hello)).at(address);
+      peers.computeIfAbsent(member, name -> new PeerConnection(loop, address, hello)).at(address);
     }
   }
 
@@ -99,7 +99,7 @@
   public void send(String member, byte[] message) {
     loop.execute(
         () -> {
-          Peer peer = peers.get(member);
+          PeerConnection peer = peers.get(member);
           if (peer != null) {
             peer.send(new Frame(Frame.Kind.AGREE, message));
           }
@@ -111,7 +111,7 @@
     CompletableFuture<byte[]> answer = new CompletableFuture<>();
     loop.execute(
         () -> {
-          Peer peer = peers.get(member);
+          PeerConnection peer = peers.get(member);
           if (peer == null) {
             answer.completeExceptionally(new IOException("nobody knows where " + member + " is"));
             return;
@@ -161,7 +161,7 @@
       }
       switch (frame.kind()) {
         case AGREE -> listener.agree(frame.body());
-        case ASK -> answer(ctx, Words.Said.of(frame.body()));
+        case ASK -> answer(ctx, ControlMessages.Said.of(frame.body()));
         default -> throw new IOException("a frame of kind " + frame.kind() + " out of place");
       }
     }
@@ -170,7 +170,7 @@
       if (frame.kind() != Frame.Kind.HELLO) {
         throw new IOException("speaks before it says who it is");
       }
-      Words.Hello theirs = Words.Hello.of(frame.body());
+      ControlMessages.Hello theirs = ControlMessages.Hello.of(frame.body());
       if (!theirs.group().equals(ofGroup)) {
         throw new IOException(
             "it is of group '%s', and this is '%s'".formatted(theirs.group(), ofGroup));
@@ -185,15 +185,15 @@
       }
     }
 
-    private void answer(ChannelHandlerContext ctx, Words.Said question) {
+    private void answer(ChannelHandlerContext ctx, ControlMessages.Said question) {
       listener
           .asked(question.what(), question.body())
           .whenComplete(
               (body, cause) -> {
-                Words.Said said =
+                ControlMessages.Said said =
                     cause == null
-                        ? new Words.Said(question.number(), "", body)
-                        : new Words.Said(question.number(), why(cause), new byte[0]);
+                        ? new ControlMessages.Said(question.number(), "", body)
+                        : new ControlMessages.Said(question.number(), why(cause), new byte[0]);
                 ctx.executor()
                     .execute(
                         () ->
@@ -220,7 +220,7 @@
 
   @Override
   public void close() {
-    loop.execute(() -> peers.values().forEach(Peer::close));
+    loop.execute(() -> peers.values().forEach(PeerConnection::close));
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 }
--- a/cluster/src/main/java/shalepaddle/links/Peer.java
+++ b/cluster/src/main/java/shalepaddle/transport/PeerConnection.java
@@ -1,4 +1,4 @@
-package shalepaddle.links;
+package shalepaddle.transport;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -22,7 +22,7 @@
  * something to say, and again, later each time, where it broke; what is said meanwhile is lost, as
  * any message may be. All on one event loop.
  */
-final class Peer {
+final class PeerConnection {
   private static final int CONNECT_MILLIS = 1000;
   private static final long FIRST_WAIT_MILLIS = 20;
   private static final long MOST_WAIT_MILLIS = 500;
@@ -37,7 +37,7 @@
   private static final int MOST_ASKED = 1024;
 
   private final EventLoop loop;
-  private final Words.Hello hello;
+  private final ControlMessages.Hello hello;
   private final Map<Long, CompletableFuture<byte[]>> asked = new HashMap<>();
   private InetSocketAddress address;
   private Channel channel;
@@ -48,7 +48,7 @@
   private long number;
   private boolean closed;
 
-  Peer(EventLoop loop, InetSocketAddress address, Words.Hello hello) {
+  PeerConnection(EventLoop loop, InetSocketAddress address, ControlMessages.Hello hello) {
     this.loop = loop;
     this.address = address;
     this.hello = hello;
@@ -86,7 +86,7 @@
         () -> answer.completeExceptionally(new IOException("no answer from " + address)),
         millis,
         TimeUnit.MILLISECONDS);
-    send(new Frame(Frame.Kind.ASK, new Words.Said(own, what, body).bytes()));
+    send(new Frame(Frame.Kind.ASK, new ControlMessages.Said(own, what, body).bytes()));
     return answer;
   }
 
@@ -174,7 +174,7 @@
       if (frame.kind() != Frame.Kind.ANSWER) {
         throw new IOException("only answers come back");
       }
-      Words.Said said = Words.Said.of(frame.body());
+      ControlMessages.Said said = ControlMessages.Said.of(frame.body());
       CompletableFuture<byte[]> answer = asked.get(said.number());
       if (answer == null) {
         return;
@@ -182,7 +182,7 @@
       if (said.what().isEmpty()) {
         answer.complete(said.body());
       } else {
-        answer.completeExceptionally(new TurnedDownException(said.what()));
+        answer.completeExceptionally(new HandshakeRejectedException(said.what()));
       }
     }
 
--- a/cluster/src/main/java/shalepaddle/links/package-info.java
+++ b/cluster/src/main/java/shalepaddle/transport/package-info.java
@@ -4,4 +4,4 @@
  * that can't be read, is turned down with a line in the log. No sign-in: for loopback or an
  * installation's own network.
  */
-package shalepaddle.links;
+package shalepaddle.transport;
--- a/cluster/src/test/java/shalepaddle/agreement/GroupDay.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
@@ -1,4 +1,4 @@
-package shalepaddle.agreement;
+package shalepaddle.raft;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -8,20 +8,20 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.concurrent.CompletionException;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Entry;
-import shalepaddle.promises.Promises;
-import shalepaddle.promises.Proposal;
-import shalepaddle.storage.CrashingDisk;
-import shalepaddle.storage.SilentDisk;
-import shalepaddle.storage.UnforcedDisk;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.ReplicatedState;
+import shalepaddle.replicatedstate.StateCommand;
+import shalepaddle.storage.CrashingLogDirectory;
+import shalepaddle.storage.SilentlyFailingLogDirectory;
+import shalepaddle.storage.UnsyncedLogDirectory;
 
 /**
  * A day of a group by a seed: callers who ask for promises and read them, while machines stop,
  * pause and lose their disks, and links lose, delay and are cut, one way or both. Ends with all
  * healed and tells what was broken.
  */
-final class GroupDay {
+final class RaftGroupSimulation {
   /** How the day is broken on purpose. */
   enum Variant {
     /** It is not. */
@@ -57,17 +57,17 @@
   private boolean replacing;
   private boolean over;
 
-  GroupDay(long seed, Variant variant) {
+  RaftGroupSimulation(long seed, Variant variant) {
     this.variant = variant;
     random = new SplittableRandom(seed);
     size = random.nextBoolean() ? 3 : 5;
     group = new VirtualGroup(random.nextLong());
     group.snapshotEvery = random.nextBoolean() ? 20 : 100;
     if (variant == Variant.NO_FORCE) {
-      group.wrap = disk -> new UnforcedDisk(disk, true);
+      group.wrap = disk -> new UnsyncedLogDirectory(disk, true);
     }
     if (variant == Variant.UNTOLD_FAILURES) {
-      group.wrap = SilentDisk::new;
+      group.wrap = SilentlyFailingLogDirectory::new;
     }
   }
 
@@ -97,7 +97,7 @@
   }
 
   private void end() {
-    for (Standing standing : standings()) {
+    for (MemberStatus standing : standings()) {
       if (standing.steppedAside() != null) {
         broken.add(standing.name() + " is still aside: " + standing.steppedAside());
       }
@@ -107,7 +107,7 @@
       broken.add("nobody leads at the end: " + standings());
       return;
     }
-    List<Promises.Image> last = new ArrayList<>();
+    List<ReplicatedState.Image> last = new ArrayList<>();
     List<Throwable> why = new ArrayList<>();
     leader
         .agreement
@@ -125,7 +125,7 @@
       broken.add("nothing can be read at the end: " + why + standings());
       return;
     }
-    Promises replayed = new Promises();
+    ReplicatedState replayed = new ReplicatedState();
     new TreeMap<>(group.log).forEach((index, id) -> replayed.apply(index, asked.get(id)));
     yes.forEach(
         (id, index) -> {
@@ -139,7 +139,7 @@
     }
   }
 
-  private List<Standing> standings() {
+  private List<MemberStatus> standings() {
     return group.machines.values().stream().map(machine -> machine.agreement.standing()).toList();
   }
 
@@ -209,7 +209,7 @@
   }
 
   private void failDisk(VirtualGroup.Machine machine) {
-    CrashingDisk disk = machine.disk;
+    CrashingLogDirectory disk = machine.disk;
     disk.failing(true);
     group.at(
         group.now + random.nextLong(3000) * VirtualGroup.MILLI,
@@ -230,7 +230,7 @@
       lost.crash();
     }
     if (variant == Variant.OLD_NAME) {
-      lost.disk = new CrashingDisk();
+      lost.disk = new CrashingLogDirectory();
       lost.start();
       return;
     }
@@ -240,16 +240,16 @@
     VirtualGroup.Machine fresh = group.add(name, lost.first);
     change(
         fresh.name,
-        Agreement.Change.LEARN,
+        RaftMember.Change.LEARN,
         () ->
             change(
                 fresh.name,
-                Agreement.Change.VOTE,
-                () -> change(lost.name, Agreement.Change.LEAVE, () -> replacing = false)));
+                RaftMember.Change.VOTE,
+                () -> change(lost.name, RaftMember.Change.LEAVE, () -> replacing = false)));
   }
 
   /** Asks whoever leads until the group has changed. */
-  private void change(String member, Agreement.Change change, Runnable then) {
+  private void change(String member, RaftMember.Change change, Runnable then) {
     VirtualGroup.Machine leader = group.leader();
     boolean done = leader != null && stands(leader, member, change);
     if (done) {
@@ -263,8 +263,8 @@
   }
 
   private static boolean stands(
-      VirtualGroup.Machine leader, String member, Agreement.Change change) {
-    Standing standing = leader.agreement.standing();
+      VirtualGroup.Machine leader, String member, RaftMember.Change change) {
+    MemberStatus standing = leader.agreement.standing();
     return switch (change) {
       case LEARN -> standing.members().contains(member);
       case VOTE -> standing.voting().contains(member);
@@ -292,7 +292,8 @@
       String id = "c" + number + "-" + count++;
       String server = "s-" + number + "-" + count % 5;
       Proposal proposal =
-          new Proposal(id, group.now / VirtualGroup.MILLI, new Entry.Say(server, count % 3 != 0));
+          new Proposal(
+              id, group.now / VirtualGroup.MILLI, new StateCommand.Say(server, count % 3 != 0));
       asked.put(id, proposal);
       ask(proposal);
     }
@@ -327,7 +328,7 @@
                     answered(proposal, answer);
                     later();
                   } else {
-                    if (!(cause instanceof NotHeldException)
+                    if (!(cause instanceof NotCommittedException)
                         && !(cause instanceof CompletionException)) {
                       broken.add("an answer that is none: " + cause);
                     }
@@ -341,7 +342,7 @@
                 if (!settled[0] && machine.up()) {
                   settled[0] = true;
                   long index = machine.agreement.standing().last() + 1;
-                  answered(proposal, new Answer(Answer.Kind.HELD, index));
+                  answered(proposal, new CommandResult(CommandResult.Kind.HELD, index));
                   later();
                 }
               });
@@ -357,7 +358,7 @@
           });
     }
 
-    private void answered(Proposal proposal, Answer answer) {
+    private void answered(Proposal proposal, CommandResult answer) {
       Long before = yes.put(proposal.id(), answer.index());
       if (before != null && before != answer.index()) {
         broken.add(proposal.id() + " was answered " + before + " and " + answer.index());
--- a/cluster/src/test/java/shalepaddle/agreement/GroupDayTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulationTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.agreement;
+package shalepaddle.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,17 +16,17 @@
  * begins with another seed.
  */
 @Execution(ExecutionMode.CONCURRENT)
-class GroupDayTest {
+class RaftGroupSimulationTest {
   private static final int DAYS = Integer.getInteger("group.days", 150);
   private static final int FIRST = Integer.getInteger("group.first", 1);
 
   @ParameterizedTest
   @EnumSource(names = {"SOUND", "FAILING_DISKS"})
-  void nothingThatWasPromisedIsLost(GroupDay.Variant variant) throws Exception {
+  void nothingThatWasPromisedIsLost(RaftGroupSimulation.Variant variant) throws Exception {
     long yes = 0;
     long reads = 0;
     for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-      GroupDay.Report report = new GroupDay(seed, variant).play();
+      RaftGroupSimulation.Report report = new RaftGroupSimulation(seed, variant).play();
       assertEquals(List.of(), report.broken(), "seed " + seed);
       yes += report.yes();
       reads += report.reads();
@@ -38,16 +38,16 @@
   @Test
   void theSameSeedGivesTheSameDay() throws Exception {
     assertEquals(
-        new GroupDay(5, GroupDay.Variant.SOUND).play(),
-        new GroupDay(5, GroupDay.Variant.SOUND).play());
+        new RaftGroupSimulation(5, RaftGroupSimulation.Variant.SOUND).play(),
+        new RaftGroupSimulation(5, RaftGroupSimulation.Variant.SOUND).play());
   }
 
   @ParameterizedTest
   @EnumSource(names = {"NO_FORCE", "UNTOLD_FAILURES", "OLD_NAME", "EARLY_YES", "STALE_READ"})
-  void whatIsBrokenOnPurposeIsFoundOut(GroupDay.Variant variant) throws Exception {
+  void whatIsBrokenOnPurposeIsFoundOut(RaftGroupSimulation.Variant variant) throws Exception {
     for (int seed = 1; seed <= 200; seed++) {
       try {
-        if (!new GroupDay(seed, variant).play().broken().isEmpty()) {
+        if (!new RaftGroupSimulation(seed, variant).play().broken().isEmpty()) {
           System.out.println(variant + " found at seed " + seed);
           return;
         }
--- a/cluster/src/test/java/shalepaddle/agreement/AgreementTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftMemberTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.agreement;
+package shalepaddle.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -8,14 +8,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Entry;
-import shalepaddle.promises.Proposal;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.StateCommand;
 
 /** A group in virtual time. */
-class AgreementTest {
+class RaftMemberTest {
   private static Proposal say(String id, String member, boolean out) {
-    return new Proposal(id, 1000, new Entry.Say(member, out));
+    return new Proposal(id, 1000, new StateCommand.Say(member, out));
   }
 
   @Test
@@ -24,11 +24,11 @@
     group.pass(3000);
     VirtualGroup.Machine leader = group.leader();
     assertNotNull(leader);
-    List<Answer> answers = new ArrayList<>();
+    List<CommandResult> answers = new ArrayList<>();
     leader.agreement.propose(say("p1", "s-1", true)).thenAccept(answers::add);
     group.pass(50);
     assertEquals(1, answers.size(), "held within milliseconds");
-    assertEquals(Answer.Kind.HELD, answers.get(0).kind());
+    assertEquals(CommandResult.Kind.HELD, answers.get(0).kind());
     leader.crash();
     group.machines.remove(leader.name);
     group.pass(3000);
@@ -55,10 +55,10 @@
     assertNotNull(failing.agreement.standing().steppedAside());
     VirtualGroup.Machine next = group.leader();
     assertNotNull(next, "the others go on");
-    List<Answer> answers = new ArrayList<>();
+    List<CommandResult> answers = new ArrayList<>();
     next.agreement.propose(say("p2", "s-2", true)).thenAccept(answers::add);
     group.pass(100);
-    assertEquals(Answer.Kind.HELD, answers.get(0).kind());
+    assertEquals(CommandResult.Kind.HELD, answers.get(0).kind());
     failing.disk.failing(false);
     group.pass(3000);
     assertNull(failing.agreement.standing().steppedAside());
--- a/cluster/src/test/java/shalepaddle/agreement/VirtualGroup.java
+++ b/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
@@ -1,4 +1,4 @@
-package shalepaddle.agreement;
+package shalepaddle.raft;
 
 import io.microraft.model.message.RaftMessage;
 import java.io.IOException;
@@ -13,13 +13,13 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
-import shalepaddle.formats.MessageForms;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Promises;
-import shalepaddle.promises.Proposal;
-import shalepaddle.storage.CrashingDisk;
-import shalepaddle.storage.Disk;
-import shalepaddle.storage.Journal;
+import shalepaddle.encoding.RaftMessageCodec;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.ReplicatedState;
+import shalepaddle.storage.CrashingLogDirectory;
+import shalepaddle.storage.LogDirectory;
+import shalepaddle.storage.RaftLogStore;
 
 /**
  * Members of a group in virtual time, in one thread: messages go as bytes over links that lose,
@@ -33,12 +33,12 @@
   private record Due(long at, long number, Runnable task) {}
 
   /** One machine, and who lives on it now. */
-  final class Machine implements Turns, Agreement.Listener {
+  final class Machine implements MemberExecutor, RaftMember.Listener {
     final String name;
     final List<String> first;
-    CrashingDisk disk = new CrashingDisk();
-    Agreement agreement;
-    Journal journal;
+    CrashingLogDirectory disk = new CrashingLogDirectory();
+    RaftMember agreement;
+    RaftLogStore journal;
     int life;
     long heldUntil;
     long appliedTo;
@@ -55,10 +55,10 @@
     void start() throws IOException {
       life++;
       appliedTo = 0;
-      Disk own = wrap.apply(disk);
-      journal = new Journal(own, "g", name);
+      LogDirectory own = wrap.apply(disk);
+      journal = new RaftLogStore(own, "g", name);
       agreement =
-          new Agreement(
+          new RaftMember(
               "g",
               name,
               first,
@@ -109,7 +109,7 @@
     }
 
     @Override
-    public void applied(long index, byte[] body, Proposal proposal, Answer answer) {
+    public void applied(long index, byte[] body, Proposal proposal, CommandResult answer) {
       String before = log.putIfAbsent(index, proposal.id());
       if (before != null && !before.equals(proposal.id())) {
         throw new AssertionError(
@@ -122,12 +122,12 @@
     }
 
     @Override
-    public void restored(Promises.Image image) {
+    public void restored(ReplicatedState.Image image) {
       appliedTo = image.index();
     }
 
     @Override
-    public void changed(Standing standing) {
+    public void changed(MemberStatus standing) {
       if (standing.leads()) {
         String before = leaders.putIfAbsent(standing.term(), name);
         if (before != null && !before.equals(name)) {
@@ -150,7 +150,7 @@
   int snapshotEvery = 50;
 
   /** What is put before each machine's disk. */
-  UnaryOperator<Disk> wrap = disk -> disk;
+  UnaryOperator<LogDirectory> wrap = disk -> disk;
 
   VirtualGroup(long seed) {
     random = new SplittableRandom(seed);
@@ -208,7 +208,7 @@
     if (cut.contains(from.name + ">" + to) || random.nextDouble() < loss) {
       return;
     }
-    byte[] bytes = MessageForms.message(message);
+    byte[] bytes = RaftMessageCodec.message(message);
     int times = random.nextDouble() < loss / 4 ? 2 : 1;
     for (int i = 0; i < times; i++) {
       long delay =
@@ -227,7 +227,7 @@
     machine.run(
         () -> {
           try {
-            machine.agreement.handle(MessageForms.message(bytes));
+            machine.agreement.handle(RaftMessageCodec.message(bytes));
           } catch (IOException e) {
             throw new AssertionError(e);
           }
--- a/cluster/src/test/java/shalepaddle/storage/CrashingDisk.java
+++ b/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
@@ -12,7 +12,7 @@
  * after it: of each file what was forced, and any beginning of what was written since; of names
  * what was forced, and any first few of the changes since.
  */
-public final class CrashingDisk implements Disk {
+public final class CrashingLogDirectory implements LogDirectory {
   /** The machine stops here. */
   static final class Crash extends RuntimeException {
     private static final long serialVersionUID = 1;
@@ -40,12 +40,12 @@
   private boolean failing;
 
   /** One that never stops by itself. */
-  public CrashingDisk() {
+  public CrashingLogDirectory() {
     this(Integer.MAX_VALUE);
   }
 
   /** One that stops after so many steps. */
-  CrashingDisk(int steps) {
+  CrashingLogDirectory(int steps) {
     stepsLeft = steps;
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** The force of this number fails, as may all that come after it. */
-  CrashingDisk failingForce(int number) {
+  CrashingLogDirectory failingForce(int number) {
     failAt = number;
     return this;
   }
@@ -77,10 +77,10 @@
    * @param changes how many of the changes of names since the last force are there
    * @param part of what was written and not forced, 0 to 1
    */
-  CrashingDisk found(int changes, double part) {
+  CrashingLogDirectory found(int changes, double part) {
     Map<String, Bytes> left = new LinkedHashMap<>(forced);
     pending.subList(0, changes).forEach(change -> change.make(left));
-    CrashingDisk found = new CrashingDisk();
+    CrashingLogDirectory found = new CrashingLogDirectory();
     left.forEach(
         (name, bytes) -> {
           Bytes kept = new Bytes();
@@ -94,7 +94,7 @@
   }
 
   /** A disk as it may be found after a crash, by a number from 0 to 1 that is drawn. */
-  public CrashingDisk found(double drawn) {
+  public CrashingLogDirectory found(double drawn) {
     return found((int) Math.round(drawn * 1000) % (pendingNames() + 1), drawn);
   }
 
--- a/cluster/src/test/java/shalepaddle/storage/ForwardingDisk.java
+++ b/cluster/src/test/java/shalepaddle/storage/ForwardingLogDirectory.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /** A disk before another one, which does all that is not done otherwise here. */
-interface ForwardingDisk extends Disk {
+interface ForwardingLogDirectory extends LogDirectory {
   /** The disk behind it. */
-  Disk disk();
+  LogDirectory disk();
 
   @Override
   default List<String> names() throws IOException {
--- a/cluster/src/test/java/shalepaddle/storage/JournalTest.java
+++ b/cluster/src/test/java/shalepaddle/storage/RaftLogStoreTest.java
@@ -21,17 +21,17 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import shalepaddle.formats.Endpoint;
-import shalepaddle.formats.LogForms;
+import shalepaddle.encoding.Endpoint;
+import shalepaddle.encoding.LogEntryCodec;
 
 /** What a journal still knows, wherever its machine stopped. */
-class JournalTest {
+class RaftLogStoreTest {
   private static final int ALL = Integer.MAX_VALUE;
 
   private static RaftGroupMembersView members() {
     Set<io.microraft.RaftEndpoint> all =
         Set.of(new Endpoint("a"), new Endpoint("b"), new Endpoint("c"));
-    return LogForms.model()
+    return LogEntryCodec.model()
         .createRaftGroupMembersViewBuilder()
         .setLogIndex(0)
         .setMembers(all)
@@ -40,7 +40,7 @@
   }
 
   private static LogEntry entry(long index, int term) {
-    return LogForms.model()
+    return LogEntryCodec.model()
         .createLogEntryBuilder()
         .setIndex(index)
         .setTerm(term)
@@ -49,7 +49,7 @@
   }
 
   private static SnapshotChunk chunk(long index, int part, int parts) {
-    return LogForms.model()
+    return LogEntryCodec.model()
         .createSnapshotChunkBuilder()
         .setIndex(index)
         .setTerm(1)
@@ -117,9 +117,9 @@
       held = forced ? states.size() - 1 : held;
     }
 
-    void live(Journal journal) throws IOException {
+    void live(RaftLogStore journal) throws IOException {
       journal.persistAndFlushLocalEndpoint(
-          LogForms.model()
+          LogEntryCodec.model()
               .createRaftEndpointPersistentStateBuilder()
               .setLocalEndpoint(new Endpoint("a"))
               .setVoting(true)
@@ -130,7 +130,7 @@
         now.term = term;
         now.vote = term % 2 == 0 ? null : "b";
         journal.persistAndFlushTerm(
-            LogForms.model()
+            LogEntryCodec.model()
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(term)
                 .setVotedFor(now.vote == null ? null : new Endpoint(now.vote))
@@ -172,12 +172,12 @@
 
   @Test
   void wholeLivesAreReadAsTheyWereLived() throws Exception {
-    CrashingDisk disk = new CrashingDisk(ALL);
+    CrashingLogDirectory disk = new CrashingLogDirectory(ALL);
     Life life = new Life();
-    Journal journal = new Journal(disk, "g", "a");
+    RaftLogStore journal = new RaftLogStore(disk, "g", "a");
     life.live(journal);
     assertEquals("3 b 4 [5:2, 6:2, 7:3, 8:3, 9:3]", life.now.toString());
-    Journal again = new Journal(disk.found(0, 1), "g", "a");
+    RaftLogStore again = new RaftLogStore(disk.found(0, 1), "g", "a");
     assertEquals(life.now.toString(), read(again.restored()));
     assertEquals(List.of(), again.told());
     assertEquals(9, again.lastIndex());
@@ -194,17 +194,18 @@
     for (long room : new long[] {Long.MAX_VALUE, 1}) {
       boolean whole = false;
       for (int steps = 0; !whole; steps++) {
-        CrashingDisk disk = new CrashingDisk(steps);
+        CrashingLogDirectory disk = new CrashingLogDirectory(steps);
         Life life = new Life();
         try {
-          life.live(new Journal(disk, "g", "a", room));
+          life.live(new RaftLogStore(disk, "g", "a", room));
           whole = true;
-        } catch (CrashingDisk.Crash e) {
+        } catch (CrashingLogDirectory.Crash e) {
           // The machine stopped there.
         }
         for (int names = 0; names <= disk.pendingNames(); names++) {
           for (double part : new double[] {0, 0.3, 0.5, 0.9, 1}) {
-            String after = read(new Journal(disk.found(names, part), "g", "a", room).restored());
+            String after =
+                read(new RaftLogStore(disk.found(names, part), "g", "a", room).restored());
             // The step that was under way may be there as well.
             int state = life.states.lastIndexOf(after);
             assertTrue(
@@ -221,30 +222,30 @@
   /** The test above would see it: a journal that forces nothing loses what it promised. */
   @Test
   void aDiskThatForcesNothingIsFoundOut() throws Exception {
-    CrashingDisk disk = new CrashingDisk(ALL);
+    CrashingLogDirectory disk = new CrashingLogDirectory(ALL);
     Life life = new Life();
-    life.live(new Journal(new UnforcedDisk(disk, false), "g", "a"));
+    life.live(new RaftLogStore(new UnsyncedLogDirectory(disk, false), "g", "a"));
     // The names alone came through.
-    CrashingDisk found = disk.found(disk.pendingNames(), 0);
-    assertThrows(DamagedException.class, () -> new Journal(found, "g", "a"));
+    CrashingLogDirectory found = disk.found(disk.pendingNames(), 0);
+    assertThrows(CorruptLogException.class, () -> new RaftLogStore(found, "g", "a"));
   }
 
   @Test
   void anyDamagedByteIsFoundOutOrCutsTheEndAndIsTold() throws Exception {
-    CrashingDisk disk = new CrashingDisk(ALL);
+    CrashingLogDirectory disk = new CrashingLogDirectory(ALL);
     Life life = new Life();
-    life.live(new Journal(disk, "g", "a"));
+    life.live(new RaftLogStore(disk, "g", "a"));
     String file = disk.names().get(0);
     int length = disk.read(file).length;
     int refused = 0;
     for (int at = 0; at < length; at++) {
-      CrashingDisk damaged = disk.found(0, 1);
+      CrashingLogDirectory damaged = disk.found(0, 1);
       damaged.damage(file, at);
       try {
-        Journal journal = new Journal(damaged, "g", "a");
+        RaftLogStore journal = new RaftLogStore(damaged, "g", "a");
         assertEquals(1, journal.told().size(), "a cut end is told");
         assertTrue(life.states.contains(read(journal.restored())));
-      } catch (DamagedException e) {
+      } catch (CorruptLogException e) {
         assertTrue(e.getMessage().contains(file) && e.getMessage().contains("join anew"));
         refused++;
       }
@@ -255,9 +256,9 @@
   @Test
   void aForceThatFailsIsNeverTakenForOneThatDidNot() throws Exception {
     for (int force = 1; force < 12; force++) {
-      CrashingDisk disk = new CrashingDisk(ALL).failingForce(force);
+      CrashingLogDirectory disk = new CrashingLogDirectory(ALL).failingForce(force);
       Life life = new Life();
-      Journal journal = new Journal(disk, "g", "a");
+      RaftLogStore journal = new RaftLogStore(disk, "g", "a");
       assertThrows(IOException.class, () -> life.live(journal));
       assertNotNull(journal.failed());
       byte[] before = disk.read(disk.names().get(0));
@@ -272,9 +273,9 @@
   @Test
   void afterAFailedForceAJournalHoldsWhatWasForcedAndGoesOn() throws Exception {
     for (int force = 1; force < 12; force++) {
-      CrashingDisk disk = new CrashingDisk(ALL).failingForce(force);
+      CrashingLogDirectory disk = new CrashingLogDirectory(ALL).failingForce(force);
       Life life = new Life();
-      Journal journal = new Journal(disk, "g", "a");
+      RaftLogStore journal = new RaftLogStore(disk, "g", "a");
       assertThrows(IOException.class, () -> life.live(journal));
       assertFalse(journal.recover(), "the disk fails still");
       disk.failingForce(ALL);
@@ -283,28 +284,28 @@
       String held = read(journal.restored());
       assertEquals(life.states.get(life.held), held);
       journal.flush();
-      assertEquals(held, read(new Journal(disk.found(0, 0), "g", "a").restored()));
+      assertEquals(held, read(new RaftLogStore(disk.found(0, 0), "g", "a").restored()));
     }
   }
 
   /** A process that starts cannot know whether the one before it saw a force fail. */
   @Test
   void whatAStartHasReadIsOnTheDiskFromThenOn() throws Exception {
-    CrashingDisk disk = new CrashingDisk(ALL);
-    Journal first = new Journal(disk, "g", "a");
+    CrashingLogDirectory disk = new CrashingLogDirectory(ALL);
+    RaftLogStore first = new RaftLogStore(disk, "g", "a");
     new Life().live(first);
     first.persistLogEntries(List.of(entry(10, 3)));
     disk.failing(true);
     assertThrows(IOException.class, first::flush);
     disk.failing(false);
-    String believed = read(new Journal(disk, "g", "a").restored());
-    assertEquals(believed, read(new Journal(disk.found(0, 0), "g", "a").restored()));
+    String believed = read(new RaftLogStore(disk, "g", "a").restored());
+    assertEquals(believed, read(new RaftLogStore(disk.found(0, 0), "g", "a").restored()));
   }
 
   @Test
   void aFileIsWrittenAnewWhenMostOfItSaysNothing() throws Exception {
-    CrashingDisk disk = new CrashingDisk(ALL);
-    Journal journal = new Journal(disk, "g", "a", 10_000);
+    CrashingLogDirectory disk = new CrashingLogDirectory(ALL);
+    RaftLogStore journal = new RaftLogStore(disk, "g", "a", 10_000);
     new Life().live(journal);
     for (int i = 0; i < 2000; i++) {
       journal.persistLogEntries(List.of(entry(10, 3)));
@@ -314,27 +315,27 @@
       assertEquals(1, disk.names().size());
     }
     String before = read(journal.restored());
-    assertEquals(before, read(new Journal(disk.found(0, 1), "g", "a").restored()));
+    assertEquals(before, read(new RaftLogStore(disk.found(0, 1), "g", "a").restored()));
   }
 
   @Test
   void foldersOfOthersAndOfOtherFormatsAreTurnedDownWithTheRemedy() throws Exception {
-    CrashingDisk disk = new CrashingDisk(ALL);
-    new Life().live(new Journal(disk, "g", "a"));
-    assertEquals(List.of("g", "a"), Journal.owner(disk));
-    assertNull(Journal.owner(new CrashingDisk(ALL)));
-    DamagedException other =
-        assertThrows(DamagedException.class, () -> new Journal(disk.found(0, 1), "g", "b"));
+    CrashingLogDirectory disk = new CrashingLogDirectory(ALL);
+    new Life().live(new RaftLogStore(disk, "g", "a"));
+    assertEquals(List.of("g", "a"), RaftLogStore.owner(disk));
+    assertNull(RaftLogStore.owner(new CrashingLogDirectory(ALL)));
+    CorruptLogException other =
+        assertThrows(CorruptLogException.class, () -> new RaftLogStore(disk.found(0, 1), "g", "b"));
     assertTrue(other.getMessage().contains("belongs to member 'a' of group 'g'"));
-    assertThrows(DamagedException.class, () -> new Journal(disk.found(0, 1), "h", "a"));
+    assertThrows(CorruptLogException.class, () -> new RaftLogStore(disk.found(0, 1), "h", "a"));
   }
 
   @Test
   void aRealFolderIsHeldByOneAtATime(@TempDir Path folder) throws Exception {
     Life life = new Life();
-    try (Journal journal = new Journal(new FolderDisk(folder), "g", "a")) {
+    try (RaftLogStore journal = new RaftLogStore(new FileLogDirectory(folder), "g", "a")) {
       life.live(journal);
-      IOException held = assertThrows(IOException.class, () -> new FolderDisk(folder));
+      IOException held = assertThrows(IOException.class, () -> new FileLogDirectory(folder));
       assertTrue(held.getMessage().contains("held by another process"));
     }
     Path file;
@@ -342,7 +343,7 @@
       file = files.filter(f -> f.toString().contains("journal-")).findFirst().orElseThrow();
     }
     Files.write(file, new byte[] {1, 2, 3}, java.nio.file.StandardOpenOption.APPEND);
-    try (Journal journal = new Journal(new FolderDisk(folder), "g", "a")) {
+    try (RaftLogStore journal = new RaftLogStore(new FileLogDirectory(folder), "g", "a")) {
       assertEquals(life.now.toString(), read(journal.restored()));
       assertTrue(journal.told().get(0).contains("3 bytes of a write that was cut short"));
     }
--- a/cluster/src/test/java/shalepaddle/storage/SilentDisk.java
+++ b/cluster/src/test/java/shalepaddle/storage/SilentlyFailingLogDirectory.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /** A disk whose failures are not told to whoever writes: what a test has to find out. */
-public record SilentDisk(Disk disk) implements ForwardingDisk {
+public record SilentlyFailingLogDirectory(LogDirectory disk) implements ForwardingLogDirectory {
   @Override
   public Appender create(String name) throws IOException {
     return new Silent(disk.create(name));
--- a/cluster/src/test/java/shalepaddle/storage/UnforcedDisk.java
+++ b/cluster/src/test/java/shalepaddle/storage/UnsyncedLogDirectory.java
@@ -8,7 +8,8 @@
  * @param begins whether what each file begins with is there all the same, and its name: a folder
  *     that is empty is a fresh one, and found out as such
  */
-public record UnforcedDisk(Disk disk, boolean begins) implements ForwardingDisk {
+public record UnsyncedLogDirectory(LogDirectory disk, boolean begins)
+    implements ForwardingLogDirectory {
   @Override
   public Appender create(String name) throws IOException {
     return new Unforced(disk.create(name), begins);
--- a/cluster/src/test/java/shalepaddle/links/FeedLinkTest.java
+++ b/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.links;
+package shalepaddle.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -20,17 +20,17 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import shalepaddle.agreement.Turns;
-import shalepaddle.feed.Told;
-import shalepaddle.formats.PromiseForms;
-import shalepaddle.promises.Answer;
-import shalepaddle.promises.Entry;
-import shalepaddle.promises.Promises;
-import shalepaddle.promises.Proposal;
+import shalepaddle.changefeed.PublisherMessage;
+import shalepaddle.encoding.ReplicatedStateCodec;
+import shalepaddle.raft.MemberExecutor;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.ReplicatedState;
+import shalepaddle.replicatedstate.StateCommand;
 
 /** A port of the feed and those who follow it, over loopback. */
 @Timeout(30)
-class FeedLinkTest {
+class ChangeFeedClientTest {
   private static final InetSocketAddress ANY =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
@@ -40,13 +40,13 @@
   private final EventLoop loop = loops.next();
   private final List<AutoCloseable> open = new ArrayList<>();
   private final LinkedBlockingQueue<String> portLines = new LinkedBlockingQueue<>();
-  private final Promises state = new Promises();
+  private final ReplicatedState state = new ReplicatedState();
 
   /** What the member's snapshot has in it, null for its state. */
   private byte[] image;
 
-  private final Turns turns =
-      new Turns() {
+  private final MemberExecutor turns =
+      new MemberExecutor() {
         @Override
         public void run(Runnable task) {
           runIn(0, task);
@@ -74,22 +74,23 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private FeedPort port() throws Exception {
-    FeedPort port = new FeedPort("birds", ANY, turns, this::snapshot, portLines::add);
+  private ChangeFeedServer port() throws Exception {
+    ChangeFeedServer port =
+        new ChangeFeedServer("birds", ANY, turns, this::snapshot, portLines::add);
     open.add(port);
     thread.submit(() -> port.led(true)).get();
     return port;
   }
 
-  private Told.Snapshot snapshot() {
-    return new Told.Snapshot(
-        state.index(), image == null ? PromiseForms.image(state.image()) : image);
+  private PublisherMessage.Snapshot snapshot() {
+    return new PublisherMessage.Snapshot(
+        state.index(), image == null ? ReplicatedStateCodec.image(state.image()) : image);
   }
 
   /** The member applies an entry. */
-  private void applies(FeedPort port, long index, Entry entry) throws Exception {
+  private void applies(ChangeFeedServer port, long index, StateCommand entry) throws Exception {
     Proposal proposal = new Proposal("id" + index, 1, entry);
-    byte[] body = PromiseForms.proposal(proposal);
+    byte[] body = ReplicatedStateCodec.proposal(proposal);
     thread
         .submit(
             () -> {
@@ -100,17 +101,17 @@
   }
 
   /** What a follower tells, in order. */
-  private LinkedBlockingQueue<String> follow(String group, FeedPort port) {
+  private LinkedBlockingQueue<String> follow(String group, ChangeFeedServer port) {
     LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
-    FeedLink.Listener listener =
-        new FeedLink.Listener() {
+    ChangeFeedClient.Listener listener =
+        new ChangeFeedClient.Listener() {
           @Override
-          public void applied(long index, Proposal proposal, Answer answer) {
+          public void applied(long index, Proposal proposal, CommandResult answer) {
             told.add(index + " " + answer.kind());
           }
 
           @Override
-          public void restored(Promises.Image read) {
+          public void restored(ReplicatedState.Image read) {
             told.add("restored to " + read.index() + " " + read.out());
           }
 
@@ -124,7 +125,7 @@
             told.add(text);
           }
         };
-    open.add(new FeedLink(loop, group, "n1", List.of(port.address()), 1, listener));
+    open.add(new ChangeFeedClient(loop, group, "n1", List.of(port.address()), 1, listener));
     return told;
   }
 
@@ -136,21 +137,21 @@
 
   @Test
   void entriesComeInOrderAlsoOnesOfAKindThatIsNotKnown() throws Exception {
-    FeedPort port = port();
-    applies(port, 3, new Entry.Say("s-1", true));
+    ChangeFeedServer port = port();
+    applies(port, 3, new StateCommand.Say("s-1", true));
     LinkedBlockingQueue<String> told = follow("birds", port);
     assertEquals("3 HELD", next(told));
     assertEquals("in contact", next(told));
-    applies(port, 5, new Entry.Unknown(77));
-    applies(port, 6, new Entry.Say("s-2", true));
+    applies(port, 5, new StateCommand.Unknown(77));
+    applies(port, 6, new StateCommand.Say("s-2", true));
     assertEquals("5 NOT_KNOWN", next(told));
     assertEquals("6 HELD", next(told));
   }
 
   @Test
   void anotherGroupIsTurnedDownInWordsAndChangesNothing() throws Exception {
-    FeedPort port = port();
-    applies(port, 3, new Entry.Say("s-1", true));
+    ChangeFeedServer port = port();
+    applies(port, 3, new StateCommand.Say("s-1", true));
     LinkedBlockingQueue<String> told = follow("fish", port);
     assertTrue(next(told).endsWith("it follows group 'fish', and this is 'birds'"));
     assertTrue(next(told).endsWith("it follows group 'fish', and this is 'birds'"));
@@ -158,16 +159,16 @@
 
   @Test
   void whoComesAfterASnapshotIsGivenTheState() throws Exception {
-    FeedPort port = port();
-    state.apply(9, new Proposal("id9", 1, new Entry.Say("s-9", true)));
+    ChangeFeedServer port = port();
+    state.apply(9, new Proposal("id9", 1, new StateCommand.Say("s-9", true)));
     thread.submit(() -> port.restored(9)).get();
     assertEquals("restored to 9 [s-9]", next(follow("birds", port)));
   }
 
   @Test
   void aStateThatCanNotBeReadIsNotTaken() throws Exception {
-    FeedPort port = port();
-    state.apply(9, new Proposal("id9", 1, new Entry.Say("s-9", true)));
+    ChangeFeedServer port = port();
+    state.apply(9, new Proposal("id9", 1, new StateCommand.Say("s-9", true)));
     image = new byte[] {1, 2, 3};
     thread.submit(() -> port.restored(9)).get();
     LinkedBlockingQueue<String> told = follow("birds", port);
@@ -182,7 +183,7 @@
 
   @Test
   void bytesThatAreNoFollowersAreClosedAndHarmNobody() throws Exception {
-    FeedPort port = port();
+    ChangeFeedServer port = port();
     LinkedBlockingQueue<String> told = follow("birds", port);
     assertEquals("in contact", next(told));
     try (Socket stranger = new Socket()) {
@@ -192,7 +193,7 @@
       assertEquals(-1, readOrEnd(stranger));
     }
     assertTrue(next(portLines).contains("these are no members' bytes"));
-    applies(port, 3, new Entry.Say("s-1", true));
+    applies(port, 3, new StateCommand.Say("s-1", true));
     assertEquals("3 HELD", next(told));
   }
 
@@ -206,7 +207,8 @@
 
   @Test
   void aMemberThatKnowsNobodyThatLeadsServesNobody() throws Exception {
-    FeedPort port = new FeedPort("birds", ANY, turns, this::snapshot, portLines::add);
+    ChangeFeedServer port =
+        new ChangeFeedServer("birds", ANY, turns, this::snapshot, portLines::add);
     open.add(port);
     LinkedBlockingQueue<String> told = follow("birds", port);
     assertTrue(next(told).endsWith("this member knows nobody who leads its group"));
--- a/core/src/main/java/shalepaddle/feed/FeedEntry.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeEntry.java
@@ -1,4 +1,4 @@
-package shalepaddle.feed;
+package shalepaddle.changefeed;
 
 /**
  * An entry of the agreed log, as it goes to the nodes. What is in it is not looked at here, so that
@@ -7,4 +7,4 @@
  * @param index its place in the log; not every place has an entry
  * @param body what it says
  */
-public record FeedEntry(long index, byte[] body) {}
+public record ChangeEntry(long index, byte[] body) {}
