--- a/core/src/main/java/shalepaddle/feed/Publisher.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedPublisher.java
@@ -1,4 +1,4 @@
-package shalepaddle.feed;
+package shalepaddle.changefeed;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
  *
  * <p>Not thread-safe: it belongs to whoever applies the log.
  */
-public final class Publisher {
+public final class ChangeFeedPublisher {
   /** Bytes of entries that go in one message, but for a single larger one. */
   private static final int BATCH_BYTES = 16 << 10;
 
@@ -52,13 +52,13 @@
   /** Carries out what is decided. */
   public interface Carrier {
     /** Tells a follower; in the order of the calls, or not at all once it is dropped. */
-    void tell(long connection, Told told);
+    void tell(long connection, PublisherMessage told);
 
     /** Closes a follower's connection, once what it was told has gone out. */
     void drop(long connection);
 
     /** The whole state, as of the last entry that is in it. */
-    Told.Snapshot snapshot();
+    PublisherMessage.Snapshot snapshot();
   }
 
   /** What has been sent and is not known to be taken. */
@@ -83,9 +83,9 @@
   private final String group;
   private final Limits limits;
   private final Carrier carrier;
-  private final TreeMap<Long, FeedEntry> kept = new TreeMap<>();
+  private final TreeMap<Long, ChangeEntry> kept = new TreeMap<>();
   private final Map<Long, Session> sessions = new LinkedHashMap<>();
-  private final Map<String, Said.Wrong> wrong = new HashMap<>();
+  private final Map<String, SubscriberMessage.Wrong> wrong = new HashMap<>();
   private long keptBytes;
 
   /** All entries behind this place are kept. */
@@ -99,7 +99,7 @@
   private long aloneSince;
 
   /** A publisher of a log of which nothing is known yet; it serves once it knows who leads. */
-  public Publisher(String group, long now, Limits limits, Carrier carrier) {
+  public ChangeFeedPublisher(String group, long now, Limits limits, Carrier carrier) {
     this.group = group;
     // Whoever has just started does not know yet what it lacks.
     this.aloneSince = now - limits.aloneNanos();
@@ -128,7 +128,7 @@
    *
    * @throws IllegalStateException if it is not behind the last one
    */
-  public void applied(long now, FeedEntry entry) {
+  public void applied(long now, ChangeEntry entry) {
     if (entry.index() <= index) {
       throw new IllegalStateException("entry " + entry.index() + " after " + index);
     }
@@ -136,7 +136,7 @@
     kept.put(index, entry);
     keptBytes += size(entry);
     while (keptBytes > limits.mostBytes()) {
-      FeedEntry oldest = kept.pollFirstEntry().getValue();
+      ChangeEntry oldest = kept.pollFirstEntry().getValue();
       keptBytes -= size(oldest);
       base = oldest.index();
     }
@@ -157,9 +157,9 @@
   }
 
   /** A follower has said something on this connection. */
-  public void said(long now, long connection, Said said) {
+  public void said(long now, long connection, SubscriberMessage said) {
     Session session = sessions.get(connection);
-    if (said instanceof Said.Hello hello) {
+    if (said instanceof SubscriberMessage.Hello hello) {
       if (session != null) {
         turnDown(connection, "a second hello");
       } else {
@@ -167,15 +167,15 @@
       }
     } else if (session == null) {
       turnDown(connection, "speaks before it says who it is");
-    } else if (said instanceof Said.Taken taken) {
+    } else if (said instanceof SubscriberMessage.Taken taken) {
       taken(now, connection, session, taken.index());
-    } else if (said instanceof Said.Wrong found
+    } else if (said instanceof SubscriberMessage.Wrong found
         && (wrong.size() < MOST_WRONG || wrong.containsKey(session.name))) {
       wrong.put(session.name, found);
     }
   }
 
-  private void hello(long now, long connection, Said.Hello hello) {
+  private void hello(long now, long connection, SubscriberMessage.Hello hello) {
     if (!hello.group().equals(group)) {
       turnDown(
           connection, "it follows group '%s', and this is '%s'".formatted(hello.group(), group));
@@ -192,13 +192,13 @@
       feed(now, connection);
       if (hello.index() == index) {
         // That it lacks nothing is news to it.
-        tell(now, connection, sessions.get(connection), new Told.Alive(index), 0);
+        tell(now, connection, sessions.get(connection), new PublisherMessage.Alive(index), 0);
       }
     }
   }
 
   private void turnDown(long connection, String why) {
-    carrier.tell(connection, new Told.TurnedDown(why));
+    carrier.tell(connection, new PublisherMessage.TurnedDown(why));
     drop(connection);
   }
 
@@ -220,7 +220,7 @@
     Session session = sessions.get(connection);
     while (session != null && session.sent < index && session.outBytes < limits.windowBytes()) {
       if (session.sent < base) {
-        Told.Snapshot snapshot = carrier.snapshot();
+        PublisherMessage.Snapshot snapshot = carrier.snapshot();
         if (snapshot.index() < base || snapshot.index() <= session.sent) {
           // It is applying its log anew: what is behind its state is not kept either.
           turnDown(connection, "this member is catching up");
@@ -230,9 +230,9 @@
         tell(now, connection, session, snapshot, snapshot.image().length);
       } else {
         long after = session.sent;
-        List<FeedEntry> batch = new ArrayList<>();
+        List<ChangeEntry> batch = new ArrayList<>();
         int bytes = 0;
-        for (FeedEntry entry : kept.tailMap(after, false).values()) {
+        for (ChangeEntry entry : kept.tailMap(after, false).values()) {
           if (!batch.isEmpty() && bytes + size(entry) > BATCH_BYTES) {
             break;
           }
@@ -240,12 +240,12 @@
           bytes += size(entry);
         }
         session.sent = batch.get(batch.size() - 1).index();
-        tell(now, connection, session, new Told.Entries(after, batch), bytes);
+        tell(now, connection, session, new PublisherMessage.Entries(after, batch), bytes);
       }
     }
   }
 
-  private void tell(long now, long connection, Session session, Told told, int bytes) {
+  private void tell(long now, long connection, Session session, PublisherMessage told, int bytes) {
     if (session.out.isEmpty()) {
       // Until now it owed nothing.
       session.takenAt = now;
@@ -258,7 +258,7 @@
     carrier.tell(connection, told);
   }
 
-  private static int size(FeedEntry entry) {
+  private static int size(ChangeEntry entry) {
     return ENTRY_BYTES + entry.body().length;
   }
 
@@ -279,7 +279,7 @@
       } else if (!session.out.isEmpty() && now - session.takenAt >= limits.silenceNanos()) {
         drop(connection);
       } else if (now - session.toldAt >= limits.aliveNanos()) {
-        tell(now, connection, session, new Told.Alive(session.sent), 0);
+        tell(now, connection, session, new PublisherMessage.Alive(session.sent), 0);
       }
     }
   }
@@ -305,7 +305,7 @@
   }
 
   /** What followers found wrong last, by their names. */
-  public Map<String, Said.Wrong> wrong() {
+  public Map<String, SubscriberMessage.Wrong> wrong() {
     return Map.copyOf(wrong);
   }
 }
--- a/core/src/main/java/shalepaddle/feed/Follower.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
@@ -1,4 +1,4 @@
-package shalepaddle.feed;
+package shalepaddle.changefeed;
 
 import java.util.SplittableRandom;
 
@@ -12,7 +12,7 @@
  *
  * <p>Not thread-safe.
  */
-public final class Follower {
+public final class ChangeFeedSubscriber {
   /**
    * How long things may take.
    *
@@ -50,10 +50,10 @@
     void close();
 
     /** Says something on the connection. */
-    void say(Said said);
+    void say(SubscriberMessage said);
 
     /** An entry is in force from now on. */
-    void apply(FeedEntry entry);
+    void apply(ChangeEntry entry);
 
     /**
      * This state takes the place of all that was in force.
@@ -107,7 +107,7 @@
    * @param members how many can be followed
    * @param seed for whom it follows first, and its times; another one at each node
    */
-  public Follower(
+  public ChangeFeedSubscriber(
       String group, String name, int members, long seed, long now, Pace pace, Carrier carrier) {
     this.group = group;
     this.name = name;
@@ -193,7 +193,7 @@
     if (!stoodStill(now) && state == State.CONNECTING) {
       state = State.GREETED;
       toldTaken = index;
-      carrier.say(new Said.Hello(group, name, index));
+      carrier.say(new SubscriberMessage.Hello(group, name, index));
     }
   }
 
@@ -205,11 +205,11 @@
   }
 
   /** The member that is followed has told something. */
-  public void told(long now, Told told) {
+  public void told(long now, PublisherMessage told) {
     if (stoodStill(now) || state != State.GREETED && state != State.FOLLOWING) {
       return;
     }
-    if (told instanceof Told.TurnedDown down) {
+    if (told instanceof PublisherMessage.TurnedDown down) {
       carrier.turnedDown(member, down.why());
       carrier.close();
       next(now);
@@ -232,26 +232,26 @@
   }
 
   /** Takes what is new; false if something between it and what is known is missing. */
-  private boolean takes(long now, Told told) {
+  private boolean takes(long now, PublisherMessage told) {
     long before = index;
-    if (told instanceof Told.Snapshot snapshot) {
+    if (told instanceof PublisherMessage.Snapshot snapshot) {
       if (snapshot.index() > index) {
         if (!carrier.load(snapshot.index(), snapshot.image())) {
           return false;
         }
         index = snapshot.index();
       }
-    } else if (told instanceof Told.Entries entries) {
+    } else if (told instanceof PublisherMessage.Entries entries) {
       if (entries.after() > index) {
         return false;
       }
-      for (FeedEntry entry : entries.entries()) {
+      for (ChangeEntry entry : entries.entries()) {
         if (entry.index() > index) {
           index = entry.index();
           carrier.apply(entry);
         }
       }
-    } else if (told instanceof Told.Alive alive && alive.index() > index) {
+    } else if (told instanceof PublisherMessage.Alive alive && alive.index() > index) {
       return false;
     }
     if (index > before && before == toldTaken) {
@@ -263,14 +263,17 @@
   private void sayTaken(long now) {
     toldTaken = index;
     takenDue = now + pace.takenNanos;
-    carrier.say(new Said.Taken(index));
+    carrier.say(new SubscriberMessage.Taken(index));
   }
 
   /** What an entry says can't be done here: what was in force before holds. */
   public void wrong(long at, String what) {
     if (state == State.FOLLOWING) {
-      String told = what.length() > Said.MOST_TEXT ? what.substring(0, Said.MOST_TEXT) : what;
-      carrier.say(new Said.Wrong(at, told));
+      String told =
+          what.length() > SubscriberMessage.MOST_TEXT
+              ? what.substring(0, SubscriberMessage.MOST_TEXT)
+              : what;
+      carrier.say(new SubscriberMessage.Wrong(at, told));
     }
   }
 
--- a/core/src/main/java/shalepaddle/feed/Told.java
+++ b/core/src/main/java/shalepaddle/changefeed/PublisherMessage.java
@@ -1,16 +1,16 @@
-package shalepaddle.feed;
+package shalepaddle.changefeed;
 
 import java.util.List;
 
 /** What a member tells a follower, in order, on one connection. */
-public sealed interface Told {
+public sealed interface PublisherMessage {
   /**
    * All entries behind that place up to the last of these.
    *
    * @param after the place up to which the follower knows all
    * @param entries in order, at least one
    */
-  record Entries(long after, List<FeedEntry> entries) implements Told {}
+  record Entries(long after, List<ChangeEntry> entries) implements PublisherMessage {}
 
   /**
    * The whole state, for one that lacks entries that are not kept any more.
@@ -18,19 +18,19 @@
    * @param index up to which place of the log it goes
    * @param image the state
    */
-  record Snapshot(long index, byte[] image) implements Told {}
+  record Snapshot(long index, byte[] image) implements PublisherMessage {}
 
   /**
    * Nothing is new.
    *
    * @param index the place up to which all has been told on this connection
    */
-  record Alive(long index) implements Told {}
+  record Alive(long index) implements PublisherMessage {}
 
   /**
    * This member can't be followed now.
    *
    * @param why in words
    */
-  record TurnedDown(String why) implements Told {}
+  record TurnedDown(String why) implements PublisherMessage {}
 }
--- a/core/src/main/java/shalepaddle/feed/Said.java
+++ b/core/src/main/java/shalepaddle/changefeed/SubscriberMessage.java
@@ -1,7 +1,7 @@
-package shalepaddle.feed;
+package shalepaddle.changefeed;
 
 /** What a follower says to the member that it follows. */
-public sealed interface Said {
+public sealed interface SubscriberMessage {
   /** Characters of a name, and of what is wrong, at most. */
   int MOST_TEXT = 256;
 
@@ -12,14 +12,14 @@
    * @param name the follower's own
    * @param index the place up to which it knows all, 0 for nothing
    */
-  record Hello(String group, String name, long index) implements Said {}
+  record Hello(String group, String name, long index) implements SubscriberMessage {}
 
   /**
    * It has taken all up to there.
    *
    * @param index a place in the log
    */
-  record Taken(long index) implements Said {}
+  record Taken(long index) implements SubscriberMessage {}
 
   /**
    * It has taken an entry and can't do what it says; what was in force before holds.
@@ -27,5 +27,5 @@
    * @param index the entry's place
    * @param what is wrong with it, in words
    */
-  record Wrong(long index, String what) implements Said {}
+  record Wrong(long index, String what) implements SubscriberMessage {}
 }
--- a/core/src/main/java/shalepaddle/joining/JoiningTuning.java
+++ b/core/src/main/java/shalepaddle/coalescing/CoalescingConfig.java
@@ -1,6 +1,6 @@
-package shalepaddle.joining;
+package shalepaddle.coalescing;
 
-import shalepaddle.model.Bounds;
+import shalepaddle.model.ProtocolLimits;
 
 /**
  * The figures of joining that an operator may set.
@@ -13,30 +13,32 @@
  * @param retries new tries that a flight may make after broken ones for each read that joined one,
  *     0 to 1
  */
-public record JoiningTuning(
+public record CoalescingConfig(
     boolean joins, boolean acrossTenants, int callers, double age, int flights, double retries) {
   /**
    * Off: where an answer counts only if a server made it for that very request, nothing may be
    * shared.
    */
-  public static final JoiningTuning OFF = new JoiningTuning(false, false, 1000, 0.25, 10_000, 0.1);
+  public static final CoalescingConfig OFF =
+      new CoalescingConfig(false, false, 1000, 0.25, 10_000, 0.1);
 
   /**
    * On, with the usual figures: a quarter of a second covers most fetches from an origin, and who
    * joins later would rather have a fresh try at another server; a tenth of those who joined in new
    * tries mends single failures and feeds no storm.
    */
-  public static final JoiningTuning USUAL = new JoiningTuning(true, false, 1000, 0.25, 10_000, 0.1);
+  public static final CoalescingConfig USUAL =
+      new CoalescingConfig(true, false, 1000, 0.25, 10_000, 0.1);
 
   /**
    * Checks the figures.
    *
    * @throws IllegalArgumentException if one is out of its range; the message names it and the range
    */
-  public JoiningTuning {
-    Bounds.within("callers", callers, 2, 100_000);
-    Bounds.within("age_ms", age * 1e3, 1, 60_000);
-    Bounds.within("flights", flights, 1, 1_000_000);
-    Bounds.within("retries", retries, 0, 1);
+  public CoalescingConfig {
+    ProtocolLimits.within("callers", callers, 2, 100_000);
+    ProtocolLimits.within("age_ms", age * 1e3, 1, 60_000);
+    ProtocolLimits.within("flights", flights, 1, 1_000_000);
+    ProtocolLimits.within("retries", retries, 0, 1);
   }
 }
--- a/core/src/main/java/shalepaddle/joining/Likeness.java
+++ b/core/src/main/java/shalepaddle/coalescing/CoalescingKey.java
@@ -1,4 +1,4 @@
-package shalepaddle.joining;
+package shalepaddle.coalescing;
 
 import java.util.Objects;
 
@@ -9,7 +9,7 @@
  * @param serviceClass the class, which servers are told and decisions are made by
  * @param tenant whose values are seen, null where all see the same
  */
-public record Likeness(String serviceClass, String tenant) {
+public record CoalescingKey(String serviceClass, String tenant) {
   boolean like(String otherClass, String otherTenant) {
     return serviceClass.equals(otherClass) && Objects.equals(tenant, otherTenant);
   }
--- a/core/src/main/java/shalepaddle/joining/JoiningReading.java
+++ b/core/src/main/java/shalepaddle/coalescing/CoalescingSnapshot.java
@@ -1,4 +1,4 @@
-package shalepaddle.joining;
+package shalepaddle.coalescing;
 
 /**
  * What joining has done so far, as it stood at one moment.
@@ -13,7 +13,7 @@
  * @param open flights open now
  * @param waiting callers that wait now
  */
-public record JoiningReading(
+public record CoalescingSnapshot(
     long flights,
     long joined,
     long alone,
--- a/core/src/main/java/shalepaddle/joining/Flight.java
+++ b/core/src/main/java/shalepaddle/coalescing/Flight.java
@@ -1,4 +1,4 @@
-package shalepaddle.joining;
+package shalepaddle.coalescing;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
   /** What it is about, and the next one about the same key that may be joined. */
   final String key;
 
-  final Likeness likeness;
+  final CoalescingKey likeness;
   final long begun;
   Flight<C> next;
 
@@ -38,24 +38,24 @@
   int retries;
 
   /** All that came, some of them over; the first of those that wait carries the try. */
-  private final ArrayDeque<Caller<C>> callers = new ArrayDeque<>(2);
+  private final ArrayDeque<FlightWaiter<C>> callers = new ArrayDeque<>(2);
 
   /** The same by their deadlines, null while there was but one. */
-  private PriorityQueue<Caller<C>> byDeadline;
+  private PriorityQueue<FlightWaiter<C>> byDeadline;
 
-  Flight(String key, Likeness likeness, long begun) {
+  Flight(String key, CoalescingKey likeness, long begun) {
     this.key = key;
     this.likeness = likeness;
     this.begun = begun;
   }
 
-  private static int sooner(Caller<?> a, Caller<?> b) {
+  private static int sooner(FlightWaiter<?> a, FlightWaiter<?> b) {
     return a.deadline != b.deadline ? Long.signum(a.deadline - b.deadline) : a.place - b.place;
   }
 
   /** One more waits, behind all others. */
-  Caller<C> add(C who, long until) {
-    Caller<C> caller = new Caller<>(this, who, until, came++);
+  FlightWaiter<C> add(C who, long until) {
+    FlightWaiter<C> caller = new FlightWaiter<>(this, who, until, came++);
     if (callers.isEmpty()) {
       deadline = caller.deadline;
     } else {
@@ -72,7 +72,7 @@
   }
 
   /** The caller is answered, or has gone. */
-  void drop(Caller<C> caller) {
+  void drop(FlightWaiter<C> caller) {
     caller.over = true;
     waiting--;
   }
@@ -83,7 +83,7 @@
   }
 
   /** The one in whose name it is tried now: of those that wait the first. Null if nobody does. */
-  public Caller<C> bearer() {
+  public FlightWaiter<C> bearer() {
     while (!callers.isEmpty() && callers.peek().over) {
       callers.poll();
     }
@@ -111,15 +111,15 @@
     while (!byDeadline.isEmpty() && byDeadline.peek().over) {
       byDeadline.poll();
     }
-    Caller<C> first = byDeadline.peek();
+    FlightWaiter<C> first = byDeadline.peek();
     return first == null || first.deadline == deadline ? Long.MAX_VALUE : first.deadline;
   }
 
   /** Those whose time is up, in the order of their deadlines; none of them waits any more. */
-  List<Caller<C>> due(long now) {
-    List<Caller<C>> due = new ArrayList<>();
+  List<FlightWaiter<C>> due(long now) {
+    List<FlightWaiter<C>> due = new ArrayList<>();
     while (byDeadline != null && !byDeadline.isEmpty() && byDeadline.peek().deadline - now <= 0) {
-      Caller<C> caller = byDeadline.poll();
+      FlightWaiter<C> caller = byDeadline.poll();
       if (!caller.over) {
         drop(caller);
         due.add(caller);
@@ -129,9 +129,9 @@
   }
 
   /** All who wait, in the order of their arrival; none of them does any more. */
-  List<Caller<C>> dismiss() {
-    List<Caller<C>> all = new ArrayList<>(waiting);
-    for (Caller<C> caller : callers) {
+  List<FlightWaiter<C>> dismiss() {
+    List<FlightWaiter<C>> all = new ArrayList<>(waiting);
+    for (FlightWaiter<C> caller : callers) {
       if (!caller.over) {
         drop(caller);
         all.add(caller);
@@ -144,8 +144,8 @@
 
   /** Whether anybody but the bearer still has time. */
   boolean outlastsBearer(long now) {
-    Caller<C> bearer = bearer();
-    for (Caller<C> caller : callers) {
+    FlightWaiter<C> bearer = bearer();
+    for (FlightWaiter<C> caller : callers) {
       if (caller != bearer && !caller.over && caller.deadline - now > 0) {
         return true;
       }
@@ -154,11 +154,11 @@
   }
 
   /** Drops the bearer, and lasts for as long as those who still wait; returns who it was. */
-  Caller<C> dropBearer() {
-    Caller<C> bearer = bearer();
+  FlightWaiter<C> dropBearer() {
+    FlightWaiter<C> bearer = bearer();
     drop(bearer);
     deadline = Long.MIN_VALUE;
-    for (Caller<C> caller : callers) {
+    for (FlightWaiter<C> caller : callers) {
       if (!caller.over) {
         deadline = Math.max(deadline, caller.deadline);
       }
--- a/core/src/main/java/shalepaddle/joining/Verdict.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightDecision.java
@@ -1,4 +1,4 @@
-package shalepaddle.joining;
+package shalepaddle.coalescing;
 
 import java.util.List;
 
@@ -9,4 +9,4 @@
  * @param again whether it is tried again, in the name of the flight's new {@link Flight#bearer}
  * @param <C> what stands for a caller
  */
-public record Verdict<C>(List<Caller<C>> answered, boolean again) {}
+public record FlightDecision<C>(List<FlightWaiter<C>> answered, boolean again) {}
--- a/core/src/main/java/shalepaddle/joining/Ending.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightResult.java
@@ -1,9 +1,9 @@
-package shalepaddle.joining;
+package shalepaddle.coalescing;
 
 import shalepaddle.model.Outcome;
 
 /** How a flight's try has ended, as far as it matters to those who wait for it. */
-public enum Ending {
+public enum FlightResult {
   /** With the value: everybody gets it. */
   SERVED,
 
@@ -24,7 +24,7 @@
    *
    * @param last the outcome of its last attempt, null if it had none
    */
-  public static Ending refused(Outcome.Result last) {
+  public static FlightResult refused(Outcome.Result last) {
     return last != null && (last.broken() || last == Outcome.Result.SPOILT) ? BROKEN : REFUSED;
   }
 }
--- a/core/src/main/java/shalepaddle/joining/Caller.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightWaiter.java
@@ -1,11 +1,11 @@
-package shalepaddle.joining;
+package shalepaddle.coalescing;
 
 /**
  * One read that waits for a flight.
  *
  * @param <C> what stands for it outside of these decisions
  */
-public final class Caller<C> {
+public final class FlightWaiter<C> {
   final C who;
 
   /** When its time is up, in nanoseconds. */
@@ -19,7 +19,7 @@
   /** Whether it has been answered, or has gone. */
   boolean over;
 
-  Caller(Flight<C> flight, C who, long deadline, int place) {
+  FlightWaiter(Flight<C> flight, C who, long deadline, int place) {
     this.flight = flight;
     this.who = who;
     this.deadline = deadline;
--- a/core/src/main/java/shalepaddle/joining/Joining.java
+++ b/core/src/main/java/shalepaddle/coalescing/RequestCoalescer.java
@@ -1,4 +1,4 @@
-package shalepaddle.joining;
+package shalepaddle.coalescing;
 
 import java.util.HashMap;
 import java.util.List;
@@ -20,18 +20,19 @@
  * older flights from when it is taken.
  *
  * <p>Time is an argument, in nanoseconds of a clock that only goes on. All methods are for one
- * thread. Sizes are bounded: {@link JoiningTuning#flights} times {@link JoiningTuning#callers}.
+ * thread. Sizes are bounded: {@link CoalescingConfig#flights} times {@link
+ * CoalescingConfig#callers}.
  *
  * @param <C> what stands for a caller
  */
-public final class Joining<C> {
+public final class RequestCoalescer<C> {
   /** New tries that a flight makes at most: whoever waits has waited for each. */
   private static final int MAX_RETRIES = 3;
 
   /** New tries saved up at most, and at the beginning. */
   private static final double BURST = 10;
 
-  private final JoiningTuning tuning;
+  private final CoalescingConfig tuning;
   private final long ageNanos;
 
   /** The newest flight of each key that may be joined, and behind it others of other likeness. */
@@ -49,7 +50,7 @@
   private long left;
 
   /** Nobody waits yet. */
-  public Joining(JoiningTuning tuning) {
+  public RequestCoalescer(CoalescingConfig tuning) {
     this.tuning = tuning;
     this.ageNanos = (long) (tuning.age() * 1e9);
   }
@@ -66,7 +67,7 @@
    * @param deadline when its client stops waiting
    * @return null if it goes alone, since too many flights are open
    */
-  public Caller<C> arrive(
+  public FlightWaiter<C> arrive(
       String key, String serviceClass, String tenant, C who, long deadline, long now) {
     String visible = tuning.acrossTenants() ? null : tenant;
     Flight<C> flight = byKey.get(key);
@@ -82,7 +83,7 @@
         alone++;
         return null;
       }
-      flight = new Flight<>(key, new Likeness(serviceClass, visible), now);
+      flight = new Flight<>(key, new CoalescingKey(serviceClass, visible), now);
       list(flight);
       open++;
       flights++;
@@ -138,7 +139,7 @@
    *
    * @return whether nobody is left, so that the try is to be given up
    */
-  public boolean leave(Caller<C> caller) {
+  public boolean leave(FlightWaiter<C> caller) {
     if (caller.over) {
       return false;
     }
@@ -170,8 +171,8 @@
    * Those of a flight whose time is up, in the order of their deadlines: each is to be told so. If
    * the flight {@link Flight#isOver} then, nobody waits any more, and its try is to be given up.
    */
-  public List<Caller<C>> due(Flight<C> flight, long now) {
-    List<Caller<C>> due = flight.due(now);
+  public List<FlightWaiter<C>> due(Flight<C> flight, long now) {
+    List<FlightWaiter<C>> due = flight.due(now);
     waiting -= due.size();
     abandoned(flight, due.size());
     return due;
@@ -184,11 +185,11 @@
    * next one tries, as long as reads that joined have earned it. So one failure becomes neither a
    * hundred failures nor a hundred tries.
    */
-  public Verdict<C> ended(Flight<C> flight, Ending ending, long now) {
+  public FlightDecision<C> ended(Flight<C> flight, FlightResult ending, long now) {
     if (flight.over) {
-      return new Verdict<>(List.of(), false);
+      return new FlightDecision<>(List.of(), false);
     }
-    if (ending == Ending.BROKEN && flight.waiting > 1 && flight.retries < MAX_RETRIES) {
+    if (ending == FlightResult.BROKEN && flight.waiting > 1 && flight.retries < MAX_RETRIES) {
       if (tokens < 1) {
         spent++;
       } else if (flight.outlastsBearer(now)) {
@@ -196,20 +197,20 @@
         retried++;
         flight.retries++;
         waiting--;
-        return new Verdict<>(List.of(flight.dropBearer()), true);
+        return new FlightDecision<>(List.of(flight.dropBearer()), true);
       }
     }
     // Nobody may join an older flight of this key: it could hold an older value.
-    if (ending == Ending.SERVED) {
+    if (ending == FlightResult.SERVED) {
       touched(flight.key);
     }
-    List<Caller<C>> all = flight.dismiss();
+    List<FlightWaiter<C>> all = flight.dismiss();
     close(flight);
     waiting -= all.size();
-    if (ending == Ending.SERVED) {
+    if (ending == FlightResult.SERVED) {
       shared += all.size() - 1;
     }
-    return new Verdict<>(all, false);
+    return new FlightDecision<>(all, false);
   }
 
   /**
@@ -230,8 +231,9 @@
   }
 
   /** What has been done so far. */
-  public JoiningReading reading() {
-    return new JoiningReading(flights, joined, alone, shared, retried, spent, left, open, waiting);
+  public CoalescingSnapshot reading() {
+    return new CoalescingSnapshot(
+        flights, joined, alone, shared, retried, spent, left, open, waiting);
   }
 
   /** Keys of which a flight may be joined. */
--- a/core/src/main/java/shalepaddle/joining/package-info.java
+++ b/core/src/main/java/shalepaddle/coalescing/package-info.java
@@ -2,4 +2,4 @@
  * Which reads share one answer: decisions alone, without threads, sockets or clock. Why, and what
  * was weighed against it: {@code docs/design/joining.md}.
  */
-package shalepaddle.joining;
+package shalepaddle.coalescing;
--- a/core/src/main/java/shalepaddle/model/Bounds.java
+++ b/core/src/main/java/shalepaddle/model/ProtocolLimits.java
@@ -1,8 +1,8 @@
 package shalepaddle.model;
 
 /** Checks of figures that somebody sets. */
-public final class Bounds {
-  private Bounds() {}
+public final class ProtocolLimits {
+  private ProtocolLimits() {}
 
   /**
    * Checks that a figure lies in its range, the ends included.
--- a/core/src/main/java/shalepaddle/overload/Admission.java
+++ b/core/src/main/java/shalepaddle/overload/AdmissionController.java
@@ -6,7 +6,7 @@
 /**
  * Which requests are admitted while the processor is short, decided from a request's tier alone.
  *
- * <p>Ten times a second the {@link LoadLimit} is dealt out over the tiers by what came of each
+ * <p>Ten times a second the {@link AimdRateLimit} is dealt out over the tiers by what came of each
  * lately, from the one that is worth most down: tiers above the brink pass whole, the one on it in
  * part, and of those below only a small part, which keeps telling what they would cost and lets no
  * tier be locked out for good. The brink moves smoothly, since the tier on it is admitted by chance
@@ -15,7 +15,7 @@
  *
  * <p>Time is an argument, in nanoseconds. Not thread-safe: it belongs to one event loop.
  */
-public final class Admission {
+public final class AdmissionController {
   /** Weight of the last interval in what is thought to come: storms rise within some of them. */
   private static final double FRESH = 0.5;
 
@@ -27,8 +27,8 @@
 
   private static final double LONGEST_ADVICE = 5;
 
-  private final Tuning tuning;
-  private final LoadLimit limit;
+  private final OverloadConfig tuning;
+  private final AimdRateLimit limit;
   private final SplittableRandom random;
   private double[] offeredRates;
   private double[] passing;
@@ -43,14 +43,14 @@
   private long repeatsRefused;
 
   /** Admits all, until the event loop falls behind. */
-  public Admission(Tuning tuning, Tiers tiers, long seed) {
+  public AdmissionController(OverloadConfig tuning, PriorityTiers tiers, long seed) {
     this(tuning, seed);
     retier(tiers.count());
   }
 
-  Admission(Tuning tuning, long seed) {
+  AdmissionController(OverloadConfig tuning, long seed) {
     this.tuning = tuning;
-    limit = new LoadLimit(tuning.target());
+    limit = new AimdRateLimit(tuning.target());
     random = new SplittableRandom(seed);
   }
 
@@ -73,7 +73,7 @@
   /**
    * A request has come; whether it is admitted. What is not must be refused, and never sent on.
    *
-   * @param tier as {@link Tiers} has it
+   * @param tier as {@link PriorityTiers} has it
    * @param repeat whether its client has tried before
    */
   public boolean admits(int tier, boolean repeat) {
--- a/core/src/main/java/shalepaddle/overload/Intake.java
+++ b/core/src/main/java/shalepaddle/overload/AdmissionQueue.java
@@ -19,7 +19,7 @@
  *
  * @param <T> what waits
  */
-public final class Intake<T> {
+public final class AdmissionQueue<T> {
   /** A queue that has not been empty for so long stands. */
   private static final long STANDS_NANOS = 100_000_000L;
 
@@ -40,7 +40,7 @@
    * @param longestNanos how long one waits at most
    * @param refused is given what is not served
    */
-  public Intake(int tiers, int most, long longestNanos, Consumer<T> refused) {
+  public AdmissionQueue(int tiers, int most, long longestNanos, Consumer<T> refused) {
     if (tiers < 1 || most < 1 || longestNanos <= 0) {
       throw new IllegalArgumentException(
           "%d tiers, %d items, %d ns".formatted(tiers, most, longestNanos));
--- a/core/src/main/java/shalepaddle/overload/LoadLimit.java
+++ b/core/src/main/java/shalepaddle/overload/AimdRateLimit.java
@@ -35,7 +35,7 @@
  *
  * <p>Not thread-safe.
  */
-final class LoadLimit {
+final class AimdRateLimit {
   private static final double CUT = 0.1;
   private static final double MOST_CUT = 0.3;
   private static final double GROWTH = 0.03;
@@ -84,7 +84,7 @@
   private int ample;
   private int young = YOUNG;
 
-  LoadLimit(double target) {
+  AimdRateLimit(double target) {
     this.target = target;
   }
 
--- a/core/src/main/java/shalepaddle/overload/Places.java
+++ b/core/src/main/java/shalepaddle/overload/ConnectionSlotReservation.java
@@ -14,15 +14,15 @@
  * against the moment in which two processes of a node share them. Could do harm where clients may
  * hold more connections than is thought: requests are then refused that had room.
  */
-final class Places {
+final class ConnectionSlotReservation {
   static final double LEAST_FROM = 0.8;
 
-  private Places() {}
+  private ConnectionSlotReservation() {}
 
   /**
    * Whether a request is refused.
    *
-   * @param tier as {@link Tiers} has it, 0 is worth most
+   * @param tier as {@link PriorityTiers} has it, 0 is worth most
    * @param tiers how many there are
    * @param taken the part of the places that wait for answers
    */
--- a/core/src/main/java/shalepaddle/overload/Posture.java
+++ b/core/src/main/java/shalepaddle/overload/DegradationPolicy.java
@@ -11,25 +11,27 @@
  * @param heavy the part of all requests above which a connection is read from by turns only, 1 for
  *     none
  */
-public record Posture(int owed, long idleNanos, boolean trims, double heavy) {
+public record DegradationPolicy(int owed, long idleNanos, boolean trims, double heavy) {
   /** Nothing is short. */
-  public static final Posture CALM = new Posture(64, Long.MAX_VALUE, false, 1);
+  public static final DegradationPolicy CALM = new DegradationPolicy(64, Long.MAX_VALUE, false, 1);
 
   /** What these levels ask for. */
-  public static Posture of(Level processor, Level memory, Level descriptors) {
+  public static DegradationPolicy of(
+      PressureLevel processor, PressureLevel memory, PressureLevel descriptors) {
     int owed =
         switch (memory) {
           case CALM -> CALM.owed();
           case BUSY -> 16;
           case FULL -> 4;
         };
-    Level idle = memory.compareTo(descriptors) >= 0 ? memory : descriptors;
+    PressureLevel idle = memory.compareTo(descriptors) >= 0 ? memory : descriptors;
     long idleNanos =
         switch (idle) {
           case CALM -> CALM.idleNanos();
           case BUSY -> 5_000_000_000L;
           case FULL -> 1_000_000_000L;
         };
-    return new Posture(owed, idleNanos, memory != Level.CALM, processor == Level.CALM ? 1 : 0.1);
+    return new DegradationPolicy(
+        owed, idleNanos, memory != PressureLevel.CALM, processor == PressureLevel.CALM ? 1 : 0.1);
   }
 }
--- a/core/src/main/java/shalepaddle/overload/Gauge.java
+++ b/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
@@ -8,7 +8,7 @@
  *
  * <p>Not thread-safe.
  */
-public final class Gauge {
+public final class HysteresisGauge {
   /** Where a level begins and ends, in the figure's own unit. */
   public record Bounds(double busy, double full, double release, int calmReadings) {
     /** Checks that the bounds are in order. */
@@ -22,33 +22,35 @@
   }
 
   private final Bounds bounds;
-  private Level level = Level.CALM;
+  private PressureLevel level = PressureLevel.CALM;
   private int calm;
 
   /** A calm one. */
-  public Gauge(Bounds bounds) {
+  public HysteresisGauge(Bounds bounds) {
     this.bounds = bounds;
   }
 
   /** Takes a reading; returns the level from now on. A figure that is no number changes nothing. */
-  public Level read(double figure) {
-    Level now =
-        figure >= bounds.full() ? Level.FULL : figure >= bounds.busy() ? Level.BUSY : Level.CALM;
+  public PressureLevel read(double figure) {
+    PressureLevel now =
+        figure >= bounds.full()
+            ? PressureLevel.FULL
+            : figure >= bounds.busy() ? PressureLevel.BUSY : PressureLevel.CALM;
     if (Double.isNaN(figure) || now.compareTo(level) >= 0) {
       calm = 0;
       level = Double.isNaN(figure) ? level : now;
-    } else if (figure > bounds.release() && level == Level.BUSY) {
+    } else if (figure > bounds.release() && level == PressureLevel.BUSY) {
       calm = 0;
     } else if (++calm >= bounds.calmReadings()) {
       // One step down at a time: what was shut off comes back in parts.
-      level = Level.values()[level.ordinal() - 1];
+      level = PressureLevel.values()[level.ordinal() - 1];
       calm = 0;
     }
     return level;
   }
 
   /** The level that the last reading led to. */
-  public Level level() {
+  public PressureLevel level() {
     return level;
   }
 }
--- a/core/src/main/java/shalepaddle/overload/Standing.java
+++ b/core/src/main/java/shalepaddle/overload/MinimumOverInterval.java
@@ -13,7 +13,7 @@
  *
  * <p>Not thread-safe.
  */
-public final class Standing {
+public final class MinimumOverInterval {
   private final long intervalNanos;
   private long endsAt;
   private double least;
@@ -25,7 +25,7 @@
    *
    * @param intervalNanos length of an interval, above 0
    */
-  public Standing(long intervalNanos) {
+  public MinimumOverInterval(long intervalNanos) {
     if (intervalNanos <= 0) {
       throw new IllegalArgumentException("interval of " + intervalNanos + " ns");
     }
--- a/core/src/main/java/shalepaddle/overload/OverloadControl.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadControl.java
@@ -7,12 +7,13 @@
 
 /**
  * All decisions on a load balancer's own overload in one place: fed with what is measured of the
- * process, asked about each request and for the {@link Posture}.
+ * process, asked about each request and for the {@link DegradationPolicy}.
  *
  * <p>Three things follow from a delay that stands in the event loop, from the outside in: requests
- * are admitted by their worth, {@link Admission}; connections that send the most are read from by
- * turns, {@link Posture#heavy}; and what has been read waits in the {@link Intake}, whose oldest
- * item counts as delay too. Memory and descriptors have answers of their own.
+ * are admitted by their worth, {@link AdmissionController}; connections that send the most are read
+ * from by turns, {@link DegradationPolicy#heavy}; and what has been read waits in the {@link
+ * AdmissionQueue}, whose oldest item counts as delay too. Memory and descriptors have answers of
+ * their own.
  *
  * <p>Time is an argument, in nanoseconds. Not thread-safe: it belongs to one event loop.
  */
@@ -24,13 +25,13 @@
   public static final long REPEAT = 1L << 40;
 
   private Settings settings;
-  private final Tuning tuning;
-  private Tiers tiers;
+  private final OverloadConfig tuning;
+  private PriorityTiers tiers;
   private final OverloadMeter meter;
-  private final Admission admission;
-  private TenantShares shares;
-  private final RepeatGuess guess = new RepeatGuess();
-  private Posture posture = Posture.CALM;
+  private final AdmissionController admission;
+  private TenantQuotas shares;
+  private final RetryInference guess = new RetryInference();
+  private DegradationPolicy posture = DegradationPolicy.CALM;
   private double places;
   private double stood;
   private double processor = Double.NaN;
@@ -44,9 +45,9 @@
    * @param listener is told of changes of a level
    */
   public OverloadControl(
-      Settings settings, Tuning tuning, long seed, OverloadMeter.Listener listener) {
+      Settings settings, OverloadConfig tuning, long seed, OverloadMeter.Listener listener) {
     this.tuning = tuning;
-    admission = new Admission(tuning, seed);
+    admission = new AdmissionController(tuning, seed);
     meter = new OverloadMeter(listener);
     retune(settings);
   }
@@ -58,21 +59,22 @@
    */
   public void retune(Settings next) {
     settings = next;
-    tiers = new Tiers(next.services(), next.overShareWorth());
+    tiers = new PriorityTiers(next.services(), next.overShareWorth());
     admission.retier(tiers.count());
-    shares = new TenantShares(next.tenants(), next.instances());
+    shares = new TenantQuotas(next.tenants(), next.instances());
   }
 
   /** A queue for what was admitted and waits for its turn. */
-  public <T> Intake<T> intake(int most, Consumer<T> refused) {
-    return new Intake<>(tiers.count(), most, (long) (tuning.waits() * 1e9), refused);
+  public <T> AdmissionQueue<T> intake(int most, Consumer<T> refused) {
+    return new AdmissionQueue<>(tiers.count(), most, (long) (tuning.waits() * 1e9), refused);
   }
 
   /**
    * A turn of the event loop ends.
    *
    * @param begunAt when it began, now for one in which nothing had come
-   * @param oldest how long the oldest item has waited in the {@link Intake}, 0 if none waits
+   * @param oldest how long the oldest item has waited in the {@link AdmissionQueue}, 0 if none
+   *     waits
    */
   public void turned(long begunAt, long now, long oldest) {
     double ended = meter.turned(Math.min(begunAt, now - oldest), now, admission.limited());
@@ -105,12 +107,14 @@
   }
 
   private void pose() {
-    posture = Posture.of(level(Resource.CPU), level(Resource.MEMORY), level(Resource.DESCRIPTORS));
+    posture =
+        DegradationPolicy.of(
+            level(Resource.CPU), level(Resource.MEMORY), level(Resource.DESCRIPTORS));
   }
 
   /** Whether requests may be refused now. */
   public boolean shedding() {
-    return admission.limited() || places >= Places.LEAST_FROM;
+    return admission.limited() || places >= ConnectionSlotReservation.LEAST_FROM;
   }
 
   /** Of the connections that clients may hold for requests, this part waits for answers now. */
@@ -135,7 +139,7 @@
     }
     boolean pastShare = shares.pastShare(tenant, now);
     int tier = tiers.of(serviceClass, marked, pastShare);
-    if (Places.refuses(tier, tiers.count(), places)) {
+    if (ConnectionSlotReservation.refuses(tier, tiers.count(), places)) {
       return advice() + (marked ? REPEAT : 0);
     }
     if (!admission.limited()) {
@@ -172,25 +176,25 @@
   }
 
   /** What to do without now. */
-  public Posture posture() {
+  public DegradationPolicy posture() {
     return posture;
   }
 
   /** How short the process is of this. */
-  public Level level(Resource resource) {
+  public PressureLevel level(Resource resource) {
     return meter.level(resource);
   }
 
   /** What an operator may want to see, as it stands now. */
-  public OverloadReading reading() {
-    List<OverloadReading.Tier> each =
+  public OverloadSnapshot reading() {
+    List<OverloadSnapshot.Tier> each =
         IntStream.range(0, tiers.count())
             .mapToObj(
                 tier ->
-                    new OverloadReading.Tier(
+                    new OverloadSnapshot.Tier(
                         admission.passing(tier), admission.offered(tier), admission.refused(tier)))
             .toList();
-    return new OverloadReading(
+    return new OverloadSnapshot(
         level(Resource.CPU),
         level(Resource.MEMORY),
         level(Resource.DESCRIPTORS),
--- a/core/src/main/java/shalepaddle/overload/OverloadMeter.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadMeter.java
@@ -22,13 +22,15 @@
    * Seconds that every turn of the loop takes. Requests here wait for 50 ms and more at servers, so
    * that 10 ms are seen by nobody; at 30 ms the loop's own part shows in every answer.
    */
-  public static final Gauge.Bounds DELAY = new Gauge.Bounds(0.01, 0.03, 0.004, 10);
+  public static final HysteresisGauge.Bounds DELAY =
+      new HysteresisGauge.Bounds(0.01, 0.03, 0.004, 10);
 
   /** Parts of the memory limit; the rest is what a collection or a burst needs. */
-  public static final Gauge.Bounds MEMORY = new Gauge.Bounds(0.8, 0.92, 0.7, 2);
+  public static final HysteresisGauge.Bounds MEMORY = new HysteresisGauge.Bounds(0.8, 0.92, 0.7, 2);
 
   /** Parts of the descriptors that the process may hold. */
-  public static final Gauge.Bounds DESCRIPTORS = new Gauge.Bounds(0.85, 0.95, 0.75, 10);
+  public static final HysteresisGauge.Bounds DESCRIPTORS =
+      new HysteresisGauge.Bounds(0.85, 0.95, 0.75, 10);
 
   private static final long INTERVAL_NANOS = 100_000_000L;
 
@@ -46,13 +48,13 @@
      *
      * @param figure seconds of standing delay for the processor, a part of the limit for others
      */
-    void changed(Resource resource, Level before, Level now, double figure);
+    void changed(Resource resource, PressureLevel before, PressureLevel now, double figure);
   }
 
-  private final Standing delay = new Standing(INTERVAL_NANOS);
-  private final Standing memory = new Standing(MEMORY_INTERVAL_NANOS);
-  private final Standing descriptors = new Standing(INTERVAL_NANOS);
-  private final Map<Resource, Gauge> gauges = new EnumMap<>(Resource.class);
+  private final MinimumOverInterval delay = new MinimumOverInterval(INTERVAL_NANOS);
+  private final MinimumOverInterval memory = new MinimumOverInterval(MEMORY_INTERVAL_NANOS);
+  private final MinimumOverInterval descriptors = new MinimumOverInterval(INTERVAL_NANOS);
+  private final Map<Resource, HysteresisGauge> gauges = new EnumMap<>(Resource.class);
   private final Listener listener;
   private long graceUntil;
   private boolean grace;
@@ -60,9 +62,9 @@
   /** All is calm. */
   public OverloadMeter(Listener listener) {
     this.listener = listener;
-    gauges.put(Resource.CPU, new Gauge(DELAY));
-    gauges.put(Resource.MEMORY, new Gauge(MEMORY));
-    gauges.put(Resource.DESCRIPTORS, new Gauge(DESCRIPTORS));
+    gauges.put(Resource.CPU, new HysteresisGauge(DELAY));
+    gauges.put(Resource.MEMORY, new HysteresisGauge(MEMORY));
+    gauges.put(Resource.DESCRIPTORS, new HysteresisGauge(DESCRIPTORS));
   }
 
   /**
@@ -116,16 +118,16 @@
   }
 
   private void read(Resource resource, double figure) {
-    Gauge gauge = gauges.get(resource);
-    Level before = gauge.level();
-    Level now = gauge.read(figure);
+    HysteresisGauge gauge = gauges.get(resource);
+    PressureLevel before = gauge.level();
+    PressureLevel now = gauge.read(figure);
     if (now != before) {
       listener.changed(resource, before, now, figure);
     }
   }
 
   /** How short this resource is. */
-  public Level level(Resource resource) {
+  public PressureLevel level(Resource resource) {
     return gauges.get(resource).level();
   }
 }
--- a/core/src/main/java/shalepaddle/overload/OverloadReading.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadSnapshot.java
@@ -16,10 +16,10 @@
  * @param repeatsRefused repeats refused for want of first tries, since the start
  * @param tiers what became of requests, those that are worth most first
  */
-public record OverloadReading(
-    Level processorLevel,
-    Level memoryLevel,
-    Level descriptorLevel,
+public record OverloadSnapshot(
+    PressureLevel processorLevel,
+    PressureLevel memoryLevel,
+    PressureLevel descriptorLevel,
     double stood,
     double processor,
     double memory,
--- a/core/src/main/java/shalepaddle/overload/Level.java
+++ b/core/src/main/java/shalepaddle/overload/PressureLevel.java
@@ -1,7 +1,7 @@
 package shalepaddle.overload;
 
 /** How short a {@link Resource} is. */
-public enum Level {
+public enum PressureLevel {
   /** Enough is left. */
   CALM,
   /** It grows short: what is worth least should give way. */
--- a/core/src/main/java/shalepaddle/overload/Tiers.java
+++ b/core/src/main/java/shalepaddle/overload/PriorityTiers.java
@@ -16,14 +16,14 @@
  *
  * <p>Immutable.
  */
-public final class Tiers {
+public final class PriorityTiers {
   private static final double REPEAT_PART = 0.5;
 
   private final int[] tiers;
   private final int count;
 
   /** The tiers of the classes, in the order in which the settings name them. */
-  public Tiers(List<Settings.ServiceClass> classes, double overShareWorth) {
+  public PriorityTiers(List<Settings.ServiceClass> classes, double overShareWorth) {
     double[] worths = new double[classes.size() * 4];
     TreeSet<Double> distinct = new TreeSet<>();
     for (int i = 0; i < worths.length; i++) {
--- a/core/src/main/java/shalepaddle/overload/RepeatGuess.java
+++ b/core/src/main/java/shalepaddle/overload/RetryInference.java
@@ -11,7 +11,7 @@
  *
  * <p>Time is an argument, in nanoseconds. Not thread-safe.
  */
-public final class RepeatGuess {
+public final class RetryInference {
   private static final int PLACES = 4096;
 
   /** Clients wait for some tens to hundreds of milliseconds before they try again. */
--- a/core/src/main/java/shalepaddle/overload/Insistence.java
+++ b/core/src/main/java/shalepaddle/overload/RetryStormDetector.java
@@ -19,7 +19,7 @@
  *
  * <p>Time is an argument, in nanoseconds. Not thread-safe: it belongs to one connection.
  */
-public final class Insistence {
+public final class RetryStormDetector {
   /** Nothing is read for so long at most. */
   public static final long INTERVAL_NANOS = 100_000_000L;
 
--- a/core/src/main/java/shalepaddle/overload/TenantShares.java
+++ b/core/src/main/java/shalepaddle/overload/TenantQuotas.java
@@ -10,7 +10,7 @@
  *
  * <p>Time is an argument, in nanoseconds. Not thread-safe.
  */
-public final class TenantShares {
+public final class TenantQuotas {
   /** The quotas hold for all instances together; a front deals requests out unevenly. */
   private static final double BURST_SECONDS = 1;
 
@@ -19,7 +19,7 @@
   private final long[] filledAt;
 
   /** Full buckets, of the tenants in the order in which the settings name them. */
-  public TenantShares(List<Settings.Tenant> tenants, int instances) {
+  public TenantQuotas(List<Settings.Tenant> tenants, int instances) {
     quotas =
         tenants.stream()
             .mapToDouble(t -> Math.max(0, t.quota()) / Math.max(1, instances))
--- a/core/src/main/java/shalepaddle/policy/LoadCap.java
+++ b/core/src/main/java/shalepaddle/policy/BoundedLoad.java
@@ -1,7 +1,7 @@
 package shalepaddle.policy;
 
 /** The cap on a server's requests in flight, as this balancer counts them. */
-final class LoadCap {
+final class BoundedLoad {
   /** ε of the paper. */
   static final double EPSILON = 0.5;
 
@@ -14,7 +14,7 @@
   /** The mean of requests in flight at a server from which two often meet there by chance. */
   static final double OFTEN = 0.1;
 
-  private LoadCap() {}
+  private BoundedLoad() {}
 
   /**
    * ⌈(1+ε)·n·w/Σw⌉, at least this balancer's part of the floor, and two where two often meet.
--- a/core/src/main/java/shalepaddle/policy/SlotTable.java
+++ b/core/src/main/java/shalepaddle/policy/ConsistentHashRing.java
@@ -7,7 +7,7 @@
  * The array of slots of Random Jump Consistent Hashing. Every slot belongs to the server hashed
  * nearest clockwise of it. Hashes use ids and keys alone, so balancers with the same list agree.
  */
-final class SlotTable {
+final class ConsistentHashRing {
   /** Slots (m): ten times the points of a hundred servers, so that few points share a slot. */
   static final int SLOTS = 1 << 17;
 
@@ -44,13 +44,13 @@
   /** A power of four near the greatest weight: it hardly ever changes when servers come and go. */
   private static double unit(List<ServerHealth> servers) {
     double greatest =
-        servers.stream().mapToDouble(s -> LoadCap.usable(s.entry.weight())).max().orElse(0);
+        servers.stream().mapToDouble(s -> BoundedLoad.usable(s.entry.weight())).max().orElse(0);
     return greatest > 0 ? Math.pow(4, Math.rint(Math.log(greatest) / Math.log(4))) : 1;
   }
 
   /** Points of a weight in units, bounded so that an odd weight neither vanishes nor floods. */
   private static int points(double weight) {
-    return (int) Math.max(4, Math.min(2 * POINTS, Math.rint(POINTS * LoadCap.usable(weight))));
+    return (int) Math.max(4, Math.min(2 * POINTS, Math.rint(POINTS * BoundedLoad.usable(weight))));
   }
 
   /** The owner of slot h(key, attempt); null if there are no servers. */
--- a/core/src/main/java/shalepaddle/policy/KeyHeat.java
+++ b/core/src/main/java/shalepaddle/policy/HotKeySketch.java
@@ -1,7 +1,7 @@
 package shalepaddle.policy;
 
 /** How often this balancer sees each key: a small count-min sketch that fades. */
-final class KeyHeat {
+final class HotKeySketch {
   private static final int CELLS = 1 << 12;
 
   /** Seconds after which old sightings count half: a few, since popularity moves on. */
@@ -32,7 +32,7 @@
     float least = Float.MAX_VALUE;
     long h = keyHash;
     for (float[] row : rows) {
-      h = SlotTable.mix(h);
+      h = ConsistentHashRing.mix(h);
       least = Math.min(least, ++row[(int) h & (CELLS - 1)]);
     }
     return least;
--- a/core/src/main/java/shalepaddle/policy/OriginGuard.java
+++ b/core/src/main/java/shalepaddle/policy/OriginFetchLimiter.java
@@ -14,7 +14,7 @@
  * wait for it, and fetches in flight stay under a window that shrinks when many fail or come late.
  * Guards against the jam in which failed fetches keep keys out of the caches for good.
  */
-final class OriginGuard {
+final class OriginFetchLimiter {
   /** Keys remembered, and how long at first; the time is then learned from hits and misses. */
   private static final int MEMORY = 1 << 15;
 
@@ -48,7 +48,7 @@
   private double shrunkAt;
 
   static long pair(PendingRequest p, ServerHealth server) {
-    return SlotTable.mix(p.keyHash ^ SlotTable.mix(server.id));
+    return ConsistentHashRing.mix(p.keyHash ^ ConsistentHashRing.mix(server.id));
   }
 
   boolean expectsMiss(double now, long pair) {
--- a/core/src/main/java/shalepaddle/policy/PendingRequest.java
+++ b/core/src/main/java/shalepaddle/policy/PendingRequest.java
@@ -67,7 +67,7 @@
     this.request = request;
     this.type = type;
     this.limits = limits;
-    this.keyHash = SlotTable.hash(request.key() != null ? request.key() : request.id());
+    this.keyHash = ConsistentHashRing.hash(request.key() != null ? request.key() : request.id());
     this.serial = serial;
     this.arrived = now;
     this.deadline = now + request.budget();
--- a/core/src/main/java/shalepaddle/policy/Balancer.java
+++ b/core/src/main/java/shalepaddle/policy/RequestRouter.java
@@ -17,7 +17,7 @@
  * cap on the requests that this balancer has in flight at each. One object per instance; each
  * method takes the time, in seconds, at which its event happened.
  */
-public final class Balancer {
+public final class RequestRouter {
   static final long FEED_TOKEN = 0;
   private static final long HOLD = 1;
 
@@ -56,12 +56,12 @@
   private static final double THRIFT = 300;
 
   private Settings settings;
-  private final Actions actions;
+  private final RoutingActions actions;
   private final SplittableRandom random;
-  private final MembershipFeed feed;
-  private final KeyHeat heat = new KeyHeat();
-  private final OriginGuard guard = new OriginGuard();
-  private final SlotTable slots = new SlotTable();
+  private final ServerRegistry feed;
+  private final HotKeySketch heat = new HotKeySketch();
+  private final OriginFetchLimiter guard = new OriginFetchLimiter();
+  private final ConsistentHashRing slots = new ConsistentHashRing();
   private final Map<String, Settings.ServiceClass> classes = new HashMap<>();
   private final Map<String, PendingRequest> pending = new HashMap<>();
   private final Map<Long, PendingRequest> bySerial = new HashMap<>();
@@ -76,14 +76,14 @@
   private int inFlight;
   private long serials;
   private double retryTokens = RETRY_BURST;
-  private final ServingRates rates = new ServingRates();
+  private final ThroughputEstimator rates = new ThroughputEstimator();
   private double thriftUntil = Double.NEGATIVE_INFINITY;
 
   /** A balancer that knows nothing yet. */
-  public Balancer(Settings settings, long seed, Actions actions) {
+  public RequestRouter(Settings settings, long seed, RoutingActions actions) {
     this.actions = actions;
     this.random = new SplittableRandom(seed);
-    this.feed = new MembershipFeed(settings, actions, random.split());
+    this.feed = new ServerRegistry(settings, actions, random.split());
     retune(settings);
   }
 
@@ -137,7 +137,9 @@
   }
 
   private double weight(ServerHealth server) {
-    return settings.weights() == Settings.Weights.NONE ? 1 : LoadCap.usable(server.entry.weight());
+    return settings.weights() == Settings.Weights.NONE
+        ? 1
+        : BoundedLoad.usable(server.entry.weight());
   }
 
   /**
@@ -149,7 +151,7 @@
     if (target != null) {
       PendingRequest p = take(now, request);
       p.answered = true;
-      long pair = OriginGuard.pair(p, target);
+      long pair = OriginFetchLimiter.pair(p, target);
       if (likelyFetch(now, p, pair)) {
         guard.started(now, pair, p, singledOut(now, target));
       }
@@ -217,7 +219,7 @@
     if (target == null) {
       return;
     }
-    long pair = OriginGuard.pair(p, target);
+    long pair = OriginFetchLimiter.pair(p, target);
     if (likelyFetch(now, p, pair)) {
       boolean full = guard.full(now);
       if (!p.impatient && (guard.follow(pair, p) || full && guard.park(p))) {
@@ -300,10 +302,12 @@
       }
       // It lacks room for fetches, others do not: it gets few, and goes on serving what it holds.
       boolean barred = !write && server.fetchLosses(now, losses) > BARRED && !guard.troubled();
-      if (barred && random.nextInt(20) > 0 && guard.expectsMiss(now, OriginGuard.pair(p, server))) {
+      if (barred
+          && random.nextInt(20) > 0
+          && guard.expectsMiss(now, OriginFetchLimiter.pair(p, server))) {
         continue;
       }
-      int cap = LoadCap.cap(inFlight + 1, weight(server), totalWeight, settings.instances());
+      int cap = BoundedLoad.cap(inFlight + 1, weight(server), totalWeight, settings.instances());
       if (server.inFlight < cap) {
         return server;
       }
@@ -448,7 +452,7 @@
     judge(now, p, server, outcome);
     boolean ok = outcome.result() == Result.OK;
     if (ok && !p.request.write()) {
-      guard.answered(now, OriginGuard.pair(p, server), outcome.note());
+      guard.answered(now, OriginFetchLimiter.pair(p, server), outcome.note());
     }
     boolean fetch = outcome.attempt() == p.fetchAttempt;
     boolean full = outcome.result() == Result.FULL && !p.request.write();
--- a/core/src/main/java/shalepaddle/policy/Actions.java
+++ b/core/src/main/java/shalepaddle/policy/RoutingActions.java
@@ -1,7 +1,7 @@
 package shalepaddle.policy;
 
-/** What a {@link Balancer} can do; the shell around it carries these out, in order. */
-public interface Actions {
+/** What a {@link RequestRouter} can do; the shell around it carries these out, in order. */
+public interface RoutingActions {
   /** Sends the next attempt; its last byte must go out within so many seconds, or never. */
   void send(String requestId, long server, double within);
 
--- a/core/src/main/java/shalepaddle/policy/ServerHealth.java
+++ b/core/src/main/java/shalepaddle/policy/ServerHealth.java
@@ -55,7 +55,7 @@
   private double startedAt;
 
   /** The last start that the list told. */
-  private double toldStart = ServerStarts.LONG_AGO;
+  private double toldStart = ServerStartTimes.LONG_AGO;
 
   /** Refused connections in a row, and when the first and the last sign of a break came. */
   private int refused;
@@ -91,9 +91,9 @@
     // Spread over the balancers: from none, many would wait long and then send their first
     // together.
     double part = (double) settings.number() / Math.max(1, settings.instances());
-    this.phase = (SlotTable.fraction(id) + part) % 1;
+    this.phase = (ConsistentHashRing.fraction(id) + part) % 1;
     this.learnedAt = now;
-    coldSince(now, ServerStarts.LONG_AGO);
+    coldSince(now, ServerStartTimes.LONG_AGO);
   }
 
   private void coldSince(double now, double at) {
@@ -172,7 +172,7 @@
    */
   boolean keeps(double now, long keyHash, double most) {
     double kept = share(now) / most * Math.min(1, COLD_SHARE * warmth(now));
-    return kept >= 1 || SlotTable.fraction(keyHash ^ SlotTable.mix(id)) < kept;
+    return kept >= 1 || ConsistentHashRing.fraction(keyHash ^ ConsistentHashRing.mix(id)) < kept;
   }
 
   /** The share of its capacity that a started server has by the contract: 1 once it is warm. */
--- a/core/src/main/java/shalepaddle/policy/MembershipFeed.java
+++ b/core/src/main/java/shalepaddle/policy/ServerRegistry.java
@@ -10,12 +10,12 @@
 import shalepaddle.model.Settings;
 
 /** Follows the list of servers and keeps asking for it where it must be asked. */
-final class MembershipFeed {
+final class ServerRegistry {
   Settings settings;
-  private final Actions actions;
+  private final RoutingActions actions;
   private final SplittableRandom random;
   final TreeMap<Long, ServerHealth> servers = new TreeMap<>();
-  private final ServerStarts starts;
+  private final ServerStartTimes starts;
 
   /** Since when an operator leaves servers out, also such as the list lacks for now. */
   private final Map<Long, Double> excluded = new HashMap<>();
@@ -24,11 +24,11 @@
   private double callAt = Double.POSITIVE_INFINITY;
   int failures;
 
-  MembershipFeed(Settings settings, Actions actions, SplittableRandom random) {
+  ServerRegistry(Settings settings, RoutingActions actions, SplittableRandom random) {
     this.settings = settings;
     this.actions = actions;
     this.random = random;
-    this.starts = new ServerStarts(settings.contract().warmWithin());
+    this.starts = new ServerStartTimes(settings.contract().warmWithin());
   }
 
   /** Rule 3: the servers that may get something new, which the list calls ready, by id. */
@@ -93,7 +93,7 @@
 
   private void callIn(double now, double delay) {
     callAt = now + delay;
-    actions.wake(Balancer.FEED_TOKEN, delay);
+    actions.wake(RequestRouter.FEED_TOKEN, delay);
   }
 
   /** The feed's timer came due. */
--- a/core/src/main/java/shalepaddle/policy/ServerStarts.java
+++ b/core/src/main/java/shalepaddle/policy/ServerStartTimes.java
@@ -19,7 +19,7 @@
  * <p>Bounded to {@value #MOST} servers, of which those that have left are kept: one that comes back
  * with the same stamp has not started anew.
  */
-final class ServerStarts {
+final class ServerStartTimes {
   /** The start of a server that is warm, whenever it started. */
   static final double LONG_AGO = Double.NEGATIVE_INFINITY;
 
@@ -41,7 +41,7 @@
   private long version = Long.MIN_VALUE;
 
   /** Knows of no server; one is warm so many seconds after its start. */
-  ServerStarts(double warmWithin) {
+  ServerStartTimes(double warmWithin) {
     this.warmWithin = warmWithin;
   }
 
--- a/core/src/main/java/shalepaddle/policy/ServingRates.java
+++ b/core/src/main/java/shalepaddle/policy/ThroughputEstimator.java
@@ -1,7 +1,7 @@
 package shalepaddle.policy;
 
 /** How fast requests come to this balancer and are answered by its servers, taken once a second. */
-final class ServingRates {
+final class ThroughputEstimator {
   private static final double PERIOD = 1;
 
   /** How much the newest figure counts in each average. */
--- a/core/src/main/java/shalepaddle/promises/Answer.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/CommandResult.java
@@ -1,4 +1,4 @@
-package shalepaddle.promises;
+package shalepaddle.replicatedstate;
 
 /**
  * What became of a proposal. Given once it is in the log of a majority, and never before.
@@ -6,7 +6,7 @@
  * @param kind whether it holds
  * @param index its place in the log; of one that was asked again, that of the first time
  */
-public record Answer(Kind kind, long index) {
+public record CommandResult(Kind kind, long index) {
   /** Whether an entry holds. */
   public enum Kind {
     /** It holds from its place in the log on, whoever is lost. */
--- a/core/src/main/java/shalepaddle/promises/Proposal.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/Proposal.java
@@ -1,4 +1,4 @@
-package shalepaddle.promises;
+package shalepaddle.replicatedstate;
 
 /**
  * An entry, and who asks for it.
@@ -7,7 +7,7 @@
  * @param atMillis when it was proposed, in milliseconds since 1970
  * @param entry what is to be held
  */
-public record Proposal(String id, long atMillis, Entry entry) {
+public record Proposal(String id, long atMillis, StateCommand entry) {
   /** Characters of an id at most. */
   public static final int MOST_ID = 64;
 
@@ -23,7 +23,7 @@
     if (id.isEmpty() || id.length() > MOST_ID) {
       throw new IllegalArgumentException("an id has 1 to " + MOST_ID + " characters");
     }
-    if (entry instanceof Entry.Say say
+    if (entry instanceof StateCommand.Say say
         && (say.member().isEmpty() || say.member().length() > MOST_MEMBER)) {
       throw new IllegalArgumentException("a member has 1 to " + MOST_MEMBER + " characters");
     }
--- a/core/src/main/java/shalepaddle/promises/Promises.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/ReplicatedState.java
@@ -1,4 +1,4 @@
-package shalepaddle.promises;
+package shalepaddle.replicatedstate;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -22,7 +22,7 @@
  *
  * <p>Not thread-safe: it belongs to whoever applies the log.
  */
-public final class Promises {
+public final class ReplicatedState {
   /** Cache servers that may be left out at once. */
   public static final int MOST_OUT = 1024;
 
@@ -43,7 +43,7 @@
    * @param id whose proposal it was
    * @param atMillis when, in the log's time
    */
-  public record Given(String id, long atMillis, Answer answer) {}
+  public record Given(String id, long atMillis, CommandResult answer) {}
 
   /**
    * The whole state, for a snapshot. Immutable.
@@ -61,7 +61,7 @@
    * @throws IllegalStateException if it is not behind the last one: the log would have lost its
    *     order
    */
-  public Answer apply(long place, Proposal proposal) {
+  public CommandResult apply(long place, Proposal proposal) {
     if (place <= index) {
       throw new IllegalStateException("entry " + place + " after " + index);
     }
@@ -71,25 +71,25 @@
     if (before != null) {
       return before.answer();
     }
-    Answer answer = new Answer(effect(proposal.entry()), place);
+    CommandResult answer = new CommandResult(effect(proposal.entry()), place);
     answers.put(proposal.id(), new Given(proposal.id(), atMillis, answer));
     forget();
     return answer;
   }
 
-  private Answer.Kind effect(Entry entry) {
-    if (!(entry instanceof Entry.Say say)) {
-      return Answer.Kind.NOT_KNOWN;
+  private CommandResult.Kind effect(StateCommand entry) {
+    if (!(entry instanceof StateCommand.Say say)) {
+      return CommandResult.Kind.NOT_KNOWN;
     }
     if (!say.out()) {
       out.remove(say.member());
     } else if (!out.contains(say.member())) {
       if (out.size() >= MOST_OUT) {
-        return Answer.Kind.NO_ROOM;
+        return CommandResult.Kind.NO_ROOM;
       }
       out.add(say.member());
     }
-    return Answer.Kind.HELD;
+    return CommandResult.Kind.HELD;
   }
 
   private void forget() {
@@ -104,7 +104,7 @@
   }
 
   /** The answer that a proposal of this id got, null if it is not known or not kept any more. */
-  public Answer answered(String id) {
+  public CommandResult answered(String id) {
     Given given = answers.get(id);
     return given == null ? null : given.answer();
   }
--- a/core/src/main/java/shalepaddle/promises/Entry.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/StateCommand.java
@@ -1,19 +1,19 @@
-package shalepaddle.promises;
+package shalepaddle.replicatedstate;
 
 /** What is asked to be held. A kind that is not known here is passed over, and changes nothing. */
-public sealed interface Entry {
+public sealed interface StateCommand {
   /**
    * An operator's word on a cache server, for all nodes.
    *
    * @param member its id, as discovery has it
    * @param out whether it is left out, or put back
    */
-  record Say(String member, boolean out) implements Entry {}
+  record Say(String member, boolean out) implements StateCommand {}
 
   /**
    * An entry of a kind that a later version made.
    *
    * @param kind its number
    */
-  record Unknown(int kind) implements Entry {}
+  record Unknown(int kind) implements StateCommand {}
 }
--- a/core/src/test/java/shalepaddle/feed/PublisherTest.java
+++ b/core/src/test/java/shalepaddle/changefeed/ChangeFeedPublisherTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.feed;
+package shalepaddle.changefeed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What a member sends whom. */
-class PublisherTest {
+class ChangeFeedPublisherTest {
   private static final long MILLI = 1_000_000L;
 
   /** Two followers, 100 bytes that are kept, 50 on their way. */
-  private static final Publisher.Limits LIMITS =
-      new Publisher.Limits(2, 100, 50, 250 * MILLI, 5000 * MILLI, 2500 * MILLI);
+  private static final ChangeFeedPublisher.Limits LIMITS =
+      new ChangeFeedPublisher.Limits(2, 100, 50, 250 * MILLI, 5000 * MILLI, 2500 * MILLI);
 
   private final List<String> told = new ArrayList<>();
   private long now;
@@ -22,14 +22,14 @@
   /** Up to where the member's state goes. */
   private long state;
 
-  private final Publisher publisher =
-      new Publisher(
+  private final ChangeFeedPublisher publisher =
+      new ChangeFeedPublisher(
           "birds",
           0,
           LIMITS,
-          new Publisher.Carrier() {
+          new ChangeFeedPublisher.Carrier() {
             @Override
-            public void tell(long connection, Told what) {
+            public void tell(long connection, PublisherMessage what) {
               told.add(connection + " " + text(what));
             }
 
@@ -39,21 +39,23 @@
             }
 
             @Override
-            public Told.Snapshot snapshot() {
-              return new Told.Snapshot(state, new byte[10]);
+            public PublisherMessage.Snapshot snapshot() {
+              return new PublisherMessage.Snapshot(state, new byte[10]);
             }
           });
 
-  private static String text(Told told) {
-    if (told instanceof Told.Entries entries) {
-      return entries.after() + " then " + entries.entries().stream().map(FeedEntry::index).toList();
+  private static String text(PublisherMessage told) {
+    if (told instanceof PublisherMessage.Entries entries) {
+      return entries.after()
+          + " then "
+          + entries.entries().stream().map(ChangeEntry::index).toList();
     }
-    if (told instanceof Told.Snapshot snapshot) {
+    if (told instanceof PublisherMessage.Snapshot snapshot) {
       return "snapshot " + snapshot.index();
     }
-    return told instanceof Told.Alive alive
+    return told instanceof PublisherMessage.Alive alive
         ? "alive " + alive.index()
-        : "turned down: " + ((Told.TurnedDown) told).why();
+        : "turned down: " + ((PublisherMessage.TurnedDown) told).why();
   }
 
   private List<String> told() {
@@ -64,14 +66,14 @@
 
   private void hello(long connection, long index) {
     publisher.led(now, true);
-    publisher.said(now, connection, new Said.Hello("birds", "n" + connection, index));
+    publisher.said(now, connection, new SubscriberMessage.Hello("birds", "n" + connection, index));
   }
 
   /** Entries of 4 bytes, which take 20 each. */
   private void applied(long... indexes) {
     for (long index : indexes) {
       state = index;
-      publisher.applied(now, new FeedEntry(index, new byte[4]));
+      publisher.applied(now, new ChangeEntry(index, new byte[4]));
     }
   }
 
@@ -120,7 +122,7 @@
     told();
     for (long index = 1; index <= 40; index++) {
       applied(index);
-      publisher.said(now, 2, new Said.Taken(index));
+      publisher.said(now, 2, new SubscriberMessage.Taken(index));
     }
     List<String> all = told();
     assertEquals(40, all.stream().filter(line -> line.startsWith("2 ")).count());
@@ -128,7 +130,7 @@
     assertTrue(publisher.outBytes() <= 50 + 20, "on their way: " + publisher.outBytes());
     assertEquals(100, publisher.keptBytes());
     // It goes on with a snapshot, since what it lacks is not kept any more.
-    publisher.said(now, 1, new Said.Taken(3));
+    publisher.said(now, 1, new SubscriberMessage.Taken(3));
     assertEquals(List.of("1 snapshot 40"), told());
   }
 
@@ -150,8 +152,8 @@
   void turnsDownWhomItCanNotServe() {
     applied(3);
     publisher.led(now, true);
-    publisher.said(now, 7, new Said.Taken(3));
-    publisher.said(now, 8, new Said.Hello("fish", "n8", 0));
+    publisher.said(now, 7, new SubscriberMessage.Taken(3));
+    publisher.said(now, 8, new SubscriberMessage.Hello("fish", "n8", 0));
     hello(9, 4);
     assertEquals(
         List.of(
@@ -178,7 +180,7 @@
 
   @Test
   void oneThatHasJustStartedServesNobody() {
-    publisher.said(now, 1, new Said.Hello("birds", "n1", 0));
+    publisher.said(now, 1, new SubscriberMessage.Hello("birds", "n1", 0));
     assertTrue(told().get(0).startsWith("1 turned down: this member knows nobody who leads"));
   }
 
@@ -195,7 +197,7 @@
     assertEquals(
         List.of("1 turned down: this member knows nobody who leads its group", "1 dropped"),
         told());
-    publisher.said(now, 2, new Said.Hello("birds", "n2", 0));
+    publisher.said(now, 2, new SubscriberMessage.Hello("birds", "n2", 0));
     assertTrue(told().get(0).startsWith("2 turned down"));
     hello(2, 0);
     assertEquals(List.of("2 alive 0"), told());
@@ -218,7 +220,7 @@
   void whatFollowersFindWrongIsKnownByName() {
     applied(3);
     hello(1, 3);
-    publisher.said(now, 1, new Said.Wrong(3, "settings: 'classes' is missing"));
+    publisher.said(now, 1, new SubscriberMessage.Wrong(3, "settings: 'classes' is missing"));
     assertEquals("settings: 'classes' is missing", publisher.wrong().get("n1").what());
   }
 }
--- a/core/src/test/java/shalepaddle/feed/FollowerTest.java
+++ b/core/src/test/java/shalepaddle/changefeed/ChangeFeedSubscriberTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.feed;
+package shalepaddle.changefeed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,21 +10,21 @@
 import org.junit.jupiter.api.Test;
 
 /** What a node takes, and when it goes on to another member. */
-class FollowerTest {
+class ChangeFeedSubscriberTest {
   private static final long MILLI = 1_000_000L;
-  private static final Follower.Pace PACE = Follower.Pace.USUAL;
+  private static final ChangeFeedSubscriber.Pace PACE = ChangeFeedSubscriber.Pace.USUAL;
 
   private final List<String> acts = new ArrayList<>();
   private long now = 1_000_000 * MILLI;
-  private final Follower follower =
-      new Follower(
+  private final ChangeFeedSubscriber follower =
+      new ChangeFeedSubscriber(
           "birds",
           "n1",
           3,
           1,
           now,
           PACE,
-          new Follower.Carrier() {
+          new ChangeFeedSubscriber.Carrier() {
             @Override
             public void connect(int member) {
               acts.add("connect");
@@ -36,12 +36,12 @@
             }
 
             @Override
-            public void say(Said said) {
+            public void say(SubscriberMessage said) {
               acts.add(said.toString());
             }
 
             @Override
-            public void apply(FeedEntry entry) {
+            public void apply(ChangeEntry entry) {
               acts.add("apply " + entry.index());
             }
 
@@ -62,10 +62,10 @@
             }
           });
 
-  private static Told entries(long after, long... indexes) {
-    return new Told.Entries(
+  private static PublisherMessage entries(long after, long... indexes) {
+    return new PublisherMessage.Entries(
         after,
-        LongStream.of(indexes).mapToObj(index -> new FeedEntry(index, new byte[1])).toList());
+        LongStream.of(indexes).mapToObj(index -> new ChangeEntry(index, new byte[1])).toList());
   }
 
   /** What it has done since the last call of this. */
@@ -87,7 +87,7 @@
   private void followFrom(long index) {
     pass(200);
     follower.up(now);
-    follower.told(now, new Told.Snapshot(index, new byte[1]));
+    follower.told(now, new PublisherMessage.Snapshot(index, new byte[1]));
     acts();
   }
 
@@ -107,7 +107,7 @@
     followFrom(5);
     follower.told(now, entries(3, 4, 5, 7));
     follower.told(now, entries(3, 4, 5, 7));
-    follower.told(now, new Told.Snapshot(6, new byte[1]));
+    follower.told(now, new PublisherMessage.Snapshot(6, new byte[1]));
     assertEquals(List.of("apply 7"), acts());
     assertEquals(7, follower.index());
   }
@@ -127,14 +127,14 @@
   @Test
   void aWordThatAllIsToldWhileSomethingLacksIsAHole() {
     followFrom(5);
-    follower.told(now, new Told.Alive(6));
+    follower.told(now, new PublisherMessage.Alive(6));
     assertEquals(List.of("close"), acts());
   }
 
   @Test
   void aStateThatCanNotBeReadChangesNothing() {
     followFrom(5);
-    follower.told(now, new Told.Snapshot(9, new byte[0]));
+    follower.told(now, new PublisherMessage.Snapshot(9, new byte[0]));
     assertEquals(List.of("load 9", "close"), acts());
     assertEquals(5, follower.index());
   }
@@ -150,7 +150,7 @@
     assertTrue(acts().contains("out of contact"));
     assertFalse(follower.inContact());
     follower.up(now);
-    follower.told(now, new Told.Alive(5));
+    follower.told(now, new PublisherMessage.Alive(5));
     assertTrue(follower.inContact());
   }
 
@@ -159,7 +159,8 @@
     pass(200);
     follower.up(now);
     acts();
-    follower.told(now, new Told.TurnedDown("it follows group 'fish', and this is 'birds'"));
+    follower.told(
+        now, new PublisherMessage.TurnedDown("it follows group 'fish', and this is 'birds'"));
     assertEquals(
         List.of("turned down: it follows group 'fish', and this is 'birds'", "close"), acts());
     assertEquals(0, follower.index());
@@ -194,6 +195,7 @@
   void tellsWhatIsWrongShortly() {
     followFrom(5);
     follower.wrong(5, "x".repeat(1000));
-    assertEquals(List.of("Wrong[index=5, what=" + "x".repeat(Said.MOST_TEXT) + "]"), acts());
+    assertEquals(
+        List.of("Wrong[index=5, what=" + "x".repeat(SubscriberMessage.MOST_TEXT) + "]"), acts());
   }
 }
--- a/core/src/test/java/shalepaddle/joining/JoiningModelTest.java
+++ b/core/src/test/java/shalepaddle/coalescing/RequestCoalescerModelTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.joining;
+package shalepaddle.coalescing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -21,21 +21,22 @@
 import net.jqwik.api.state.Transformer;
 
 /**
- * {@link Joining} beside a naive model of it that keeps everything in lists and looks all of it
- * through each time: 200 chains of 500 steps.
+ * {@link RequestCoalescer} beside a naive model of it that keeps everything in lists and looks all
+ * of it through each time: 200 chains of 500 steps.
  */
-class JoiningModelTest {
-  private static final JoiningTuning TUNING = new JoiningTuning(true, false, 5, 0.02, 6, 0.02);
+class RequestCoalescerModelTest {
+  private static final CoalescingConfig TUNING =
+      new CoalescingConfig(true, false, 5, 0.02, 6, 0.02);
   private static final long MILLI = 1_000_000;
 
   /** A caller of the model. */
   private static final class Waits {
     final int id;
     final long deadline;
-    final Caller<Integer> real;
+    final FlightWaiter<Integer> real;
     boolean over;
 
-    Waits(int id, long deadline, Caller<Integer> real) {
+    Waits(int id, long deadline, FlightWaiter<Integer> real) {
       this.id = id;
       this.deadline = deadline;
       this.real = real;
@@ -69,7 +70,7 @@
 
   /** Both of them, and all that they have said. */
   private static final class Both {
-    final Joining<Integer> real = new Joining<>(TUNING);
+    final RequestCoalescer<Integer> real = new RequestCoalescer<>(TUNING);
     final List<Out> outs = new ArrayList<>();
     final Map<String, Integer> touched = new HashMap<>();
     final int[] answers = new int[20_000];
@@ -92,7 +93,7 @@
     void read(String key, String tenant, int patience) {
       int id = next++;
       long deadline = now + patience * MILLI;
-      Caller<Integer> caller = real.arrive(key, "read", tenant, id, deadline, now);
+      FlightWaiter<Integer> caller = real.arrive(key, "read", tenant, id, deadline, now);
       String likeness = key + "/" + tenant;
       int count = touched.getOrDefault(key, 0);
       Out found = null;
@@ -159,7 +160,7 @@
               .peek(each -> each.over = true)
               .map(each -> each.id)
               .toList();
-      List<Integer> said = real.due(flight, now).stream().map(Caller::who).toList();
+      List<Integer> said = real.due(flight, now).stream().map(FlightWaiter::who).toList();
       assertEquals(due, said);
       said.forEach(id -> answers[id]++);
       out.over = out.waiting().isEmpty();
@@ -168,16 +169,16 @@
       assertTrue(flight.nextDue() == least || flight.deadline() == least || out.over);
     }
 
-    void ends(int which, Ending ending) {
+    void ends(int which, FlightResult ending) {
       List<Out> open = open();
       if (open.isEmpty()) {
         return;
       }
       Out out = open.get(which % open.size());
-      Verdict<Integer> verdict = real.ended(out.callers.get(0).real.flight(), ending, now);
+      FlightDecision<Integer> verdict = real.ended(out.callers.get(0).real.flight(), ending, now);
       List<Waits> waiting = out.waiting();
       boolean again = false;
-      if (ending == Ending.BROKEN && waiting.size() > 1 && out.retries < 3) {
+      if (ending == FlightResult.BROKEN && waiting.size() > 1 && out.retries < 3) {
         if (tokens < 1) {
           spent++;
         } else {
@@ -188,7 +189,7 @@
       assertEquals(again, verdict.again());
       assertEquals(
           told.stream().map(each -> each.id).toList(),
-          verdict.answered().stream().map(Caller::who).toList());
+          verdict.answered().stream().map(FlightWaiter::who).toList());
       told.forEach(
           each -> {
             each.over = true;
@@ -202,13 +203,13 @@
       } else {
         out.over = true;
       }
-      if (ending == Ending.SERVED) {
+      if (ending == FlightResult.SERVED) {
         touched.merge(out.key, 1, Integer::sum);
       }
     }
 
     void check() {
-      JoiningReading reading = real.reading();
+      CoalescingSnapshot reading = real.reading();
       int waiting = 0;
       for (Out out : open()) {
         waiting += out.waiting().size();
@@ -229,7 +230,7 @@
     /** Ends all that is open: then each caller has had exactly one end. */
     void end() {
       while (!open().isEmpty()) {
-        ends(0, Ending.OVER);
+        ends(0, FlightResult.OVER);
       }
       check();
       for (int id = 0; id < next; id++) {
@@ -247,9 +248,14 @@
   private static final Arbitrary<String> KEYS = Arbitraries.of("a", "b", "c");
   private static final Arbitrary<Integer> ANY = Arbitraries.integers().between(0, 10_000);
 
-  private static final Arbitrary<Ending> ENDINGS =
+  private static final Arbitrary<FlightResult> ENDINGS =
       Arbitraries.of(
-          Ending.SERVED, Ending.REFUSED, Ending.OVER, Ending.BROKEN, Ending.BROKEN, Ending.BROKEN);
+          FlightResult.SERVED,
+          FlightResult.REFUSED,
+          FlightResult.OVER,
+          FlightResult.BROKEN,
+          FlightResult.BROKEN,
+          FlightResult.BROKEN);
 
   private static Action.Independent<Both> action(Arbitrary<Transformer<Both>> steps) {
     return () -> steps;
--- a/core/src/test/java/shalepaddle/joining/JoiningTest.java
+++ b/core/src/test/java/shalepaddle/coalescing/RequestCoalescerTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.joining;
+package shalepaddle.coalescing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,22 +15,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import shalepaddle.model.Outcome;
 
-class JoiningTest {
+class RequestCoalescerTest {
   private static final long MILLI = 1_000_000;
 
-  private final Joining<Integer> joining = new Joining<>(tuning(100, 10));
+  private final RequestCoalescer<Integer> joining = new RequestCoalescer<>(tuning(100, 10));
   private int next;
 
-  private static JoiningTuning tuning(int callers, int flights) {
-    return new JoiningTuning(true, false, callers, 0.25, flights, 0.1);
+  private static CoalescingConfig tuning(int callers, int flights) {
+    return new CoalescingConfig(true, false, callers, 0.25, flights, 0.1);
   }
 
-  private Caller<Integer> read(String key, long deadlineMillis, long nowMillis) {
+  private FlightWaiter<Integer> read(String key, long deadlineMillis, long nowMillis) {
     return joining.arrive(key, "read", "a", next++, deadlineMillis * MILLI, nowMillis * MILLI);
   }
 
-  private static List<Integer> who(List<Caller<Integer>> callers) {
-    return callers.stream().map(Caller::who).toList();
+  private static List<Integer> who(List<FlightWaiter<Integer>> callers) {
+    return callers.stream().map(FlightWaiter::who).toList();
   }
 
   @Test
@@ -46,7 +46,8 @@
 
   @Test
   void tenantsShareWhereTheyMay() {
-    Joining<Integer> all = new Joining<>(new JoiningTuning(true, true, 100, 0.25, 10, 0.1));
+    RequestCoalescer<Integer> all =
+        new RequestCoalescer<>(new CoalescingConfig(true, true, 100, 0.25, 10, 0.1));
     assertSame(
         all.arrive("k", "read", "a", 0, MILLI, 0).flight(),
         all.arrive("k", "read", "b", 1, MILLI, 0).flight());
@@ -58,7 +59,7 @@
     for (int i = 1; i < 50; i++) {
       read("k", 900 - i, 1);
     }
-    Verdict<Integer> verdict = joining.ended(flight, Ending.SERVED, 5 * MILLI);
+    FlightDecision<Integer> verdict = joining.ended(flight, FlightResult.SERVED, 5 * MILLI);
     List<Integer> order = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
       order.add(i);
@@ -66,9 +67,9 @@
     assertEquals(order, who(verdict.answered()));
     assertFalse(verdict.again());
     assertTrue(flight.isOver());
-    assertEquals(new JoiningReading(1, 49, 0, 49, 0, 0, 0, 0, 0), joining.reading());
+    assertEquals(new CoalescingSnapshot(1, 49, 0, 49, 0, 0, 0, 0, 0), joining.reading());
     assertEquals(0, joining.keys());
-    assertEquals(List.of(), joining.ended(flight, Ending.SERVED, 6 * MILLI).answered());
+    assertEquals(List.of(), joining.ended(flight, FlightResult.SERVED, 6 * MILLI).answered());
   }
 
   @Test
@@ -82,7 +83,8 @@
     }
     assertNotSame(fresh, read("k", 9000, 252).flight());
     // Who waits for the old one still does.
-    assertEquals(List.of(0, 1), who(joining.ended(old, Ending.REFUSED, 300 * MILLI).answered()));
+    assertEquals(
+        List.of(0, 1), who(joining.ended(old, FlightResult.REFUSED, 300 * MILLI).answered()));
   }
 
   @Test
@@ -110,14 +112,14 @@
   void aReadThatEndsKeepsNewcomersFromOlderFlightsOfItsKey() {
     Flight<Integer> older = read("k", 1000, 0).flight();
     Flight<Integer> others = joining.arrive("k", "read", "b", 9, 1000 * MILLI, MILLI).flight();
-    joining.ended(others, Ending.SERVED, 2 * MILLI);
+    joining.ended(others, FlightResult.SERVED, 2 * MILLI);
     assertNotSame(older, read("k", 1000, 3).flight());
   }
 
   @Test
   void whoLeavesLeavesAlone() {
-    Caller<Integer> first = read("k", 1000, 0);
-    Caller<Integer> second = read("k", 1000, 1);
+    FlightWaiter<Integer> first = read("k", 1000, 0);
+    FlightWaiter<Integer> second = read("k", 1000, 1);
     assertFalse(joining.leave(first));
     assertSame(second, first.flight().bearer());
     assertFalse(joining.leave(first), "does nothing the second time");
@@ -138,7 +140,8 @@
     assertEquals(500 * MILLI, flight.nextDue());
     assertEquals(List.of(2), who(joining.due(flight, 500 * MILLI)));
     assertEquals(Long.MAX_VALUE, flight.nextDue());
-    assertEquals(List.of(1), who(joining.ended(flight, Ending.SERVED, 700 * MILLI).answered()));
+    assertEquals(
+        List.of(1), who(joining.ended(flight, FlightResult.SERVED, 700 * MILLI).answered()));
   }
 
   @Test
@@ -155,13 +158,14 @@
     Flight<Integer> flight = read("k", 1000, 0).flight();
     read("k", 500, 1);
     read("k", 800, 1);
-    Verdict<Integer> verdict = joining.ended(flight, Ending.BROKEN, 10 * MILLI);
+    FlightDecision<Integer> verdict = joining.ended(flight, FlightResult.BROKEN, 10 * MILLI);
     assertEquals(List.of(0), who(verdict.answered()));
     assertTrue(verdict.again());
     assertEquals(1, flight.bearer().who());
     assertEquals(800 * MILLI, flight.deadline(), "nobody waits longer any more");
     assertEquals(500 * MILLI, flight.nextDue());
-    assertEquals(List.of(1, 2), who(joining.ended(flight, Ending.SERVED, 20 * MILLI).answered()));
+    assertEquals(
+        List.of(1, 2), who(joining.ended(flight, FlightResult.SERVED, 20 * MILLI).answered()));
   }
 
   @Test
@@ -171,7 +175,7 @@
       read("k", 1000, 1);
     }
     int tries = 1;
-    while (joining.ended(flight, Ending.BROKEN, 10 * MILLI).again()) {
+    while (joining.ended(flight, FlightResult.BROKEN, 10 * MILLI).again()) {
       tries++;
     }
     assertEquals(4, tries);
@@ -185,7 +189,7 @@
     for (int i = 0; i < 1000; i++) {
       Flight<Integer> flight = read("k", 1000, 0).flight();
       read("k", 1000, 0);
-      while (joining.ended(flight, Ending.BROKEN, MILLI).again()) {
+      while (joining.ended(flight, FlightResult.BROKEN, MILLI).again()) {
         retried++;
       }
     }
@@ -197,7 +201,7 @@
   void nothingIsTriedAgainForWhomNoTimeIsLeft() {
     Flight<Integer> flight = read("k", 1000, 0).flight();
     read("k", 10, 0);
-    Verdict<Integer> verdict = joining.ended(flight, Ending.BROKEN, 20 * MILLI);
+    FlightDecision<Integer> verdict = joining.ended(flight, FlightResult.BROKEN, 20 * MILLI);
     assertEquals(List.of(0, 1), who(verdict.answered()));
     assertFalse(verdict.again());
   }
@@ -206,28 +210,28 @@
   void aRefusalIsEverybodys() {
     Flight<Integer> flight = read("k", 1000, 0).flight();
     read("k", 1000, 0);
-    assertEquals(List.of(0, 1), who(joining.ended(flight, Ending.REFUSED, MILLI).answered()));
+    assertEquals(List.of(0, 1), who(joining.ended(flight, FlightResult.REFUSED, MILLI).answered()));
   }
 
   @Test
   void whatBrokeIsToldFromWhatWasTurnedAway() {
-    assertEquals(Ending.BROKEN, Ending.refused(Outcome.Result.RESET));
-    assertEquals(Ending.BROKEN, Ending.refused(Outcome.Result.CONNECT_FAILED));
-    assertEquals(Ending.BROKEN, Ending.refused(Outcome.Result.SPOILT));
-    assertEquals(Ending.REFUSED, Ending.refused(Outcome.Result.FULL));
-    assertEquals(Ending.REFUSED, Ending.refused(Outcome.Result.ERROR));
-    assertEquals(Ending.REFUSED, Ending.refused(Outcome.Result.TIMEOUT));
-    assertEquals(Ending.REFUSED, Ending.refused(null));
+    assertEquals(FlightResult.BROKEN, FlightResult.refused(Outcome.Result.RESET));
+    assertEquals(FlightResult.BROKEN, FlightResult.refused(Outcome.Result.CONNECT_FAILED));
+    assertEquals(FlightResult.BROKEN, FlightResult.refused(Outcome.Result.SPOILT));
+    assertEquals(FlightResult.REFUSED, FlightResult.refused(Outcome.Result.FULL));
+    assertEquals(FlightResult.REFUSED, FlightResult.refused(Outcome.Result.ERROR));
+    assertEquals(FlightResult.REFUSED, FlightResult.refused(Outcome.Result.TIMEOUT));
+    assertEquals(FlightResult.REFUSED, FlightResult.refused(null));
   }
 
   @Test
   void adviceIsSpread() {
-    assertEquals(100, Joining.spread(100, 1000, 0, 1));
-    assertEquals(0, Joining.spread(0, 1000, 3, 5));
-    assertEquals(75, Joining.spread(100, 1000, 0, 5));
-    assertEquals(100, Joining.spread(100, 1000, 2, 5));
-    assertEquals(125, Joining.spread(100, 1000, 4, 5));
-    assertEquals(110, Joining.spread(100, 110, 4, 5));
+    assertEquals(100, RequestCoalescer.spread(100, 1000, 0, 1));
+    assertEquals(0, RequestCoalescer.spread(0, 1000, 3, 5));
+    assertEquals(75, RequestCoalescer.spread(100, 1000, 0, 5));
+    assertEquals(100, RequestCoalescer.spread(100, 1000, 2, 5));
+    assertEquals(125, RequestCoalescer.spread(100, 1000, 4, 5));
+    assertEquals(110, RequestCoalescer.spread(100, 110, 4, 5));
   }
 
   @ParameterizedTest
@@ -244,7 +248,7 @@
     IllegalArgumentException e =
         assertThrows(
             IllegalArgumentException.class,
-            () -> new JoiningTuning(true, false, callers, age, flights, retries));
+            () -> new CoalescingConfig(true, false, callers, age, flights, retries));
     assertTrue(e.getMessage().startsWith(name + " is "), e.getMessage());
   }
 }
--- a/core/src/test/java/shalepaddle/overload/AdmissionTest.java
+++ b/core/src/test/java/shalepaddle/overload/AdmissionControllerTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 /** The parts of admission, each by itself. */
-class AdmissionTest {
+class AdmissionControllerTest {
   private static final long MILLI = 1_000_000L;
 
-  private final Tiers tiers = new Tiers(LoopModel.settings(true).services(), 0.1);
+  private final PriorityTiers tiers = new PriorityTiers(LoopModel.settings(true).services(), 0.1);
 
   @Test
   void tiersAreOrderedByWorthAndRepeatsComeAfterFirstTries() {
@@ -29,7 +29,7 @@
 
   @Test
   void theLimitFallsFastRisesSlowlyAndIsLifted() {
-    LoadLimit limit = new LoadLimit(0.005);
+    AimdRateLimit limit = new AimdRateLimit(0.005);
     limit.next(0.004, 1000, 1000);
     assertFalse(limit.limited(), "below the target nothing is limited");
     limit.next(0.05, 1000, 3000);
@@ -54,7 +54,7 @@
       limit.next(1, 1, 1000);
     }
     assertEquals(10, limit.limit(), 0.1, "never so low that nothing is learned");
-    LoadLimit busy = new LoadLimit(0.005);
+    AimdRateLimit busy = new AimdRateLimit(0.005);
     for (int i = 0; i < 20; i++) {
       busy.next(0.1, 1000, 9000);
     }
@@ -63,7 +63,7 @@
 
   @Test
   void whatIsWorthMostPassesWholeAndTheBrinkInPart() {
-    Admission admission = new Admission(Tuning.USUAL, tiers, 1);
+    AdmissionController admission = new AdmissionController(OverloadConfig.USUAL, tiers, 1);
     long now = 1;
     admission.interval(0, now);
     for (int i = 0; i < 300; i++) {
@@ -82,7 +82,7 @@
 
   @Test
   void repeatsAreAShareOfFirstTriesWhileFewAreAdmitted() {
-    Admission admission = new Admission(Tuning.USUAL, tiers, 1);
+    AdmissionController admission = new AdmissionController(OverloadConfig.USUAL, tiers, 1);
     admission.interval(0, 1);
     admission.admits(0, false);
     admission.interval(0.015, 1 + 100 * MILLI);
@@ -100,7 +100,7 @@
 
   @Test
   void adviceIsSpreadAndGrowsWithTheExcess() {
-    Admission admission = new Admission(Tuning.USUAL, tiers, 1);
+    AdmissionController admission = new AdmissionController(OverloadConfig.USUAL, tiers, 1);
     double least = 1;
     double most = 0;
     for (int i = 0; i < 1000; i++) {
@@ -113,7 +113,7 @@
 
   @Test
   void onlyTellingRefusesNothing() {
-    Admission admission = new Admission(Tuning.OFF, tiers, 1);
+    AdmissionController admission = new AdmissionController(OverloadConfig.OFF, tiers, 1);
     for (int i = 1; i < 20; i++) {
       admission.admits(0, false);
       admission.interval(1, i * 100 * MILLI);
@@ -123,7 +123,7 @@
 
   @Test
   void repeatsAreGuessedWhereTheyAreNotMarked() {
-    RepeatGuess guess = new RepeatGuess();
+    RetryInference guess = new RetryInference();
     assertFalse(guess.looksRepeated(42, 0, 0));
     guess.refused(42, 0, 0);
     assertTrue(guess.looksRepeated(42, 0, 500 * MILLI));
@@ -134,7 +134,7 @@
 
   @Test
   void aTenantPastItsShareIsToldFromOneWithin() {
-    TenantShares shares = new TenantShares(LoopModel.settings(true).tenants(), 2);
+    TenantQuotas shares = new TenantQuotas(LoopModel.settings(true).tenants(), 2);
     int past = 0;
     for (int i = 0; i < 1000; i++) {
       past += shares.pastShare(0, 1 + i * 10 * MILLI) ? 1 : 0;
@@ -147,7 +147,7 @@
   @Test
   void theIntakeServesByWorthAndTheNewestOnceItStands() {
     List<String> refused = new ArrayList<>();
-    Intake<String> intake = new Intake<>(2, 4, 50 * MILLI, refused::add);
+    AdmissionQueue<String> intake = new AdmissionQueue<>(2, 4, 50 * MILLI, refused::add);
     intake.offer("read 1", 1, 0);
     intake.offer("read 2", 1, 0);
     intake.offer("submit", 0, 0);
@@ -171,18 +171,23 @@
   void memoryFreesBytesAndNeverSheds() {
     OverloadControl control =
         new OverloadControl(
-            LoopModel.settings(true), Tuning.USUAL, 1, (resource, before, now, figure) -> {});
+            LoopModel.settings(true),
+            OverloadConfig.USUAL,
+            1,
+            (resource, before, now, figure) -> {});
     for (long now = 0; now < 10_000 * MILLI; now += 25 * MILLI) {
       control.turned(now, now, 0);
       control.uses(0.99, 0.95, 0.1, now);
     }
-    assertEquals(Level.FULL, control.level(Resource.MEMORY));
-    assertEquals(Level.CALM, control.level(Resource.CPU), "use of the processor alone is no lack");
+    assertEquals(PressureLevel.FULL, control.level(Resource.MEMORY));
+    assertEquals(
+        PressureLevel.CALM, control.level(Resource.CPU), "use of the processor alone is no lack");
     assertFalse(control.shedding());
-    assertEquals(new Posture(4, 1_000_000_000L, true, 1), control.posture());
+    assertEquals(new DegradationPolicy(4, 1_000_000_000L, true, 1), control.posture());
     assertEquals(
-        Posture.CALM.idleNanos(),
-        Posture.of(Level.FULL, Level.CALM, Level.CALM).idleNanos(),
+        DegradationPolicy.CALM.idleNanos(),
+        DegradationPolicy.of(PressureLevel.FULL, PressureLevel.CALM, PressureLevel.CALM)
+            .idleNanos(),
         "a short processor closes no connection");
   }
 
@@ -190,7 +195,8 @@
   void figuresOutOfRangeAreNamed() {
     IllegalArgumentException e =
         assertThrows(
-            IllegalArgumentException.class, () -> new Tuning(true, 5, 0.02, 0.1, 0.05, 0.1));
+            IllegalArgumentException.class,
+            () -> new OverloadConfig(true, 5, 0.02, 0.1, 0.05, 0.1));
     assertEquals("target_ms is 5000.0, and must be from 1.0 to 1000.0", e.getMessage());
   }
 }
--- /dev/null
+++ b/core/src/test/java/shalepaddle/overload/ConnectionSlotReservationTest.java
@@ -0,0 +1,36 @@
+package shalepaddle.overload;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** Who is refused while most places wait for answers. */
+class ConnectionSlotReservationTest {
+  @Test
+  void whatIsWorthLessIsRefusedSooner() {
+    for (int tiers = 1; tiers < 9; tiers++) {
+      for (double taken = 0; taken < 2; taken += 0.01) {
+        assertFalse(
+            ConnectionSlotReservation.refuses(0, tiers, taken), "the first tier is never refused");
+        for (int tier = 1; tier < tiers; tier++) {
+          assertTrue(
+              ConnectionSlotReservation.refuses(tier, tiers, taken)
+                  || !ConnectionSlotReservation.refuses(tier - 1, tiers, taken));
+          assertFalse(
+              taken < ConnectionSlotReservation.LEAST_FROM
+                  && ConnectionSlotReservation.refuses(tier, tiers, taken));
+          assertTrue(taken < 1 || ConnectionSlotReservation.refuses(tier, tiers, taken));
+        }
+      }
+    }
+  }
+
+  @Test
+  void theLeastTierIsRefusedFromItsPartOn() {
+    assertEquals(false, ConnectionSlotReservation.refuses(3, 4, 0.79));
+    assertEquals(true, ConnectionSlotReservation.refuses(3, 4, 0.81));
+    assertEquals(false, ConnectionSlotReservation.refuses(2, 4, 0.81));
+  }
+}
--- a/core/src/test/java/shalepaddle/overload/LoopModel.java
+++ b/core/src/test/java/shalepaddle/overload/LoopModel.java
@@ -30,7 +30,7 @@
    *
    * @param insists whether it asks for the same again where it was refused, and not for the next
    */
-  private record Client(long until, boolean insists, Insistence insistence) {}
+  private record Client(long until, boolean insists, RetryStormDetector insistence) {}
 
   /** What became of a request. */
   record Fate(long asked, int serviceClass, int tries, boolean served, long took) {}
@@ -60,9 +60,9 @@
   private static final long LOOPBACK = MILLI / 20;
 
   /** The connection of what is under way on one. */
-  private final Map<Ask, Insistence> on = new IdentityHashMap<>();
+  private final Map<Ask, RetryStormDetector> on = new IdentityHashMap<>();
 
-  private final ArrayDeque<Insistence> idle = new ArrayDeque<>();
+  private final ArrayDeque<RetryStormDetector> idle = new ArrayDeque<>();
   private final ArrayDeque<Ask> due = new ArrayDeque<>();
   private boolean stormy;
   private boolean insistence = true;
@@ -88,7 +88,7 @@
         sheds
             ? new OverloadControl(
                 settings(true),
-                Tuning.USUAL,
+                OverloadConfig.USUAL,
                 7,
                 (resource, before, level, figure) -> levels.add(now / MILLI + " " + level))
             : null;
@@ -157,7 +157,7 @@
     for (int i = 0; i < count; i++) {
       come.add(new Ask(now, now, i % 12 == 0 ? SUBMIT : 0, 0));
     }
-    come.forEach(ask -> closed.put(ask, new Client(until, insists, new Insistence())));
+    come.forEach(ask -> closed.put(ask, new Client(until, insists, new RetryStormDetector())));
     coming.addAll(come);
     return this;
   }
@@ -168,7 +168,7 @@
    */
   LoopModel storm(double perSecond, int connections) {
     for (int i = 0; i < connections; i++) {
-      idle.add(new Insistence());
+      idle.add(new RetryStormDetector());
     }
     stormy = true;
     return load(perSecond, 0.08);
@@ -186,7 +186,7 @@
   }
 
   /** A connection's request has had its answer. */
-  private void answered(Insistence connection, Ask ask, long advice) {
+  private void answered(RetryStormDetector connection, Ask ask, long advice) {
     if (advice == OverloadControl.ADMITTED || now - ask.asked() >= GIVE_UP) {
       idle.add(connection);
       return;
@@ -266,7 +266,7 @@
   private void turn() {
     for (int left = Math.min(queue.size(), READ); left > 0; left--) {
       Ask ask = queue.poll();
-      Insistence connection = on.remove(ask);
+      RetryStormDetector connection = on.remove(ask);
       long advice =
           control == null
               ? OverloadControl.ADMITTED
--- a/core/src/test/java/shalepaddle/overload/OverloadMeterTest.java
+++ b/core/src/test/java/shalepaddle/overload/OverloadMeterTest.java
@@ -70,11 +70,11 @@
   @Test
   void itIsOverThreeSecondsAfterTheLoadFallsAndNotBefore() {
     late(500, 60);
-    assertEquals(Level.FULL, meter.level(Resource.CPU));
+    assertEquals(PressureLevel.FULL, meter.level(Resource.CPU));
     late(900, 0.3);
-    assertEquals(Level.FULL, meter.level(Resource.CPU));
+    assertEquals(PressureLevel.FULL, meter.level(Resource.CPU));
     late(2100, 0.3);
-    assertEquals(Level.CALM, meter.level(Resource.CPU));
+    assertEquals(PressureLevel.CALM, meter.level(Resource.CPU));
     assertEquals(List.of("CPU FULL", "CPU BUSY", "CPU CALM"), changes);
   }
 
@@ -103,23 +103,25 @@
     assertEquals(List.of("MEMORY BUSY"), changes);
     uses(500, 0.5, 0.97);
     assertTrue(changes.contains("DESCRIPTORS FULL"), changes.toString());
-    assertEquals(Level.CALM, meter.level(Resource.CPU));
+    assertEquals(PressureLevel.CALM, meter.level(Resource.CPU));
     uses(6000, 0.5, 0.5);
-    assertEquals(Level.CALM, meter.level(Resource.MEMORY));
-    assertEquals(Level.CALM, meter.level(Resource.DESCRIPTORS));
+    assertEquals(PressureLevel.CALM, meter.level(Resource.MEMORY));
+    assertEquals(PressureLevel.CALM, meter.level(Resource.DESCRIPTORS));
   }
 
   @Test
   void aFigureThatIsUnknownChangesNothing() {
     uses(2500, 0.95, 0.1);
     uses(5000, Double.NaN, 0.1);
-    assertEquals(Level.FULL, meter.level(Resource.MEMORY));
+    assertEquals(PressureLevel.FULL, meter.level(Resource.MEMORY));
   }
 
   @Test
   void boundsOutOfOrderAreRefused() {
-    assertThrows(IllegalArgumentException.class, () -> new Gauge.Bounds(0.5, 0.4, 0.1, 3));
-    assertThrows(IllegalArgumentException.class, () -> new Gauge.Bounds(0.5, 0.6, 0.5, 3));
-    assertThrows(IllegalArgumentException.class, () -> new Standing(0));
+    assertThrows(
+        IllegalArgumentException.class, () -> new HysteresisGauge.Bounds(0.5, 0.4, 0.1, 3));
+    assertThrows(
+        IllegalArgumentException.class, () -> new HysteresisGauge.Bounds(0.5, 0.6, 0.5, 3));
+    assertThrows(IllegalArgumentException.class, () -> new MinimumOverInterval(0));
   }
 }
--- a/core/src/test/java/shalepaddle/overload/SheddingTest.java
+++ b/core/src/test/java/shalepaddle/overload/SheddingTest.java
@@ -199,8 +199,8 @@
   void aShareOfEveryTierAlwaysPasses() {
     LoopModel loop = new LoopModel(true, REFUSING, 1).load(60000, 0.3);
     loop.run(10 * SECOND);
-    for (OverloadReading.Tier tier : loop.control().reading().tiers()) {
-      assertTrue(tier.passing() >= Tuning.USUAL.learn(), tier.toString());
+    for (OverloadSnapshot.Tier tier : loop.control().reading().tiers()) {
+      assertTrue(tier.passing() >= OverloadConfig.USUAL.learn(), tier.toString());
       assertTrue(tier.offered() < 1000 || tier.refused() < tier.offered(), tier.toString());
     }
   }
--- /dev/null
+++ b/core/src/test/java/shalepaddle/policy/BoundedLoadTest.java
@@ -0,0 +1,36 @@
+package shalepaddle.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+class BoundedLoadTest {
+  @Test
+  void isThePapersCapForEqualWeights() {
+    // 1.5 * 80 / 10 = 12, 1.5 * 81 / 10 = 12.15
+    assertEquals(12, BoundedLoad.cap(80, 1, 10, 4));
+    assertEquals(13, BoundedLoad.cap(81, 1, 10, 4));
+  }
+
+  @Test
+  void neverFallsBelowItsFloor() {
+    assertEquals(3, BoundedLoad.cap(1, 1, 10, 4));
+    assertEquals(3, BoundedLoad.cap(100, 0, 0, 4));
+  }
+
+  @Test
+  void splitsItsFloorAmongTheBalancers() {
+    assertEquals(6, BoundedLoad.cap(1, 1, 10, 2));
+    assertEquals(2, BoundedLoad.cap(1, 1, 10, 7));
+    assertEquals(1, BoundedLoad.cap(3, 1, 40, 30));
+    assertEquals(2, BoundedLoad.cap(5, 1, 40, 30), "two often meet by chance");
+  }
+
+  @Test
+  void followsWeightsAndIgnoresNonsense() {
+    assertEquals(30, BoundedLoad.cap(100, 2, 10, 4));
+    assertEquals(3, BoundedLoad.cap(100, Double.NaN, 10, 4));
+    assertEquals(3, BoundedLoad.cap(100, -3, 10, 4));
+    assertEquals(3, BoundedLoad.cap(100, Double.POSITIVE_INFINITY, 10, 4));
+  }
+}
--- a/core/src/test/java/shalepaddle/policy/SlotTableTest.java
+++ b/core/src/test/java/shalepaddle/policy/ConsistentHashRingTest.java
@@ -10,17 +10,17 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class SlotTableTest {
+class ConsistentHashRingTest {
   private static ServerHealth server(long id) {
-    return new ServerHealth(Rig.server(id), 0, Rig.settings(false, 4, true));
+    return new ServerHealth(PolicyFixture.server(id), 0, PolicyFixture.settings(false, 4, true));
   }
 
   private static long[] homes(List<ServerHealth> servers) {
-    SlotTable table = new SlotTable();
+    ConsistentHashRing table = new ConsistentHashRing();
     table.rebuild(servers, false);
     long[] homes = new long[20_000];
     for (int i = 0; i < homes.length; i++) {
-      homes[i] = table.owner(SlotTable.hash("key" + i), 0).id;
+      homes[i] = table.owner(ConsistentHashRing.hash("key" + i), 0).id;
     }
     return homes;
   }
@@ -89,7 +89,7 @@
 
   @Test
   void ownsNothingWithoutServers() {
-    SlotTable table = new SlotTable();
+    ConsistentHashRing table = new ConsistentHashRing();
     table.rebuild(List.of(), true);
     assertNull(table.owner(5, 0));
   }
--- a/core/src/test/java/shalepaddle/policy/ExtendTest.java
+++ b/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
@@ -8,16 +8,16 @@
 import shalepaddle.model.Settings;
 
 /** A request that gets more time, since somebody who waits longer has joined it. */
-class ExtendTest {
-  private static final Settings SETTINGS = Rig.settings(false, 2, true);
+class DeadlineExtensionTest {
+  private static final Settings SETTINGS = PolicyFixture.settings(false, 2, true);
 
-  private final Rig.Recorder actions = new Rig.Recorder();
-  private final Balancer balancer = new Balancer(SETTINGS, 1, actions);
+  private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
+  private final RequestRouter balancer = new RequestRouter(SETTINGS, 1, actions);
   private final long token;
 
-  ExtendTest() {
-    balancer.membership(100, Rig.fleet(3));
-    balancer.request(100, Rig.request("a", "key", "safe", 0.3));
+  DeadlineExtensionTest() {
+    balancer.membership(100, PolicyFixture.fleet(3));
+    balancer.request(100, PolicyFixture.request("a", "key", "safe", 0.3));
     token = actions.of("wake").get(0).number();
   }
 
@@ -26,7 +26,7 @@
     balancer.extend("a", 101.5);
     balancer.timer(100.3, token);
     assertEquals(List.of(), actions.of("fail"));
-    Rig.Act again = actions.of("wake").get(1);
+    PolicyFixture.Act again = actions.of("wake").get(1);
     assertEquals(token, again.number());
     assertEquals(1.2, again.value(), 1e-9);
     balancer.timer(101.5, token);
@@ -37,7 +37,7 @@
   void itIsTriedAgainWithinIt() {
     balancer.extend("a", 101.5);
     long server = actions.of("send").get(0).number();
-    balancer.outcome(100.4, Rig.outcome("a", 0, server, Outcome.Result.RESET));
+    balancer.outcome(100.4, PolicyFixture.outcome("a", 0, server, Outcome.Result.RESET));
     assertEquals(2, actions.of("send").size());
   }
 
--- a/core/src/test/java/shalepaddle/policy/PausesTest.java
+++ b/core/src/test/java/shalepaddle/policy/EventLoopStallDecisionTest.java
@@ -11,11 +11,11 @@
 import shalepaddle.model.Settings;
 
 /** What the module makes of time in which its node stood still. */
-class PausesTest {
-  private static final Settings SETTINGS = Rig.settings(false, 1, true);
+class EventLoopStallDecisionTest {
+  private static final Settings SETTINGS = PolicyFixture.settings(false, 1, true);
 
-  private final Rig.Recorder actions = new Rig.Recorder();
-  private final Balancer balancer = new Balancer(SETTINGS, 1, actions);
+  private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
+  private final RequestRouter balancer = new RequestRouter(SETTINGS, 1, actions);
 
   private static Outcome ended(Outcome.Result result, double elapsed, double unheard) {
     return new Outcome("a", 0, 1, result, elapsed, unheard, false, Outcome.Note.NONE, null);
@@ -25,7 +25,7 @@
   @EnumSource(names = {"TIMEOUT", "CONNECT_FAILED"})
   void aServerIsNotSuspectForSilenceThatNobodyListenedTo(Outcome.Result result) {
     for (double unheard : new double[] {0, 0.98}) {
-      ServerHealth server = new ServerHealth(Rig.server(1), 100, SETTINGS);
+      ServerHealth server = new ServerHealth(PolicyFixture.server(1), 100, SETTINGS);
       for (int i = 0; i < 10; i++) {
         server.sent();
         server.ended(102 + 2 * i, ended(result, 1, unheard), 60, true);
@@ -36,7 +36,7 @@
 
   @Test
   void aHungServerIsStillFoundWhereTheNodeRunsForATenthOfTheTime() {
-    ServerHealth server = new ServerHealth(Rig.server(1), 100, SETTINGS);
+    ServerHealth server = new ServerHealth(PolicyFixture.server(1), 100, SETTINGS);
     int timeOuts = 0;
     while (!server.suspect() && timeOuts < 100) {
       server.sent();
@@ -47,13 +47,13 @@
 
   /** Answers 20 requests a second for 10 s, and then two more every 1.5 s that stay open. */
   private long refusedAfter(boolean told) {
-    balancer.membership(100, Rig.fleet(3));
+    balancer.membership(100, PolicyFixture.fleet(3));
     int next = 0;
     for (; next < 200; next++) {
       double now = 100 + next * 0.05;
-      balancer.request(now, Rig.request("q" + next, "key" + next % 7, "safe", 2));
-      Rig.Act sent = actions.acts.get(actions.acts.size() - 1);
-      balancer.outcome(now, Rig.outcome("q" + next, 0, sent.number(), Outcome.Result.OK));
+      balancer.request(now, PolicyFixture.request("q" + next, "key" + next % 7, "safe", 2));
+      PolicyFixture.Act sent = actions.acts.get(actions.acts.size() - 1);
+      balancer.outcome(now, PolicyFixture.outcome("q" + next, 0, sent.number(), Outcome.Result.OK));
     }
     for (int pause = 0; pause < 5; pause++) {
       double now = 111.5 + pause * 1.5;
@@ -61,7 +61,7 @@
         balancer.paused(1.5);
       }
       for (int i = 0; i < 2; i++) {
-        balancer.request(now, Rig.request("p" + next++, "key" + i, "unsafe", 9));
+        balancer.request(now, PolicyFixture.request("p" + next++, "key" + i, "unsafe", 9));
       }
     }
     return actions.of("refuse").size();
--- a/core/src/test/java/shalepaddle/policy/ExclusionTest.java
+++ b/core/src/test/java/shalepaddle/policy/ExclusionTest.java
@@ -14,10 +14,10 @@
 
 /** Servers that an operator leaves out, and settings that change, as the module takes them. */
 class ExclusionTest {
-  private static final Settings SETTINGS = Rig.settings(false, 4, true);
+  private static final Settings SETTINGS = PolicyFixture.settings(false, 4, true);
 
-  private final Rig.Recorder actions = new Rig.Recorder();
-  private final Balancer balancer = new Balancer(SETTINGS, 1, actions);
+  private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
+  private final RequestRouter balancer = new RequestRouter(SETTINGS, 1, actions);
 
   private long sent() {
     return actions.acts.get(actions.acts.size() - 1).number();
@@ -25,13 +25,13 @@
 
   private boolean sends(double now, String id, String key) {
     int before = actions.of("send").size();
-    balancer.request(now, Rig.request(id, key, "safe", 1));
+    balancer.request(now, PolicyFixture.request(id, key, "safe", 1));
     return actions.of("send").size() > before;
   }
 
   @Test
   void anExcludedServerGetsNothingWhateverTheListSaysAndWhoeverFails() {
-    balancer.membership(100, Rig.fleet(6));
+    balancer.membership(100, PolicyFixture.fleet(6));
     balancer.exclude(100, 3, true);
     balancer.exclude(100, 3, true);
     Random random = new Random(5);
@@ -41,8 +41,8 @@
       if (i % 50 == 0) {
         // It leaves, vanishes, comes back under its id, and starts anew.
         ServerEntry.State state = ServerEntry.State.values()[random.nextInt(3)];
-        ServerEntry entry = Rig.server(3, state, random.nextBoolean() ? now - 1 : 0);
-        balancer.membership(now, Rig.list(MembershipUpdate.Kind.CHANGES, List.of(entry)));
+        ServerEntry entry = PolicyFixture.server(3, state, random.nextBoolean() ? now - 1 : 0);
+        balancer.membership(now, PolicyFixture.list(MembershipUpdate.Kind.CHANGES, List.of(entry)));
       }
       if (sends(now, "r" + i, "k" + i % 200)) {
         long server = sent();
@@ -50,7 +50,7 @@
         got++;
         // Now and then all others fail together: no panic may bring it back.
         Outcome.Result result = i % 1000 > 800 ? Outcome.Result.CONNECT_FAILED : Outcome.Result.OK;
-        balancer.outcome(now, Rig.outcome("r" + i, 0, server, result));
+        balancer.outcome(now, PolicyFixture.outcome("r" + i, 0, server, result));
       }
     }
     assertTrue(actions.of("send").stream().noneMatch(act -> act.number() == 3), "nor any retry");
@@ -59,7 +59,7 @@
 
   @Test
   void whereAllAreExcludedRequestsAreRefused() {
-    balancer.membership(100, Rig.fleet(2));
+    balancer.membership(100, PolicyFixture.fleet(2));
     balancer.exclude(100, 1, true);
     balancer.exclude(100, 2, true);
     assertFalse(sends(100.1, "r1", "k"));
@@ -72,14 +72,15 @@
 
   @Test
   void oneThatIsPutBackIsColdFromThenOnUnlessTheListToldOfItsStart() {
-    balancer.membership(100, Rig.fleet(2));
+    balancer.membership(100, PolicyFixture.fleet(2));
     balancer.exclude(100, 1, true);
     balancer.exclude(100, 2, true);
     // The second has started anew long enough ago to be warm, and the list has told so.
     balancer.membership(
         105,
-        Rig.list(
-            MembershipUpdate.Kind.CHANGES, List.of(Rig.server(2, ServerEntry.State.READY, 101))));
+        PolicyFixture.list(
+            MembershipUpdate.Kind.CHANGES,
+            List.of(PolicyFixture.server(2, ServerEntry.State.READY, 101))));
     balancer.exclude(125, 1, false);
     balancer.exclude(125, 2, false);
     int cold = 0;
@@ -89,7 +90,7 @@
       if (sends(now, "r" + i, "k" + i)) {
         cold += sent() == 1 ? 1 : 0;
         warm += sent() == 2 ? 1 : 0;
-        balancer.outcome(now, Rig.outcome("r" + i, 0, sent(), Outcome.Result.OK));
+        balancer.outcome(now, PolicyFixture.outcome("r" + i, 0, sent(), Outcome.Result.OK));
       }
     }
     assertTrue(warm > 150, warm + " to the warm one");
@@ -98,23 +99,23 @@
 
   @Test
   void anOpenRequestKeepsItsClassAndNumberOfAttempts() {
-    balancer.membership(100, Rig.fleet(6));
-    balancer.request(100, Rig.request("old", "k", "unsafe", 1));
-    balancer.request(100, Rig.request("many", "k", "safe", 1));
+    balancer.membership(100, PolicyFixture.fleet(6));
+    balancer.request(100, PolicyFixture.request("old", "k", "unsafe", 1));
+    balancer.request(100, PolicyFixture.request("many", "k", "safe", 1));
     List<Settings.ServiceClass> repeatable =
         SETTINGS.services().stream()
-            .map(type -> Rig.service(type.name(), Settings.Effect.SAFE, type.group()))
+            .map(type -> PolicyFixture.service(type.name(), Settings.Effect.SAFE, type.group()))
             .toList();
-    balancer.retune(Rig.settings(0, 4, false, 1, true, repeatable));
+    balancer.retune(PolicyFixture.settings(0, 4, false, 1, true, repeatable));
     // It may have run, and was taken as one that must not run twice.
-    balancer.outcome(100.1, Rig.outcome("old", 0, 0, Outcome.Result.ERROR));
-    assertEquals(List.of("old"), actions.of("fail").stream().map(Rig.Act::id).toList());
+    balancer.outcome(100.1, PolicyFixture.outcome("old", 0, 0, Outcome.Result.ERROR));
+    assertEquals(List.of("old"), actions.of("fail").stream().map(PolicyFixture.Act::id).toList());
     long before = actions.of("send").size();
-    balancer.outcome(100.1, Rig.outcome("many", 0, 0, Outcome.Result.RESET));
+    balancer.outcome(100.1, PolicyFixture.outcome("many", 0, 0, Outcome.Result.RESET));
     assertEquals(before + 1, actions.of("send").size(), "four attempts were its due");
     // What comes now has one attempt, and the class may be repeated.
-    balancer.request(100.2, Rig.request("new", "k", "unsafe", 1));
-    balancer.outcome(100.3, Rig.outcome("new", 0, 0, Outcome.Result.ERROR));
-    assertEquals(List.of("new"), actions.of("refuse").stream().map(Rig.Act::id).toList());
+    balancer.request(100.2, PolicyFixture.request("new", "k", "unsafe", 1));
+    balancer.outcome(100.3, PolicyFixture.outcome("new", 0, 0, Outcome.Result.ERROR));
+    assertEquals(List.of("new"), actions.of("refuse").stream().map(PolicyFixture.Act::id).toList());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/FailuresTest.java
+++ b/core/src/test/java/shalepaddle/policy/FailuresTest.java
@@ -18,18 +18,18 @@
 
 /** One small test for each failure that experiments have found. */
 class FailuresTest {
-  private static final Settings SETTINGS = Rig.settings(false, 4, true);
+  private static final Settings SETTINGS = PolicyFixture.settings(false, 4, true);
 
-  private final Rig.Recorder actions = new Rig.Recorder();
-  private final Balancer balancer = new Balancer(SETTINGS, 1, actions);
+  private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
+  private final RequestRouter balancer = new RequestRouter(SETTINGS, 1, actions);
 
   private static ServerHealth server(long id) {
-    return new ServerHealth(Rig.server(id), 100, SETTINGS);
+    return new ServerHealth(PolicyFixture.server(id), 100, SETTINGS);
   }
 
   private static PendingRequest pending(long serial, String key) {
     return new PendingRequest(
-        Rig.request("r" + serial, key, "safe", 1),
+        PolicyFixture.request("r" + serial, key, "safe", 1),
         SETTINGS.services().get(0),
         SETTINGS.limits(),
         serial,
@@ -38,16 +38,16 @@
 
   /** Sends a request and answers it at once with a hit; returns where it went. */
   private long serve(double now, String id, String key) {
-    balancer.request(now, Rig.request(id, key, "safe", 1));
-    Rig.Act sent = actions.acts.get(actions.acts.size() - 1);
+    balancer.request(now, PolicyFixture.request(id, key, "safe", 1));
+    PolicyFixture.Act sent = actions.acts.get(actions.acts.size() - 1);
     assertEquals("send", sent.what());
-    balancer.outcome(now, Rig.outcome(id, 0, sent.number(), Outcome.Result.OK));
+    balancer.outcome(now, PolicyFixture.outcome(id, 0, sent.number(), Outcome.Result.OK));
     return sent.number();
   }
 
   @Test
   void aKeyThatOutgrowsOneServerGetsSeveral() {
-    balancer.membership(100, Rig.fleet(20));
+    balancer.membership(100, PolicyFixture.fleet(20));
     TreeSet<Long> hot = new TreeSet<>();
     TreeSet<Long> mild = new TreeSet<>();
     for (int i = 0; i < 1000; i++) {
@@ -63,16 +63,17 @@
 
   @Test
   void retriesAreFewWhereEverythingFails() {
-    balancer.membership(100, Rig.fleet(10));
+    balancer.membership(100, PolicyFixture.fleet(10));
     for (int i = 0; i < 200; i++) {
       String id = "r" + i;
-      balancer.request(100 + i * 0.001, Rig.request(id, null, "safe", 1));
+      balancer.request(100 + i * 0.001, PolicyFixture.request(id, null, "safe", 1));
       for (int attempt = 0; attempt < 4; attempt++) {
-        List<Rig.Act> sends = actions.of("send");
-        Rig.Act last = sends.get(sends.size() - 1);
+        List<PolicyFixture.Act> sends = actions.of("send");
+        PolicyFixture.Act last = sends.get(sends.size() - 1);
         if (last.id().equals(id)) {
           balancer.outcome(
-              100 + i * 0.001, Rig.outcome(id, attempt, last.number(), Outcome.Result.ERROR));
+              100 + i * 0.001,
+              PolicyFixture.outcome(id, attempt, last.number(), Outcome.Result.ERROR));
         }
       }
     }
@@ -83,13 +84,13 @@
   /** One attempt at this server, for a key of its own. */
   private void attempt(double now, int number, long server, Outcome.Result result) {
     String id = "~" + number;
-    balancer.witness(now, Rig.request(id, "k" + number, "safe", 1), server);
-    balancer.outcome(now, Rig.outcome(id, 0, server, result));
+    balancer.witness(now, PolicyFixture.request(id, "k" + number, "safe", 1), server);
+    balancer.outcome(now, PolicyFixture.outcome(id, 0, server, result));
   }
 
   @Test
   void failuresOfLongAgoDoNotShieldAServerThatFailsNow() {
-    balancer.membership(100, Rig.fleet(6));
+    balancer.membership(100, PolicyFixture.fleet(6));
     int number = 0;
     for (long server : new long[] {1, 1, 2, 2}) {
       attempt(100, number++, server, Outcome.Result.ERROR);
@@ -105,7 +106,7 @@
 
   @Test
   void serversThatFailTogetherAreNotLeftOutWhereTheyAreMoreThanAThird() {
-    balancer.membership(100, Rig.fleet(6));
+    balancer.membership(100, PolicyFixture.fleet(6));
     int number = 0;
     for (double now = 100; now < 105; now += 0.05) {
       for (long server = 1; server <= 6; server++) {
@@ -125,7 +126,7 @@
     assertTrue(slow.share(102) < 0.2, "share " + slow.share(102));
     int kept = 0;
     for (long key = 0; key < 1000; key++) {
-      kept += slow.keeps(102, SlotTable.mix(key), 1) ? 1 : 0;
+      kept += slow.keeps(102, ConsistentHashRing.mix(key), 1) ? 1 : 0;
     }
     assertTrue(kept < 250, "keys kept: " + kept);
     assertEquals(1, slow.share(160));
@@ -207,50 +208,52 @@
 
   @Test
   void connectionsAreClosedAfterUseOnceARunningServerRefusesOne() {
-    balancer.membership(100, Rig.fleet(1));
-    balancer.request(100, Rig.request("a", "k", "unsafe", 1));
-    balancer.outcome(100.1, Rig.outcome("a", 0, 1, Outcome.Result.OK));
+    balancer.membership(100, PolicyFixture.fleet(1));
+    balancer.request(100, PolicyFixture.request("a", "k", "unsafe", 1));
+    balancer.outcome(100.1, PolicyFixture.outcome("a", 0, 1, Outcome.Result.OK));
     assertEquals(0, actions.of("closeIdle").size());
-    balancer.membership(101, Rig.fleet(2));
+    balancer.membership(101, PolicyFixture.fleet(2));
     for (int i = 0; i < 40; i++) {
-      balancer.request(102, Rig.request("r" + i, "key" + i, "unsafe", 1));
+      balancer.request(102, PolicyFixture.request("r" + i, "key" + i, "unsafe", 1));
     }
-    List<Rig.Act> sends = actions.of("send");
-    Rig.Act refused = sends.stream().filter(act -> act.number() == 2).findFirst().orElseThrow();
-    balancer.outcome(103, Rig.outcome(refused.id(), 0, 2, Outcome.Result.CONNECT_FAILED));
+    List<PolicyFixture.Act> sends = actions.of("send");
+    PolicyFixture.Act refused =
+        sends.stream().filter(act -> act.number() == 2).findFirst().orElseThrow();
+    balancer.outcome(103, PolicyFixture.outcome(refused.id(), 0, 2, Outcome.Result.CONNECT_FAILED));
     assertEquals(0, actions.of("closeIdle").stream().filter(act -> act.number() == 1).count());
-    for (Rig.Act act : actions.of("send")) {
-      balancer.outcome(104, Rig.outcome(act.id(), 0, act.number(), Outcome.Result.OK));
+    for (PolicyFixture.Act act : actions.of("send")) {
+      balancer.outcome(104, PolicyFixture.outcome(act.id(), 0, act.number(), Outcome.Result.OK));
     }
-    List<Rig.Act> ones = actions.of("closeIdle").stream().filter(a -> a.number() == 1).toList();
+    List<PolicyFixture.Act> ones =
+        actions.of("closeIdle").stream().filter(a -> a.number() == 1).toList();
     assertEquals(1, ones.size(), "once, when the last attempt there has ended");
   }
 
   private static boolean ended(ServerHealth server, double now, Outcome.Result result) {
     server.sent();
-    return server.ended(now, Rig.outcome("a", 0, server.id, result), 60, true);
+    return server.ended(now, PolicyFixture.outcome("a", 0, server.id, result), 60, true);
   }
 
   @Test
   void oneFetchOfAKeyGoesFirst() {
-    balancer.membership(100, Rig.fleet(1));
-    balancer.request(100, Rig.request("a", "k", "safe", 1));
-    balancer.request(100, Rig.request("b", "k", "safe", 1));
+    balancer.membership(100, PolicyFixture.fleet(1));
+    balancer.request(100, PolicyFixture.request("a", "k", "safe", 1));
+    balancer.request(100, PolicyFixture.request("b", "k", "safe", 1));
     assertEquals(1, actions.of("send").size());
-    balancer.outcome(100.1, Rig.outcome("a", 0, 1, Outcome.Result.OK));
+    balancer.outcome(100.1, PolicyFixture.outcome("a", 0, 1, Outcome.Result.OK));
     assertEquals(2, actions.of("send").size());
     assertEquals("b", actions.of("send").get(1).id());
   }
 
   /** Ends a fetch, of which the balancer says what is lost of all. */
   private static void over(
-      OriginGuard guard, double now, PendingRequest p, boolean good, boolean bad) {
+      OriginFetchLimiter guard, double now, PendingRequest p, boolean good, boolean bad) {
     guard.losses += 0.1 * ((bad ? 1 : 0) - guard.losses);
     guard.over(now, p, good, bad);
   }
 
   /** Lets forty fetches fail one after another; returns the time at the end. */
-  private static double failFetches(OriginGuard guard) {
+  private static double failFetches(OriginFetchLimiter guard) {
     double now = 100;
     for (int i = 0; i < 40; i++) {
       PendingRequest p = pending(2L * i, "k" + i);
@@ -263,7 +266,7 @@
 
   @Test
   void failingFetchesCloseTheWindow() {
-    OriginGuard guard = new OriginGuard();
+    OriginFetchLimiter guard = new OriginFetchLimiter();
     double now = failFetches(guard);
     assertTrue(guard.troubled());
     assertFalse(guard.full(now));
@@ -276,17 +279,17 @@
 
   @Test
   void aFailedFetchThatIsRetriedKeepsNeitherItsPlaceNorItsKey() {
-    balancer.membership(100, Rig.fleet(1));
-    balancer.request(100, Rig.request("warm", "other", "safe", 1));
-    balancer.outcome(100.1, Rig.outcome("warm", 0, 1, Outcome.Result.OK));
-    balancer.membership(101, Rig.fleet(2));
-    balancer.request(102, Rig.request("a", "k", "safe", 1));
-    List<Rig.Act> sends = actions.of("send");
+    balancer.membership(100, PolicyFixture.fleet(1));
+    balancer.request(100, PolicyFixture.request("warm", "other", "safe", 1));
+    balancer.outcome(100.1, PolicyFixture.outcome("warm", 0, 1, Outcome.Result.OK));
+    balancer.membership(101, PolicyFixture.fleet(2));
+    balancer.request(102, PolicyFixture.request("a", "k", "safe", 1));
+    List<PolicyFixture.Act> sends = actions.of("send");
     long home = sends.get(sends.size() - 1).number();
-    balancer.outcome(102.1, Rig.outcome("a", 0, home, Outcome.Result.ERROR));
-    balancer.outcome(102.2, Rig.outcome("a", 1, 3 - home, Outcome.Result.OK));
+    balancer.outcome(102.1, PolicyFixture.outcome("a", 0, home, Outcome.Result.ERROR));
+    balancer.outcome(102.2, PolicyFixture.outcome("a", 1, 3 - home, Outcome.Result.OK));
     actions.acts.clear();
-    balancer.request(103, Rig.request("b", "k", "safe", 1));
+    balancer.request(103, PolicyFixture.request("b", "k", "safe", 1));
     assertEquals(1, actions.of("send").size(), "it need not wait for a fetch that is over");
   }
 
@@ -302,7 +305,7 @@
         for (int i = 0; i < row; i++) {
           assertFalse(one.suspect());
           one.sent();
-          one.ended(100 + 3.0 * i / row, Rig.outcome("a", 0, 1, way), 60, few);
+          one.ended(100 + 3.0 * i / row, PolicyFixture.outcome("a", 0, 1, way), 60, few);
         }
         assertEquals(few, one.suspect(), way + " " + few);
         assertFalse(few && one.trialDue(102.1));
@@ -331,22 +334,22 @@
   @Test
   void noMoreThanHalfOfTheServersAreLeftOut() {
     for (int broken = 1; broken <= 4; broken++) {
-      Rig.Recorder recorder = new Rig.Recorder();
-      Balancer one = new Balancer(Rig.settings(false, 1, true), 1, recorder);
-      one.membership(100, Rig.fleet(4));
+      PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
+      RequestRouter one = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, recorder);
+      one.membership(100, PolicyFixture.fleet(4));
       for (int i = 0; i < 100; i++) {
-        one.request(100 + i * 0.001, Rig.request("r" + i, "k" + i, "unsafe", 1));
+        one.request(100 + i * 0.001, PolicyFixture.request("r" + i, "k" + i, "unsafe", 1));
       }
       double now = 100.2;
-      for (Rig.Act act : List.copyOf(recorder.of("send"))) {
+      for (PolicyFixture.Act act : List.copyOf(recorder.of("send"))) {
         Outcome.Result result =
             act.number() <= broken ? Outcome.Result.CONNECT_FAILED : Outcome.Result.OK;
         now += 0.06;
-        one.outcome(now, Rig.outcome(act.id(), 0, act.number(), result));
+        one.outcome(now, PolicyFixture.outcome(act.id(), 0, act.number(), result));
       }
       recorder.acts.clear();
       for (int i = 0; i < 40; i++) {
-        one.request(now + 0.1, Rig.request("s" + i, "k" + i, "unsafe", 1));
+        one.request(now + 0.1, PolicyFixture.request("s" + i, "k" + i, "unsafe", 1));
       }
       TreeSet<Long> used = new TreeSet<>();
       recorder.of("send").forEach(act -> used.add(act.number()));
@@ -358,7 +361,7 @@
   void thePartThatAlwaysGoesShrinksWhileFetchesFail() {
     double[] passed = new double[2];
     for (int i = 0; i < 2; i++) {
-      OriginGuard guard = new OriginGuard();
+      OriginFetchLimiter guard = new OriginFetchLimiter();
       double now = failFetches(guard);
       for (int good = 0; good < 10 * i; good++) {
         PendingRequest p = pending(2L * good, "good" + good);
@@ -383,16 +386,16 @@
 
   @Test
   void refusesWhatCannotBeAnsweredWithinItsAim() {
-    balancer.membership(100, Rig.fleet(1));
+    balancer.membership(100, PolicyFixture.fleet(1));
     for (int i = 0; i < 30; i++) {
       double now = 100 + i * 0.1;
-      balancer.request(now, Rig.request("a" + i, "k", "unsafe", 1));
-      balancer.outcome(now + 0.05, Rig.outcome("a" + i, 0, 1, Outcome.Result.OK));
+      balancer.request(now, PolicyFixture.request("a" + i, "k", "unsafe", 1));
+      balancer.outcome(now + 0.05, PolicyFixture.outcome("a" + i, 0, 1, Outcome.Result.OK));
     }
     assertEquals(0, actions.of("refuse").size());
     // Ten a second are answered and the aim is half a second: of a hundred at once few can be.
     for (int i = 0; i < 100; i++) {
-      balancer.request(103.1, Rig.request("b" + i, "k", "unsafe", 1));
+      balancer.request(103.1, PolicyFixture.request("b" + i, "k", "unsafe", 1));
     }
     int refused = actions.of("refuse").size();
     assertTrue(refused > 85 && refused < 100, refused + " refused");
@@ -400,7 +403,7 @@
 
   @Test
   void aPartOfFetchesAlwaysGoes() {
-    OriginGuard guard = new OriginGuard();
+    OriginFetchLimiter guard = new OriginFetchLimiter();
     double now = failFetches(guard);
     guard.started(now, 99, pending(99, "out"), false);
     assertTrue(guard.full(now + 0.01));
@@ -438,14 +441,15 @@
   void theDearerACrossingTheRarerAKeyThatStaysInItsZone() {
     long[] crossed = new long[2];
     for (int i = 0; i < 2; i++) {
-      Rig.Recorder recorder = new Rig.Recorder();
-      Balancer local = new Balancer(priced(i == 0 ? 0.1 : 0.01), 1, recorder);
-      local.membership(100, Rig.fleet(10));
+      PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
+      RequestRouter local = new RequestRouter(priced(i == 0 ? 0.1 : 0.01), 1, recorder);
+      local.membership(100, PolicyFixture.fleet(10));
       for (int key = 0; key < 30; key++) {
         String id = "k" + key;
-        local.request(100 + key, Rig.request(id, "key" + key, "safe", 1));
-        Rig.Act sent = recorder.of("send").get(key);
-        local.outcome(100.1 + key, Rig.outcome(sent.id(), 0, sent.number(), Outcome.Result.OK));
+        local.request(100 + key, PolicyFixture.request(id, "key" + key, "safe", 1));
+        PolicyFixture.Act sent = recorder.of("send").get(key);
+        local.outcome(
+            100.1 + key, PolicyFixture.outcome(sent.id(), 0, sent.number(), Outcome.Result.OK));
       }
       crossed[i] = recorder.of("send").stream().filter(act -> act.number() % 2 == 1).count();
     }
@@ -462,7 +466,7 @@
   }
 
   private static Outcome fetched(
-      Rig.Act sent, Outcome.Result result, double elapsed, double utilization) {
+      PolicyFixture.Act sent, Outcome.Result result, double elapsed, double utilization) {
     return new Outcome(
         sent.id(),
         0,
@@ -477,16 +481,16 @@
   @Test
   void fetchesLaterThanTheirAimCloseTheWindow() {
     for (double elapsed : new double[] {0.4, 0.6}) {
-      Rig.Recorder recorder = new Rig.Recorder();
-      Balancer one = new Balancer(SETTINGS, 1, recorder);
-      one.membership(100, Rig.fleet(1));
+      PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
+      RequestRouter one = new RequestRouter(SETTINGS, 1, recorder);
+      one.membership(100, PolicyFixture.fleet(1));
       for (int i = 0; i < 40; i++) {
-        one.request(100 + i * 0.7, Rig.request("f" + i, "fresh" + i, "safe", 1));
-        Rig.Act sent = recorder.of("send").get(i);
+        one.request(100 + i * 0.7, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
+        PolicyFixture.Act sent = recorder.of("send").get(i);
         one.outcome(100 + i * 0.7 + elapsed, fetched(sent, Outcome.Result.OK, elapsed, 0.1));
       }
       for (int i = 0; i < 3; i++) {
-        one.request(128, Rig.request("b" + i, "burst" + i, "safe", 1));
+        one.request(128, PolicyFixture.request("b" + i, "burst" + i, "safe", 1));
       }
       assertEquals(elapsed > 0.5 ? 1 : 3, recorder.of("send").size() - 40, "after " + elapsed);
     }
@@ -494,16 +498,17 @@
 
   @Test
   void noRetriesWhileFetchesFail() {
-    balancer.membership(100, Rig.fleet(10));
+    balancer.membership(100, PolicyFixture.fleet(10));
     for (int i = 0; i < 40; i++) {
-      balancer.request(100 + i * 0.3, Rig.request("f" + i, "fresh" + i, "safe", 1));
+      balancer.request(100 + i * 0.3, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
       int sends;
       int attempt = 0;
       do {
         sends = actions.of("send").size();
-        Rig.Act last = actions.of("send").get(sends - 1);
+        PolicyFixture.Act last = actions.of("send").get(sends - 1);
         balancer.outcome(
-            100 + i * 0.3, Rig.outcome(last.id(), attempt++, last.number(), Outcome.Result.ERROR));
+            100 + i * 0.3,
+            PolicyFixture.outcome(last.id(), attempt++, last.number(), Outcome.Result.ERROR));
       } while (actions.of("send").size() > sends);
     }
     assertTrue(actions.of("send").size() <= 43, "sends: " + actions.of("send").size());
@@ -511,12 +516,12 @@
 
   @Test
   void reportsThatComeWithFetchesTellOfFullCores() {
-    balancer.membership(100, Rig.fleet(3));
+    balancer.membership(100, PolicyFixture.fleet(3));
     TreeMap<Long, Integer> late = new TreeMap<>();
     for (int i = 0; i < 900; i++) {
       double now = 100 + i * 0.02;
-      balancer.request(now, Rig.request("f" + i, "fresh" + i, "safe", 1));
-      Rig.Act sent = actions.of("send").get(i);
+      balancer.request(now, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
+      PolicyFixture.Act sent = actions.of("send").get(i);
       balancer.outcome(now, fetched(sent, Outcome.Result.OK, 0.01, sent.number() == 1 ? 1 : 0.2));
       if (i > 450) {
         late.merge(sent.number(), 1, Integer::sum);
@@ -527,13 +532,13 @@
 
   @Test
   void whereCrossingIsPricedWritesStayInTheZone() {
-    Balancer local = new Balancer(priced(0.1), 1, actions);
-    local.membership(100, Rig.fleet(10));
+    RequestRouter local = new RequestRouter(priced(0.1), 1, actions);
+    local.membership(100, PolicyFixture.fleet(10));
     for (int i = 0; i < 10; i++) {
-      local.request(100, Rig.request("w" + i, "k" + i, "unsafe", 1));
+      local.request(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
     }
     Map<Boolean, Integer> inZone = new TreeMap<>();
-    for (Rig.Act act : actions.of("send")) {
+    for (PolicyFixture.Act act : actions.of("send")) {
       inZone.merge(act.number() % 2 == 0, 1, Integer::sum);
     }
     assertTrue(inZone.get(true) >= 9, "in the own zone: " + inZone);
@@ -543,7 +548,7 @@
   void nonsenseFiguresNeitherBreakNorEmptyTheChoice() {
     balancer.membership(
         100,
-        Rig.list(
+        PolicyFixture.list(
             MembershipUpdate.Kind.FULL,
             List.of(
                 new ServerEntry(1, "", "", -1, ServerEntry.State.READY, -5, -1),
@@ -552,7 +557,7 @@
       Request request =
           new Request("n" + i, i % 2 == 0 ? null : "k", "nobody", null, 1, -1, -1, true, false);
       balancer.request(100 + i, request);
-      Rig.Act last = actions.acts.get(actions.acts.size() - 1);
+      PolicyFixture.Act last = actions.acts.get(actions.acts.size() - 1);
       assertEquals("send", last.what());
       double odd = i % 3 == 0 ? Double.NaN : i % 3 == 1 ? -7 : 1e18;
       balancer.outcome(
@@ -571,20 +576,21 @@
 
   @Test
   void aHungServerIsBlamedForItsTimeOuts() {
-    Balancer single = new Balancer(Rig.settings(false, 1, true), 1, actions);
-    single.membership(100, Rig.fleet(2));
+    RequestRouter single = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, actions);
+    single.membership(100, PolicyFixture.fleet(2));
     TreeMap<Long, Integer> late = new TreeMap<>();
     for (int i = 0; i < 600; i++) {
       double now = 100 + i * 0.02;
       String id = "q" + i;
-      single.request(now, Rig.request(id, "fresh" + i, "safe", 1));
-      Rig.Act last = actions.acts.get(actions.acts.size() - 1);
+      single.request(now, PolicyFixture.request(id, "fresh" + i, "safe", 1));
+      PolicyFixture.Act last = actions.acts.get(actions.acts.size() - 1);
       if (last.what().equals("send")) {
         // Server 1 hangs one in eight: too few failures to be the origin's.
         boolean hangs = last.number() == 1 && i % 8 == 0;
         single.outcome(
             now,
-            Rig.outcome(id, 0, last.number(), hangs ? Outcome.Result.TIMEOUT : Outcome.Result.OK));
+            PolicyFixture.outcome(
+                id, 0, last.number(), hangs ? Outcome.Result.TIMEOUT : Outcome.Result.OK));
         if (i > 200) {
           late.merge(last.number(), 1, Integer::sum);
         }
@@ -595,8 +601,8 @@
 
   @Test
   void clientsThatLeaveAreNotAnsweredAndTheirAttemptsAreCalledOff() {
-    balancer.membership(100, Rig.fleet(3));
-    balancer.request(100, Rig.request("gone", "k", "safe", 1));
+    balancer.membership(100, PolicyFixture.fleet(3));
+    balancer.request(100, PolicyFixture.request("gone", "k", "safe", 1));
     balancer.clientGone(100.1, "gone");
     assertEquals(1, actions.of("cancel").size());
     long token = actions.of("wake").get(0).number();
--- a/core/src/test/java/shalepaddle/policy/FleetTest.java
+++ b/core/src/test/java/shalepaddle/policy/FleetTest.java
@@ -24,8 +24,8 @@
   /** How many of them start together. */
   private static final int NEW = 36;
 
-  private final List<Balancer> nodes = new ArrayList<>();
-  private final List<Rig.Recorder> actions = new ArrayList<>();
+  private final List<RequestRouter> nodes = new ArrayList<>();
+  private final List<PolicyFixture.Recorder> actions = new ArrayList<>();
   private final Random random = new Random(7);
 
   /** Requests to each server, by its id. */
@@ -39,10 +39,12 @@
   /** Nodes that have served for ten seconds, until 110; what went where is counted from then on. */
   private void startWarm() {
     for (int number = 0; number < NODES; number++) {
-      Rig.Recorder recorder = new Rig.Recorder();
+      PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
       actions.add(recorder);
-      nodes.add(new Balancer(Rig.settings(number, NODES, false, 4, true), number, recorder));
-      nodes.get(number).membership(100, Rig.fleet(SERVERS));
+      nodes.add(
+          new RequestRouter(
+              PolicyFixture.settings(number, NODES, false, 4, true), number, recorder));
+      nodes.get(number).membership(100, PolicyFixture.fleet(SERVERS));
     }
     play(100, 110);
     Arrays.fill(sends, 0);
@@ -57,20 +59,23 @@
       int number = random.nextInt(NODES);
       int key = random.nextInt(3000);
       String id = "r" + serial++;
-      Rig.Recorder recorder = actions.get(number);
+      PolicyFixture.Recorder recorder = actions.get(number);
       recorder.acts.clear();
-      nodes.get(number).request(now, Rig.request(id, "k" + key, "safe", 1));
-      for (Rig.Act act : recorder.of("send")) {
+      nodes.get(number).request(now, PolicyFixture.request(id, "k" + key, "safe", 1));
+      for (PolicyFixture.Act act : recorder.of("send")) {
         sends[(int) act.number()]++;
         homes.computeIfAbsent(key, k -> new HashSet<>()).add(act.number());
-        nodes.get(number).outcome(now, Rig.outcome(id, 0, act.number(), Outcome.Result.OK));
+        nodes
+            .get(number)
+            .outcome(now, PolicyFixture.outcome(id, 0, act.number(), Outcome.Result.OK));
       }
     }
   }
 
   /** These servers have just started anew, and all nodes are told. */
   private void restart(List<ServerEntry> started) {
-    nodes.forEach(node -> node.membership(110, Rig.list(MembershipUpdate.Kind.CHANGES, started)));
+    nodes.forEach(
+        node -> node.membership(110, PolicyFixture.list(MembershipUpdate.Kind.CHANGES, started)));
   }
 
   /**
@@ -82,7 +87,7 @@
     startWarm();
     List<ServerEntry> started = new ArrayList<>();
     for (long id = 1; id <= NEW; id++) {
-      started.add(Rig.server(id, ServerEntry.State.READY, 110));
+      started.add(PolicyFixture.server(id, ServerEntry.State.READY, 110));
     }
     restart(started);
     play(110, 114);
@@ -107,7 +112,7 @@
   @Test
   void allNodesKeepTheSameKeysAtColdServers() {
     startWarm();
-    restart(List.of(Rig.server(5, ServerEntry.State.READY, 110)));
+    restart(List.of(PolicyFixture.server(5, ServerEntry.State.READY, 110)));
     play(110, 116);
 
     Set<Integer> atHome = new HashSet<>();
--- a/core/src/test/java/shalepaddle/policy/WitnessTest.java
+++ b/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
@@ -8,34 +8,35 @@
 import shalepaddle.model.Outcome.Result;
 
 /** What a balancer learns from attempts that another process of its node has made. */
-class WitnessTest {
+class ObservedAttemptTest {
   private static final int KEYS = 120;
 
-  private final Rig.Recorder actions = new Rig.Recorder();
-  private final Balancer balancer = new Balancer(Rig.settings(false, 4, true), 1, actions);
+  private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
+  private final RequestRouter balancer =
+      new RequestRouter(PolicyFixture.settings(false, 4, true), 1, actions);
   private double now = 100;
   private int attempts;
 
-  WitnessTest() {
-    balancer.membership(now, Rig.fleet(6));
+  ObservedAttemptTest() {
+    balancer.membership(now, PolicyFixture.fleet(6));
   }
 
   /** Another process has had this attempt. */
   private void witness(String key, long server, Result result) {
     String id = "~" + attempts++;
-    balancer.witness(now += 0.003, Rig.request(id, key, "safe", 1), server);
-    Outcome outcome = Rig.outcome(id, 0, server, result);
+    balancer.witness(now += 0.003, PolicyFixture.request(id, key, "safe", 1), server);
+    Outcome outcome = PolicyFixture.outcome(id, 0, server, result);
     balancer.outcome(now += 0.001, outcome);
   }
 
   private long sent(String id, String key) {
     int seen = actions.acts.size();
-    balancer.request(now += 0.004, Rig.request(id, key, "safe", 1));
+    balancer.request(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
     return actions.acts.stream()
         .skip(seen)
         .filter(act -> act.what().equals("send"))
         .findFirst()
-        .map(Rig.Act::number)
+        .map(PolicyFixture.Act::number)
         .orElse(0L);
   }
 
@@ -47,7 +48,7 @@
     assertEquals(0, actions.of("refuse").size() + actions.of("fail").size(), "answers");
     assertEquals(0, actions.of("wake").size(), "timers");
     // A late end of such an attempt, or one told twice, changes nothing.
-    balancer.outcome(now, Rig.outcome("~0", 0, 1, Result.ERROR));
+    balancer.outcome(now, PolicyFixture.outcome("~0", 0, 1, Result.ERROR));
     balancer.timer(now, 2);
     assertEquals(0, actions.of("refuse").size() + actions.of("fail").size(), "answers");
   }
@@ -63,7 +64,8 @@
       String id = "r" + i;
       long server = sent(id, "k" + i);
       tried += server == 3 ? 1 : 0;
-      balancer.outcome(now, Rig.outcome(id, 0, server, server == 3 ? Result.ERROR : Result.OK));
+      balancer.outcome(
+          now, PolicyFixture.outcome(id, 0, server, server == 3 ? Result.ERROR : Result.OK));
     }
     // Half a second of requests holds one trial.
     assertTrue(tried <= 1, tried + " of " + KEYS + " went to the server that errs");
@@ -72,19 +74,20 @@
   /**
    * Asks the one before, whose origin gives nothing out, and tells the next one of each attempt.
    */
-  private void bothLive(Balancer before, Rig.Recorder its, String key, boolean held) {
+  private void bothLive(
+      RequestRouter before, PolicyFixture.Recorder its, String key, boolean held) {
     String id = "~" + attempts++;
     int seen = its.acts.size();
-    Rig.Act sent = null;
-    before.request(now += 0.004, Rig.request(id, key, "safe", 1));
-    for (Rig.Act act : its.acts.subList(seen, its.acts.size())) {
+    PolicyFixture.Act sent = null;
+    before.request(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
+    for (PolicyFixture.Act act : its.acts.subList(seen, its.acts.size())) {
       sent = act.what().equals("send") ? act : sent;
     }
     if (sent != null) {
-      balancer.witness(now, Rig.request(id, key, "safe", 1), sent.number());
+      balancer.witness(now, PolicyFixture.request(id, key, "safe", 1), sent.number());
       Outcome outcome =
           held
-              ? Rig.outcome(id, 0, sent.number(), Result.OK)
+              ? PolicyFixture.outcome(id, 0, sent.number(), Result.OK)
               : new Outcome(id, 0, sent.number(), Result.TIMEOUT, 1, true, Outcome.Note.NONE, null);
       before.outcome(now, outcome);
       balancer.outcome(now, outcome);
@@ -93,9 +96,9 @@
 
   @Test
   void aWindowThatHadShrunkLetsWhatTheCachesHoldPass() {
-    Rig.Recorder its = new Rig.Recorder();
-    Balancer before = new Balancer(Rig.settings(false, 4, true), 1, its);
-    before.membership(now, Rig.fleet(6));
+    PolicyFixture.Recorder its = new PolicyFixture.Recorder();
+    RequestRouter before = new RequestRouter(PolicyFixture.settings(false, 4, true), 1, its);
+    before.membership(now, PolicyFixture.fleet(6));
     for (int i = 0; i < KEYS; i++) {
       bothLive(before, its, "held" + i, true);
     }
@@ -107,7 +110,7 @@
     for (int i = 0; i < KEYS; i++) {
       long server = sent("h" + i, "held" + i);
       hits += server == 0 ? 0 : 1;
-      balancer.outcome(now, Rig.outcome("h" + i, 0, server, Result.OK));
+      balancer.outcome(now, PolicyFixture.outcome("h" + i, 0, server, Result.OK));
       fetches += sent("n" + i, "other" + i) == 0 ? 0 : 1;
     }
     assertTrue(hits > KEYS * 0.9, hits + " of " + KEYS + " reads of what is held were sent");
--- a/core/src/test/java/shalepaddle/policy/FetchesTest.java
+++ b/core/src/test/java/shalepaddle/policy/OriginFetchTest.java
@@ -11,15 +11,16 @@
 import shalepaddle.model.Outcome.Result;
 
 /** Servers that lack room for fetches, and the queue of what waits for the origin. */
-class FetchesTest {
-  private final Rig.Recorder actions = new Rig.Recorder();
-  private final Balancer balancer = new Balancer(Rig.settings(false, 4, true), 1, actions);
+class OriginFetchTest {
+  private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
+  private final RequestRouter balancer =
+      new RequestRouter(PolicyFixture.settings(false, 4, true), 1, actions);
   private double now = 100;
   private int busy;
   private int served;
 
-  FetchesTest() {
-    balancer.membership(now, Rig.fleet(9));
+  OriginFetchTest() {
+    balancer.membership(now, PolicyFixture.fleet(9));
   }
 
   /**
@@ -28,10 +29,10 @@
    */
   private long ask(String id, String key, boolean held, LongPredicate noRoom) {
     int seen = actions.acts.size();
-    balancer.request(now += 0.004, Rig.request(id, key, "safe", 1));
+    balancer.request(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
     int attempt = 0;
     for (int i = seen; i < actions.acts.size(); i++) {
-      Rig.Act act = actions.acts.get(i);
+      PolicyFixture.Act act = actions.acts.get(i);
       if (!act.what().equals("send")) {
         continue;
       }
@@ -40,7 +41,7 @@
       busy += full ? 1 : 0;
       served += full ? 0 : 1;
       balancer.outcome(
-          now, Rig.outcome(id, attempt++, act.number(), full ? Result.FULL : Result.OK));
+          now, PolicyFixture.outcome(id, attempt++, act.number(), full ? Result.FULL : Result.OK));
       if (!full) {
         return act.number();
       }
@@ -84,26 +85,26 @@
   void oneServersLossesAreNotTheOrigins() {
     for (int i = 0; i < 400; i++) {
       String id = "n" + i;
-      balancer.request(now += 0.01, Rig.request(id, "new" + i, "safe", 1));
-      List<Rig.Act> sent = actions.of("send");
-      Rig.Act last = sent.get(sent.size() - 1);
+      balancer.request(now += 0.01, PolicyFixture.request(id, "new" + i, "safe", 1));
+      List<PolicyFixture.Act> sent = actions.of("send");
+      PolicyFixture.Act last = sent.get(sent.size() - 1);
       Result result = last.number() == 1 ? Result.ERROR : Result.OK;
-      balancer.outcome(now, Rig.outcome(id, 0, last.number(), result));
+      balancer.outcome(now, PolicyFixture.outcome(id, 0, last.number(), result));
     }
     for (int i = 0; i < 60; i++) {
-      balancer.request(now, Rig.request("o" + i, "other" + i, "safe", 1));
+      balancer.request(now, PolicyFixture.request("o" + i, "other" + i, "safe", 1));
     }
     assertEquals(60, actions.of("send").stream().filter(a -> a.id().startsWith("o")).count());
   }
 
   @Test
   void aQueueForTheOriginIsShortAndWhoFindsItFullIsRefusedAtOnce() {
-    Balancer once = new Balancer(Rig.settings(false, 1, true), 1, actions);
-    once.membership(now, Rig.fleet(9));
+    RequestRouter once = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, actions);
+    once.membership(now, PolicyFixture.fleet(9));
     for (int i = 0; i < 60; i++) {
       String id = "n" + i;
-      once.request(now += 0.3, Rig.request(id, "new" + i, "safe", 1));
-      List<Rig.Act> sent = actions.of("send");
+      once.request(now += 0.3, PolicyFixture.request(id, "new" + i, "safe", 1));
+      List<PolicyFixture.Act> sent = actions.of("send");
       if (!sent.isEmpty() && sent.get(sent.size() - 1).id().equals(id)) {
         long server = sent.get(sent.size() - 1).number();
         // An error that names a miss: it is the origin's.
@@ -114,7 +115,7 @@
     int before = actions.of("refuse").size() + actions.of("fail").size();
     now += 0.001;
     for (int i = 0; i < 100; i++) {
-      once.request(now, Rig.request("q" + i, "queued" + i, "safe", 1));
+      once.request(now, PolicyFixture.request("q" + i, "queued" + i, "safe", 1));
     }
     int refused = actions.of("refuse").size() + actions.of("fail").size() - before;
     assertTrue(refused >= 90, refused + " of 100 refused at once");
--- a/core/src/test/java/shalepaddle/policy/Rig.java
+++ b/core/src/test/java/shalepaddle/policy/PolicyFixture.java
@@ -9,12 +9,12 @@
 import shalepaddle.model.Settings;
 
 /** Builds small worlds for tests: settings, servers, and a recorder of actions. */
-final class Rig {
+final class PolicyFixture {
   /** One recorded action. */
   record Act(String what, String id, long number, double value) {}
 
   /** Writes every action down. */
-  static class Recorder implements Actions {
+  static class Recorder implements RoutingActions {
     final List<Act> acts = new ArrayList<>();
 
     @Override
@@ -57,7 +57,7 @@
     }
   }
 
-  private Rig() {}
+  private PolicyFixture() {}
 
   static Settings settings(boolean asks, int maxAttempts, boolean parallel) {
     return settings(0, 4, asks, maxAttempts, parallel);
--- a/core/src/test/java/shalepaddle/policy/RuleChecker.java
+++ b/core/src/test/java/shalepaddle/policy/RuleChecker.java
@@ -11,7 +11,7 @@
 import shalepaddle.model.Settings;
 
 /** Watches a balancer's actions and notes every breach of the four rules. */
-final class RuleChecker extends Rig.Recorder {
+final class RuleChecker extends PolicyFixture.Recorder {
   /** An attempt as the world knows it. */
   static final class Attempt {
     final long server;
--- a/core/src/test/java/shalepaddle/policy/RulesTest.java
+++ b/core/src/test/java/shalepaddle/policy/RulesTest.java
@@ -20,22 +20,26 @@
   private static final String[] TYPES = {"safe", "all", "zone", "cell", "unsafe"};
 
   private static void membership(
-      RuleChecker world, Balancer balancer, MembershipUpdate.Kind kind, List<ServerEntry> lines) {
+      RuleChecker world,
+      RequestRouter balancer,
+      MembershipUpdate.Kind kind,
+      List<ServerEntry> lines) {
     for (ServerEntry line : lines) {
       world.servers.put(line.id(), line);
     }
-    balancer.membership(world.now, Rig.list(kind, lines));
+    balancer.membership(world.now, PolicyFixture.list(kind, lines));
   }
 
   private static String play(long seed, boolean parallel, List<String> breaches) {
     Random random = new Random(seed);
-    Settings settings = Rig.settings(random.nextBoolean(), 2 + random.nextInt(4), parallel);
+    Settings settings =
+        PolicyFixture.settings(random.nextBoolean(), 2 + random.nextInt(4), parallel);
     RuleChecker world = new RuleChecker(settings);
     world.now = 100;
-    Balancer balancer = new Balancer(settings, seed, world);
+    RequestRouter balancer = new RequestRouter(settings, seed, world);
     List<ServerEntry> first = new ArrayList<>();
     for (long id = 1; id <= random.nextInt(8); id++) {
-      first.add(Rig.server(id));
+      first.add(PolicyFixture.server(id));
     }
     membership(world, balancer, MembershipUpdate.Kind.REMEMBERED, first);
     TreeMap<Double, List<Long>> timers = new TreeMap<>();
@@ -51,7 +55,7 @@
       if (what < 4) {
         String type = TYPES[random.nextInt(TYPES.length)];
         String key = random.nextInt(9) == 0 ? null : "k" + random.nextInt(40);
-        var request = Rig.request("r" + step, key, type, 0.05 + random.nextDouble());
+        var request = PolicyFixture.request("r" + step, key, type, 0.05 + random.nextDouble());
         world.arrives(request);
         balancer.request(world.now, request);
       } else if (what == 4 && random.nextInt(8) == 0) {
@@ -62,14 +66,14 @@
             world,
             balancer,
             MembershipUpdate.Kind.CHANGES,
-            List.of(Rig.server(id, state, started)));
+            List.of(PolicyFixture.server(id, state, started)));
       } else if (what == 5 && random.nextInt(20) == 0) {
-        balancer.membership(world.now, Rig.list(MembershipUpdate.Kind.FAILED, List.of()));
+        balancer.membership(world.now, PolicyFixture.list(MembershipUpdate.Kind.FAILED, List.of()));
       } else {
         step(world, balancer, random);
       }
       for (; seen < world.acts.size(); seen++) {
-        Rig.Act act = world.acts.get(seen);
+        PolicyFixture.Act act = world.acts.get(seen);
         if (act.what().equals("wake")) {
           timers
               .computeIfAbsent(world.now + Math.max(1e-6, act.value()), t -> new ArrayList<>())
@@ -83,7 +87,7 @@
   }
 
   /** Ends an attempt, or lets a client go. */
-  private static void step(RuleChecker world, Balancer balancer, Random random) {
+  private static void step(RuleChecker world, RequestRouter balancer, Random random) {
     for (RuleChecker.Tracked t : new ArrayList<>(world.requests.values())) {
       for (int i = 0; i < t.attempts.size(); i++) {
         RuleChecker.Attempt a = t.attempts.get(i);
@@ -129,13 +133,13 @@
 
   @Test
   void coldServerGetsNoMoreThanItsBudget() {
-    Settings settings = Rig.settings(false, 4, true);
+    Settings settings = PolicyFixture.settings(false, 4, true);
     RuleChecker world = new RuleChecker(settings);
-    Balancer balancer = new Balancer(settings, 1, world);
+    RequestRouter balancer = new RequestRouter(settings, 1, world);
     world.now = 100;
     List<ServerEntry> fleet = new ArrayList<>();
     for (long id = 1; id <= 8; id++) {
-      fleet.add(Rig.server(id));
+      fleet.add(PolicyFixture.server(id));
     }
     membership(world, balancer, MembershipUpdate.Kind.REMEMBERED, fleet);
     Random random = new Random(4);
@@ -148,9 +152,9 @@
             world,
             balancer,
             MembershipUpdate.Kind.CHANGES,
-            List.of(Rig.server(3, ServerEntry.State.READY, world.now)));
+            List.of(PolicyFixture.server(3, ServerEntry.State.READY, world.now)));
       }
-      var request = Rig.request("r" + i, "k" + random.nextInt(500), "safe", 1);
+      var request = PolicyFixture.request("r" + i, "k" + random.nextInt(500), "safe", 1);
       world.arrives(request);
       balancer.request(world.now, request);
       for (RuleChecker.Tracked t : new ArrayList<>(world.requests.values())) {
@@ -159,7 +163,8 @@
             long server = t.attempts.get(a).server;
             coldSends += i > 2000 && i < 4000 && server == 3 ? 1 : 0;
             world.ends(t.request.id(), a, Outcome.Result.OK);
-            balancer.outcome(world.now, Rig.outcome(t.request.id(), a, server, Outcome.Result.OK));
+            balancer.outcome(
+                world.now, PolicyFixture.outcome(t.request.id(), a, server, Outcome.Result.OK));
           }
         }
       }
@@ -170,18 +175,18 @@
   }
 
   private static RuleChecker planted() {
-    RuleChecker world = new RuleChecker(Rig.settings(false, 3, false));
+    RuleChecker world = new RuleChecker(PolicyFixture.settings(false, 3, false));
     world.now = 100;
-    world.servers.put(1L, Rig.server(1));
-    world.servers.put(2L, Rig.server(2, ServerEntry.State.DRAINING, 0));
-    world.servers.put(3L, Rig.server(3, ServerEntry.State.READY, 99.9));
+    world.servers.put(1L, PolicyFixture.server(1));
+    world.servers.put(2L, PolicyFixture.server(2, ServerEntry.State.DRAINING, 0));
+    world.servers.put(3L, PolicyFixture.server(3, ServerEntry.State.READY, 99.9));
     return world;
   }
 
   @Test
   void checkerCatchesALostRequestAndASecondAnswer() {
     RuleChecker world = planted();
-    world.arrives(Rig.request("x", "k", "safe", 1));
+    world.arrives(PolicyFixture.request("x", "k", "safe", 1));
     world.now += 2;
     world.checkDeadlines();
     world.fail("x");
@@ -192,7 +197,7 @@
   @Test
   void checkerCatchesADoubledEffect() {
     RuleChecker world = planted();
-    world.arrives(Rig.request("x", "k", "unsafe", 1));
+    world.arrives(PolicyFixture.request("x", "k", "unsafe", 1));
     world.send("x", 1, 0);
     world.ends("x", 0, Outcome.Result.TIMEOUT);
     world.send("x", 1, 0);
@@ -205,7 +210,7 @@
   @Test
   void checkerCatchesARepeatThatMayWaitForTooLong() {
     RuleChecker world = planted();
-    world.arrives(Rig.request("x", "k", "all", 3));
+    world.arrives(PolicyFixture.request("x", "k", "all", 3));
     world.send("x", 1, Double.POSITIVE_INFINITY);
     world.ends("x", 0, Outcome.Result.RESET);
     world.now += 0.5;
@@ -223,7 +228,7 @@
   @Test
   void checkerCatchesASendToADrainingServer() {
     RuleChecker world = planted();
-    world.arrives(Rig.request("x", "k", "safe", 1));
+    world.arrives(PolicyFixture.request("x", "k", "safe", 1));
     world.send("x", 2, 0);
     assertEquals(List.of("rule 3: sent to a server that is not ready"), world.breaches);
   }
@@ -233,7 +238,7 @@
     RuleChecker world = planted();
     world.warmRate = 10;
     for (int i = 0; i < 20; i++) {
-      world.arrives(Rig.request("x" + i, "k", "safe", 1));
+      world.arrives(PolicyFixture.request("x" + i, "k", "safe", 1));
       world.send("x" + i, 3, 0);
     }
     assertTrue(world.breaches.contains("rule 4: cold server pushed over"));
--- a/core/src/test/java/shalepaddle/policy/ServerStartsTest.java
+++ b/core/src/test/java/shalepaddle/policy/ServerStartTimesTest.java
@@ -12,18 +12,18 @@
 import shalepaddle.model.ServerEntry;
 
 /** Starts by the stamps of a clock that is off by an hour, either way, or by nothing. */
-class ServerStartsTest {
+class ServerStartTimesTest {
   private static final double WARM_WITHIN = 10;
   private static final double NOW = 100_000;
 
-  private final ServerStarts starts = new ServerStarts(WARM_WITHIN);
+  private final ServerStartTimes starts = new ServerStartTimes(WARM_WITHIN);
   private long version = 1;
 
   /** An update whose servers, by id from 1 on, have these stamps. */
   private void learn(double now, Kind kind, double... stamps) {
     List<ServerEntry> entries = new ArrayList<>();
     for (int i = 0; i < stamps.length; i++) {
-      entries.add(Rig.server(i + 1, ServerEntry.State.READY, stamps[i]));
+      entries.add(PolicyFixture.server(i + 1, ServerEntry.State.READY, stamps[i]));
     }
     starts.learn(now, new MembershipUpdate(kind, version++, entries));
   }
@@ -34,7 +34,7 @@
     double then = NOW + skew - 600;
     learn(NOW, Kind.REMEMBERED, then, then + 1, then + 2, 0);
     for (int id = 1; id <= 4; id++) {
-      assertEquals(ServerStarts.LONG_AGO, starts.of(id));
+      assertEquals(ServerStartTimes.LONG_AGO, starts.of(id));
     }
   }
 
@@ -43,10 +43,10 @@
   void theNewestOfAFirstListMayHaveStartedJustNow(double skew) {
     double then = NOW + skew;
     learn(NOW, Kind.REMEMBERED, then - 600, then - 500, then - 4, then - 1, then - 12);
-    assertEquals(ServerStarts.LONG_AGO, starts.of(1));
+    assertEquals(ServerStartTimes.LONG_AGO, starts.of(1));
     assertEquals(NOW - 3, starts.of(3), "three seconds older than the newest");
     assertEquals(NOW, starts.of(4));
-    assertEquals(ServerStarts.LONG_AGO, starts.of(5), "older than the newest by the warm-up");
+    assertEquals(ServerStartTimes.LONG_AGO, starts.of(5), "older than the newest by the warm-up");
   }
 
   @Test
@@ -62,7 +62,7 @@
     learn(NOW, Kind.FULL, NOW - 600, NOW - 900);
     learn(NOW + 50, Kind.CHANGES, NOW + 49 + step);
     assertEquals(NOW + 50, starts.of(1));
-    assertEquals(ServerStarts.LONG_AGO, starts.of(2));
+    assertEquals(ServerStartTimes.LONG_AGO, starts.of(2));
     learn(NOW + 90, Kind.FULL, NOW + 49 + step, NOW - 900);
     assertEquals(NOW + 50, starts.of(1), "the same start");
   }
@@ -80,7 +80,7 @@
     learn(NOW, Kind.FULL, NOW - 60, NOW - 600);
     version = 4;
     learn(NOW + 1, Kind.FULL, NOW - 900, NOW - 600);
-    assertEquals(ServerStarts.LONG_AGO, starts.of(2));
+    assertEquals(ServerStartTimes.LONG_AGO, starts.of(2));
     version = 6;
     learn(NOW + 2, Kind.FULL, NOW - 60, NOW - 600);
     assertEquals(NOW, starts.of(1), "as the first list had it");
@@ -91,7 +91,7 @@
     learn(NOW, Kind.FULL, NOW - 600, NOW - 900);
     learn(NOW + 10, Kind.FULL);
     learn(NOW + 20, Kind.FULL, NOW - 600, NOW - 900);
-    assertEquals(ServerStarts.LONG_AGO, starts.of(2));
+    assertEquals(ServerStartTimes.LONG_AGO, starts.of(2));
   }
 
   @Test
--- a/core/src/test/java/shalepaddle/policy/SlowStartTest.java
+++ b/core/src/test/java/shalepaddle/policy/SlowStartTest.java
@@ -68,8 +68,8 @@
     }
   }
 
-  private final List<Balancer> nodes = new ArrayList<>();
-  private final List<Rig.Recorder> actions = new ArrayList<>();
+  private final List<RequestRouter> nodes = new ArrayList<>();
+  private final List<PolicyFixture.Recorder> actions = new ArrayList<>();
   private final Map<Long, Double> startedAt = new HashMap<>();
   private final Map<Long, ArrayDeque<Double>> recent = new HashMap<>();
   private final Random random = new Random(11);
@@ -102,10 +102,12 @@
   void aServerInSlowStartIsSentWhatTheContractAllows(
       int size, double rate, Start start, Load load) {
     for (int number = 0; number < size; number++) {
-      Rig.Recorder recorder = new Rig.Recorder();
+      PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
       actions.add(recorder);
-      nodes.add(new Balancer(Rig.settings(number, size, false, 4, true), number, recorder));
-      nodes.get(number).membership(100, Rig.fleet(SERVERS));
+      nodes.add(
+          new RequestRouter(
+              PolicyFixture.settings(number, size, false, 4, true), number, recorder));
+      nodes.get(number).membership(100, PolicyFixture.fleet(SERVERS));
     }
     play(100, START, rate, Load.EVEN);
     for (int i = 0; i < start.servers; i++) {
@@ -115,9 +117,11 @@
       }
       long id = i + 1;
       startedAt.put(id, at);
-      ServerEntry entry = Rig.server(id, ServerEntry.State.READY, at);
+      ServerEntry entry = PolicyFixture.server(id, ServerEntry.State.READY, at);
       nodes.forEach(
-          node -> node.membership(at, Rig.list(MembershipUpdate.Kind.CHANGES, List.of(entry))));
+          node ->
+              node.membership(
+                  at, PolicyFixture.list(MembershipUpdate.Kind.CHANGES, List.of(entry))));
     }
     play(START + (start.servers - 1) * start.apart, END, rate, load);
     assertTrue(worstExcess <= 0, worst);
@@ -129,12 +133,14 @@
       int number = random.nextInt(nodes.size());
       String id = "r" + serial++;
       int key = random.nextDouble() < load.hotShare ? HOT_KEY : random.nextInt(KEYS);
-      Rig.Recorder recorder = actions.get(number);
+      PolicyFixture.Recorder recorder = actions.get(number);
       recorder.acts.clear();
-      nodes.get(number).request(now, Rig.request(id, "k" + key, "safe", 1));
-      for (Rig.Act act : recorder.of("send")) {
+      nodes.get(number).request(now, PolicyFixture.request(id, "k" + key, "safe", 1));
+      for (PolicyFixture.Act act : recorder.of("send")) {
         sent(now, act.number(), rate);
-        nodes.get(number).outcome(now, Rig.outcome(id, 0, act.number(), Outcome.Result.OK));
+        nodes
+            .get(number)
+            .outcome(now, PolicyFixture.outcome(id, 0, act.number(), Outcome.Result.OK));
       }
     }
   }
@@ -144,7 +150,7 @@
     if (started == null) {
       return;
     }
-    var contract = Rig.settings(0, 1, false, 4, true).contract();
+    var contract = PolicyFixture.settings(0, 1, false, 4, true).contract();
     double window = contract.overloadFor();
     ArrayDeque<Double> sends = recent.computeIfAbsent(server, id -> new ArrayDeque<>());
     sends.addLast(now);
--- a/daemon/src/test/java/shalepaddle/daemon/ArchitectureTest.java
+++ b/daemon/src/test/java/shalepaddle/daemon/ArchitectureTest.java
@@ -27,9 +27,9 @@
     "shalepaddle.model..",
     "shalepaddle.policy..",
     "shalepaddle.overload..",
-    "shalepaddle.joining..",
-    "shalepaddle.promises..",
-    "shalepaddle.feed.."
+    "shalepaddle.coalescing..",
+    "shalepaddle.replicatedstate..",
+    "shalepaddle.changefeed.."
   };
 
   private static final String[] DECISIONS_AND_JAVA =
@@ -124,14 +124,20 @@
           entry("loop", List.of("sockets")),
           entry("sockets", List.of()),
           entry("membership", List.of("loop", "model", "settings", "sockets")),
-          entry("config", List.of("joining", "membership", "model", "overload", "settings")),
+          entry("config", List.of("coalescing", "membership", "model", "overload", "settings")),
           entry("diagnostics", List.of()),
           entry(
               "engine",
               List.of(
-                  "diagnostics", "joining", "loop", "membership", "model", "overload", "policy")),
-          entry("management", List.of("diagnostics", "engine", "sockets")),
-          entry("handover", List.of("membership", "model", "settings")),
+                  "diagnostics",
+                  "coalescing",
+                  "loop",
+                  "membership",
+                  "model",
+                  "overload",
+                  "policy")),
+          entry("admin", List.of("diagnostics", "engine", "sockets")),
+          entry("hotrestart", List.of("membership", "model", "settings")),
           entry("upstream", List.of("engine", "loop", "membership", "model", "sockets")),
           entry("front", List.of("diagnostics", "engine", "loop", "model", "overload", "sockets")),
           entry("codec", List.of("engine", "front", "upstream", "model")));
@@ -143,14 +149,14 @@
             "model",
             "policy",
             "overload",
-            "joining",
+            "coalescing",
             "settings",
             "sim",
             "daemon",
             "node",
-            "management",
+            "admin",
             "diagnostics",
-            "handover",
+            "hotrestart",
             "loop",
             "sockets",
             "membership",
--- a/daemon/src/test/java/shalepaddle/daemon/Callers.java
+++ b/daemon/src/test/java/shalepaddle/daemon/ClosedLoopClients.java
@@ -25,7 +25,7 @@
  * its own. A connection that ends while they rest is replaced; one that ends after a request was
  * written whole to it has lost that request, unless the two crossed on the way.
  */
-final class Callers implements Closeable {
+final class ClosedLoopClients implements Closeable {
   /** By the protocol a request that crosses the end of its connection is sent once more. */
   private static final long CROSSED_NANOS = 2_000_000;
 
@@ -49,7 +49,7 @@
   private volatile boolean leave;
 
   /** So many clients that send so many requests together. */
-  Callers(InetSocketAddress address, int clients, int requests) {
+  ClosedLoopClients(InetSocketAddress address, int clients, int requests) {
     this.address = address;
     left = new AtomicInteger(requests);
     running = new CountDownLatch(clients);
--- a/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
@@ -15,16 +15,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import shalepaddle.daemon.FaultyCalls.Errno;
+import shalepaddle.testkit.EffectLog;
 import shalepaddle.testkit.Fault;
-import shalepaddle.testkit.Ledger;
-import shalepaddle.testkit.RudeClients;
+import shalepaddle.testkit.LoopbackTransport;
+import shalepaddle.testkit.MisbehavingClients;
 import shalepaddle.testkit.ServerModel;
 import shalepaddle.testkit.StandInClients;
 import shalepaddle.testkit.StandInDiscovery;
 import shalepaddle.testkit.StandInOrigin;
 import shalepaddle.testkit.StandInServer;
 import shalepaddle.testkit.Traffic;
-import shalepaddle.testkit.Wire;
 
 /**
  * A fleet of real node processes under faults that are drawn from a seed and overlap in time. What
@@ -126,13 +126,13 @@
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
-  private final Wire wire = Wire.sockets(loop);
-  private final Ledger ledger = new Ledger();
+  private final LoopbackTransport wire = LoopbackTransport.sockets(loop);
+  private final EffectLog ledger = new EffectLog();
   private final StandInOrigin origin;
   private final List<StandInServer> servers = new ArrayList<>();
   private final StandInDiscovery discovery = new StandInDiscovery(wire);
   private final StandInClients clients;
-  private final RudeClients rude;
+  private final MisbehavingClients rude;
   private final List<NodeProcess> nodes = new ArrayList<>();
   private final List<String> violations = new ArrayList<>();
   private final Map<Trouble, Integer> played = new LinkedHashMap<>();
@@ -148,7 +148,7 @@
     this.folder = folder;
     this.library = FaultyCalls.build(folder);
     this.origin = new StandInOrigin(wire, seed, 16, 0.02);
-    this.rude = new RudeClients(wire, seed);
+    this.rude = new MisbehavingClients(wire, seed);
     this.clients =
         new StandInClients(
             wire,
--- a/daemon/src/test/java/shalepaddle/daemon/IgnoredHangupIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/IgnoredReloadSignalIT.java
@@ -16,7 +16,7 @@
 
 /** A process that was started with SIGHUP ignored can't take a configuration, and says so. */
 @Timeout(60)
-class IgnoredHangupIT {
+class IgnoredReloadSignalIT {
   @TempDir private Path folder;
 
   @Test
--- a/daemon/src/test/java/shalepaddle/daemon/JarIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/JarIT.java
@@ -102,9 +102,10 @@
     }
     assertTrue(process.waitFor(60, TimeUnit.SECONDS));
     List<String> loaded = Files.readAllLines(classes);
-    assertTrue(loaded.stream().anyMatch(line -> line.contains(" shalepaddle.policy.Balancer ")));
+    assertTrue(
+        loaded.stream().anyMatch(line -> line.contains(" shalepaddle.policy.RequestRouter ")));
     // What is for groups is off in a node.
-    List<String> parts = List.of(" shalepaddle.feed.", " shalepaddle.promises.");
+    List<String> parts = List.of(" shalepaddle.changefeed.", " shalepaddle.replicatedstate.");
     assertEquals(
         List.of(),
         loaded.stream().filter(line -> parts.stream().anyMatch(line::contains)).toList());
--- a/daemon/src/test/java/shalepaddle/daemon/PauseIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/ProcessStallIT.java
@@ -17,7 +17,7 @@
  * others, while clients ask and rest on connections that they keep.
  */
 @Timeout(120)
-class PauseIT {
+class ProcessStallIT {
   private static final int CLIENTS = 180;
 
   @TempDir private Path folder;
@@ -27,7 +27,7 @@
   void losesNothingInPausesOfOneLength(int millis) throws Exception {
     try (Fleet fleet = new Fleet(4);
         StoppableNode node = new StoppableNode(folder, fleet, 512);
-        Callers callers = new Callers(node.address(), CLIENTS, 900)) {
+        ClosedLoopClients callers = new ClosedLoopClients(node.address(), CLIENTS, 900)) {
       // Also within the first second.
       int run = 1000 - Math.min(700, millis);
       while (!callers.await(run)) {
@@ -41,7 +41,7 @@
   void losesNothingWhereItRunsForATenthOfTheTime() throws Exception {
     try (Fleet fleet = new Fleet(4);
         StoppableNode node = new StoppableNode(folder, fleet, 512);
-        Callers callers = new Callers(node.address(), 60, 120)) {
+        ClosedLoopClients callers = new ClosedLoopClients(node.address(), 60, 120)) {
       while (!callers.await(10)) {
         node.stopFor(90);
       }
@@ -54,7 +54,7 @@
   void leavesNoServerOutAfterAPause() throws Exception {
     try (Fleet fleet = new Fleet(4);
         StoppableNode node = new StoppableNode(folder, fleet, 512)) {
-      try (Callers callers = new Callers(node.address(), 60, 300)) {
+      try (ClosedLoopClients callers = new ClosedLoopClients(node.address(), 60, 300)) {
         callers.await(500);
         node.stopFor(1000);
         fleet.resetCounts();
@@ -73,7 +73,7 @@
   void losesNothingWhereServersCloseTheirConnectionsInAPause() throws Exception {
     try (Fleet fleet = new Fleet(4);
         StoppableNode node = new StoppableNode(folder, fleet, 512);
-        Callers callers = new Callers(node.address(), 60, 200)) {
+        ClosedLoopClients callers = new ClosedLoopClients(node.address(), 60, 200)) {
       while (!callers.await(500)) {
         node.stop();
         TimeUnit.MILLISECONDS.sleep(150);
@@ -93,7 +93,7 @@
   void losesNothingInReloadsWithPauses() throws Exception {
     try (Fleet fleet = new Fleet(4);
         StoppableNode node = new StoppableNode(folder, fleet, 512);
-        Callers callers = new Callers(node.address(), 60, 200)) {
+        ClosedLoopClients callers = new ClosedLoopClients(node.address(), 60, 200)) {
       SplittableRandom random = new SplittableRandom(3);
       while (!callers.await(200 + random.nextInt(400))) {
         if (random.nextBoolean()) {
@@ -120,7 +120,7 @@
   void answersAllItTookWhereItsDrainFallsIntoAPause(int after, int millis) throws Exception {
     try (Fleet fleet = new Fleet(4);
         StoppableNode node = new StoppableNode(folder, fleet, 512);
-        Callers callers = new Callers(node.address(), 60, 1_000_000)) {
+        ClosedLoopClients callers = new ClosedLoopClients(node.address(), 60, 1_000_000)) {
       callers.await(500);
       callers.leaveWhenRefused();
       node.terminate();
--- a/daemon/src/test/java/shalepaddle/daemon/UpgradeIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/UpgradeIT.java
@@ -101,7 +101,7 @@
     try (Platform platform = new Platform();
         Fleet fleet = new Fleet(4, PLACES, 50)) {
       Node node = start(platform, fleet).awaitReady();
-      try (Callers callers = new Callers(platform.address(), 60, 1_000_000)) {
+      try (ClosedLoopClients callers = new ClosedLoopClients(platform.address(), 60, 1_000_000)) {
         callers.await(300);
         long most = 0;
         long mostEnding = 0;
@@ -139,7 +139,7 @@
     try (Platform platform = new Platform();
         Fleet fleet = new Fleet(4)) {
       Node node = start(platform, fleet).awaitReady();
-      try (Callers callers = new Callers(platform.address(), 60, 1_000_000)) {
+      try (ClosedLoopClients callers = new ClosedLoopClients(platform.address(), 60, 1_000_000)) {
         Node wrong = start(platform, fleet, Map.of("ROUTER_LISTEN_FD", "7"));
         assertTrue(wrong.process().awaitEnd(20_000));
         assertTrue(log(1).contains("ROUTER_LISTEN_FD names descriptor '7'"), log(1));
--- a/engine/src/main/java/shalepaddle/management/Operated.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminOperations.java
@@ -1,9 +1,9 @@
-package shalepaddle.management;
+package shalepaddle.admin;
 
 import java.util.function.Consumer;
 
 /** What a door leads to. All methods may be called from any thread, and return at once. */
-public interface Operated {
+public interface AdminOperations {
   /** What became of a command. */
   enum Result {
     /** It holds from now on. */
--- a/engine/src/main/java/shalepaddle/management/DoorCall.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminRequestHandler.java
@@ -1,4 +1,4 @@
-package shalepaddle.management;
+package shalepaddle.admin;
 
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.ChannelFutureListener;
@@ -20,19 +20,19 @@
 import java.util.concurrent.TimeUnit;
 
 /** One caller's one call, and its answer. Runs on the door's thread. */
-final class DoorCall extends SimpleChannelInboundHandler<HttpObject> {
+final class AdminRequestHandler extends SimpleChannelInboundHandler<HttpObject> {
   /** No call needs a body; one that is longer is turned down before it has come. */
   private static final int MAX_BODY = 4096;
 
   private static final int MAX_MEMBER = 256;
 
-  private final Door door;
-  private final Operated operated;
+  private final AdminServer door;
+  private final AdminOperations operated;
   private HttpRequest request;
   private int body;
   private boolean answered;
 
-  DoorCall(Door door, Operated operated) {
+  AdminRequestHandler(AdminServer door, AdminOperations operated) {
     this.door = door;
     this.operated = operated;
   }
@@ -83,7 +83,7 @@
       }
       case "/api/telemetry" -> {
         if (takes(ctx, HttpMethod.GET)) {
-          answer(ctx, HttpResponseStatus.OK, Exposition.of(operated.telemetry()));
+          answer(ctx, HttpResponseStatus.OK, PrometheusExposition.of(operated.telemetry()));
         }
       }
       case "/api/exclude" -> exclude(ctx, members, true);
@@ -110,7 +110,7 @@
       return;
     }
     String member = members.get(0);
-    Operated.Revocable command =
+    AdminOperations.Revocable command =
         operated.exclude(member, out, result -> ctx.executor().execute(() -> tell(ctx, result)));
     ctx.executor()
         .schedule(
@@ -119,11 +119,11 @@
                 answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "too busy: nothing was done\n");
               }
             },
-            Door.COMMAND_MILLIS,
+            AdminServer.COMMAND_MILLIS,
             TimeUnit.MILLISECONDS);
   }
 
-  private void tell(ChannelHandlerContext ctx, Operated.Result result) {
+  private void tell(ChannelHandlerContext ctx, AdminOperations.Result result) {
     switch (result) {
       case DONE -> answer(ctx, HttpResponseStatus.OK, "done\n");
       case UNKNOWN_MEMBER -> answer(ctx, HttpResponseStatus.NOT_FOUND, "no such member\n");
@@ -147,7 +147,7 @@
             HttpVersion.HTTP_1_1, status, ByteBufUtil.writeUtf8(ctx.alloc(), text));
     response
         .headers()
-        .set(HttpHeaderNames.CONTENT_TYPE, Exposition.CONTENT_TYPE)
+        .set(HttpHeaderNames.CONTENT_TYPE, PrometheusExposition.CONTENT_TYPE)
         .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
         .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     if (allowed != null) {
--- a/engine/src/main/java/shalepaddle/management/Door.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package shalepaddle.management;
+package shalepaddle.admin;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBufAllocator;
@@ -26,7 +26,7 @@
  * whole call gives way to a new one. Could do harm where more than {@link #MOST_CALLERS} honest
  * callers are halfway through a call at once.
  */
-public final class Door implements AutoCloseable {
+public final class AdminServer implements AutoCloseable {
   static final int MOST_CALLERS = 16;
 
   /** How long a caller has for its whole call, and then for reading the answer. */
@@ -40,7 +40,7 @@
   private static final int MAX_CHUNK = 4096;
 
   private final MultiThreadIoEventLoopGroup group;
-  private final Operated operated;
+  private final AdminOperations operated;
   private final Channel listener;
 
   /** Callers with no whole call, longest first, and those that get their answer. */
@@ -53,7 +53,8 @@
    *
    * @throws IOException if it can not listen there, with the address
    */
-  public Door(InetSocketAddress address, ByteBufAllocator allocator, Operated operated)
+  public AdminServer(
+      InetSocketAddress address, ByteBufAllocator allocator, AdminOperations operated)
       throws IOException, InterruptedException {
     this.operated = operated;
     group =
@@ -106,7 +107,9 @@
             });
     caller
         .pipeline()
-        .addLast(new HttpServerCodec(MAX_LINE, MAX_HEAD, MAX_CHUNK), new DoorCall(this, operated));
+        .addLast(
+            new HttpServerCodec(MAX_LINE, MAX_HEAD, MAX_CHUNK),
+            new AdminRequestHandler(this, operated));
     caller.eventLoop().schedule(() -> caller.close(), CALL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
--- a/engine/src/main/java/shalepaddle/management/Exposition.java
+++ b/engine/src/main/java/shalepaddle/admin/PrometheusExposition.java
@@ -1,24 +1,24 @@
-package shalepaddle.management;
+package shalepaddle.admin;
 
 import shalepaddle.diagnostics.Event;
 import shalepaddle.diagnostics.EventCounts;
-import shalepaddle.engine.FiguresReading;
+import shalepaddle.engine.RequestMetricsSnapshot;
 
 /** Writes figures in Prometheus' text format, version 0.0.4. */
-final class Exposition {
+final class PrometheusExposition {
   static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
   private static final String PREFIX = "app_";
 
   private final StringBuilder text = new StringBuilder(1024);
 
-  private Exposition() {}
+  private PrometheusExposition() {}
 
   static String of(Telemetry telemetry) {
-    Exposition page = new Exposition();
-    FiguresReading figures = telemetry.figures();
+    PrometheusExposition page = new PrometheusExposition();
+    RequestMetricsSnapshot figures = telemetry.figures();
     page.type("results", "counter", "Requests ended, by class and disposition.");
-    for (FiguresReading.Results results : figures.results()) {
+    for (RequestMetricsSnapshot.Results results : figures.results()) {
       page.result(results.service(), "succeeded", results.succeeded());
       page.result(results.service(), "declined", results.declined());
       page.result(results.service(), "aborted", results.aborted());
--- a/engine/src/main/java/shalepaddle/management/Telemetry.java
+++ b/engine/src/main/java/shalepaddle/admin/Telemetry.java
@@ -1,7 +1,7 @@
-package shalepaddle.management;
+package shalepaddle.admin;
 
 import shalepaddle.diagnostics.EventCounts;
-import shalepaddle.engine.FiguresReading;
+import shalepaddle.engine.RequestMetricsSnapshot;
 
 /**
  * What operators see of one process, at one moment.
@@ -14,7 +14,7 @@
  * @param hangupsRejected those that were turned down
  */
 public record Telemetry(
-    FiguresReading figures,
+    RequestMetricsSnapshot figures,
     EventCounts events,
     int discovered,
     int ejected,
--- a/engine/src/main/java/shalepaddle/management/package-info.java
+++ b/engine/src/main/java/shalepaddle/admin/package-info.java
@@ -3,4 +3,4 @@
  * and hands commands to it; it never touches the loop's state, and never waits for it without a
  * bound.
  */
-package shalepaddle.management;
+package shalepaddle.admin;
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaClientCodec.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaClientCodec.java
@@ -5,14 +5,14 @@
 import shalepaddle.engine.MemoryBudget;
 import shalepaddle.engine.Reply;
 import shalepaddle.front.ClientCodec;
-import shalepaddle.front.Gate;
+import shalepaddle.front.RequestAdmission;
 import shalepaddle.model.Settings;
 
 /** The meta protocol, as clients speak it. */
 public final class MetaClientCodec implements ClientCodec {
   private final MemoryBudget values;
-  private final Vocabulary names;
-  private final Gate gate;
+  private final RequestNames names;
+  private final RequestAdmission gate;
 
   /**
    * The codec of one front.
@@ -22,9 +22,9 @@
    *     edge
    * @param gate is asked about each request
    */
-  public MetaClientCodec(MemoryBudget values, Settings settings, Gate gate) {
+  public MetaClientCodec(MemoryBudget values, Settings settings, RequestAdmission gate) {
     this.values = values;
-    this.names = new Vocabulary(settings);
+    this.names = new RequestNames(settings);
     this.gate = gate;
   }
 
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaCommandDecoder.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaCommandDecoder.java
@@ -8,7 +8,7 @@
 import shalepaddle.front.ClientCodec;
 import shalepaddle.front.ClientCommand;
 import shalepaddle.front.ClientCommand.Refused;
-import shalepaddle.front.Gate;
+import shalepaddle.front.RequestAdmission;
 import shalepaddle.model.Request;
 
 /** Reads commands off a client's connection, however its bytes are cut. */
@@ -24,10 +24,10 @@
   private final MemoryBudget budget;
 
   /** The classes that there are. Guards cache servers against what they would turn away. */
-  private final Vocabulary names;
+  private final RequestNames names;
 
-  private final Gate gate;
-  private final MetaGlance glance;
+  private final RequestAdmission gate;
+  private final MetaLinePeek glance;
 
   /** The write whose value is being read, and how many bytes with its CRLF are still to come. */
   private ClientCommand write;
@@ -41,11 +41,11 @@
   /** Whether the gate has admitted the line that is read next. */
   private boolean asked;
 
-  MetaCommandDecoder(MemoryBudget budget, Vocabulary names, Gate gate) {
+  MetaCommandDecoder(MemoryBudget budget, RequestNames names, RequestAdmission gate) {
     this.budget = budget;
     this.names = names;
     this.gate = gate;
-    this.glance = new MetaGlance(names);
+    this.glance = new MetaLinePeek(names);
   }
 
   /** Whether a command has begun and not ended. */
@@ -120,11 +120,11 @@
         break;
       }
       long verdict = gate.ask(glance.serviceClass, glance.tenant, glance.subject, glance.repeat);
-      if (verdict == Gate.ADMITTED) {
+      if (verdict == RequestAdmission.ADMITTED) {
         asked = true;
         break;
       }
-      long advice = verdict & ~Gate.REPEAT;
+      long advice = verdict & ~RequestAdmission.REPEAT;
       int repeat = verdict == advice ? 0 : 1;
       in.skipBytes(newline + 1);
       if (glance.length < 0) {
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaGlance.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaLinePeek.java
@@ -10,8 +10,8 @@
  * <p>A line of which this cannot tell the class is left to the decoder, which says what is wrong
  * with it.
  */
-final class MetaGlance {
-  private final Vocabulary names;
+final class MetaLinePeek {
+  private final RequestNames names;
 
   /** What the last line said; -1 for a class or tenant that is not known, or not named. */
   int serviceClass;
@@ -23,7 +23,7 @@
   /** Bytes of the value that follows, -1 where none does. */
   int length;
 
-  MetaGlance(Vocabulary names) {
+  MetaLinePeek(RequestNames names) {
     this.names = names;
   }
 
--- a/engine/src/main/java/shalepaddle/codec/meta/Names.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/NameTable.java
@@ -6,10 +6,10 @@
 import java.util.List;
 
 /** Known names by their place in a list, found by their bytes: no string is made to look one up. */
-final class Names {
+final class NameTable {
   private final byte[][] names;
 
-  Names(List<String> names) {
+  NameTable(List<String> names) {
     this.names =
         names.stream()
             .map(name -> name.getBytes(StandardCharsets.ISO_8859_1))
--- a/engine/src/main/java/shalepaddle/codec/meta/Vocabulary.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/RequestNames.java
@@ -8,9 +8,9 @@
  * The names of classes and tenants that requests may bear, for all connections of one front. A name
  * has its place in the settings; classes that were dropped a moment ago stand behind the last.
  */
-final class Vocabulary {
-  private Names classes;
-  private Names tenants;
+final class RequestNames {
+  private NameTable classes;
+  private NameTable tenants;
   private List<String> current;
 
   /** Those that were dropped, and until when they are still taken. */
@@ -18,16 +18,16 @@
 
   private long droppedUntil;
 
-  Vocabulary(Settings settings) {
+  RequestNames(Settings settings) {
     take(settings);
   }
 
   private void take(Settings settings) {
     current = settings.services().stream().map(Settings.ServiceClass::name).toList();
-    tenants = new Names(settings.tenants().stream().map(Settings.Tenant::name).toList());
+    tenants = new NameTable(settings.tenants().stream().map(Settings.Tenant::name).toList());
     List<String> all = new ArrayList<>(current);
     all.addAll(dropped);
-    classes = new Names(all);
+    classes = new NameTable(all);
   }
 
   /**
@@ -49,15 +49,15 @@
   void forget(long now) {
     if (!dropped.isEmpty() && now - droppedUntil >= 0) {
       dropped = List.of();
-      classes = new Names(current);
+      classes = new NameTable(current);
     }
   }
 
-  Names classes() {
+  NameTable classes() {
     return classes;
   }
 
-  Names tenants() {
+  NameTable tenants() {
     return tenants;
   }
 }
--- a/engine/src/main/java/shalepaddle/config/OperatorFile.java
+++ b/engine/src/main/java/shalepaddle/config/OperatorFile.java
@@ -11,8 +11,8 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.regex.Pattern;
-import shalepaddle.joining.JoiningTuning;
-import shalepaddle.overload.Tuning;
+import shalepaddle.coalescing.CoalescingConfig;
+import shalepaddle.overload.OverloadConfig;
 import shalepaddle.settings.FormatException;
 
 /**
@@ -23,9 +23,10 @@
  * @param overload the figures of shedding
  * @param joining whether and how like reads share an answer
  */
-public record OperatorFile(Tuning overload, JoiningTuning joining) {
+public record OperatorFile(OverloadConfig overload, CoalescingConfig joining) {
   /** Without a file. */
-  public static final OperatorFile USUAL = new OperatorFile(Tuning.USUAL, JoiningTuning.OFF);
+  public static final OperatorFile USUAL =
+      new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.OFF);
 
   private static final List<String> TABLES = List.of("overload", "joining");
 
@@ -76,9 +77,9 @@
     }
   }
 
-  private static Tuning overload(Reader reader, JsonNode table) throws FormatException {
-    Tuning usual = Tuning.USUAL;
-    return new Tuning(
+  private static OverloadConfig overload(Reader reader, JsonNode table) throws FormatException {
+    OverloadConfig usual = OverloadConfig.USUAL;
+    return new OverloadConfig(
         reader.flag(table, "shed", usual.sheds()),
         reader.number(table, "target_ms", usual.target() * 1e3) / 1e3,
         reader.number(table, "learn", usual.learn()),
@@ -87,9 +88,9 @@
         reader.number(table, "advice_ms", usual.advice() * 1e3) / 1e3);
   }
 
-  private static JoiningTuning joining(Reader reader, JsonNode table) throws FormatException {
-    JoiningTuning usual = JoiningTuning.OFF;
-    return new JoiningTuning(
+  private static CoalescingConfig joining(Reader reader, JsonNode table) throws FormatException {
+    CoalescingConfig usual = CoalescingConfig.OFF;
+    return new CoalescingConfig(
         reader.flag(table, "join", usual.joins()),
         reader.flag(table, "across_tenants", usual.acrossTenants()),
         reader.whole(table, "callers", usual.callers()),
