--- a/engine/src/main/java/shalepaddle/engine/JoinedReads.java
+++ b/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
@@ -6,30 +6,31 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import shalepaddle.joining.Caller;
-import shalepaddle.joining.Ending;
-import shalepaddle.joining.Flight;
-import shalepaddle.joining.Joining;
-import shalepaddle.joining.JoiningReading;
-import shalepaddle.joining.JoiningTuning;
-import shalepaddle.joining.Verdict;
+import shalepaddle.coalescing.CoalescingConfig;
+import shalepaddle.coalescing.CoalescingSnapshot;
+import shalepaddle.coalescing.Flight;
+import shalepaddle.coalescing.FlightDecision;
+import shalepaddle.coalescing.FlightResult;
+import shalepaddle.coalescing.FlightWaiter;
+import shalepaddle.coalescing.RequestCoalescer;
 import shalepaddle.loop.LoopClock;
 import shalepaddle.loop.Timers;
 import shalepaddle.model.Request;
 import shalepaddle.model.Settings;
 
 /**
- * Carries out what {@link Joining} decides: like reads wait for one {@link Exchange}, and each gets
- * its own answer. The policy sees one request, which has as long as the most patient of them.
+ * Carries out what {@link RequestCoalescer} decides: like reads wait for one {@link Exchange}, and
+ * each gets its own answer. The policy sees one request, which has as long as the most patient of
+ * them.
  *
  * <p>What goes to a server bears the id of a caller that still waits. All of it runs on the event
  * loop.
  */
-final class JoinedReads {
+final class CoalescedReads {
   private final Dispatcher dispatcher;
   private final LoopClock clock;
   private final Timers timers;
-  private final Joining<Waiter> joining;
+  private final RequestCoalescer<Waiter> joining;
   private long longestAdvice;
 
   /** The classes whose reads may be repeated without harm. */
@@ -38,16 +39,16 @@
   /** Those who joined, by their ids; who begins a flight is known by its exchange. */
   private final Map<String, Waiter> joined = new HashMap<>();
 
-  JoinedReads(
+  CoalescedReads(
       Dispatcher dispatcher,
       LoopClock clock,
       Timers timers,
       Settings settings,
-      JoiningTuning tuning) {
+      CoalescingConfig tuning) {
     this.dispatcher = dispatcher;
     this.clock = clock;
     this.timers = timers;
-    this.joining = new Joining<>(tuning);
+    this.joining = new RequestCoalescer<>(tuning);
     retune(settings);
   }
 
@@ -65,7 +66,7 @@
   static final class Waiter implements Submission {
     private final Call call;
     private SharedTry shared;
-    private Caller<Waiter> place;
+    private FlightWaiter<Waiter> place;
     private boolean over;
 
     private Waiter(Call call) {
@@ -97,7 +98,7 @@
     return joined.size();
   }
 
-  JoiningReading reading() {
+  CoalescingSnapshot reading() {
     return joining.reading();
   }
 
@@ -115,7 +116,7 @@
       return null;
     }
     Waiter waiter = new Waiter(call);
-    Caller<Waiter> place =
+    FlightWaiter<Waiter> place =
         joining.arrive(asked.key(), asked.serviceClass(), asked.tenant(), waiter, deadline, now);
     if (place == null) {
       return null;
@@ -200,7 +201,7 @@
 
     /** Goes on in the name of the first that still waits. */
     private void bear() {
-      Caller<Waiter> first = flight.bearer();
+      FlightWaiter<Waiter> first = flight.bearer();
       if (first != null && first.who() != bearer) {
         bearer = first.who();
         dispatcher.bear(exchange, bearer.call);
@@ -237,8 +238,8 @@
       disarm();
       long now = clock.now();
       // A timer comes within the tick before its time.
-      List<Caller<Waiter>> due = joining.due(flight, now - at > 0 ? now : at);
-      for (Caller<Waiter> caller : due) {
+      List<FlightWaiter<Waiter>> due = joining.due(flight, now - at > 0 ? now : at);
+      for (FlightWaiter<Waiter> caller : due) {
         // A copy: one that is told may call off others.
         if (!caller.who().over) {
           give(caller.who(), dispatcher.timeUp(exchange));
@@ -256,7 +257,7 @@
     public void reply(Reply reply) {
       disarm();
       long now = clock.now();
-      Verdict<Waiter> verdict = joining.ended(flight, ending(reply), now);
+      FlightDecision<Waiter> verdict = joining.ended(flight, ending(reply), now);
       tell(verdict.answered(), reply);
       // Who was told may have called off the others.
       if (verdict.again() && !flight.isOver()) {
@@ -264,12 +265,12 @@
       }
     }
 
-    private Ending ending(Reply reply) {
+    private FlightResult ending(Reply reply) {
       if (reply instanceof Reply.Value) {
-        return Ending.SERVED;
+        return FlightResult.SERVED;
       }
       boolean refused = reply instanceof Reply.Refused && !dispatcher.closed();
-      return refused ? Ending.refused(exchange.lastResult) : Ending.OVER;
+      return refused ? FlightResult.refused(exchange.lastResult) : FlightResult.OVER;
     }
 
     private void again(Waiter next, long now) {
@@ -277,7 +278,7 @@
       begin(next, next.call.request().lasting((flight.deadline() - now) / 1e9), now);
     }
 
-    private void tell(List<Caller<Waiter>> callers, Reply reply) {
+    private void tell(List<FlightWaiter<Waiter>> callers, Reply reply) {
       ByteBuf value = reply instanceof Reply.Value served ? served.value() : null;
       try {
         for (int i = 0; i < callers.size(); i++) {
@@ -299,7 +300,8 @@
         return new Reply.Value(value.retainedDuplicate());
       }
       if (reply instanceof Reply.Refused refused) {
-        long advice = Joining.spread(refused.retryAfterMillis(), longestAdvice, place, all);
+        long advice =
+            RequestCoalescer.spread(refused.retryAfterMillis(), longestAdvice, place, all);
         return new Reply.Refused(advice);
       }
       return reply;
--- a/engine/src/main/java/shalepaddle/engine/Dispatcher.java
+++ b/engine/src/main/java/shalepaddle/engine/Dispatcher.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
+import shalepaddle.coalescing.CoalescingConfig;
+import shalepaddle.coalescing.CoalescingSnapshot;
 import shalepaddle.diagnostics.Event;
 import shalepaddle.diagnostics.FlightRecorder;
-import shalepaddle.joining.JoiningReading;
-import shalepaddle.joining.JoiningTuning;
 import shalepaddle.loop.Clock;
 import shalepaddle.loop.Log;
 import shalepaddle.loop.LoopClock;
@@ -24,14 +24,14 @@
 import shalepaddle.model.Request;
 import shalepaddle.model.Settings;
 import shalepaddle.overload.OverloadControl;
-import shalepaddle.policy.Actions;
-import shalepaddle.policy.Balancer;
+import shalepaddle.policy.RequestRouter;
+import shalepaddle.policy.RoutingActions;
 
 /**
  * Stands between the decision module and the sockets: tells it what happens, one event after the
  * other, and carries out what it decides. All of it runs on the event loop.
  */
-public final class Dispatcher implements Actions {
+public final class Dispatcher implements RoutingActions {
   /**
    * The node stops waiting for an attempt this long before the client stops waiting for the node,
    * so that the module hears of the time-out before it must answer, and the answer is in time.
@@ -53,15 +53,15 @@
   private Settings settings;
   private final long tickNanos;
   private final Log log;
-  private final Balancer balancer;
+  private final RequestRouter balancer;
   private final OverloadControl overload;
-  private final Entrance entrance;
-  private final Figures figures = new Figures();
+  private final RequestQueue entrance;
+  private final RequestMetrics figures = new RequestMetrics();
   private final FlightRecorder recorder;
   private final InvariantGuard guard;
 
   /** Null where reads are not joined. */
-  private final JoinedReads reads;
+  private final CoalescedReads reads;
 
   private final Map<String, Exchange> open = new HashMap<>();
   private final ArrayDeque<PolicyEvent> events = new ArrayDeque<>();
@@ -73,7 +73,7 @@
   private boolean closed;
 
   /** Null where no other process can take this one's place. */
-  private Recollection seen;
+  private WarmStartLog seen;
 
   /** Whether the module lives through what another process did: nothing is carried out for it. */
   private boolean reliving;
@@ -105,11 +105,11 @@
       Clock clock,
       Log log,
       OverloadControl overload,
-      JoiningTuning joining) {
+      CoalescingConfig joining) {
     this.overload = overload;
     this.loop = loop;
     this.loopClock = loopClock;
-    this.entrance = new Entrance(loop, loopClock, overload, this::begin, this::turnAway);
+    this.entrance = new RequestQueue(loop, loopClock, overload, this::begin, this::turnAway);
     this.recorder = new FlightRecorder(loopClock::now);
     this.guard = new InvariantGuard(recorder, log, loopClock::now);
     this.clock = clock;
@@ -117,10 +117,10 @@
     this.log = log;
     this.tickNanos = tickNanos(settings);
     this.timers = new Timers(loop, loopClock, log, tickNanos);
-    this.balancer = new Balancer(settings, seed, this);
+    this.balancer = new RequestRouter(settings, seed, this);
     figures.name(names(settings));
     this.reads =
-        joining.joins() ? new JoinedReads(this, loopClock, timers, settings, joining) : null;
+        joining.joins() ? new CoalescedReads(this, loopClock, timers, settings, joining) : null;
   }
 
   private static List<String> names(Settings settings) {
@@ -179,7 +179,7 @@
   }
 
   /** What has become of requests and attempts. */
-  public Figures figures() {
+  public RequestMetrics figures() {
     return figures;
   }
 
@@ -198,7 +198,7 @@
   }
 
   /** From now on what attempts show is kept there. */
-  public void recollect(Recollection seen) {
+  public void recollect(WarmStartLog seen) {
     this.seen = seen;
   }
 
@@ -211,7 +211,7 @@
   public void relive(MembershipUpdate known, List<Observation> past) {
     reliving = true;
     try {
-      Recollection.relive(balancer, known, Recollection.inTime(clock.now(), past));
+      WarmStartLog.relive(balancer, known, WarmStartLog.inTime(clock.now(), past));
     } catch (RuntimeException e) {
       // What was lived through so far is no worse than nothing.
       report("decision module, reliving", e);
@@ -521,7 +521,7 @@
   }
 
   /** What joining has done so far, null where reads are not joined. */
-  public JoiningReading joining() {
+  public CoalescingSnapshot joining() {
     return reads == null ? null : reads.reading();
   }
 
@@ -529,7 +529,7 @@
   public void clientGone(Submission submission) {
     if (submission instanceof Exchange request) {
       clientGone(request);
-    } else if (submission instanceof JoinedReads.Waiter waiter) {
+    } else if (submission instanceof CoalescedReads.Waiter waiter) {
       reads.leave(waiter);
     }
   }
@@ -550,7 +550,7 @@
 
   /** The client of this call has left before its answer. */
   void gone(Call call) {
-    if (!JoinedReads.shared(call)) {
+    if (!CoalescedReads.shared(call)) {
       figures.gone();
     }
   }
@@ -656,10 +656,11 @@
     if (request.call.sink().takesPieces()) {
       String service = request.call.request().serviceClass();
       finish(
-          request, new Reply.Pieces(reply.length(), new CountedSource(figures, service, source)));
+          request,
+          new Reply.Pieces(reply.length(), new MeteredValueSource(figures, service, source)));
     } else {
       request.ended = true;
-      source.begin(new WholeValue(reply.length(), whole -> finish(request, whole)));
+      source.begin(new ValueAggregator(reply.length(), whole -> finish(request, whole)));
     }
     ended(attempt, reply.head().result(), reply.head().note(), reply.head().load());
     return true;
@@ -679,7 +680,7 @@
   void give(Call call, Reply reply) {
     recorder.record(Event.ANSWERED, call.request().id(), kind(reply));
     // A value in pieces is counted at its end.
-    if (!JoinedReads.shared(call) && !(reply instanceof Reply.Pieces)) {
+    if (!CoalescedReads.shared(call) && !(reply instanceof Reply.Pieces)) {
       figures.answered(call.request().serviceClass(), reply);
     }
     deliver(call, reply);
--- a/engine/src/main/java/shalepaddle/engine/CountedSource.java
+++ b/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
@@ -3,14 +3,14 @@
 import io.netty.buffer.ByteBuf;
 
 /** A value whose request ends with it: it is counted when it is whole, or never will be. */
-final class CountedSource implements ValueSource, ValueSource.Taker {
-  private final Figures figures;
+final class MeteredValueSource implements ValueSource, ValueSource.Taker {
+  private final RequestMetrics figures;
   private final String service;
   private final ValueSource source;
   private Taker taker;
   private boolean over;
 
-  CountedSource(Figures figures, String service, ValueSource source) {
+  MeteredValueSource(RequestMetrics figures, String service, ValueSource source) {
     this.figures = figures;
     this.service = service;
     this.source = source;
--- a/engine/src/main/java/shalepaddle/engine/Figures.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestMetrics.java
@@ -15,7 +15,7 @@
  *
  * <p>Belongs to the engine's thread.
  */
-public final class Figures {
+public final class RequestMetrics {
   private static final int MOST_CLASSES = 256;
   private static final String REST = "";
 
@@ -92,13 +92,13 @@
   }
 
   /** All of it, as it stands now. */
-  public FiguresReading reading() {
-    List<FiguresReading.Results> results = new ArrayList<>(classes.size());
+  public RequestMetricsSnapshot reading() {
+    List<RequestMetricsSnapshot.Results> results = new ArrayList<>(classes.size());
     classes.forEach(
         (name, counts) ->
             results.add(
-                new FiguresReading.Results(
+                new RequestMetricsSnapshot.Results(
                     name, counts.succeeded, counts.declined, counts.aborted)));
-    return new FiguresReading(taken, gone, outstanding(), forwards, List.copyOf(results));
+    return new RequestMetricsSnapshot(taken, gone, outstanding(), forwards, List.copyOf(results));
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/FiguresReading.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestMetricsSnapshot.java
@@ -11,7 +11,7 @@
  * @param forwards attempts written whole to cache servers
  * @param results what the others came to, by class
  */
-public record FiguresReading(
+public record RequestMetricsSnapshot(
     long taken, long gone, long outstanding, long forwards, List<Results> results) {
   /**
    * What the requests of one class came to.
--- a/engine/src/main/java/shalepaddle/engine/Entrance.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestQueue.java
@@ -7,14 +7,14 @@
 import shalepaddle.loop.LoopClock;
 import shalepaddle.model.Request;
 import shalepaddle.model.Settings;
-import shalepaddle.overload.Intake;
+import shalepaddle.overload.AdmissionQueue;
 import shalepaddle.overload.OverloadControl;
 
 /**
  * Where requests wait for a turn of the event loop in which they are begun. All of it runs on that
  * loop.
  */
-final class Entrance {
+final class RequestQueue {
   /**
    * How long one turn of the event loop begins requests, before those that it has read wait for the
    * next. Guards against turns so long that no answer, timer or new request is looked at meanwhile.
@@ -32,7 +32,7 @@
   private final OverloadControl overload;
   private final BiConsumer<Exchange, Request> begin;
   private final Consumer<Exchange> turnAway;
-  private Intake<Waiting> intake;
+  private AdmissionQueue<Waiting> intake;
 
   /** The turn in which requests were begun last, and since when. */
   private long turn = -1;
@@ -45,7 +45,7 @@
    * @param begin begins a request
    * @param turnAway refuses one that has waited too long
    */
-  Entrance(
+  RequestQueue(
       EventLoop loop,
       LoopClock clock,
       OverloadControl overload,
@@ -59,7 +59,7 @@
     this.intake = emptyIntake();
   }
 
-  private Intake<Waiting> emptyIntake() {
+  private AdmissionQueue<Waiting> emptyIntake() {
     return overload.intake(MAX_WAITING, waiting -> turnAway.accept(waiting.exchange()));
   }
 
--- a/engine/src/main/java/shalepaddle/engine/WholeValue.java
+++ b/engine/src/main/java/shalepaddle/engine/ValueAggregator.java
@@ -5,11 +5,11 @@
 import java.util.function.Consumer;
 
 /** Gathers a large value for who takes it whole only. Bounded by the longest value there is. */
-final class WholeValue implements ValueSource.Taker {
+final class ValueAggregator implements ValueSource.Taker {
   private final Consumer<Reply> done;
   private final ByteBuf value;
 
-  WholeValue(int length, Consumer<Reply> done) {
+  ValueAggregator(int length, Consumer<Reply> done) {
     this.done = done;
     this.value = Unpooled.buffer(length, length);
   }
--- a/engine/src/main/java/shalepaddle/engine/Recollection.java
+++ b/engine/src/main/java/shalepaddle/engine/WarmStartLog.java
@@ -9,7 +9,7 @@
 import shalepaddle.model.Observation;
 import shalepaddle.model.Outcome;
 import shalepaddle.model.Request;
-import shalepaddle.policy.Balancer;
+import shalepaddle.policy.RequestRouter;
 
 /**
  * The last attempts of this process, for one that takes its place; and the way in which that one
@@ -24,7 +24,7 @@
  * <p>Bounded to {@value #MOST} attempts no older than {@value #SECONDS} seconds. Safe for use by
  * many threads.
  */
-public final class Recollection {
+public final class WarmStartLog {
   /** Attempts kept: some seconds of a busy node. */
   public static final int MOST = 2048;
 
@@ -68,7 +68,7 @@
    * @param known the list of servers
    * @param seen in the order in which it ended
    */
-  static void relive(Balancer balancer, MembershipUpdate known, List<Observation> seen) {
+  static void relive(RequestRouter balancer, MembershipUpdate known, List<Observation> seen) {
     List<Observation> sent = new ArrayList<>(seen);
     sent.sort(Comparator.comparingDouble(Observation::sentAt));
     balancer.membership(sent.get(0).sentAt(), known);
@@ -86,7 +86,7 @@
 
   private record Out(double endedAt, Outcome outcome) {}
 
-  private static void end(Balancer balancer, PriorityQueue<Out> out, double until) {
+  private static void end(RequestRouter balancer, PriorityQueue<Out> out, double until) {
     while (!out.isEmpty() && out.peek().endedAt() <= until) {
       Out ended = out.poll();
       balancer.outcome(ended.endedAt(), ended.outcome());
--- a/engine/src/main/java/shalepaddle/front/ClientFront.java
+++ b/engine/src/main/java/shalepaddle/front/ClientFront.java
@@ -8,7 +8,7 @@
 import shalepaddle.engine.Dispatcher;
 import shalepaddle.engine.MemoryBudget;
 import shalepaddle.loop.LoopClock;
-import shalepaddle.overload.Posture;
+import shalepaddle.overload.DegradationPolicy;
 
 /**
  * The front of one client protocol: what is done with each connection that a listener accepts. All
@@ -18,7 +18,7 @@
   private final Dispatcher dispatcher;
   private final ClientCodec codec;
   private final ClientConnections clients;
-  private final Turns turns;
+  private final FairReadScheduler turns;
   private final MemoryBudget aheadOfTurn;
 
   /**
@@ -32,12 +32,12 @@
       Dispatcher dispatcher,
       ClientCodec codec,
       int limit,
-      Supplier<Posture> posture,
+      Supplier<DegradationPolicy> posture,
       MemoryBudget aheadOfTurn) {
     this.aheadOfTurn = aheadOfTurn;
     this.dispatcher = dispatcher;
     this.codec = codec;
-    this.turns = new Turns(posture);
+    this.turns = new FairReadScheduler(posture);
     this.clients = new ClientConnections(limit, dispatcher.clock());
   }
 
--- a/engine/src/main/java/shalepaddle/front/ClientHandler.java
+++ b/engine/src/main/java/shalepaddle/front/ClientHandler.java
@@ -20,7 +20,7 @@
 import shalepaddle.engine.Submission;
 import shalepaddle.engine.ValueSource;
 import shalepaddle.loop.LoopClock;
-import shalepaddle.overload.Insistence;
+import shalepaddle.overload.RetryStormDetector;
 
 /** A client's connection: takes its commands and gives the answers in their order. */
 final class ClientHandler extends ChannelInboundHandlerAdapter {
@@ -79,9 +79,9 @@
   /** Whether a command was left to be read to its end though its time was up. */
   private boolean spared;
 
-  private final Turns turns;
-  private final Turns.Count sent = new Turns.Count();
-  private final Insistence insistence = new Insistence();
+  private final FairReadScheduler turns;
+  private final FairReadScheduler.Count sent = new FairReadScheduler.Count();
+  private final RetryStormDetector insistence = new RetryStormDetector();
   private int errors;
 
   /** For errors, for having sent the most, or for coming again too soon. */
@@ -119,7 +119,7 @@
       ClientCodec codec,
       InboundBuffer inbound,
       ClientCodec.CommandDecoder decoder,
-      Turns turns) {
+      FairReadScheduler turns) {
     this.turns = turns;
     this.inbound = inbound;
     this.codec = codec;
--- a/engine/src/main/java/shalepaddle/front/Turns.java
+++ b/engine/src/main/java/shalepaddle/front/FairReadScheduler.java
@@ -1,7 +1,7 @@
 package shalepaddle.front;
 
 import java.util.function.Supplier;
-import shalepaddle.overload.Posture;
+import shalepaddle.overload.DegradationPolicy;
 
 /**
  * Who may go on being read from while the processor is short: a connection that has sent more than
@@ -9,18 +9,18 @@
  * event loop from all others; what it sent waits in its own socket, where it slows itself down.
  * Nothing is refused or closed for it.
  */
-final class Turns {
+final class FairReadScheduler {
   static final long INTERVAL_NANOS = 100_000_000L;
 
   /** Requests in an interval that are never too many. */
   private static final int FEW = 8;
 
-  private final Supplier<Posture> posture;
+  private final Supplier<DegradationPolicy> posture;
   private long interval;
   private int all;
   private int allBefore;
 
-  Turns(Supplier<Posture> posture) {
+  FairReadScheduler(Supplier<DegradationPolicy> posture) {
     this.posture = posture;
   }
 
--- a/engine/src/main/java/shalepaddle/front/Gate.java
+++ b/engine/src/main/java/shalepaddle/front/RequestAdmission.java
@@ -8,7 +8,7 @@
  *
  * <p>Called on the event loop alone.
  */
-public interface Gate {
+public interface RequestAdmission {
   /** The answer for a request that is admitted. */
   long ADMITTED = OverloadControl.ADMITTED;
 
@@ -16,8 +16,8 @@
   long REPEAT = OverloadControl.REPEAT;
 
   /** Admits all and counts nothing. */
-  Gate OPEN =
-      new Gate() {
+  RequestAdmission OPEN =
+      new RequestAdmission() {
         @Override
         public boolean shuts() {
           return false;
--- a/engine/src/main/java/shalepaddle/handover/Frame.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/Frame.java
@@ -1,4 +1,4 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32;
--- a/engine/src/main/java/shalepaddle/handover/Handover.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/HotRestart.java
@@ -1,18 +1,18 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 import java.util.List;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import shalepaddle.handover.ProcessFiles.Others;
+import shalepaddle.hotrestart.ProcessFiles.Others;
 import shalepaddle.model.Observation;
 
 /**
  * Keeps the processes of one node told of each other, on a thread of its own: looks for news every
  * {@link #LOOK_MILLIS}, and tells of this process when it has changed or some time has passed.
  */
-public final class Handover implements AutoCloseable {
+public final class HotRestart implements AutoCloseable {
   static final long LOOK_MILLIS = 50;
 
   /** Looks after which this process is told of anew though nothing has changed. */
@@ -24,7 +24,7 @@
   /** Takes news of other processes in, on the handover's thread. */
   public interface Listener {
     /** What the others have told by now; the same may come again. */
-    void told(List<Word> words, int partners, int clients, int serverConnections);
+    void told(List<ServerExclusion> words, int partners, int clients, int serverConnections);
   }
 
   private final ProcessFiles files;
@@ -48,7 +48,7 @@
    * @param self the newest state of this process, from any thread
    * @param seen what this process has seen lately, from any thread
    */
-  public Handover(
+  public HotRestart(
       ProcessFiles files,
       Supplier<ProcessState> self,
       Supplier<List<Observation>> seen,
--- a/engine/src/main/java/shalepaddle/handover/InheritedListener.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/InheritedListener.java
@@ -1,4 +1,4 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 import java.io.IOException;
 import java.nio.channels.Channel;
--- a/engine/src/main/java/shalepaddle/handover/SeenFormat.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ObservationFormat.java
@@ -1,4 +1,4 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -18,11 +18,11 @@
  * The form of {@link Observation}s in a file: a {@link Frame} around a JSON array with an array for
  * each. Ids of requests are not told. What a later version adds at an array's end is passed over.
  */
-final class SeenFormat {
+final class ObservationFormat {
   private static final String VERSION = "shalepaddle-seen-1";
   private static final JsonFactory FACTORY = new JsonFactory();
 
-  private SeenFormat() {}
+  private ObservationFormat() {}
 
   static byte[] write(List<Observation> seen) throws IOException {
     StringWriter text = new StringWriter();
--- a/engine/src/main/java/shalepaddle/handover/ProcessFiles.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ProcessFiles.java
@@ -1,4 +1,4 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 import java.io.IOException;
 import java.nio.file.DirectoryStream;
@@ -73,7 +73,7 @@
 
   /** Tells a process that starts what this one has seen; false if that fails. */
   public synchronized boolean tellSeen(List<Observation> seen) {
-    return replace(seen(pid), () -> SeenFormat.write(seen));
+    return replace(seen(pid), () -> ObservationFormat.write(seen));
   }
 
   private interface Form {
@@ -106,7 +106,7 @@
       Path file = seen(partner.pid());
       try {
         if (Files.exists(file) && Files.size(file) <= MOST_BYTES) {
-          all.addAll(SeenFormat.read(Files.readAllBytes(file)));
+          all.addAll(ObservationFormat.read(Files.readAllBytes(file)));
           Files.deleteIfExists(file);
         }
       } catch (FormatException e) {
@@ -124,7 +124,7 @@
    * @param partners those that live
    * @param words operators' words, also of those that have gone
    */
-  public record Others(List<ProcessState> partners, List<Word> words) {
+  public record Others(List<ProcessState> partners, List<ServerExclusion> words) {
     /** The newest list that a living process has, null if there is none. */
     public MemberList newestList() {
       return partners.stream()
@@ -138,7 +138,7 @@
   /** Reads what the others have told; files of processes that have gone are removed. */
   public synchronized Others others() {
     List<ProcessState> partners = new ArrayList<>();
-    List<Word> words = new ArrayList<>();
+    List<ServerExclusion> words = new ArrayList<>();
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*" + SUFFIX)) {
       int count = 0;
       for (Path file : files) {
--- a/engine/src/main/java/shalepaddle/handover/ProcessState.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ProcessState.java
@@ -1,4 +1,4 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 import java.util.List;
 import shalepaddle.membership.MemberList;
@@ -14,7 +14,12 @@
  * @param list the list of servers as it has it, null if it has none yet
  */
 public record ProcessState(
-    long pid, Stage stage, int clients, int serverConnections, List<Word> words, MemberList list) {
+    long pid,
+    Stage stage,
+    int clients,
+    int serverConnections,
+    List<ServerExclusion> words,
+    MemberList list) {
   /** What a process does for clients. */
   public enum Stage {
     STARTING,
--- a/engine/src/main/java/shalepaddle/handover/Word.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ServerExclusion.java
@@ -1,4 +1,4 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 /**
  * An operator's last word on a cache server.
@@ -7,11 +7,11 @@
  * @param out whether it is left out, or put back
  * @param atMillis when that was said, in milliseconds since 1970
  */
-public record Word(long server, boolean out, long atMillis) {
+public record ServerExclusion(long server, boolean out, long atMillis) {
   /**
    * Whether this word goes before another on the same server; of two at once, the one that bars.
    */
-  boolean after(Word other) {
+  boolean after(ServerExclusion other) {
     return other == null
         || atMillis > other.atMillis
         || atMillis == other.atMillis && out && !other.out;
--- a/engine/src/main/java/shalepaddle/handover/Words.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ServerExclusions.java
@@ -1,4 +1,4 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -14,14 +14,14 @@
  * <p>Bounded: past the bound the oldest word that puts a server back is forgotten, which changes
  * nothing but for a partner that has not heard it yet. Not thread-safe.
  */
-public final class Words {
+public final class ServerExclusions {
   private static final int MOST = 4096;
 
-  private final Map<Long, Word> last = new LinkedHashMap<>();
+  private final Map<Long, ServerExclusion> last = new LinkedHashMap<>();
 
   /** Takes a word; true if it is news. */
-  public boolean say(Word word) {
-    Word before = last.get(word.server());
+  public boolean say(ServerExclusion word) {
+    ServerExclusion before = last.get(word.server());
     if (!word.after(before)) {
       return false;
     }
@@ -37,9 +37,9 @@
   }
 
   /** Takes another process's words; returns those that change what holds. */
-  public List<Word> merge(Collection<Word> others) {
-    List<Word> news = new ArrayList<>();
-    for (Word word : others) {
+  public List<ServerExclusion> merge(Collection<ServerExclusion> others) {
+    List<ServerExclusion> news = new ArrayList<>();
+    for (ServerExclusion word : others) {
       if (say(word)) {
         news.add(word);
       }
@@ -48,7 +48,7 @@
   }
 
   /** All of them, oldest first. */
-  public List<Word> all() {
+  public List<ServerExclusion> all() {
     return List.copyOf(last.values());
   }
 }
--- a/engine/src/main/java/shalepaddle/handover/StateFormat.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/StateFormat.java
@@ -1,4 +1,4 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -28,7 +28,7 @@
       json.writeNumberField("clients", state.clients());
       json.writeNumberField("connections", state.serverConnections());
       json.writeArrayFieldStart("words");
-      for (Word word : state.words()) {
+      for (ServerExclusion word : state.words()) {
         json.writeStartObject();
         json.writeNumberField("server", word.server());
         json.writeBooleanField("out", word.out());
@@ -66,10 +66,11 @@
 
   static ProcessState read(byte[] whole) throws FormatException {
     JsonObject json = JsonObject.parse(Frame.open(VERSION, whole));
-    List<Word> words = new ArrayList<>();
+    List<ServerExclusion> words = new ArrayList<>();
     for (JsonObject word : json.objects("words")) {
       words.add(
-          new Word(word.requiredInteger("server"), word.flag("out"), word.requiredInteger("at")));
+          new ServerExclusion(
+              word.requiredInteger("server"), word.flag("out"), word.requiredInteger("at")));
     }
     try {
       return new ProcessState(
--- a/engine/src/main/java/shalepaddle/handover/package-info.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/package-info.java
@@ -3,4 +3,4 @@
  * that the platform holds for both, and what each tells the other of itself. It decides nothing on
  * servers, and never makes anybody wait for a partner.
  */
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
--- a/engine/src/main/java/shalepaddle/loop/Timers.java
+++ b/engine/src/main/java/shalepaddle/loop/Timers.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import shalepaddle.sockets.Connecting;
+import shalepaddle.sockets.ConnectCompletion;
 
 /**
  * Timers that come due in ticks, the grain in which the module takes events. Guards against an
@@ -72,8 +72,8 @@
    * a peer that runs would be taken for one that has vanished.
    */
   public void limit(ChannelFuture connecting, long nanos) {
-    Timer patience = afterListening(nanos, () -> Connecting.close(connecting.channel()));
-    Connecting.whenDone(connecting, loop, done -> patience.cancel());
+    Timer patience = afterListening(nanos, () -> ConnectCompletion.close(connecting.channel()));
+    ConnectCompletion.whenDone(connecting, loop, done -> patience.cancel());
   }
 
   private void listen(long until, Timer timer) {
--- a/engine/src/main/java/shalepaddle/membership/DiscoveryClient.java
+++ b/engine/src/main/java/shalepaddle/membership/DiscoveryClient.java
@@ -26,7 +26,7 @@
 import shalepaddle.loop.Timers;
 import shalepaddle.settings.FormatException;
 import shalepaddle.settings.JsonObject;
-import shalepaddle.sockets.Connecting;
+import shalepaddle.sockets.ConnectCompletion;
 
 /**
  * Asks discovery for the list of servers. Where the list must be asked for, a call is made only
@@ -191,7 +191,7 @@
       var connected = connector.connect(address);
       channel = connected.channel();
       timers.limit(connected, (asked ? CONNECT_TIMEOUT_MILLIS : agentMillis) * 1_000_000);
-      Connecting.whenDone(
+      ConnectCompletion.whenDone(
           connected,
           loop,
           done -> {
@@ -342,7 +342,7 @@
 
     void end() {
       over = true;
-      Connecting.close(channel);
+      ConnectCompletion.close(channel);
     }
   }
 }
--- /dev/null
+++ b/engine/src/main/java/shalepaddle/node/CoalescingMetrics.java
@@ -0,0 +1,62 @@
+package shalepaddle.node;
+
+import io.micrometer.core.instrument.MeterRegistry;
+import io.micrometer.core.instrument.Tags;
+import io.micrometer.core.instrument.binder.MeterBinder;
+import java.util.function.Supplier;
+import shalepaddle.coalescing.CoalescingSnapshot;
+
+/**
+ * The joining of like reads as Micrometer meters. Nothing is counted here: each meter reads what
+ * {@link LoadBalancer#joining} published last, from any thread.
+ *
+ * <table>
+ * <caption>Meters</caption>
+ * <tr><td>{@code shalepaddle.coalescing.reads}</td><td>reads; tag {@code as}: {@code first} began a
+ *     flight, {@code joined} joined one, {@code alone} found no room</td></tr>
+ * <tr><td>{@code shalepaddle.coalescing.shared}</td><td>reads served by another's try</td></tr>
+ * <tr><td>{@code shalepaddle.coalescing.left}</td><td>callers that left while others waited</td></tr>
+ * <tr><td>{@code shalepaddle.coalescing.retried}</td><td>broken tries made again; {@code .spent} those
+ *     that were not for want of earned tries</td></tr>
+ * <tr><td>{@code shalepaddle.coalescing.open}, {@code .waiting}</td><td>flights, callers now</td></tr>
+ * </table>
+ */
+public final class CoalescingMetrics implements MeterBinder {
+  private static final String PREFIX = "shalepaddle.joining.";
+  private static final CoalescingSnapshot NOTHING =
+      new CoalescingSnapshot(0, 0, 0, 0, 0, 0, 0, 0, 0);
+
+  private final Supplier<CoalescingSnapshot> reading;
+  private final Tags tags;
+
+  /**
+   * Meters of one load balancer.
+   *
+   * @param reading the newest reading, from any thread; null where reads are not joined, which is
+   *     shown as nothing done
+   * @param tags tell this load balancer's meters from another's in the same registry
+   */
+  public CoalescingMetrics(Supplier<CoalescingSnapshot> reading, Tags tags) {
+    this.reading = reading;
+    this.tags = tags;
+  }
+
+  @Override
+  public void bindTo(MeterRegistry registry) {
+    SnapshotMeters<CoalescingSnapshot> meters = new SnapshotMeters<>(registry, PREFIX, this::read);
+    meters.counter("reads", "reads", tags.and("as", "first"), CoalescingSnapshot::flights);
+    meters.counter("reads", "reads", tags.and("as", "joined"), CoalescingSnapshot::joined);
+    meters.counter("reads", "reads", tags.and("as", "alone"), CoalescingSnapshot::alone);
+    meters.counter("shared", "reads", tags, CoalescingSnapshot::shared);
+    meters.counter("left", "reads", tags, CoalescingSnapshot::left);
+    meters.counter("retried", "tries", tags, CoalescingSnapshot::retried);
+    meters.counter("spent", "tries", tags, CoalescingSnapshot::spent);
+    meters.gauge("open", "flights", tags, CoalescingSnapshot::open);
+    meters.gauge("waiting", "reads", tags, CoalescingSnapshot::waiting);
+  }
+
+  private CoalescingSnapshot read() {
+    CoalescingSnapshot now = reading.get();
+    return now == null ? NOTHING : now;
+  }
+}
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -9,6 +9,8 @@
 import java.util.Locale;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import shalepaddle.admin.Telemetry;
+import shalepaddle.coalescing.CoalescingSnapshot;
 import shalepaddle.codec.meta.MetaClientCodec;
 import shalepaddle.codec.meta.MetaServerCodec;
 import shalepaddle.config.NodeConfig;
@@ -16,28 +18,26 @@
 import shalepaddle.diagnostics.Event;
 import shalepaddle.engine.Dispatcher;
 import shalepaddle.engine.Engine;
-import shalepaddle.engine.FiguresReading;
 import shalepaddle.engine.MemoryBudget;
-import shalepaddle.engine.Recollection;
+import shalepaddle.engine.RequestMetricsSnapshot;
+import shalepaddle.engine.WarmStartLog;
 import shalepaddle.front.ClientFront;
 import shalepaddle.front.ClientListener;
-import shalepaddle.front.Gate;
-import shalepaddle.handover.ProcessState;
-import shalepaddle.handover.Word;
-import shalepaddle.joining.JoiningReading;
+import shalepaddle.front.RequestAdmission;
+import shalepaddle.hotrestart.ProcessState;
+import shalepaddle.hotrestart.ServerExclusion;
 import shalepaddle.loop.Clock;
 import shalepaddle.loop.Log;
 import shalepaddle.loop.LoopClock;
-import shalepaddle.management.Telemetry;
 import shalepaddle.membership.DiscoveryClient;
 import shalepaddle.membership.MemberList;
 import shalepaddle.membership.MemberListener;
 import shalepaddle.model.MembershipUpdate;
 import shalepaddle.model.Observation;
 import shalepaddle.model.Settings;
-import shalepaddle.overload.Level;
 import shalepaddle.overload.OverloadControl;
-import shalepaddle.overload.OverloadReading;
+import shalepaddle.overload.OverloadSnapshot;
+import shalepaddle.overload.PressureLevel;
 import shalepaddle.overload.Resource;
 import shalepaddle.upstream.ServerPool;
 import shalepaddle.upstream.ServerPools;
@@ -130,7 +130,7 @@
   private final ProcessorUse processor;
   private final long pid = ProcessHandle.current().pid();
   private Channel listener;
-  private final OperatorWords words;
+  private final OperatorExclusions words;
 
   /** All servers of the list, null before it has begun. */
   private MemberList whole;
@@ -144,8 +144,8 @@
   private int clientsElsewhere;
 
   private long trimmedAt;
-  private volatile OverloadReading reading;
-  private volatile JoiningReading joining;
+  private volatile OverloadSnapshot reading;
+  private volatile CoalescingSnapshot joining;
   private volatile Telemetry telemetry;
   private volatile ProcessState.Stage stage = ProcessState.Stage.STARTING;
   private volatile ProcessState process;
@@ -201,7 +201,7 @@
             new MetaServerCodec(),
             serverLimits(config, connections),
             dispatcher);
-    words = new OperatorWords(pools, dispatcher, time, log, this::publish);
+    words = new OperatorExclusions(pools, dispatcher, time, log, this::publish);
     discovery =
         new DiscoveryClient(
             transport.connector(loop),
@@ -227,7 +227,7 @@
   }
 
   /** Asks whether a request is admitted, at the time of the loop. */
-  private final class Entrance implements Gate {
+  private final class Entrance implements RequestAdmission {
     @Override
     public boolean shuts() {
       overload.places((front.owed() + clientsElsewhere) / (config.sockets() * PLACES_SHARE));
@@ -299,7 +299,7 @@
   }
 
   /** From now on what attempts show is kept there, for a process that takes this one's place. */
-  void recollect(Recollection seen) {
+  void recollect(WarmStartLog seen) {
     dispatcher.recollect(seen);
   }
 
@@ -381,7 +381,7 @@
   }
 
   /** One line for each change of a level, for who runs it. */
-  private void told(Resource resource, Level before, Level now, double figure) {
+  private void told(Resource resource, PressureLevel before, PressureLevel now, double figure) {
     String what =
         resource == Resource.CPU
             ? String.format(Locale.ROOT, "%.1f ms stand in the event loop", figure * 1e3)
@@ -393,7 +393,7 @@
    * What is measured and decided of the process's own overload, as it stood some milliseconds ago.
    * From any thread.
    */
-  public OverloadReading overload() {
+  public OverloadSnapshot overload() {
     return reading;
   }
 
@@ -401,7 +401,7 @@
    * What joining has done, as it stood some milliseconds ago; null where reads are not joined. From
    * any thread.
    */
-  public JoiningReading joining() {
+  public CoalescingSnapshot joining() {
     return joining;
   }
 
@@ -447,7 +447,8 @@
    * So many other processes of this node have told of operators' words, and of the connections that
    * they hold: to every limit all are one.
    */
-  public void partnered(List<Word> theirs, int partners, int clients, int serverConnections) {
+  public void partnered(
+      List<ServerExclusion> theirs, int partners, int clients, int serverConnections) {
     words.heard(theirs);
     clientsElsewhere = clients;
     front.limit((int) (config.sockets() * CLIENT_SHARE) - clients);
@@ -455,7 +456,7 @@
   }
 
   /** What has become of requests and attempts, as it stands now. */
-  public FiguresReading figures() {
+  public RequestMetricsSnapshot figures() {
     return dispatcher.figures().reading();
   }
 
@@ -470,7 +471,7 @@
   }
 
   /** What operators have said of cache servers, and where it comes in. */
-  OperatorWords words() {
+  OperatorExclusions words() {
     return words;
   }
 
--- a/engine/src/main/java/shalepaddle/node/Node.java
+++ b/engine/src/main/java/shalepaddle/node/Node.java
@@ -15,22 +15,22 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ThreadFactory;
 import java.util.concurrent.TimeUnit;
+import shalepaddle.admin.AdminServer;
 import shalepaddle.config.NodeConfig;
 import shalepaddle.config.OperatorFile;
 import shalepaddle.engine.Dispatcher;
 import shalepaddle.engine.Engine;
-import shalepaddle.engine.Recollection;
-import shalepaddle.handover.Handover;
-import shalepaddle.handover.InheritedListener;
-import shalepaddle.handover.ProcessFiles;
+import shalepaddle.engine.WarmStartLog;
+import shalepaddle.hotrestart.HotRestart;
+import shalepaddle.hotrestart.InheritedListener;
+import shalepaddle.hotrestart.ProcessFiles;
 import shalepaddle.loop.Clock;
 import shalepaddle.loop.Log;
 import shalepaddle.loop.LoopClock;
 import shalepaddle.loop.WatchedIoHandler;
-import shalepaddle.management.Door;
 import shalepaddle.membership.MemberList;
 import shalepaddle.model.Observation;
-import shalepaddle.overload.OverloadReading;
+import shalepaddle.overload.OverloadSnapshot;
 import shalepaddle.settings.FormatException;
 import shalepaddle.settings.JsonObject;
 
@@ -60,7 +60,7 @@
   private final LoopClock clock;
   private final LoadBalancer balancer;
   private final CountDownLatch drained = new CountDownLatch(1);
-  private Door door;
+  private AdminServer door;
 
   /** The listener that the platform holds and hands down, null where the node has its own. */
   private final ServerSocketChannel inherited;
@@ -68,7 +68,7 @@
   /** Null where no other process of this node can be. */
   private final ProcessFiles files;
 
-  private Handover handover;
+  private HotRestart handover;
   private volatile boolean listening;
 
   /** Whether this node is the whole process, which ends with it. */
@@ -180,8 +180,8 @@
     // Before it listens: who sees a node answer may signal it at once.
     Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain"));
     try {
-      Hangup.on(() -> node.reload(configFile, shape));
-      if (Hangup.ignored()) {
+      ReloadSignal.on(() -> node.reload(configFile, shape));
+      if (ReloadSignal.ignored()) {
         node.loop.execute(() -> node.balancer.notRetuned(HANGUP_IGNORED));
       }
     } catch (ReflectiveOperationException | IllegalArgumentException e) {
@@ -221,10 +221,10 @@
   private void open() throws IOException, InterruptedException {
     if (config.management() != null) {
       door =
-          new Door(
+          new AdminServer(
               config.management(),
               transport.allocator(),
-              new DoorKeeper(loop, balancer, () -> listening && balancer.ready()));
+              new NodeAdminOperations(loop, balancer, () -> listening && balancer.ready()));
     }
   }
 
@@ -288,9 +288,9 @@
       loop.submit(balancer::start).await();
       return;
     }
-    Recollection seen = new Recollection();
+    WarmStartLog seen = new WarmStartLog();
     handover =
-        new Handover(
+        new HotRestart(
             files,
             balancer::process,
             seen::all,
@@ -382,7 +382,7 @@
   }
 
   /** See {@link LoadBalancer#overload}. From any thread. */
-  public OverloadReading overload() {
+  public OverloadSnapshot overload() {
     return balancer.overload();
   }
 
--- a/engine/src/main/java/shalepaddle/node/DoorKeeper.java
+++ b/engine/src/main/java/shalepaddle/node/NodeAdminOperations.java
@@ -5,16 +5,16 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import shalepaddle.management.Operated;
-import shalepaddle.management.Telemetry;
+import shalepaddle.admin.AdminOperations;
+import shalepaddle.admin.Telemetry;
 
 /** What the operators' door leads to: published readings, and commands for the request loop. */
-final class DoorKeeper implements Operated {
+final class NodeAdminOperations implements AdminOperations {
   private final EventLoop loop;
   private final LoadBalancer balancer;
   private final BooleanSupplier ready;
 
-  DoorKeeper(EventLoop loop, LoadBalancer balancer, BooleanSupplier ready) {
+  NodeAdminOperations(EventLoop loop, LoadBalancer balancer, BooleanSupplier ready) {
     this.ready = ready;
     this.loop = loop;
     this.balancer = balancer;
--- a/engine/src/main/java/shalepaddle/node/OperatorWords.java
+++ b/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import shalepaddle.engine.Dispatcher;
-import shalepaddle.handover.Word;
-import shalepaddle.handover.Words;
+import shalepaddle.hotrestart.ServerExclusion;
+import shalepaddle.hotrestart.ServerExclusions;
 import shalepaddle.loop.Clock;
 import shalepaddle.loop.Log;
 import shalepaddle.membership.MemberList;
@@ -15,8 +15,8 @@
  *
  * <p>On the event loop alone.
  */
-final class OperatorWords {
-  private final Words words = new Words();
+final class OperatorExclusions {
+  private final ServerExclusions words = new ServerExclusions();
   private final ServerPools pools;
   private final Dispatcher dispatcher;
   private final Clock time;
@@ -28,7 +28,8 @@
    *
    * @param changed runs when a word has come into force
    */
-  OperatorWords(ServerPools pools, Dispatcher dispatcher, Clock time, Log log, Runnable changed) {
+  OperatorExclusions(
+      ServerPools pools, Dispatcher dispatcher, Clock time, Log log, Runnable changed) {
     this.pools = pools;
     this.dispatcher = dispatcher;
     this.time = time;
@@ -52,7 +53,7 @@
   }
 
   /** Other processes of this node have heard these. */
-  void heard(List<Word> theirs) {
+  void heard(List<ServerExclusion> theirs) {
     words.merge(theirs).forEach(this::apply);
   }
 
@@ -61,22 +62,23 @@
     long latest =
         words.all().stream()
             .filter(word -> word.server() == server)
-            .mapToLong(Word::atMillis)
+            .mapToLong(ServerExclusion::atMillis)
             .findAny()
             .orElse(0);
-    Word word = new Word(server, out, Math.max((long) (time.now() * 1e3), latest + 1));
+    ServerExclusion word =
+        new ServerExclusion(server, out, Math.max((long) (time.now() * 1e3), latest + 1));
     words.say(word);
     apply(word);
   }
 
-  private void apply(Word word) {
+  private void apply(ServerExclusion word) {
     pools.exclude(word.server(), word.out());
     dispatcher.exclude(word.server(), word.out());
     changed.run();
   }
 
   /** All that were said, oldest first. */
-  List<Word> all() {
+  List<ServerExclusion> all() {
     return words.all();
   }
 }
--- a/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
@@ -5,7 +5,7 @@
 import io.micrometer.core.instrument.binder.MeterBinder;
 import java.util.function.Supplier;
 import java.util.function.ToDoubleFunction;
-import shalepaddle.overload.OverloadReading;
+import shalepaddle.overload.OverloadSnapshot;
 
 /**
  * Meters of a load balancer's own overload, for a registry of whoever runs it. The deployed daemon
@@ -29,7 +29,7 @@
 public final class OverloadMetrics implements MeterBinder {
   private static final String PREFIX = "shalepaddle.overload.";
 
-  private final Supplier<OverloadReading> reading;
+  private final Supplier<OverloadSnapshot> reading;
   private final Tags tags;
 
   /**
@@ -38,23 +38,23 @@
    * @param reading the newest reading, from any thread
    * @param tags tell this load balancer's meters from another's in the same registry
    */
-  public OverloadMetrics(Supplier<OverloadReading> reading, Tags tags) {
+  public OverloadMetrics(Supplier<OverloadSnapshot> reading, Tags tags) {
     this.reading = reading;
     this.tags = tags;
   }
 
   @Override
   public void bindTo(MeterRegistry registry) {
-    ReadingMeters<OverloadReading> meters = new ReadingMeters<>(registry, PREFIX, reading);
+    SnapshotMeters<OverloadSnapshot> meters = new SnapshotMeters<>(registry, PREFIX, reading);
     level(meters, "processor", r -> r.processorLevel().ordinal());
     level(meters, "memory", r -> r.memoryLevel().ordinal());
     level(meters, "descriptors", r -> r.descriptorLevel().ordinal());
-    use(meters, "processor", OverloadReading::processor);
-    use(meters, "memory", OverloadReading::memory);
-    use(meters, "descriptors", OverloadReading::descriptors);
-    meters.gauge("delay", "seconds", tags, OverloadReading::stood);
+    use(meters, "processor", OverloadSnapshot::processor);
+    use(meters, "memory", OverloadSnapshot::memory);
+    use(meters, "descriptors", OverloadSnapshot::descriptors);
+    meters.gauge("delay", "seconds", tags, OverloadSnapshot::stood);
     meters.gauge("limit", "requests/second", tags, r -> finite(r.limit()));
-    meters.counter("repeats.refused", "requests", tags, OverloadReading::repeatsRefused);
+    meters.counter("repeats.refused", "requests", tags, OverloadSnapshot::repeatsRefused);
     for (int i = 0; i < reading.get().tiers().size(); i++) {
       int tier = i;
       Tags tagged = tags.and("tier", Integer.toString(tier));
@@ -69,16 +69,16 @@
   }
 
   private void level(
-      ReadingMeters<OverloadReading> meters,
+      SnapshotMeters<OverloadSnapshot> meters,
       String resource,
-      ToDoubleFunction<OverloadReading> figure) {
+      ToDoubleFunction<OverloadSnapshot> figure) {
     meters.gauge("level", null, tags.and("resource", resource), figure);
   }
 
   private void use(
-      ReadingMeters<OverloadReading> meters,
+      SnapshotMeters<OverloadSnapshot> meters,
       String resource,
-      ToDoubleFunction<OverloadReading> figure) {
+      ToDoubleFunction<OverloadSnapshot> figure) {
     meters.gauge("use", null, tags.and("resource", resource), figure);
   }
 }
--- a/engine/src/main/java/shalepaddle/node/Hangup.java
+++ b/engine/src/main/java/shalepaddle/node/ReloadSignal.java
@@ -12,14 +12,14 @@
  * The signal by which the platform tells of a new configuration. Guards against its default, which
  * ends the process.
  */
-final class Hangup {
+final class ReloadSignal {
   private static final Path STATUS = Path.of("/proc/self/status");
   private static final String IGNORED_SIGNALS = "SigIgn:";
 
   /** The bit of SIGHUP, the first signal, in a mask of signals. */
   private static final long MASK = 1;
 
-  private Hangup() {}
+  private ReloadSignal() {}
 
   /**
    * Whether the process was started with the signal ignored, as nohup does. The virtual machine
--- a/engine/src/main/java/shalepaddle/node/ReadingMeters.java
+++ b/engine/src/main/java/shalepaddle/node/SnapshotMeters.java
@@ -15,7 +15,7 @@
  * @param reading the newest reading, from any thread
  * @param <R> the reading
  */
-record ReadingMeters<R>(MeterRegistry registry, String prefix, Supplier<R> reading) {
+record SnapshotMeters<R>(MeterRegistry registry, String prefix, Supplier<R> reading) {
   /** Something that only grows. */
   void counter(String name, String unit, Tags tags, ToDoubleFunction<R> figure) {
     FunctionCounter.builder(prefix + name, reading, any -> read(figure))
--- a/engine/src/main/java/shalepaddle/node/Warmup.java
+++ b/engine/src/main/java/shalepaddle/node/Warmup.java
@@ -23,6 +23,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import shalepaddle.coalescing.CoalescingConfig;
 import shalepaddle.codec.meta.MetaClientCodec;
 import shalepaddle.codec.meta.MetaServerCodec;
 import shalepaddle.config.NodeConfig;
@@ -30,8 +31,7 @@
 import shalepaddle.engine.MemoryBudget;
 import shalepaddle.front.ClientCommand;
 import shalepaddle.front.ClientFront;
-import shalepaddle.front.Gate;
-import shalepaddle.joining.JoiningTuning;
+import shalepaddle.front.RequestAdmission;
 import shalepaddle.loop.Clock;
 import shalepaddle.loop.Log;
 import shalepaddle.loop.LoopClock;
@@ -41,9 +41,9 @@
 import shalepaddle.model.MembershipUpdate;
 import shalepaddle.model.ServerEntry;
 import shalepaddle.model.Settings;
+import shalepaddle.overload.DegradationPolicy;
+import shalepaddle.overload.OverloadConfig;
 import shalepaddle.overload.OverloadControl;
-import shalepaddle.overload.Posture;
-import shalepaddle.overload.Tuning;
 import shalepaddle.upstream.ServerPool;
 import shalepaddle.upstream.ServerPools;
 
@@ -107,7 +107,7 @@
             time,
             log,
             calm(config),
-            JoiningTuning.OFF);
+            CoalescingConfig.OFF);
     ServerPools pools = pools(dispatcher, loop, allocator);
     loop.submit(() -> dispatcher.start(pools, MemberSource.FIXED)).await();
     List<MemberList.Member> members = new ArrayList<>();
@@ -125,12 +125,12 @@
             })
         .await();
     MemoryBudget values = new MemoryBudget(1 << 20);
-    MetaClientCodec codec = new MetaClientCodec(values, config.settings(), Gate.OPEN);
+    MetaClientCodec codec = new MetaClientCodec(values, config.settings(), RequestAdmission.OPEN);
     listen(
         loop,
         allocator,
         front,
-        new ClientFront(dispatcher, codec, AT_ONCE, () -> Posture.CALM, values));
+        new ClientFront(dispatcher, codec, AT_ONCE, () -> DegradationPolicy.CALM, values));
     Client client = new Client(config.settings());
     new Bootstrap()
         .group(loop)
@@ -180,7 +180,10 @@
   /** Sheds nothing: a loop that compiles is late, and nobody is there to be refused. */
   private static OverloadControl calm(NodeConfig config) {
     return new OverloadControl(
-        config.settings(), Tuning.OFF, config.seed(), (resource, before, now, figure) -> {});
+        config.settings(),
+        OverloadConfig.OFF,
+        config.seed(),
+        (resource, before, now, figure) -> {});
   }
 
   /** The same settings, where nobody has to be asked for the list of servers. */
@@ -231,7 +234,8 @@
     private final MetaClientCodec codec;
 
     Cache(NodeConfig config) {
-      codec = new MetaClientCodec(new MemoryBudget(1 << 20), config.settings(), Gate.OPEN);
+      codec =
+          new MetaClientCodec(new MemoryBudget(1 << 20), config.settings(), RequestAdmission.OPEN);
     }
 
     @Override
--- a/engine/src/main/java/shalepaddle/sockets/Connecting.java
+++ b/engine/src/main/java/shalepaddle/sockets/ConnectCompletion.java
@@ -10,8 +10,8 @@
  * transport tells that on a thread of its own, perhaps before the call that connects has returned,
  * and of a channel that has no event loop and can't be closed.
  */
-public final class Connecting {
-  private Connecting() {}
+public final class ConnectCompletion {
+  private ConnectCompletion() {}
 
   /** Runs the step on the event loop once the connection has come up or failed. */
   public static void whenDone(
--- a/engine/src/main/java/shalepaddle/upstream/ServerPool.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPool.java
@@ -13,7 +13,7 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.ServerEntry;
 import shalepaddle.model.Settings;
-import shalepaddle.sockets.Connecting;
+import shalepaddle.sockets.ConnectCompletion;
 
 /** This node's connections to one cache server. */
 public final class ServerPool {
@@ -45,7 +45,7 @@
   private final List<ServerConnection> connections = new ArrayList<>();
   private final LoopClock clock;
   private final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
-  private final IdleRisk idleRisk = new IdleRisk();
+  private final StaleConnectionEstimator idleRisk = new StaleConnectionEstimator();
   private SocketAddress address;
   private int connecting;
   private int cap;
@@ -235,7 +235,7 @@
     ServerConnection connection = new ServerConnection(this, codec, dispatcher);
     ChannelFuture future = connection.open(bootstrap, address);
     dispatcher.timers().limit(future, limits.connectNanos());
-    Connecting.whenDone(
+    ConnectCompletion.whenDone(
         future,
         dispatcher.loop(),
         done -> {
--- a/engine/src/main/java/shalepaddle/upstream/IdleRisk.java
+++ b/engine/src/main/java/shalepaddle/upstream/StaleConnectionEstimator.java
@@ -9,7 +9,7 @@
  * It should also catch address translators with short memories. Could do harm where connections
  * break for other reasons after a pause: each request then pays for a new one.
  */
-final class IdleRisk {
+final class StaleConnectionEstimator {
   /** Lengths of a pause are told apart by powers of two, from the shortest that is ever judged. */
   private static final long SHORTEST_NANOS = 16_000_000L;
 
--- a/engine/src/test/java/shalepaddle/engine/RecollectionTest.java
+++ b/engine/src/test/java/shalepaddle/engine/WarmStartLogTest.java
@@ -12,7 +12,7 @@
 import shalepaddle.model.Request;
 
 /** What one process passes on is taken in the time of the next, whatever their wall clocks say. */
-class RecollectionTest {
+class WarmStartLogTest {
   private static final double NOW = 10_000;
 
   private static Observation endedAt(double time) {
@@ -23,8 +23,8 @@
   }
 
   private static List<Double> taken(double... times) {
-    List<Observation> seen = Arrays.stream(times).mapToObj(RecollectionTest::endedAt).toList();
-    return Recollection.inTime(NOW, seen).stream().map(Observation::endedAt).toList();
+    List<Observation> seen = Arrays.stream(times).mapToObj(WarmStartLogTest::endedAt).toList();
+    return WarmStartLog.inTime(NOW, seen).stream().map(Observation::endedAt).toList();
   }
 
   @Test
--- a/engine/src/test/java/shalepaddle/front/HeavySendersTest.java
+++ b/engine/src/test/java/shalepaddle/front/ReadFairnessTest.java
@@ -5,24 +5,24 @@
 
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import shalepaddle.overload.Level;
-import shalepaddle.overload.Posture;
+import shalepaddle.overload.DegradationPolicy;
+import shalepaddle.overload.PressureLevel;
 
 /** Half of all traffic from one connection, by the time that is handed in. */
-class HeavySendersTest {
+class ReadFairnessTest {
   private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
   private static final int OTHERS = 50;
 
-  private Posture posture = Posture.CALM;
-  private final Turns turns = new Turns(() -> posture);
-  private final Turns.Count heavy = new Turns.Count();
-  private final Turns.Count[] others = new Turns.Count[OTHERS];
+  private DegradationPolicy posture = DegradationPolicy.CALM;
+  private final FairReadScheduler turns = new FairReadScheduler(() -> posture);
+  private final FairReadScheduler.Count heavy = new FairReadScheduler.Count();
+  private final FairReadScheduler.Count[] others = new FairReadScheduler.Count[OTHERS];
   private long othersPaused;
   private int read;
 
-  HeavySendersTest() {
+  ReadFairnessTest() {
     for (int i = 0; i < OTHERS; i++) {
-      others[i] = new Turns.Count();
+      others[i] = new FairReadScheduler.Count();
     }
   }
 
@@ -50,18 +50,18 @@
 
   @Test
   void whoSendsTheMostIsReadByTurnsWhileTheProcessorIsShort() {
-    posture = Posture.of(Level.BUSY, Level.CALM, Level.CALM);
+    posture = DegradationPolicy.of(PressureLevel.BUSY, PressureLevel.CALM, PressureLevel.CALM);
     second(0);
     assertTrue(read >= 400 && read <= 1500, "read of 5000: " + read);
     assertEquals(0, othersPaused, "the others send a hundredth each");
-    posture = Posture.CALM;
+    posture = DegradationPolicy.CALM;
     second(1000 * MILLI);
     assertEquals(5000, read, "and at once again as it would");
   }
 
   @Test
   void aPauseEndsWithItsInterval() {
-    posture = Posture.of(Level.FULL, Level.CALM, Level.CALM);
+    posture = DegradationPolicy.of(PressureLevel.FULL, PressureLevel.CALM, PressureLevel.CALM);
     long now = 30 * MILLI;
     long pause = 0;
     for (int i = 0; i < 100 && pause == 0; i++) {
@@ -74,9 +74,9 @@
   @Test
   void shortMemoryOwesLess() {
     assertEquals(64, turns.owed());
-    posture = Posture.of(Level.CALM, Level.BUSY, Level.CALM);
+    posture = DegradationPolicy.of(PressureLevel.CALM, PressureLevel.BUSY, PressureLevel.CALM);
     assertEquals(16, turns.owed());
-    posture = Posture.of(Level.CALM, Level.FULL, Level.CALM);
+    posture = DegradationPolicy.of(PressureLevel.CALM, PressureLevel.FULL, PressureLevel.CALM);
     assertEquals(4, turns.owed());
   }
 }
--- a/engine/src/test/java/shalepaddle/handover/HandoverTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/HotRestartTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,23 +7,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import shalepaddle.handover.ProcessState.Stage;
+import shalepaddle.hotrestart.ProcessState.Stage;
 
 /** What the two processes of a node hear of each other, and when. */
-class HandoverTest {
+class HotRestartTest {
   @TempDir private Path folder;
 
   private final long now = System.currentTimeMillis();
   private final List<Told> told = new ArrayList<>();
 
   /** One call of the listener. */
-  private record Told(List<Word> words, int partners, int clients, int connections) {}
+  private record Told(List<ServerExclusion> words, int partners, int clients, int connections) {}
 
   private ProcessFiles files(long pid) {
     return new ProcessFiles(folder, pid, () -> now, alive -> true, line -> {});
   }
 
-  private static ProcessState state(long pid, Stage stage, List<Word> words) {
+  private static ProcessState state(long pid, Stage stage, List<ServerExclusion> words) {
     return new ProcessState(pid, stage, 12, 34, words, null);
   }
 
@@ -33,10 +33,10 @@
    */
   @Test
   void aLookTellsOfPartnersTheirConnectionsAndTheirWordsTogether() {
-    List<Word> words = List.of(new Word(5, true, now));
+    List<ServerExclusion> words = List.of(new ServerExclusion(5, true, now));
     files(2).tell(state(2, Stage.READY, words));
-    try (Handover handover =
-        new Handover(
+    try (HotRestart handover =
+        new HotRestart(
             files(1),
             () -> state(1, Stage.STARTING, List.of()),
             List::of,
--- a/engine/src/test/java/shalepaddle/handover/SeenFormatTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -19,7 +19,7 @@
 import shalepaddle.settings.FormatException;
 
 /** Observations on their way from one process of a node to the next. */
-class SeenFormatTest {
+class ObservationFormatTest {
   @TempDir private Path folder;
 
   private static Observation seen(String key, Outcome.Result result, LoadReport load) {
@@ -37,21 +37,21 @@
 
   @Test
   void whatIsWrittenIsReadAsItWas() throws Exception {
-    assertEquals(some(), SeenFormat.read(SeenFormat.write(some())));
-    assertEquals(List.of(), SeenFormat.read(SeenFormat.write(List.of())));
+    assertEquals(some(), ObservationFormat.read(ObservationFormat.write(some())));
+    assertEquals(List.of(), ObservationFormat.read(ObservationFormat.write(List.of())));
   }
 
   @Test
   void aFileThatIsCutOrChangedAnywhereIsNotBelieved() throws Exception {
-    byte[] whole = SeenFormat.write(some());
+    byte[] whole = ObservationFormat.write(some());
     for (int length = 0; length < whole.length; length++) {
       byte[] cut = Arrays.copyOf(whole, length);
-      assertThrows(FormatException.class, () -> SeenFormat.read(cut), "cut at " + length);
+      assertThrows(FormatException.class, () -> ObservationFormat.read(cut), "cut at " + length);
     }
     for (int i = 0; i < whole.length; i++) {
       byte[] changed = whole.clone();
       changed[i] ^= 1;
-      assertThrows(FormatException.class, () -> SeenFormat.read(changed), "changed at " + i);
+      assertThrows(FormatException.class, () -> ObservationFormat.read(changed), "changed at " + i);
     }
   }
 
@@ -62,8 +62,9 @@
             + "[[1.764000000125E9,-9223372036854775808,\"TIMEOUT\",\"MISS\",0.25,0.01,"
             + "null,\"read\",null,1.5,0.002,100.0,true,false]]";
     assertEquals(
-        golden, new String(SeenFormat.write(some().subList(1, 2)), StandardCharsets.UTF_8));
-    assertEquals(some().subList(1, 2), SeenFormat.read(golden.getBytes(StandardCharsets.UTF_8)));
+        golden, new String(ObservationFormat.write(some().subList(1, 2)), StandardCharsets.UTF_8));
+    assertEquals(
+        some().subList(1, 2), ObservationFormat.read(golden.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
@@ -73,7 +74,7 @@
             "shalepaddle-seen-1",
             "[[1,2,\"OK\",\"HIT\",0.25,0,\"k\",\"read\",null,1,0,0,false,false,"
                 + "1,2,3,4,5,6,7,8,{\"new\":[1]},9]]");
-    assertEquals(3, SeenFormat.read(more).get(0).outcome().load().utilization());
+    assertEquals(3, ObservationFormat.read(more).get(0).outcome().load().utilization());
   }
 
   @Test
--- a/engine/src/test/java/shalepaddle/handover/ProcessFilesTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ProcessFilesTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -32,7 +32,7 @@
     return new ProcessFiles(folder, pid, () -> now, alive::contains, log::add);
   }
 
-  private static ProcessState state(long pid, ProcessState.Stage stage, Word... words)
+  private static ProcessState state(long pid, ProcessState.Stage stage, ServerExclusion... words)
       throws FormatException {
     MemberList list =
         new MemberList(
@@ -48,7 +48,8 @@
 
   @Test
   void whatIsToldIsReadAsItWasTold() throws Exception {
-    ProcessState told = state(2, ProcessState.Stage.READY, new Word(Long.MAX_VALUE, true, now));
+    ProcessState told =
+        state(2, ProcessState.Stage.READY, new ServerExclusion(Long.MAX_VALUE, true, now));
     assertTrue(of(2).tell(told));
     assertEquals(List.of(told), of(1).others().partners());
     assertEquals(List.of(), of(2).others().partners(), "not of itself");
@@ -58,7 +59,8 @@
 
   @Test
   void aFileThatIsCutOrChangedAnywhereIsNotBelieved() throws Exception {
-    byte[] whole = StateFormat.write(state(2, ProcessState.Stage.READY, new Word(5, true, 9)));
+    byte[] whole =
+        StateFormat.write(state(2, ProcessState.Stage.READY, new ServerExclusion(5, true, 9)));
     for (int length = 0; length < whole.length; length++) {
       byte[] cut = Arrays.copyOf(whole, length);
       assertThrows(FormatException.class, () -> StateFormat.read(cut));
@@ -77,7 +79,7 @@
 
   @Test
   void onePartnerThatIsSilentOrGoneLeavesItsWordsAlone() throws Exception {
-    Word word = new Word(5, true, now);
+    ServerExclusion word = new ServerExclusion(5, true, now);
     of(2).tell(state(2, ProcessState.Stage.READY, word));
     Path file = folder.resolve("shalepaddle-2.process");
     Files.setLastModifiedTime(file, FileTime.fromMillis(now - ProcessFiles.SILENT_MILLIS));
--- a/engine/src/test/java/shalepaddle/handover/WordsTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ServerExclusionsTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.handover;
+package shalepaddle.hotrestart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,19 +11,19 @@
 import org.junit.jupiter.api.Test;
 
 /** Two processes come to hold the same words, in whatever order and how often they hear them. */
-class WordsTest {
+class ServerExclusionsTest {
   @Test
   void mergingInAnyOrderAndTwiceComesToTheSame() {
     Random random = new Random(7);
     for (int round = 0; round < 500; round++) {
-      List<Word> said = new ArrayList<>();
+      List<ServerExclusion> said = new ArrayList<>();
       for (int i = 0; i < 12; i++) {
-        said.add(new Word(random.nextInt(4), random.nextBoolean(), random.nextInt(6)));
+        said.add(new ServerExclusion(random.nextInt(4), random.nextBoolean(), random.nextInt(6)));
       }
-      Words one = new Words();
+      ServerExclusions one = new ServerExclusions();
       said.forEach(one::say);
       Collections.shuffle(said, random);
-      Words other = new Words();
+      ServerExclusions other = new ServerExclusions();
       other.merge(said);
       other.merge(one.all());
       one.merge(other.all());
@@ -34,23 +34,23 @@
 
   @Test
   void theNewestWordHoldsAndTellsWhetherItChangesAnything() {
-    Words words = new Words();
-    assertTrue(words.say(new Word(1, true, 10)));
-    assertEquals(false, words.say(new Word(1, true, 20)), "twice out");
-    assertEquals(false, words.say(new Word(1, false, 15)), "older than the last");
-    assertTrue(words.say(new Word(1, false, 30)), "one call back undoes both");
-    assertEquals(false, words.say(new Word(2, false, 30)), "it was never out");
+    ServerExclusions words = new ServerExclusions();
+    assertTrue(words.say(new ServerExclusion(1, true, 10)));
+    assertEquals(false, words.say(new ServerExclusion(1, true, 20)), "twice out");
+    assertEquals(false, words.say(new ServerExclusion(1, false, 15)), "older than the last");
+    assertTrue(words.say(new ServerExclusion(1, false, 30)), "one call back undoes both");
+    assertEquals(false, words.say(new ServerExclusion(2, false, 30)), "it was never out");
   }
 
   @Test
   void aServerThatIsOutIsNeverForgotten() {
-    Words words = new Words();
-    words.say(new Word(-1, true, 1));
+    ServerExclusions words = new ServerExclusions();
+    words.say(new ServerExclusion(-1, true, 1));
     for (int i = 0; i < 10_000; i++) {
-      words.say(new Word(i, true, 2));
-      words.say(new Word(i, false, 3));
+      words.say(new ServerExclusion(i, true, 2));
+      words.say(new ServerExclusion(i, false, 3));
     }
     assertTrue(words.all().size() <= 4096);
-    assertTrue(words.all().contains(new Word(-1, true, 1)));
+    assertTrue(words.all().contains(new ServerExclusion(-1, true, 1)));
   }
 }
--- a/engine/src/test/java/shalepaddle/node/DoorTest.java
+++ b/engine/src/test/java/shalepaddle/node/AdminServerTest.java
@@ -27,15 +27,15 @@
 
 /** What operators see and do at the door of a node that serves, over loopback sockets. */
 @Timeout(60)
-class DoorTest {
+class AdminServerTest {
   private static final String DOOR = "},\"management\":\"127.0.0.1:0\",\"unused\":{";
 
-  private NodeRig rig;
+  private NodeFixture rig;
   private String member;
 
   @BeforeEach
   void start() throws Exception {
-    rig = new NodeRig(DOOR);
+    rig = new NodeFixture(DOOR);
     member = "s-" + rig.cache.getLocalPort();
   }
 
@@ -160,7 +160,7 @@
   void countsEachRequestOnceAndEachAttempt() throws Exception {
     assertEquals(0, figure("app_results{service=\"read\",disposition=\"succeeded\"}"));
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 2000));
+    client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     awaitFigure("app_outstanding", 1);
@@ -170,20 +170,20 @@
     client.line();
     awaitFigure("app_results{service=\"read\",disposition=\"succeeded\"}", 1);
     awaitFigure("app_outstanding", 0);
-    client.write(NodeRig.put("a2", 2000, "v"));
+    client.write(NodeFixture.put("a2", 2000, "v"));
     cache.line();
     cache.line();
     cache.write("SERVER_ERROR failed\r\n");
     client.line();
     awaitFigure("app_results{service=\"put\",disposition=\"aborted\"}", 1);
-    client.write(NodeRig.put("a3", 2000, "v"));
+    client.write(NodeFixture.put("a3", 2000, "v"));
     cache.line();
     cache.line();
     cache.write("SERVER_ERROR busy\r\n");
     client.line();
     awaitFigure("app_results{service=\"put\",disposition=\"declined\"}", 1);
     // One whose client leaves ends as well.
-    client.write(NodeRig.get("a4", 2000));
+    client.write(NodeFixture.get("a4", 2000));
     cache.line();
     awaitFigure("app_outstanding", 1);
     client.close();
@@ -195,7 +195,7 @@
   @Test
   void aServerOutByHandGetsNothingUntilItIsPutBack() throws Exception {
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 2000));
+    client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     assertEquals(200, call("PUT", "/api/exclude?member=" + member).status());
@@ -206,24 +206,25 @@
     assertEquals("VA 1 Oa1", client.line());
     client.line();
     assertTrue(cache.ended());
-    client.write(NodeRig.get("a2", 2000));
+    client.write(NodeFixture.get("a2", 2000));
     assertEquals("SERVER_ERROR busy", client.line());
     // Discovery's word changes nothing, whether it drops the server or has it back.
     ScriptedPeer discovery = rig.acceptDiscovery();
     while (!discovery.line().isEmpty()) {}
     discovery.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    discovery.write(NodeRig.chunk(NodeRig.members(8, true) + "\n"));
+    discovery.write(NodeFixture.chunk(NodeFixture.members(8, true) + "\n"));
     awaitFigure("app_discovered", 0);
     assertEquals(200, call("PUT", "/api/exclude?member=" + member).status());
-    discovery.write(NodeRig.chunk(NodeRig.members(9, true, rig.cache.getLocalPort()) + "\n"));
+    discovery.write(
+        NodeFixture.chunk(NodeFixture.members(9, true, rig.cache.getLocalPort()) + "\n"));
     awaitFigure("app_discovered", 1);
-    client.write(NodeRig.get("a3", 2000));
+    client.write(NodeFixture.get("a3", 2000));
     assertEquals("SERVER_ERROR busy", client.line());
     assertEquals(200, call("PUT", "/api/include?member=" + member).status());
     assertEquals(0, figure("app_ejected"));
     // It counts as cold: within its warm-up of a second it may get nothing from a fresh node.
     for (int i = 0; ; i++) {
-      client.write(NodeRig.get("b" + i, 2000) + "mn\r\n");
+      client.write(NodeFixture.get("b" + i, 2000) + "mn\r\n");
       rig.cache.setSoTimeout(100);
       try {
         ScriptedPeer again = rig.acceptCache();
@@ -246,7 +247,7 @@
     rig.pausedWhile(
         1,
         () -> {
-          client.write(NodeRig.get("a1", 2000));
+          client.write(NodeFixture.get("a1", 2000));
           Thread call =
               new Thread(
                   () -> {
@@ -275,7 +276,7 @@
     String text = rig.configText(DOOR);
     JsonObject shape = JsonObject.parse(text);
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.put("a1", 2000, "v"));
+    client.write(NodeFixture.put("a1", 2000, "v"));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.line();
@@ -296,7 +297,7 @@
     // What was open is unsafe as ever: it may have run, so that it has failed.
     cache.write("SERVER_ERROR failed\r\n");
     assertEquals("SERVER_ERROR failed", client.line());
-    client.write(NodeRig.put("a2", 2000, "v"));
+    client.write(NodeFixture.put("a2", 2000, "v"));
     for (int attempt = 0; attempt < 2; attempt++) {
       assertTrue(cache.line().contains("Oa2 "));
       cache.line();
@@ -336,7 +337,7 @@
   @Test
   void isNotReadyWhileItDrains() throws Exception {
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 2000));
+    client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     Thread drain = new Thread(rig.node::drain);
--- a/engine/src/test/java/shalepaddle/node/ClientConnectionsTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientConnectionsTest.java
@@ -14,8 +14,8 @@
 
 /** Which connections of clients a node keeps, over loopback sockets. */
 class ClientConnectionsTest {
-  private static void serveOne(NodeRig rig, ScriptedPeer client, String id) throws Exception {
-    client.write(NodeRig.get(id, 5000));
+  private static void serveOne(NodeFixture rig, ScriptedPeer client, String id) throws Exception {
+    client.write(NodeFixture.get(id, 5000));
     try (ScriptedPeer cache = rig.acceptCache()) {
       assertTrue(cache.line().contains("O" + id + " "));
       cache.write("VA 1 O" + id + "\r\nx\r\n");
@@ -26,7 +26,7 @@
 
   @Test
   void servesANewClientWhereSilentOnesTookEveryPlace() throws Exception {
-    try (NodeRig rig = new NodeRig(1, 128)) {
+    try (NodeFixture rig = new NodeFixture(1, 128)) {
       List<ScriptedPeer> silent = new ArrayList<>();
       for (int i = 0; i < 128; i++) {
         silent.add(rig.client());
@@ -41,9 +41,9 @@
 
   @Test
   void keepsAClientThatIsOwedAnAnswerWhereOthersCrowdIn() throws Exception {
-    try (NodeRig rig = new NodeRig(1, 128)) {
+    try (NodeFixture rig = new NodeFixture(1, 128)) {
       ScriptedPeer owed = rig.client();
-      owed.write(NodeRig.get("a1", 60_000));
+      owed.write(NodeFixture.get("a1", 60_000));
       ScriptedPeer cache = rig.acceptCache();
       assertTrue(cache.line().contains("Oa1 "));
       for (int i = 0; i < 128; i++) {
@@ -56,7 +56,7 @@
 
   @Test
   void clientsThatAskForNothingGiveWayBeforeOneThatPauses() throws Exception {
-    try (NodeRig rig = new NodeRig(1, 128)) {
+    try (NodeFixture rig = new NodeFixture(1, 128)) {
       ScriptedPeer usual = rig.client();
       serveOne(rig, usual, "a1");
       // A pause after which it would give way, were there no others.
@@ -70,13 +70,13 @@
 
   @Test
   void clientsThatAskOnceAndStayGiveWayWhereManyDo() throws Exception {
-    try (NodeRig rig = new NodeRig(1, 128)) {
+    try (NodeFixture rig = new NodeFixture(1, 128)) {
       long began = System.nanoTime();
       List<ScriptedPeer> clients = new ArrayList<>();
       ScriptedPeer cache = null;
       for (int i = 0; i < 40; i++) {
         clients.add(rig.client());
-        clients.get(i).write(NodeRig.get("a" + i, 5000));
+        clients.get(i).write(NodeFixture.get("a" + i, 5000));
         cache = cache == null ? rig.acceptCache() : cache;
         assertTrue(cache.line().contains("Oa" + i + " "));
         cache.write("VA 1 Oa" + i + "\r\nx\r\n");
@@ -91,14 +91,14 @@
 
   @Test
   void closesAClientThatSaysNothing() throws Exception {
-    try (NodeRig rig = new NodeRig()) {
+    try (NodeFixture rig = new NodeFixture()) {
       assertTrue(rig.client().ended());
     }
   }
 
   @Test
   void closesAClientThatAskedOnceAndStays() throws Exception {
-    try (NodeRig rig = new NodeRig()) {
+    try (NodeFixture rig = new NodeFixture()) {
       ScriptedPeer client = rig.client();
       client.write("mn\r\n");
       assertEquals("MN", client.line());
@@ -113,7 +113,7 @@
    */
   @Test
   void doesNotResetARequestThatCrossesTheEndOfItsConnection() throws Exception {
-    try (NodeRig rig = new NodeRig();
+    try (NodeFixture rig = new NodeFixture();
         SocketChannel client = SocketChannel.open(rig.address)) {
       client.write(ByteBuffer.wrap("mn\r\n".getBytes(StandardCharsets.US_ASCII)));
       ByteBuffer answer = ByteBuffer.allocate(64);
@@ -123,7 +123,8 @@
       Thread drain = new Thread(rig.node::drain);
       drain.start();
       assertEquals(-1, client.read(answer));
-      client.write(ByteBuffer.wrap(NodeRig.get("a1", 2000).getBytes(StandardCharsets.US_ASCII)));
+      client.write(
+          ByteBuffer.wrap(NodeFixture.get("a1", 2000).getBytes(StandardCharsets.US_ASCII)));
       drain.join();
       assertEquals(1, client.write(ByteBuffer.wrap(new byte[1])));
     }
@@ -131,9 +132,9 @@
 
   @Test
   void aCommandThatGoesOnGivesWayAfterThoseThatStandStill() throws Exception {
-    try (NodeRig rig = new NodeRig(1, 128)) {
+    try (NodeFixture rig = new NodeFixture(1, 128)) {
       ScriptedPeer slow = rig.client();
-      String command = NodeRig.get("a1", 5000);
+      String command = NodeFixture.get("a1", 5000);
       slow.write(command.substring(0, 3));
       for (int i = 3; i < command.length(); i++) {
         // Halves of commands come all the while, more than there are places.
@@ -155,9 +156,9 @@
   void endsInTimeWhereAClassMayWaitForLonger() throws Exception {
     String waits =
         ",\"services\":[{\"name\":\"read\",\"effect\":\"retryable\",\"slo\":1,\"give-up\":6}]";
-    try (NodeRig rig = new NodeRig(waits)) {
+    try (NodeFixture rig = new NodeFixture(waits)) {
       ScriptedPeer client = rig.client();
-      client.write(NodeRig.get("a1", 6000));
+      client.write(NodeFixture.get("a1", 6000));
       ScriptedPeer cache = rig.acceptCache();
       cache.line();
       long began = System.nanoTime();
@@ -165,7 +166,7 @@
       drain.start();
       Thread.sleep(600);
       // One that comes while it ends has no more time than is left.
-      client.write(NodeRig.get("a2", 6000));
+      client.write(NodeFixture.get("a2", 6000));
       // Nor has one that was open before: it may have run, so that it has failed.
       assertEquals("SERVER_ERROR failed", client.line());
       assertEquals("SERVER_ERROR failed", client.line());
--- a/engine/src/test/java/shalepaddle/node/LeavingClientTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import shalepaddle.coalescing.CoalescingConfig;
 import shalepaddle.config.OperatorFile;
-import shalepaddle.joining.JoiningTuning;
-import shalepaddle.overload.Tuning;
+import shalepaddle.overload.OverloadConfig;
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
@@ -27,7 +27,7 @@
  * out needs no calling off.
  */
 @Timeout(60)
-class LeavingClientTest {
+class ClientDisconnectTest {
   private static final int BATCHES = 5;
   private static final int BATCH = 200;
 
@@ -45,7 +45,7 @@
 
   private static final int MILLIS = 30_000;
 
-  private NodeRig rig;
+  private NodeFixture rig;
   private int asked;
 
   @AfterEach
@@ -61,7 +61,7 @@
   private List<ScriptedPeer> ask(int many) throws IOException {
     List<ScriptedPeer> clients = new ArrayList<>();
     for (int i = 0; i < many; i++) {
-      clients.add(rig.client().write(NodeRig.get(next(), MILLIS)));
+      clients.add(rig.client().write(NodeFixture.get(next(), MILLIS)));
     }
     return clients;
   }
@@ -90,7 +90,7 @@
   /** Asks once more; how many others reach the server before that does. */
   private int sentBefore(ScriptedPeer cache) throws Exception {
     String last = next();
-    ScriptedPeer client = rig.client().write(NodeRig.get(last, MILLIS));
+    ScriptedPeer client = rig.client().write(NodeFixture.get(last, MILLIS));
     int others = 0;
     for (String line = cache.line(); ; line = cache.line()) {
       assertTrue(line != null, "the connection ended");
@@ -106,11 +106,11 @@
 
   @Test
   void noneThatWaitsForAPlaceIsSentOn() throws Exception {
-    rig = new NodeRig(ONE_PLACE);
+    rig = new NodeFixture(ONE_PLACE);
     int sent = 0;
     ScriptedPeer cache = null;
     for (int batch = 0; batch < BATCHES; batch++) {
-      ScriptedPeer first = rig.client().write(NodeRig.get(next(), MILLIS));
+      ScriptedPeer first = rig.client().write(NodeFixture.get(next(), MILLIS));
       cache = cache == null ? rig.acceptCache() : cache;
       String underWay = cache.line();
       List<ScriptedPeer> waiting = ask(BATCH);
@@ -139,7 +139,7 @@
 
   @Test
   void noneThatWaitsForAConnectionThatComesUpLateIsSentOn() throws Exception {
-    rig = new NodeRig(ONE_PLACE);
+    rig = new NodeFixture(ONE_PLACE);
     List<Socket> fillers = fill(rig.cache);
     List<ScriptedPeer> waiting = ask(BATCH);
     // One that leaves after it has waited, the same as one that leaves at once.
@@ -161,9 +161,9 @@
 
   @Test
   void noneThatWaitsBehindBytesThatTheKernelDidNotTakeIsSentOn() throws Exception {
-    rig = new NodeRig(SHARED.formatted(false));
+    rig = new NodeFixture(SHARED.formatted(false));
     int length = 4 << 20;
-    ScriptedPeer first = rig.client().write(NodeRig.put("w", MILLIS, "v".repeat(length)));
+    ScriptedPeer first = rig.client().write(NodeFixture.put("w", MILLIS, "v".repeat(length)));
     // It reads nothing yet.
     ScriptedPeer cache = rig.acceptCache();
     rig.settled();
@@ -185,7 +185,7 @@
     int sent = 0;
     for (int batch = 0; batch < BATCHES; batch++) {
       // A new one: a server that has lost so many is not asked for a while.
-      rig = new NodeRig(SHARED.formatted(cancel));
+      rig = new NodeFixture(SHARED.formatted(cancel));
       List<ScriptedPeer> waiting = ask(BATCH);
       ScriptedPeer cache = rig.acceptCache();
       for (int i = 0; i < BATCH; i++) {
@@ -202,7 +202,7 @@
 
   /** The same on whatever connection comes next, which is then closed. */
   private int sentOnNext() throws Exception {
-    ScriptedPeer client = rig.client().write(NodeRig.get("last" + asked, MILLIS));
+    ScriptedPeer client = rig.client().write(NodeFixture.get("last" + asked, MILLIS));
     ScriptedPeer cache = rig.acceptCache();
     int others = 0;
     String line = cache.line();
@@ -220,12 +220,12 @@
 
   @Test
   void noneIsSentOnWhoseConnectionIsNotReadFromForTheAnswersItIsOwed() throws Exception {
-    rig = new NodeRig(ONE_PLACE);
+    rig = new NodeFixture(ONE_PLACE);
     int sent = 0;
     ScriptedPeer cache = null;
     int pipelined = 100;
     for (int batch = 0; batch < BATCHES; batch++) {
-      ScriptedPeer first = rig.client().write(NodeRig.get(next(), MILLIS));
+      ScriptedPeer first = rig.client().write(NodeFixture.get(next(), MILLIS));
       cache = cache == null ? rig.acceptCache() : cache;
       String underWay = cache.line();
       List<ScriptedPeer> waiting = new ArrayList<>();
@@ -233,7 +233,7 @@
         ScriptedPeer client = rig.client();
         waiting.add(client);
         for (int j = 0; j < pipelined; j++) {
-          client.write(NodeRig.get(next(), MILLIS));
+          client.write(NodeFixture.get(next(), MILLIS));
           if (j == 70) {
             // What follows is not taken: so many answers are owed.
             rig.settled();
@@ -251,11 +251,11 @@
 
   @Test
   void noneIsSentOnBehindAnErrorOnItsConnection() throws Exception {
-    rig = new NodeRig(ONE_PLACE);
+    rig = new NodeFixture(ONE_PLACE);
     int sent = 0;
     ScriptedPeer cache = null;
     for (int batch = 0; batch < BATCHES; batch++) {
-      ScriptedPeer first = rig.client().write(NodeRig.get(next(), MILLIS));
+      ScriptedPeer first = rig.client().write(NodeFixture.get(next(), MILLIS));
       cache = cache == null ? rig.acceptCache() : cache;
       String underWay = cache.line();
       List<ScriptedPeer> waiting = ask(BATCH);
@@ -276,8 +276,8 @@
   @ParameterizedTest
   @ValueSource(ints = {BATCH / 5, BATCH})
   void noneThatCameAndLeftWhileTheLoopStoodStillIsSentOn(int batchSize) throws Exception {
-    rig = new NodeRig(ONE_PLACE);
-    ScriptedPeer first = rig.client().write(NodeRig.get(next(), MILLIS));
+    rig = new NodeFixture(ONE_PLACE);
+    ScriptedPeer first = rig.client().write(NodeFixture.get(next(), MILLIS));
     ScriptedPeer cache = rig.acceptCache();
     serve(cache, cache.line());
     first.line();
@@ -299,12 +299,13 @@
 
   @Test
   void noneIsSentOnForJoinedReadsThatAllHaveLeft() throws Exception {
-    rig = new NodeRig(ONE_PLACE, new OperatorFile(Tuning.USUAL, JoiningTuning.USUAL));
+    rig =
+        new NodeFixture(ONE_PLACE, new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.USUAL));
     int sent = 0;
     ScriptedPeer cache = null;
     for (int batch = 0; batch < BATCHES; batch++) {
       // A write is never joined.
-      ScriptedPeer first = rig.client().write(NodeRig.put(next(), MILLIS, "v"));
+      ScriptedPeer first = rig.client().write(NodeFixture.put(next(), MILLIS, "v"));
       cache = cache == null ? rig.acceptCache() : cache;
       String underWay = cache.line();
       cache.line();
--- a/engine/src/test/java/shalepaddle/node/ClientReadingTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientReadingTest.java
@@ -15,16 +15,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import shalepaddle.coalescing.CoalescingConfig;
 import shalepaddle.codec.meta.MetaClientCodec;
 import shalepaddle.engine.Attempt;
 import shalepaddle.engine.Dispatcher;
 import shalepaddle.engine.MemoryBudget;
 import shalepaddle.engine.Upstream;
 import shalepaddle.front.ClientFront;
-import shalepaddle.front.Gate;
-import shalepaddle.joining.JoiningTuning;
+import shalepaddle.front.RequestAdmission;
 import shalepaddle.loop.LoopClock;
-import shalepaddle.overload.Posture;
+import shalepaddle.overload.DegradationPolicy;
 
 /** When a client is not read from: where it comes again too soon, and where it is told to leave. */
 class ClientReadingTest {
@@ -110,7 +110,7 @@
             """
             {"name":"read","effect":"retryable","slo":0.75,"give-up":2,"credit":2}
             """,
-            JoiningTuning.OFF,
+            CoalescingConfig.OFF,
             new Upstream() {
               @Override
               public void send(Attempt attempt) {
@@ -124,8 +124,8 @@
               public void closeIdle(long server) {}
             },
             7);
-    Gate refusing =
-        new Gate() {
+    RequestAdmission refusing =
+        new RequestAdmission() {
           @Override
           public boolean shuts() {
             return true;
@@ -136,10 +136,12 @@
             return ADVICE_MILLIS + (repeat ? REPEAT : 0);
           }
         };
-    try (NodeRig rig = new NodeRig()) {
+    try (NodeFixture rig = new NodeFixture()) {
       MetaClientCodec codec =
           new MetaClientCodec(new MemoryBudget(1000), rig.config("").settings(), refusing);
-      front = new ClientFront(dispatcher, codec, 8, () -> Posture.CALM, new MemoryBudget(1 << 16));
+      front =
+          new ClientFront(
+              dispatcher, codec, 8, () -> DegradationPolicy.CALM, new MemoryBudget(1 << 16));
       client = new Duplex(engine, front);
     }
   }
--- a/engine/src/test/java/shalepaddle/node/JoiningNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
@@ -15,22 +15,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import shalepaddle.coalescing.CoalescingConfig;
+import shalepaddle.coalescing.CoalescingSnapshot;
 import shalepaddle.config.OperatorFile;
 import shalepaddle.engine.Call;
 import shalepaddle.engine.Engine;
 import shalepaddle.engine.Payload;
 import shalepaddle.engine.Reply;
-import shalepaddle.joining.JoiningReading;
-import shalepaddle.joining.JoiningTuning;
 import shalepaddle.model.Request;
-import shalepaddle.overload.Tuning;
+import shalepaddle.overload.OverloadConfig;
 import shalepaddle.testkit.ScriptedPeer;
 
 /** Like reads of many clients, over sockets. */
-class JoiningNodeTest {
-  private static final OperatorFile JOINING = new OperatorFile(Tuning.USUAL, JoiningTuning.USUAL);
+class CoalescingNodeTest {
+  private static final OperatorFile JOINING =
+      new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.USUAL);
 
-  private NodeRig rig;
+  private NodeFixture rig;
 
   @AfterEach
   void stop() throws Exception {
@@ -48,7 +49,7 @@
   /** Asks for the same key on each, and returns once all have been taken. */
   private void askAll(List<ScriptedPeer> clients) throws Exception {
     for (int i = 0; i < clients.size(); i++) {
-      clients.get(i).write(NodeRig.get("r" + i, 2000));
+      clients.get(i).write(NodeFixture.get("r" + i, 2000));
     }
     awaitWaiting(clients.size());
   }
@@ -60,13 +61,13 @@
     assertEquals(count, reading().waiting());
   }
 
-  private JoiningReading reading() throws Exception {
+  private CoalescingSnapshot reading() throws Exception {
     return rig.node.loop().submit(() -> rig.node.dispatcher().joining()).get();
   }
 
   @Test
   void aHundredReadsOfAKeyAreOneFetchAndEachGetsItsOwnAnswer() throws Exception {
-    rig = new NodeRig("", JOINING);
+    rig = new NodeFixture("", JOINING);
     List<ScriptedPeer> clients = clients(100);
     askAll(clients);
     ScriptedPeer cache = rig.acceptCache();
@@ -79,22 +80,22 @@
       assertEquals("abcde", clients.get(i).line());
     }
     rig.settled();
-    JoiningReading reading = reading();
-    assertEquals(new JoiningReading(1, 99, 0, 99, 0, 0, 0, 0, 0), reading);
+    CoalescingSnapshot reading = reading();
+    assertEquals(new CoalescingSnapshot(1, 99, 0, 99, 0, 0, 0, 0, 0), reading);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
   void theFirstMayLeaveAtAnyPoint(int point) throws Exception {
-    rig = new NodeRig("", JOINING);
+    rig = new NodeFixture("", JOINING);
     ScriptedPeer first = rig.client();
-    first.write(NodeRig.get("first", 2000));
+    first.write(NodeFixture.get("first", 2000));
     awaitWaiting(1);
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().contains(" Ofirst "));
     List<ScriptedPeer> others = clients(10);
     for (int i = 0; i < 10; i++) {
-      others.get(i).write(NodeRig.get("r" + i, 2000));
+      others.get(i).write(NodeFixture.get("r" + i, 2000));
       awaitWaiting(i < point ? i + 2 : i + 1 + (i == point ? 1 : 0));
       if (i == point) {
         first.close();
@@ -111,9 +112,9 @@
 
   @Test
   void callersOfTwoFrontsShareAFetch() throws Exception {
-    rig = new NodeRig("", JOINING);
+    rig = new NodeFixture("", JOINING);
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("socket", 2000));
+    client.write(NodeFixture.get("socket", 2000));
     awaitWaiting(1);
     BlockingQueue<Reply> replies = new LinkedBlockingQueue<>();
     Request like = new Request("call", "key", "read", null, 2, 0, 0, false, false);
@@ -134,11 +135,11 @@
   /** The file that is deployed: on the platform each request must have an answer of its own. */
   @Test
   void asDeployedNothingIsJoined() throws Exception {
-    rig = new NodeRig("", OperatorFile.load("deploy/operator.toml"));
+    rig = new NodeFixture("", OperatorFile.load("deploy/operator.toml"));
     assertNull(reading());
     List<ScriptedPeer> clients = clients(2);
     for (int i = 0; i < 2; i++) {
-      clients.get(i).write(NodeRig.get("r" + i, 2000));
+      clients.get(i).write(NodeFixture.get("r" + i, 2000));
     }
     // The policy lets the second read of a key that it does not know wait for the first.
     ScriptedPeer cache = rig.acceptCache();
--- a/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
+++ b/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
@@ -34,24 +34,24 @@
 
   @Test
   void followsAWatchFromTheVersionItKnows() throws Exception {
-    try (NodeRig rig = new NodeRig();
+    try (NodeFixture rig = new NodeFixture();
         ServerSocket second = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       second.setSoTimeout(ScriptedPeer.PATIENCE_MILLIS);
       ScriptedPeer discovery = rig.acceptDiscovery();
       assertEquals(WATCH.formatted(7), call(discovery));
-      String list = NodeRig.members(8, true, second.getLocalPort()) + "\n";
+      String list = NodeFixture.members(8, true, second.getLocalPort()) + "\n";
       discovery.write(
           HEAD
-              + NodeRig.chunk(list.substring(0, 9))
-              + NodeRig.chunk(list.substring(9))
-              + NodeRig.chunk("\n"));
+              + NodeFixture.chunk(list.substring(0, 9))
+              + NodeFixture.chunk(list.substring(9))
+              + NodeFixture.chunk("\n"));
       serveOne(rig, second, "moved");
       // A change may bring another address for a server that is known.
       String change =
           "{\"version\":9,\"full\":false,\"servers\":["
-              + NodeRig.member("s-" + second.getLocalPort(), rig.cache.getLocalPort(), "active")
+              + NodeFixture.member("s-" + second.getLocalPort(), rig.cache.getLocalPort(), "active")
               + "]}\n";
-      discovery.write(NodeRig.chunk(change));
+      discovery.write(NodeFixture.chunk(change));
       serveOne(rig, rig.cache, "back");
       // Nothing tells a node that it is up to date but the version with which it asks again.
       discovery.close();
@@ -62,11 +62,11 @@
   /**
    * Asks until a request comes to the server; those that the old list sent elsewhere are given up.
    */
-  private static void serveOne(NodeRig rig, ServerSocket server, String id) throws Exception {
+  private static void serveOne(NodeFixture rig, ServerSocket server, String id) throws Exception {
     server.setSoTimeout(100);
     for (int i = 0; i < ScriptedPeer.PATIENCE_MILLIS / 100; i++) {
       try (ScriptedPeer client = ScriptedPeer.connect(rig.address)) {
-        client.write(NodeRig.get(id + i, 60_000));
+        client.write(NodeFixture.get(id + i, 60_000));
         ScriptedPeer cache = new ScriptedPeer(server.accept());
         String line = cache.line();
         if (line == null) {
@@ -88,13 +88,13 @@
 
   @Test
   void asksAgainAfterAFailedCall() throws Exception {
-    try (NodeRig rig = new NodeRig()) {
+    try (NodeFixture rig = new NodeFixture()) {
       ScriptedPeer first = rig.acceptDiscovery();
       call(first);
       first.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
       ScriptedPeer second = rig.acceptDiscovery();
       call(second);
-      second.write(HEAD + NodeRig.chunk("{\"version\":\n"));
+      second.write(HEAD + NodeFixture.chunk("{\"version\":\n"));
       ScriptedPeer third = rig.acceptDiscovery();
       call(third);
       third.write(HEAD + "0\r\n\r\n");
@@ -104,11 +104,11 @@
 
   @Test
   void takesASilentWatchForDead() throws Exception {
-    try (NodeRig rig = new NodeRig()) {
+    try (NodeFixture rig = new NodeFixture()) {
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
       discovery.write(
-          HEAD + NodeRig.chunk(NodeRig.members(8, true, rig.cache.getLocalPort()) + "\n"));
+          HEAD + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
       assertTrue(discovery.ended());
       assertEquals(WATCH.formatted(8), call(rig.acceptDiscovery()));
     }
@@ -116,7 +116,7 @@
 
   @Test
   void keepsAWatchUpWhereListsArePushed() throws Exception {
-    try (NodeRig rig = new NodeRig(",\"discovery\":\"push\"")) {
+    try (NodeFixture rig = new NodeFixture(",\"discovery\":\"push\"")) {
       ScriptedPeer discovery = rig.acceptDiscovery();
       assertEquals(WATCH.formatted(7), call(discovery));
       discovery.reset();
@@ -127,11 +127,12 @@
   @Test
   void asksWhereTheNewConfigurationSays(@TempDir Path folder) throws Exception {
     Path config = folder.resolve("config.json");
-    try (NodeRig rig = new NodeRig();
-        ServerSocket second = NodeRig.listen()) {
+    try (NodeFixture rig = new NodeFixture();
+        ServerSocket second = NodeFixture.listen()) {
       ScriptedPeer first = rig.acceptDiscovery();
       call(first);
-      first.write(HEAD + NodeRig.chunk(NodeRig.members(8, true, rig.cache.getLocalPort()) + "\n"));
+      first.write(
+          HEAD + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
       serveOne(rig, rig.cache, "before");
       String old = "127.0.0.1:" + rig.discovery.getLocalPort();
       String text = rig.configText("").replace(old, "127.0.0.1:" + second.getLocalPort());
@@ -150,7 +151,8 @@
         assertEquals(WATCH.formatted(8), call(moved));
         assertTrue(again.ended());
         moved.write(
-            HEAD + NodeRig.chunk(NodeRig.members(9, true, rig.cache.getLocalPort()) + "\n"));
+            HEAD
+                + NodeFixture.chunk(NodeFixture.members(9, true, rig.cache.getLocalPort()) + "\n"));
         serveOne(rig, rig.cache, "after");
       }
     }
@@ -159,31 +161,31 @@
   @Test
   void sharesAConnectionWhenNoFurtherOneComesUp() throws Exception {
     ServerSocket moved = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    try (NodeRig rig = new NodeRig(3)) {
+    try (NodeFixture rig = new NodeFixture(3)) {
       moved.setSoTimeout(ScriptedPeer.PATIENCE_MILLIS);
-      rig.client().write(NodeRig.get("a1", 60_000));
+      rig.client().write(NodeFixture.get("a1", 60_000));
       assertTrue(rig.acceptCache().line().contains("Oa1 "));
       // The server has moved: the connection to its old address only sees out what is under way.
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
       String server =
-          NodeRig.member("s-" + rig.cache.getLocalPort(), moved.getLocalPort(), "active");
+          NodeFixture.member("s-" + rig.cache.getLocalPort(), moved.getLocalPort(), "active");
       discovery.write(
-          HEAD + NodeRig.chunk("{\"version\":8,\"full\":true,\"servers\":[" + server + "]}\n"));
+          HEAD + NodeFixture.chunk("{\"version\":8,\"full\":true,\"servers\":[" + server + "]}\n"));
       discovery.close();
       assertEquals(WATCH.formatted(8), call(rig.acceptDiscovery()));
-      rig.client().write(NodeRig.get("a2", 60_000));
+      rig.client().write(NodeFixture.get("a2", 60_000));
       ScriptedPeer second = new ScriptedPeer(moved.accept());
       assertTrue(second.line().contains("Oa2 "));
       // Guards against a loop without end over attempts that find no connection of their own.
       moved.close();
-      rig.client().write(NodeRig.get("a3", 60_000));
+      rig.client().write(NodeFixture.get("a3", 60_000));
       assertTrue(second.line().contains("Oa3 "));
     }
   }
 
   private static String server(int port, String state) {
-    return NodeRig.member("s-" + port, port, state);
+    return NodeFixture.member("s-" + port, port, state);
   }
 
   private static String list(int version, String... servers) {
@@ -193,8 +195,8 @@
 
   @Test
   void readsListsThatAreIndentedAndCutAnywhere() throws Exception {
-    try (NodeRig rig = new NodeRig();
-        ServerSocket second = NodeRig.listen()) {
+    try (NodeFixture rig = new NodeFixture();
+        ServerSocket second = NodeFixture.listen()) {
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
       String indented =
@@ -204,20 +206,20 @@
               .replace("]", "\n]");
       discovery.write(HEAD);
       for (char c : indented.toCharArray()) {
-        discovery.write(NodeRig.chunk(String.valueOf(c)));
+        discovery.write(NodeFixture.chunk(String.valueOf(c)));
       }
       serveOne(rig, second, "indented");
       // Two in one piece with blank lines between, and the beginning of a third.
       String third = list(11, server(second.getLocalPort(), "active"));
       discovery.write(
-          NodeRig.chunk(
+          NodeFixture.chunk(
               "\n\n"
                   + list(9, server(second.getLocalPort(), "active"))
                   + "\n\n  \n"
                   + list(10, server(rig.cache.getLocalPort(), "active"))
                   + third.substring(0, 20)));
       serveOne(rig, rig.cache, "several");
-      discovery.write(NodeRig.chunk(third.substring(20)));
+      discovery.write(NodeFixture.chunk(third.substring(20)));
       serveOne(rig, second, "rest");
       discovery.close();
       assertEquals(WATCH.formatted(11), call(rig.acceptDiscovery()));
@@ -225,7 +227,7 @@
   }
 
   /** Discovery that says nothing until it is asked anew; after how many milliseconds that is. */
-  private static long millisToNextCall(NodeRig rig, ScriptedPeer discovery, String last)
+  private static long millisToNextCall(NodeFixture rig, ScriptedPeer discovery, String last)
       throws Exception {
     discovery.write(last);
     long since = System.nanoTime();
@@ -236,10 +238,10 @@
   @ParameterizedTest
   @ValueSource(strings = {"ask", "push"})
   void aWatchThatFallsSilentIsOpenedAnewWellBeforeWhatItMissesBinds(String mode) throws Exception {
-    try (NodeRig rig = new NodeRig(",\"discovery\":\"" + mode + "\"")) {
+    try (NodeFixture rig = new NodeFixture(",\"discovery\":\"" + mode + "\"")) {
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
-      long millis = millisToNextCall(rig, discovery, HEAD + NodeRig.chunk("\n"));
+      long millis = millisToNextCall(rig, discovery, HEAD + NodeFixture.chunk("\n"));
       // Bound after 6 s, of which a call that waits in turn may take 2.
       assertTrue(millis > 2500 && millis < 3950, "asked anew after " + millis + " ms");
     }
@@ -247,17 +249,17 @@
 
   @Test
   void aListThatDoesNotEndIsGivenUpThoughTheWatchGoesOn() throws Exception {
-    try (NodeRig rig = new NodeRig()) {
+    try (NodeFixture rig = new NodeFixture()) {
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
-      discovery.write(HEAD + NodeRig.chunk("{\"version\":8,"));
+      discovery.write(HEAD + NodeFixture.chunk("{\"version\":8,"));
       long since = System.nanoTime();
       for (int i = 0; i < 5; i++) {
         if (rig.hasAnotherDiscoveryCall(800)) {
           assertTrue(System.nanoTime() - since < 3_950_000_000L);
           return;
         }
-        discovery.write(NodeRig.chunk("\n"));
+        discovery.write(NodeFixture.chunk("\n"));
       }
       throw new AssertionError("it goes on waiting for the end");
     }
@@ -270,7 +272,7 @@
     String settings =
         ",\"discovery\":\"push\",\"contract\":{\"ask-within\":10,\"drain-grace\":%s,"
             + "\"cold-from\":0.1,\"warm-within\":1}";
-    try (NodeRig rig = new NodeRig(settings.formatted(grace))) {
+    try (NodeFixture rig = new NodeFixture(settings.formatted(grace))) {
       // Those before it were made while the node started.
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
@@ -282,12 +284,12 @@
   @ParameterizedTest
   @ValueSource(strings = {"ask", "push"})
   void aListThatNamesAnEntryTwiceLeavesTheOldOneInForce(String mode) throws Exception {
-    try (NodeRig rig = new NodeRig(",\"discovery\":\"" + mode + "\"")) {
+    try (NodeFixture rig = new NodeFixture(",\"discovery\":\"" + mode + "\"")) {
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
       int port = rig.cache.getLocalPort();
       discovery.write(
-          HEAD + NodeRig.chunk(list(8, server(port, "active"), server(port, "leaving"))));
+          HEAD + NodeFixture.chunk(list(8, server(port, "active"), server(port, "leaving"))));
       assertEquals(WATCH.formatted(7), call(rig.acceptDiscovery()));
       serveOne(rig, rig.cache, "kept");
     }
@@ -295,32 +297,32 @@
 
   @Test
   void anOlderListBringsNobodyBackWhoIsKnownToLeave() throws Exception {
-    try (NodeRig rig = new NodeRig();
-        ServerSocket other = NodeRig.listen()) {
+    try (NodeFixture rig = new NodeFixture();
+        ServerSocket other = NodeFixture.listen()) {
       int leaving = rig.cache.getLocalPort();
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
       discovery.write(
           HEAD
-              + NodeRig.chunk(
+              + NodeFixture.chunk(
                   list(9, server(leaving, "leaving"), server(other.getLocalPort(), "active"))));
       serveOne(rig, other, "drained");
       discovery.close();
       ScriptedPeer second = rig.acceptDiscovery();
       assertEquals(WATCH.formatted(9), call(second));
-      second.write(HEAD + NodeRig.chunk(list(8, server(leaving, "active"))));
+      second.write(HEAD + NodeFixture.chunk(list(8, server(leaving, "active"))));
       second.close();
       ScriptedPeer third = rig.acceptDiscovery();
       assertEquals(WATCH.formatted(8), call(third), "it was taken");
       ScriptedPeer client = rig.client();
-      client.write(NodeRig.get("late", 200));
+      client.write(NodeFixture.get("late", 200));
       assertTrue(client.line().startsWith("SERVER_ERROR"));
       rig.cache.setSoTimeout(20);
       assertThrows(java.net.SocketTimeoutException.class, rig.cache::accept);
       // A server that has started since is back, however old the list.
       third.write(
           HEAD
-              + NodeRig.chunk(
+              + NodeFixture.chunk(
                   list(7, server(leaving, "active").replace("started_ms\":0", "started_ms\":9"))));
       serveOne(rig, rig.cache, "again");
     }
@@ -333,12 +335,12 @@
   void aCallThatWaitsItsTurnIsNotMadeAnew() throws Exception {
     String contract =
         ",\"contract\":{\"ask-within\":1,\"drain-grace\":2,\"cold-from\":0.1,\"warm-within\":1}";
-    try (NodeRig rig = new NodeRig(contract)) {
+    try (NodeFixture rig = new NodeFixture(contract)) {
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
       assertFalse(rig.hasAnotherDiscoveryCall(2500));
       discovery.write(
-          HEAD + NodeRig.chunk(NodeRig.members(8, true, rig.cache.getLocalPort()) + "\n"));
+          HEAD + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
       serveOne(rig, rig.cache, "told");
     }
   }
@@ -349,8 +351,8 @@
       throws Exception {
     String busy = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     Path config = folder.resolve("config.json");
-    try (NodeRig rig = new NodeRig();
-        ServerSocket second = NodeRig.listen()) {
+    try (NodeFixture rig = new NodeFixture();
+        ServerSocket second = NodeFixture.listen()) {
       for (int i = 0; i < 3; i++) {
         ScriptedPeer old = rig.acceptDiscovery();
         call(old);
@@ -371,9 +373,9 @@
   /** What an agent has binds from the first moment on, whatever the process was started with. */
   @Test
   void aNodeListensOnceItHasTheAgentsList() throws Exception {
-    try (ServerSocket agent = NodeRig.listen();
-        ServerSocket left = NodeRig.listen();
-        ServerSocket ready = NodeRig.listen()) {
+    try (ServerSocket agent = NodeFixture.listen();
+        ServerSocket left = NodeFixture.listen();
+        ServerSocket ready = NodeFixture.listen()) {
       Thread answers =
           new Thread(
               () -> {
@@ -384,7 +386,7 @@
                   Thread.sleep(100);
                   call.write(
                       HEAD
-                          + NodeRig.chunk(
+                          + NodeFixture.chunk(
                               list(
                                   8,
                                   server(left.getLocalPort(), "leaving"),
@@ -394,8 +396,8 @@
                 }
               });
       answers.start();
-      try (NodeRig rig = new NodeRig(agent, left, ",\"discovery\":\"push\"")) {
-        ScriptedPeer client = rig.client().write(NodeRig.get("first", 5000));
+      try (NodeFixture rig = new NodeFixture(agent, left, ",\"discovery\":\"push\"")) {
+        ScriptedPeer client = rig.client().write(NodeFixture.get("first", 5000));
         try (ScriptedPeer cache = new ScriptedPeer(ready.accept())) {
           assertTrue(cache.line().contains("Ofirst "));
           cache.write("VA 1 Ofirst\r\nx\r\n");
@@ -409,9 +411,9 @@
   /** An agent that says nothing, since discovery is down, delays a start by a moment alone. */
   @Test
   void aNodeListensWhereItsAgentIsSilent() throws Exception {
-    try (ServerSocket agent = NodeRig.listen();
-        ServerSocket known = NodeRig.listen();
-        NodeRig rig = new NodeRig(agent, known, ",\"discovery\":\"push\"")) {
+    try (ServerSocket agent = NodeFixture.listen();
+        ServerSocket known = NodeFixture.listen();
+        NodeFixture rig = new NodeFixture(agent, known, ",\"discovery\":\"push\"")) {
       ScriptedPeer client = rig.client().write("mn\r\n");
       assertEquals("MN", client.line());
     }
--- a/engine/src/test/java/shalepaddle/node/DrainTest.java
+++ b/engine/src/test/java/shalepaddle/node/DrainTest.java
@@ -30,7 +30,7 @@
         "{\"name\":\"put\",\"effect\":\"fragile\",\"slo\":0.05,\"give-up\":" + seconds + "}");
   }
 
-  private NodeRig rig;
+  private NodeFixture rig;
   private Thread drain;
 
   @AfterEach
@@ -78,8 +78,8 @@
 
   @Test
   void aClientThatAlwaysHasARequestOutIsToldWhatWasNotRead() throws Exception {
-    rig = new NodeRig(",\"instances\":28" + settings(0.3));
-    ScriptedPeer client = rig.client().write(NodeRig.get("r0", 300));
+    rig = new NodeFixture(",\"instances\":28" + settings(0.3));
+    ScriptedPeer client = rig.client().write(NodeFixture.get("r0", 300));
     Set<String> arrived = serveAll();
     Set<String> answered = ConcurrentHashMap.newKeySet();
     long begun = drain();
@@ -87,7 +87,7 @@
     String line = "";
     while (line != null && millisSince(begun) < 5000) {
       try {
-        client.write(NodeRig.get("r" + next++, 300));
+        client.write(NodeFixture.get("r" + next++, 300));
       } catch (IOException e) {
         // It has been told already; what it was sent before that it can still read.
       }
@@ -110,7 +110,7 @@
 
   @Test
   void whoHasAskedForNothingIsEndedBeforeTheProcessMayBeKilled() throws Exception {
-    rig = new NodeRig(settings(0.1));
+    rig = new NodeFixture(settings(0.1));
     ScriptedPeer early = rig.client();
     ScriptedPeer half = rig.client().write("mg ke");
     rig.settled();
@@ -127,8 +127,8 @@
 
   @Test
   void aHandOverEndsWhoRestsBeforeTheProcessMayBeKilled() throws Exception {
-    rig = new NodeRig(settings(0.1));
-    ScriptedPeer client = rig.client().write(NodeRig.get("a1", 5000));
+    rig = new NodeFixture(settings(0.1));
+    ScriptedPeer client = rig.client().write(NodeFixture.get("a1", 5000));
     serveAll();
     assertEquals("VA 1 Oa1", client.line());
     client.line();
@@ -143,7 +143,7 @@
 
   @Test
   void whatCameWhileTheLoopStoodStillIsAcceptedBeforeTheListenerCloses() throws Exception {
-    rig = new NodeRig();
+    rig = new NodeFixture();
     ScriptedPeer[] late = new ScriptedPeer[20];
     drain();
     rig.pausedWhile(
--- a/engine/src/test/java/shalepaddle/node/SinkTest.java
+++ b/engine/src/test/java/shalepaddle/node/EngineSubmissionTest.java
@@ -22,13 +22,13 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /** A front that is no socket: calls handed to the engine, and what their sinks are given. */
-class SinkTest {
+class EngineSubmissionTest {
   private final BlockingQueue<Reply> replies = new LinkedBlockingQueue<>();
-  private NodeRig rig;
+  private NodeFixture rig;
 
   @BeforeEach
   void start() throws Exception {
-    rig = new NodeRig();
+    rig = new NodeFixture();
   }
 
   @AfterEach
--- a/engine/src/test/java/shalepaddle/node/EngineTest.java
+++ b/engine/src/test/java/shalepaddle/node/EngineTest.java
@@ -29,12 +29,12 @@
 
 /** The engine's edge for other threads, and its end. */
 class EngineTest {
-  private NodeRig rig;
+  private NodeFixture rig;
   private Engine engine;
 
   @BeforeEach
   void start() throws Exception {
-    rig = new NodeRig();
+    rig = new NodeFixture();
     engine = rig.node.engine();
   }
 
@@ -177,7 +177,7 @@
   void aCloseAnswersWhatIsOpenByWhetherItMayHaveRun() throws Exception {
     // One connection, on which at most 32 are under way: the others wait for it.
     rig.close();
-    rig = new NodeRig(1);
+    rig = new NodeFixture(1);
     engine = rig.node.engine();
     Write sent = new Write("w1");
     engine.submit(sent.call());
--- a/engine/src/test/java/shalepaddle/node/PauseTest.java
+++ b/engine/src/test/java/shalepaddle/node/EventLoopStallTest.java
@@ -18,12 +18,12 @@
  * a task that sleeps, so that the kernel goes on receiving for it; what happens meanwhile happens
  * in an order that the test sets.
  */
-class PauseTest {
-  private NodeRig rig;
+class EventLoopStallTest {
+  private NodeFixture rig;
 
   @BeforeEach
   void start() throws Exception {
-    rig = new NodeRig();
+    rig = new NodeFixture();
   }
 
   @AfterEach
@@ -33,7 +33,7 @@
 
   /** Serves one read, so that the client's connection is between two requests. */
   private ScriptedPeer warm(ScriptedPeer client, String id) throws Exception {
-    client.write(NodeRig.get(id, 2000));
+    client.write(NodeFixture.get(id, 2000));
     ScriptedPeer cache = rig.acceptCache();
     serve(cache, id);
     assertEquals("VA 1 O" + id, client.line());
@@ -56,7 +56,7 @@
         () -> {
           Thread.sleep(4300);
           // Enough time also if it had been sent as the pause began, which the node can't tell.
-          client.write(NodeRig.get("a2", 6500));
+          client.write(NodeFixture.get("a2", 6500));
         });
     serve(cache, "a2");
     assertEquals("VA 1 Oa2", client.line());
@@ -73,7 +73,7 @@
           }
         });
     Thread.sleep(1500);
-    ScriptedPeer client = rig.client().write(NodeRig.get("a2", 1000));
+    ScriptedPeer client = rig.client().write(NodeFixture.get("a2", 1000));
     serve(cache, "a2");
     assertEquals("VA 1 Oa2", client.line());
   }
@@ -94,7 +94,7 @@
   @Test
   void clientsWithUnreadRequestsDoNotGiveWay() throws Exception {
     rig.close();
-    rig = new NodeRig(1, 128);
+    rig = new NodeFixture(1, 128);
     List<ScriptedPeer> clients = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       clients.add(rig.client());
@@ -120,7 +120,7 @@
   void aServerIsNotTakenForSilentBecauseNobodyListened() throws Exception {
     ScriptedPeer client = rig.client();
     ScriptedPeer cache = warm(client, "a1");
-    client.write(NodeRig.get("a2", 1000));
+    client.write(NodeFixture.get("a2", 1000));
     String line = cache.line();
     assertTrue(line.contains("Oa2 "), line);
     // It answers in the pause, in which the time for that passes.
@@ -133,7 +133,7 @@
     assertEquals("VA 1 Oa2", client.line());
     assertEquals("x", client.line());
     // Nor is its connection given up: the next request goes there.
-    client.write(NodeRig.get("a3", 2000));
+    client.write(NodeFixture.get("a3", 2000));
     serve(cache, "a3");
   }
 
@@ -141,7 +141,7 @@
   void anAnswerThatBeganBeforeAPauseMayEndAfterIt() throws Exception {
     ScriptedPeer client = rig.client();
     ScriptedPeer cache = warm(client, "a1");
-    client.write(NodeRig.get("a2", 3000));
+    client.write(NodeFixture.get("a2", 3000));
     cache.line();
     cache.write("VA 10 Oa2\r\n01234");
     rig.settled();
@@ -161,7 +161,7 @@
     ScriptedPeer cache = warm(client, "a1");
     rig.pausedWhile(
         () -> {
-          client.write(NodeRig.put("a2", 2000, "v"));
+          client.write(NodeFixture.put("a2", 2000, "v"));
           cache.close();
           Thread.sleep(300);
         });
@@ -177,13 +177,13 @@
     ScriptedPeer reader = rig.client();
     ScriptedPeer cache = warm(reader, "a1");
     ScriptedPeer writer = rig.client();
-    writer.write(NodeRig.put("w1", 300, "v"));
+    writer.write(NodeFixture.put("w1", 300, "v"));
     String sent = cache.line();
     assertTrue(sent.startsWith("ms ") && sent.contains("Ow1 "), sent);
     cache.line();
     rig.pausedWhile(
         () -> {
-          reader.write(NodeRig.get("a2", 300));
+          reader.write(NodeFixture.get("a2", 300));
           Thread.sleep(1000);
         });
     assertEquals("SERVER_ERROR failed", writer.line());
@@ -220,7 +220,7 @@
           }
         });
     rig.settled();
-    String list = NodeRig.members(8, false, rig.cache.getLocalPort()) + "\n";
+    String list = NodeFixture.members(8, false, rig.cache.getLocalPort()) + "\n";
     watch.write(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
     rig.settled();
     watch.write("1\r\n\n\r\n");
--- a/engine/src/test/java/shalepaddle/node/LateRepeatTest.java
+++ b/engine/src/test/java/shalepaddle/node/IdempotencyWindowRetryTest.java
@@ -15,7 +15,7 @@
  * has forgotten it: it is not written then, and its client is told at once.
  */
 @Timeout(30)
-class LateRepeatTest {
+class IdempotencyWindowRetryTest {
   private static final int WINDOW_MILLIS = 1000;
 
   /** One connection to the server, with so many requests at a time. */
@@ -27,7 +27,7 @@
       {"name":"put","effect":"dedup","group":"cell","repeat-window":%s,"slo":9,"give-up":20},\
       {"name":"other","effect":"retryable","slo":9,"give-up":20}]""";
 
-  private NodeRig rig;
+  private NodeFixture rig;
 
   @AfterEach
   void end() throws IOException {
@@ -56,11 +56,11 @@
 
   @Test
   void isNotWrittenOnceAPlaceComesFreeAfterTheWindow() throws Exception {
-    rig = new NodeRig(SETTINGS.formatted(false, 1, WINDOW_MILLIS / 1000));
-    ScriptedPeer writer = rig.client().write(NodeRig.put("k1", 20_000, "v"));
+    rig = new NodeFixture(SETTINGS.formatted(false, 1, WINDOW_MILLIS / 1000));
+    ScriptedPeer writer = rig.client().write(NodeFixture.put("k1", 20_000, "v"));
     final long since = System.nanoTime();
     ScriptedPeer cache = acceptsTheWrite();
-    ScriptedPeer reader = rig.client().write(NodeRig.get("r1", 20_000));
+    ScriptedPeer reader = rig.client().write(NodeFixture.get("r1", 20_000));
     rig.settled();
     cache.reset();
     ScriptedPeer next = rig.acceptCache();
@@ -69,18 +69,18 @@
     next.write("VA 1 Or1\r\nx\r\n");
     assertEquals("VA 1 Or1", reader.line());
     assertEquals("x", reader.line());
-    reader.write(NodeRig.get("r2", 20_000));
+    reader.write(NodeFixture.get("r2", 20_000));
     read(next, "r2");
   }
 
   @Test
   void isNotWrittenBehindBytesThatTheKernelTakesAfterTheWindow() throws Exception {
-    rig = new NodeRig(SETTINGS.formatted(true, 400, WINDOW_MILLIS / 1000));
-    ScriptedPeer writer = rig.client().write(NodeRig.put("k1", 20_000, "v"));
+    rig = new NodeFixture(SETTINGS.formatted(true, 400, WINDOW_MILLIS / 1000));
+    ScriptedPeer writer = rig.client().write(NodeFixture.put("k1", 20_000, "v"));
     final long since = System.nanoTime();
     ScriptedPeer cache = acceptsTheWrite();
     int length = 4 << 20;
-    String large = NodeRig.put("w1", 20_000, "v".repeat(length));
+    String large = NodeFixture.put("w1", 20_000, "v".repeat(length));
     ScriptedPeer other = rig.client().write(large.replace("c=put", "c=other"));
     // Its first line alone is read: the rest fills the connection.
     read(cache, "w1");
@@ -91,7 +91,7 @@
     cache.bytes(length + 2);
     cache.write("HD Ow1 c1\r\n");
     assertEquals("HD Ow1 c1", other.line());
-    ScriptedPeer last = rig.client().write(NodeRig.get("r1", 20_000));
+    ScriptedPeer last = rig.client().write(NodeFixture.get("r1", 20_000));
     read(cache, "r1");
     cache.write("VA 1 Or1\r\nx\r\n");
     assertEquals("VA 1 Or1", last.line());
@@ -99,10 +99,10 @@
 
   @Test
   void isWrittenInTimeWhereAPlaceComesFree() throws Exception {
-    rig = new NodeRig(SETTINGS.formatted(false, 1, "10"));
-    ScriptedPeer writer = rig.client().write(NodeRig.put("k1", 20_000, "v"));
+    rig = new NodeFixture(SETTINGS.formatted(false, 1, "10"));
+    ScriptedPeer writer = rig.client().write(NodeFixture.put("k1", 20_000, "v"));
     ScriptedPeer cache = acceptsTheWrite();
-    ScriptedPeer reader = rig.client().write(NodeRig.get("r1", 20_000));
+    ScriptedPeer reader = rig.client().write(NodeFixture.get("r1", 20_000));
     rig.settled();
     cache.reset();
     ScriptedPeer next = rig.acceptCache();
--- a/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
+++ b/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
@@ -20,6 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import shalepaddle.coalescing.CoalescingConfig;
 import shalepaddle.codec.meta.MetaReplies;
 import shalepaddle.engine.Attempt;
 import shalepaddle.engine.Call;
@@ -28,7 +29,6 @@
 import shalepaddle.engine.ServerReply;
 import shalepaddle.engine.Submission;
 import shalepaddle.engine.Upstream;
-import shalepaddle.joining.JoiningTuning;
 import shalepaddle.loop.LoopClock;
 import shalepaddle.model.MembershipUpdate;
 import shalepaddle.model.Outcome;
@@ -88,7 +88,7 @@
             {"name":"once","effect":"fragile","slo":0.75,"give-up":2,"credit":2},
             {"name":"write","effect":"fragile","slo":0.3,"give-up":2,"credit":5}
             """,
-            JoiningTuning.USUAL,
+            CoalescingConfig.USUAL,
             new Servers(),
             7,
             8);
--- a/engine/src/test/java/shalepaddle/node/LargeValuesTest.java
+++ b/engine/src/test/java/shalepaddle/node/LargeValuesTest.java
@@ -21,11 +21,11 @@
 class LargeValuesTest {
   private static final int MOST = 4 << 20;
 
-  private NodeRig rig;
+  private NodeFixture rig;
 
   @BeforeEach
   void start() throws Exception {
-    rig = new NodeRig(2);
+    rig = new NodeFixture(2);
   }
 
   @AfterEach
@@ -64,7 +64,7 @@
   }
 
   private ScriptedPeer asked(ScriptedPeer client, String id) throws Exception {
-    client.write(NodeRig.get(id, 2000));
+    client.write(NodeFixture.get(id, 2000));
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().contains("O" + id + " "));
     return cache;
@@ -80,7 +80,7 @@
     assertEquals("VA " + length + " Oa1", client.line());
     assertArrayEquals(value, client.bytes(length));
     assertEquals("", client.line());
-    client.write(NodeRig.get("a2", 2000));
+    client.write(NodeFixture.get("a2", 2000));
     assertTrue(cache.line().contains("Oa2 "), "the connection is used again");
     cache.write("VA 1 Oa2\r\nx\r\n");
     assertEquals("VA 1 Oa2", client.line());
@@ -91,7 +91,7 @@
     byte[] value = value(200_000);
     byte[] reply = reply("a1", value);
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 400));
+    client.write(NodeFixture.get("a1", 400));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.write(Arrays.copyOf(reply, 50_000));
@@ -115,7 +115,7 @@
       String id = "b%02d".formatted(cut);
       byte[] reply = reply(id, value);
       int at = cut < head ? cut : head + seams[cut - head];
-      client.write(NodeRig.get(id, 5000));
+      client.write(NodeFixture.get(id, 5000));
       cache = cache == null ? rig.acceptCache() : cache;
       cache.line();
       cache.write(Arrays.copyOf(reply, at));
@@ -173,7 +173,7 @@
   void aLargeAnswerWaitsForTheOneBeforeIt() throws Exception {
     byte[] value = value(500_000);
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 5000) + NodeRig.get("a2", 5000));
+    client.write(NodeFixture.get("a1", 5000) + NodeFixture.get("a2", 5000));
     ScriptedPeer one = rig.acceptCache();
     ScriptedPeer other = rig.acceptCache();
     boolean first = one.line().contains("Oa1 ");
--- a/engine/src/test/java/shalepaddle/node/MetersTest.java
+++ b/engine/src/test/java/shalepaddle/node/MetersTest.java
@@ -7,17 +7,17 @@
 import java.lang.ref.WeakReference;
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
-import shalepaddle.joining.JoiningReading;
+import shalepaddle.coalescing.CoalescingSnapshot;
 
 class MetersTest {
   private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
 
   @Test
   void theNewestReadingIsShown() {
-    AtomicReference<JoiningReading> reading = new AtomicReference<>();
-    new JoiningMetrics(reading::get, Tags.of("node", "n0")).bindTo(registry);
+    AtomicReference<CoalescingSnapshot> reading = new AtomicReference<>();
+    new CoalescingMetrics(reading::get, Tags.of("node", "n0")).bindTo(registry);
     assertEquals(0, registry.get("shalepaddle.joining.waiting").gauge().value(), "not joined");
-    reading.set(new JoiningReading(3, 40, 1, 38, 2, 1, 5, 2, 20));
+    reading.set(new CoalescingSnapshot(3, 40, 1, 38, 2, 1, 5, 2, 20));
     assertEquals(20, registry.get("shalepaddle.joining.waiting").gauge().value());
     assertEquals(38, registry.get("shalepaddle.joining.shared").functionCounter().count());
     assertEquals(
@@ -39,8 +39,8 @@
 
   /** Keeps neither the binder nor what it reads from. */
   private void bind() {
-    AtomicReference<JoiningReading> reading =
-        new AtomicReference<>(new JoiningReading(0, 0, 0, 0, 0, 0, 1, 7, 0));
-    new JoiningMetrics(reading::get, Tags.empty()).bindTo(registry);
+    AtomicReference<CoalescingSnapshot> reading =
+        new AtomicReference<>(new CoalescingSnapshot(0, 0, 0, 0, 0, 0, 1, 7, 0));
+    new CoalescingMetrics(reading::get, Tags.empty()).bindTo(registry);
   }
 }
--- a/engine/src/test/java/shalepaddle/node/NodeRig.java
+++ b/engine/src/test/java/shalepaddle/node/NodeFixture.java
@@ -19,24 +19,24 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /** A node on loopback with one scripted cache server and one scripted discovery. */
-final class NodeRig implements Closeable {
+final class NodeFixture implements Closeable {
   final ServerSocket cache;
   final ServerSocket discovery;
   final Node node;
   final InetSocketAddress address;
   private final List<Closeable> peers = new ArrayList<>();
 
-  NodeRig() throws Exception {
+  NodeFixture() throws Exception {
     this("");
   }
 
   /** A node with further settings, which override the usual ones. */
-  NodeRig(String settings) throws Exception {
+  NodeFixture(String settings) throws Exception {
     this(settings, OperatorFile.USUAL);
   }
 
   /** A node with further settings, and what an operator sets. */
-  NodeRig(String settings, OperatorFile operator) throws Exception {
+  NodeFixture(String settings, OperatorFile operator) throws Exception {
     cache = listen();
     discovery = listen();
     node = new Node(config(settings), operator);
@@ -44,7 +44,7 @@
   }
 
   /** A node that asks this discovery and knows this server, with further settings. */
-  NodeRig(ServerSocket discovery, ServerSocket cache, String settings) throws Exception {
+  NodeFixture(ServerSocket discovery, ServerSocket cache, String settings) throws Exception {
     this.cache = cache;
     this.discovery = discovery;
     node = new Node(config(settings), OperatorFile.USUAL);
@@ -52,7 +52,7 @@
   }
 
   /** A node that opens so many connections to a server. */
-  NodeRig(int connections) throws Exception {
+  NodeFixture(int connections) throws Exception {
     cache = listen();
     discovery = listen();
     node = new Node(config(""), OperatorFile.USUAL, connections);
@@ -60,7 +60,7 @@
   }
 
   /** A node that may hold so many descriptors, and opens so many connections to a server. */
-  NodeRig(int connections, int sockets) throws Exception {
+  NodeFixture(int connections, int sockets) throws Exception {
     cache = listen();
     discovery = listen();
     node =
--- a/engine/src/test/java/shalepaddle/node/NodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/NodeTest.java
@@ -18,11 +18,11 @@
 
 /** What clients and cache servers see of a node, over loopback sockets. */
 class NodeTest {
-  private NodeRig rig;
+  private NodeFixture rig;
 
   @BeforeEach
   void start() throws Exception {
-    rig = new NodeRig();
+    rig = new NodeFixture();
   }
 
   @AfterEach
@@ -72,7 +72,7 @@
   @Test
   void takesACommandInSingleBytes() throws Exception {
     ScriptedPeer client = rig.client();
-    for (byte b : NodeRig.put("a1", 2000, "hello").getBytes(StandardCharsets.ISO_8859_1)) {
+    for (byte b : NodeFixture.put("a1", 2000, "hello").getBytes(StandardCharsets.ISO_8859_1)) {
       client.write(new byte[] {b});
     }
     ScriptedPeer cache = rig.acceptCache();
@@ -87,7 +87,7 @@
   @Test
   void answersPipelinedCommandsInTheirOrder() throws Exception {
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 2000) + "mn\r\n" + NodeRig.get("a2", 2000));
+    client.write(NodeFixture.get("a1", 2000) + "mn\r\n" + NodeFixture.get("a2", 2000));
     ScriptedPeer first = rig.acceptCache();
     ScriptedPeer second = rig.acceptCache();
     String id = first.line().contains("Oa1 ") ? "a1" : "a2";
@@ -106,14 +106,14 @@
   @Test
   void usesAConnectionAgain() throws Exception {
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 2000));
+    client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     for (int i = 1; i < 4; i++) {
       assertTrue(cache.line().contains("Oa" + i + " "));
       cache.write("VA 1 Oa" + i + "\r\nx\r\n");
       assertEquals("VA 1 Oa" + i, client.line());
       assertEquals("x", client.line());
-      client.write(NodeRig.get("a" + (i + 1), 2000));
+      client.write(NodeFixture.get("a" + (i + 1), 2000));
     }
   }
 
@@ -133,7 +133,8 @@
   void refusesOnlyWhatProvablyHasNotRun(String service, String reply, String answer)
       throws Exception {
     ScriptedPeer client = rig.client();
-    client.write(service.equals("put") ? NodeRig.put("a1", 2000, "v") : NodeRig.get("a1", 2000));
+    client.write(
+        service.equals("put") ? NodeFixture.put("a1", 2000, "v") : NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.write(reply + "\r\n");
@@ -143,7 +144,7 @@
   @Test
   void endsAConnectionWhoseRepliesDoNotMatch() throws Exception {
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 2000));
+    client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.write("VA 1 Oa2\r\nx\r\n");
@@ -155,14 +156,14 @@
   void refusesAWriteThatFoundNoServer() throws Exception {
     rig.cache.close();
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.put("a1", 2000, "v"));
+    client.write(NodeFixture.put("a1", 2000, "v"));
     assertEquals("SERVER_ERROR busy", client.line());
   }
 
   @Test
   void failsAWriteWhoseConnectionBreaksAfterItsLastByte() throws Exception {
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.put("a1", 2000, "v"));
+    client.write(NodeFixture.put("a1", 2000, "v"));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.line();
@@ -174,13 +175,13 @@
   void goesOnUsingAServerThatRunsAndBreaksSingleConnections() throws Exception {
     ScriptedPeer client = rig.client();
     for (int i = 0; i < 4; i++) {
-      client.write(NodeRig.get("a" + i, 2000));
+      client.write(NodeFixture.get("a" + i, 2000));
       ScriptedPeer cache = rig.acceptCache();
       assertTrue(cache.line().contains("Oa" + i + " "));
       cache.reset();
       assertEquals("SERVER_ERROR busy", client.line());
     }
-    client.write(NodeRig.get("b", 2000));
+    client.write(NodeFixture.get("b", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.write("VA 1 Ob\r\nx\r\n");
@@ -190,14 +191,14 @@
   @Test
   void aConnectionTurnedDownIsNotTakenForTheLimit() throws Exception {
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 20_000));
+    client.write(NodeFixture.get("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     rig.cache.close();
-    client.write(NodeRig.get("a2", 20_000));
+    client.write(NodeFixture.get("a2", 20_000));
     assertTrue(cache.line().startsWith("mg key v Oa2 "), "behind the first, as none else came up");
-    try (ServerSocket again = NodeRig.listen(rig.cache.getLocalPort())) {
-      client.write(NodeRig.get("a3", 20_000));
+    try (ServerSocket again = NodeFixture.listen(rig.cache.getLocalPort())) {
+      client.write(NodeFixture.get("a3", 20_000));
       try (ScriptedPeer other = new ScriptedPeer(again.accept())) {
         assertTrue(other.line().startsWith("mg key v Oa3 "));
       }
@@ -208,19 +209,19 @@
   void tellsARefusedClientWhenToComeBackWhereItMay() throws Exception {
     rig.close();
     rig =
-        new NodeRig(
+        new NodeFixture(
             """
             ,"caps":{"attempts-cap":1,"parallel-tries":true,"multiplex":100,"conn-idle":60,\
             "connect-timeout":0.15,"retry-after":true,"max-retry-after":0.4}""");
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 2000));
+    client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.write("SERVER_ERROR busy\r\n");
     assertEquals("SERVER_ERROR busy", client.line(), "nothing is measured yet");
     // Rates are measured over a second.
     Thread.sleep(1100);
-    client.write(NodeRig.get("a2", 2000));
+    client.write(NodeFixture.get("a2", 2000));
     cache.line();
     cache.write("SERVER_ERROR busy\r\n");
     assertEquals("SERVER_ERROR busy 400", client.line(), "nothing is answered: as long as it may");
@@ -231,7 +232,7 @@
     ScriptedPeer client = rig.client();
     String kept = null;
     for (int i = 0; i < 100; i++) {
-      client.write(NodeRig.get("a" + i, 2000));
+      client.write(NodeFixture.get("a" + i, 2000));
       ScriptedPeer cache = rig.acceptCache();
       cache.line();
       cache.write("VA 1 Oa" + i + "\r\nx\r\n");
@@ -239,7 +240,7 @@
       client.line();
       // A pause is what it is about.
       Thread.sleep(20);
-      client.write(NodeRig.get("b" + i, 2000));
+      client.write(NodeFixture.get("b" + i, 2000));
       kept = cache.line();
       if (kept == null) {
         ScriptedPeer other = rig.acceptCache();
@@ -258,7 +259,7 @@
   void refusesAWriteWhoseConnectionBreaksBeforeItsLastByte() throws Exception {
     rig.close();
     rig =
-        new NodeRig(
+        new NodeFixture(
             """
             ,"instances":28,"caps":{"attempts-cap":1,"parallel-tries":true,"multiplex":100,\
             "connect-timeout":0.15,"conn-idle":60}""");
@@ -267,11 +268,11 @@
     // system lets them grow to 4 MB, about what one client can have open.
     int writes = 64;
     for (int i = 0; i < writes; i++) {
-      client.write(NodeRig.put("a" + i, 20_000, "v".repeat(1 << 16)));
+      client.write(NodeFixture.put("a" + i, 20_000, "v".repeat(1 << 16)));
     }
     ScriptedPeer last = rig.client();
     for (int i = 0; i < writes; i++) {
-      last.write(NodeRig.put("b" + i, 20_000, "v".repeat(1 << 16)));
+      last.write(NodeFixture.put("b" + i, 20_000, "v".repeat(1 << 16)));
     }
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
@@ -292,7 +293,7 @@
   @Test
   void stopsWaitingInTimeAndGivesTheAttemptUp() throws Exception {
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.put("a1", 200, "v") + NodeRig.get("a2", 200));
+    client.write(NodeFixture.put("a1", 200, "v") + NodeFixture.get("a2", 200));
     ScriptedPeer cache = rig.acceptCache();
     ScriptedPeer other = rig.acceptCache();
     assertEquals("SERVER_ERROR failed", client.line());
@@ -312,7 +313,7 @@
   @Test
   void callsAnAttemptOffWhenItsClientLeaves() throws Exception {
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 60_000));
+    client.write(NodeFixture.get("a1", 60_000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     client.close();
@@ -383,18 +384,18 @@
   @Test
   void givingUpOneAttemptDoesNotBreakTheOthersOnItsConnection() throws Exception {
     rig.close();
-    rig = new NodeRig(1);
+    rig = new NodeFixture(1);
     ScriptedPeer leaving = rig.client();
-    leaving.write(NodeRig.get("a1", 60_000));
+    leaving.write(NodeFixture.get("a1", 60_000));
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().contains("Oa1 "));
     ScriptedPeer staying = rig.client();
-    staying.write(NodeRig.get("a2", 60_000));
+    staying.write(NodeFixture.get("a2", 60_000));
     assertTrue(cache.line().contains("Oa2 "));
     leaving.close();
     // The next request finds the connection no longer in use: the attempt on it has been given up.
     ScriptedPeer later = rig.client();
-    later.write(NodeRig.get("a3", 60_000));
+    later.write(NodeFixture.get("a3", 60_000));
     assertTrue(rig.acceptCache().line().contains("Oa3 "));
     cache.write("VA 1 Oa1\r\n1\r\nVA 1 Oa2\r\n2\r\n");
     assertEquals("VA 1 Oa2", staying.line());
@@ -407,7 +408,7 @@
     idle.write("mn\r\n");
     assertEquals("MN", idle.line());
     ScriptedPeer owed = rig.client();
-    owed.write(NodeRig.get("a1", 20_000));
+    owed.write(NodeFixture.get("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     ScriptedPeer fresh = rig.client();
@@ -422,7 +423,7 @@
     rig.awaitClosedListener();
     // Guards against leaving clients to nobody: what is connected is served for a while yet, with
     // as much time as is left.
-    idle.write(NodeRig.get("a2", 20_000));
+    idle.write(NodeFixture.get("a2", 20_000));
     ScriptedPeer other = rig.acceptCache();
     assertTrue(deadline(other.line()) < 3000);
     other.write("VA 1 Oa2\r\nx\r\n");
@@ -450,16 +451,16 @@
   @Test
   void doesNotLetASecondCopySpoilTheNextRequest() throws Exception {
     rig.close();
-    rig = new NodeRig(1);
+    rig = new NodeFixture(1);
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 5000));
+    client.write(NodeFixture.get("a1", 5000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     // Behind it waits a write, which may go out once: with the copy unread it would meet it.
     cache.write("VA 1 Oa1\r\nx\r\nVA 1 Oa1\r\nx\r\n");
     assertEquals("VA 1 Oa1", client.line());
     assertEquals("x", client.line());
-    client.write(NodeRig.put("a2", 5000, "v"));
+    client.write(NodeFixture.put("a2", 5000, "v"));
     ScriptedPeer next = rig.acceptCache();
     next.line();
     next.line();
@@ -472,14 +473,14 @@
   @ValueSource(strings = {"noise", "noise\r\n", "SERVER_ERROR busy\r\n", "VA 9 O"})
   void closesAConnectionWithBytesBehindTheLastAnswer(String noise) throws Exception {
     ScriptedPeer client = rig.client();
-    client.write(NodeRig.get("a1", 5000));
+    client.write(NodeFixture.get("a1", 5000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.write("VA 1 Oa1\r\nx\r\n" + noise);
     assertEquals("VA 1 Oa1", client.line());
     assertEquals("x", client.line());
     assertTrue(cache.ended());
-    client.write(NodeRig.put("a2", 5000, "v"));
+    client.write(NodeFixture.put("a2", 5000, "v"));
     ScriptedPeer next = rig.acceptCache();
     next.line();
     next.line();
@@ -500,25 +501,25 @@
         "\0\1\2",
       })
   void asksAnotherServerInTimeWhenAnAnswerIsSpoilt(String spoilt) throws Exception {
-    try (ServerSocket second = NodeRig.listen()) {
+    try (ServerSocket second = NodeFixture.listen()) {
       rig.close();
       rig =
-          new NodeRig(
+          new NodeFixture(
               """
               ,"caps":{"attempts-cap":2,"parallel-tries":true,"multiplex":32,\
               "connect-timeout":0.15,"conn-idle":60}""");
       ScriptedPeer discovery = rig.acceptDiscovery();
       discovery.line();
       String list =
-          NodeRig.members(8, true, rig.cache.getLocalPort(), second.getLocalPort()) + "\n";
+          NodeFixture.members(8, true, rig.cache.getLocalPort(), second.getLocalPort()) + "\n";
       discovery.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
       assertTrue(rig.acceptDiscovery().line().contains("since=8 "));
       ScriptedPeer client = rig.client();
-      client.write(NodeRig.get("a1", 60_000));
-      ScriptedPeer bad = NodeRig.acceptEither(rig.cache, second);
+      client.write(NodeFixture.get("a1", 60_000));
+      ScriptedPeer bad = NodeFixture.acceptEither(rig.cache, second);
       bad.line();
       bad.write(spoilt);
-      try (ScriptedPeer good = NodeRig.acceptEither(rig.cache, second)) {
+      try (ScriptedPeer good = NodeFixture.acceptEither(rig.cache, second)) {
         assertTrue(good.line().contains("Oa1 "));
         good.write("VA 1 Oa1\r\ny\r\n");
         assertEquals("VA 1 Oa1", client.line());
--- a/engine/src/test/java/shalepaddle/node/OperatorFileTest.java
+++ b/engine/src/test/java/shalepaddle/node/OperatorFileTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import shalepaddle.coalescing.CoalescingConfig;
 import shalepaddle.config.OperatorFile;
-import shalepaddle.joining.JoiningTuning;
-import shalepaddle.overload.Tuning;
+import shalepaddle.overload.OverloadConfig;
 import shalepaddle.settings.FormatException;
 
 class OperatorFileTest {
@@ -33,7 +33,7 @@
   @Test
   void figuresAreTakenInTheirUnits() throws Exception {
     assertEquals(
-        new Tuning(false, 0.02, 0.05, 0.2, 0.1, 0.25),
+        new OverloadConfig(false, 0.02, 0.05, 0.2, 0.1, 0.25),
         load("[overload];shed = false;target_ms = 20;learn = 0.05;repeats = 0.2;"
                 + "waits_ms = 100;advice_ms = 250")
             .overload());
@@ -41,10 +41,10 @@
 
   @Test
   void readsAreJoinedOnlyWhereItSaysSo() throws Exception {
-    assertEquals(JoiningTuning.OFF, load("").joining());
-    assertEquals(JoiningTuning.USUAL, load("[joining];join = true").joining());
+    assertEquals(CoalescingConfig.OFF, load("").joining());
+    assertEquals(CoalescingConfig.USUAL, load("[joining];join = true").joining());
     assertEquals(
-        new JoiningTuning(true, true, 50, 0.1, 20, 0.5),
+        new CoalescingConfig(true, true, 50, 0.1, 20, 0.5),
         load("[joining];join = true;across_tenants = true;callers = 50;age_ms = 100;"
                 + "flights = 20;retries = 0.5")
             .joining());
--- a/engine/src/test/java/shalepaddle/node/TurnedDownTest.java
+++ b/engine/src/test/java/shalepaddle/node/ServerConnectionRejectedTest.java
@@ -12,13 +12,13 @@
 
 /** A cache server that holds no more connections, and says so on a new one, which it then ends. */
 @Timeout(30)
-class TurnedDownTest {
+class ServerConnectionRejectedTest {
   private static final String CAPS =
       """
       ,"caps":{"attempts-cap":%d,"cancel":true,"parallel-tries":true,"multiplex":32,\
       "connect-timeout":0.15,"conn-idle":60}""";
 
-  private NodeRig rig;
+  private NodeFixture rig;
   private ScriptedPeer client;
   private ScriptedPeer kept;
   private ScriptedPeer other;
@@ -26,9 +26,9 @@
 
   /** A request is under way on one connection, and another has come first on a new one. */
   private void begin(int attempts, String second) throws Exception {
-    rig = new NodeRig(CAPS.formatted(attempts));
+    rig = new NodeFixture(CAPS.formatted(attempts));
     client = rig.client();
-    client.write(NodeRig.get("a1", 5000));
+    client.write(NodeFixture.get("a1", 5000));
     kept = rig.acceptCache();
     assertTrue(kept.line().contains("Oa1 "));
     other = rig.client();
@@ -49,7 +49,7 @@
 
   @Test
   void whatWasFirstOnItGoesOnAConnectionThatIsThere() throws Exception {
-    begin(2, NodeRig.get("b1", 5000));
+    begin(2, NodeFixture.get("b1", 5000));
     turnDown();
     assertTrue(kept.line().contains("Ob1 "));
     kept.write("VA 1 Oa1\r\nx\r\nVA 1 Ob1\r\ny\r\n");
@@ -59,7 +59,7 @@
 
   @Test
   void aWriteThatMustNotRunTwiceRunsOnce() throws Exception {
-    begin(2, NodeRig.put("b1", 5000, "v"));
+    begin(2, NodeFixture.put("b1", 5000, "v"));
     turnDown();
     assertTrue(kept.line().contains("Ob1 "));
     assertEquals("v", kept.line());
@@ -69,11 +69,11 @@
 
   @Test
   void noMoreConnectionsAreOpenedForAWhile() throws Exception {
-    begin(2, NodeRig.get("b1", 5000));
+    begin(2, NodeFixture.get("b1", 5000));
     turnDown();
     assertTrue(kept.line().contains("Ob1 "));
     ScriptedPeer third = rig.client();
-    third.write(NodeRig.put("c1", 5000, "v"));
+    third.write(NodeFixture.put("c1", 5000, "v"));
     assertTrue(kept.line().contains("Oc1 "));
     rig.cache.setSoTimeout(20);
     assertThrows(SocketTimeoutException.class, rig::acceptCache);
@@ -81,7 +81,7 @@
 
   @Test
   void itCountsAsOneMoreAttemptOfItsRequest() throws Exception {
-    begin(1, NodeRig.put("b1", 5000, "v"));
+    begin(1, NodeFixture.put("b1", 5000, "v"));
     turnDown();
     assertEquals("SERVER_ERROR busy", other.line());
     kept.write("VA 1 Oa1\r\nx\r\n");
@@ -90,10 +90,10 @@
 
   @Test
   void aRequestThatIsTurnedAwayOnAConnectionThatStaysIsNotSentAgain() throws Exception {
-    begin(1, NodeRig.get("b1", 5000));
+    begin(1, NodeFixture.get("b1", 5000));
     fresh.write("SERVER_ERROR busy\r\n");
     assertEquals("SERVER_ERROR busy", other.line());
-    other.write(NodeRig.put("b2", 5000, "v"));
+    other.write(NodeFixture.put("b2", 5000, "v"));
     String line = fresh.line();
     assertTrue(line != null && line.contains("Ob2 "), "not used again: " + line);
   }
--- a/engine/src/test/java/shalepaddle/node/LeavingServerTest.java
+++ b/engine/src/test/java/shalepaddle/node/ServerDrainingTest.java
@@ -19,7 +19,7 @@
  * gone out by then: a place, or a connection, may come free after the grace.
  */
 @Timeout(30)
-class LeavingServerTest {
+class ServerDrainingTest {
   private static final String CAPS =
       """
       ,"instances":%d,"caps":{"attempts-cap":3,"cancel":false,"parallel-tries":%b,\
@@ -28,13 +28,13 @@
   private static final String DOOR = "},\"management\":\"127.0.0.1:0\",\"unused\":{";
 
   private ServerSocket other;
-  private NodeRig rig;
+  private NodeFixture rig;
   private ScriptedPeer client;
   private ScriptedPeer waiting;
 
   @BeforeEach
   void begin() throws Exception {
-    other = NodeRig.listen();
+    other = NodeFixture.listen();
   }
 
   @AfterEach
@@ -54,21 +54,21 @@
         "{\"version\":%d,\"full\":true,\"servers\":[%s,%s]}"
             .formatted(
                 version,
-                NodeRig.member("s-" + port, port, moved ? "active" : state)
+                NodeFixture.member("s-" + port, port, moved ? "active" : state)
                     .replace("\"cell\":0", moved ? "\"cell\":1" : "\"cell\":0"),
-                NodeRig.member("s-other", other.getLocalPort(), "active"));
+                NodeFixture.member("s-other", other.getLocalPort(), "active"));
     discovery.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    discovery.write(NodeRig.chunk(list + "\n"));
+    discovery.write(NodeFixture.chunk(list + "\n"));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"leaving", "left", "moved", "active"})
   void whatWaitsForAPlaceGoesElsewhere(String state) throws Exception {
-    rig = new NodeRig(CAPS.formatted(28, false, 1) + DOOR);
-    client = rig.client().write(NodeRig.get("a1", 20_000));
+    rig = new NodeFixture(CAPS.formatted(28, false, 1) + DOOR);
+    client = rig.client().write(NodeFixture.get("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().contains("Oa1 "));
-    waiting = rig.client().write(NodeRig.put("b1", 20_000, "v"));
+    waiting = rig.client().write(NodeFixture.put("b1", 20_000, "v"));
     rig.settled();
     tell(8, state);
     if (state.equals("active")) {
@@ -96,17 +96,17 @@
   /** It was turned away with its connection, and would go on another that is there. */
   @Test
   void whatWasTurnedDownIsNotWrittenAgainToAServerThatLeaves() throws Exception {
-    rig = new NodeRig(CAPS.formatted(1, true, 32));
-    client = rig.client().write(NodeRig.get("a1", 20_000));
+    rig = new NodeFixture(CAPS.formatted(1, true, 32));
+    client = rig.client().write(NodeFixture.get("a1", 20_000));
     ScriptedPeer kept = rig.acceptCache();
     assertTrue(kept.line().contains("Oa1 "));
-    waiting = rig.client().write(NodeRig.put("b1", 20_000, "v"));
+    waiting = rig.client().write(NodeFixture.put("b1", 20_000, "v"));
     ScriptedPeer fresh = rig.acceptCache();
     assertTrue(fresh.line().contains("Ob1 "));
     fresh.line();
     tell(8, "leaving");
     // Once a request goes to the other server, the list has been taken.
-    ScriptedPeer probe = rig.client().write(NodeRig.get("c1", 20_000));
+    ScriptedPeer probe = rig.client().write(NodeFixture.get("c1", 20_000));
     try (ScriptedPeer next = new ScriptedPeer(other.accept())) {
       assertTrue(next.line().contains("Oc1 "));
       next.write("VA 1 Oc1\r\nx\r\n");
--- a/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
@@ -16,13 +16,13 @@
 import shalepaddle.codec.meta.MetaClientCodec;
 import shalepaddle.engine.MemoryBudget;
 import shalepaddle.front.ClientCommand;
-import shalepaddle.front.Gate;
-import shalepaddle.overload.OverloadReading;
+import shalepaddle.front.RequestAdmission;
+import shalepaddle.overload.OverloadSnapshot;
 
 /** Refusing at the edge: what is read of a request that is refused, and what goes on. */
 class SheddingNodeTest {
   /** Refuses all of one class, with advice. */
-  private static final class Refusing implements Gate {
+  private static final class Refusing implements RequestAdmission {
     private final List<String> asked = new ArrayList<>();
     private boolean shuts = true;
 
@@ -42,7 +42,7 @@
   private final MemoryBudget budget = new MemoryBudget(1000);
 
   private EmbeddedChannel channel() throws Exception {
-    try (NodeRig rig = new NodeRig()) {
+    try (NodeFixture rig = new NodeFixture()) {
       return new EmbeddedChannel(
           new MetaClientCodec(budget, rig.config("").settings(), gate).decoder());
     }
@@ -62,7 +62,7 @@
   @Test
   void aReadIsRefusedByItsLineAloneAndAWriteOfAnotherClassGoesOn() throws Exception {
     EmbeddedChannel channel = channel();
-    channel.writeInbound(bytes(NodeRig.get("a1", 500) + NodeRig.put("w1", 500, "value")));
+    channel.writeInbound(bytes(NodeFixture.get("a1", 500) + NodeFixture.put("w1", 500, "value")));
     ClientCommand read = channel.readInbound();
     assertEquals(1, read.refused().count());
     assertEquals("SERVER_ERROR busy 40\r\n", answer(read));
@@ -80,7 +80,7 @@
     for (int cut : new int[] {0, 20, 40, 900}) {
       channel.writeInbound(bytes(write.substring(0, cut)));
       assertNull(channel.<ClientCommand>readInbound());
-      channel.writeInbound(bytes(write.substring(cut) + NodeRig.get("a" + cut, 500)));
+      channel.writeInbound(bytes(write.substring(cut) + NodeFixture.get("a" + cut, 500)));
       ClientCommand refused = channel.readInbound();
       assertEquals(1, refused.refused().count());
       assertEquals(40, refused.refused().adviceMillis());
@@ -98,9 +98,12 @@
     EmbeddedChannel channel = channel();
     StringBuilder asked = new StringBuilder();
     for (int i = 0; i < 5; i++) {
-      asked.append(NodeRig.get("a" + i, 500));
+      asked.append(NodeFixture.get("a" + i, 500));
     }
-    asked.append(NodeRig.put("w1", 500, "v")).append(NodeRig.get("b1", 500)).append("mg ke");
+    asked
+        .append(NodeFixture.put("w1", 500, "v"))
+        .append(NodeFixture.get("b1", 500))
+        .append("mg ke");
     channel.writeInbound(bytes(asked.toString()));
     ClientCommand five = channel.readInbound();
     assertEquals(5, five.refused().count());
@@ -141,7 +144,7 @@
   void whileNothingIsRefusedEachRequestIsStillCounted() throws Exception {
     gate.shuts = false;
     EmbeddedChannel channel = channel();
-    channel.writeInbound(bytes(NodeRig.get("a1", 500) + NodeRig.put("w1", 500, "value")));
+    channel.writeInbound(bytes(NodeFixture.get("a1", 500) + NodeFixture.put("w1", 500, "value")));
     ClientCommand read = channel.readInbound();
     assertEquals(0, read.refused().count());
     read.release();
@@ -152,8 +155,8 @@
 
   @Test
   void metersTellWhatTheReadingTells() throws Exception {
-    try (NodeRig rig = new NodeRig()) {
-      OverloadReading reading = rig.node.overload();
+    try (NodeFixture rig = new NodeFixture()) {
+      OverloadSnapshot reading = rig.node.overload();
       SimpleMeterRegistry registry = new SimpleMeterRegistry();
       new OverloadMetrics(() -> reading, Tags.of("node", "n0")).bindTo(registry);
       assertEquals(
--- a/engine/src/test/java/shalepaddle/node/TurnsTest.java
+++ b/engine/src/test/java/shalepaddle/node/TurnsTest.java
@@ -8,13 +8,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import shalepaddle.coalescing.CoalescingConfig;
 import shalepaddle.engine.Attempt;
 import shalepaddle.engine.Call;
 import shalepaddle.engine.Dispatcher;
 import shalepaddle.engine.Reply;
 import shalepaddle.engine.Submission;
 import shalepaddle.engine.Upstream;
-import shalepaddle.joining.JoiningTuning;
 import shalepaddle.loop.LoopClock;
 import shalepaddle.model.Request;
 
@@ -56,7 +56,7 @@
             {"name":"read","effect":"retryable","slo":0.75,"give-up":2,"credit":2},
             {"name":"write","effect":"fragile","slo":0.3,"give-up":2,"credit":5}
             """,
-            JoiningTuning.OFF,
+            CoalescingConfig.OFF,
             new Upstream() {
               @Override
               public void send(Attempt attempt) {
--- a/engine/src/test/java/shalepaddle/node/VirtualEngine.java
+++ b/engine/src/test/java/shalepaddle/node/VirtualEngine.java
@@ -7,11 +7,11 @@
 import io.netty.util.concurrent.Ticker;
 import java.util.Arrays;
 import java.util.concurrent.TimeUnit;
+import shalepaddle.coalescing.CoalescingConfig;
 import shalepaddle.config.NodeConfig;
 import shalepaddle.engine.Dispatcher;
 import shalepaddle.engine.Payload;
 import shalepaddle.engine.Upstream;
-import shalepaddle.joining.JoiningTuning;
 import shalepaddle.loop.Clock;
 import shalepaddle.loop.Log;
 import shalepaddle.loop.LoopClock;
@@ -19,8 +19,8 @@
 import shalepaddle.membership.MemberSource;
 import shalepaddle.model.MembershipUpdate;
 import shalepaddle.model.ServerEntry;
+import shalepaddle.overload.OverloadConfig;
 import shalepaddle.overload.OverloadControl;
-import shalepaddle.overload.Tuning;
 import shalepaddle.settings.JsonObject;
 
 /** A loop that a test runs, in time that it lets pass, and dispatchers on it. */
@@ -63,7 +63,7 @@
    * @param servers the ids of servers that are ready
    */
   Dispatcher start(
-      String caps, String services, JoiningTuning joining, Upstream upstream, long... servers)
+      String caps, String services, CoalescingConfig joining, Upstream upstream, long... servers)
       throws Exception {
     NodeConfig config =
         NodeConfig.parse(
@@ -80,7 +80,7 @@
                     .formatted(caps, services)));
     OverloadControl overload =
         new OverloadControl(
-            config.settings(), Tuning.USUAL, 1, (resource, before, now, figure) -> {});
+            config.settings(), OverloadConfig.USUAL, 1, (resource, before, now, figure) -> {});
     Dispatcher dispatcher =
         new Dispatcher(
             config.settings(),
--- a/engine/src/test/java/shalepaddle/upstream/IdleRiskTest.java
+++ b/engine/src/test/java/shalepaddle/upstream/StaleConnectionEstimatorTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Test;
 
 /** What is learned from connections that break after a pause. */
-class IdleRiskTest {
+class StaleConnectionEstimatorTest {
   private static final long MILLIS = 1_000_000L;
 
-  private final IdleRisk risk = new IdleRisk();
+  private final StaleConnectionEstimator risk = new StaleConnectionEstimator();
 
   @Test
   void leavesOutPausesAfterWhichManyBreakAndTriesThemAgain() {
--- a/simhost/src/main/java/shalepaddle/sim/ActionWriter.java
+++ b/simhost/src/main/java/shalepaddle/sim/ActionWriter.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import shalepaddle.policy.Actions;
+import shalepaddle.policy.RoutingActions;
 
 /** Writes the actions of one instance in the wire's words. */
-final class ActionWriter implements Actions {
+final class ActionWriter implements RoutingActions {
   private final JsonGenerator out;
   private final long instance;
 
--- a/simhost/src/main/java/shalepaddle/sim/SimHost.java
+++ b/simhost/src/main/java/shalepaddle/sim/SimHost.java
@@ -12,7 +12,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
-import shalepaddle.policy.Balancer;
+import shalepaddle.policy.RequestRouter;
 import shalepaddle.settings.FormatException;
 import shalepaddle.settings.JsonObject;
 import shalepaddle.settings.SettingsFormat;
@@ -20,7 +20,7 @@
 /** Hosts many balancers on the simulator's wire; they share nothing. */
 public final class SimHost {
   /** A balancer and the writer that carries its actions out. */
-  private record Instance(Balancer balancer, ActionWriter actions) {}
+  private record Instance(RequestRouter balancer, ActionWriter actions) {}
 
   private final BufferedReader in;
   private final JsonGenerator out;
@@ -102,14 +102,15 @@
       guarded(
           actions,
           () ->
-              instances.put(number, new Instance(new Balancer(settings, seed, actions), actions)));
+              instances.put(
+                  number, new Instance(new RequestRouter(settings, seed, actions), actions)));
       return;
     }
     Instance instance = instances.get(number);
     if (instance == null) {
       throw new FormatException(type + " message for unknown instance " + number);
     }
-    Balancer balancer = instance.balancer();
+    RequestRouter balancer = instance.balancer();
     ActionWriter actions = instance.actions();
     switch (type) {
       case "DETACH" -> instances.remove(number);
--- a/days/src/main/java/shalepaddle/days/LateConnect.java
+++ b/simulation/src/main/java/shalepaddle/simulation/DelayedConnect.java
@@ -1,4 +1,4 @@
-package shalepaddle.days;
+package shalepaddle.simulation;
 
 import io.netty.channel.ChannelDuplexHandler;
 import io.netty.channel.ChannelHandlerContext;
@@ -9,12 +9,12 @@
 import java.util.concurrent.TimeUnit;
 
 /** A connection that comes up late, or is given up before. */
-final class LateConnect extends ChannelDuplexHandler {
+final class DelayedConnect extends ChannelDuplexHandler {
   private final long millis;
   private ScheduledFuture<?> underWay;
   private ChannelPromise connected;
 
-  LateConnect(long millis) {
+  DelayedConnect(long millis) {
     this.millis = millis;
   }
 
--- a/days/src/main/java/shalepaddle/days/DayPlan.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioPlan.java
@@ -1,4 +1,4 @@
-package shalepaddle.days;
+package shalepaddle.simulation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -25,7 +25,7 @@
  * @param joining whether like reads share an answer; then few keys are asked for, so that many do
  * @param world what else a deployment may be like
  */
-public record DayPlan(
+public record ScenarioPlan(
     long seed,
     int servers,
     int nodes,
@@ -58,7 +58,7 @@
   }
 
   /** A day in the usual world. */
-  public DayPlan(
+  public ScenarioPlan(
       long seed,
       int servers,
       int nodes,
@@ -165,7 +165,7 @@
       long atMillis, Kind kind, int which, long millis, double strength, Fault fault) {}
 
   /** The day of this seed, on which clients ask for so long. */
-  public static DayPlan of(long seed, long millis) {
+  public static ScenarioPlan of(long seed, long millis) {
     SplittableRandom random = new SplittableRandom(seed);
     int servers = 4 + random.nextInt(6);
     int nodes = 1 + random.nextInt(3);
@@ -179,7 +179,7 @@
     }
     troubles.sort(Comparator.comparingLong(Trouble::atMillis));
     boolean parallel = random.nextBoolean();
-    return new DayPlan(
+    return new ScenarioPlan(
         seed,
         servers,
         nodes,
@@ -211,8 +211,8 @@
    * The day of this seed, and on it several things at almost the same moment, in another world:
    * each order of any two of them comes up on some seed. Many clients leave before their answers.
    */
-  public static DayPlan crossing(long seed, long millis) {
-    DayPlan usual = of(seed, millis);
+  public static ScenarioPlan crossing(long seed, long millis) {
+    ScenarioPlan usual = of(seed, millis);
     SplittableRandom random = new SplittableRandom(~seed);
     List<Trouble> troubles = new ArrayList<>(usual.troubles);
     long moment = millis / 10 + random.nextLong(millis * 5 / 10);
@@ -230,7 +230,7 @@
             50 + random.nextInt(900),
             random.nextBoolean(),
             1 + random.nextInt(8));
-    return new DayPlan(
+    return new ScenarioPlan(
         seed,
         usual.servers,
         usual.nodes,
@@ -249,8 +249,8 @@
   }
 
   /** The same day with load balancers that let like reads share an answer. */
-  public DayPlan joined() {
-    return new DayPlan(
+  public ScenarioPlan joined() {
+    return new ScenarioPlan(
         seed,
         servers,
         nodes,
--- a/days/src/main/java/shalepaddle/days/DayReport.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioReport.java
@@ -1,4 +1,4 @@
-package shalepaddle.days;
+package shalepaddle.simulation;
 
 import java.util.List;
 
@@ -17,8 +17,8 @@
  * @param p99Micros the 99th percentile of the time to an answer that served
  * @param digest a figure made of every answer and its time: the same in every run of the same code
  */
-public record DayReport(
-    DayPlan plan,
+public record ScenarioReport(
+    ScenarioPlan plan,
     List<String> breaches,
     int asked,
     int served,
--- a/days/src/main/java/shalepaddle/days/SimulatedDay.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
@@ -1,4 +1,4 @@
-package shalepaddle.days;
+package shalepaddle.simulation;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -19,39 +19,40 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import shalepaddle.coalescing.CoalescingConfig;
+import shalepaddle.coalescing.CoalescingSnapshot;
 import shalepaddle.config.NodeConfig;
 import shalepaddle.config.OperatorFile;
-import shalepaddle.engine.FiguresReading;
-import shalepaddle.joining.JoiningReading;
-import shalepaddle.joining.JoiningTuning;
+import shalepaddle.engine.RequestMetricsSnapshot;
 import shalepaddle.loop.Clock;
 import shalepaddle.loop.Log;
 import shalepaddle.loop.LoopClock;
 import shalepaddle.loop.WatchedIoHandler;
 import shalepaddle.node.LoadBalancer;
 import shalepaddle.node.Transport;
-import shalepaddle.overload.Tuning;
+import shalepaddle.overload.OverloadConfig;
 import shalepaddle.settings.FormatException;
 import shalepaddle.settings.JsonObject;
-import shalepaddle.testkit.Ledger;
-import shalepaddle.testkit.RudeClients;
+import shalepaddle.testkit.EffectLog;
+import shalepaddle.testkit.LoopbackTransport;
+import shalepaddle.testkit.MisbehavingClients;
 import shalepaddle.testkit.ServerModel;
 import shalepaddle.testkit.StandInClients;
 import shalepaddle.testkit.StandInDiscovery;
 import shalepaddle.testkit.StandInOrigin;
 import shalepaddle.testkit.StandInServer;
 import shalepaddle.testkit.Traffic;
-import shalepaddle.testkit.Wire;
 
 /**
- * Plays a {@link DayPlan}: load balancers with their real engine, front, connections and discovery
- * client on local connections, and stand-ins for all else, in one thread and in virtual time.
+ * Plays a {@link ScenarioPlan}: load balancers with their real engine, front, connections and
+ * discovery client on local connections, and stand-ins for all else, in one thread and in virtual
+ * time.
  *
  * <p>The rules are checked on what clients, cache servers and discovery saw, not on what the engine
  * says of itself. At the end everything is closed, and whatever is left then is a leak: a request,
  * a connection, a timer, a byte of a buffer.
  */
-public final class SimulatedDay {
+public final class ScenarioSimulation {
   /** What an answer may be late by, as the rules on sockets have it. */
   private static final int GRACE_MILLIS = 50;
 
@@ -82,12 +83,13 @@
         new Traffic.RequestClass("note", 0.05, true, true, 1500 / hurry, 3000));
   }
 
-  private final DayPlan plan;
+  private final ScenarioPlan plan;
   private final Tampering tampering;
   private final VirtualTime time = new VirtualTime();
   private final UnpooledByteBufAllocator allocator = new UnpooledByteBufAllocator(false, true);
-  private final Wire wire = Wire.local(time.loop(LocalIoHandler.newFactory()), allocator);
-  private final Ledger ledger = new Ledger();
+  private final LoopbackTransport wire =
+      LoopbackTransport.local(time.loop(LocalIoHandler.newFactory()), allocator);
+  private final EffectLog ledger = new EffectLog();
   private final List<StandInServer> fleet = new ArrayList<>();
   private final List<Instance> instances = new ArrayList<>();
   private final Map<String, String> zones = new LinkedHashMap<>();
@@ -95,7 +97,7 @@
   private final SplittableRandom delays;
   private final StandInOrigin origin;
   private final StandInClients clients;
-  private final RudeClients rude;
+  private final MisbehavingClients rude;
 
   /** For how long load balancers did not run, by their names. */
   private final Map<String, Long> heldMillis = new HashMap<>();
@@ -122,11 +124,11 @@
     static final Tampering NONE = new Tampering(channel -> {}, channel -> {});
   }
 
-  private SimulatedDay(DayPlan plan, Tampering tampering) {
+  private ScenarioSimulation(ScenarioPlan plan, Tampering tampering) {
     this.plan = plan;
     this.tampering = tampering;
     origin = new StandInOrigin(wire, plan.seed() + 1, 12, 0.06);
-    rude = new RudeClients(wire, plan.seed() + 3);
+    rude = new MisbehavingClients(wire, plan.seed() + 3);
     delays = new SplittableRandom(plan.seed() + 4);
     Traffic traffic =
         new Traffic(
@@ -142,16 +144,16 @@
   }
 
   /** Plays this day. */
-  public static DayReport play(DayPlan plan) {
+  public static ScenarioReport play(ScenarioPlan plan) {
     return play(plan, Tampering.NONE);
   }
 
   /** Plays this day with load balancers whose connections somebody has tampered with. */
-  static DayReport play(DayPlan plan, Tampering tampering) {
-    return new SimulatedDay(plan, tampering).play();
+  static ScenarioReport play(ScenarioPlan plan, Tampering tampering) {
+    return new ScenarioSimulation(plan, tampering).play();
   }
 
-  private DayReport play() {
+  private ScenarioReport play() {
     for (int i = 0; i < plan.servers(); i++) {
       addServer("s" + i).start();
     }
@@ -162,7 +164,7 @@
     }
     time.pass(200);
     clients.run(plan.millis());
-    for (DayPlan.Trouble trouble : plan.troubles()) {
+    for (ScenarioPlan.Trouble trouble : plan.troubles()) {
       later(trouble.atMillis(), () -> begin(trouble));
     }
     time.pass(plan.millis() + 4 * DEADLINE_MILLIS);
@@ -171,7 +173,7 @@
     breaches.addAll(clients.breaches());
     breaches.addAll(rude.breaches());
     checkServers();
-    return new DayReport(
+    return new ScenarioReport(
         plan,
         List.copyOf(breaches),
         clients.asked(),
@@ -180,13 +182,13 @@
         clients.failed(),
         clients.crossed(),
         origin.fetches(),
-        instances.stream().mapToLong(SimulatedDay::shared).sum(),
+        instances.stream().mapToLong(ScenarioSimulation::shared).sum(),
         clients.latencies().getValueAtPercentile(99),
         clients.digest());
   }
 
   private static long shared(Instance instance) {
-    JoiningReading joining = instance.balancer().joining();
+    CoalescingSnapshot joining = instance.balancer().joining();
     return joining == null ? 0 : joining.shared();
   }
 
@@ -233,7 +235,7 @@
         new LoadBalancer(
             NodeConfig.parse(JsonObject.parse(config(discovery))),
             plan.joining()
-                ? new OperatorFile(Tuning.USUAL, JoiningTuning.USUAL)
+                ? new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.USUAL)
                 : OperatorFile.USUAL,
             loop,
             clock,
@@ -288,12 +290,13 @@
 
       @Override
       public Bootstrap connector(EventLoop loop) {
-        return Wire.local(loop, allocator, SimulatedDay.this::opened).connector();
+        return LoopbackTransport.local(loop, allocator, ScenarioSimulation.this::opened)
+            .connector();
       }
 
       @Override
       public ServerBootstrap acceptor(EventLoop loop) {
-        return Wire.local(loop, allocator, tampering.accepted()).acceptor();
+        return LoopbackTransport.local(loop, allocator, tampering.accepted()).acceptor();
       }
     };
   }
@@ -301,7 +304,7 @@
   private void opened(Channel channel) {
     tampering.opened().accept(channel);
     if (delays.nextDouble() < plan.world().lateShare()) {
-      channel.pipeline().addFirst(new LateConnect(plan.world().lateMillis()));
+      channel.pipeline().addFirst(new DelayedConnect(plan.world().lateMillis()));
     }
   }
 
@@ -369,7 +372,7 @@
 
   // What goes wrong.
 
-  private void begin(DayPlan.Trouble trouble) {
+  private void begin(ScenarioPlan.Trouble trouble) {
     StandInServer server = fleet.get(trouble.which() % fleet.size());
     long millis = trouble.millis();
     switch (trouble.kind()) {
@@ -508,7 +511,7 @@
       }
     }
     for (String id : clients.ids()) {
-      Ledger.Entry entry = ledger.of(id);
+      EffectLog.Entry entry = ledger.of(id);
       if (entry.arrivals().size() > plan.maxAttempts()) {
         breaches.add(id + " had " + entry.arrivals().size() + " attempts");
       }
@@ -516,13 +519,13 @@
         breaches.add(
             id + " had " + entry.mostOut() + " attempts out together: " + entry.arrivals());
       }
-      for (Ledger.Arrival arrival : entry.arrivals()) {
+      for (EffectLog.Arrival arrival : entry.arrivals()) {
         checkDrain(id, arrival);
       }
     }
   }
 
-  private void checkDrain(String id, Ledger.Arrival arrival) {
+  private void checkDrain(String id, EffectLog.Arrival arrival) {
     String name = clients.targetOf(id);
     for (Instance instance : instances) {
       if (!instance.name().equals(name)) {
@@ -569,9 +572,9 @@
 
   /** Every request that was taken has ended under exactly one disposition, or its client left. */
   private void expectTrueFigures(Instance instance) {
-    FiguresReading figures = instance.balancer().figures();
+    RequestMetricsSnapshot figures = instance.balancer().figures();
     long ended = figures.gone();
-    for (FiguresReading.Results results : figures.results()) {
+    for (RequestMetricsSnapshot.Results results : figures.results()) {
       ended += results.succeeded() + results.declined() + results.aborted();
     }
     if (ended != figures.taken() || figures.outstanding() != 0) {
--- a/days/src/main/java/shalepaddle/days/VirtualTime.java
+++ b/simulation/src/main/java/shalepaddle/simulation/VirtualTime.java
@@ -1,4 +1,4 @@
-package shalepaddle.days;
+package shalepaddle.simulation;
 
 import io.netty.channel.IoHandlerFactory;
 import io.netty.channel.ManualIoEventLoop;
--- a/days/src/test/java/shalepaddle/days/BrokenCrossingTest.java
+++ b/simulation/src/test/java/shalepaddle/simulation/InjectedRaceViolationTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.days;
+package shalepaddle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,9 +20,9 @@
  * Load balancers that do the wrong thing where two events cross: each is found, by its own name, on
  * a day that is good where nobody tampers.
  */
-class BrokenCrossingTest {
-  private static final DayPlan DAY =
-      new DayPlan(
+class InjectedRaceViolationTest {
+  private static final ScenarioPlan DAY =
+      new ScenarioPlan(
           8,
           5,
           2,
@@ -36,12 +36,12 @@
           100,
           10_000,
           List.of(
-              new DayPlan.Trouble(1000, DayPlan.Kind.MUTE_WATCHES, 0, 0, 1, null),
-              new DayPlan.Trouble(5500, DayPlan.Kind.REPLACE, 1, 0, 1, null),
-              new DayPlan.Trouble(4000, DayPlan.Kind.RESTART, 0, 0, 1, null),
-              new DayPlan.Trouble(4050, DayPlan.Kind.RETUNE, 0, 0, 1, null)),
+              new ScenarioPlan.Trouble(1000, ScenarioPlan.Kind.MUTE_WATCHES, 0, 0, 1, null),
+              new ScenarioPlan.Trouble(5500, ScenarioPlan.Kind.REPLACE, 1, 0, 1, null),
+              new ScenarioPlan.Trouble(4000, ScenarioPlan.Kind.RESTART, 0, 0, 1, null),
+              new ScenarioPlan.Trouble(4050, ScenarioPlan.Kind.RETUNE, 0, 0, 1, null)),
           false,
-          new DayPlan.World(false, 0.2, 60, true, 2));
+          new ScenarioPlan.World(false, 0.2, 60, true, 2));
 
   /** What is wrong with these load balancers. */
   enum Variant {
@@ -71,7 +71,7 @@
       @Override
       Consumer<Channel> opened() {
         // A request that waits meanwhile: its connection comes up just as late.
-        return adding(() -> new LateConnect(120));
+        return adding(() -> new DelayedConnect(120));
       }
 
       @Override
@@ -212,7 +212,7 @@
 
   @Test
   void theDayIsGoodWithoutTampering() {
-    DayReport report = SimulatedDay.play(DAY);
+    ScenarioReport report = ScenarioSimulation.play(DAY);
     assertEquals(List.of(), report.breaches());
     assertTrue(report.served() > report.asked() / 3, report::toString);
   }
@@ -220,8 +220,9 @@
   @ParameterizedTest
   @EnumSource(Variant.class)
   void isFound(Variant variant) {
-    DayReport report =
-        SimulatedDay.play(DAY, new SimulatedDay.Tampering(variant.opened(), variant.accepted()));
+    ScenarioReport report =
+        ScenarioSimulation.play(
+            DAY, new ScenarioSimulation.Tampering(variant.opened(), variant.accepted()));
     assertTrue(
         report.breaches().stream().anyMatch(breach -> breach.contains(variant.found)),
         report.breaches().toString());
--- a/days/src/test/java/shalepaddle/days/BrokenDayTest.java
+++ b/simulation/src/test/java/shalepaddle/simulation/InjectedViolationTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.days;
+package shalepaddle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,9 +19,9 @@
  * Load balancers that break a rule now and then: each kind of breach has to be found, and by its
  * own name. The same day is good where nobody tampers.
  */
-class BrokenDayTest {
-  private static final DayPlan QUIET =
-      new DayPlan(
+class InjectedViolationTest {
+  private static final ScenarioPlan QUIET =
+      new ScenarioPlan(
           5,
           5,
           2,
@@ -35,9 +35,9 @@
           100,
           8000,
           List.of(
-              new DayPlan.Trouble(1000, DayPlan.Kind.REPLACE, 1, 0, 1, null),
-              new DayPlan.Trouble(3000, DayPlan.Kind.NODE_PAUSE, 0, 300, 1, null),
-              new DayPlan.Trouble(4000, DayPlan.Kind.RUDE, 0, 0, 60, null)),
+              new ScenarioPlan.Trouble(1000, ScenarioPlan.Kind.REPLACE, 1, 0, 1, null),
+              new ScenarioPlan.Trouble(3000, ScenarioPlan.Kind.NODE_PAUSE, 0, 300, 1, null),
+              new ScenarioPlan.Trouble(4000, ScenarioPlan.Kind.RUDE, 0, 0, 60, null)),
           false);
 
   private static final Consumer<Channel> NOBODY = channel -> {};
@@ -78,8 +78,8 @@
     }
   }
 
-  private static void assertFound(String what, SimulatedDay.Tampering tampering) {
-    DayReport report = SimulatedDay.play(QUIET, tampering);
+  private static void assertFound(String what, ScenarioSimulation.Tampering tampering) {
+    ScenarioReport report = ScenarioSimulation.play(QUIET, tampering);
     assertTrue(
         report.breaches().stream().anyMatch(breach -> breach.contains(what)),
         report.breaches().toString());
@@ -87,14 +87,14 @@
 
   @Test
   void theDayIsGoodWithoutTampering() {
-    assertEquals(List.of(), SimulatedDay.play(QUIET).breaches());
+    assertEquals(List.of(), ScenarioSimulation.play(QUIET).breaches());
   }
 
   @Test
   void anUnsafeWriteSentTwiceIsFound() {
     assertFound(
         "took effect 2 times",
-        new SimulatedDay.Tampering(
+        new ScenarioSimulation.Tampering(
             rarely(
                 "ms ",
                 (ctx, bytes, done) -> {
@@ -108,7 +108,7 @@
   void aDroppedAnswerIsFound() {
     assertFound(
         "no answer in time",
-        new SimulatedDay.Tampering(
+        new ScenarioSimulation.Tampering(
             NOBODY,
             rarely(
                 "VA ",
@@ -121,7 +121,7 @@
   void aSecondAnswerIsFound() {
     assertFound(
         "more than one answer",
-        new SimulatedDay.Tampering(
+        new ScenarioSimulation.Tampering(
             NOBODY,
             rarely(
                 "VA ",
@@ -135,7 +135,7 @@
   void aConnectionClosedUnderARequestIsFound() {
     assertFound(
         "ended without an answer",
-        new SimulatedDay.Tampering(
+        new ScenarioSimulation.Tampering(
             NOBODY,
             rarely(
                 "VA ",
@@ -149,7 +149,7 @@
   void anothersValueIsFound() {
     assertFound(
         "served with another's answer",
-        new SimulatedDay.Tampering(
+        new ScenarioSimulation.Tampering(
             NOBODY,
             rarely(
                 "VA ",
@@ -164,7 +164,7 @@
   void aRefusalOfAWriteThatRanIsFound() {
     assertFound(
         "was refused and took effect",
-        new SimulatedDay.Tampering(
+        new ScenarioSimulation.Tampering(
             NOBODY,
             rarely(
                 "HD ",
@@ -180,7 +180,7 @@
   void aSendAfterTheAnswerIsFound() {
     assertFound(
         "after it had ended",
-        new SimulatedDay.Tampering(
+        new ScenarioSimulation.Tampering(
             rarely(
                 "ms ",
                 (ctx, bytes, done) -> {
@@ -196,7 +196,7 @@
   void aDrainThatIsNotKeptIsFound() {
     assertFound(
         "past the grace of its drain",
-        new SimulatedDay.Tampering(
+        new ScenarioSimulation.Tampering(
             adding(
                 () ->
                     new ChannelDuplexHandler() {
@@ -218,7 +218,7 @@
   void aRudeClientThatIsNotTurnedDownIsFound() {
     assertFound(
         "got neither an error nor a close",
-        new SimulatedDay.Tampering(
+        new ScenarioSimulation.Tampering(
             NOBODY,
             adding(
                 () ->
@@ -245,7 +245,7 @@
   void aLeakedBufferIsFound() {
     assertFound(
         "bytes of buffers leaked",
-        new SimulatedDay.Tampering(
+        new ScenarioSimulation.Tampering(
             NOBODY,
             rarely(
                 "VA ",
--- a/days/src/test/java/shalepaddle/days/CrossingDayTest.java
+++ b/simulation/src/test/java/shalepaddle/simulation/RaceWindowTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.days;
+package shalepaddle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,7 +16,7 @@
  * deadlines, in how connections come up and in what may be called off, and many clients leave: the
  * four rules hold, and nothing is sent for a client that has left.
  */
-class CrossingDayTest {
+class RaceWindowTest {
   private static final int MILLIS = 8000;
 
   static LongStream seeds() {
@@ -26,7 +26,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void nothingBreaks(long seed) {
-    DayReport report = SimulatedDay.play(DayPlan.crossing(seed, MILLIS));
+    ScenarioReport report = ScenarioSimulation.play(ScenarioPlan.crossing(seed, MILLIS));
     assertEquals(List.of(), report.breaches(), report::toString);
   }
 
@@ -35,8 +35,9 @@
   void eachTwoKindsMeetOnSomeSeed() {
     List<String> pairs = new ArrayList<>();
     for (long seed = 1; seed <= 2000; seed++) {
-      DayPlan usual = DayPlan.of(seed, MILLIS);
-      List<DayPlan.Trouble> added = new ArrayList<>(DayPlan.crossing(seed, MILLIS).troubles());
+      ScenarioPlan usual = ScenarioPlan.of(seed, MILLIS);
+      List<ScenarioPlan.Trouble> added =
+          new ArrayList<>(ScenarioPlan.crossing(seed, MILLIS).troubles());
       usual.troubles().forEach(added::remove);
       for (int i = 0; i < added.size(); i++) {
         for (int j = i + 1; j < added.size(); j++) {
--- a/days/src/test/java/shalepaddle/days/SimulatedDayTest.java
+++ b/simulation/src/test/java/shalepaddle/simulation/ScenarioSimulationTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.days;
+package shalepaddle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,7 +11,7 @@
 import shalepaddle.testkit.Fault;
 
 /** Days of fixed seeds: a failing one of any other seed belongs here as well. */
-class SimulatedDayTest {
+class ScenarioSimulationTest {
   static LongStream seeds() {
     return LongStream.rangeClosed(1, 60);
   }
@@ -19,7 +19,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void nothingBreaks(long seed) {
-    DayReport report = SimulatedDay.play(DayPlan.of(seed, 20_000));
+    ScenarioReport report = ScenarioSimulation.play(ScenarioPlan.of(seed, 20_000));
     assertEquals(List.of(), report.breaches(), report::toString);
   }
 
@@ -30,21 +30,23 @@
   @ParameterizedTest
   @MethodSource("joinedSeeds")
   void nothingBreaksWhereReadsAreJoined(long seed) {
-    DayReport report = SimulatedDay.play(DayPlan.of(seed, 20_000).joined());
+    ScenarioReport report = ScenarioSimulation.play(ScenarioPlan.of(seed, 20_000).joined());
     assertEquals(List.of(), report.breaches(), report::toString);
     assertTrue(report.shared() > 20, report::toString);
   }
 
-  private static DayPlan plan(DayPlan.Trouble... troubles) {
-    return new DayPlan(3, 5, 2, false, 3, true, 4, 100, 1, 0, 100, 8000, List.of(troubles), false);
+  private static ScenarioPlan plan(ScenarioPlan.Trouble... troubles) {
+    return new ScenarioPlan(
+        3, 5, 2, false, 3, true, 4, 100, 1, 0, 100, 8000, List.of(troubles), false);
   }
 
   @Test
   void aFleetThatStallsPastEveryDeadlineCostsFailuresAlone() {
-    DayReport report =
-        SimulatedDay.play(
+    ScenarioReport report =
+        ScenarioSimulation.play(
             plan(
-                new DayPlan.Trouble(2000, DayPlan.Kind.FAULT_EVERYWHERE, 0, 4000, 1, Fault.STALL)));
+                new ScenarioPlan.Trouble(
+                    2000, ScenarioPlan.Kind.FAULT_EVERYWHERE, 0, 4000, 1, Fault.STALL)));
     assertEquals(List.of(), report.breaches(), report::toString);
     assertTrue(report.failed() + report.refused() > 200, report::toString);
     assertTrue(report.served() > 200, report::toString);
@@ -52,11 +54,11 @@
 
   @Test
   void aRestartUnderAPauseLosesNothing() {
-    DayReport report =
-        SimulatedDay.play(
+    ScenarioReport report =
+        ScenarioSimulation.play(
             plan(
-                new DayPlan.Trouble(2000, DayPlan.Kind.RESTART, 0, 0, 1, null),
-                new DayPlan.Trouble(3900, DayPlan.Kind.NODE_PAUSE, 0, 350, 1, null)));
+                new ScenarioPlan.Trouble(2000, ScenarioPlan.Kind.RESTART, 0, 0, 1, null),
+                new ScenarioPlan.Trouble(3900, ScenarioPlan.Kind.NODE_PAUSE, 0, 350, 1, null)));
     assertEquals(List.of(), report.breaches(), report::toString);
     // What comes shortly before its end has little time, and the pause takes some of that.
     assertTrue(report.served() > 0.98 * report.asked(), report::toString);
@@ -64,7 +66,7 @@
 
   @Test
   void aDayIsTheSameInEveryRun() {
-    DayPlan plan = DayPlan.of(11, 10_000);
-    assertEquals(SimulatedDay.play(plan), SimulatedDay.play(plan));
+    ScenarioPlan plan = ScenarioPlan.of(11, 10_000);
+    assertEquals(ScenarioSimulation.play(plan), ScenarioSimulation.play(plan));
   }
 }
--- a/testkit/src/main/java/shalepaddle/testkit/Ledger.java
+++ b/testkit/src/main/java/shalepaddle/testkit/EffectLog.java
@@ -9,7 +9,7 @@
  * What cache servers received and carried out, request by request: the truth that a load balancer's
  * answers are held against. Grows with the requests of a run; it is made for one.
  */
-public final class Ledger {
+public final class EffectLog {
   /**
    * A command that came to a server, whole.
    *
--- a/testkit/src/main/java/shalepaddle/testkit/Wire.java
+++ b/testkit/src/main/java/shalepaddle/testkit/LoopbackTransport.java
@@ -26,7 +26,7 @@
 import java.util.function.Consumer;
 
 /** How stand-ins reach others and are reached, and the event loop that they run on. */
-public final class Wire {
+public final class LoopbackTransport {
   /** Ports of local addresses: they are names and take none of the machine's. */
   private static final AtomicInteger NEXT_LOCAL = new AtomicInteger(10_000);
 
@@ -35,7 +35,8 @@
   private final boolean local;
   private final Consumer<Channel> tap;
 
-  private Wire(EventLoop loop, ByteBufAllocator allocator, boolean local, Consumer<Channel> tap) {
+  private LoopbackTransport(
+      EventLoop loop, ByteBufAllocator allocator, boolean local, Consumer<Channel> tap) {
     this.tap = tap;
     this.loop = loop;
     this.allocator = allocator;
@@ -43,8 +44,8 @@
   }
 
   /** Loopback sockets; the loop is one of the Java platform's selector. */
-  public static Wire sockets(EventLoop loop) {
-    return new Wire(loop, ByteBufAllocator.DEFAULT, false, channel -> {});
+  public static LoopbackTransport sockets(EventLoop loop) {
+    return new LoopbackTransport(loop, ByteBufAllocator.DEFAULT, false, channel -> {});
   }
 
   /**
@@ -53,7 +54,7 @@
    *
    * @param allocator where all buffers come from, also those of the other end if that uses it
    */
-  public static Wire local(EventLoop loop, ByteBufAllocator allocator) {
+  public static LoopbackTransport local(EventLoop loop, ByteBufAllocator allocator) {
     return local(loop, allocator, channel -> {});
   }
 
@@ -62,8 +63,9 @@
    * tap before anything is added to its pipeline. What the tap adds first sees bytes as the other
    * end sends them, and last what goes there.
    */
-  public static Wire local(EventLoop loop, ByteBufAllocator allocator, Consumer<Channel> tap) {
-    return new Wire(loop, allocator, true, tap);
+  public static LoopbackTransport local(
+      EventLoop loop, ByteBufAllocator allocator, Consumer<Channel> tap) {
+    return new LoopbackTransport(loop, allocator, true, tap);
   }
 
   /** The event loop that everything on this wire runs on. */
--- a/testkit/src/main/java/shalepaddle/testkit/RudeClients.java
+++ b/testkit/src/main/java/shalepaddle/testkit/MisbehavingClients.java
@@ -17,7 +17,7 @@
  * Clients that break the protocol, or make no use of their connection. Each is owed an error or a
  * close within 3 s, and never a value.
  */
-public final class RudeClients {
+public final class MisbehavingClients {
   private static final long PATIENCE_MILLIS = 3000;
 
   /** What they send, each on a connection of its own. */
@@ -39,15 +39,15 @@
           "mg key v Orude8 Pc=read,d=100",
           "ERROR\r\n".repeat(200));
 
-  private final Wire wire;
+  private final LoopbackTransport wire;
   private final SplittableRandom random;
-  private final Pauses pauses = new Pauses();
+  private final ProcessPauses pauses = new ProcessPauses();
   private final List<String> breaches = new ArrayList<>();
   private int sent;
   private int open;
 
   /** Clients that have not come yet. */
-  public RudeClients(Wire wire, long seed) {
+  public MisbehavingClients(LoopbackTransport wire, long seed) {
     this.wire = wire;
     this.random = new SplittableRandom(seed);
   }
--- a/testkit/src/main/java/shalepaddle/testkit/Pauses.java
+++ b/testkit/src/main/java/shalepaddle/testkit/ProcessPauses.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The times in which a load balancer did not run, in nanoseconds of the wire. */
-final class Pauses {
+final class ProcessPauses {
   private record Pause(long from, long to) {}
 
   private final List<Pause> pauses = new ArrayList<>();
--- a/testkit/src/main/java/shalepaddle/testkit/SharedAnswers.java
+++ b/testkit/src/main/java/shalepaddle/testkit/SharedResponseCheck.java
@@ -9,7 +9,7 @@
  * Whether a read may have been answered with the value that a server made for another: where a load
  * balancer lets like reads share an answer. Grows with the requests of a run; it is made for one.
  */
-final class SharedAnswers {
+final class SharedResponseCheck {
   /** How far apart two requests are sent at least so that their order at the other end is known. */
   private static final long APART_NANOS = 1_000_000;
 
--- a/testkit/src/main/java/shalepaddle/testkit/StandInClients.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInClients.java
@@ -27,7 +27,7 @@
 /**
  * Clients of one or several load balancers, which ask at a given rate whether or not they are
  * answered, and hold every answer against what was asked: that it is the one answer, in time, of
- * this request; and with the {@link Ledger}, that what was refused has not run.
+ * this request; and with the {@link EffectLog}, that what was refused has not run.
  *
  * <p>Each keeps its connections, one request on each at a time, and opens more when all are in use.
  * A request that crosses the end of its connection is sent once more on a new one, as the protocol
@@ -43,8 +43,8 @@
   /** Connections to one load balancer at most. */
   private final int maxConnections;
 
-  private final Wire wire;
-  private final Ledger ledger;
+  private final LoopbackTransport wire;
+  private final EffectLog ledger;
   private final Traffic traffic;
   private final long graceNanos;
   private final SplittableRandom random;
@@ -61,7 +61,7 @@
   private final Histogram latencies = new Histogram(3_600_000_000L, 3);
 
   /** Null where each answer must have been made for its own request. */
-  private SharedAnswers shared;
+  private SharedResponseCheck shared;
 
   private double rate;
   private long until;
@@ -86,7 +86,7 @@
     private final String name;
     private final SocketAddress address;
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
-    private final Pauses pauses = new Pauses();
+    private final ProcessPauses pauses = new ProcessPauses();
     private int connections;
     private boolean excused;
     private boolean leaving;
@@ -153,7 +153,12 @@
    *     not sent
    */
   public StandInClients(
-      Wire wire, Ledger ledger, Traffic traffic, long graceMillis, int maxConnections, long seed) {
+      LoopbackTransport wire,
+      EffectLog ledger,
+      Traffic traffic,
+      long graceMillis,
+      int maxConnections,
+      long seed) {
     this.wire = wire;
     this.ledger = ledger;
     this.traffic = traffic;
@@ -170,7 +175,7 @@
    * and must not have been asked for before a write of the key that came before the read.
    */
   public void mayShareAnswers() {
-    shared = new SharedAnswers();
+    shared = new SharedResponseCheck();
   }
 
   /** From now on a load balancer of this name is asked as well. */
@@ -503,7 +508,7 @@
     for (var each : fates.entrySet()) {
       String id = each.getKey();
       Fate fate = each.getValue();
-      Ledger.Entry done = ledger.of(id);
+      EffectLog.Entry done = ledger.of(id);
       String told = id + " (" + fate.type().name() + " at " + fate.target() + ") ";
       if (done.effects() > 1) {
         breach(told + "took effect " + done.effects() + " times");
@@ -515,7 +520,7 @@
         breach(told + "was served with a receipt that nobody gave");
       }
       long heard = targets.get(fate.target()).pauses.runs(fate.endedAt());
-      for (Ledger.Arrival arrival : done.arrivals()) {
+      for (EffectLog.Arrival arrival : done.arrivals()) {
         if (arrival.atNanos() - heard > settleNanos) {
           breach(
               told
--- a/testkit/src/main/java/shalepaddle/testkit/StandInDiscovery.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInDiscovery.java
@@ -79,7 +79,7 @@
   /** A line with the version that brought it, and when it may be told. */
   private record Line(Member member, long version, long tellAtNanos) {}
 
-  private final Wire wire;
+  private final LoopbackTransport wire;
   private final Map<String, Line> lines = new LinkedHashMap<>();
   private final Map<String, Long> toldAt = new HashMap<>();
   private final Set<Watch> watches = new LinkedHashSet<>();
@@ -91,7 +91,7 @@
   private Channel listener;
 
   /** A service that does not listen yet, and has an empty list. */
-  public StandInDiscovery(Wire wire) {
+  public StandInDiscovery(LoopbackTransport wire) {
     this.wire = wire;
   }
 
@@ -165,7 +165,7 @@
 
   /** Where it listens, as configurations have it; known once it has started. */
   public String address() {
-    return Wire.text(address);
+    return LoopbackTransport.text(address);
   }
 
   /**
