--- a/testkit/src/main/java/shalepaddle/testkit/StandInOrigin.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInOrigin.java
@@ -8,7 +8,7 @@
 
 /** The slow store behind the cache servers: so many fetches at once, the others wait in order. */
 public final class StandInOrigin {
-  private final Wire wire;
+  private final LoopbackTransport wire;
   private final SplittableRandom random;
   private final int workers;
   private final double meanSeconds;
@@ -24,7 +24,7 @@
    * @param workers fetches and writes that it works on at once
    * @param meanSeconds the mean time of one; times are drawn evenly from half to one and a half
    */
-  public StandInOrigin(Wire wire, long seed, int workers, double meanSeconds) {
+  public StandInOrigin(LoopbackTransport wire, long seed, int workers, double meanSeconds) {
     this.wire = wire;
     this.random = new SplittableRandom(seed);
     this.workers = workers;
--- a/testkit/src/main/java/shalepaddle/testkit/StandInServer.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInServer.java
@@ -27,7 +27,7 @@
  * connection are begun as they come and answered in their order.
  *
  * <p>A write takes effect when a worker begins it. One whose connection has ended by then is thrown
- * away. Everything that comes, and every effect, is written down in the {@link Ledger}.
+ * away. Everything that comes, and every effect, is written down in the {@link EffectLog}.
  */
 public final class StandInServer {
   /** So much of an endless answer is sent, in so many pieces. */
@@ -38,12 +38,12 @@
   /** In so long a connection that is read again has read what waited. */
   private static final long CATCH_UP_MILLIS = 100;
 
-  private final Wire wire;
+  private final LoopbackTransport wire;
   private final String id;
   private final String group;
   private final ServerModel model;
   private final StandInOrigin origin;
-  private final Ledger ledger;
+  private final EffectLog ledger;
   private final List<StandInServer> fleet;
   private final SplittableRandom random;
   private final Map<Fault, Double> faults = new EnumMap<>(Fault.class);
@@ -77,12 +77,12 @@
    * @param fleet all servers whose copies its writes void; itself is added
    */
   public StandInServer(
-      Wire wire,
+      LoopbackTransport wire,
       String id,
       String group,
       ServerModel model,
       StandInOrigin origin,
-      Ledger ledger,
+      EffectLog ledger,
       List<StandInServer> fleet,
       long seed) {
     this.wire = wire;
@@ -201,7 +201,7 @@
 
   /** Where it listens, as lists have it; known once it has started. */
   public String address() {
-    return Wire.text(address);
+    return LoopbackTransport.text(address);
   }
 
   /** Whether it listens. */
@@ -313,7 +313,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, MetaRequest request) {
       long since = behindSince >= 0 ? behindSince : wire.now();
-      ledger.arrived(request.id(), new Ledger.Arrival(id, group, since));
+      ledger.arrived(request.id(), new EffectLog.Arrival(id, group, since));
       Job job = new Job(this, request, drawFault());
       order.add(job);
       double work = model.meanSeconds() * (0.5 + random.nextDouble());
--- a/testkit/src/test/java/shalepaddle/testkit/PausesTest.java
+++ b/testkit/src/test/java/shalepaddle/testkit/ProcessPausesTest.java
@@ -7,12 +7,12 @@
 /**
  * Two pauses that overlap are one: checks by them would otherwise blame what came in the second.
  */
-class PausesTest {
+class ProcessPausesTest {
   private static final long MILLI = 1_000_000;
 
   @Test
   void overlappingPausesAreOne() {
-    Pauses pauses = new Pauses();
+    ProcessPauses pauses = new ProcessPauses();
     pauses.add(100 * MILLI, 100);
     pauses.add(150 * MILLI, 100);
     pauses.add(160 * MILLI, 10);
--- a/testkit/src/test/java/shalepaddle/testkit/SharedAnswersTest.java
+++ b/testkit/src/test/java/shalepaddle/testkit/SharedResponseCheckTest.java
@@ -5,11 +5,11 @@
 
 import org.junit.jupiter.api.Test;
 
-class SharedAnswersTest {
+class SharedResponseCheckTest {
   private static final long MILLI = 1_000_000;
-  private static final SharedAnswers.Paused NEVER = (begin, end) -> 0;
+  private static final SharedResponseCheck.Paused NEVER = (begin, end) -> 0;
 
-  private final SharedAnswers answers = new SharedAnswers();
+  private final SharedResponseCheck answers = new SharedResponseCheck();
 
   private void read(String id, String target, String key, long millis) {
     answers.read(id, target, key, "read", millis * MILLI);
--- a/testkit/src/test/java/shalepaddle/testkit/StandInServerTest.java
+++ b/testkit/src/test/java/shalepaddle/testkit/StandInServerTest.java
@@ -27,8 +27,9 @@
   private final MockTicker ticker = Ticker.newMockTicker();
   private final ManualIoEventLoop loop =
       new ManualIoEventLoop(null, Thread.currentThread(), LocalIoHandler.newFactory(), ticker);
-  private final Wire wire = Wire.local(loop, new UnpooledByteBufAllocator(false, true));
-  private final Ledger ledger = new Ledger();
+  private final LoopbackTransport wire =
+      LoopbackTransport.local(loop, new UnpooledByteBufAllocator(false, true));
+  private final EffectLog ledger = new EffectLog();
   private final List<StandInServer> fleet = new ArrayList<>();
   private final StandInOrigin origin = new StandInOrigin(wire, 1, 4, 0.02);
   private final StandInServer server = server("s1", ServerModel.usual());
