--- a/benchmarks/src/main/java/shalepaddle/benchmarks/DecisionCost.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/DecisionCost.java
@@ -63,7 +63,7 @@
     for (long id = 1; id <= servers; id++) {
       list.add(new ServerEntry(id, "a", "m", 0, ServerEntry.State.READY, 1, 0));
     }
-    balancer.membership(now, new MembershipUpdate(MembershipUpdate.Kind.FULL, 1, list));
+    balancer.onMembershipUpdate(now, new MembershipUpdate(MembershipUpdate.Kind.FULL, 1, list));
     for (int i = 0; i < OPEN; i++) {
       ask(i);
     }
@@ -75,7 +75,16 @@
   private static Settings settings() {
     Settings.ServiceClass read =
         new Settings.ServiceClass(
-            "read", 0.75, 0, 2, 2, 0.3, Settings.Effect.SAFE, Settings.Group.ALL, 0, false);
+            "read",
+            0.75,
+            0,
+            2,
+            2,
+            0.3,
+            Settings.Idempotency.IDEMPOTENT,
+            Settings.DeduplicationScope.ALL,
+            0,
+            false);
     return new Settings(
         "a",
         List.of("a"),
@@ -106,7 +115,7 @@
     public void cancel(String requestId, int attempt) {}
 
     @Override
-    public void refuse(String requestId, double retryAfter) {
+    public void reject(String requestId, double retryAfter) {
       sentTo[slot] = 0;
     }
 
@@ -116,13 +125,13 @@
     }
 
     @Override
-    public void wake(long token, double delay) {}
+    public void scheduleTimer(long token, double delay) {}
 
     @Override
     public void subscribe(boolean on) {}
 
     @Override
-    public void closeIdle(long server) {}
+    public void closeIdleConnections(long server) {}
   }
 
   private void ask(int place) {
@@ -132,7 +141,7 @@
     int number = next++;
     ids[place] = "r" + number;
     String key = "key" + (keys.equals("held") ? number % KEYS : number);
-    balancer.request(now, new Request(ids[place], key, "read", null, 2, 0, 0, false, false));
+    balancer.onRequest(now, new Request(ids[place], key, "read", null, 2, 0, 0, false, false));
   }
 
   /** One read ends, and another arrives. */
@@ -140,8 +149,9 @@
   public long read() {
     int place = next % OPEN;
     if (sentTo[place] != 0) {
-      Outcome.Note note = keys.equals("held") ? Outcome.Note.HIT : Outcome.Note.MISS;
-      balancer.outcome(
+      Outcome.CacheStatus note =
+          keys.equals("held") ? Outcome.CacheStatus.HIT : Outcome.CacheStatus.MISS;
+      balancer.onOutcome(
           now,
           new Outcome(
               ids[place], 0, sentTo[place], Outcome.Result.OK, OPEN * GAP, true, note, null));
--- a/capacity/src/main/java/shalepaddle/capacity/DecisionCost.java
+++ b/capacity/src/main/java/shalepaddle/capacity/DecisionCost.java
@@ -44,17 +44,17 @@
     return new Decider() {
       @Override
       public void membership(double now, MembershipUpdate update) {
-        balancer.membership(now, update);
+        balancer.onMembershipUpdate(now, update);
       }
 
       @Override
       public void request(double now, Request request) {
-        balancer.request(now, request);
+        balancer.onRequest(now, request);
       }
 
       @Override
       public void outcome(double now, Outcome outcome) {
-        balancer.outcome(now, outcome);
+        balancer.onOutcome(now, outcome);
       }
     };
   }
@@ -120,7 +120,7 @@
   private void read(boolean held) {
     slot = next % OPEN;
     if (sentTo[slot] != 0) {
-      Outcome.Note note = held ? Outcome.Note.HIT : Outcome.Note.MISS;
+      Outcome.CacheStatus note = held ? Outcome.CacheStatus.HIT : Outcome.CacheStatus.MISS;
       decider.outcome(
           now,
           new Outcome(ids[slot], 0, sentTo[slot], Outcome.Result.OK, OPEN * gap, true, note, null));
--- a/capacity/src/main/java/shalepaddle/capacity/DiscoveryPolling.java
+++ b/capacity/src/main/java/shalepaddle/capacity/DiscoveryPolling.java
@@ -86,12 +86,12 @@
       return new Feed() {
         @Override
         public void told(double now, MembershipUpdate update) {
-          balancer.membership(now, update);
+          balancer.onMembershipUpdate(now, update);
         }
 
         @Override
         public void timer(double now, long token) {
-          balancer.timer(now, token);
+          balancer.onTimer(now, token);
         }
       };
     };
@@ -116,7 +116,7 @@
       if (event.token == START) {
         feeds
             .get(event.node)
-            .told(now, new MembershipUpdate(MembershipUpdate.Kind.REMEMBERED, 1, known.entries()));
+            .told(now, new MembershipUpdate(MembershipUpdate.Kind.CACHED, 1, known.entries()));
       } else if (event.token == FREE) {
         busy = false;
         if (!has[event.node]) {
@@ -184,7 +184,7 @@
     }
 
     @Override
-    public void wake(long token, double delay) {
+    public void scheduleTimer(long token, double delay) {
       events.add(new Event(now + delay, node, token));
     }
   }
--- a/capacity/src/main/java/shalepaddle/capacity/HollowActions.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowActions.java
@@ -13,17 +13,17 @@
   public void cancel(String requestId, int attempt) {}
 
   @Override
-  public void refuse(String requestId, double retryAfter) {}
+  public void reject(String requestId, double retryAfter) {}
 
   @Override
   public void fail(String requestId) {}
 
   @Override
-  public void wake(long token, double delay) {}
+  public void scheduleTimer(long token, double delay) {}
 
   @Override
   public void subscribe(boolean on) {}
 
   @Override
-  public void closeIdle(long server) {}
+  public void closeIdleConnections(long server) {}
 }
--- a/capacity/src/main/java/shalepaddle/capacity/HollowFleet.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowFleet.java
@@ -137,10 +137,10 @@
     for (int node = 0; node < size.nodes(); node++) {
       nodes[node] =
           new RequestRouter(HollowSettings.of(node, size, false), seed + node, new Carried(node));
-      nodes[node].membership(now, list(MembershipUpdate.Kind.FULL, 0));
+      nodes[node].onMembershipUpdate(now, list(MembershipUpdate.Kind.FULL, 0));
     }
     idle = new RequestRouter(HollowSettings.of(0, size, false), seed, new Carried(-1));
-    idle.membership(now, list(MembershipUpdate.Kind.FULL, 0));
+    idle.onMembershipUpdate(now, list(MembershipUpdate.Kind.FULL, 0));
     Arrays.fill(homes, -1);
   }
 
@@ -191,7 +191,7 @@
         held[server].clear();
       }
     }
-    news = list(MembershipUpdate.Kind.CHANGES, coldAt);
+    news = list(MembershipUpdate.Kind.DELTA, coldAt);
     // Each node hears of it at a time of its own: a timer that no balancer has set.
     for (int node = 0; node < nodes.length; node++) {
       events.add(
@@ -237,14 +237,14 @@
     int number = (int) Math.exp(random.nextDouble() * Math.log(KEYS + 1)) - 1;
     String key = "k" + number;
     if (homes[number] < 0) {
-      idle.request(now, read(key, key));
+      idle.onRequest(now, read(key, key));
       homes[number] = sent.remove(0).server;
-      idle.outcome(now, outcome(key, homes[number], false, 0));
+      idle.onOutcome(now, outcome(key, homes[number], false, 0));
     }
     String id = serial++ + "k" + number;
     reads += counting ? 1 : 0;
     long began = System.nanoTime();
-    nodes[node].request(now, read(id, key));
+    nodes[node].onRequest(now, read(id, key));
     spent(began);
   }
 
@@ -253,21 +253,21 @@
   }
 
   private Outcome outcome(String id, int server, boolean miss, double elapsed) {
-    Outcome.Note note = miss ? Outcome.Note.MISS : Outcome.Note.HIT;
+    Outcome.CacheStatus note = miss ? Outcome.CacheStatus.MISS : Outcome.CacheStatus.HIT;
     return new Outcome(id, 0, ids[server], Outcome.Result.OK, elapsed, true, note, null);
   }
 
   private void happens(Event event) {
     if (event.token == NEWS) {
-      nodes[event.node].membership(now, news);
+      nodes[event.node].onMembershipUpdate(now, news);
       return;
     }
     long began = System.nanoTime();
     if (event.id == null) {
-      nodes[event.node].timer(now, event.token);
+      nodes[event.node].onTimer(now, event.token);
     } else {
       double elapsed = event.miss ? MISS_SECONDS : HIT_SECONDS;
-      nodes[event.node].outcome(now, outcome(event.id, event.server, event.miss, elapsed));
+      nodes[event.node].onOutcome(now, outcome(event.id, event.server, event.miss, elapsed));
     }
     spent(began);
   }
@@ -310,7 +310,7 @@
     }
 
     @Override
-    public void refuse(String requestId, double retryAfter) {
+    public void reject(String requestId, double retryAfter) {
       refused += counting ? 1 : 0;
     }
 
@@ -320,7 +320,7 @@
     }
 
     @Override
-    public void wake(long token, double delay) {
+    public void scheduleTimer(long token, double delay) {
       if ((token & HELD) != 0 && node >= 0) {
         events.add(new Event(now + delay, node, null, -1, token, false));
       }
--- a/capacity/src/main/java/shalepaddle/capacity/HollowSettings.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowSettings.java
@@ -27,7 +27,16 @@
   static Settings of(int node, FleetSize size, boolean asks) {
     Settings.ServiceClass read =
         new Settings.ServiceClass(
-            "read", 0.75, 0, 2, 2, 0.3, Settings.Effect.SAFE, Settings.Group.ALL, 0, false);
+            "read",
+            0.75,
+            0,
+            2,
+            2,
+            0.3,
+            Settings.Idempotency.IDEMPOTENT,
+            Settings.DeduplicationScope.ALL,
+            0,
+            false);
     return new Settings(
         zone(node, size),
         IntStream.range(0, size.zones()).mapToObj(zone -> "z" + zone).toList(),
--- a/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
@@ -119,7 +119,7 @@
           @Override
           public void told(double now, MembershipUpdate update) {
             if (update.kind() != MembershipUpdate.Kind.FULL) {
-              actions.wake(0, 0.05);
+              actions.scheduleTimer(0, 0.05);
             }
           }
 
--- a/core/src/main/java/shalepaddle/coalescing/CoalescingConfig.java
+++ b/core/src/main/java/shalepaddle/coalescing/CoalescingConfig.java
@@ -36,9 +36,9 @@
    * @throws IllegalArgumentException if one is out of its range; the message names it and the range
    */
   public CoalescingConfig {
-    ProtocolLimits.within("callers", callers, 2, 100_000);
-    ProtocolLimits.within("age_ms", age * 1e3, 1, 60_000);
-    ProtocolLimits.within("flights", flights, 1, 1_000_000);
-    ProtocolLimits.within("retries", retries, 0, 1);
+    ProtocolLimits.checkRange("callers", callers, 2, 100_000);
+    ProtocolLimits.checkRange("age_ms", age * 1e3, 1, 60_000);
+    ProtocolLimits.checkRange("flights", flights, 1, 1_000_000);
+    ProtocolLimits.checkRange("retries", retries, 0, 1);
   }
 }
--- a/core/src/main/java/shalepaddle/coalescing/FlightResult.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightResult.java
@@ -25,6 +25,8 @@
    * @param last the outcome of its last attempt, null if it had none
    */
   public static FlightResult refused(Outcome.Result last) {
-    return last != null && (last.broken() || last == Outcome.Result.SPOILT) ? BROKEN : REFUSED;
+    return last != null && (last.isConnectionFailure() || last == Outcome.Result.MALFORMED_RESPONSE)
+        ? BROKEN
+        : REFUSED;
   }
 }
--- a/core/src/main/java/shalepaddle/model/MembershipUpdate.java
+++ b/core/src/main/java/shalepaddle/model/MembershipUpdate.java
@@ -14,18 +14,18 @@
 public record MembershipUpdate(Kind kind, long version, List<ServerEntry> entries) {
 
   /** The servers that it names. */
-  public Set<Long> ids() {
+  public Set<Long> serverIds() {
     return entries.stream().map(ServerEntry::id).collect(Collectors.toUnmodifiableSet());
   }
 
   /** What an update holds. */
   public enum Kind {
     /** The entries that changed. */
-    CHANGES,
+    DELTA,
     /** The whole list. */
     FULL,
     /** The whole list as it was last known, perhaps old. */
-    REMEMBERED,
+    CACHED,
     /** A call for the list failed, or the subscription broke. */
     FAILED
   }
--- a/core/src/main/java/shalepaddle/model/Observation.java
+++ b/core/src/main/java/shalepaddle/model/Observation.java
@@ -12,6 +12,6 @@
 public record Observation(double endedAt, Request request, Outcome outcome) {
   /** When the attempt was sent, in seconds since 1970. */
   public double sentAt() {
-    return endedAt - outcome.elapsed();
+    return endedAt - outcome.elapsedSeconds();
   }
 }
--- a/core/src/main/java/shalepaddle/model/Outcome.java
+++ b/core/src/main/java/shalepaddle/model/Outcome.java
@@ -7,10 +7,10 @@
  * @param attempt its number, counted from 0 in the order of sending
  * @param server where it was sent
  * @param result how it ended
- * @param elapsed seconds since it was sent
- * @param unheard how many of those this node stood still, and could hear of nothing
- * @param ended whether the request is over
- * @param note what the server says about its cache
+ * @param elapsedSeconds seconds since it was sent
+ * @param stalledSeconds how many of those this node stood still, and could hear of nothing
+ * @param completesRequest whether the request is over
+ * @param cacheStatus what the server says about its cache
  * @param load the server's load report, null if none came along
  */
 public record Outcome(
@@ -18,10 +18,10 @@
     int attempt,
     long server,
     Result result,
-    double elapsed,
-    double unheard,
-    boolean ended,
-    Note note,
+    double elapsedSeconds,
+    double stalledSeconds,
+    boolean completesRequest,
+    CacheStatus cacheStatus,
     LoadReport load) {
 
   /** How an attempt ended of which this node heard all the time. */
@@ -30,75 +30,78 @@
       int attempt,
       long server,
       Result result,
-      double elapsed,
-      boolean ended,
-      Note note,
+      double elapsedSeconds,
+      boolean completesRequest,
+      CacheStatus cacheStatus,
       LoadReport load) {
-    this(requestId, attempt, server, result, elapsed, 0, ended, note, load);
+    this(
+        requestId, attempt, server, result, elapsedSeconds, 0, completesRequest, cacheStatus, load);
   }
 
   /** Seconds for which this node waited and listened: the rest was its own doing. */
-  public double waited() {
-    return Math.max(0, elapsed - unheard);
+  public double activeSeconds() {
+    return Math.max(0, elapsedSeconds - stalledSeconds);
   }
 
   /**
    * The part of the time since it was sent for which this node listened, from 0 to 1: what the
    * server may be blamed for. 1 where the server itself answered.
    */
-  public double attention() {
-    return result.fromServer() || elapsed <= 0 ? 1 : Math.min(1, waited() / elapsed);
+  public double activeRatio() {
+    return result.isServerResponse() || elapsedSeconds <= 0
+        ? 1
+        : Math.min(1, activeSeconds() / elapsedSeconds);
   }
 
   /** Whether this node listened for most of that time: if not, silence says little of a server. */
-  public boolean heard() {
-    return attention() >= 0.5;
+  public boolean isMostlyActive() {
+    return activeRatio() >= 0.5;
   }
 
   /** Whether nothing came in time, while this node listened. */
-  public boolean silent() {
-    return result == Result.TIMEOUT && heard();
+  public boolean isObservedTimeout() {
+    return result == Result.TIMEOUT && isMostlyActive();
   }
 
   /** How an attempt, or a probe, can end. */
   public enum Result {
     OK(false, true),
     ERROR(false, true),
-    FULL(true, true),
+    SERVER_BUSY(true, true),
     TIMEOUT(false, false),
     CONNECT_FAILED(true, false),
     RESET(false, false),
     CANCELLED(false, false),
-    MOOT(true, false),
+    NOT_SENT(true, false),
     /** The server holds no more connections and said so on a new one, others to it being open. */
-    NO_PLACE(true, false),
-    NOT_STORED(true, true),
+    CONNECTION_LIMIT_REACHED(true, false),
+    CACHE_MISS(true, true),
     /**
      * What came back could not be read or trusted; the server runs, and may have run the attempt.
      */
-    SPOILT(false, true);
+    MALFORMED_RESPONSE(false, true);
 
     private final boolean provesNotRun;
-    private final boolean fromServer;
+    private final boolean isServerResponse;
 
     Result(boolean provesNotRun, boolean fromServer) {
       this.provesNotRun = provesNotRun;
-      this.fromServer = fromServer;
+      this.isServerResponse = fromServer;
     }
 
     /** Whether the server itself answered so. */
-    public boolean fromServer() {
-      return fromServer;
+    public boolean isServerResponse() {
+      return isServerResponse;
     }
 
     /** Whether there was no connection, or it broke. */
-    public boolean broken() {
+    public boolean isConnectionFailure() {
       return this == CONNECT_FAILED || this == RESET;
     }
 
     /** Whether it found no connection that bore it, which says nothing against another try. */
-    public boolean unplaced() {
-      return broken() || this == NO_PLACE;
+    public boolean isConnectionUnavailable() {
+      return isConnectionFailure() || this == CONNECTION_LIMIT_REACHED;
     }
 
     /** Whether this ending proves that the attempt was never carried out. */
@@ -108,14 +111,14 @@
   }
 
   /** What a server says about its cache. */
-  public enum Note {
+  public enum CacheStatus {
     NONE,
     HIT,
     MISS,
     MISS_PENDING;
 
     /** Whether the server did not hold what it was asked for. */
-    public boolean missed() {
+    public boolean isMiss() {
       return this == MISS || this == MISS_PENDING;
     }
   }
--- a/core/src/main/java/shalepaddle/model/ProtocolLimits.java
+++ b/core/src/main/java/shalepaddle/model/ProtocolLimits.java
@@ -11,7 +11,7 @@
    * @throws IllegalArgumentException if it does not, or is no number; the message names it and the
    *     range
    */
-  public static void within(String name, double value, double least, double most) {
+  public static void checkRange(String name, double value, double least, double most) {
     if (!(value >= least && value <= most)) {
       throw new IllegalArgumentException(
           "%s is %s, and must be from %s to %s".formatted(name, value, least, most));
--- a/core/src/main/java/shalepaddle/model/Request.java
+++ b/core/src/main/java/shalepaddle/model/Request.java
@@ -7,10 +7,10 @@
  * @param key what it is about; null where it names nothing
  * @param serviceClass the name of its class
  * @param tenant whose it is; null where there are no tenants
- * @param budget seconds until the client gives this try up
- * @param work the work expected of it in seconds of a standard core, 0 if unknown
- * @param size the value's size in bytes, 0 if unknown
- * @param repeat whether the client marked it as a repeat
+ * @param budgetSeconds seconds until the client gives this try up
+ * @param workSeconds the work expected of it in seconds of a standard core, 0 if unknown
+ * @param sizeBytes the value's size in bytes, 0 if unknown
+ * @param retry whether the client marked it as a repeat
  * @param write whether it changes the value
  */
 public record Request(
@@ -18,19 +18,20 @@
     String key,
     String serviceClass,
     String tenant,
-    double budget,
-    double work,
-    double size,
-    boolean repeat,
+    double budgetSeconds,
+    double workSeconds,
+    double sizeBytes,
+    boolean retry,
     boolean write) {
 
   /** The same request, with no more than so many seconds for it. */
-  public Request within(double seconds) {
-    return lasting(Math.min(budget, seconds));
+  public Request withBudgetAtMost(double seconds) {
+    return withBudget(Math.min(budgetSeconds, seconds));
   }
 
   /** The same request, with so many seconds for it. */
-  public Request lasting(double seconds) {
-    return new Request(id, key, serviceClass, tenant, seconds, work, size, repeat, write);
+  public Request withBudget(double seconds) {
+    return new Request(
+        id, key, serviceClass, tenant, seconds, workSeconds, sizeBytes, retry, write);
   }
 }
--- a/core/src/main/java/shalepaddle/model/ServerEntry.java
+++ b/core/src/main/java/shalepaddle/model/ServerEntry.java
@@ -9,11 +9,17 @@
  * @param cell the cell it belongs to
  * @param state what the list says of it
  * @param weight a number to set against those of other servers
- * @param startedAt its last start by the wall clock of whoever writes the list, to be compared with
- *     stamps of that list alone; 0 for long ago
+ * @param startedAtSeconds its last start by the wall clock of whoever writes the list, to be
+ *     compared with stamps of that list alone; 0 for long ago
  */
 public record ServerEntry(
-    long id, String zone, String kind, int cell, State state, double weight, double startedAt) {
+    long id,
+    String zone,
+    String kind,
+    int cell,
+    State state,
+    double weight,
+    double startedAtSeconds) {
 
   /** What the list says of a server. */
   public enum State {
--- a/core/src/main/java/shalepaddle/overload/AdmissionController.java
+++ b/core/src/main/java/shalepaddle/overload/AdmissionController.java
@@ -28,11 +28,11 @@
   private static final double LONGEST_ADVICE = 5;
 
   private final OverloadConfig tuning;
-  private final AimdRateLimit limit;
+  private final AimdRateLimit limitPerSecond;
   private final SplittableRandom random;
   private double[] offeredRates;
-  private double[] passing;
-  private int[] offered;
+  private double[] admittedRatio;
+  private int[] offeredCount;
   private long[] offeredInAll;
   private long[] refusedInAll;
   private long begunAt;
@@ -40,34 +40,34 @@
   private boolean known;
   private int admitted;
   private double repeatTokens = REPEAT_BURST;
-  private long repeatsRefused;
+  private long rejectedRetryCount;
 
   /** Admits all, until the event loop falls behind. */
   public AdmissionController(OverloadConfig tuning, PriorityTiers tiers, long seed) {
     this(tuning, seed);
-    retier(tiers.count());
+    resetTiers(tiers.count());
   }
 
   AdmissionController(OverloadConfig tuning, long seed) {
     this.tuning = tuning;
-    limit = new AimdRateLimit(tuning.target());
+    limitPerSecond = new AimdRateLimit(tuning.targetDelaySeconds());
     random = new SplittableRandom(seed);
   }
 
   /** Begins with so many tiers, none of which is known; the limit on all together is kept. */
-  void retier(int count) {
+  void resetTiers(int count) {
     offeredRates = new double[count];
-    passing = new double[count];
-    offered = new int[count];
+    admittedRatio = new double[count];
+    offeredCount = new int[count];
     offeredInAll = new long[count];
     refusedInAll = new long[count];
     known = false;
-    Arrays.fill(passing, 1);
+    Arrays.fill(admittedRatio, 1);
   }
 
   /** Whether requests may be refused now: while not, none needs to be asked about. */
-  public boolean limited() {
-    return limit.limited();
+  public boolean isLimiting() {
+    return limitPerSecond.limited();
   }
 
   /**
@@ -76,18 +76,18 @@
    * @param tier as {@link PriorityTiers} has it
    * @param repeat whether its client has tried before
    */
-  public boolean admits(int tier, boolean repeat) {
-    offered[tier]++;
+  public boolean admit(int tier, boolean repeat) {
+    offeredCount[tier]++;
     offeredInAll[tier]++;
-    boolean pass = passing[tier] >= 1 || random.nextDouble() < passing[tier];
-    if (pass && limited()) {
+    boolean pass = admittedRatio[tier] >= 1 || random.nextDouble() < admittedRatio[tier];
+    if (pass && isLimiting()) {
       if (!repeat) {
         repeatTokens =
-            Math.max(repeatTokens, Math.min(REPEAT_BURST, repeatTokens + tuning.repeats()));
+            Math.max(repeatTokens, Math.min(REPEAT_BURST, repeatTokens + tuning.retryRatio()));
       } else if (repeatTokens >= 1) {
         repeatTokens--;
       } else {
-        repeatsRefused++;
+        rejectedRetryCount++;
         pass = false;
       }
     }
@@ -104,32 +104,32 @@
    * more requests than are admitted, and by up to half more or less, so that those who were refused
    * together don't come back together.
    */
-  public double advice() {
-    double excess = limited() ? Math.max(1, sum(offeredRates) / limit.limit()) : 1;
+  public double retryAfterSeconds() {
+    double excess = isLimiting() ? Math.max(1, sum(offeredRates) / limitPerSecond.limit()) : 1;
     double spread = 0.5 + random.nextDouble();
-    return Math.min(LONGEST_ADVICE, tuning.advice() * excess * spread);
+    return Math.min(LONGEST_ADVICE, tuning.minRetryAfterSeconds() * excess * spread);
   }
 
   /** An interval ends in which so many seconds of delay stood in the event loop. */
-  public void interval(double stood, long now) {
+  public void onIntervalEnd(double stood, long now) {
     double seconds = begun ? Math.max(1e-3, (now - begunAt) / 1e9) : 0;
     begunAt = now;
     if (!begun) {
       begun = true;
     } else {
-      for (int tier = 0; tier < offered.length; tier++) {
-        double rate = offered[tier] / seconds;
+      for (int tier = 0; tier < offeredCount.length; tier++) {
+        double rate = offeredCount[tier] / seconds;
         // The first interval is all that is known: overload may begin with the first request.
         offeredRates[tier] += (known ? FRESH : 1) * (rate - offeredRates[tier]);
       }
       known = true;
-      if (tuning.sheds()) {
-        limit.next(stood, admitted / seconds, sum(offeredRates));
+      if (tuning.isSheddingEnabled()) {
+        limitPerSecond.next(stood, admitted / seconds, sum(offeredRates));
         dealOut();
         spare(seconds);
       }
     }
-    Arrays.fill(offered, 0);
+    Arrays.fill(offeredCount, 0);
     admitted = 0;
   }
 
@@ -138,18 +138,18 @@
    * repeat: with no first tries there is no share of them.
    */
   private void spare(double seconds) {
-    if (limited()) {
-      double spare = (limit.limit() * seconds - admitted) / 2;
+    if (isLimiting()) {
+      double spare = (limitPerSecond.limit() * seconds - admitted) / 2;
       repeatTokens = Math.max(repeatTokens, Math.min(spare, MOST_SPARE));
     }
   }
 
   private void dealOut() {
-    double left = limit.limit();
-    for (int tier = 0; tier < passing.length; tier++) {
+    double left = limitPerSecond.limit();
+    for (int tier = 0; tier < admittedRatio.length; tier++) {
       double rate = offeredRates[tier];
       double pass = rate <= left ? 1 : left / rate;
-      passing[tier] = Math.max(tuning.learn(), pass);
+      admittedRatio[tier] = Math.max(tuning.minAdmittedRatio(), pass);
       left = Math.max(0, left - pass * rate);
     }
   }
@@ -163,27 +163,27 @@
   }
 
   /** The part of a tier that is admitted, from 0 to 1. */
-  public double passing(int tier) {
-    return passing[tier];
+  public double admittedRatio(int tier) {
+    return admittedRatio[tier];
   }
 
   /** Requests a second that may be admitted, infinite where there is no limit. */
-  public double limit() {
-    return limit.limit();
+  public double limitPerSecond() {
+    return limitPerSecond.limit();
   }
 
   /** Requests of a tier that came, since the start. */
-  public long offered(int tier) {
+  public long offeredCount(int tier) {
     return offeredInAll[tier];
   }
 
   /** Requests of a tier that were refused, since the start. */
-  public long refused(int tier) {
+  public long rejectedCount(int tier) {
     return refusedInAll[tier];
   }
 
   /** Repeats that were refused for want of first tries, since the start. */
-  public long repeatsRefused() {
-    return repeatsRefused;
+  public long rejectedRetryCount() {
+    return rejectedRetryCount;
   }
 }
--- a/core/src/main/java/shalepaddle/overload/AdmissionQueue.java
+++ b/core/src/main/java/shalepaddle/overload/AdmissionQueue.java
@@ -93,7 +93,7 @@
   }
 
   /** Hands back all that waits. */
-  public void clear() {
+  public void rejectAll() {
     lanes.forEach(
         lane -> {
           while (!lane.isEmpty()) {
@@ -108,7 +108,7 @@
   }
 
   /** Nanoseconds for which the oldest has waited, 0 if none waits. */
-  public long oldest(long now) {
+  public long oldestWaitNanos(long now) {
     long oldest = 0;
     for (ArrayDeque<Waiting<T>> lane : lanes) {
       if (!lane.isEmpty()) {
--- a/core/src/main/java/shalepaddle/overload/ConnectionSlotReservation.java
+++ b/core/src/main/java/shalepaddle/overload/ConnectionSlotReservation.java
@@ -26,7 +26,7 @@
    * @param tiers how many there are
    * @param taken the part of the places that wait for answers
    */
-  static boolean refuses(int tier, int tiers, double taken) {
+  static boolean rejects(int tier, int tiers, double taken) {
     return tier > 0 && taken >= 1 - (1 - LEAST_FROM) * tier / (tiers - 1);
   }
 }
--- a/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
+++ b/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
@@ -31,7 +31,7 @@
   }
 
   /** Takes a reading; returns the level from now on. A figure that is no number changes nothing. */
-  public PressureLevel read(double figure) {
+  public PressureLevel update(double figure) {
     PressureLevel now =
         figure >= bounds.full()
             ? PressureLevel.FULL
--- a/core/src/main/java/shalepaddle/overload/MinimumOverInterval.java
+++ b/core/src/main/java/shalepaddle/overload/MinimumOverInterval.java
@@ -33,12 +33,12 @@
   }
 
   /** A value is seen, from 0 up. */
-  public void see(double value) {
+  public void add(double value) {
     least = seen++ == 0 ? value : Math.min(least, value);
   }
 
   /** Whether an interval has ended by now, so that its {@link #take} is due. */
-  public boolean due(long now) {
+  public boolean isIntervalOver(long now) {
     if (!begun) {
       begun = true;
       endsAt = now + intervalNanos;
@@ -54,7 +54,7 @@
   }
 
   /** What stood in the interval that ends now. The next begins. */
-  public double take(long now) {
+  public double takeMinimum(long now) {
     restart(now);
     return least;
   }
--- a/core/src/main/java/shalepaddle/overload/OverloadControl.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadControl.java
@@ -11,9 +11,9 @@
  *
  * <p>Three things follow from a delay that stands in the event loop, from the outside in: requests
  * are admitted by their worth, {@link AdmissionController}; connections that send the most are read
- * from by turns, {@link DegradationPolicy#heavy}; and what has been read waits in the {@link
- * AdmissionQueue}, whose oldest item counts as delay too. Memory and descriptors have answers of
- * their own.
+ * from by turns, {@link DegradationPolicy#heavyReaderRatio}; and what has been read waits in the
+ * {@link AdmissionQueue}, whose oldest item counts as delay too. Memory and descriptors have
+ * answers of their own.
  *
  * <p>Time is an argument, in nanoseconds. Not thread-safe: it belongs to one event loop.
  */
@@ -22,7 +22,7 @@
   public static final long ADMITTED = -1;
 
   /** Added to the advice of a refusal whose client has tried before, as far as is known. */
-  public static final long REPEAT = 1L << 40;
+  public static final long RETRY_FLAG = 1L << 40;
 
   private Settings settings;
   private final OverloadConfig tuning;
@@ -31,8 +31,8 @@
   private final AdmissionController admission;
   private TenantQuotas shares;
   private final RetryInference guess = new RetryInference();
-  private DegradationPolicy posture = DegradationPolicy.CALM;
-  private double places;
+  private DegradationPolicy degradationPolicy = DegradationPolicy.CALM;
+  private double onConnectionSlotUsage;
   private double stood;
   private double processor = Double.NaN;
   private double memory;
@@ -49,24 +49,25 @@
     this.tuning = tuning;
     admission = new AdmissionController(tuning, seed);
     meter = new OverloadMeter(listener);
-    retune(settings);
+    updateSettings(settings);
   }
 
   /**
    * From now on these classes and tenants hold. The limit on all requests together is kept, as what
    * the process can do is the same; how it is dealt out is learned anew within some intervals. An
-   * {@link #intake} that was made before goes by the old tiers.
+   * {@link #newAdmissionQueue} that was made before goes by the old tiers.
    */
-  public void retune(Settings next) {
+  public void updateSettings(Settings next) {
     settings = next;
-    tiers = new PriorityTiers(next.services(), next.overShareWorth());
-    admission.retier(tiers.count());
+    tiers = new PriorityTiers(next.services(), next.overQuotaWeightRatio());
+    admission.resetTiers(tiers.count());
     shares = new TenantQuotas(next.tenants(), next.instances());
   }
 
   /** A queue for what was admitted and waits for its turn. */
-  public <T> AdmissionQueue<T> intake(int most, Consumer<T> refused) {
-    return new AdmissionQueue<>(tiers.count(), most, (long) (tuning.waits() * 1e9), refused);
+  public <T> AdmissionQueue<T> newAdmissionQueue(int most, Consumer<T> refused) {
+    return new AdmissionQueue<>(
+        tiers.count(), most, (long) (tuning.maxQueueSeconds() * 1e9), refused);
   }
 
   /**
@@ -76,18 +77,19 @@
    * @param oldest how long the oldest item has waited in the {@link AdmissionQueue}, 0 if none
    *     waits
    */
-  public void turned(long begunAt, long now, long oldest) {
-    double ended = meter.turned(Math.min(begunAt, now - oldest), now, admission.limited());
+  public void onLoopTurnEnd(long begunAt, long now, long oldest) {
+    double ended =
+        meter.onLoopTurnEnd(Math.min(begunAt, now - oldest), now, admission.isLimiting());
     if (!Double.isNaN(ended)) {
       stood = ended;
-      admission.interval(ended, now);
+      admission.onIntervalEnd(ended, now);
       pose();
     }
   }
 
   /** The process did not run for so many nanoseconds, until now. */
-  public void paused(long nanos, long now) {
-    meter.paused(nanos, now);
+  public void onEventLoopStall(long nanos, long now) {
+    meter.onEventLoopStall(nanos, now);
   }
 
   /**
@@ -98,28 +100,29 @@
    * @param memoryShare of the heap or of the memory outside of it, whichever is higher
    * @param descriptorShare of the file descriptors
    */
-  public void uses(double processorShare, double memoryShare, double descriptorShare, long now) {
+  public void onResourceUsage(
+      double processorShare, double memoryShare, double descriptorShare, long now) {
     processor = processorShare;
     memory = memoryShare;
     descriptors = descriptorShare;
-    meter.uses(memoryShare, descriptorShare, now);
+    meter.onResourceUsage(memoryShare, descriptorShare, now);
     pose();
   }
 
   private void pose() {
-    posture =
+    degradationPolicy =
         DegradationPolicy.of(
             level(Resource.CPU), level(Resource.MEMORY), level(Resource.DESCRIPTORS));
   }
 
   /** Whether requests may be refused now. */
-  public boolean shedding() {
-    return admission.limited() || places >= ConnectionSlotReservation.LEAST_FROM;
+  public boolean isShedding() {
+    return admission.isLimiting() || onConnectionSlotUsage >= ConnectionSlotReservation.LEAST_FROM;
   }
 
   /** Of the connections that clients may hold for requests, this part waits for answers now. */
-  public void places(double taken) {
-    places = tuning.sheds() ? taken : 0;
+  public void onConnectionSlotUsage(double taken) {
+    onConnectionSlotUsage = tuning.isSheddingEnabled() ? taken : 0;
   }
 
   /**
@@ -131,37 +134,39 @@
    * @param subject a hash of its key
    * @param marked whether its client marked it as a repeat
    * @return {@link #ADMITTED}, or in how many milliseconds its client should come again, 0 for no
-   *     advice, with {@link #REPEAT} added where it has come again
+   *     advice, with {@link #RETRY_FLAG} added where it has come again
    */
-  public long ask(int serviceClass, int tenant, long subject, boolean marked, long now) {
+  public long admit(int serviceClass, int tenant, long subject, boolean marked, long now) {
     if (serviceClass >= settings.services().size()) {
       return ADMITTED;
     }
-    boolean pastShare = shares.pastShare(tenant, now);
+    boolean pastShare = shares.isOverQuota(tenant, now);
     int tier = tiers.of(serviceClass, marked, pastShare);
-    if (ConnectionSlotReservation.refuses(tier, tiers.count(), places)) {
-      return advice() + (marked ? REPEAT : 0);
+    if (ConnectionSlotReservation.rejects(tier, tiers.count(), onConnectionSlotUsage)) {
+      return retryAfterMillis() + (marked ? RETRY_FLAG : 0);
     }
-    if (!admission.limited()) {
+    if (!admission.isLimiting()) {
       // Counted, and a repeat is of no matter yet: nothing was refused here.
-      admission.admits(tier, marked);
+      admission.admit(tier, marked);
       return ADMITTED;
     }
     boolean repeat =
-        marked || (!settings.marksRepeats() && guess.looksRepeated(subject, serviceClass, now));
-    if (admission.admits(tiers.of(serviceClass, repeat, pastShare), repeat)) {
+        marked
+            || (!settings.clientsMarkRetries() && guess.isLikelyRetry(subject, serviceClass, now));
+    if (admission.admit(tiers.of(serviceClass, repeat, pastShare), repeat)) {
       return ADMITTED;
     }
-    if (!settings.marksRepeats()) {
-      guess.refused(subject, serviceClass, now);
+    if (!settings.clientsMarkRetries()) {
+      guess.recordRejection(subject, serviceClass, now);
     }
-    return advice() + (repeat ? REPEAT : 0);
+    return retryAfterMillis() + (repeat ? RETRY_FLAG : 0);
   }
 
   /** Milliseconds for which a client that is refused now should stay away, 0 for no advice. */
-  public long advice() {
-    return settings.limits().advisesRetry()
-        ? Math.round(1e3 * Math.min(settings.limits().maxRetryAfter(), admission.advice()))
+  public long retryAfterMillis() {
+    return settings.limits().sendsRetryAfter()
+        ? Math.round(
+            1e3 * Math.min(settings.limits().maxRetryAfterSeconds(), admission.retryAfterSeconds()))
         : 0;
   }
 
@@ -176,8 +181,8 @@
   }
 
   /** What to do without now. */
-  public DegradationPolicy posture() {
-    return posture;
+  public DegradationPolicy degradationPolicy() {
+    return degradationPolicy;
   }
 
   /** How short the process is of this. */
@@ -186,13 +191,15 @@
   }
 
   /** What an operator may want to see, as it stands now. */
-  public OverloadSnapshot reading() {
+  public OverloadSnapshot snapshot() {
     List<OverloadSnapshot.Tier> each =
         IntStream.range(0, tiers.count())
             .mapToObj(
                 tier ->
                     new OverloadSnapshot.Tier(
-                        admission.passing(tier), admission.offered(tier), admission.refused(tier)))
+                        admission.admittedRatio(tier),
+                        admission.offeredCount(tier),
+                        admission.rejectedCount(tier)))
             .toList();
     return new OverloadSnapshot(
         level(Resource.CPU),
@@ -202,8 +209,8 @@
         processor,
         memory,
         descriptors,
-        admission.limit(),
-        admission.repeatsRefused(),
+        admission.limitPerSecond(),
+        admission.rejectedRetryCount(),
         each);
   }
 }
--- a/core/src/main/java/shalepaddle/overload/OverloadMeter.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadMeter.java
@@ -72,7 +72,7 @@
    * time to make up for it: guards against taking a collection of garbage, or a process that was
    * stopped, for load.
    */
-  public void paused(long nanos, long now) {
+  public void onEventLoopStall(long nanos, long now) {
     grace = true;
     graceUntil = now + Math.min(nanos, MOST_GRACE_NANOS);
   }
@@ -85,17 +85,17 @@
    *     the processor is short, however well the refusals keep the delay down
    * @return seconds of delay that stood in the interval that ends now, NaN where none ends
    */
-  public double turned(long begunAt, long now, boolean shedding) {
+  public double onLoopTurnEnd(long begunAt, long now, boolean shedding) {
     if (grace && now - graceUntil < 0) {
       delay.restart(now);
       return Double.NaN;
     }
     grace = false;
-    delay.see(Math.max(0, now - begunAt) / 1e9);
-    if (!delay.due(now)) {
+    delay.add(Math.max(0, now - begunAt) / 1e9);
+    if (!delay.isIntervalOver(now)) {
       return Double.NaN;
     }
-    double stood = delay.take(now);
+    double stood = delay.takeMinimum(now);
     read(Resource.CPU, shedding ? Math.max(stood, DELAY.busy()) : stood);
     return stood;
   }
@@ -106,21 +106,21 @@
    * @param memoryShare of the heap or of the memory outside of it, whichever is higher
    * @param descriptorShare of the file descriptors
    */
-  public void uses(double memoryShare, double descriptorShare, long now) {
-    memory.see(memoryShare);
-    descriptors.see(descriptorShare);
-    if (memory.due(now)) {
-      read(Resource.MEMORY, memory.take(now));
+  public void onResourceUsage(double memoryShare, double descriptorShare, long now) {
+    memory.add(memoryShare);
+    descriptors.add(descriptorShare);
+    if (memory.isIntervalOver(now)) {
+      read(Resource.MEMORY, memory.takeMinimum(now));
     }
-    if (descriptors.due(now)) {
-      read(Resource.DESCRIPTORS, descriptors.take(now));
+    if (descriptors.isIntervalOver(now)) {
+      read(Resource.DESCRIPTORS, descriptors.takeMinimum(now));
     }
   }
 
   private void read(Resource resource, double figure) {
     HysteresisGauge gauge = gauges.get(resource);
     PressureLevel before = gauge.level();
-    PressureLevel now = gauge.read(figure);
+    PressureLevel now = gauge.update(figure);
     if (now != before) {
       listener.changed(resource, before, now, figure);
     }
--- a/core/src/main/java/shalepaddle/overload/PriorityTiers.java
+++ b/core/src/main/java/shalepaddle/overload/PriorityTiers.java
@@ -27,7 +27,7 @@
     double[] worths = new double[classes.size() * 4];
     TreeSet<Double> distinct = new TreeSet<>();
     for (int i = 0; i < worths.length; i++) {
-      double worth = Math.max(0, classes.get(i / 4).worth());
+      double worth = Math.max(0, classes.get(i / 4).priorityWeight());
       worths[i] = worth * ((i & 1) != 0 ? REPEAT_PART : 1) * ((i & 2) != 0 ? overShareWorth : 1);
       distinct.add(worths[i]);
     }
--- a/core/src/main/java/shalepaddle/overload/RetryInference.java
+++ b/core/src/main/java/shalepaddle/overload/RetryInference.java
@@ -21,7 +21,7 @@
   private final long[] refusedAt = new long[PLACES];
 
   /** A request of this class for what has this hash was refused. */
-  public void refused(long subject, int serviceClass, long now) {
+  public void recordRejection(long subject, int serviceClass, long now) {
     long mixed = mix(subject, serviceClass);
     int place = (int) (mixed & (PLACES - 1));
     subjects[place] = mixed;
@@ -29,7 +29,7 @@
   }
 
   /** Whether a request of this class for what has this hash looks like a repeat. */
-  public boolean looksRepeated(long subject, int serviceClass, long now) {
+  public boolean isLikelyRetry(long subject, int serviceClass, long now) {
     long mixed = mix(subject, serviceClass);
     int place = (int) (mixed & (PLACES - 1));
     return subjects[place] == mixed && now - refusedAt[place] < WINDOW_NANOS;
--- a/core/src/main/java/shalepaddle/overload/RetryStormDetector.java
+++ b/core/src/main/java/shalepaddle/overload/RetryStormDetector.java
@@ -48,7 +48,7 @@
    * @param adviceNanos for how long its client is told to stay away, 0 for no advice
    * @return for how long to read nothing from the connection, 0 to go on
    */
-  public long refused(boolean repeat, long adviceNanos, long now) {
+  public long recordRejection(boolean repeat, long adviceNanos, long now) {
     long current = Math.floorDiv(now, INTERVAL_NANOS);
     if (later == null) {
       later = new byte[TURNS];
--- a/core/src/main/java/shalepaddle/overload/TenantQuotas.java
+++ b/core/src/main/java/shalepaddle/overload/TenantQuotas.java
@@ -22,7 +22,7 @@
   public TenantQuotas(List<Settings.Tenant> tenants, int instances) {
     quotas =
         tenants.stream()
-            .mapToDouble(t -> Math.max(0, t.quota()) / Math.max(1, instances))
+            .mapToDouble(t -> Math.max(0, t.quotaPerSecond()) / Math.max(1, instances))
             .toArray();
     tokens = new double[quotas.length];
     filledAt = new long[quotas.length];
@@ -36,7 +36,7 @@
   }
 
   /** A request of this tenant has come, -1 for none that is known; whether it is past the share. */
-  public boolean pastShare(int tenant, long now) {
+  public boolean isOverQuota(int tenant, long now) {
     if (tenant < 0 || quotas[tenant] == 0) {
       return false;
     }
--- a/core/src/main/java/shalepaddle/policy/OriginFetchLimiter.java
+++ b/core/src/main/java/shalepaddle/policy/OriginFetchLimiter.java
@@ -109,7 +109,7 @@
 
   /** A likely fetch is over; returns the requests that waited for it. */
   List<PendingRequest> over(double now, PendingRequest p, boolean good, boolean bad) {
-    if (bad && troubled() && now - shrunkAt > ROUND * p.type.aim()) {
+    if (bad && troubled() && now - shrunkAt > ROUND * p.type.latencyObjectiveSeconds()) {
       window = Math.max(1, Math.min(window, fetches) * SHRINK);
       shrunkAt = now;
     } else if (good && fetches >= window / 2) {
@@ -125,16 +125,16 @@
   }
 
   /** A server answered a request for a key: it holds it now. */
-  void answered(double now, long pair, Outcome.Note note) {
+  void answered(double now, long pair, Outcome.CacheStatus note) {
     Double at = answeredAt.put(pair, now);
     if (answeredAt.size() > MEMORY) {
       answeredAt.remove(answeredAt.keySet().iterator().next());
     }
     if (at != null) {
       double age = now - at;
-      if (note == Outcome.Note.MISS && age < horizon) {
+      if (note == Outcome.CacheStatus.MISS && age < horizon) {
         horizon = Math.max(0.5, horizon * 0.98);
-      } else if (note == Outcome.Note.HIT && age > horizon) {
+      } else if (note == Outcome.CacheStatus.HIT && age > horizon) {
         horizon = Math.min(60, horizon * 1.02);
       }
     }
--- a/core/src/main/java/shalepaddle/policy/PendingRequest.java
+++ b/core/src/main/java/shalepaddle/policy/PendingRequest.java
@@ -70,7 +70,7 @@
     this.keyHash = ConsistentHashRing.hash(request.key() != null ? request.key() : request.id());
     this.serial = serial;
     this.arrived = now;
-    this.deadline = now + request.budget();
+    this.deadline = now + request.budgetSeconds();
   }
 
   void sent(ServerHealth server, double now) {
@@ -105,26 +105,32 @@
   /** Rule 2: seconds in which one more attempt may go to this server, 0 for never. */
   double sendWithin(ServerHealth server, double now) {
     boolean over = answered || streaming || tries.size() >= limits.maxAttempts();
-    boolean may = !over && (out == 0 || limits.parallelAttempts());
+    boolean may = !over && (out == 0 || limits.allowsParallelAttempts());
     Attempt first = firstThatMayHaveRun();
-    boolean held = first == null || type.group().holds(first.entry, server.entry);
-    return may && (held || type.effect() == Settings.Effect.SAFE) ? harmlessFor(first, now) : 0;
+    boolean held = first == null || type.deduplicationScope().spans(first.entry, server.entry);
+    return may && (held || type.idempotency() == Settings.Idempotency.IDEMPOTENT)
+        ? harmlessFor(first, now)
+        : 0;
   }
 
   /** Rule 2: whether the client may be told that a new try, anywhere, does no harm. */
   boolean mayRefuse(double now) {
     Attempt first = firstThatMayHaveRun();
-    boolean bound = type.effect() == Settings.Effect.KEYED && type.group() != Settings.Group.ALL;
+    boolean bound =
+        type.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
+            && type.deduplicationScope() != Settings.DeduplicationScope.ALL;
     return first == null || !bound && harmlessFor(first, now) > 0;
   }
 
   /** Seconds in which the group of servers drops repeats, with some to spare for their way. */
   private double harmlessFor(Attempt first, double now) {
-    if (first == null || type.effect() == Settings.Effect.SAFE) {
+    if (first == null || type.idempotency() == Settings.Idempotency.IDEMPOTENT) {
       return Double.POSITIVE_INFINITY;
     }
-    double until = first.sentAt + type.repeatWindow() - limits.connectTimeout();
-    return type.effect() == Settings.Effect.KEYED ? Math.max(0, until - now) : 0;
+    double until = first.sentAt + type.idempotencyWindowSeconds() - limits.connectTimeoutSeconds();
+    return type.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
+        ? Math.max(0, until - now)
+        : 0;
   }
 
   private Attempt firstThatMayHaveRun() {
--- a/core/src/main/java/shalepaddle/policy/RequestRouter.java
+++ b/core/src/main/java/shalepaddle/policy/RequestRouter.java
@@ -24,11 +24,6 @@
   /** Jumps tried before giving the ordinary path up: each finds one of many servers. */
   private static final int MAX_JUMPS = 64;
 
-  /** Further attempts that an answer earns: where all fails, retries would multiply the load. */
-  private static final double RETRY_SHARE = 0.1;
-
-  private static final double RETRY_BURST = 10;
-
   /** The part of a class's aim that an answer from the cache may take before it is a strain. */
   private static final double FAIR_PART_OF_AIM = 0.4;
 
@@ -75,7 +70,7 @@
   private boolean panic;
   private int inFlight;
   private long serials;
-  private double retryTokens = RETRY_BURST;
+  private final RetryBudget retryBudget = new RetryBudget();
   private final ThroughputEstimator rates = new ThroughputEstimator();
   private double thriftUntil = Double.NEGATIVE_INFINITY;
 
@@ -84,11 +79,11 @@
     this.actions = actions;
     this.random = new SplittableRandom(seed);
     this.feed = new ServerRegistry(settings, actions, random.split());
-    retune(settings);
+    updateSettings(settings);
   }
 
   /** New requests follow these; open ones, and those of dropped classes, keep what was. */
-  public void retune(Settings next) {
+  public void updateSettings(Settings next) {
     settings = next;
     feed.settings = next;
     feed.failures = 0;
@@ -96,19 +91,19 @@
   }
 
   /** News of the list of servers. */
-  public void membership(double now, MembershipUpdate update) {
+  public void onMembershipUpdate(double now, MembershipUpdate update) {
     feed.apply(now, update);
     place();
   }
 
   /** An operator leaves a server out until it is put back, whatever the list says meanwhile. */
-  public void exclude(double now, long server, boolean out) {
+  public void setExcluded(double now, long server, boolean out) {
     feed.exclude(now, server, out);
     place();
   }
 
   /** How many servers are listed, or only those that get nothing, by hand or for failures. */
-  public int listed(boolean avoided) {
+  public int serverCount(boolean avoided) {
     var all = feed.servers.values().stream();
     return (int) all.filter(s -> !avoided || feed.excluded(s) || !panic && s.suspect()).count();
   }
@@ -119,7 +114,7 @@
     List<ServerHealth> caches = new ArrayList<>(feed.ready());
     caches.removeAll(origins);
     totalWeight = caches.stream().mapToDouble(this::weight).sum();
-    boolean weighted = settings.weights().lasting();
+    boolean weighted = settings.weights().isStable();
     if (weighted || !caches.equals(ready)) {
       slots.rebuild(caches, weighted);
     }
@@ -128,9 +123,8 @@
   }
 
   /**
-   * Leaves no server out for its failures while more than half would be: the cause is then more
-   * likely shared, or this balancer's own, and the load of many would fall on few. Harms where most
-   * are really down: each request then asks some of those first.
+   * Panic threshold: while more than half of the servers would be ejected, none is, as the cause is
+   * then likely shared. Cost: where most are really down, requests try some of those first.
    */
   private void countOut() {
     panic = 2 * ready.stream().filter(ServerHealth::suspect).count() > ready.size();
@@ -144,9 +138,9 @@
 
   /**
    * Another process of this node has sent this to a server, as the first attempt: what its {@link
-   * #outcome} teaches is learned here as well. Nothing is owed for it, and nothing more is sent.
+   * #onOutcome} teaches is learned here as well. Nothing is owed for it, and nothing more is sent.
    */
-  public void witness(double now, Request request, long server) {
+  public void observeAttempt(double now, Request request, long server) {
     ServerHealth target = feed.servers.get(server);
     if (target != null) {
       PendingRequest p = take(now, request);
@@ -174,22 +168,22 @@
   }
 
   /** A client's request. */
-  public void request(double now, Request request) {
+  public void onRequest(double now, Request request) {
     PendingRequest p = take(now, request);
     // Rule 1: whatever else happens, the request is answered when its time is up.
-    actions.wake(p.serial, Math.max(0, p.deadline - now));
+    actions.scheduleTimer(p.serial, Math.max(0, p.deadline - now));
     // Guards against more work than the servers can do, where every answer would come late: no more
     // goes out while less would be answered within the aim (Little's law). Fetches have a window of
     // their own, and one for each server is always fair.
     int busy = inFlight - guard.fetches;
-    if (busy <= ready.size() || busy <= rates.answerRate() * p.type.aim()) {
+    if (busy <= ready.size() || busy <= rates.answerRate() * p.type.latencyObjectiveSeconds()) {
       dispatch(now, p);
     }
     giveUp(now, p);
   }
 
   /** The node stood still for so many seconds until now: no rate is measured over those. */
-  public void paused(double seconds) {
+  public void onEventLoopStall(double seconds) {
     rates.paused(seconds);
   }
 
@@ -234,14 +228,15 @@
   }
 
   private boolean likelyFetch(double now, PendingRequest p, long pair) {
-    boolean cached = !settings.cache().aside() && p.request.key() != null && !p.request.write();
+    boolean cached = !settings.cache().lookAside() && p.request.key() != null && !p.request.write();
     return cached && guard.expectsMiss(now, pair);
   }
 
   /** Holds a request for a fetch, for at most half of the time in which its answer is wanted. */
   private void hold(double now, PendingRequest p) {
     p.waiting = true;
-    actions.wake(p.serial + HOLD, Math.max(0, p.arrived + p.type.aim() / 2 - now));
+    actions.scheduleTimer(
+        p.serial + HOLD, Math.max(0, p.arrived + p.type.latencyObjectiveSeconds() / 2 - now));
   }
 
   private void send(double now, PendingRequest p, ServerHealth target) {
@@ -272,7 +267,7 @@
 
   /** The first owner of h(key, 0), h(key, 1), ... that is below its cap. */
   private ServerHealth choose(double now, PendingRequest p) {
-    if (settings.cache().aside() && p.request.write()) {
+    if (settings.cache().lookAside() && p.request.write()) {
       return leastLoaded(now, p, origins);
     }
     boolean write = p.request.write() || p.request.key() == null;
@@ -291,7 +286,7 @@
       }
       if (!panic && server.suspect()) {
         if (jump <= p.localJumps
-            && p.type.effect() == Settings.Effect.SAFE
+            && p.type.idempotency() == Settings.Idempotency.IDEMPOTENT
             && server.trialDue(now)) {
           return server;
         }
@@ -348,22 +343,16 @@
   /** The final answer of a request that no server answered. */
   private void answer(double now, PendingRequest p) {
     if (p.out == 0 && p.mayRefuse(now)) {
-      actions.refuse(p.request.id(), advice());
+      double retryAfterSeconds =
+          RetryAfterAdvice.seconds(
+              settings.limits(), pending.size(), rates.answerRate(), random::nextDouble);
+      actions.reject(p.request.id(), retryAfterSeconds);
     } else {
       actions.fail(p.request.id());
     }
     over(p);
   }
 
-  /** Seconds until what is open is answered, 0 for no advice: who is refused stays away so long. */
-  private double advice() {
-    if (!settings.limits().advisesRetry() || Double.isInfinite(rates.answerRate())) {
-      return 0;
-    }
-    double clear = pending.size() / Math.max(1e-3, rates.answerRate());
-    return Math.min(settings.limits().maxRetryAfter(), clear * (0.75 + random.nextDouble() / 2));
-  }
-
   /** The request has its final answer; its attempts may still be out. */
   private void over(PendingRequest p) {
     p.answered = true;
@@ -374,7 +363,7 @@
   }
 
   /** Somebody has joined the request who waits for it until then. */
-  public void extend(String requestId, double deadline) {
+  public void extendDeadline(String requestId, double deadline) {
     PendingRequest p = pending.get(requestId);
     if (p != null) {
       p.deadline = Math.max(p.deadline, deadline);
@@ -382,7 +371,7 @@
   }
 
   /** A streamed answer has begun: it belongs to the client and has no deadline any more. */
-  public void streamStarted(double now, String requestId, int attempt) {
+  public void onStreamStarted(double now, String requestId, int attempt) {
     PendingRequest p = pending.get(requestId);
     if (p != null && p.isOut(attempt)) {
       p.streaming = true;
@@ -390,23 +379,24 @@
   }
 
   /** An attempt has ended. */
-  public void outcome(double now, Outcome outcome) {
+  public void onOutcome(double now, Outcome outcome) {
     PendingRequest p = pending.get(outcome.requestId());
     if (p == null || !p.ended(outcome.attempt(), outcome.result().provesNotRun())) {
       return;
     }
     inFlight--;
     ServerHealth server = p.tries.get(outcome.attempt()).server;
-    boolean refused = server.ended(now, outcome, settings.limits().idleTimeout(), fewFailing);
+    boolean refused =
+        server.ended(now, outcome, settings.limits().idleTimeoutSeconds(), fewFailing);
     thrift(now, server, refused);
     countOut();
     if (outcome.result() == Result.OK) {
-      retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
+      retryBudget.deposit();
       rates.answered(server.warmth(now) >= 1);
     }
     // First: a retry would take the place of the fetch that has ended, and keep its key shut.
     learn(now, p, server, outcome);
-    if (outcome.ended() || outcome.result() == Result.OK || p.answered) {
+    if (outcome.completesRequest() || outcome.result() == Result.OK || p.answered) {
       over(p);
     } else if (p.out == 0) {
       next(now, p, outcome);
@@ -419,7 +409,7 @@
       thriftUntil = now + THRIFT;
     }
     if (now < thriftUntil && server.inFlight == 0) {
-      actions.closeIdle(server.id);
+      actions.closeIdleConnections(server.id);
       server.connectedAt = Double.NEGATIVE_INFINITY;
     }
   }
@@ -429,19 +419,23 @@
    * makes hits wait behind fetches everywhere, must move no keys to caches lacking them.
    */
   private void judge(double now, PendingRequest p, ServerHealth server, Outcome outcome) {
-    boolean fetch = outcome.attempt() == p.fetchAttempt || outcome.note().missed();
+    boolean fetch = outcome.attempt() == p.fetchAttempt || outcome.cacheStatus().isMiss();
     // A hung server has no hits to tell of it: while fetches fare well elsewhere it is blamed.
     boolean hung =
         outcome.result() == Result.TIMEOUT && (!guard.troubled() || singledOut(now, server));
     if (outcome.load() != null && outcome.load().utilization() >= 0) {
       server.strained(now, outcome.load().utilization() / FULL_CORES, fairStrain);
     }
-    if (p.request.write() || fetch && !hung && outcome.note() != Outcome.Note.HIT) {
+    if (p.request.write() || fetch && !hung && outcome.cacheStatus() != Outcome.CacheStatus.HIT) {
       return;
     }
     if (outcome.result() == Result.OK) {
-      server.strained(now, outcome.waited() / (FAIR_PART_OF_AIM * p.type.aim()), fairStrain);
-    } else if (outcome.silent() || (outcome.result() == Result.FULL && server.unserved > 1)) {
+      server.strained(
+          now,
+          outcome.activeSeconds() / (FAIR_PART_OF_AIM * p.type.latencyObjectiveSeconds()),
+          fairStrain);
+    } else if (outcome.isObservedTimeout()
+        || (outcome.result() == Result.SERVER_BUSY && server.unserved > 1)) {
       // One that turns away single reads lacks room for fetches, and serves what it holds.
       server.strained(now, 2, fairStrain);
     }
@@ -452,14 +446,15 @@
     judge(now, p, server, outcome);
     boolean ok = outcome.result() == Result.OK;
     if (ok && !p.request.write()) {
-      guard.answered(now, OriginFetchLimiter.pair(p, server), outcome.note());
+      guard.answered(now, OriginFetchLimiter.pair(p, server), outcome.cacheStatus());
     }
     boolean fetch = outcome.attempt() == p.fetchAttempt;
-    boolean full = outcome.result() == Result.FULL && !p.request.write();
+    boolean full = outcome.result() == Result.SERVER_BUSY && !p.request.write();
     if (fetch || full) {
-      boolean late = outcome.waited() > p.type.aim();
-      boolean lateFetch = ok && late && outcome.note() != Outcome.Note.HIT;
-      boolean failed = full || outcome.result() == Result.ERROR || outcome.silent() || lateFetch;
+      boolean late = outcome.activeSeconds() > p.type.latencyObjectiveSeconds();
+      boolean lateFetch = ok && late && outcome.cacheStatus() != Outcome.CacheStatus.HIT;
+      boolean failed =
+          full || outcome.result() == Result.ERROR || outcome.isObservedTimeout() || lateFetch;
       if (failed || ok && !late) {
         server.fetched(now, failed, losses);
         losses += 0.1 * ((failed ? 1 : 0) - losses);
@@ -497,31 +492,34 @@
   }
 
   private void next(double now, PendingRequest p, Outcome outcome) {
-    boolean inTime = now < p.deadline - settings.tick();
-    if (inTime && outcome.result() == Result.NOT_STORED) {
+    boolean inTime = now < p.deadline - settings.timerResolutionSeconds();
+    if (inTime && outcome.result() == Result.CACHE_MISS) {
       ServerHealth origin = leastLoaded(now, p, origins);
       if (origin != null) {
         send(now, p, origin);
       }
     } else if (inTime
-        && (outcome.result().unplaced()
-            || (outcome.result() == Result.FULL && !guard.troubled())
-            || (retryTokens >= 1 && (outcome.result() == Result.SPOILT || !guard.troubled())))) {
+        && (outcome.result().isConnectionUnavailable()
+            || (outcome.result() == Result.SERVER_BUSY && !guard.troubled())
+            || (retryBudget.hasCapacity()
+                && (outcome.result() == Result.MALFORMED_RESPONSE || !guard.troubled())))) {
       // Not while fetches fail: a retry would be one more of them.
-      retryTokens -= outcome.result().provesNotRun() || outcome.result().broken() ? 0 : 1;
+      if (!outcome.result().provesNotRun() && !outcome.result().isConnectionFailure()) {
+        retryBudget.withdraw();
+      }
       dispatch(now, p);
     }
     giveUp(now, p);
   }
 
   /** The client has left; nothing is owed any more. */
-  public void clientGone(double now, String requestId) {
+  public void onClientDisconnected(double now, String requestId) {
     PendingRequest p = pending.get(requestId);
     if (p == null || p.answered) {
       return;
     }
     for (int i = 0; i < p.tries.size(); i++) {
-      if (p.isOut(i) && settings.limits().mayCancel() && !p.streaming) {
+      if (p.isOut(i) && settings.limits().allowsCancellation() && !p.streaming) {
         actions.cancel(requestId, i);
       }
     }
@@ -529,7 +527,7 @@
   }
 
   /** A timer set earlier came due. */
-  public void timer(double now, long token) {
+  public void onTimer(double now, long token) {
     if (token == FEED_TOKEN) {
       feed.timer(now);
       return;
@@ -541,8 +539,8 @@
     if ((token & HOLD) != 0) {
       p.impatient = true;
       resume(now, p);
-    } else if (now < p.deadline - settings.tick()) {
-      actions.wake(p.serial, p.deadline - now);
+    } else if (now < p.deadline - settings.timerResolutionSeconds()) {
+      actions.scheduleTimer(p.serial, p.deadline - now);
     } else {
       answer(now, p);
     }
--- a/core/src/main/java/shalepaddle/policy/RoutingActions.java
+++ b/core/src/main/java/shalepaddle/policy/RoutingActions.java
@@ -9,17 +9,17 @@
   void cancel(String requestId, int attempt);
 
   /** Final answer: not done, trying again does no harm; {@code retryAfter} of 0 is no advice. */
-  void refuse(String requestId, double retryAfter);
+  void reject(String requestId, double retryAfter);
 
   /** Final answer: failed, perhaps with effect. */
   void fail(String requestId);
 
   /** Asks for a timer event with this token. */
-  void wake(long token, double delay);
+  void scheduleTimer(long token, double delay);
 
   /** Subscribes to changes of the server list, or stops. */
   void subscribe(boolean on);
 
   /** Closes the idle connections to a server. */
-  void closeIdle(long server);
+  void closeIdleConnections(long server);
 }
--- a/core/src/main/java/shalepaddle/policy/ServerHealth.java
+++ b/core/src/main/java/shalepaddle/policy/ServerHealth.java
@@ -90,7 +90,7 @@
     this.contract = settings.contract();
     // Spread over the balancers: from none, many would wait long and then send their first
     // together.
-    double part = (double) settings.number() / Math.max(1, settings.instances());
+    double part = (double) settings.instanceNumber() / Math.max(1, settings.instances());
     this.phase = (ConsistentHashRing.fraction(id) + part) % 1;
     this.learnedAt = now;
     coldSince(now, ServerStartTimes.LONG_AGO);
@@ -178,11 +178,11 @@
   /** The share of its capacity that a started server has by the contract: 1 once it is warm. */
   double warmth(double now) {
     double age = now - startedAt;
-    if (!(age < contract.warmWithin())) {
+    if (!(age < contract.slowStartSeconds())) {
       return 1;
     }
-    double from = Math.max(0.01, Math.min(1, contract.coldFrom()));
-    return from + (1 - from) * Math.max(0, age) / contract.warmWithin();
+    double from = Math.max(0.01, Math.min(1, contract.slowStartMinRatio()));
+    return from + (1 - from) * Math.max(0, age) / contract.slowStartSeconds();
   }
 
   /**
@@ -207,28 +207,29 @@
   /** An attempt ended; true if the server refused a connection and may yet be running. */
   boolean ended(double now, Outcome outcome, double idleTimeout, boolean few) {
     Outcome.Result result = outcome.result();
-    boolean served = result == Outcome.Result.OK || result == Outcome.Result.NOT_STORED;
+    boolean served = result == Outcome.Result.OK || result == Outcome.Result.CACHE_MISS;
     // An error that names a miss is the origin's.
     boolean failed =
         result == Outcome.Result.TIMEOUT
-            || result == Outcome.Result.FULL
-            || (result == Outcome.Result.ERROR && outcome.note() == Outcome.Note.NONE);
+            || result == Outcome.Result.SERVER_BUSY
+            || (result == Outcome.Result.ERROR
+                && outcome.cacheStatus() == Outcome.CacheStatus.NONE);
     // What was out when a connection broke tells of that break once more, and of nothing since.
-    boolean fresh = now - outcome.elapsed() > brokenAt;
+    boolean fresh = now - outcome.elapsedSeconds() > brokenAt;
     boolean reset = result == Outcome.Result.RESET && fresh;
     // A server is not blamed for time in which this node did not listen.
-    boolean half = reset || result == Outcome.Result.FULL;
-    unserved = served ? 0 : unserved + (half ? HALF_COUNTS : failed ? outcome.attention() : 0);
+    boolean half = reset || result == Outcome.Result.SERVER_BUSY;
+    unserved = served ? 0 : unserved + (half ? HALF_COUNTS : failed ? outcome.activeRatio() : 0);
     inFlight--;
     endedAt = now;
     trialOut = false;
     boolean was = suspect();
     boolean held = (refused > 0 ? refusedAt : now) - connectedAt < idleTimeout;
-    if (result == Outcome.Result.CONNECT_FAILED && fresh && outcome.heard()) {
+    if (result == Outcome.Result.CONNECT_FAILED && fresh && outcome.isMostlyActive()) {
       refusedAt = refused == 0 ? now : refusedAt;
       refused++;
-    } else if (result.fromServer()) {
-      if (refused >= SUSPECT_AFTER && held && now - outcome.elapsed() > refusedAt) {
+    } else if (result.isServerResponse()) {
+      if (refused >= SUSPECT_AFTER && held && now - outcome.elapsedSeconds() > refusedAt) {
         // It was down and answers what was sent since: before the list tells, it is new and cold.
         coldSince(now, Math.max(startedAt, now));
       }
@@ -236,7 +237,7 @@
       refused = 0;
       useless = false;
     }
-    if (fresh && result.broken()) {
+    if (fresh && result.isConnectionFailure()) {
       brokenAt = now;
     }
     // Guards against servers that hang, whose fetches would be taken for the origin's losses, and
@@ -245,7 +246,7 @@
     if ((failed || reset) && few && unserved >= UNSERVED_AFTER) {
       useless = true;
     }
-    if (suspect() && !served && (!was || now - outcome.elapsed() >= trialAt)) {
+    if (suspect() && !served && (!was || now - outcome.elapsedSeconds() >= trialAt)) {
       boolean longer = was && result != Outcome.Result.RESET;
       pause = longer ? Math.min(LONGEST_PAUSE, pause * 1.5) : FIRST_PAUSE;
       trialAt = now + pause;
--- a/core/src/main/java/shalepaddle/policy/ServerRegistry.java
+++ b/core/src/main/java/shalepaddle/policy/ServerRegistry.java
@@ -28,7 +28,7 @@
     this.settings = settings;
     this.actions = actions;
     this.random = random;
-    this.starts = new ServerStartTimes(settings.contract().warmWithin());
+    this.starts = new ServerStartTimes(settings.contract().slowStartSeconds());
   }
 
   /** Rule 3: the servers that may get something new, which the list calls ready, by id. */
@@ -60,20 +60,23 @@
         // calls failed together do not come back together, yet never as long as askWithin.
         subscribed = false;
         failures = Math.min(failures + 1, 8);
-        double longest = Math.max(settings.contract().askWithin() * 0.4, settings.tick());
+        double longest =
+            Math.max(
+                settings.contract().maxPollIntervalSeconds() * 0.4,
+                settings.timerResolutionSeconds());
         double pause = Math.min(longest, 0.25 * Math.pow(2, failures));
         callIn(now, pause * (0.5 + 0.5 * random.nextDouble()));
       }
-      case FULL, REMEMBERED, CHANGES -> {
-        if (update.kind() != MembershipUpdate.Kind.CHANGES) {
-          servers.keySet().retainAll(update.ids());
+      case FULL, CACHED, DELTA -> {
+        if (update.kind() != MembershipUpdate.Kind.DELTA) {
+          servers.keySet().retainAll(update.serverIds());
         }
         starts.learn(now, update);
         update.entries().forEach(entry -> put(now, entry));
-        if (update.kind() != MembershipUpdate.Kind.REMEMBERED) {
+        if (update.kind() != MembershipUpdate.Kind.CACHED) {
           subscribed = true;
           failures = 0;
-        } else if (settings.asksForList()) {
+        } else if (settings.pollsEndpointList()) {
           // Restarted balancers start together: spread their first calls by a little.
           callIn(now, Math.min(0.02 * settings.instances(), 0.5) * random.nextDouble());
         }
@@ -93,15 +96,19 @@
 
   private void callIn(double now, double delay) {
     callAt = now + delay;
-    actions.wake(RequestRouter.FEED_TOKEN, delay);
+    actions.scheduleTimer(RequestRouter.FEED_TOKEN, delay);
   }
 
   /** The feed's timer came due. */
   void timer(double now) {
-    if (!subscribed && settings.asksForList() && now + 1e-6 >= callAt) {
+    if (!subscribed && settings.pollsEndpointList() && now + 1e-6 >= callAt) {
       actions.subscribe(true);
       // A call whose answer never comes must not leave this balancer silent.
-      callIn(now, Math.max(settings.contract().askWithin() * 0.8, settings.tick()));
+      callIn(
+          now,
+          Math.max(
+              settings.contract().maxPollIntervalSeconds() * 0.8,
+              settings.timerResolutionSeconds()));
     }
   }
 }
--- a/core/src/main/java/shalepaddle/policy/ServerStartTimes.java
+++ b/core/src/main/java/shalepaddle/policy/ServerStartTimes.java
@@ -61,17 +61,17 @@
   void learn(double now, MembershipUpdate update) {
     boolean older = update.version() < version;
     version = Math.max(version, update.version());
-    boolean changes = update.kind() == MembershipUpdate.Kind.CHANGES;
+    boolean changes = update.kind() == MembershipUpdate.Kind.DELTA;
     FirstList first = followed || changes ? null : new FirstList(now, update.entries());
     for (ServerEntry entry : update.entries()) {
       Start known = starts.get(entry.id());
-      double stamp = entry.startedAt();
+      double stamp = entry.startedAtSeconds();
       if (isNews(known, stamp, older)) {
         double at = stamp <= 0 ? LONG_AGO : first == null ? now : first.start(stamp);
         starts.put(entry.id(), new Start(stamp, at));
       }
     }
-    followed |= update.kind() != MembershipUpdate.Kind.REMEMBERED;
+    followed |= update.kind() != MembershipUpdate.Kind.CACHED;
   }
 
   /** An older list, from a replica that lags, tells no start of a server that is known. */
@@ -87,8 +87,8 @@
 
     FirstList(double now, List<ServerEntry> entries) {
       this.now = now;
-      newest = entries.stream().mapToDouble(ServerEntry::startedAt).max().orElse(0);
-      long fresh = entries.stream().filter(entry -> mayBeCold(entry.startedAt())).count();
+      newest = entries.stream().mapToDouble(ServerEntry::startedAtSeconds).max().orElse(0);
+      long fresh = entries.stream().filter(entry -> mayBeCold(entry.startedAtSeconds())).count();
       mostAreNew = 2 * fresh > entries.size();
     }
 
--- a/core/src/test/java/shalepaddle/coalescing/RequestCoalescerTest.java
+++ b/core/src/test/java/shalepaddle/coalescing/RequestCoalescerTest.java
@@ -217,8 +217,8 @@
   void whatBrokeIsToldFromWhatWasTurnedAway() {
     assertEquals(FlightResult.BROKEN, FlightResult.refused(Outcome.Result.RESET));
     assertEquals(FlightResult.BROKEN, FlightResult.refused(Outcome.Result.CONNECT_FAILED));
-    assertEquals(FlightResult.BROKEN, FlightResult.refused(Outcome.Result.SPOILT));
-    assertEquals(FlightResult.REFUSED, FlightResult.refused(Outcome.Result.FULL));
+    assertEquals(FlightResult.BROKEN, FlightResult.refused(Outcome.Result.MALFORMED_RESPONSE));
+    assertEquals(FlightResult.REFUSED, FlightResult.refused(Outcome.Result.SERVER_BUSY));
     assertEquals(FlightResult.REFUSED, FlightResult.refused(Outcome.Result.ERROR));
     assertEquals(FlightResult.REFUSED, FlightResult.refused(Outcome.Result.TIMEOUT));
     assertEquals(FlightResult.REFUSED, FlightResult.refused(null));
--- a/core/src/test/java/shalepaddle/overload/AdmissionControllerTest.java
+++ b/core/src/test/java/shalepaddle/overload/AdmissionControllerTest.java
@@ -63,36 +63,36 @@
 
   @Test
   void whatIsWorthMostPassesWholeAndTheBrinkInPart() {
-    AdmissionController admission = new AdmissionController(OverloadConfig.USUAL, tiers, 1);
+    AdmissionController admission = new AdmissionController(OverloadConfig.DEFAULT, tiers, 1);
     long now = 1;
-    admission.interval(0, now);
+    admission.onIntervalEnd(0, now);
     for (int i = 0; i < 300; i++) {
-      admission.admits(tiers.of(0, false, false), false);
+      admission.admit(tiers.of(0, false, false), false);
       if (i % 10 == 0) {
-        admission.admits(tiers.of(1, false, false), false);
+        admission.admit(tiers.of(1, false, false), false);
       }
     }
-    admission.interval(0.05, now + 100 * MILLI);
-    assertTrue(admission.limited());
-    assertEquals(1, admission.passing(tiers.of(1, false, false)));
-    double brink = admission.passing(tiers.of(0, false, false));
+    admission.onIntervalEnd(0.05, now + 100 * MILLI);
+    assertTrue(admission.isLimiting());
+    assertEquals(1, admission.admittedRatio(tiers.of(1, false, false)));
+    double brink = admission.admittedRatio(tiers.of(0, false, false));
     assertEquals((3300 * 0.7 - 300) / 3000, brink, 0.01);
-    assertEquals(0.02, admission.passing(tiers.count() - 1), 1.0, "nobody is locked out");
+    assertEquals(0.02, admission.admittedRatio(tiers.count() - 1), 1.0, "nobody is locked out");
   }
 
   @Test
   void repeatsAreAShareOfFirstTriesWhileFewAreAdmitted() {
-    AdmissionController admission = new AdmissionController(OverloadConfig.USUAL, tiers, 1);
-    admission.interval(0, 1);
-    admission.admits(0, false);
-    admission.interval(0.015, 1 + 100 * MILLI);
-    assertTrue(admission.limited());
+    AdmissionController admission = new AdmissionController(OverloadConfig.DEFAULT, tiers, 1);
+    admission.onIntervalEnd(0, 1);
+    admission.admit(0, false);
+    admission.onIntervalEnd(0.015, 1 + 100 * MILLI);
+    assertTrue(admission.isLimiting());
     int first = tiers.of(1, false, false);
     int again = tiers.of(1, true, false);
     int passed = 0;
     for (int i = 0; i < 1000; i++) {
-      admission.admits(first, false);
-      passed += admission.admits(again, true) ? 1 : 0;
+      admission.admit(first, false);
+      passed += admission.admit(again, true) ? 1 : 0;
     }
     assertTrue(passed <= 0.1 * 1000 + 20, "repeats admitted: " + passed);
     assertTrue(passed >= 20, "repeats admitted: " + passed);
@@ -100,11 +100,11 @@
 
   @Test
   void adviceIsSpreadAndGrowsWithTheExcess() {
-    AdmissionController admission = new AdmissionController(OverloadConfig.USUAL, tiers, 1);
+    AdmissionController admission = new AdmissionController(OverloadConfig.DEFAULT, tiers, 1);
     double least = 1;
     double most = 0;
     for (int i = 0; i < 1000; i++) {
-      double advice = admission.advice();
+      double advice = admission.retryAfterSeconds();
       least = Math.min(least, advice);
       most = Math.max(most, advice);
     }
@@ -113,23 +113,23 @@
 
   @Test
   void onlyTellingRefusesNothing() {
-    AdmissionController admission = new AdmissionController(OverloadConfig.OFF, tiers, 1);
+    AdmissionController admission = new AdmissionController(OverloadConfig.DISABLED, tiers, 1);
     for (int i = 1; i < 20; i++) {
-      admission.admits(0, false);
-      admission.interval(1, i * 100 * MILLI);
+      admission.admit(0, false);
+      admission.onIntervalEnd(1, i * 100 * MILLI);
     }
-    assertFalse(admission.limited());
+    assertFalse(admission.isLimiting());
   }
 
   @Test
   void repeatsAreGuessedWhereTheyAreNotMarked() {
     RetryInference guess = new RetryInference();
-    assertFalse(guess.looksRepeated(42, 0, 0));
-    guess.refused(42, 0, 0);
-    assertTrue(guess.looksRepeated(42, 0, 500 * MILLI));
-    assertFalse(guess.looksRepeated(42, 1, 500 * MILLI), "another class");
-    assertFalse(guess.looksRepeated(43, 0, 500 * MILLI), "another key");
-    assertFalse(guess.looksRepeated(42, 0, 1500 * MILLI), "long ago");
+    assertFalse(guess.isLikelyRetry(42, 0, 0));
+    guess.recordRejection(42, 0, 0);
+    assertTrue(guess.isLikelyRetry(42, 0, 500 * MILLI));
+    assertFalse(guess.isLikelyRetry(42, 1, 500 * MILLI), "another class");
+    assertFalse(guess.isLikelyRetry(43, 0, 500 * MILLI), "another key");
+    assertFalse(guess.isLikelyRetry(42, 0, 1500 * MILLI), "long ago");
   }
 
   @Test
@@ -137,11 +137,11 @@
     TenantQuotas shares = new TenantQuotas(LoopModel.settings(true).tenants(), 2);
     int past = 0;
     for (int i = 0; i < 1000; i++) {
-      past += shares.pastShare(0, 1 + i * 10 * MILLI) ? 1 : 0;
+      past += shares.isOverQuota(0, 1 + i * 10 * MILLI) ? 1 : 0;
     }
     assertEquals(1000 - 500 - 50, past, 20, "100 a second come, half of 100 are its share here");
-    assertFalse(shares.pastShare(1, 1), "no quota, no share to be past");
-    assertFalse(shares.pastShare(-1, 1), "unknown");
+    assertFalse(shares.isOverQuota(1, 1), "no quota, no share to be past");
+    assertFalse(shares.isOverQuota(-1, 1), "unknown");
   }
 
   @Test
@@ -158,12 +158,12 @@
     }
     assertEquals(List.of("read 2", "late 1"), refused, "the oldest of the least worth give way");
     assertEquals("late 5", intake.poll(110 * MILLI), "the newest, once it stands");
-    assertEquals(28 * MILLI, intake.oldest(110 * MILLI));
+    assertEquals(28 * MILLI, intake.oldestWaitNanos(110 * MILLI));
     assertEquals(null, intake.poll(200 * MILLI));
     assertEquals(List.of("read 2", "late 1", "late 2", "late 3", "late 4"), refused);
     assertEquals(0, intake.size());
     intake.offer("open", 0, 300 * MILLI);
-    intake.clear();
+    intake.rejectAll();
     assertEquals("open", refused.get(5));
   }
 
@@ -172,22 +172,22 @@
     OverloadControl control =
         new OverloadControl(
             LoopModel.settings(true),
-            OverloadConfig.USUAL,
+            OverloadConfig.DEFAULT,
             1,
             (resource, before, now, figure) -> {});
     for (long now = 0; now < 10_000 * MILLI; now += 25 * MILLI) {
-      control.turned(now, now, 0);
-      control.uses(0.99, 0.95, 0.1, now);
+      control.onLoopTurnEnd(now, now, 0);
+      control.onResourceUsage(0.99, 0.95, 0.1, now);
     }
     assertEquals(PressureLevel.FULL, control.level(Resource.MEMORY));
     assertEquals(
         PressureLevel.CALM, control.level(Resource.CPU), "use of the processor alone is no lack");
-    assertFalse(control.shedding());
-    assertEquals(new DegradationPolicy(4, 1_000_000_000L, true, 1), control.posture());
+    assertFalse(control.isShedding());
+    assertEquals(new DegradationPolicy(4, 1_000_000_000L, true, 1), control.degradationPolicy());
     assertEquals(
-        DegradationPolicy.CALM.idleNanos(),
+        DegradationPolicy.CALM.maxIdleNanos(),
         DegradationPolicy.of(PressureLevel.FULL, PressureLevel.CALM, PressureLevel.CALM)
-            .idleNanos(),
+            .maxIdleNanos(),
         "a short processor closes no connection");
   }
 
--- a/core/src/test/java/shalepaddle/overload/ConnectionSlotReservationTest.java
+++ b/core/src/test/java/shalepaddle/overload/ConnectionSlotReservationTest.java
@@ -13,15 +13,15 @@
     for (int tiers = 1; tiers < 9; tiers++) {
       for (double taken = 0; taken < 2; taken += 0.01) {
         assertFalse(
-            ConnectionSlotReservation.refuses(0, tiers, taken), "the first tier is never refused");
+            ConnectionSlotReservation.rejects(0, tiers, taken), "the first tier is never refused");
         for (int tier = 1; tier < tiers; tier++) {
           assertTrue(
-              ConnectionSlotReservation.refuses(tier, tiers, taken)
-                  || !ConnectionSlotReservation.refuses(tier - 1, tiers, taken));
+              ConnectionSlotReservation.rejects(tier, tiers, taken)
+                  || !ConnectionSlotReservation.rejects(tier - 1, tiers, taken));
           assertFalse(
               taken < ConnectionSlotReservation.LEAST_FROM
-                  && ConnectionSlotReservation.refuses(tier, tiers, taken));
-          assertTrue(taken < 1 || ConnectionSlotReservation.refuses(tier, tiers, taken));
+                  && ConnectionSlotReservation.rejects(tier, tiers, taken));
+          assertTrue(taken < 1 || ConnectionSlotReservation.rejects(tier, tiers, taken));
         }
       }
     }
@@ -29,8 +29,8 @@
 
   @Test
   void theLeastTierIsRefusedFromItsPartOn() {
-    assertEquals(false, ConnectionSlotReservation.refuses(3, 4, 0.79));
-    assertEquals(true, ConnectionSlotReservation.refuses(3, 4, 0.81));
-    assertEquals(false, ConnectionSlotReservation.refuses(2, 4, 0.81));
+    assertEquals(false, ConnectionSlotReservation.rejects(3, 4, 0.79));
+    assertEquals(true, ConnectionSlotReservation.rejects(3, 4, 0.81));
+    assertEquals(false, ConnectionSlotReservation.rejects(2, 4, 0.81));
   }
 }
--- a/core/src/test/java/shalepaddle/overload/LoopModel.java
+++ b/core/src/test/java/shalepaddle/overload/LoopModel.java
@@ -88,7 +88,7 @@
         sheds
             ? new OverloadControl(
                 settings(true),
-                OverloadConfig.USUAL,
+                OverloadConfig.DEFAULT,
                 7,
                 (resource, before, level, figure) -> levels.add(now / MILLI + " " + level))
             : null;
@@ -109,17 +109,17 @@
         new Settings.Contract(0.02, 10, 2, 0.1, 20, 3, 2),
         new Settings.Prices(0, 0, 0, 0, 0, 0, 0, 0, 0),
         List.of(
-            service("read", 2, 0.75, Settings.Effect.SAFE),
-            service("submit", 5, 0.3, Settings.Effect.UNSAFE)),
+            service("read", 2, 0.75, Settings.Idempotency.IDEMPOTENT),
+            service("submit", 5, 0.3, Settings.Idempotency.NOT_IDEMPOTENT)),
         List.of(new Settings.Tenant("big", 0.5, 100), new Settings.Tenant("none", 0.5, 0)),
         0.1,
         0.01);
   }
 
   private static Settings.ServiceClass service(
-      String name, double worth, double aim, Settings.Effect effect) {
+      String name, double worth, double aim, Settings.Idempotency effect) {
     return new Settings.ServiceClass(
-        name, aim, 0, 2, worth, 0.25, effect, Settings.Group.ALL, 5, false);
+        name, aim, 0, 2, worth, 0.25, effect, Settings.DeduplicationScope.ALL, 5, false);
   }
 
   OverloadControl control() {
@@ -191,7 +191,7 @@
       idle.add(connection);
       return;
     }
-    long pause = insistence ? connection.refused(ask.tries() > 0, advice * MILLI, now) : 0;
+    long pause = insistence ? connection.recordRejection(ask.tries() > 0, advice * MILLI, now) : 0;
     Ask next = new Ask(now + LOOPBACK + pause, ask.asked(), ask.serviceClass(), ask.tries() + 1);
     on.put(next, connection);
     coming.add(next);
@@ -225,7 +225,7 @@
   /** The process does not run for so long, while requests go on coming. */
   void stop(long nanos) {
     now += nanos;
-    control.paused(nanos, now);
+    control.onEventLoopStall(nanos, now);
   }
 
   /** Runs for so long. */
@@ -236,7 +236,7 @@
       turn();
       turns.add(now - began);
       if (control != null) {
-        control.turned(began, now, 0);
+        control.onLoopTurnEnd(began, now, 0);
       }
       if (queue.isEmpty()) {
         // Sleeps until something comes, and for 10 ms at most.
@@ -270,7 +270,7 @@
       long advice =
           control == null
               ? OverloadControl.ADMITTED
-              : control.ask(ask.serviceClass(), -1, ask.asked(), ask.tries() > 0, now);
+              : control.admit(ask.serviceClass(), -1, ask.asked(), ask.tries() > 0, now);
       boolean served = advice == OverloadControl.ADMITTED;
       now += (long) (SERVING * coldness() * (served ? 1 : refusing));
       Client client = closed.remove(ask);
@@ -293,7 +293,8 @@
   /** A client goes on; what it sends is read when its connection is. */
   private void again(Client client, Ask ask, long advice) {
     boolean same = client.insists() && advice != OverloadControl.ADMITTED;
-    long pause = same ? client.insistence().refused(ask.tries() > 0, advice * MILLI, now) : 0;
+    long pause =
+        same ? client.insistence().recordRejection(ask.tries() > 0, advice * MILLI, now) : 0;
     long back = now + LOOPBACK + pause;
     Ask next =
         new Ask(back, same ? ask.asked() : back, ask.serviceClass(), same ? ask.tries() + 1 : 0);
--- a/core/src/test/java/shalepaddle/overload/OverloadMeterTest.java
+++ b/core/src/test/java/shalepaddle/overload/OverloadMeterTest.java
@@ -22,13 +22,13 @@
   /** Alarms for so long, each late by that. */
   private void late(long millis, double lateMillis) {
     for (long until = now + millis * MILLI; now < until; now += 10 * MILLI) {
-      meter.turned(now - (long) (lateMillis * MILLI), now, false);
+      meter.onLoopTurnEnd(now - (long) (lateMillis * MILLI), now, false);
     }
   }
 
   private void uses(long millis, double memory, double descriptors) {
     for (long until = now + millis * MILLI; now < until; now += 25 * MILLI) {
-      meter.uses(memory, descriptors, now);
+      meter.onResourceUsage(memory, descriptors, now);
     }
   }
 
@@ -38,8 +38,8 @@
     late(500, 0.3);
     for (int i = 0; i < 5; i++) {
       now += pause * MILLI;
-      meter.paused(pause * MILLI, now);
-      meter.turned(now - pause * MILLI, now, false);
+      meter.onEventLoopStall(pause * MILLI, now);
+      meter.onLoopTurnEnd(now - pause * MILLI, now, false);
       // What came meanwhile makes the turns after it long as well.
       late(pause / 3, 12);
       late(400, 0.3);
@@ -51,8 +51,8 @@
   void aLoopThatRunsForATenthOfTheTimeAndIsOnTimeThenIsNotOverloaded() {
     for (int i = 0; i < 100; i++) {
       now += 90 * MILLI;
-      meter.paused(80 * MILLI, now);
-      meter.turned(now - 90 * MILLI, now, false);
+      meter.onEventLoopStall(80 * MILLI, now);
+      meter.onLoopTurnEnd(now - 90 * MILLI, now, false);
       late(10, 0.1);
     }
     assertEquals(List.of(), changes);
--- a/core/src/test/java/shalepaddle/overload/SheddingTest.java
+++ b/core/src/test/java/shalepaddle/overload/SheddingTest.java
@@ -55,7 +55,7 @@
   void overloadInTheFirstSecondIsSeenInTheFirstSecond() {
     LoopModel loop = new LoopModel(true, REFUSING, 0).load(30000, 0.08);
     loop.run(SECOND);
-    assertTrue(loop.control().shedding());
+    assertTrue(loop.control().isShedding());
     loop.run(SECOND);
     long since = loop.now;
     loop.run(3 * SECOND);
@@ -73,7 +73,7 @@
     long since = loop.now;
     loop.run(5 * SECOND);
     assertEquals(1, loop.within(0, since, 750 * MILLI), 0.001);
-    assertFalse(loop.control().shedding());
+    assertFalse(loop.control().isShedding());
     assertTrue(loop.levels.size() <= changes + 3, "levels: " + loop.levels);
   }
 
@@ -97,7 +97,7 @@
     long since = loop.now;
     loop.run(5 * SECOND);
     assertTrue(loop.within(0, since, 750 * MILLI) > 0.99, "the storm did not feed itself");
-    assertTrue(loop.control().reading().repeatsRefused() > 0);
+    assertTrue(loop.control().snapshot().rejectedRetryCount() > 0);
   }
 
   @ParameterizedTest
@@ -112,7 +112,7 @@
     long refused = loop.fates.stream().filter(f -> !f.served()).count();
     // What came in a pause of seconds is a load of its own, and a part of it may be refused.
     assertTrue(refused <= (millis <= 300 ? 0 : 5 * millis * 3000 / 1000), refused + " refused");
-    assertFalse(loop.control().shedding());
+    assertFalse(loop.control().isShedding());
   }
 
   /** A metastable failure: what set it off is gone, and what it did keeps it up. */
@@ -133,7 +133,8 @@
     double after = loop.served(since, loop.now);
     seen.append(after).append(" after a burst");
     assertTrue(
-        after >= 0.95, clients + " clients: " + seen + " " + loop.control().reading().limit());
+        after >= 0.95,
+        clients + " clients: " + seen + " " + loop.control().snapshot().limitPerSecond());
   }
 
   /**
@@ -199,9 +200,12 @@
   void aShareOfEveryTierAlwaysPasses() {
     LoopModel loop = new LoopModel(true, REFUSING, 1).load(60000, 0.3);
     loop.run(10 * SECOND);
-    for (OverloadSnapshot.Tier tier : loop.control().reading().tiers()) {
-      assertTrue(tier.passing() >= OverloadConfig.USUAL.learn(), tier.toString());
-      assertTrue(tier.offered() < 1000 || tier.refused() < tier.offered(), tier.toString());
+    for (OverloadSnapshot.Tier tier : loop.control().snapshot().tiers()) {
+      assertTrue(
+          tier.admittedRatio() >= OverloadConfig.DEFAULT.minAdmittedRatio(), tier.toString());
+      assertTrue(
+          tier.offeredCount() < 1000 || tier.rejectedCount() < tier.offeredCount(),
+          tier.toString());
     }
   }
 }
--- a/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
+++ b/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
@@ -16,36 +16,36 @@
   private final long token;
 
   DeadlineExtensionTest() {
-    balancer.membership(100, PolicyFixture.fleet(3));
-    balancer.request(100, PolicyFixture.request("a", "key", "safe", 0.3));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(3));
+    balancer.onRequest(100, PolicyFixture.request("a", "key", "safe", 0.3));
     token = actions.of("wake").get(0).number();
   }
 
   @Test
   void itIsAnsweredWhenTheLongerTimeIsUp() {
-    balancer.extend("a", 101.5);
-    balancer.timer(100.3, token);
+    balancer.extendDeadline("a", 101.5);
+    balancer.onTimer(100.3, token);
     assertEquals(List.of(), actions.of("fail"));
     PolicyFixture.Act again = actions.of("wake").get(1);
     assertEquals(token, again.number());
     assertEquals(1.2, again.value(), 1e-9);
-    balancer.timer(101.5, token);
+    balancer.onTimer(101.5, token);
     assertEquals(1, actions.of("fail").size());
   }
 
   @Test
   void itIsTriedAgainWithinIt() {
-    balancer.extend("a", 101.5);
+    balancer.extendDeadline("a", 101.5);
     long server = actions.of("send").get(0).number();
-    balancer.outcome(100.4, PolicyFixture.outcome("a", 0, server, Outcome.Result.RESET));
+    balancer.onOutcome(100.4, PolicyFixture.outcome("a", 0, server, Outcome.Result.RESET));
     assertEquals(2, actions.of("send").size());
   }
 
   @Test
   void nobodyTakesTimeFromIt() {
-    balancer.extend("a", 100.1);
-    balancer.extend("unknown", 200);
-    balancer.timer(100.3, token);
+    balancer.extendDeadline("a", 100.1);
+    balancer.extendDeadline("unknown", 200);
+    balancer.onTimer(100.3, token);
     assertEquals(1, actions.of("fail").size());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/EventLoopStallDecisionTest.java
+++ b/core/src/test/java/shalepaddle/policy/EventLoopStallDecisionTest.java
@@ -18,7 +18,7 @@
   private final RequestRouter balancer = new RequestRouter(SETTINGS, 1, actions);
 
   private static Outcome ended(Outcome.Result result, double elapsed, double unheard) {
-    return new Outcome("a", 0, 1, result, elapsed, unheard, false, Outcome.Note.NONE, null);
+    return new Outcome("a", 0, 1, result, elapsed, unheard, false, Outcome.CacheStatus.NONE, null);
   }
 
   @ParameterizedTest
@@ -47,21 +47,22 @@
 
   /** Answers 20 requests a second for 10 s, and then two more every 1.5 s that stay open. */
   private long refusedAfter(boolean told) {
-    balancer.membership(100, PolicyFixture.fleet(3));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(3));
     int next = 0;
     for (; next < 200; next++) {
       double now = 100 + next * 0.05;
-      balancer.request(now, PolicyFixture.request("q" + next, "key" + next % 7, "safe", 2));
+      balancer.onRequest(now, PolicyFixture.request("q" + next, "key" + next % 7, "safe", 2));
       PolicyFixture.Act sent = actions.acts.get(actions.acts.size() - 1);
-      balancer.outcome(now, PolicyFixture.outcome("q" + next, 0, sent.number(), Outcome.Result.OK));
+      balancer.onOutcome(
+          now, PolicyFixture.outcome("q" + next, 0, sent.number(), Outcome.Result.OK));
     }
     for (int pause = 0; pause < 5; pause++) {
       double now = 111.5 + pause * 1.5;
       if (told) {
-        balancer.paused(1.5);
+        balancer.onEventLoopStall(1.5);
       }
       for (int i = 0; i < 2; i++) {
-        balancer.request(now, PolicyFixture.request("p" + next++, "key" + i, "unsafe", 9));
+        balancer.onRequest(now, PolicyFixture.request("p" + next++, "key" + i, "unsafe", 9));
       }
     }
     return actions.of("refuse").size();
--- a/core/src/test/java/shalepaddle/policy/ExclusionTest.java
+++ b/core/src/test/java/shalepaddle/policy/ExclusionTest.java
@@ -25,15 +25,15 @@
 
   private boolean sends(double now, String id, String key) {
     int before = actions.of("send").size();
-    balancer.request(now, PolicyFixture.request(id, key, "safe", 1));
+    balancer.onRequest(now, PolicyFixture.request(id, key, "safe", 1));
     return actions.of("send").size() > before;
   }
 
   @Test
   void anExcludedServerGetsNothingWhateverTheListSaysAndWhoeverFails() {
-    balancer.membership(100, PolicyFixture.fleet(6));
-    balancer.exclude(100, 3, true);
-    balancer.exclude(100, 3, true);
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(6));
+    balancer.setExcluded(100, 3, true);
+    balancer.setExcluded(100, 3, true);
     Random random = new Random(5);
     int got = 0;
     for (int i = 0; i < 3000; i++) {
@@ -42,7 +42,8 @@
         // It leaves, vanishes, comes back under its id, and starts anew.
         ServerEntry.State state = ServerEntry.State.values()[random.nextInt(3)];
         ServerEntry entry = PolicyFixture.server(3, state, random.nextBoolean() ? now - 1 : 0);
-        balancer.membership(now, PolicyFixture.list(MembershipUpdate.Kind.CHANGES, List.of(entry)));
+        balancer.onMembershipUpdate(
+            now, PolicyFixture.list(MembershipUpdate.Kind.DELTA, List.of(entry)));
       }
       if (sends(now, "r" + i, "k" + i % 200)) {
         long server = sent();
@@ -50,7 +51,7 @@
         got++;
         // Now and then all others fail together: no panic may bring it back.
         Outcome.Result result = i % 1000 > 800 ? Outcome.Result.CONNECT_FAILED : Outcome.Result.OK;
-        balancer.outcome(now, PolicyFixture.outcome("r" + i, 0, server, result));
+        balancer.onOutcome(now, PolicyFixture.outcome("r" + i, 0, server, result));
       }
     }
     assertTrue(actions.of("send").stream().noneMatch(act -> act.number() == 3), "nor any retry");
@@ -59,30 +60,30 @@
 
   @Test
   void whereAllAreExcludedRequestsAreRefused() {
-    balancer.membership(100, PolicyFixture.fleet(2));
-    balancer.exclude(100, 1, true);
-    balancer.exclude(100, 2, true);
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(2));
+    balancer.setExcluded(100, 1, true);
+    balancer.setExcluded(100, 2, true);
     assertFalse(sends(100.1, "r1", "k"));
     assertEquals(1, actions.of("refuse").size());
-    assertEquals(2, balancer.listed(false));
-    assertEquals(2, balancer.listed(true));
-    balancer.exclude(101, 1, false);
-    assertEquals(1, balancer.listed(true));
+    assertEquals(2, balancer.serverCount(false));
+    assertEquals(2, balancer.serverCount(true));
+    balancer.setExcluded(101, 1, false);
+    assertEquals(1, balancer.serverCount(true));
   }
 
   @Test
   void oneThatIsPutBackIsColdFromThenOnUnlessTheListToldOfItsStart() {
-    balancer.membership(100, PolicyFixture.fleet(2));
-    balancer.exclude(100, 1, true);
-    balancer.exclude(100, 2, true);
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(2));
+    balancer.setExcluded(100, 1, true);
+    balancer.setExcluded(100, 2, true);
     // The second has started anew long enough ago to be warm, and the list has told so.
-    balancer.membership(
+    balancer.onMembershipUpdate(
         105,
         PolicyFixture.list(
-            MembershipUpdate.Kind.CHANGES,
+            MembershipUpdate.Kind.DELTA,
             List.of(PolicyFixture.server(2, ServerEntry.State.READY, 101))));
-    balancer.exclude(125, 1, false);
-    balancer.exclude(125, 2, false);
+    balancer.setExcluded(125, 1, false);
+    balancer.setExcluded(125, 2, false);
     int cold = 0;
     int warm = 0;
     for (int i = 0; i < 200; i++) {
@@ -90,7 +91,7 @@
       if (sends(now, "r" + i, "k" + i)) {
         cold += sent() == 1 ? 1 : 0;
         warm += sent() == 2 ? 1 : 0;
-        balancer.outcome(now, PolicyFixture.outcome("r" + i, 0, sent(), Outcome.Result.OK));
+        balancer.onOutcome(now, PolicyFixture.outcome("r" + i, 0, sent(), Outcome.Result.OK));
       }
     }
     assertTrue(warm > 150, warm + " to the warm one");
@@ -99,23 +100,26 @@
 
   @Test
   void anOpenRequestKeepsItsClassAndNumberOfAttempts() {
-    balancer.membership(100, PolicyFixture.fleet(6));
-    balancer.request(100, PolicyFixture.request("old", "k", "unsafe", 1));
-    balancer.request(100, PolicyFixture.request("many", "k", "safe", 1));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(6));
+    balancer.onRequest(100, PolicyFixture.request("old", "k", "unsafe", 1));
+    balancer.onRequest(100, PolicyFixture.request("many", "k", "safe", 1));
     List<Settings.ServiceClass> repeatable =
         SETTINGS.services().stream()
-            .map(type -> PolicyFixture.service(type.name(), Settings.Effect.SAFE, type.group()))
+            .map(
+                type ->
+                    PolicyFixture.service(
+                        type.name(), Settings.Idempotency.IDEMPOTENT, type.deduplicationScope()))
             .toList();
-    balancer.retune(PolicyFixture.settings(0, 4, false, 1, true, repeatable));
+    balancer.updateSettings(PolicyFixture.settings(0, 4, false, 1, true, repeatable));
     // It may have run, and was taken as one that must not run twice.
-    balancer.outcome(100.1, PolicyFixture.outcome("old", 0, 0, Outcome.Result.ERROR));
+    balancer.onOutcome(100.1, PolicyFixture.outcome("old", 0, 0, Outcome.Result.ERROR));
     assertEquals(List.of("old"), actions.of("fail").stream().map(PolicyFixture.Act::id).toList());
     long before = actions.of("send").size();
-    balancer.outcome(100.1, PolicyFixture.outcome("many", 0, 0, Outcome.Result.RESET));
+    balancer.onOutcome(100.1, PolicyFixture.outcome("many", 0, 0, Outcome.Result.RESET));
     assertEquals(before + 1, actions.of("send").size(), "four attempts were its due");
     // What comes now has one attempt, and the class may be repeated.
-    balancer.request(100.2, PolicyFixture.request("new", "k", "unsafe", 1));
-    balancer.outcome(100.3, PolicyFixture.outcome("new", 0, 0, Outcome.Result.ERROR));
+    balancer.onRequest(100.2, PolicyFixture.request("new", "k", "unsafe", 1));
+    balancer.onOutcome(100.3, PolicyFixture.outcome("new", 0, 0, Outcome.Result.ERROR));
     assertEquals(List.of("new"), actions.of("refuse").stream().map(PolicyFixture.Act::id).toList());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/FailuresTest.java
+++ b/core/src/test/java/shalepaddle/policy/FailuresTest.java
@@ -38,16 +38,16 @@
 
   /** Sends a request and answers it at once with a hit; returns where it went. */
   private long serve(double now, String id, String key) {
-    balancer.request(now, PolicyFixture.request(id, key, "safe", 1));
+    balancer.onRequest(now, PolicyFixture.request(id, key, "safe", 1));
     PolicyFixture.Act sent = actions.acts.get(actions.acts.size() - 1);
     assertEquals("send", sent.what());
-    balancer.outcome(now, PolicyFixture.outcome(id, 0, sent.number(), Outcome.Result.OK));
+    balancer.onOutcome(now, PolicyFixture.outcome(id, 0, sent.number(), Outcome.Result.OK));
     return sent.number();
   }
 
   @Test
   void aKeyThatOutgrowsOneServerGetsSeveral() {
-    balancer.membership(100, PolicyFixture.fleet(20));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(20));
     TreeSet<Long> hot = new TreeSet<>();
     TreeSet<Long> mild = new TreeSet<>();
     for (int i = 0; i < 1000; i++) {
@@ -63,15 +63,15 @@
 
   @Test
   void retriesAreFewWhereEverythingFails() {
-    balancer.membership(100, PolicyFixture.fleet(10));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(10));
     for (int i = 0; i < 200; i++) {
       String id = "r" + i;
-      balancer.request(100 + i * 0.001, PolicyFixture.request(id, null, "safe", 1));
+      balancer.onRequest(100 + i * 0.001, PolicyFixture.request(id, null, "safe", 1));
       for (int attempt = 0; attempt < 4; attempt++) {
         List<PolicyFixture.Act> sends = actions.of("send");
         PolicyFixture.Act last = sends.get(sends.size() - 1);
         if (last.id().equals(id)) {
-          balancer.outcome(
+          balancer.onOutcome(
               100 + i * 0.001,
               PolicyFixture.outcome(id, attempt, last.number(), Outcome.Result.ERROR));
         }
@@ -84,13 +84,13 @@
   /** One attempt at this server, for a key of its own. */
   private void attempt(double now, int number, long server, Outcome.Result result) {
     String id = "~" + number;
-    balancer.witness(now, PolicyFixture.request(id, "k" + number, "safe", 1), server);
-    balancer.outcome(now, PolicyFixture.outcome(id, 0, server, result));
+    balancer.observeAttempt(now, PolicyFixture.request(id, "k" + number, "safe", 1), server);
+    balancer.onOutcome(now, PolicyFixture.outcome(id, 0, server, result));
   }
 
   @Test
   void failuresOfLongAgoDoNotShieldAServerThatFailsNow() {
-    balancer.membership(100, PolicyFixture.fleet(6));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(6));
     int number = 0;
     for (long server : new long[] {1, 1, 2, 2}) {
       attempt(100, number++, server, Outcome.Result.ERROR);
@@ -101,12 +101,12 @@
         attempt(now, number++, 3, Outcome.Result.ERROR);
       }
     }
-    assertEquals(1, balancer.listed(true));
+    assertEquals(1, balancer.serverCount(true));
   }
 
   @Test
   void serversThatFailTogetherAreNotLeftOutWhereTheyAreMoreThanAThird() {
-    balancer.membership(100, PolicyFixture.fleet(6));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(6));
     int number = 0;
     for (double now = 100; now < 105; now += 0.05) {
       for (long server = 1; server <= 6; server++) {
@@ -114,7 +114,7 @@
         attempt(now, number++, server, fails ? Outcome.Result.ERROR : Outcome.Result.OK);
       }
     }
-    assertTrue(balancer.listed(true) <= 2, balancer.listed(true) + " left out");
+    assertTrue(balancer.serverCount(true) <= 2, balancer.serverCount(true) + " left out");
   }
 
   @Test
@@ -164,8 +164,8 @@
     assertTrue(one.trialDue(101));
     ended(one, 101, Outcome.Result.OK);
     assertFalse(one.suspect());
-    assertEquals(SETTINGS.contract().coldFrom(), one.warmth(101), 1e-9);
-    assertEquals(1, one.warmth(101 + SETTINGS.contract().warmWithin()));
+    assertEquals(SETTINGS.contract().slowStartMinRatio(), one.warmth(101), 1e-9);
+    assertEquals(1, one.warmth(101 + SETTINGS.contract().slowStartSeconds()));
   }
 
   @Test
@@ -186,7 +186,8 @@
     ended(one, 100.2, Outcome.Result.CONNECT_FAILED);
     ended(one, 100.3, Outcome.Result.CONNECT_FAILED);
     assertTrue(one.suspect());
-    Outcome late = new Outcome("a", 0, 1, Outcome.Result.OK, 0.4, true, Outcome.Note.HIT, null);
+    Outcome late =
+        new Outcome("a", 0, 1, Outcome.Result.OK, 0.4, true, Outcome.CacheStatus.HIT, null);
     one.ended(100.4, late, 60, true);
     assertFalse(one.suspect());
     assertEquals(1, one.warmth(100.4));
@@ -208,21 +209,22 @@
 
   @Test
   void connectionsAreClosedAfterUseOnceARunningServerRefusesOne() {
-    balancer.membership(100, PolicyFixture.fleet(1));
-    balancer.request(100, PolicyFixture.request("a", "k", "unsafe", 1));
-    balancer.outcome(100.1, PolicyFixture.outcome("a", 0, 1, Outcome.Result.OK));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(1));
+    balancer.onRequest(100, PolicyFixture.request("a", "k", "unsafe", 1));
+    balancer.onOutcome(100.1, PolicyFixture.outcome("a", 0, 1, Outcome.Result.OK));
     assertEquals(0, actions.of("closeIdle").size());
-    balancer.membership(101, PolicyFixture.fleet(2));
+    balancer.onMembershipUpdate(101, PolicyFixture.fleet(2));
     for (int i = 0; i < 40; i++) {
-      balancer.request(102, PolicyFixture.request("r" + i, "key" + i, "unsafe", 1));
+      balancer.onRequest(102, PolicyFixture.request("r" + i, "key" + i, "unsafe", 1));
     }
     List<PolicyFixture.Act> sends = actions.of("send");
     PolicyFixture.Act refused =
         sends.stream().filter(act -> act.number() == 2).findFirst().orElseThrow();
-    balancer.outcome(103, PolicyFixture.outcome(refused.id(), 0, 2, Outcome.Result.CONNECT_FAILED));
+    balancer.onOutcome(
+        103, PolicyFixture.outcome(refused.id(), 0, 2, Outcome.Result.CONNECT_FAILED));
     assertEquals(0, actions.of("closeIdle").stream().filter(act -> act.number() == 1).count());
     for (PolicyFixture.Act act : actions.of("send")) {
-      balancer.outcome(104, PolicyFixture.outcome(act.id(), 0, act.number(), Outcome.Result.OK));
+      balancer.onOutcome(104, PolicyFixture.outcome(act.id(), 0, act.number(), Outcome.Result.OK));
     }
     List<PolicyFixture.Act> ones =
         actions.of("closeIdle").stream().filter(a -> a.number() == 1).toList();
@@ -236,11 +238,11 @@
 
   @Test
   void oneFetchOfAKeyGoesFirst() {
-    balancer.membership(100, PolicyFixture.fleet(1));
-    balancer.request(100, PolicyFixture.request("a", "k", "safe", 1));
-    balancer.request(100, PolicyFixture.request("b", "k", "safe", 1));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(1));
+    balancer.onRequest(100, PolicyFixture.request("a", "k", "safe", 1));
+    balancer.onRequest(100, PolicyFixture.request("b", "k", "safe", 1));
     assertEquals(1, actions.of("send").size());
-    balancer.outcome(100.1, PolicyFixture.outcome("a", 0, 1, Outcome.Result.OK));
+    balancer.onOutcome(100.1, PolicyFixture.outcome("a", 0, 1, Outcome.Result.OK));
     assertEquals(2, actions.of("send").size());
     assertEquals("b", actions.of("send").get(1).id());
   }
@@ -279,29 +281,29 @@
 
   @Test
   void aFailedFetchThatIsRetriedKeepsNeitherItsPlaceNorItsKey() {
-    balancer.membership(100, PolicyFixture.fleet(1));
-    balancer.request(100, PolicyFixture.request("warm", "other", "safe", 1));
-    balancer.outcome(100.1, PolicyFixture.outcome("warm", 0, 1, Outcome.Result.OK));
-    balancer.membership(101, PolicyFixture.fleet(2));
-    balancer.request(102, PolicyFixture.request("a", "k", "safe", 1));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(1));
+    balancer.onRequest(100, PolicyFixture.request("warm", "other", "safe", 1));
+    balancer.onOutcome(100.1, PolicyFixture.outcome("warm", 0, 1, Outcome.Result.OK));
+    balancer.onMembershipUpdate(101, PolicyFixture.fleet(2));
+    balancer.onRequest(102, PolicyFixture.request("a", "k", "safe", 1));
     List<PolicyFixture.Act> sends = actions.of("send");
     long home = sends.get(sends.size() - 1).number();
-    balancer.outcome(102.1, PolicyFixture.outcome("a", 0, home, Outcome.Result.ERROR));
-    balancer.outcome(102.2, PolicyFixture.outcome("a", 1, 3 - home, Outcome.Result.OK));
+    balancer.onOutcome(102.1, PolicyFixture.outcome("a", 0, home, Outcome.Result.ERROR));
+    balancer.onOutcome(102.2, PolicyFixture.outcome("a", 1, 3 - home, Outcome.Result.OK));
     actions.acts.clear();
-    balancer.request(103, PolicyFixture.request("b", "k", "safe", 1));
+    balancer.onRequest(103, PolicyFixture.request("b", "k", "safe", 1));
     assertEquals(1, actions.of("send").size(), "it need not wait for a fetch that is over");
   }
 
   @Test
   void serversThatServeNothingAreSuspectUnlessManyFail() {
     List<Outcome.Result> ways =
-        List.of(Outcome.Result.TIMEOUT, Outcome.Result.FULL, Outcome.Result.ERROR);
+        List.of(Outcome.Result.TIMEOUT, Outcome.Result.SERVER_BUSY, Outcome.Result.ERROR);
     for (Outcome.Result way : ways) {
       for (boolean few : new boolean[] {true, false}) {
         ServerHealth one = server(1);
         // One that turns requests away may lack room for fetches alone: each counts for half.
-        int row = ServerHealth.UNSERVED_AFTER * (way == Outcome.Result.FULL ? 2 : 1);
+        int row = ServerHealth.UNSERVED_AFTER * (way == Outcome.Result.SERVER_BUSY ? 2 : 1);
         for (int i = 0; i < row; i++) {
           assertFalse(one.suspect());
           one.sent();
@@ -336,20 +338,20 @@
     for (int broken = 1; broken <= 4; broken++) {
       PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
       RequestRouter one = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, recorder);
-      one.membership(100, PolicyFixture.fleet(4));
+      one.onMembershipUpdate(100, PolicyFixture.fleet(4));
       for (int i = 0; i < 100; i++) {
-        one.request(100 + i * 0.001, PolicyFixture.request("r" + i, "k" + i, "unsafe", 1));
+        one.onRequest(100 + i * 0.001, PolicyFixture.request("r" + i, "k" + i, "unsafe", 1));
       }
       double now = 100.2;
       for (PolicyFixture.Act act : List.copyOf(recorder.of("send"))) {
         Outcome.Result result =
             act.number() <= broken ? Outcome.Result.CONNECT_FAILED : Outcome.Result.OK;
         now += 0.06;
-        one.outcome(now, PolicyFixture.outcome(act.id(), 0, act.number(), result));
+        one.onOutcome(now, PolicyFixture.outcome(act.id(), 0, act.number(), result));
       }
       recorder.acts.clear();
       for (int i = 0; i < 40; i++) {
-        one.request(now + 0.1, PolicyFixture.request("s" + i, "k" + i, "unsafe", 1));
+        one.onRequest(now + 0.1, PolicyFixture.request("s" + i, "k" + i, "unsafe", 1));
       }
       TreeSet<Long> used = new TreeSet<>();
       recorder.of("send").forEach(act -> used.add(act.number()));
@@ -386,16 +388,16 @@
 
   @Test
   void refusesWhatCannotBeAnsweredWithinItsAim() {
-    balancer.membership(100, PolicyFixture.fleet(1));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(1));
     for (int i = 0; i < 30; i++) {
       double now = 100 + i * 0.1;
-      balancer.request(now, PolicyFixture.request("a" + i, "k", "unsafe", 1));
-      balancer.outcome(now + 0.05, PolicyFixture.outcome("a" + i, 0, 1, Outcome.Result.OK));
+      balancer.onRequest(now, PolicyFixture.request("a" + i, "k", "unsafe", 1));
+      balancer.onOutcome(now + 0.05, PolicyFixture.outcome("a" + i, 0, 1, Outcome.Result.OK));
     }
     assertEquals(0, actions.of("refuse").size());
     // Ten a second are answered and the aim is half a second: of a hundred at once few can be.
     for (int i = 0; i < 100; i++) {
-      balancer.request(103.1, PolicyFixture.request("b" + i, "k", "unsafe", 1));
+      balancer.onRequest(103.1, PolicyFixture.request("b" + i, "k", "unsafe", 1));
     }
     int refused = actions.of("refuse").size();
     assertTrue(refused > 85 && refused < 100, refused + " refused");
@@ -443,12 +445,12 @@
     for (int i = 0; i < 2; i++) {
       PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
       RequestRouter local = new RequestRouter(priced(i == 0 ? 0.1 : 0.01), 1, recorder);
-      local.membership(100, PolicyFixture.fleet(10));
+      local.onMembershipUpdate(100, PolicyFixture.fleet(10));
       for (int key = 0; key < 30; key++) {
         String id = "k" + key;
-        local.request(100 + key, PolicyFixture.request(id, "key" + key, "safe", 1));
+        local.onRequest(100 + key, PolicyFixture.request(id, "key" + key, "safe", 1));
         PolicyFixture.Act sent = recorder.of("send").get(key);
-        local.outcome(
+        local.onOutcome(
             100.1 + key, PolicyFixture.outcome(sent.id(), 0, sent.number(), Outcome.Result.OK));
       }
       crossed[i] = recorder.of("send").stream().filter(act -> act.number() % 2 == 1).count();
@@ -474,7 +476,7 @@
         result,
         elapsed,
         result == Outcome.Result.OK,
-        result == Outcome.Result.OK ? Outcome.Note.MISS : Outcome.Note.NONE,
+        result == Outcome.Result.OK ? Outcome.CacheStatus.MISS : Outcome.CacheStatus.NONE,
         new LoadReport(-1, -1, utilization, -1, -1, -1, -1, -1));
   }
 
@@ -483,14 +485,14 @@
     for (double elapsed : new double[] {0.4, 0.6}) {
       PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
       RequestRouter one = new RequestRouter(SETTINGS, 1, recorder);
-      one.membership(100, PolicyFixture.fleet(1));
+      one.onMembershipUpdate(100, PolicyFixture.fleet(1));
       for (int i = 0; i < 40; i++) {
-        one.request(100 + i * 0.7, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
+        one.onRequest(100 + i * 0.7, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
         PolicyFixture.Act sent = recorder.of("send").get(i);
-        one.outcome(100 + i * 0.7 + elapsed, fetched(sent, Outcome.Result.OK, elapsed, 0.1));
+        one.onOutcome(100 + i * 0.7 + elapsed, fetched(sent, Outcome.Result.OK, elapsed, 0.1));
       }
       for (int i = 0; i < 3; i++) {
-        one.request(128, PolicyFixture.request("b" + i, "burst" + i, "safe", 1));
+        one.onRequest(128, PolicyFixture.request("b" + i, "burst" + i, "safe", 1));
       }
       assertEquals(elapsed > 0.5 ? 1 : 3, recorder.of("send").size() - 40, "after " + elapsed);
     }
@@ -498,15 +500,15 @@
 
   @Test
   void noRetriesWhileFetchesFail() {
-    balancer.membership(100, PolicyFixture.fleet(10));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(10));
     for (int i = 0; i < 40; i++) {
-      balancer.request(100 + i * 0.3, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
+      balancer.onRequest(100 + i * 0.3, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
       int sends;
       int attempt = 0;
       do {
         sends = actions.of("send").size();
         PolicyFixture.Act last = actions.of("send").get(sends - 1);
-        balancer.outcome(
+        balancer.onOutcome(
             100 + i * 0.3,
             PolicyFixture.outcome(last.id(), attempt++, last.number(), Outcome.Result.ERROR));
       } while (actions.of("send").size() > sends);
@@ -516,13 +518,13 @@
 
   @Test
   void reportsThatComeWithFetchesTellOfFullCores() {
-    balancer.membership(100, PolicyFixture.fleet(3));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(3));
     TreeMap<Long, Integer> late = new TreeMap<>();
     for (int i = 0; i < 900; i++) {
       double now = 100 + i * 0.02;
-      balancer.request(now, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
+      balancer.onRequest(now, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
       PolicyFixture.Act sent = actions.of("send").get(i);
-      balancer.outcome(now, fetched(sent, Outcome.Result.OK, 0.01, sent.number() == 1 ? 1 : 0.2));
+      balancer.onOutcome(now, fetched(sent, Outcome.Result.OK, 0.01, sent.number() == 1 ? 1 : 0.2));
       if (i > 450) {
         late.merge(sent.number(), 1, Integer::sum);
       }
@@ -533,9 +535,9 @@
   @Test
   void whereCrossingIsPricedWritesStayInTheZone() {
     RequestRouter local = new RequestRouter(priced(0.1), 1, actions);
-    local.membership(100, PolicyFixture.fleet(10));
+    local.onMembershipUpdate(100, PolicyFixture.fleet(10));
     for (int i = 0; i < 10; i++) {
-      local.request(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
+      local.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
     }
     Map<Boolean, Integer> inZone = new TreeMap<>();
     for (PolicyFixture.Act act : actions.of("send")) {
@@ -546,7 +548,7 @@
 
   @Test
   void nonsenseFiguresNeitherBreakNorEmptyTheChoice() {
-    balancer.membership(
+    balancer.onMembershipUpdate(
         100,
         PolicyFixture.list(
             MembershipUpdate.Kind.FULL,
@@ -556,11 +558,11 @@
     for (int i = 0; i < 60; i++) {
       Request request =
           new Request("n" + i, i % 2 == 0 ? null : "k", "nobody", null, 1, -1, -1, true, false);
-      balancer.request(100 + i, request);
+      balancer.onRequest(100 + i, request);
       PolicyFixture.Act last = actions.acts.get(actions.acts.size() - 1);
       assertEquals("send", last.what());
       double odd = i % 3 == 0 ? Double.NaN : i % 3 == 1 ? -7 : 1e18;
-      balancer.outcome(
+      balancer.onOutcome(
           100 + i,
           new Outcome(
               "n" + i,
@@ -569,7 +571,7 @@
               Outcome.Result.OK,
               0.1,
               true,
-              Outcome.Note.HIT,
+              Outcome.CacheStatus.HIT,
               new LoadReport(odd, odd, odd, odd, odd, odd, odd, odd)));
     }
   }
@@ -577,17 +579,17 @@
   @Test
   void aHungServerIsBlamedForItsTimeOuts() {
     RequestRouter single = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, actions);
-    single.membership(100, PolicyFixture.fleet(2));
+    single.onMembershipUpdate(100, PolicyFixture.fleet(2));
     TreeMap<Long, Integer> late = new TreeMap<>();
     for (int i = 0; i < 600; i++) {
       double now = 100 + i * 0.02;
       String id = "q" + i;
-      single.request(now, PolicyFixture.request(id, "fresh" + i, "safe", 1));
+      single.onRequest(now, PolicyFixture.request(id, "fresh" + i, "safe", 1));
       PolicyFixture.Act last = actions.acts.get(actions.acts.size() - 1);
       if (last.what().equals("send")) {
         // Server 1 hangs one in eight: too few failures to be the origin's.
         boolean hangs = last.number() == 1 && i % 8 == 0;
-        single.outcome(
+        single.onOutcome(
             now,
             PolicyFixture.outcome(
                 id, 0, last.number(), hangs ? Outcome.Result.TIMEOUT : Outcome.Result.OK));
@@ -601,12 +603,12 @@
 
   @Test
   void clientsThatLeaveAreNotAnsweredAndTheirAttemptsAreCalledOff() {
-    balancer.membership(100, PolicyFixture.fleet(3));
-    balancer.request(100, PolicyFixture.request("gone", "k", "safe", 1));
-    balancer.clientGone(100.1, "gone");
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(3));
+    balancer.onRequest(100, PolicyFixture.request("gone", "k", "safe", 1));
+    balancer.onClientDisconnected(100.1, "gone");
     assertEquals(1, actions.of("cancel").size());
     long token = actions.of("wake").get(0).number();
-    balancer.timer(101, token);
+    balancer.onTimer(101, token);
     assertTrue(actions.of("fail").isEmpty() && actions.of("refuse").isEmpty());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/FleetTest.java
+++ b/core/src/test/java/shalepaddle/policy/FleetTest.java
@@ -44,7 +44,7 @@
       nodes.add(
           new RequestRouter(
               PolicyFixture.settings(number, NODES, false, 4, true), number, recorder));
-      nodes.get(number).membership(100, PolicyFixture.fleet(SERVERS));
+      nodes.get(number).onMembershipUpdate(100, PolicyFixture.fleet(SERVERS));
     }
     play(100, 110);
     Arrays.fill(sends, 0);
@@ -61,13 +61,13 @@
       String id = "r" + serial++;
       PolicyFixture.Recorder recorder = actions.get(number);
       recorder.acts.clear();
-      nodes.get(number).request(now, PolicyFixture.request(id, "k" + key, "safe", 1));
+      nodes.get(number).onRequest(now, PolicyFixture.request(id, "k" + key, "safe", 1));
       for (PolicyFixture.Act act : recorder.of("send")) {
         sends[(int) act.number()]++;
         homes.computeIfAbsent(key, k -> new HashSet<>()).add(act.number());
         nodes
             .get(number)
-            .outcome(now, PolicyFixture.outcome(id, 0, act.number(), Outcome.Result.OK));
+            .onOutcome(now, PolicyFixture.outcome(id, 0, act.number(), Outcome.Result.OK));
       }
     }
   }
@@ -75,7 +75,8 @@
   /** These servers have just started anew, and all nodes are told. */
   private void restart(List<ServerEntry> started) {
     nodes.forEach(
-        node -> node.membership(110, PolicyFixture.list(MembershipUpdate.Kind.CHANGES, started)));
+        node ->
+            node.onMembershipUpdate(110, PolicyFixture.list(MembershipUpdate.Kind.DELTA, started)));
   }
 
   /**
--- a/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
+++ b/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
@@ -18,20 +18,20 @@
   private int attempts;
 
   ObservedAttemptTest() {
-    balancer.membership(now, PolicyFixture.fleet(6));
+    balancer.onMembershipUpdate(now, PolicyFixture.fleet(6));
   }
 
   /** Another process has had this attempt. */
   private void witness(String key, long server, Result result) {
     String id = "~" + attempts++;
-    balancer.witness(now += 0.003, PolicyFixture.request(id, key, "safe", 1), server);
+    balancer.observeAttempt(now += 0.003, PolicyFixture.request(id, key, "safe", 1), server);
     Outcome outcome = PolicyFixture.outcome(id, 0, server, result);
-    balancer.outcome(now += 0.001, outcome);
+    balancer.onOutcome(now += 0.001, outcome);
   }
 
   private long sent(String id, String key) {
     int seen = actions.acts.size();
-    balancer.request(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
+    balancer.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
     return actions.acts.stream()
         .skip(seen)
         .filter(act -> act.what().equals("send"))
@@ -48,8 +48,8 @@
     assertEquals(0, actions.of("refuse").size() + actions.of("fail").size(), "answers");
     assertEquals(0, actions.of("wake").size(), "timers");
     // A late end of such an attempt, or one told twice, changes nothing.
-    balancer.outcome(now, PolicyFixture.outcome("~0", 0, 1, Result.ERROR));
-    balancer.timer(now, 2);
+    balancer.onOutcome(now, PolicyFixture.outcome("~0", 0, 1, Result.ERROR));
+    balancer.onTimer(now, 2);
     assertEquals(0, actions.of("refuse").size() + actions.of("fail").size(), "answers");
   }
 
@@ -64,7 +64,7 @@
       String id = "r" + i;
       long server = sent(id, "k" + i);
       tried += server == 3 ? 1 : 0;
-      balancer.outcome(
+      balancer.onOutcome(
           now, PolicyFixture.outcome(id, 0, server, server == 3 ? Result.ERROR : Result.OK));
     }
     // Half a second of requests holds one trial.
@@ -79,18 +79,19 @@
     String id = "~" + attempts++;
     int seen = its.acts.size();
     PolicyFixture.Act sent = null;
-    before.request(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
+    before.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
     for (PolicyFixture.Act act : its.acts.subList(seen, its.acts.size())) {
       sent = act.what().equals("send") ? act : sent;
     }
     if (sent != null) {
-      balancer.witness(now, PolicyFixture.request(id, key, "safe", 1), sent.number());
+      balancer.observeAttempt(now, PolicyFixture.request(id, key, "safe", 1), sent.number());
       Outcome outcome =
           held
               ? PolicyFixture.outcome(id, 0, sent.number(), Result.OK)
-              : new Outcome(id, 0, sent.number(), Result.TIMEOUT, 1, true, Outcome.Note.NONE, null);
-      before.outcome(now, outcome);
-      balancer.outcome(now, outcome);
+              : new Outcome(
+                  id, 0, sent.number(), Result.TIMEOUT, 1, true, Outcome.CacheStatus.NONE, null);
+      before.onOutcome(now, outcome);
+      balancer.onOutcome(now, outcome);
     }
   }
 
@@ -98,7 +99,7 @@
   void aWindowThatHadShrunkLetsWhatTheCachesHoldPass() {
     PolicyFixture.Recorder its = new PolicyFixture.Recorder();
     RequestRouter before = new RequestRouter(PolicyFixture.settings(false, 4, true), 1, its);
-    before.membership(now, PolicyFixture.fleet(6));
+    before.onMembershipUpdate(now, PolicyFixture.fleet(6));
     for (int i = 0; i < KEYS; i++) {
       bothLive(before, its, "held" + i, true);
     }
@@ -110,7 +111,7 @@
     for (int i = 0; i < KEYS; i++) {
       long server = sent("h" + i, "held" + i);
       hits += server == 0 ? 0 : 1;
-      balancer.outcome(now, PolicyFixture.outcome("h" + i, 0, server, Result.OK));
+      balancer.onOutcome(now, PolicyFixture.outcome("h" + i, 0, server, Result.OK));
       fetches += sent("n" + i, "other" + i) == 0 ? 0 : 1;
     }
     assertTrue(hits > KEYS * 0.9, hits + " of " + KEYS + " reads of what is held were sent");
--- a/core/src/test/java/shalepaddle/policy/OriginFetchTest.java
+++ b/core/src/test/java/shalepaddle/policy/OriginFetchTest.java
@@ -20,7 +20,7 @@
   private int served;
 
   OriginFetchTest() {
-    balancer.membership(now, PolicyFixture.fleet(9));
+    balancer.onMembershipUpdate(now, PolicyFixture.fleet(9));
   }
 
   /**
@@ -29,7 +29,7 @@
    */
   private long ask(String id, String key, boolean held, LongPredicate noRoom) {
     int seen = actions.acts.size();
-    balancer.request(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
+    balancer.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
     int attempt = 0;
     for (int i = seen; i < actions.acts.size(); i++) {
       PolicyFixture.Act act = actions.acts.get(i);
@@ -40,8 +40,10 @@
       now += full ? 0.016 : 0.004;
       busy += full ? 1 : 0;
       served += full ? 0 : 1;
-      balancer.outcome(
-          now, PolicyFixture.outcome(id, attempt++, act.number(), full ? Result.FULL : Result.OK));
+      balancer.onOutcome(
+          now,
+          PolicyFixture.outcome(
+              id, attempt++, act.number(), full ? Result.SERVER_BUSY : Result.OK));
       if (!full) {
         return act.number();
       }
@@ -85,14 +87,14 @@
   void oneServersLossesAreNotTheOrigins() {
     for (int i = 0; i < 400; i++) {
       String id = "n" + i;
-      balancer.request(now += 0.01, PolicyFixture.request(id, "new" + i, "safe", 1));
+      balancer.onRequest(now += 0.01, PolicyFixture.request(id, "new" + i, "safe", 1));
       List<PolicyFixture.Act> sent = actions.of("send");
       PolicyFixture.Act last = sent.get(sent.size() - 1);
       Result result = last.number() == 1 ? Result.ERROR : Result.OK;
-      balancer.outcome(now, PolicyFixture.outcome(id, 0, last.number(), result));
+      balancer.onOutcome(now, PolicyFixture.outcome(id, 0, last.number(), result));
     }
     for (int i = 0; i < 60; i++) {
-      balancer.request(now, PolicyFixture.request("o" + i, "other" + i, "safe", 1));
+      balancer.onRequest(now, PolicyFixture.request("o" + i, "other" + i, "safe", 1));
     }
     assertEquals(60, actions.of("send").stream().filter(a -> a.id().startsWith("o")).count());
   }
@@ -100,22 +102,23 @@
   @Test
   void aQueueForTheOriginIsShortAndWhoFindsItFullIsRefusedAtOnce() {
     RequestRouter once = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, actions);
-    once.membership(now, PolicyFixture.fleet(9));
+    once.onMembershipUpdate(now, PolicyFixture.fleet(9));
     for (int i = 0; i < 60; i++) {
       String id = "n" + i;
-      once.request(now += 0.3, PolicyFixture.request(id, "new" + i, "safe", 1));
+      once.onRequest(now += 0.3, PolicyFixture.request(id, "new" + i, "safe", 1));
       List<PolicyFixture.Act> sent = actions.of("send");
       if (!sent.isEmpty() && sent.get(sent.size() - 1).id().equals(id)) {
         long server = sent.get(sent.size() - 1).number();
         // An error that names a miss: it is the origin's.
-        once.outcome(
-            now, new Outcome(id, 0, server, Result.ERROR, 0.05, false, Outcome.Note.MISS, null));
+        once.onOutcome(
+            now,
+            new Outcome(id, 0, server, Result.ERROR, 0.05, false, Outcome.CacheStatus.MISS, null));
       }
     }
     int before = actions.of("refuse").size() + actions.of("fail").size();
     now += 0.001;
     for (int i = 0; i < 100; i++) {
-      once.request(now, PolicyFixture.request("q" + i, "queued" + i, "safe", 1));
+      once.onRequest(now, PolicyFixture.request("q" + i, "queued" + i, "safe", 1));
     }
     int refused = actions.of("refuse").size() + actions.of("fail").size() - before;
     assertTrue(refused >= 90, refused + " of 100 refused at once");
--- a/core/src/test/java/shalepaddle/policy/PolicyFixture.java
+++ b/core/src/test/java/shalepaddle/policy/PolicyFixture.java
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void refuse(String requestId, double retryAfter) {
+    public void reject(String requestId, double retryAfter) {
       acts.add(new Act("refuse", requestId, 0, retryAfter));
     }
 
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public void wake(long token, double delay) {
+    public void scheduleTimer(long token, double delay) {
       acts.add(new Act("wake", "", token, delay));
     }
 
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void closeIdle(long server) {
+    public void closeIdleConnections(long server) {
       acts.add(new Act("closeIdle", "", server, 0));
     }
 
@@ -73,11 +73,15 @@
         maxAttempts,
         parallel,
         List.of(
-            service("safe", Settings.Effect.SAFE, Settings.Group.ALL),
-            service("all", Settings.Effect.KEYED, Settings.Group.ALL),
-            service("zone", Settings.Effect.KEYED, Settings.Group.ZONE),
-            service("cell", Settings.Effect.KEYED, Settings.Group.CELL),
-            service("unsafe", Settings.Effect.UNSAFE, Settings.Group.ALL)));
+            service("safe", Settings.Idempotency.IDEMPOTENT, Settings.DeduplicationScope.ALL),
+            service(
+                "all", Settings.Idempotency.IDEMPOTENT_WITH_KEY, Settings.DeduplicationScope.ALL),
+            service(
+                "zone", Settings.Idempotency.IDEMPOTENT_WITH_KEY, Settings.DeduplicationScope.ZONE),
+            service(
+                "cell", Settings.Idempotency.IDEMPOTENT_WITH_KEY, Settings.DeduplicationScope.CELL),
+            service(
+                "unsafe", Settings.Idempotency.NOT_IDEMPOTENT, Settings.DeduplicationScope.ALL)));
   }
 
   /** Those with these classes. */
@@ -107,7 +111,8 @@
         0.005);
   }
 
-  static Settings.ServiceClass service(String name, Settings.Effect effect, Settings.Group group) {
+  static Settings.ServiceClass service(
+      String name, Settings.Idempotency effect, Settings.DeduplicationScope group) {
     return new Settings.ServiceClass(name, 0.5, 0, 2, 1, 0.2, effect, group, 1, false);
   }
 
@@ -128,7 +133,7 @@
     for (long id = 1; id <= size; id++) {
       entries.add(server(id));
     }
-    return list(MembershipUpdate.Kind.REMEMBERED, entries);
+    return list(MembershipUpdate.Kind.CACHED, entries);
   }
 
   static Request request(String id, String key, String type, double budget) {
@@ -143,7 +148,7 @@
         result,
         0.05,
         result == Outcome.Result.OK,
-        result == Outcome.Result.OK ? Outcome.Note.HIT : Outcome.Note.NONE,
+        result == Outcome.Result.OK ? Outcome.CacheStatus.HIT : Outcome.CacheStatus.NONE,
         null);
   }
 }
--- a/core/src/test/java/shalepaddle/policy/RingProbingTest.java
+++ b/core/src/test/java/shalepaddle/policy/RingProbingTest.java
@@ -23,7 +23,7 @@
   void aFullHomeSendsTheKeyToItsNextOwner() {
     PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
     RequestRouter balancer = balancer(actions, 1);
-    balancer.membership(100, PolicyFixture.fleet(10));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(10));
     ConsistentHashRing table = new ConsistentHashRing();
     List<ServerHealth> servers = new ArrayList<>();
     for (long id = 1; id <= 10; id++) {
@@ -41,7 +41,7 @@
       }
     }
     for (int i = 0; i < 6; i++) {
-      balancer.request(100, PolicyFixture.request("w" + i, "k", "unsafe", 1));
+      balancer.onRequest(100, PolicyFixture.request("w" + i, "k", "unsafe", 1));
     }
     assertEquals(want, sends(actions));
   }
@@ -50,9 +50,9 @@
   void endsWhenAllServersAreAtTheirCap() {
     PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
     RequestRouter balancer = balancer(actions, 1);
-    balancer.membership(100, PolicyFixture.fleet(2));
+    balancer.onMembershipUpdate(100, PolicyFixture.fleet(2));
     for (int i = 0; i < 500; i++) {
-      balancer.request(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
+      balancer.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
     }
     assertEquals(500, sends(actions).size());
     long first = sends(actions).stream().filter(id -> id == 1).count();
@@ -63,25 +63,24 @@
   void sameListByDifferentRoutesGivesTheSameHomes() {
     PolicyFixture.Recorder one = new PolicyFixture.Recorder();
     RequestRouter whole = balancer(one, 1);
-    whole.membership(100, PolicyFixture.fleet(9));
+    whole.onMembershipUpdate(100, PolicyFixture.fleet(9));
     PolicyFixture.Recorder two = new PolicyFixture.Recorder();
     RequestRouter pieces = balancer(two, 2);
-    pieces.membership(100, PolicyFixture.fleet(4));
+    pieces.onMembershipUpdate(100, PolicyFixture.fleet(4));
     for (long id = 12; id >= 5; id--) {
-      pieces.membership(
-          100,
-          PolicyFixture.list(MembershipUpdate.Kind.CHANGES, List.of(PolicyFixture.server(id))));
+      pieces.onMembershipUpdate(
+          100, PolicyFixture.list(MembershipUpdate.Kind.DELTA, List.of(PolicyFixture.server(id))));
     }
     for (long id = 10; id <= 12; id++) {
-      pieces.membership(
+      pieces.onMembershipUpdate(
           100,
           PolicyFixture.list(
-              MembershipUpdate.Kind.CHANGES,
+              MembershipUpdate.Kind.DELTA,
               List.of(PolicyFixture.server(id, ServerEntry.State.GONE, 0))));
     }
     for (int i = 0; i < 20; i++) {
-      whole.request(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
-      pieces.request(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
+      whole.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
+      pieces.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
     }
     assertEquals(sends(one), sends(two));
   }
--- a/core/src/test/java/shalepaddle/policy/RuleChecker.java
+++ b/core/src/test/java/shalepaddle/policy/RuleChecker.java
@@ -60,7 +60,7 @@
             .filter(s -> s.name().equals(request.serviceClass()))
             .findFirst()
             .orElseThrow();
-    requests.put(request.id(), new Tracked(request, type, now + request.budget()));
+    requests.put(request.id(), new Tracked(request, type, now + request.budgetSeconds()));
   }
 
   void ends(String id, int attempt, Outcome.Result result) {
@@ -79,7 +79,7 @@
   /** Notes requests that had no answer in time. */
   void checkDeadlines() {
     for (Tracked t : requests.values()) {
-      if (!t.over && now > t.deadline + settings.contract().answerGrace()) {
+      if (!t.over && now > t.deadline + settings.contract().responseGraceSeconds()) {
         breaches.add("rule 1: no answer for " + t.request.id());
         t.over = true;
       }
@@ -102,7 +102,7 @@
     }
     Attempt first = null;
     for (Attempt a : t.attempts) {
-      if (a.out && !settings.limits().parallelAttempts()) {
+      if (a.out && !settings.limits().allowsParallelAttempts()) {
         breaches.add("rule 2: two attempts out together");
       }
       if (first == null && (a.out || a.mayHaveRun)) {
@@ -110,50 +110,50 @@
       }
     }
     if (first != null && to != null) {
-      if (t.type.effect() == Settings.Effect.UNSAFE) {
+      if (t.type.idempotency() == Settings.Idempotency.NOT_IDEMPOTENT) {
         breaches.add("rule 2: unsafe request sent again");
-      } else if (t.type.effect() == Settings.Effect.KEYED) {
+      } else if (t.type.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY) {
         ServerEntry was = servers.get(first.server);
         boolean same =
-            switch (t.type.group()) {
+            switch (t.type.deduplicationScope()) {
               case ALL -> true;
               case ZONE -> was != null && was.zone().equals(to.zone());
               case CELL -> was != null && was.cell() == to.cell();
             };
-        if (!same || now > first.sentAt + t.type.repeatWindow()) {
+        if (!same || now > first.sentAt + t.type.idempotencyWindowSeconds()) {
           breaches.add("rule 2: keyed request sent where or when repeats are not dropped");
         }
-        if (now + within > first.sentAt + t.type.repeatWindow()) {
+        if (now + within > first.sentAt + t.type.idempotencyWindowSeconds()) {
           breaches.add("rule 2: keyed request that may wait until repeats are not dropped");
         }
       }
     }
     t.attempts.add(new Attempt(server, now));
-    double warmWithin = settings.contract().warmWithin();
-    if (to != null && to.startedAt() > 0 && now - to.startedAt() < warmWithin) {
+    double warmWithin = settings.contract().slowStartSeconds();
+    if (to != null && to.startedAtSeconds() > 0 && now - to.startedAtSeconds() < warmWithin) {
       List<Double> sends = coldSends.computeIfAbsent(server, s -> new ArrayList<>());
       sends.add(now);
-      double window = settings.contract().overloadFor();
-      double from = settings.contract().coldFrom();
-      double warmth = from + (1 - from) * (now - to.startedAt()) / warmWithin;
+      double window = settings.contract().overloadSeconds();
+      double from = settings.contract().slowStartMinRatio();
+      double warmth = from + (1 - from) * (now - to.startedAtSeconds()) / warmWithin;
       long recent = sends.stream().filter(at -> at > now - window).count();
-      if (recent > settings.contract().overloadFactor() * warmth * warmRate * window + 2) {
+      if (recent > settings.contract().overloadRatio() * warmth * warmRate * window + 2) {
         breaches.add("rule 4: cold server pushed over");
       }
     }
   }
 
   @Override
-  public void refuse(String requestId, double retryAfter) {
-    super.refuse(requestId, retryAfter);
+  public void reject(String requestId, double retryAfter) {
+    super.reject(requestId, retryAfter);
     Tracked t = answered(requestId);
     Attempt first = t.attempts.stream().filter(a -> a.out || a.mayHaveRun).findFirst().orElse(null);
     boolean harmless =
         first == null
-            || t.type.effect() == Settings.Effect.SAFE
-            || (t.type.effect() == Settings.Effect.KEYED
-                && t.type.group() == Settings.Group.ALL
-                && now < first.sentAt + t.type.repeatWindow());
+            || t.type.idempotency() == Settings.Idempotency.IDEMPOTENT
+            || (t.type.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
+                && t.type.deduplicationScope() == Settings.DeduplicationScope.ALL
+                && now < first.sentAt + t.type.idempotencyWindowSeconds());
     if (!harmless) {
       breaches.add("rule 2: refused what may have run");
     }
--- a/core/src/test/java/shalepaddle/policy/RulesTest.java
+++ b/core/src/test/java/shalepaddle/policy/RulesTest.java
@@ -27,7 +27,7 @@
     for (ServerEntry line : lines) {
       world.servers.put(line.id(), line);
     }
-    balancer.membership(world.now, PolicyFixture.list(kind, lines));
+    balancer.onMembershipUpdate(world.now, PolicyFixture.list(kind, lines));
   }
 
   private static String play(long seed, boolean parallel, List<String> breaches) {
@@ -41,14 +41,14 @@
     for (long id = 1; id <= random.nextInt(8); id++) {
       first.add(PolicyFixture.server(id));
     }
-    membership(world, balancer, MembershipUpdate.Kind.REMEMBERED, first);
+    membership(world, balancer, MembershipUpdate.Kind.CACHED, first);
     TreeMap<Double, List<Long>> timers = new TreeMap<>();
     int seen = 0;
     for (int step = 0; step < 4000; step++) {
       world.now += random.nextInt(3) * 0.005;
       while (!timers.isEmpty() && timers.firstKey() <= world.now) {
         for (long token : timers.pollFirstEntry().getValue()) {
-          balancer.timer(world.now, token);
+          balancer.onTimer(world.now, token);
         }
       }
       int what = step > 3000 ? 9 : random.nextInt(10);
@@ -57,7 +57,7 @@
         String key = random.nextInt(9) == 0 ? null : "k" + random.nextInt(40);
         var request = PolicyFixture.request("r" + step, key, type, 0.05 + random.nextDouble());
         world.arrives(request);
-        balancer.request(world.now, request);
+        balancer.onRequest(world.now, request);
       } else if (what == 4 && random.nextInt(8) == 0) {
         long id = 1 + random.nextInt(12);
         ServerEntry.State state = ServerEntry.State.values()[random.nextInt(3)];
@@ -65,10 +65,11 @@
         membership(
             world,
             balancer,
-            MembershipUpdate.Kind.CHANGES,
+            MembershipUpdate.Kind.DELTA,
             List.of(PolicyFixture.server(id, state, started)));
       } else if (what == 5 && random.nextInt(20) == 0) {
-        balancer.membership(world.now, PolicyFixture.list(MembershipUpdate.Kind.FAILED, List.of()));
+        balancer.onMembershipUpdate(
+            world.now, PolicyFixture.list(MembershipUpdate.Kind.FAILED, List.of()));
       } else {
         step(world, balancer, random);
       }
@@ -97,7 +98,7 @@
           var result = due ? Outcome.Result.TIMEOUT : results[random.nextInt(results.length - 1)];
           boolean over = t.over;
           world.ends(t.request.id(), i, result);
-          balancer.outcome(
+          balancer.onOutcome(
               world.now,
               new Outcome(
                   t.request.id(),
@@ -106,13 +107,13 @@
                   result,
                   world.now - a.sentAt,
                   over || result == Outcome.Result.OK,
-                  random.nextBoolean() ? Outcome.Note.HIT : Outcome.Note.MISS,
+                  random.nextBoolean() ? Outcome.CacheStatus.HIT : Outcome.CacheStatus.MISS,
                   null));
         }
       }
       if (!t.over && random.nextInt(300) == 0) {
         world.gone(t.request.id());
-        balancer.clientGone(world.now, t.request.id());
+        balancer.onClientDisconnected(world.now, t.request.id());
       }
     }
     world.requests.values().removeIf(t -> t.over && t.attempts.stream().noneMatch(a -> a.out));
@@ -141,7 +142,7 @@
     for (long id = 1; id <= 8; id++) {
       fleet.add(PolicyFixture.server(id));
     }
-    membership(world, balancer, MembershipUpdate.Kind.REMEMBERED, fleet);
+    membership(world, balancer, MembershipUpdate.Kind.CACHED, fleet);
     Random random = new Random(4);
     world.warmRate = 200.0 / 8;
     int coldSends = 0;
@@ -151,19 +152,19 @@
         membership(
             world,
             balancer,
-            MembershipUpdate.Kind.CHANGES,
+            MembershipUpdate.Kind.DELTA,
             List.of(PolicyFixture.server(3, ServerEntry.State.READY, world.now)));
       }
       var request = PolicyFixture.request("r" + i, "k" + random.nextInt(500), "safe", 1);
       world.arrives(request);
-      balancer.request(world.now, request);
+      balancer.onRequest(world.now, request);
       for (RuleChecker.Tracked t : new ArrayList<>(world.requests.values())) {
         for (int a = 0; a < t.attempts.size(); a++) {
           if (t.attempts.get(a).out) {
             long server = t.attempts.get(a).server;
             coldSends += i > 2000 && i < 4000 && server == 3 ? 1 : 0;
             world.ends(t.request.id(), a, Outcome.Result.OK);
-            balancer.outcome(
+            balancer.onOutcome(
                 world.now, PolicyFixture.outcome(t.request.id(), a, server, Outcome.Result.OK));
           }
         }
@@ -201,7 +202,7 @@
     world.send("x", 1, 0);
     world.ends("x", 0, Outcome.Result.TIMEOUT);
     world.send("x", 1, 0);
-    world.refuse("x", 0);
+    world.reject("x", 0);
     assertEquals(
         List.of("rule 2: unsafe request sent again", "rule 2: refused what may have run"),
         world.breaches);
@@ -217,7 +218,7 @@
     world.send("x", 1, 0.6);
     world.ends("x", 1, Outcome.Result.RESET);
     world.now += 0.6;
-    world.refuse("x", 0);
+    world.reject("x", 0);
     assertEquals(
         List.of(
             "rule 2: keyed request that may wait until repeats are not dropped",
--- a/core/src/test/java/shalepaddle/policy/ServerStartTimesTest.java
+++ b/core/src/test/java/shalepaddle/policy/ServerStartTimesTest.java
@@ -32,7 +32,7 @@
   @ValueSource(doubles = {0, 3600, -3600})
   void aFirstListOfOldServersIsWarm(double skew) {
     double then = NOW + skew - 600;
-    learn(NOW, Kind.REMEMBERED, then, then + 1, then + 2, 0);
+    learn(NOW, Kind.CACHED, then, then + 1, then + 2, 0);
     for (int id = 1; id <= 4; id++) {
       assertEquals(ServerStartTimes.LONG_AGO, starts.of(id));
     }
@@ -42,7 +42,7 @@
   @ValueSource(doubles = {0, 3600, -3600})
   void theNewestOfAFirstListMayHaveStartedJustNow(double skew) {
     double then = NOW + skew;
-    learn(NOW, Kind.REMEMBERED, then - 600, then - 500, then - 4, then - 1, then - 12);
+    learn(NOW, Kind.CACHED, then - 600, then - 500, then - 4, then - 1, then - 12);
     assertEquals(ServerStartTimes.LONG_AGO, starts.of(1));
     assertEquals(NOW - 3, starts.of(3), "three seconds older than the newest");
     assertEquals(NOW, starts.of(4));
@@ -60,7 +60,7 @@
   @ValueSource(doubles = {0, 3600, -3600})
   void aStartThatIsToldLaterCountsFromWhenItIsHeardOf(double step) {
     learn(NOW, Kind.FULL, NOW - 600, NOW - 900);
-    learn(NOW + 50, Kind.CHANGES, NOW + 49 + step);
+    learn(NOW + 50, Kind.DELTA, NOW + 49 + step);
     assertEquals(NOW + 50, starts.of(1));
     assertEquals(ServerStartTimes.LONG_AGO, starts.of(2));
     learn(NOW + 90, Kind.FULL, NOW + 49 + step, NOW - 900);
@@ -69,8 +69,8 @@
 
   @Test
   void aChangeThatComesBeforeAnyWholeListCountsFromWhenItIsHeardOf() {
-    learn(NOW, Kind.REMEMBERED, NOW - 600, NOW - 700, NOW - 800);
-    learn(NOW + 1, Kind.CHANGES, NOW - 2);
+    learn(NOW, Kind.CACHED, NOW - 600, NOW - 700, NOW - 800);
+    learn(NOW + 1, Kind.DELTA, NOW - 2);
     assertEquals(NOW + 1, starts.of(1));
   }
 
--- a/core/src/test/java/shalepaddle/policy/SlowStartTest.java
+++ b/core/src/test/java/shalepaddle/policy/SlowStartTest.java
@@ -107,7 +107,7 @@
       nodes.add(
           new RequestRouter(
               PolicyFixture.settings(number, size, false, 4, true), number, recorder));
-      nodes.get(number).membership(100, PolicyFixture.fleet(SERVERS));
+      nodes.get(number).onMembershipUpdate(100, PolicyFixture.fleet(SERVERS));
     }
     play(100, START, rate, Load.EVEN);
     for (int i = 0; i < start.servers; i++) {
@@ -120,8 +120,8 @@
       ServerEntry entry = PolicyFixture.server(id, ServerEntry.State.READY, at);
       nodes.forEach(
           node ->
-              node.membership(
-                  at, PolicyFixture.list(MembershipUpdate.Kind.CHANGES, List.of(entry))));
+              node.onMembershipUpdate(
+                  at, PolicyFixture.list(MembershipUpdate.Kind.DELTA, List.of(entry))));
     }
     play(START + (start.servers - 1) * start.apart, END, rate, load);
     assertTrue(worstExcess <= 0, worst);
@@ -135,12 +135,12 @@
       int key = random.nextDouble() < load.hotShare ? HOT_KEY : random.nextInt(KEYS);
       PolicyFixture.Recorder recorder = actions.get(number);
       recorder.acts.clear();
-      nodes.get(number).request(now, PolicyFixture.request(id, "k" + key, "safe", 1));
+      nodes.get(number).onRequest(now, PolicyFixture.request(id, "k" + key, "safe", 1));
       for (PolicyFixture.Act act : recorder.of("send")) {
         sent(now, act.number(), rate);
         nodes
             .get(number)
-            .outcome(now, PolicyFixture.outcome(id, 0, act.number(), Outcome.Result.OK));
+            .onOutcome(now, PolicyFixture.outcome(id, 0, act.number(), Outcome.Result.OK));
       }
     }
   }
@@ -151,16 +151,18 @@
       return;
     }
     var contract = PolicyFixture.settings(0, 1, false, 4, true).contract();
-    double window = contract.overloadFor();
+    double window = contract.overloadSeconds();
     ArrayDeque<Double> sends = recent.computeIfAbsent(server, id -> new ArrayDeque<>());
     sends.addLast(now);
     while (sends.peekFirst() <= now - window) {
       sends.removeFirst();
     }
     double age = now - started;
-    if (age < contract.warmWithin()) {
-      double warmth = contract.coldFrom() + (1 - contract.coldFrom()) * age / contract.warmWithin();
-      double allowed = contract.overloadFactor() * warmth * rate / USUAL_LOAD * window;
+    if (age < contract.slowStartSeconds()) {
+      double warmth =
+          contract.slowStartMinRatio()
+              + (1 - contract.slowStartMinRatio()) * age / contract.slowStartSeconds();
+      double allowed = contract.overloadRatio() * warmth * rate / USUAL_LOAD * window;
       double room = allowed < 30 ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
       double excess = sends.size() - allowed - room;
       if (excess > worstExcess) {
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaReplyDecoder.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaReplyDecoder.java
@@ -100,20 +100,20 @@
       if (!line.next()) {
         throw new MetaLine.MalformedException("error without a word");
       }
-      result = line.is("busy") ? Outcome.Result.FULL : Outcome.Result.ERROR;
+      result = line.is("busy") ? Outcome.Result.SERVER_BUSY : Outcome.Result.ERROR;
     } else if (!line.is("HD")) {
       throw new MetaLine.MalformedException("unknown reply");
     }
     String id = null;
     String receipt = null;
-    Outcome.Note note = Outcome.Note.NONE;
+    Outcome.CacheStatus note = Outcome.CacheStatus.NONE;
     LoadReport load = null;
     while (line.next()) {
       switch (line.flag()) {
         case 'O' -> id = line.word(1);
         case 'c' -> receipt = line.word(1);
-        case 'h' -> note = line.is("h1") ? Outcome.Note.HIT : Outcome.Note.MISS;
-        case 'Z' -> note = Outcome.Note.MISS_PENDING;
+        case 'h' -> note = line.is("h1") ? Outcome.CacheStatus.HIT : Outcome.CacheStatus.MISS;
+        case 'Z' -> note = Outcome.CacheStatus.MISS_PENDING;
         case 'L' -> load = load(line.word(1));
         default -> {
           // Nothing that this node knows the use of.
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaServerCodec.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaServerCodec.java
@@ -42,7 +42,7 @@
     if (call.payload().idempotencyKey() != null) {
       line.append(",k=").append(call.payload().idempotencyKey());
     }
-    if (request.repeat()) {
+    if (request.retry()) {
       line.append(",r=1");
     }
     ByteBuf head = allocator.buffer(line.length() + 2);
--- a/engine/src/main/java/shalepaddle/config/NodeConfig.java
+++ b/engine/src/main/java/shalepaddle/config/NodeConfig.java
@@ -166,7 +166,7 @@
   /** The longest time that a client may wait, in seconds. */
   public double longestDeadline() {
     return settings.services().stream()
-        .mapToDouble(Settings.ServiceClass::deadline)
+        .mapToDouble(Settings.ServiceClass::deadlineSeconds)
         .max()
         .orElseThrow();
   }
--- a/engine/src/main/java/shalepaddle/config/OperatorFile.java
+++ b/engine/src/main/java/shalepaddle/config/OperatorFile.java
@@ -26,7 +26,7 @@
 public record OperatorFile(OverloadConfig overload, CoalescingConfig joining) {
   /** Without a file. */
   public static final OperatorFile USUAL =
-      new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.OFF);
+      new OperatorFile(OverloadConfig.DEFAULT, CoalescingConfig.OFF);
 
   private static final List<String> TABLES = List.of("overload", "joining");
 
@@ -78,14 +78,14 @@
   }
 
   private static OverloadConfig overload(Reader reader, JsonNode table) throws FormatException {
-    OverloadConfig usual = OverloadConfig.USUAL;
+    OverloadConfig usual = OverloadConfig.DEFAULT;
     return new OverloadConfig(
-        reader.flag(table, "shed", usual.sheds()),
-        reader.number(table, "target_ms", usual.target() * 1e3) / 1e3,
-        reader.number(table, "learn", usual.learn()),
-        reader.number(table, "repeats", usual.repeats()),
-        reader.number(table, "waits_ms", usual.waits() * 1e3) / 1e3,
-        reader.number(table, "advice_ms", usual.advice() * 1e3) / 1e3);
+        reader.flag(table, "shed", usual.isSheddingEnabled()),
+        reader.number(table, "target_ms", usual.targetDelaySeconds() * 1e3) / 1e3,
+        reader.number(table, "learn", usual.minAdmittedRatio()),
+        reader.number(table, "repeats", usual.retryRatio()),
+        reader.number(table, "waits_ms", usual.maxQueueSeconds() * 1e3) / 1e3,
+        reader.number(table, "advice_ms", usual.minRetryAfterSeconds() * 1e3) / 1e3);
   }
 
   private static CoalescingConfig joining(Reader reader, JsonNode table) throws FormatException {
--- a/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
+++ b/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
@@ -54,10 +54,11 @@
 
   /** Reads that come from now on are joined by these. */
   void retune(Settings settings) {
-    longestAdvice = Math.round(settings.limits().maxRetryAfter() * 1e3);
+    longestAdvice = Math.round(settings.limits().maxRetryAfterSeconds() * 1e3);
     safe =
         settings.services().stream()
-            .filter(type -> type.effect() == Settings.Effect.SAFE && !type.streamed())
+            .filter(
+                type -> type.idempotency() == Settings.Idempotency.IDEMPOTENT && !type.streamed())
             .map(Settings.ServiceClass::name)
             .collect(Collectors.toUnmodifiableSet());
   }
@@ -275,7 +276,7 @@
 
     private void again(Waiter next, long now) {
       joined.remove(next.id(), next);
-      begin(next, next.call.request().lasting((flight.deadline() - now) / 1e9), now);
+      begin(next, next.call.request().withBudget((flight.deadline() - now) / 1e9), now);
     }
 
     private void tell(List<FlightWaiter<Waiter>> callers, Reply reply) {
--- a/engine/src/main/java/shalepaddle/engine/Dispatcher.java
+++ b/engine/src/main/java/shalepaddle/engine/Dispatcher.java
@@ -138,17 +138,17 @@
     if (reads != null) {
       reads.retune(next);
     }
-    tell(at -> balancer.retune(next));
+    tell(at -> balancer.updateSettings(next));
   }
 
   /** An operator leaves a server out, or puts it back. */
   public void exclude(long server, boolean out) {
-    tell(now -> balancer.exclude(now, server, out));
+    tell(now -> balancer.setExcluded(now, server, out));
   }
 
   /** Servers in the list; only those that get nothing now where that is asked. */
   public int listed(boolean avoided) {
-    return balancer.listed(avoided);
+    return balancer.serverCount(avoided);
   }
 
   /** Where events of requests and of clients' connections are recorded. */
@@ -163,19 +163,19 @@
 
   /** How long after it is known to drain a server may still be sent what was under way to it. */
   public long drainGraceNanos() {
-    return nanos(settings.contract().drainGrace());
+    return nanos(settings.contract().drainGraceSeconds());
   }
 
   /**
    * What running a request of this class more than once does; nothing is known of other classes.
    */
-  private Settings.Effect effect(String serviceClass) {
+  private Settings.Idempotency effect(String serviceClass) {
     for (Settings.ServiceClass known : settings.services()) {
       if (known.name().equals(serviceClass)) {
-        return known.effect();
+        return known.idempotency();
       }
     }
-    return Settings.Effect.UNSAFE;
+    return Settings.Idempotency.NOT_IDEMPOTENT;
   }
 
   /** What has become of requests and attempts. */
@@ -185,7 +185,7 @@
 
   /** The simulator's tick where it is of use to a real clock. */
   private static long tickNanos(Settings settings) {
-    return (long) (1e9 * Math.max(0.001, Math.min(0.01, settings.tick())));
+    return (long) (1e9 * Math.max(0.001, Math.min(0.01, settings.timerResolutionSeconds())));
   }
 
   /**
@@ -308,7 +308,7 @@
    * @param sentAt the earliest time at which its client can have sent it: its time counts from then
    */
   public Submission submit(Call call, long sentAt) {
-    long budget = nanos(call.request().budget());
+    long budget = nanos(call.request().budgetSeconds());
     return submit(call, sentAt, AnswerMargin.of(budget, loopClock.expectedStallNanos()));
   }
 
@@ -323,10 +323,10 @@
     long now = loopClock.look();
     recorder.record(Event.REQUEST_READ, id);
     Request asked = call.request();
-    long clientDeadline = sentAt + nanos(asked.budget());
+    long clientDeadline = sentAt + nanos(asked.budgetSeconds());
     if (closed) {
       recorder.record(Event.REJECTED_SHUTDOWN, id);
-      Exchange refused = new Exchange(call, clientDeadline, 0, Settings.Effect.SAFE);
+      Exchange refused = new Exchange(call, clientDeadline, 0, Settings.Idempotency.IDEMPOTENT);
       end(refused, new Reply.Refused(0));
       return refused;
     }
@@ -356,8 +356,8 @@
   /** Its time was over before it was read: it is not worked for, and has not run. */
   private Exchange rejectExpired(Call call, long deadline) {
     recorder.record(Event.REJECTED_EXPIRED, call.request().id());
-    Exchange expired = new Exchange(call, deadline, 0, Settings.Effect.SAFE);
-    end(expired, new Reply.Refused(overload.advice()));
+    Exchange expired = new Exchange(call, deadline, 0, Settings.Idempotency.IDEMPOTENT);
+    end(expired, new Reply.Refused(overload.retryAfterMillis()));
     return expired;
   }
 
@@ -396,7 +396,7 @@
       }
     }
     if (request.begun) {
-      tell(at -> balancer.extend(request.id(), at + (deadline - now) / 1e9));
+      tell(at -> balancer.extendDeadline(request.id(), at + (deadline - now) / 1e9));
     }
   }
 
@@ -414,13 +414,13 @@
   Reply timeUp(Exchange request) {
     return request.out > 0
         ? new Reply.Failed(request.mayHaveRun())
-        : new Reply.Refused(overload.advice());
+        : new Reply.Refused(overload.retryAfterMillis());
   }
 
   /** Refuses what has waited too long: it has not been begun, so that a new try does no harm. */
   private void turnAway(Exchange request) {
     recorder.record(Event.REJECTED_QUEUE, request.id());
-    end(request, new Reply.Refused(overload.advice()));
+    end(request, new Reply.Refused(overload.retryAfterMillis()));
   }
 
   /** Nanoseconds for which a request has waited for its turn, 0 if none waits. */
@@ -434,11 +434,11 @@
     }
     request.begun = true;
     double left = (request.deadlineNanos - loopClock.now()) / 1e9;
-    Request asked = taken.lasting(Math.max(0, left));
+    Request asked = taken.withBudget(Math.max(0, left));
     tell(
         at -> {
           try {
-            balancer.request(at, asked);
+            balancer.onRequest(at, asked);
           } catch (RuntimeException | StackOverflowError e) {
             report("decision module", e);
             fail(request);
@@ -449,7 +449,7 @@
   /** The node has stood still until now. */
   public void paused(long nanos) {
     recorder.record(Event.LOOP_STALLED, null, stallLength(nanos));
-    tell(now -> balancer.paused(nanos / 1e9));
+    tell(now -> balancer.onEventLoopStall(nanos / 1e9));
   }
 
   /** A coarse length: details are constants, so that recording allocates nothing. */
@@ -543,7 +543,7 @@
     gone(request.call);
     tell(
         now -> {
-          balancer.clientGone(now, request.id());
+          balancer.onClientDisconnected(now, request.id());
           settle(request);
         });
   }
@@ -584,10 +584,11 @@
 
   /** An attempt ended without an answer, or with one that serves nobody. */
   public void ended(Attempt attempt, Outcome.Result result) {
-    ended(attempt, result, Outcome.Note.NONE, null);
+    ended(attempt, result, Outcome.CacheStatus.NONE, null);
   }
 
-  private void ended(Attempt attempt, Outcome.Result result, Outcome.Note note, LoadReport load) {
+  private void ended(
+      Attempt attempt, Outcome.Result result, Outcome.CacheStatus note, LoadReport load) {
     if (attempt.over) {
       return;
     }
@@ -618,11 +619,11 @@
                   request.ended,
                   note,
                   load);
-          if (seen != null && result != Outcome.Result.MOOT) {
+          if (seen != null && result != Outcome.Result.NOT_SENT) {
             seen.add(new Observation(now, attempt.call.request(), outcome));
           }
           try {
-            balancer.outcome(now, outcome);
+            balancer.onOutcome(now, outcome);
           } finally {
             settle(request);
           }
@@ -705,7 +706,7 @@
 
   /** The list, or a change of it; the upstream knows of it already. */
   public void membership(MembershipUpdate update) {
-    tell(now -> balancer.membership(now, update));
+    tell(now -> balancer.onMembershipUpdate(now, update));
   }
 
   // What the module decides.
@@ -732,7 +733,7 @@
     boolean late = deadline - now < tickNanos;
     boolean spent = attempt.number + request.rewritten >= request.maxAttempts;
     if (request.ended || spent || late) {
-      ended(attempt, Outcome.Result.MOOT);
+      ended(attempt, Outcome.Result.NOT_SENT);
       return;
     }
     limit(attempt, now);
@@ -761,7 +762,7 @@
    */
   public void giveBack(Attempt attempt) {
     if (!attempt.written) {
-      withdraw(attempt, Outcome.Result.MOOT);
+      withdraw(attempt, Outcome.Result.NOT_SENT);
     }
   }
 
@@ -789,7 +790,7 @@
   }
 
   @Override
-  public void refuse(String requestId, double retryAfter) {
+  public void reject(String requestId, double retryAfter) {
     long millis = Math.round(retryAfter * 1e3);
     recorder.record(Event.REJECTED_POLICY, requestId);
     end(open.get(requestId), new Reply.Refused(millis));
@@ -824,7 +825,7 @@
       for (int i = 0; i < request.attempts.size(); i++) {
         Attempt attempt = request.attempts.get(i);
         if (attempt.carrier == null) {
-          withdraw(attempt, Outcome.Result.MOOT);
+          withdraw(attempt, Outcome.Result.NOT_SENT);
         }
       }
       request.call.payload().release();
@@ -835,11 +836,11 @@
   }
 
   @Override
-  public void wake(long token, double delay) {
+  public void scheduleTimer(long token, double delay) {
     if (closed) {
       return;
     }
-    timers.after((long) (delay * 1e9), () -> tell(now -> balancer.timer(now, token)));
+    timers.after((long) (delay * 1e9), () -> tell(now -> balancer.onTimer(now, token)));
   }
 
   @Override
@@ -852,7 +853,7 @@
   }
 
   @Override
-  public void closeIdle(long server) {
+  public void closeIdleConnections(long server) {
     if (!reliving) {
       upstream.closeIdle(server);
     }
--- a/engine/src/main/java/shalepaddle/engine/Exchange.java
+++ b/engine/src/main/java/shalepaddle/engine/Exchange.java
@@ -10,7 +10,7 @@
   public final Call call;
 
   /** What running it more than once does, by the settings under which it was taken. */
-  final Settings.Effect effect;
+  final Settings.Idempotency effect;
 
   /** When its client stops waiting, counted from the earliest time at which it can have sent it. */
   long clientDeadlineNanos;
@@ -43,7 +43,7 @@
   /** How the attempt ended that ended last, null if none has. */
   Outcome.Result lastResult;
 
-  Exchange(Call call, long deadlineNanos, int maxAttempts, Settings.Effect effect) {
+  Exchange(Call call, long deadlineNanos, int maxAttempts, Settings.Idempotency effect) {
     this.call = call;
     this.effect = effect;
     this.clientDeadlineNanos = deadlineNanos;
--- a/engine/src/main/java/shalepaddle/engine/InvariantGuard.java
+++ b/engine/src/main/java/shalepaddle/engine/InvariantGuard.java
@@ -5,7 +5,7 @@
 import shalepaddle.diagnostics.Event;
 import shalepaddle.diagnostics.FlightRecorder;
 import shalepaddle.loop.Log;
-import shalepaddle.model.Settings.Effect;
+import shalepaddle.model.Settings.Idempotency;
 
 /**
  * The rules that hold for every request, checked at run time in the one place that each path
@@ -64,7 +64,7 @@
       violation = Event.VIOLATION_SENT_AFTER_END;
     } else if (now - request.deadlineNanos > 0) {
       violation = Event.VIOLATION_SENT_AFTER_TIME;
-    } else if (request.effect == Effect.UNSAFE && anotherMayHaveRun(attempt)) {
+    } else if (request.effect == Idempotency.NOT_IDEMPOTENT && anotherMayHaveRun(attempt)) {
       violation = Event.VIOLATION_REPEATED;
     } else if (drainingPastGrace) {
       violation = Event.VIOLATION_SENT_TO_DRAINING;
@@ -93,7 +93,7 @@
       violated(Event.VIOLATION_ANSWERED_LATE, request.id(), null);
     }
     boolean rejected = reply instanceof Reply.Refused;
-    if (rejected && request.effect == Effect.UNSAFE && request.mayHaveRun()) {
+    if (rejected && request.effect == Idempotency.NOT_IDEMPOTENT && request.mayHaveRun()) {
       violated(Event.VIOLATION_REJECTED_AFTER_RUN, request.id(), null);
       return new Reply.Failed(true);
     }
--- a/engine/src/main/java/shalepaddle/engine/RequestQueue.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestQueue.java
@@ -60,7 +60,7 @@
   }
 
   private AdmissionQueue<Waiting> emptyIntake() {
-    return overload.intake(MAX_WAITING, waiting -> turnAway.accept(waiting.exchange()));
+    return overload.newAdmissionQueue(MAX_WAITING, waiting -> turnAway.accept(waiting.exchange()));
   }
 
   /** What waits is begun first, since it lies by the old tiers; the next by these settings. */
@@ -69,7 +69,7 @@
     for (Waiting waiting = intake.poll(now); waiting != null; waiting = intake.poll(now)) {
       begin(waiting, now);
     }
-    overload.retune(next);
+    overload.updateSettings(next);
     intake = emptyIntake();
   }
 
@@ -84,17 +84,17 @@
       beginLater();
     }
     intake.offer(
-        new Waiting(request, taken), overload.tier(taken.serviceClass(), taken.repeat()), now);
+        new Waiting(request, taken), overload.tier(taken.serviceClass(), taken.retry()), now);
   }
 
   /** Nanoseconds for which a request has waited for its turn, 0 if none waits. */
   long oldestWaiting() {
-    return intake.oldest(clock.now());
+    return intake.oldestWaitNanos(clock.now());
   }
 
   /** Forgets what waits. */
   void close() {
-    intake.clear();
+    intake.rejectAll();
   }
 
   private boolean turnSpent(long now) {
@@ -124,7 +124,7 @@
 
   private void begin(Waiting next, long now) {
     double left = (next.exchange().deadlineNanos - now) / 1e9;
-    begin.accept(next.exchange(), next.taken().within(Math.max(0, left)));
+    begin.accept(next.exchange(), next.taken().withBudgetAtMost(Math.max(0, left)));
   }
 
   /** In the next turn: what is executed at once runs in this one, before anything more is read. */
--- a/engine/src/main/java/shalepaddle/engine/ServerReply.java
+++ b/engine/src/main/java/shalepaddle/engine/ServerReply.java
@@ -19,5 +19,5 @@
     String id,
     String receipt,
     ByteBuf value,
-    Outcome.Note note,
+    Outcome.CacheStatus note,
     LoadReport load) {}
--- a/engine/src/main/java/shalepaddle/engine/WarmStartLog.java
+++ b/engine/src/main/java/shalepaddle/engine/WarmStartLog.java
@@ -71,14 +71,14 @@
   static void relive(RequestRouter balancer, MembershipUpdate known, List<Observation> seen) {
     List<Observation> sent = new ArrayList<>(seen);
     sent.sort(Comparator.comparingDouble(Observation::sentAt));
-    balancer.membership(sent.get(0).sentAt(), known);
+    balancer.onMembershipUpdate(sent.get(0).sentAt(), known);
     // What ends in the moment in which another is sent ends first.
     PriorityQueue<Out> out = new PriorityQueue<>(Comparator.comparingDouble(Out::endedAt));
     long number = 0;
     for (Observation next : sent) {
       end(balancer, out, next.sentAt());
       Request request = named(next.request(), "~" + number++);
-      balancer.witness(next.sentAt(), request, next.outcome().server());
+      balancer.observeAttempt(next.sentAt(), request, next.outcome().server());
       out.add(new Out(next.endedAt(), named(next.outcome(), request.id())));
     }
     end(balancer, out, Double.POSITIVE_INFINITY);
@@ -89,7 +89,7 @@
   private static void end(RequestRouter balancer, PriorityQueue<Out> out, double until) {
     while (!out.isEmpty() && out.peek().endedAt() <= until) {
       Out ended = out.poll();
-      balancer.outcome(ended.endedAt(), ended.outcome());
+      balancer.onOutcome(ended.endedAt(), ended.outcome());
     }
   }
 
@@ -100,10 +100,10 @@
         request.key(),
         request.serviceClass(),
         request.tenant(),
-        request.budget(),
-        request.work(),
-        request.size(),
-        request.repeat(),
+        request.budgetSeconds(),
+        request.workSeconds(),
+        request.sizeBytes(),
+        request.retry(),
         request.write());
   }
 
@@ -113,10 +113,10 @@
         0,
         outcome.server(),
         outcome.result(),
-        outcome.elapsed(),
-        outcome.unheard(),
+        outcome.elapsedSeconds(),
+        outcome.stalledSeconds(),
         true,
-        outcome.note(),
+        outcome.cacheStatus(),
         outcome.load());
   }
 }
--- a/engine/src/main/java/shalepaddle/front/ClientHandler.java
+++ b/engine/src/main/java/shalepaddle/front/ClientHandler.java
@@ -307,7 +307,7 @@
     long advice = TimeUnit.MILLISECONDS.toNanos(refused.adviceMillis());
     long pause = 0;
     for (int i = 0; i < refused.count(); i++) {
-      pause = insistence.refused(i < refused.repeats(), advice, clock.now());
+      pause = insistence.recordRejection(i < refused.repeats(), advice, clock.now());
     }
     return pause;
   }
@@ -387,7 +387,7 @@
       slot.id = command.request().id();
       slot.readAt = clock.now();
       slot.arrival = inbound.arrival();
-      slot.budgetNanos = (long) (command.request().budget() * NANOS_PER_SECOND);
+      slot.budgetNanos = (long) (command.request().budgetSeconds() * NANOS_PER_SECOND);
       slot.request =
           dispatcher.submit(new Call(command.request(), command.payload(), slot), slot.arrival);
       if (slot.request == null) {
--- a/engine/src/main/java/shalepaddle/front/FairReadScheduler.java
+++ b/engine/src/main/java/shalepaddle/front/FairReadScheduler.java
@@ -26,7 +26,7 @@
 
   /** Answers that one connection may be owed before no more is read from it. */
   int owed() {
-    return posture.get().owed();
+    return posture.get().maxPendingResponses();
   }
 
   /** What one connection has sent. */
@@ -52,7 +52,7 @@
       count.requests = 0;
     }
     count.requests += more;
-    double heavy = posture.get().heavy();
+    double heavy = posture.get().heavyReaderRatio();
     boolean most =
         heavy < 1 && count.requests > FEW && count.requests > heavy * Math.max(all, allBefore);
     return most ? (current + 1) * INTERVAL_NANOS - now : 0;
--- a/engine/src/main/java/shalepaddle/front/RequestAdmission.java
+++ b/engine/src/main/java/shalepaddle/front/RequestAdmission.java
@@ -13,7 +13,7 @@
   long ADMITTED = OverloadControl.ADMITTED;
 
   /** Added to the advice of a refusal whose client has tried before, as far as is known. */
-  long REPEAT = OverloadControl.REPEAT;
+  long REPEAT = OverloadControl.RETRY_FLAG;
 
   /** Admits all and counts nothing. */
   RequestAdmission OPEN =
--- a/engine/src/main/java/shalepaddle/hotrestart/ObservationFormat.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ObservationFormat.java
@@ -42,17 +42,17 @@
     json.writeStartArray();
     json.writeNumber(seen.endedAt());
     json.writeNumber(outcome.server());
-    json.writeString(outcome.result().name());
-    json.writeString(outcome.note().name());
-    json.writeNumber(outcome.elapsed());
-    json.writeNumber(outcome.unheard());
+    json.writeString(storedName(outcome.result()));
+    json.writeString(outcome.cacheStatus().name());
+    json.writeNumber(outcome.elapsedSeconds());
+    json.writeNumber(outcome.stalledSeconds());
     json.writeString(request.key());
     json.writeString(request.serviceClass());
     json.writeString(request.tenant());
-    json.writeNumber(request.budget());
-    json.writeNumber(request.work());
-    json.writeNumber(request.size());
-    json.writeBoolean(request.repeat());
+    json.writeNumber(request.budgetSeconds());
+    json.writeNumber(request.workSeconds());
+    json.writeNumber(request.sizeBytes());
+    json.writeBoolean(request.retry());
     json.writeBoolean(request.write());
     if (outcome.load() != null) {
       LoadReport load = outcome.load();
@@ -90,8 +90,8 @@
     double endedAt = number(json);
     json.nextToken();
     long server = json.getLongValue();
-    Outcome.Result result = Outcome.Result.valueOf(json.nextTextValue());
-    Outcome.Note note = Outcome.Note.valueOf(json.nextTextValue());
+    Outcome.Result result = resultOf(json.nextTextValue());
+    Outcome.CacheStatus cacheStatus = Outcome.CacheStatus.valueOf(json.nextTextValue());
     double elapsed = number(json);
     double unheard = number(json);
     String key = json.nextTextValue();
@@ -121,7 +121,33 @@
     return new Observation(
         endedAt,
         new Request("", key, service, tenant, budget, work, size, repeat, write),
-        new Outcome("", 0, server, result, elapsed, unheard, true, note, load));
+        new Outcome("", 0, server, result, elapsed, unheard, true, cacheStatus, load));
+  }
+
+  /** The name of a result in the file, the same in all versions of the program. */
+  private static String storedName(Outcome.Result result) {
+    return switch (result) {
+      case SERVER_BUSY -> "FULL";
+      case NOT_SENT -> "MOOT";
+      case CONNECTION_LIMIT_REACHED -> "NO_PLACE";
+      case CACHE_MISS -> "NOT_STORED";
+      case MALFORMED_RESPONSE -> "SPOILT";
+      case OK, ERROR, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED -> result.name();
+    };
+  }
+
+  /**
+   * The result of a name in the file.
+   *
+   * @throws IllegalArgumentException if no result has this name
+   */
+  private static Outcome.Result resultOf(String storedName) {
+    for (Outcome.Result result : Outcome.Result.values()) {
+      if (storedName(result).equals(storedName)) {
+        return result;
+      }
+    }
+    throw new IllegalArgumentException("unknown result '" + storedName + "'");
   }
 
   private static void expect(JsonParser json, JsonToken token) throws IOException {
--- a/engine/src/main/java/shalepaddle/hotrestart/StateFormat.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/StateFormat.java
@@ -59,7 +59,7 @@
     json.writeNumberField("cell", entry.cell());
     json.writeStringField("state", entry.state().name());
     json.writeNumberField("weight", entry.weight());
-    json.writeNumberField("started", entry.startedAt());
+    json.writeNumberField("started", entry.startedAtSeconds());
     json.writeStringField("addr", address.getAddress().getHostAddress() + ":" + address.getPort());
     json.writeEndObject();
   }
--- a/engine/src/main/java/shalepaddle/membership/MemberList.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberList.java
@@ -89,7 +89,7 @@
       boolean again =
           gone != null
               && member.entry().state() == ServerEntry.State.READY
-              && member.entry().startedAt() <= gone.entry().startedAt();
+              && member.entry().startedAtSeconds() <= gone.entry().startedAtSeconds();
       kept.add(again ? gone : member);
     }
     return new MemberList(full, version, List.copyOf(kept));
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -188,7 +188,7 @@
     this.log = log;
     Settings settings = config.settings();
     overload = new OverloadControl(settings, operator.overload(), config.seed(), this::told);
-    reading = overload.reading();
+    reading = overload.snapshot();
     processor = new ProcessorUse(config.cores());
     dispatcher =
         new Dispatcher(
@@ -209,8 +209,8 @@
             dispatcher.timers(),
             clock,
             config.discovery(),
-            settings.asksForList(),
-            settings.contract().drainGrace(),
+            settings.pollsEndpointList(),
+            settings.contract().drainGraceSeconds(),
             config.known().version(),
             new Members());
     MemoryBudget values =
@@ -221,7 +221,7 @@
             dispatcher,
             codec,
             (int) (config.sockets() * CLIENT_SHARE),
-            overload::posture,
+            overload::degradationPolicy,
             new MemoryBudget(((long) config.memoryMb() << 20) / AHEAD_PART));
     publish();
   }
@@ -230,13 +230,14 @@
   private final class Entrance implements RequestAdmission {
     @Override
     public boolean shuts() {
-      overload.places((front.owed() + clientsElsewhere) / (config.sockets() * PLACES_SHARE));
-      return overload.shedding();
+      overload.onConnectionSlotUsage(
+          (front.owed() + clientsElsewhere) / (config.sockets() * PLACES_SHARE));
+      return overload.isShedding();
     }
 
     @Override
     public long ask(int serviceClass, int tenant, long subject, boolean repeat) {
-      long advice = overload.ask(serviceClass, tenant, subject, repeat, clock.now());
+      long advice = overload.admit(serviceClass, tenant, subject, repeat, clock.now());
       if (advice != ADMITTED) {
         dispatcher.recorder().count(Event.REJECTED_ADMISSION, 1);
         dispatcher.figures().declined(config.settings().services().get(serviceClass).name());
@@ -262,9 +263,9 @@
         (int) (config.sockets() * (1 - CLIENT_SHARE)) - own(config),
         // Where a request may not have two attempts out, one that is given up must be off its
         // connection before the next goes out: nothing may share it.
-        limits.parallelAttempts() ? Math.max(1, limits.perConnection()) : 1,
-        (long) (Math.max(1, limits.idleTimeout() / 2) * 1e9),
-        (long) (Math.max(0.001, limits.connectTimeout()) * 1e9));
+        limits.allowsParallelAttempts() ? Math.max(1, limits.maxAttemptsPerConnection()) : 1,
+        (long) (Math.max(1, limits.idleTimeoutSeconds() / 2) * 1e9),
+        (long) (Math.max(0.001, limits.connectTimeoutSeconds()) * 1e9));
   }
 
   /** Tells first the connections and then the module of what discovery says. */
@@ -275,7 +276,7 @@
     @Override
     public void list(MemberList list) {
       toldFailure = null;
-      take(list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.CHANGES);
+      take(list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.DELTA);
       listed.countDown();
     }
 
@@ -311,11 +312,11 @@
   /** The same, after learning from what another process of this node has seen. */
   void startAfter(List<Observation> past) {
     if (!past.isEmpty()) {
-      dispatcher.relive(config.known().update(MembershipUpdate.Kind.REMEMBERED), past);
+      dispatcher.relive(config.known().update(MembershipUpdate.Kind.CACHED), past);
     }
     dispatcher.start(pools, discovery);
-    take(config.known(), MembershipUpdate.Kind.REMEMBERED);
-    if (!config.settings().asksForList()) {
+    take(config.known(), MembershipUpdate.Kind.CACHED);
+    if (!config.settings().pollsEndpointList()) {
       discovery.follow();
     }
   }
@@ -326,7 +327,7 @@
    * be called on the event loop.
    */
   void awaitPushedList(long millis) throws InterruptedException {
-    if (!config.settings().asksForList()) {
+    if (!config.settings().pollsEndpointList()) {
       listed.await(millis, TimeUnit.MILLISECONDS);
     }
   }
@@ -365,15 +366,15 @@
     double buffers = transport.memoryShare();
     double descriptors = own(config) + front.size() + pools.connections();
     long now = clock.now();
-    overload.uses(
+    overload.onResourceUsage(
         processor.share(now),
         Double.isNaN(buffers) ? heapShare : Math.max(heapShare, buffers),
         descriptors / config.sockets(),
         now);
-    reading = overload.reading();
+    reading = overload.snapshot();
     joining = dispatcher.joining();
     publish();
-    if (overload.posture().trims() && now - trimmedAt > TRIM_NANOS) {
+    if (overload.degradationPolicy().shrinksBuffers() && now - trimmedAt > TRIM_NANOS) {
       trimmedAt = now;
       transport.trim();
     }
@@ -420,7 +421,7 @@
       sweepLater();
       front.sweep();
       // Who takes this process's place needs the servers' places.
-      pools.closeStale(clock.look(), handedOver ? 0 : overload.posture().idleNanos());
+      pools.closeStale(clock.look(), handedOver ? 0 : overload.degradationPolicy().maxIdleNanos());
       pools.closeStalled();
     }
   }
@@ -503,13 +504,13 @@
   public void turned(long begunAt, long now) {
     // Not while it starts: loading and compiling its classes is one long turn after the other.
     if (listener != null) {
-      overload.turned(begunAt, now, dispatcher.oldestWaiting());
+      overload.onLoopTurnEnd(begunAt, now, dispatcher.oldestWaiting());
     }
   }
 
   /** The loop has stood still until now. */
   public void paused(long nanos) {
-    overload.paused(nanos, clock.now());
+    overload.onEventLoopStall(nanos, clock.now());
     dispatcher.paused(nanos);
   }
 
--- a/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
@@ -49,18 +49,18 @@
     level(meters, "processor", r -> r.processorLevel().ordinal());
     level(meters, "memory", r -> r.memoryLevel().ordinal());
     level(meters, "descriptors", r -> r.descriptorLevel().ordinal());
-    use(meters, "processor", OverloadSnapshot::processor);
-    use(meters, "memory", OverloadSnapshot::memory);
-    use(meters, "descriptors", OverloadSnapshot::descriptors);
-    meters.gauge("delay", "seconds", tags, OverloadSnapshot::stood);
-    meters.gauge("limit", "requests/second", tags, r -> finite(r.limit()));
-    meters.counter("repeats.refused", "requests", tags, OverloadSnapshot::repeatsRefused);
+    use(meters, "processor", OverloadSnapshot::processorRatio);
+    use(meters, "memory", OverloadSnapshot::memoryRatio);
+    use(meters, "descriptors", OverloadSnapshot::descriptorRatio);
+    meters.gauge("delay", "seconds", tags, OverloadSnapshot::delaySeconds);
+    meters.gauge("limit", "requests/second", tags, r -> finite(r.limitPerSecond()));
+    meters.counter("repeats.refused", "requests", tags, OverloadSnapshot::rejectedRetryCount);
     for (int i = 0; i < reading.get().tiers().size(); i++) {
       int tier = i;
       Tags tagged = tags.and("tier", Integer.toString(tier));
-      meters.gauge("passing", null, tagged, r -> r.tiers().get(tier).passing());
-      meters.counter("offered", "requests", tagged, r -> r.tiers().get(tier).offered());
-      meters.counter("refused", "requests", tagged, r -> r.tiers().get(tier).refused());
+      meters.gauge("passing", null, tagged, r -> r.tiers().get(tier).admittedRatio());
+      meters.counter("offered", "requests", tagged, r -> r.tiers().get(tier).offeredCount());
+      meters.counter("refused", "requests", tagged, r -> r.tiers().get(tier).rejectedCount());
     }
   }
 
--- a/engine/src/main/java/shalepaddle/node/Warmup.java
+++ b/engine/src/main/java/shalepaddle/node/Warmup.java
@@ -181,7 +181,7 @@
   private static OverloadControl calm(NodeConfig config) {
     return new OverloadControl(
         config.settings(),
-        OverloadConfig.OFF,
+        OverloadConfig.DISABLED,
         config.seed(),
         (resource, before, now, figure) -> {});
   }
@@ -192,10 +192,10 @@
         s.zone(),
         s.zones(),
         s.kinds(),
-        s.number(),
+        s.instanceNumber(),
         s.instances(),
         false,
-        s.marksRepeats(),
+        s.clientsMarkRetries(),
         s.weights(),
         s.cache(),
         s.limits(),
@@ -203,8 +203,8 @@
         s.prices(),
         s.services(),
         s.tenants(),
-        s.overShareWorth(),
-        s.tick());
+        s.overQuotaWeightRatio(),
+        s.timerResolutionSeconds());
   }
 
   private static ServerPools pools(
@@ -280,7 +280,7 @@
 
     private void send(ChannelHandlerContext ctx) {
       Settings.ServiceClass service = services.get(sent % services.size());
-      boolean write = service.effect() == Settings.Effect.UNSAFE;
+      boolean write = service.idempotency() == Settings.Idempotency.NOT_IDEMPOTENT;
       String flags = " Owarm" + sent + " Pc=" + service.name() + ",d=" + REQUEST_MILLIS + "\r\n";
       String key = "warm" + sent % 100;
       String command = write ? "ms " + key + " 1" + flags + "x\r\n" : "mg " + key + " v" + flags;
--- a/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
@@ -280,7 +280,7 @@
     if (head == null) {
       return;
     }
-    boolean away = reply.result() == Outcome.Result.FULL && !proven && underWay.size() == 1;
+    boolean away = reply.result() == Outcome.Result.SERVER_BUSY && !proven && underWay.size() == 1;
     proven |= !away;
     if (away && !head.over && pool.holdsOthers(this)) {
       over();
@@ -517,7 +517,7 @@
           attempt,
           !attempt.written
               ? Outcome.Result.CONNECT_FAILED
-              : spoilt ? Outcome.Result.SPOILT : Outcome.Result.RESET);
+              : spoilt ? Outcome.Result.MALFORMED_RESPONSE : Outcome.Result.RESET);
     }
     pool.closed(this);
   }
--- a/engine/src/main/java/shalepaddle/upstream/ServerPool.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPool.java
@@ -90,12 +90,14 @@
    */
   void listed(SocketAddress at, ServerEntry news, double now) {
     boolean moved = !at.equals(address);
-    regrouped |= entry != null && !Settings.Group.CELL.holds(entry, news);
+    regrouped |= entry != null && !Settings.DeduplicationScope.CELL.spans(entry, news);
     if (news.state() != ServerEntry.State.READY && !leaving()) {
       drainingSince = clock.now();
     }
     boolean restarted =
-        entry != null && news.startedAt() > 0 && news.startedAt() != entry.startedAt();
+        entry != null
+            && news.startedAtSeconds() > 0
+            && news.startedAtSeconds() != entry.startedAtSeconds();
     long started = restarted ? startOf(news, now) : 0;
     entry = news;
     address = at;
@@ -113,7 +115,7 @@
    */
   private long startOf(ServerEntry news, double now) {
     long at = clock.look();
-    double age = Math.min((at - listedAt) / 1e9, Math.max(0, now - news.startedAt()));
+    double age = Math.min((at - listedAt) / 1e9, Math.max(0, now - news.startedAtSeconds()));
     return at - (long) (age * 1e9);
   }
 
@@ -308,7 +310,7 @@
     if (best != null && !attempt.over && dispatcher.again(attempt)) {
       best.write(attempt);
     } else {
-      dispatcher.ended(attempt, Outcome.Result.NO_PLACE);
+      dispatcher.ended(attempt, Outcome.Result.CONNECTION_LIMIT_REACHED);
     }
   }
 
--- a/engine/src/test/java/shalepaddle/engine/InvariantGuardTest.java
+++ b/engine/src/test/java/shalepaddle/engine/InvariantGuardTest.java
@@ -13,7 +13,7 @@
 import shalepaddle.diagnostics.FlightRecorder;
 import shalepaddle.loop.Log;
 import shalepaddle.model.Request;
-import shalepaddle.model.Settings.Effect;
+import shalepaddle.model.Settings.Idempotency;
 
 /** Each rule broken once, as a fault elsewhere would: it is counted, logged and not done. */
 class InvariantGuardTest {
@@ -25,7 +25,7 @@
   private final InvariantGuard guard =
       new InvariantGuard(recorder, new Log(Ticker.systemTicker(), lines::add), () -> 0);
 
-  private static Exchange exchange(Effect effect) {
+  private static Exchange exchange(Idempotency effect) {
     Request request = new Request("id1", "key", "put", null, 1, 0, 0, false, true);
     return new Exchange(new Call(request, null, null), DEADLINE, 3, effect);
   }
@@ -45,7 +45,7 @@
 
   @Test
   void letsWhatIsInOrderPass() {
-    Exchange request = exchange(Effect.UNSAFE);
+    Exchange request = exchange(Idempotency.NOT_IDEMPOTENT);
     assertTrue(guard.mayBegin(request));
     assertTrue(guard.maySend(attempt(request), DEADLINE, false));
     Reply reply = new Reply.Refused(0);
@@ -55,7 +55,7 @@
 
   @Test
   void anUnsafeRequestIsNotSentAgainWhereItMayHaveRun() {
-    Exchange request = exchange(Effect.UNSAFE);
+    Exchange request = exchange(Idempotency.NOT_IDEMPOTENT);
     attempt(request).written = true;
     assertFalse(guard.maySend(attempt(request), 0, false));
     assertViolated(Event.VIOLATION_REPEATED);
@@ -63,7 +63,7 @@
 
   @Test
   void itIsSentAgainWhereItProvablyHasNotRun() {
-    Exchange request = exchange(Effect.UNSAFE);
+    Exchange request = exchange(Idempotency.NOT_IDEMPOTENT);
     Attempt first = attempt(request);
     first.written = true;
     first.over = true;
@@ -73,7 +73,7 @@
 
   @Test
   void nothingIsSentAfterTheEndOfARequest() {
-    Exchange request = exchange(Effect.SAFE);
+    Exchange request = exchange(Idempotency.IDEMPOTENT);
     Attempt attempt = attempt(request);
     request.ended = true;
     assertFalse(guard.maySend(attempt, 0, false));
@@ -82,7 +82,7 @@
 
   @Test
   void nothingIsSentAfterItsTime() {
-    assertFalse(guard.maySend(attempt(exchange(Effect.SAFE)), DEADLINE + 1, false));
+    assertFalse(guard.maySend(attempt(exchange(Idempotency.IDEMPOTENT)), DEADLINE + 1, false));
     assertViolated(Event.VIOLATION_SENT_AFTER_TIME);
   }
 
@@ -91,7 +91,7 @@
    */
   @Test
   void anAttemptMayNotBeWrittenOnceNobodyWaitsForItsAnswer() {
-    Attempt attempt = attempt(exchange(Effect.SAFE));
+    Attempt attempt = attempt(exchange(Idempotency.IDEMPOTENT));
     assertFalse(attempt.tooLate(DEADLINE - 1));
     assertTrue(attempt.tooLate(DEADLINE));
     assertEquals(0, lines.size());
@@ -99,13 +99,13 @@
 
   @Test
   void nothingIsSentToAServerThatDrainsPastItsGrace() {
-    assertFalse(guard.maySend(attempt(exchange(Effect.SAFE)), 0, true));
+    assertFalse(guard.maySend(attempt(exchange(Idempotency.IDEMPOTENT)), 0, true));
     assertViolated(Event.VIOLATION_SENT_TO_DRAINING);
   }
 
   @Test
   void aRejectionOfWhatMayHaveRunBecomesAFailure() {
-    Exchange request = exchange(Effect.UNSAFE);
+    Exchange request = exchange(Idempotency.NOT_IDEMPOTENT);
     attempt(request).written = true;
     assertInstanceOf(Reply.Failed.class, guard.answer(request, new Reply.Refused(0), 0));
     assertViolated(Event.VIOLATION_REJECTED_AFTER_RUN);
@@ -114,14 +114,15 @@
   @Test
   void aLateAnswerIsCountedAndGiven() {
     Reply reply = new Reply.Failed(false);
-    assertEquals(reply, guard.answer(exchange(Effect.SAFE), reply, DEADLINE + SLACK + 1));
+    assertEquals(
+        reply, guard.answer(exchange(Idempotency.IDEMPOTENT), reply, DEADLINE + SLACK + 1));
     assertViolated(Event.VIOLATION_ANSWERED_LATE);
   }
 
   @Test
   void countsAllAndLogsSomeASecond() {
     for (int i = 0; i < 100; i++) {
-      guard.answer(exchange(Effect.SAFE), new Reply.Failed(false), DEADLINE + SLACK + 1);
+      guard.answer(exchange(Idempotency.IDEMPOTENT), new Reply.Failed(false), DEADLINE + SLACK + 1);
     }
     assertEquals(100, recorder.count(Event.VIOLATION_ANSWERED_LATE));
     assertEquals(2, lines.size());
@@ -129,7 +130,7 @@
 
   @Test
   void aRequestIsBegunOnce() {
-    Exchange request = exchange(Effect.SAFE);
+    Exchange request = exchange(Idempotency.IDEMPOTENT);
     request.begun = true;
     assertFalse(guard.mayBegin(request));
     assertViolated(Event.VIOLATION_BEGUN_TWICE);
--- a/engine/src/test/java/shalepaddle/engine/WarmStartLogTest.java
+++ b/engine/src/test/java/shalepaddle/engine/WarmStartLogTest.java
@@ -18,7 +18,7 @@
   private static Observation endedAt(double time) {
     Request request = new Request("", "key", "read", null, 1, 0, 0, false, false);
     Outcome outcome =
-        new Outcome("", 0, 1, Outcome.Result.OK, 0.5, 0, true, Outcome.Note.NONE, null);
+        new Outcome("", 0, 1, Outcome.Result.OK, 0.5, 0, true, Outcome.CacheStatus.NONE, null);
     return new Observation(time, request, outcome);
   }
 
--- a/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
@@ -26,7 +26,8 @@
     return new Observation(
         1_764_000_000.125,
         new Request("", key, "read", null, 1.5, 0.002, 100, true, false),
-        new Outcome("", 0, Long.MIN_VALUE, result, 0.25, 0.01, true, Outcome.Note.MISS, load));
+        new Outcome(
+            "", 0, Long.MIN_VALUE, result, 0.25, 0.01, true, Outcome.CacheStatus.MISS, load));
   }
 
   private static List<Observation> some() {
@@ -67,6 +68,30 @@
         some().subList(1, 2), ObservationFormat.read(golden.getBytes(StandardCharsets.UTF_8)));
   }
 
+  @Test
+  void resultsKeepTheirStoredNames() throws Exception {
+    List<String> names =
+        List.of(
+            "OK",
+            "ERROR",
+            "FULL",
+            "TIMEOUT",
+            "CONNECT_FAILED",
+            "RESET",
+            "CANCELLED",
+            "MOOT",
+            "NO_PLACE",
+            "NOT_STORED",
+            "SPOILT");
+    assertEquals(names.size(), Outcome.Result.values().length);
+    for (Outcome.Result result : Outcome.Result.values()) {
+      byte[] bytes = ObservationFormat.write(List.of(seen("k", result, null)));
+      String stored = "\"" + names.get(result.ordinal()) + "\",\"MISS\"";
+      assertTrue(new String(bytes, StandardCharsets.UTF_8).contains(stored), stored);
+      assertEquals(result, ObservationFormat.read(bytes).get(0).outcome().result());
+    }
+  }
+
   @Test
   void whatALaterVersionAddsAtTheEndIsPassedOver() throws Exception {
     byte[] more =
--- a/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
+++ b/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
@@ -172,7 +172,7 @@
 
   private static ServerReply served(Attempt attempt, ByteBuf value) {
     return new ServerReply(
-        Outcome.Result.OK, attempt.call.request().id(), null, value, Outcome.Note.HIT, null);
+        Outcome.Result.OK, attempt.call.request().id(), null, value, Outcome.CacheStatus.HIT, null);
   }
 
   private ByteBuf serve(Attempt attempt, String text) {
@@ -305,7 +305,7 @@
     read("during", 1000);
     dispatcher.replied(
         sent.get(0),
-        new ServerReply(Outcome.Result.OK, "write", "7", null, Outcome.Note.NONE, null));
+        new ServerReply(Outcome.Result.OK, "write", "7", null, Outcome.CacheStatus.NONE, null));
     assertEquals(new Reply.Receipt("7"), replies.get("write"));
     read("after", 1000);
     assertEquals(3, sent.size());
@@ -389,7 +389,7 @@
     for (int i = 0; i < 100; i++) {
       read("r" + i, 1000);
     }
-    dispatcher.ended(sent.get(0), Outcome.Result.FULL);
+    dispatcher.ended(sent.get(0), Outcome.Result.SERVER_BUSY);
     assertEquals(1, sent.size());
     assertEquals(100, replies.size());
     assertInstanceOf(Reply.Refused.class, replies.get("r99"));
@@ -553,7 +553,7 @@
     long other = first.server == 7 ? 8 : 7;
     dispatcher.membership(
         new MembershipUpdate(
-            MembershipUpdate.Kind.CHANGES,
+            MembershipUpdate.Kind.DELTA,
             2,
             List.of(new ServerEntry(first.server, "a", "m", 0, ServerEntry.State.DRAINING, 1, 0))));
     read("b", 2000);
--- a/engine/src/test/java/shalepaddle/node/VirtualEngine.java
+++ b/engine/src/test/java/shalepaddle/node/VirtualEngine.java
@@ -80,7 +80,7 @@
                     .formatted(caps, services)));
     OverloadControl overload =
         new OverloadControl(
-            config.settings(), OverloadConfig.USUAL, 1, (resource, before, now, figure) -> {});
+            config.settings(), OverloadConfig.DEFAULT, 1, (resource, before, now, figure) -> {});
     Dispatcher dispatcher =
         new Dispatcher(
             config.settings(),
--- a/settings/src/main/java/shalepaddle/settings/SettingsFormat.java
+++ b/settings/src/main/java/shalepaddle/settings/SettingsFormat.java
@@ -94,14 +94,14 @@
         service.number("credit", 1),
         service.number("late-share", 0),
         switch (service.text("effect", "fragile")) {
-          case "retryable" -> Settings.Effect.SAFE;
-          case "dedup" -> Settings.Effect.KEYED;
-          default -> Settings.Effect.UNSAFE;
+          case "retryable" -> Settings.Idempotency.IDEMPOTENT;
+          case "dedup" -> Settings.Idempotency.IDEMPOTENT_WITH_KEY;
+          default -> Settings.Idempotency.NOT_IDEMPOTENT;
         },
         switch (service.text("group", "cell")) {
-          case "all" -> Settings.Group.ALL;
-          case "zone" -> Settings.Group.ZONE;
-          default -> Settings.Group.CELL;
+          case "all" -> Settings.DeduplicationScope.ALL;
+          case "zone" -> Settings.DeduplicationScope.ZONE;
+          default -> Settings.DeduplicationScope.CELL;
         },
         service.number("repeat-window", 0),
         service.flag("streamed"));
