--- a/simhost/src/main/java/shalepaddle/sim/ActionWriter.java
+++ b/simhost/src/main/java/shalepaddle/sim/ActionWriter.java
@@ -55,7 +55,7 @@
   }
 
   @Override
-  public void refuse(String requestId, double retryAfter) {
+  public void reject(String requestId, double retryAfter) {
     action(
         "BUSY",
         () -> {
@@ -72,7 +72,7 @@
   }
 
   @Override
-  public void wake(long token, double delay) {
+  public void scheduleTimer(long token, double delay) {
     action(
         "WAKE_ME",
         () -> {
@@ -87,7 +87,7 @@
   }
 
   @Override
-  public void closeIdle(long server) {
+  public void closeIdleConnections(long server) {
     action("SHUT_IDLE", () -> out.writeNumberField("server", server));
   }
 
--- a/simhost/src/main/java/shalepaddle/sim/Dialect.java
+++ b/simhost/src/main/java/shalepaddle/sim/Dialect.java
@@ -34,9 +34,9 @@
     String form = event.requiredText("form");
     return new MembershipUpdate(
         switch (form) {
-          case "delta" -> MembershipUpdate.Kind.CHANGES;
+          case "delta" -> MembershipUpdate.Kind.DELTA;
           case "full" -> MembershipUpdate.Kind.FULL;
-          case "cached" -> MembershipUpdate.Kind.REMEMBERED;
+          case "cached" -> MembershipUpdate.Kind.CACHED;
           case "failed" -> MembershipUpdate.Kind.FAILED;
           default -> throw new FormatException("SYNC message with unknown form '" + form + "'");
         },
@@ -66,10 +66,10 @@
         event.number("delay-seen", 0),
         event.flag("ended"),
         switch ((int) event.number("info", 0)) {
-          case 1 -> Outcome.Note.HIT;
-          case 2 -> Outcome.Note.MISS;
-          case 3 -> Outcome.Note.MISS_PENDING;
-          default -> Outcome.Note.NONE;
+          case 1 -> Outcome.CacheStatus.HIT;
+          case 2 -> Outcome.CacheStatus.MISS;
+          case 3 -> Outcome.CacheStatus.MISS_PENDING;
+          default -> Outcome.CacheStatus.NONE;
         },
         load(event));
   }
@@ -79,13 +79,13 @@
     return switch (ending) {
       case "completed" -> Outcome.Result.OK;
       case "errored" -> Outcome.Result.ERROR;
-      case "saturated" -> Outcome.Result.FULL;
+      case "saturated" -> Outcome.Result.SERVER_BUSY;
       case "overdue" -> Outcome.Result.TIMEOUT;
       case "refused_conn" -> Outcome.Result.CONNECT_FAILED;
       case "severed" -> Outcome.Result.RESET;
       case "recalled" -> Outcome.Result.CANCELLED;
-      case "superseded" -> Outcome.Result.MOOT;
-      case "lookup_miss" -> Outcome.Result.NOT_STORED;
+      case "superseded" -> Outcome.Result.NOT_SENT;
+      case "lookup_miss" -> Outcome.Result.CACHE_MISS;
       default -> throw new FormatException("unknown ending '" + ending + "'");
     };
   }
--- a/simhost/src/main/java/shalepaddle/sim/SimHost.java
+++ b/simhost/src/main/java/shalepaddle/sim/SimHost.java
@@ -116,28 +116,28 @@
       case "DETACH" -> instances.remove(number);
       case "SYNC" -> {
         var update = Dialect.membership(message);
-        guarded(actions, () -> balancer.membership(now, update));
+        guarded(actions, () -> balancer.onMembershipUpdate(now, update));
       }
       case "REQUEST" -> {
         var request = Dialect.request(message);
-        guarded(actions, () -> balancer.request(now, request));
+        guarded(actions, () -> balancer.onRequest(now, request));
       }
       case "FLOWING" -> {
         String id = message.requiredText("handle");
         int attempt = (int) message.number("trial", 0);
-        guarded(actions, () -> balancer.streamStarted(now, id, attempt));
+        guarded(actions, () -> balancer.onStreamStarted(now, id, attempt));
       }
       case "FINISHED" -> {
         var outcome = Dialect.outcome(message);
-        guarded(actions, () -> balancer.outcome(now, outcome));
+        guarded(actions, () -> balancer.onOutcome(now, outcome));
       }
       case "DROPPED" -> {
         String id = message.requiredText("handle");
-        guarded(actions, () -> balancer.clientGone(now, id));
+        guarded(actions, () -> balancer.onClientDisconnected(now, id));
       }
       case "DEADLINE_HIT" -> {
         long token = message.requiredInteger("key-back");
-        guarded(actions, () -> balancer.timer(now, token));
+        guarded(actions, () -> balancer.onTimer(now, token));
       }
       case "HEALTH_RESULT" -> {
         // The module sends no probes: requests themselves are the trials.
