--- a/benchmarks/src/main/java/shalepaddle/benchmarks/ColdCaches.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/ColdCaches.java
@@ -3,6 +3,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -105,7 +106,7 @@
       int port = Subject.freePort();
       Path config = temporary.resolve(name + ".json");
       List<Integer> ports =
-          fleet.stream().map(each -> Integer.parseInt(each.address().split(":")[1])).toList();
+          fleet.stream().map(each -> Integer.parseInt(each.address().split(":", 0)[1])).toList();
       Files.writeString(config, Subject.config(port, ports));
       String[] further =
           operator == null ? new String[0] : new String[] {"--operator", operator.toString()};
@@ -157,7 +158,7 @@
     }
     loop.submit(
             () -> {
-              clients.add("node", new InetSocketAddress("127.0.0.1", port));
+              clients.add("node", new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
               clients.run(seconds * 1000L);
             })
         .sync();
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Load.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/Load.java
@@ -10,6 +10,7 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.nio.NioSocketChannel;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -64,7 +65,7 @@
                         channel.pipeline().addLast(new Client(number));
                       }
                     })
-                .connect(new InetSocketAddress("127.0.0.1", port))
+                .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
                 .sync()
                 .channel());
       }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Relay.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/Relay.java
@@ -11,6 +11,7 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
 /**
@@ -39,7 +40,7 @@
                 connect(client, port);
               }
             })
-        .bind(new InetSocketAddress("127.0.0.1", Integer.parseInt(ports[0])))
+        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(ports[0])))
         .sync()
         .channel()
         .closeFuture()
@@ -54,7 +55,7 @@
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(back)
-            .connect(new InetSocketAddress("127.0.0.1", port));
+            .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     client.pipeline().addLast(new Pass(connected.channel()));
     connected.addListener(
         done -> {
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Servers.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/Servers.java
@@ -10,6 +10,7 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.ByteToMessageDecoder;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -37,7 +38,7 @@
                       channel.pipeline().addLast(new Answers(value));
                     }
                   })
-              .bind(new InetSocketAddress("127.0.0.1", 0))
+              .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
               .sync()
               .channel();
       ports.add(((InetSocketAddress) server.localAddress()).getPort());
--- a/capacity/src/main/java/shalepaddle/capacity/HollowFeed.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowFeed.java
@@ -345,7 +345,7 @@
       Connection made = new Connection(this, to);
       connection = made;
       bytes += 3 * PACKET_BYTES;
-      if (cutFrom[member] > now || cutTo[member] > now || !to.alive && to.behindUntil > now) {
+      if (cutFrom[member] > now || cutTo[member] > now || (!to.alive && to.behindUntil > now)) {
         // Nothing comes back.
         return;
       }
@@ -393,7 +393,7 @@
     public void apply(ChangeEntry entry) {
       int place = (int) (entry.index() / 2) - 1;
       if (log.get(place).before != inForce) {
-        breach("node %d has entry %d after %d", number, entry.index(), inForce);
+        breach("node %d has entry %d after %d".formatted(number, entry.index(), inForce));
       }
       takes(entry.index());
     }
@@ -406,7 +406,7 @@
 
     private void takes(long index) {
       if (index <= inForce) {
-        breach("node %d goes back from %d to %d", number, inForce, index);
+        breach("node %d goes back from %d to %d".formatted(number, inForce, index));
       }
       for (int place = (int) (inForce / 2); place < index / 2; place++) {
         long took = now - log.get(place).at;
@@ -466,9 +466,9 @@
     events.add(new Event(Math.max(time, now), order++, what));
   }
 
-  private void breach(String form, Object... values) {
+  private void breach(String text) {
     if (breaches.size() < 20) {
-      breaches.add("%.3f s: ".formatted(now / 1e9) + form.formatted(values));
+      breaches.add("%.3f s: ".formatted(now / 1e9) + text);
     }
   }
 
@@ -510,7 +510,8 @@
           for (Node node : nodes) {
             boolean all = node.contact && node.contactSince <= agreedAt && node.stoppedUntil <= now;
             if (all && node.inForce < entry.index()) {
-              breach("node %d is in contact and lacks entry %d", node.number, entry.index());
+              breach(
+                  "node %d is in contact and lacks entry %d".formatted(node.number, entry.index()));
             }
           }
         });
@@ -631,7 +632,7 @@
     long head = log.get(log.size() - 1).entry.index();
     for (Node node : nodes) {
       if (node.inForce != head || !node.contact) {
-        breach("node %d ends with entry %d of %d", node.number, node.inForce, head);
+        breach("node %d ends with entry %d of %d".formatted(node.number, node.inForce, head));
       }
     }
     return counted();
--- a/capacity/src/main/java/shalepaddle/capacity/HollowFleet.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowFleet.java
@@ -212,7 +212,7 @@
 
   private void run(double until) {
     double next = now + gap();
-    while (next < until || !events.isEmpty() && events.peek().at < until) {
+    while (next < until || (!events.isEmpty() && events.peek().at < until)) {
       if (!events.isEmpty() && events.peek().at <= next) {
         Event event = events.poll();
         now = event.at;
--- a/capacity/src/test/java/shalepaddle/capacity/ChangeFeedSimulationTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/ChangeFeedSimulationTest.java
@@ -53,7 +53,7 @@
         case 1 -> feed.kill(at, member, nanos);
         case 2 -> {
           for (int each = 0; each < 3; each++) {
-            feed.kill(at + each * 2 * SECOND, each, SECOND);
+            feed.kill(at + 2L * each * SECOND, each, SECOND);
           }
         }
         case 3 -> feed.alone(at, member, 2 * nanos);
--- a/cli/src/main/java/shalepaddle/cli/CapacityCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/CapacityCommand.java
@@ -111,7 +111,7 @@
     long peak = peakBytes();
     out.printf(
         "seed %d, %.0f s, peak of memory %d MB of %d MB that may be used%n",
-        seed, (System.nanoTime() - began) / 1e9, peak >> 20, machineBytes() / 2 >> 20);
+        seed, (System.nanoTime() - began) / 1e9, peak >> 20, (machineBytes() / 2) >> 20);
     if (json != null) {
       new ObjectMapper()
           .writerWithDefaultPrettyPrinter()
--- a/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
@@ -48,6 +48,10 @@
     return CommandLine.ExitCode.USAGE;
   }
 
+  private static void log(String line) {
+    System.err.println(line);
+  }
+
   /** The group, as a caller knows it. */
   static final class Group {
     @Option(names = "--group", required = true, description = "The group's name.")
@@ -187,7 +191,7 @@
           "member",
           () -> {
             CountDownLatch end = new CountDownLatch(1);
-            try (GroupMember member = new GroupMember(own.place(group), System.err::println)) {
+            try (GroupMember member = new GroupMember(own.place(group), ClusterCommand::log)) {
               if (feed != null) {
                 System.err.println("feeds on " + member.feed(MemberList.address(feed)));
               }
--- a/cluster/src/main/java/shalepaddle/storage/RecordFormat.java
+++ b/cluster/src/main/java/shalepaddle/storage/RecordFormat.java
@@ -25,6 +25,8 @@
    *
    * @param kind what the body is
    */
+  // Never compared; a copy would double what is read.
+  @SuppressWarnings("ArrayRecordComponent")
   record Framed(byte kind, byte[] body) {}
 
   /**
--- a/cluster/src/main/java/shalepaddle/transport/ControlMessages.java
+++ b/cluster/src/main/java/shalepaddle/transport/ControlMessages.java
@@ -33,6 +33,8 @@
    *     none
    * @param body whatever belongs to it
    */
+  // Never compared; owned by whoever reads it.
+  @SuppressWarnings("ArrayRecordComponent")
   record Said(long number, String what, byte[] body) {
     byte[] bytes() {
       return CborValues.write(
--- a/cluster/src/main/java/shalepaddle/transport/Frame.java
+++ b/cluster/src/main/java/shalepaddle/transport/Frame.java
@@ -15,21 +15,31 @@
  * @param kind what the body is
  * @param body at most {@value #MOST_BYTES} bytes
  */
+// Never compared; owned by whoever reads it.
+@SuppressWarnings("ArrayRecordComponent")
 record Frame(Kind kind, byte[] body) {
   /** What a body is. */
   enum Kind {
     /** Who speaks, first on each connection. */
-    HELLO,
+    HELLO(0),
     /** A message by which members agree. */
-    AGREE,
+    AGREE(1),
     /** A question that wants an answer on the same connection. */
-    ASK,
+    ASK(2),
     /** The answer to one. */
-    ANSWER,
+    ANSWER(3),
     /** What a follower of the feed says. */
-    FOLLOW,
+    FOLLOW(4),
     /** What a member tells its followers. */
-    FEED
+    FEED(5);
+
+    private static final List<Kind> BY_CODE = List.of(values());
+
+    private final int code;
+
+    Kind(int code) {
+      this.code = code;
+    }
   }
 
   static final int MOST_BYTES = 4 << 20;
@@ -48,7 +58,7 @@
         .buffer(HEAD + body.length)
         .writeShort(MAGIC)
         .writeByte(VERSION)
-        .writeByte(kind.ordinal())
+        .writeByte(kind.code)
         .writeInt(body.length)
         .writeInt(checksum(body))
         .writeBytes(body);
@@ -83,7 +93,7 @@
       if (sum != checksum(body)) {
         throw new CorruptedFrameException("damaged on the way");
       }
-      out.add(new Frame(Kind.values()[kind], body));
+      out.add(new Frame(Kind.BY_CODE.get(kind), body));
     }
   }
 }
--- a/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
@@ -190,7 +190,7 @@
     @Override
     public void force() throws IOException {
       step();
-      if (failing || failAt >= 0 && forces++ >= failAt) {
+      if (failing || (failAt >= 0 && forces++ >= failAt)) {
         bytes.dropped = true;
         throw new IOException("no space left on device");
       }
--- a/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
+++ b/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
@@ -11,6 +11,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Executors;
@@ -189,7 +190,9 @@
     try (Socket stranger = new Socket()) {
       stranger.connect(port.address());
       stranger.setSoTimeout(20_000);
-      stranger.getOutputStream().write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes("US-ASCII"));
+      stranger
+          .getOutputStream()
+          .write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       assertEquals(-1, readOrEnd(stranger));
     }
     assertTrue(next(portLines).contains("these are no members' bytes"));
--- a/core/src/main/java/shalepaddle/changefeed/ChangeEntry.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeEntry.java
@@ -7,4 +7,6 @@
  * @param index its place in the log; not every place has an entry
  * @param body what it says
  */
+// Never compared; a copy for each subscriber would cost more.
+@SuppressWarnings("ArrayRecordComponent")
 public record ChangeEntry(long index, byte[] body) {}
--- a/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
@@ -206,7 +206,7 @@
 
   /** The member that is followed has told something. */
   public void told(long now, PublisherMessage told) {
-    if (stoodStill(now) || state != State.GREETED && state != State.FOLLOWING) {
+    if (stoodStill(now) || (state != State.GREETED && state != State.FOLLOWING)) {
       return;
     }
     if (told instanceof PublisherMessage.TurnedDown down) {
--- a/core/src/main/java/shalepaddle/changefeed/PublisherMessage.java
+++ b/core/src/main/java/shalepaddle/changefeed/PublisherMessage.java
@@ -18,6 +18,8 @@
    * @param index up to which place of the log it goes
    * @param image the state
    */
+  // Never compared; a copy for each subscriber would cost.
+  @SuppressWarnings("ArrayRecordComponent")
   record Snapshot(long index, byte[] image) implements PublisherMessage {}
 
   /**
--- a/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
+++ b/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
@@ -43,7 +43,7 @@
       calm = 0;
     } else if (++calm >= bounds.calmReadings()) {
       // One step down at a time: what was shut off comes back in parts.
-      level = PressureLevel.values()[level.ordinal() - 1];
+      level = level == PressureLevel.FULL ? PressureLevel.BUSY : PressureLevel.CALM;
       calm = 0;
     }
     return level;
--- a/core/src/main/java/shalepaddle/policy/PendingRequest.java
+++ b/core/src/main/java/shalepaddle/policy/PendingRequest.java
@@ -115,7 +115,7 @@
   boolean mayRefuse(double now) {
     Attempt first = firstThatMayHaveRun();
     boolean bound = type.effect() == Settings.Effect.KEYED && type.group() != Settings.Group.ALL;
-    return first == null || !bound && harmlessFor(first, now) > 0;
+    return first == null || (!bound && harmlessFor(first, now) > 0);
   }
 
   /** Seconds in which the group of servers drops repeats, with some to spare for their way. */
--- a/core/src/main/java/shalepaddle/policy/RequestRouter.java
+++ b/core/src/main/java/shalepaddle/policy/RequestRouter.java
@@ -110,7 +110,7 @@
   /** How many servers are listed, or only those that get nothing, by hand or for failures. */
   public int listed(boolean avoided) {
     var all = feed.servers.values().stream();
-    return (int) all.filter(s -> !avoided || feed.excluded(s) || !panic && s.suspect()).count();
+    return (int) all.filter(s -> !avoided || feed.excluded(s) || (!panic && s.suspect())).count();
   }
 
   private void place() {
@@ -222,7 +222,7 @@
     long pair = OriginFetchLimiter.pair(p, target);
     if (likelyFetch(now, p, pair)) {
       boolean full = guard.full(now);
-      if (!p.impatient && (guard.follow(pair, p) || full && guard.park(p))) {
+      if (!p.impatient && (guard.follow(pair, p) || (full && guard.park(p)))) {
         hold(now, p);
         return;
       } else if (full) {
@@ -436,7 +436,7 @@
     if (outcome.load() != null && outcome.load().utilization() >= 0) {
       server.strained(now, outcome.load().utilization() / FULL_CORES, fairStrain);
     }
-    if (p.request.write() || fetch && !hung && outcome.note() != Outcome.Note.HIT) {
+    if (p.request.write() || (fetch && !hung && outcome.note() != Outcome.Note.HIT)) {
       return;
     }
     if (outcome.result() == Result.OK) {
@@ -460,7 +460,7 @@
       boolean late = outcome.waited() > p.type.aim();
       boolean lateFetch = ok && late && outcome.note() != Outcome.Note.HIT;
       boolean failed = full || outcome.result() == Result.ERROR || outcome.silent() || lateFetch;
-      if (failed || ok && !late) {
+      if (failed || (ok && !late)) {
         server.fetched(now, failed, losses);
         losses += 0.1 * ((failed ? 1 : 0) - losses);
         // What has its cause in some servers is not the origin's: its troubles reach all of them.
--- a/core/src/main/java/shalepaddle/policy/ServerStartTimes.java
+++ b/core/src/main/java/shalepaddle/policy/ServerStartTimes.java
@@ -76,7 +76,7 @@
 
   /** An older list, from a replica that lags, tells no start of a server that is known. */
   private static boolean isNews(Start known, double stamp, boolean older) {
-    return known == null || stamp > 0 && known.stamp != stamp && !(older && stamp < known.stamp);
+    return known == null || (stamp > 0 && known.stamp != stamp && !(older && stamp < known.stamp));
   }
 
   /** What can be known of starts that were before this balancer's own. */
--- a/core/src/test/java/shalepaddle/overload/AdmissionControllerTest.java
+++ b/core/src/test/java/shalepaddle/overload/AdmissionControllerTest.java
@@ -116,7 +116,7 @@
     AdmissionController admission = new AdmissionController(OverloadConfig.OFF, tiers, 1);
     for (int i = 1; i < 20; i++) {
       admission.admits(0, false);
-      admission.interval(1, i * 100 * MILLI);
+      admission.interval(1, i * 100L * MILLI);
     }
     assertFalse(admission.limited());
   }
@@ -137,7 +137,7 @@
     TenantQuotas shares = new TenantQuotas(LoopModel.settings(true).tenants(), 2);
     int past = 0;
     for (int i = 0; i < 1000; i++) {
-      past += shares.pastShare(0, 1 + i * 10 * MILLI) ? 1 : 0;
+      past += shares.pastShare(0, 1 + i * 10L * MILLI) ? 1 : 0;
     }
     assertEquals(1000 - 500 - 50, past, 20, "100 a second come, half of 100 are its share here");
     assertFalse(shares.pastShare(1, 1), "no quota, no share to be past");
--- a/core/src/test/java/shalepaddle/overload/LoopModel.java
+++ b/core/src/test/java/shalepaddle/overload/LoopModel.java
@@ -6,7 +6,6 @@
 import java.util.Comparator;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import shalepaddle.model.Settings;
@@ -41,7 +40,7 @@
   private final int repeats;
   private final ArrayDeque<Ask> queue = new ArrayDeque<>();
   private final PriorityQueue<Ask> coming = new PriorityQueue<>(Comparator.comparingLong(Ask::at));
-  private final Map<Ask, Client> closed = new IdentityHashMap<>();
+  private final IdentityHashMap<Ask, Client> closed = new IdentityHashMap<>();
   final List<Fate> fates = new ArrayList<>();
   final List<String> levels = new ArrayList<>();
 
@@ -60,7 +59,7 @@
   private static final long LOOPBACK = MILLI / 20;
 
   /** The connection of what is under way on one. */
-  private final Map<Ask, RetryStormDetector> on = new IdentityHashMap<>();
+  private final IdentityHashMap<Ask, RetryStormDetector> on = new IdentityHashMap<>();
 
   private final ArrayDeque<RetryStormDetector> idle = new ArrayDeque<>();
   private final ArrayDeque<Ask> due = new ArrayDeque<>();
--- a/core/src/test/java/shalepaddle/policy/ExclusionTest.java
+++ b/core/src/test/java/shalepaddle/policy/ExclusionTest.java
@@ -40,7 +40,7 @@
       double now = 100 + i * 0.01;
       if (i % 50 == 0) {
         // It leaves, vanishes, comes back under its id, and starts anew.
-        ServerEntry.State state = ServerEntry.State.values()[random.nextInt(3)];
+        ServerEntry.State state = List.of(ServerEntry.State.values()).get(random.nextInt(3));
         ServerEntry entry = PolicyFixture.server(3, state, random.nextBoolean() ? now - 1 : 0);
         balancer.membership(now, PolicyFixture.list(MembershipUpdate.Kind.CHANGES, List.of(entry)));
       }
--- a/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
+++ b/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
@@ -56,7 +56,7 @@
   @Test
   void serverThatServedNobodyIsLeftOutFromTheFirstRequestOn() {
     for (int i = 0; i < KEYS; i++) {
-      long server = 1 + i % 6;
+      long server = 1L + i % 6;
       witness("k" + i, server, server == 3 ? Result.ERROR : Result.OK);
     }
     int tried = 0;
--- a/core/src/test/java/shalepaddle/policy/RulesTest.java
+++ b/core/src/test/java/shalepaddle/policy/RulesTest.java
@@ -59,8 +59,8 @@
         world.arrives(request);
         balancer.request(world.now, request);
       } else if (what == 4 && random.nextInt(8) == 0) {
-        long id = 1 + random.nextInt(12);
-        ServerEntry.State state = ServerEntry.State.values()[random.nextInt(3)];
+        long id = 1L + random.nextInt(12);
+        ServerEntry.State state = List.of(ServerEntry.State.values()).get(random.nextInt(3));
         double started = random.nextInt(3) == 0 ? world.now - random.nextDouble() : 0;
         membership(
             world,
--- a/core/src/test/java/shalepaddle/policy/SlowStartTest.java
+++ b/core/src/test/java/shalepaddle/policy/SlowStartTest.java
@@ -115,7 +115,7 @@
       if (i > 0 && start.apart > 0) {
         play(at - start.apart, at, rate, load);
       }
-      long id = i + 1;
+      long id = i + 1L;
       startedAt.put(id, at);
       ServerEntry entry = PolicyFixture.server(id, ServerEntry.State.READY, at);
       nodes.forEach(
--- a/daemon/src/test/java/shalepaddle/daemon/AnswerTimeIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/AnswerTimeIT.java
@@ -5,6 +5,7 @@
 
 import java.net.Socket;
 import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -165,7 +166,7 @@
   void givesOneAnswerToARequestWhoseTimeRanOutUnread() throws Exception {
     try (Socket socket = new Socket(node.address().getAddress(), node.address().getPort())) {
       node.stop();
-      socket.getOutputStream().write(read("late", 50, "").getBytes());
+      socket.getOutputStream().write(read("late", 50, "").getBytes(StandardCharsets.US_ASCII));
       TimeUnit.MILLISECONDS.sleep(200);
       node.resume();
       socket.setSoTimeout(500);
--- a/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
@@ -34,6 +34,7 @@
  * <p>All stand-ins run on one event loop; methods that touch them run there.
  */
 final class FaultSoak implements Closeable {
+  private static final List<Fault> FAULTS = List.of(Fault.values());
   private static final int SERVERS = 6;
   private static final int SOCKETS = 256;
   private static final int CLIENT_CONNECTIONS = SOCKETS / 3;
@@ -285,7 +286,7 @@
         later(millis, () -> server.silent(false));
       }
       case FAULTY_SERVER -> {
-        server.fault(Fault.values()[random.nextInt(Fault.values().length)], random.nextDouble());
+        server.fault(FAULTS.get(random.nextInt(FAULTS.size())), random.nextDouble());
         later(millis, server::mend);
       }
       case RESET_CONNECTIONS -> server.resetConnections(random.nextDouble());
--- a/daemon/src/test/java/shalepaddle/daemon/FaultyCalls.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultyCalls.java
@@ -21,14 +21,20 @@
 final class FaultyCalls implements Closeable {
   /** The calls that can fail, in the order of the library's own list. */
   enum Call {
-    NONE,
-    ACCEPT,
-    CONNECT,
-    SOCKET,
-    READ,
-    WRITE,
-    SYNC,
-    FILE_WRITE
+    NONE(0),
+    ACCEPT(1),
+    CONNECT(2),
+    SOCKET(3),
+    READ(4),
+    WRITE(5),
+    SYNC(6),
+    FILE_WRITE(7);
+
+    private final int number;
+
+    Call(int number) {
+      this.number = number;
+    }
   }
 
   /** Errors by their number on Linux. */
@@ -134,7 +140,7 @@
     control.putInt(at + 4 * Integer.BYTES, 0);
     control.putInt(at + FAILED_AT, 0);
     // Last, since the process takes the rule once it says which call it is for.
-    control.putInt(at, call.ordinal());
+    control.putInt(at, call.number);
   }
 
   /** How many calls have failed since the rules were set. */
@@ -149,7 +155,7 @@
   /** All calls succeed again. */
   void clear() {
     for (int i = 0; i < MAX_RULES; i++) {
-      control.putInt(RULES_AT + i * RULE_BYTES, Call.NONE.ordinal());
+      control.putInt(RULES_AT + i * RULE_BYTES, Call.NONE.number);
     }
     rules = 0;
   }
--- a/daemon/src/test/java/shalepaddle/daemon/Fleet.java
+++ b/daemon/src/test/java/shalepaddle/daemon/Fleet.java
@@ -13,6 +13,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
@@ -137,7 +138,7 @@
         InputStream in = new BufferedInputStream(socket.getInputStream());
         OutputStream out = socket.getOutputStream();
         for (String line = line(in); line != null; line = line(in)) {
-          String[] words = line.split(" ");
+          String[] words = line.split(" ", 0);
           String id = words[3].substring(1);
           String answer = "VA 5 O" + id + " h1\r\nvalue\r\n";
           if (words[0].equals("ms")) {
@@ -297,8 +298,11 @@
 
   /** Returns once the list has changed, and after a second at the latest. */
   private synchronized void awaitChange(int told) throws InterruptedException {
-    if (told == version) {
-      wait(1000);
+    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
+    long left = until - System.nanoTime();
+    while (told == version && left > 0) {
+      TimeUnit.NANOSECONDS.timedWait(this, left);
+      left = until - System.nanoTime();
     }
   }
 
--- a/daemon/src/test/java/shalepaddle/daemon/Platform.java
+++ b/daemon/src/test/java/shalepaddle/daemon/Platform.java
@@ -79,7 +79,7 @@
       throw new IOException("cannot listen");
     }
     C.LIBRARY.getsockname(socket, address, new IntByReference(16));
-    port = (address.getByte(2) & 0xFF) << 8 | address.getByte(3) & 0xFF;
+    port = ((address.getByte(2) & 0xFF) << 8) | (address.getByte(3) & 0xFF);
   }
 
   InetSocketAddress address() {
@@ -115,7 +115,7 @@
     long processorMillis() {
       try {
         String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
-        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
         return 10 * (Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
       } catch (IOException e) {
         return -1;
--- a/daemon/src/test/java/shalepaddle/daemon/UpgradeIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/UpgradeIT.java
@@ -38,7 +38,7 @@
   private record Node(Platform.Started process, InetSocketAddress door) {
     /** The status of a call, 0 where nobody answers. */
     int call(String call) throws IOException {
-      return Integer.parseInt(answer(call + " HTTP/1.1\r\n\r\n", "0").split(" ")[0]);
+      return Integer.parseInt(answer(call + " HTTP/1.1\r\n\r\n", "0").split(" ", 0)[0]);
     }
 
     String answer(String call, String none) throws IOException {
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaLine.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaLine.java
@@ -104,7 +104,7 @@
   /** Whether all bytes between two places can be seen: what a key and an id are made of. */
   boolean visible(int from, int to) {
     for (int i = from; i < to; i++) {
-      if (bytes[i] <= ' ' && bytes[i] >= 0 || bytes[i] == 0x7F) {
+      if ((bytes[i] <= ' ' && bytes[i] >= 0) || bytes[i] == 0x7F) {
         return false;
       }
     }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaReplyDecoder.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaReplyDecoder.java
@@ -135,7 +135,7 @@
   private static LoadReport load(String text) {
     double[] values = new double[8];
     Arrays.fill(values, Double.NaN);
-    for (String pair : text.split(",")) {
+    for (String pair : text.split(",", 0)) {
       int equals = pair.indexOf('=');
       int place =
           switch (pair.substring(0, Math.max(0, equals))) {
--- a/engine/src/main/java/shalepaddle/config/OperatorFile.java
+++ b/engine/src/main/java/shalepaddle/config/OperatorFile.java
@@ -73,7 +73,7 @@
     try {
       return new OperatorFile(overload(reader, overload), joining(reader, joining));
     } catch (IllegalArgumentException e) {
-      throw reader.wrong(e.getMessage().split(" ")[0], e.getMessage());
+      throw reader.wrong(e.getMessage().split(" ", 0)[0], e.getMessage());
     }
   }
 
--- a/engine/src/main/java/shalepaddle/diagnostics/EventCounts.java
+++ b/engine/src/main/java/shalepaddle/diagnostics/EventCounts.java
@@ -9,6 +9,8 @@
   }
 
   /** How often this event had happened. */
+  // An array by ordinal: counting is on the request path and must not allocate.
+  @SuppressWarnings("EnumOrdinal")
   public long of(Event event) {
     return counts[event.ordinal()];
   }
--- a/engine/src/main/java/shalepaddle/diagnostics/FlightRecorder.java
+++ b/engine/src/main/java/shalepaddle/diagnostics/FlightRecorder.java
@@ -40,6 +40,8 @@
   }
 
   /** Records an event of a request or of a connection; null for one of the whole process. */
+  // An array by ordinal: counting is on the request path and must not allocate.
+  @SuppressWarnings("EnumOrdinal")
   public void record(Event event, String subject) {
     record(event, subject, null);
   }
@@ -50,6 +52,8 @@
    * @param subject a request's id or a connection's name, null for the whole process
    * @param detail a constant text, null for none
    */
+  // An array by ordinal: counting is on the request path and must not allocate.
+  @SuppressWarnings("EnumOrdinal")
   public void record(Event event, String subject, String detail) {
     counts[event.ordinal()]++;
     int place = (int) (recorded++ % CAPACITY);
@@ -60,6 +64,8 @@
   }
 
   /** Counts an event of which there may be too many to keep. */
+  // An array by ordinal: counting is on the request path and must not allocate.
+  @SuppressWarnings("EnumOrdinal")
   public void count(Event event, int times) {
     counts[event.ordinal()] += times;
   }
@@ -111,6 +117,8 @@
   }
 
   /** How often an event has happened. */
+  // An array by ordinal: counting is on the request path and must not allocate.
+  @SuppressWarnings("EnumOrdinal")
   public long count(Event event) {
     return counts[event.ordinal()];
   }
--- a/engine/src/main/java/shalepaddle/engine/Dispatcher.java
+++ b/engine/src/main/java/shalepaddle/engine/Dispatcher.java
@@ -315,7 +315,7 @@
   private Submission submit(Call call, long sentAt, long margin) {
     String id = call.request().id();
     figures.taken();
-    if (open.containsKey(id) || reads != null && reads.hasId(id)) {
+    if (open.containsKey(id) || (reads != null && reads.hasId(id))) {
       figures.answered(call.request().serviceClass(), new Reply.Failed(false));
       call.payload().release();
       return null;
--- a/engine/src/main/java/shalepaddle/hotrestart/Frame.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/Frame.java
@@ -28,7 +28,7 @@
     while (end < whole.length && whole[end] != '\n') {
       end++;
     }
-    String[] head = new String(whole, 0, end, StandardCharsets.US_ASCII).split(" ");
+    String[] head = new String(whole, 0, end, StandardCharsets.US_ASCII).split(" ", 0);
     if (head.length != 3 || !head[0].equals(version)) {
       throw new FormatException("of another version, or none");
     }
--- a/engine/src/main/java/shalepaddle/hotrestart/ServerExclusion.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ServerExclusion.java
@@ -14,6 +14,6 @@
   boolean after(ServerExclusion other) {
     return other == null
         || atMillis > other.atMillis
-        || atMillis == other.atMillis && out && !other.out;
+        || (atMillis == other.atMillis && out && !other.out);
   }
 }
--- a/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
@@ -46,9 +46,9 @@
   @Override
   public void bindTo(MeterRegistry registry) {
     SnapshotMeters<OverloadSnapshot> meters = new SnapshotMeters<>(registry, PREFIX, reading);
-    level(meters, "processor", r -> r.processorLevel().ordinal());
-    level(meters, "memory", r -> r.memoryLevel().ordinal());
-    level(meters, "descriptors", r -> r.descriptorLevel().ordinal());
+    level(meters, "processor", r -> r.processorLevel().severity());
+    level(meters, "memory", r -> r.memoryLevel().severity());
+    level(meters, "descriptors", r -> r.descriptorLevel().severity());
     use(meters, "processor", OverloadSnapshot::processor);
     use(meters, "memory", OverloadSnapshot::memory);
     use(meters, "descriptors", OverloadSnapshot::descriptors);
--- a/engine/src/main/java/shalepaddle/node/ProcessorUse.java
+++ b/engine/src/main/java/shalepaddle/node/ProcessorUse.java
@@ -62,7 +62,7 @@
         length = FILE.read(text);
       }
       String line = new String(text, 0, Math.max(0, length), StandardCharsets.ISO_8859_1);
-      String[] fields = line.substring(line.lastIndexOf(')') + 2).split(" ");
+      String[] fields = line.substring(line.lastIndexOf(')') + 2).split(" ", 0);
       return (Long.parseLong(fields[USER]) + Long.parseLong(fields[SYSTEM])) * TICK_NANOS;
     } catch (IOException | RuntimeException e) {
       return -1;
--- a/engine/src/main/java/shalepaddle/node/Warmup.java
+++ b/engine/src/main/java/shalepaddle/node/Warmup.java
@@ -23,6 +23,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import shalepaddle.coalescing.CoalescingConfig;
 import shalepaddle.codec.meta.MetaClientCodec;
 import shalepaddle.codec.meta.MetaServerCodec;
@@ -149,7 +150,7 @@
               pools.close();
             })
         .await();
-    return client.answered;
+    return client.answered.get();
   }
 
   private static void listen(
@@ -265,7 +266,7 @@
     private final CountDownLatch done = new CountDownLatch(1);
     private final List<Settings.ServiceClass> services;
     private int sent;
-    private volatile int answered;
+    private final AtomicInteger answered = new AtomicInteger();
 
     Client(Settings settings) {
       services = settings.services();
@@ -293,13 +294,13 @@
       while (bytes.isReadable()) {
         // An answer is the only line with this letter: values have none, and receipts neither.
         if (bytes.readByte() == 'O') {
-          answered++;
+          answered.incrementAndGet();
           if (sent < REQUESTS) {
             send(ctx);
           }
         }
       }
-      if (answered >= REQUESTS) {
+      if (answered.get() >= REQUESTS) {
         done.countDown();
       }
     }
--- a/engine/src/main/java/shalepaddle/upstream/ServerPool.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPool.java
@@ -101,7 +101,7 @@
     address = at;
     listedAt = clock.now();
     for (ServerConnection connection : List.copyOf(connections)) {
-      if (moved || restarted && connection.openedAt() - started < 0) {
+      if (moved || (restarted && connection.openedAt() - started < 0)) {
         connection.retire();
       }
     }
--- a/engine/src/test/java/shalepaddle/front/DeadlineScannerTest.java
+++ b/engine/src/test/java/shalepaddle/front/DeadlineScannerTest.java
@@ -10,8 +10,12 @@
 
 class DeadlineScannerTest {
   private static final String COMMANDS =
-      "mg key v Oid Pc=read,t=d=3,d=480\r\nms key 5 Oid2 Pd=70,c=put\r\nvalue\r\n"
-          + "mg d=1 v Oid3 Pc=read\r\n";
+      """
+      mg key v Oid Pc=read,t=d=3,d=480\r
+      ms key 5 Oid2 Pd=70,c=put\r
+      value\r
+      mg d=1 v Oid3 Pc=read\r
+      """;
 
   private static List<Integer> found(String text, int cut) {
     DeadlineScanner scanner = new DeadlineScanner();
--- a/engine/src/test/java/shalepaddle/hotrestart/ProcessFilesTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ProcessFilesTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.FileTime;
@@ -68,7 +69,9 @@
       changed[length] ^= 1;
       assertThrows(FormatException.class, () -> StateFormat.read(changed));
     }
-    Files.write(folder.resolve("shalepaddle-2.process"), "shalepaddle-process-9 0 0\n".getBytes());
+    Files.write(
+        folder.resolve("shalepaddle-2.process"),
+        "shalepaddle-process-9 0 0\n".getBytes(StandardCharsets.US_ASCII));
     Files.write(folder.resolve("shalepaddle-3.process"), new byte[2 << 20]);
     ProcessFiles own = of(1);
     for (int i = 0; i < 100; i++) {
--- a/engine/src/test/java/shalepaddle/node/AdminServerTest.java
+++ b/engine/src/test/java/shalepaddle/node/AdminServerTest.java
@@ -13,6 +13,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -58,10 +59,10 @@
   }
 
   private static Answer answer(ScriptedPeer caller) throws IOException {
-    int status = Integer.parseInt(caller.line().split(" ")[1]);
+    int status = Integer.parseInt(caller.line().split(" ", 0)[1]);
     int length = 0;
     for (String line = caller.line(); !line.isEmpty(); line = caller.line()) {
-      if (line.toLowerCase().startsWith("content-length:")) {
+      if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
         length = Integer.parseInt(line.substring(15).strip());
       }
     }
--- a/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
@@ -73,7 +73,7 @@
     ScriptedPeer cache = rig.acceptCache();
     String line = cache.line();
     assertTrue(line.matches("mg key v Or\\d+ Pc=read,d=\\d+"), line);
-    String id = line.split(" ")[3];
+    String id = line.split(" ", 0)[3];
     cache.write("VA 5 " + id + " h0\r\nabcde\r\n");
     for (int i = 0; i < 100; i++) {
       assertEquals("VA 5 Or" + i, clients.get(i).line());
@@ -144,7 +144,7 @@
     // The policy lets the second read of a key that it does not know wait for the first.
     ScriptedPeer cache = rig.acceptCache();
     for (int i = 0; i < 2; i++) {
-      String id = cache.line().split(" ")[3];
+      String id = cache.line().split(" ", 0)[3];
       cache.write("VA 2 " + id + " h0\r\nok\r\n");
     }
     for (int i = 0; i < 2; i++) {
--- a/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
+++ b/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
@@ -205,8 +205,8 @@
               .replace(",\"", ",\r\n\t\"")
               .replace("]", "\n]");
       discovery.write(HEAD);
-      for (char c : indented.toCharArray()) {
-        discovery.write(NodeFixture.chunk(String.valueOf(c)));
+      for (int i = 0; i < indented.length(); i++) {
+        discovery.write(NodeFixture.chunk(indented.substring(i, i + 1)));
       }
       serveOne(rig, second, "indented");
       // Two in one piece with blank lines between, and the beginning of a third.
--- a/engine/src/test/java/shalepaddle/node/EventLoopStallTest.java
+++ b/engine/src/test/java/shalepaddle/node/EventLoopStallTest.java
@@ -101,14 +101,13 @@
     }
     rig.client().write("mn\r\n").line(); // All before it are accepted.
     Thread.sleep(100); // Long enough for those that have asked for nothing to give way.
-    List<ScriptedPeer> more = new ArrayList<>();
     rig.pausedWhile(
         () -> {
           for (ScriptedPeer client : clients) {
             client.write("mn\r\n");
           }
           for (int i = 0; i < 20; i++) {
-            more.add(rig.client());
+            rig.client();
           }
         });
     for (ScriptedPeer client : clients) {
--- a/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
+++ b/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
@@ -236,14 +236,14 @@
   @Test
   void eachWaitsForAsLongAsItWould() {
     for (int i = 0; i < 100; i++) {
-      read("r" + i, 10 * (i + 1));
+      read("r" + i, 10L * (i + 1));
     }
     engine.pass(504);
     serve(sent.get(0), "late");
     engine.pass(600);
     assertEquals(1, sent.size());
     for (int i = 0; i < 100; i++) {
-      long due = 10 * (i + 1);
+      long due = 10L * (i + 1);
       long at = answeredAt.get("r" + i);
       if (due <= 504) {
         assertEquals(new Reply.Failed(true), replies.get("r" + i));
--- a/engine/src/test/java/shalepaddle/node/LargeValuesTest.java
+++ b/engine/src/test/java/shalepaddle/node/LargeValuesTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
@@ -40,7 +41,8 @@
   }
 
   private static byte[] reply(String id, byte[] value) {
-    byte[] head = ("VA " + value.length + " O" + id + " h1\r\n").getBytes();
+    byte[] head =
+        ("VA " + value.length + " O" + id + " h1\r\n").getBytes(StandardCharsets.US_ASCII);
     byte[] reply = Arrays.copyOf(head, head.length + value.length + 2);
     System.arraycopy(value, 0, reply, head.length, value.length);
     reply[reply.length - 2] = '\r';
--- a/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
@@ -122,8 +122,12 @@
     EmbeddedChannel channel = channel();
     channel.writeInbound(
         bytes(
-            "mg key v Oa1 Pc=nosuch,d=5\r\nmg key v Oa2\r\nfoo\r\n"
-                + "ms key 99999999 Ow1 Pc=read,d=5\r\n"));
+            """
+            mg key v Oa1 Pc=nosuch,d=5\r
+            mg key v Oa2\r
+            foo\r
+            ms key 99999999 Ow1 Pc=read,d=5\r
+            """));
     List<String> answers = new ArrayList<>();
     for (ClientCommand command = channel.readInbound();
         command != null;
--- a/settings/src/main/java/shalepaddle/settings/JsonObject.java
+++ b/settings/src/main/java/shalepaddle/settings/JsonObject.java
@@ -48,27 +48,23 @@
   }
 
   private static Object value(JsonParser parser) throws IOException {
-    switch (parser.currentToken()) {
-      case START_OBJECT:
-        return new JsonObject(object(parser));
-      case START_ARRAY:
-        List<Object> list = new ArrayList<>();
-        while (parser.nextToken() != JsonToken.END_ARRAY) {
-          list.add(value(parser));
-        }
-        return list;
-      case VALUE_NUMBER_INT:
-      case VALUE_NUMBER_FLOAT:
-        return parser.getNumberValue();
-      case VALUE_TRUE:
-        return Boolean.TRUE;
-      case VALUE_FALSE:
-        return Boolean.FALSE;
-      case VALUE_NULL:
-        return null;
-      default:
-        return parser.getText();
+    return switch (parser.currentToken()) {
+      case START_OBJECT -> new JsonObject(object(parser));
+      case START_ARRAY -> list(parser);
+      case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
+      case VALUE_TRUE -> true;
+      case VALUE_FALSE -> false;
+      case VALUE_NULL -> null;
+      default -> parser.getText();
+    };
+  }
+
+  private static List<Object> list(JsonParser parser) throws IOException {
+    List<Object> list = new ArrayList<>();
+    while (parser.nextToken() != JsonToken.END_ARRAY) {
+      list.add(value(parser));
     }
+    return list;
   }
 
   private FormatException wrong(String name) {
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioPlan.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioPlan.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
+import java.util.EnumSet;
 import java.util.List;
 import java.util.SplittableRandom;
 import shalepaddle.testkit.Fault;
@@ -131,9 +132,11 @@
     RETUNE
   }
 
+  private static final List<Fault> FAULTS = List.of(Fault.values());
+
   /** The kinds that {@link #of} draws from: its days stay what they were. */
   private static final List<Kind> USUAL_KINDS =
-      List.of(Kind.values()).subList(0, Kind.RUDE.ordinal() + 1);
+      List.copyOf(EnumSet.complementOf(EnumSet.of(Kind.MUTE_WATCHES, Kind.RETUNE)));
 
   /** The kinds that {@link #crossing} brings together. */
   private static final List<Kind> CROSSING_KINDS =
@@ -173,7 +176,7 @@
     int count = 2 + random.nextInt(7);
     for (int i = 0; i < count; i++) {
       Kind kind = USUAL_KINDS.get(random.nextInt(USUAL_KINDS.size()));
-      Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
+      Fault fault = FAULTS.get(random.nextInt(FAULTS.size()));
       long at = millis / 10 + random.nextLong(millis * 7 / 10);
       troubles.add(trouble(at, kind, nodes, servers, fault, random));
     }
--- a/simulation/src/test/java/shalepaddle/simulation/InjectedViolationTest.java
+++ b/simulation/src/test/java/shalepaddle/simulation/InjectedViolationTest.java
@@ -40,7 +40,7 @@
               new ScenarioPlan.Trouble(4000, ScenarioPlan.Kind.RUDE, 0, 0, 60, null)),
           false);
 
-  private static final Consumer<Channel> NOBODY = channel -> {};
+  private static void unchanged(Channel channel) {}
 
   private static Consumer<Channel> adding(Supplier<ChannelDuplexHandler> handler) {
     return channel -> channel.pipeline().addFirst(handler.get());
@@ -101,7 +101,7 @@
                   ctx.write(bytes.retainedDuplicate());
                   ctx.write(bytes, done);
                 }),
-            NOBODY));
+            InjectedViolationTest::unchanged));
   }
 
   @Test
@@ -109,7 +109,7 @@
     assertFound(
         "no answer in time",
         new ScenarioSimulation.Tampering(
-            NOBODY,
+            InjectedViolationTest::unchanged,
             rarely(
                 "VA ",
                 (ctx, bytes, done) -> {
@@ -122,7 +122,7 @@
     assertFound(
         "more than one answer",
         new ScenarioSimulation.Tampering(
-            NOBODY,
+            InjectedViolationTest::unchanged,
             rarely(
                 "VA ",
                 (ctx, bytes, done) -> {
@@ -136,7 +136,7 @@
     assertFound(
         "ended without an answer",
         new ScenarioSimulation.Tampering(
-            NOBODY,
+            InjectedViolationTest::unchanged,
             rarely(
                 "VA ",
                 (ctx, bytes, done) -> {
@@ -150,7 +150,7 @@
     assertFound(
         "served with another's answer",
         new ScenarioSimulation.Tampering(
-            NOBODY,
+            InjectedViolationTest::unchanged,
             rarely(
                 "VA ",
                 (ctx, bytes, done) -> {
@@ -165,7 +165,7 @@
     assertFound(
         "was refused and took effect",
         new ScenarioSimulation.Tampering(
-            NOBODY,
+            InjectedViolationTest::unchanged,
             rarely(
                 "HD ",
                 (ctx, bytes, done) -> {
@@ -189,7 +189,7 @@
                   ctx.executor()
                       .schedule(() -> ctx.writeAndFlush(late), 700, TimeUnit.MILLISECONDS);
                 }),
-            NOBODY));
+            InjectedViolationTest::unchanged));
   }
 
   @Test
@@ -211,7 +211,7 @@
                         ctx.fireChannelRead(bytes);
                       }
                     }),
-            NOBODY));
+            InjectedViolationTest::unchanged));
   }
 
   @Test
@@ -219,7 +219,7 @@
     assertFound(
         "got neither an error nor a close",
         new ScenarioSimulation.Tampering(
-            NOBODY,
+            InjectedViolationTest::unchanged,
             adding(
                 () ->
                     new ChannelDuplexHandler() {
@@ -246,7 +246,7 @@
     assertFound(
         "bytes of buffers leaked",
         new ScenarioSimulation.Tampering(
-            NOBODY,
+            InjectedViolationTest::unchanged,
             rarely(
                 "VA ",
                 (ctx, bytes, done) -> {
--- a/testkit/src/main/java/shalepaddle/testkit/MetaRequest.java
+++ b/testkit/src/main/java/shalepaddle/testkit/MetaRequest.java
@@ -17,6 +17,8 @@
  * @param properties names and values of its flag {@code P}
  * @param value a write's value, null for a read
  */
+// Never compared; owned by the stand-in that reads it.
+@SuppressWarnings("ArrayRecordComponent")
 record MetaRequest(
     boolean write, String key, String id, Map<String, String> properties, byte[] value) {
 
@@ -63,7 +65,7 @@
         if (words[i].startsWith("O")) {
           id = words[i].substring(1);
         } else if (words[i].startsWith("P")) {
-          for (String pair : words[i].substring(1).split(",")) {
+          for (String pair : words[i].substring(1).split(",", 0)) {
             int equals = pair.indexOf('=');
             properties.put(pair.substring(0, equals), pair.substring(equals + 1));
           }
--- a/testkit/src/main/java/shalepaddle/testkit/StandInClients.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInClients.java
@@ -631,7 +631,7 @@
       }
       String value = null;
       if (line.startsWith("VA ")) {
-        int length = Integer.parseInt(line.split(" ")[1]);
+        int length = Integer.parseInt(line.split(" ", 0)[1]);
         if (in.readableBytes() < length + 2) {
           return;
         }
