--- a/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
+++ b/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
@@ -220,7 +220,7 @@
         disarm();
         alarmAt = next;
         if (next != Long.MAX_VALUE) {
-          alarm = timers.by(next - now, () -> due(next));
+          alarm = timers.runNoLaterThan(next - now, () -> due(next));
         }
       }
     }
--- a/engine/src/main/java/shalepaddle/engine/Dispatcher.java
+++ b/engine/src/main/java/shalepaddle/engine/Dispatcher.java
@@ -320,7 +320,7 @@
       call.payload().release();
       return null;
     }
-    long now = loopClock.look();
+    long now = loopClock.refresh();
     recorder.record(Event.REQUEST_READ, id);
     Request asked = call.request();
     long clientDeadline = sentAt + nanos(asked.budget());
@@ -343,7 +343,7 @@
     }
     Exchange request = open(call, deadline);
     request.clientDeadlineNanos = clientDeadline;
-    if (now - sentAt > LoopClock.PAUSE_NANOS) {
+    if (now - sentAt > LoopClock.STALL_THRESHOLD_NANOS) {
       // It waited unread, and so may the end of its connection, which is read in a turn of its own
       // and told behind that turn's reads.
       loopClock.afterNextPoll(() -> loop.execute(() -> start(request, asked)));
@@ -374,7 +374,7 @@
   void start(Exchange request, Request taken) {
     // Guards against deciding, right after a pause, on what was known before it, and against
     // writing to connections whose end waits to be read.
-    loopClock.whenCaughtUp(() -> entrance.enter(request, taken));
+    loopClock.whenBacklogRead(() -> entrance.enter(request, taken));
   }
 
   /** Gives an exchange, and the attempts that are out for it, more time. */
@@ -483,7 +483,8 @@
     ending = true;
     // A tick before attempts time out that end at the same time, which would be judged each for
     // itself.
-    timers.by(nanos - ANSWER_MARGIN_NANOS - tickNanos - loopClock.now(), this::answerOpen);
+    timers.runNoLaterThan(
+        nanos - ANSWER_MARGIN_NANOS - tickNanos - loopClock.now(), this::answerOpen);
   }
 
   /** Gives every open request its one answer, a refusal where it can not have run. */
@@ -602,8 +603,8 @@
       attempt.unwritten.cancel();
     }
     Exchange request = attempt.request;
-    double elapsed = (loopClock.look() - attempt.sentAt) / 1e9;
-    double unheard = (loopClock.stood() - attempt.stoodBefore) / 1e9;
+    double elapsed = (loopClock.refresh() - attempt.sentAt) / 1e9;
+    double unheard = (loopClock.stalledNanos() - attempt.stoodBefore) / 1e9;
     tell(
         now -> {
           request.out--;
@@ -724,7 +725,13 @@
     long deadline = request.deadlineNanos - ANSWER_MARGIN_NANOS;
     Attempt attempt =
         new Attempt(
-            request, request.attempts.size(), server, now, deadline, within, loopClock.stood());
+            request,
+            request.attempts.size(),
+            server,
+            now,
+            deadline,
+            within,
+            loopClock.stalledNanos());
     request.attempts.add(attempt);
     recorder.record(attemptKind(request), requestId);
     request.out++;
@@ -737,7 +744,7 @@
     }
     limit(attempt, now);
     bound(attempt, now);
-    loopClock.whenCaughtUp(() -> upstream.send(attempt));
+    loopClock.whenBacklogRead(() -> upstream.send(attempt));
   }
 
   /** What the attempt that was added last is to its request. */
@@ -751,7 +758,7 @@
   /** Sees to it that it is written whole while it may be, or not at all. */
   private void bound(Attempt attempt, long now) {
     if (attempt.writeWithin(now) < attempt.deadlineNanos - now) {
-      attempt.unwritten = timers.by(attempt.writeWithin(now), () -> giveBack(attempt));
+      attempt.unwritten = timers.runNoLaterThan(attempt.writeWithin(now), () -> giveBack(attempt));
     }
   }
 
@@ -767,7 +774,8 @@
 
   private void limit(Attempt attempt, long now) {
     attempt.timeout =
-        timers.by(attempt.deadlineNanos - now, () -> withdraw(attempt, Outcome.Result.TIMEOUT));
+        timers.runNoLaterThan(
+            attempt.deadlineNanos - now, () -> withdraw(attempt, Outcome.Result.TIMEOUT));
   }
 
   /** Stops waiting for an attempt. */
@@ -839,7 +847,7 @@
     if (closed) {
       return;
     }
-    timers.after((long) (delay * 1e9), () -> tell(now -> balancer.timer(now, token)));
+    timers.runNoEarlierThan((long) (delay * 1e9), () -> tell(now -> balancer.timer(now, token)));
   }
 
   @Override
--- a/engine/src/main/java/shalepaddle/front/ArrivalTracker.java
+++ b/engine/src/main/java/shalepaddle/front/ArrivalTracker.java
@@ -48,7 +48,7 @@
   long read() {
     if (!reading) {
       reading = true;
-      readingSince = clock.look();
+      readingSince = clock.refresh();
       boolean polledBefore = watched && watchedSince - clock.previousPollAt() <= 0;
       arrival = polledBefore ? later(emptyAt, clock.earliestArrival()) : emptyAt;
     }
--- a/engine/src/main/java/shalepaddle/front/ClientConnections.java
+++ b/engine/src/main/java/shalepaddle/front/ClientConnections.java
@@ -115,7 +115,7 @@
     if (size() < limit) {
       return true;
     }
-    long now = clock.listened();
+    long now = clock.activeNanos();
     boolean flood = open.get(Standing.UNUSED).size() > HESITANT * limit;
     return endLongest(Standing.LEAVING, now)
         || endLongest(Standing.UNUSED, flood ? now : now - HESITANT_NANOS)
@@ -168,7 +168,7 @@
     if (from != null) {
       open.get(from).remove(client);
     }
-    open.get(to).put(client, clock.listened());
+    open.get(to).put(client, clock.activeNanos());
     if (to == Standing.OWED) {
       closeCrowding();
     }
@@ -209,7 +209,7 @@
 
   /** Closes what has been of no use for too long. Not to be called while the loop is behind. */
   public void sweep() {
-    long now = clock.listened();
+    long now = clock.activeNanos();
     endAll(Standing.UNUSED, Event.CLOSE_UNUSED, now - MAX_COMMAND_NANOS);
     for (ClientHandler client :
         expired(Standing.MIDWAY, now - MAX_COMMAND_NANOS, Integer.MAX_VALUE)) {
@@ -251,7 +251,7 @@
     if (shut) {
       return;
     }
-    long now = clock.listened();
+    long now = clock.activeNanos();
     closeIdle(now - HESITANT_NANOS, FULL * limit);
     closeIdle(now - PROMPT_NANOS, CROWDED * limit);
   }
@@ -297,7 +297,7 @@
     if (size() > 0) {
       loop.schedule(() -> closeNext(loop), restMillis, TimeUnit.MILLISECONDS);
       loop.schedule(
-          () -> clock.whenCaughtUp(this::lastCall),
+          () -> clock.whenBacklogRead(this::lastCall),
           restMillis + lastCallMillis,
           TimeUnit.MILLISECONDS);
     }
@@ -323,7 +323,7 @@
     int idle = open.get(Standing.IDLE).size();
     if (idle > 0) {
       for (ClientHandler client :
-          expired(Standing.IDLE, clock.listened(), 1 + idle / DRAIN_STEPS)) {
+          expired(Standing.IDLE, clock.activeNanos(), 1 + idle / DRAIN_STEPS)) {
         client.endQuietly(Event.CLOSE_DRAIN, false);
       }
       loop.schedule(() -> closeNext(loop), 1, TimeUnit.MILLISECONDS);
--- a/engine/src/main/java/shalepaddle/front/ClientFront.java
+++ b/engine/src/main/java/shalepaddle/front/ClientFront.java
@@ -44,7 +44,7 @@
   @Override
   protected void initChannel(Channel channel) {
     LoopClock clock = dispatcher.clock();
-    clock.look();
+    clock.refresh();
     if (!clients.admit()) {
       dispatcher.recorder().record(Event.CLOSE_NO_ROOM, null);
       channel.close();
--- a/engine/src/main/java/shalepaddle/front/ClientHandler.java
+++ b/engine/src/main/java/shalepaddle/front/ClientHandler.java
@@ -413,7 +413,7 @@
 
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    heardAt = clock.listened();
+    heardAt = clock.activeNanos();
     reading = false;
     if (unflushed) {
       unflushed = false;
@@ -424,7 +424,7 @@
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    stalledSince = clock.listened();
+    stalledSince = clock.activeNanos();
     Slot first = slots.peek();
     if (first != null && first.flows()) {
       first.source.flow(channel.isWritable());
@@ -602,7 +602,7 @@
 
   /** Closes the connection of a client that has long read nothing of what waits for it. */
   void abortIfStalled() {
-    if (!channel.isWritable() && clock.listened() - stalledSince > MAX_STALL_NANOS) {
+    if (!channel.isWritable() && clock.activeNanos() - stalledSince > MAX_STALL_NANOS) {
       abort(Event.CLOSE_SLOW_READER);
     }
   }
--- a/engine/src/main/java/shalepaddle/loop/LoopClock.java
+++ b/engine/src/main/java/shalepaddle/loop/LoopClock.java
@@ -11,10 +11,10 @@
  * <p>The idea: a process that is stopped, or gets no processor, hears nothing while the clocks of
  * the world run on and the kernel goes on receiving for it. Whoever measures a peer's silence by
  * the wall then blames the peer for the loop's own pause. So the loop is made to turn at least once
- * a {@link #BEAT_NANOS beat}, a longer gap between two looks at the clock is a pause, and two
- * things follow. First, {@link #listened} stands still in a pause: silence is measured by it.
- * Second, after a pause the loop is {@link #behind} until it has read all that waited; what judges
- * peers, or answers requests whose time is over, waits for that by {@link #whenCaughtUp}.
+ * a {@link #MAX_SLEEP_NANOS beat}, a longer gap between two looks at the clock is a pause, and two
+ * things follow. First, {@link #activeNanos} stands still in a pause: silence is measured by it.
+ * Second, after a pause the loop is {@link #hasBacklog} until it has read all that waited; what
+ * judges peers, or answers requests whose time is over, waits for that by {@link #whenBacklogRead}.
  *
  * <p>Deadlines towards clients are not measured by it: their time runs on in a pause.
  *
@@ -24,10 +24,10 @@
  */
 public final class LoopClock {
   /** How long the loop sleeps at most while nothing happens. */
-  static final long BEAT_NANOS = 10_000_000L;
+  static final long MAX_SLEEP_NANOS = 10_000_000L;
 
   /** A gap between two looks at the clock is a pause from then on; a long turn is like one. */
-  public static final long PAUSE_NANOS = 30_000_000L;
+  public static final long STALL_THRESHOLD_NANOS = 30_000_000L;
 
   /**
    * Turns after a pause in which all that waited should be read: one brings connections that wait
@@ -54,16 +54,16 @@
   /** Is told of each pause, as soon as the loop notices. */
   public interface Listener {
     /** The loop has not run for so long, until now. */
-    void paused(long nanos);
+    void onStall(long nanos);
 
     /** A task that had waited for the loop to catch up has failed. */
-    void failed(RuntimeException cause);
+    void onTaskFailure(RuntimeException cause);
 
     /**
      * A turn ends: it began to handle what had come at one time, and goes back to listening at the
      * other. The two are the same where nothing had come.
      */
-    default void turned(long begunAt, long now) {}
+    default void onTurnEnd(long begunAt, long now) {}
   }
 
   private final List<Runnable> waiting = new ArrayList<>();
@@ -126,34 +126,34 @@
   }
 
   /** Looks at the clock: notices a pause that has just ended. Returns the time given. */
-  public long look(long now) {
+  public long refresh(long now) {
     long gap = now - seenAt;
     seenAt = now;
     if (!polled) {
       polled = true;
       // After a stall the poll may have looked long before.
-      polledAt = now - pollBeganAt > PAUSE_NANOS ? pollBeganAt : now;
+      polledAt = now - pollBeganAt > STALL_THRESHOLD_NANOS ? pollBeganAt : now;
     }
     if (!busy) {
       busy = true;
       busySince = now;
     }
-    if (gap > PAUSE_NANOS) {
-      stood += gap - BEAT_NANOS;
+    if (gap > STALL_THRESHOLD_NANOS) {
+      stood += gap - MAX_SLEEP_NANOS;
       pausedInTurn = true;
       if (turnsLeft == 0) {
         turnsLeft = MAX_TURNS;
         behindSince = now;
       }
-      stalls.add(gap - BEAT_NANOS, now);
-      listener.paused(gap - BEAT_NANOS);
+      stalls.add(gap - MAX_SLEEP_NANOS, now);
+      listener.onStall(gap - MAX_SLEEP_NANOS);
     }
     return now;
   }
 
   /** Looks at the clock now. */
-  public long look() {
-    return look(ticker.nanoTime());
+  public long refresh() {
+    return refresh(ticker.nanoTime());
   }
 
   /**
@@ -190,23 +190,23 @@
   }
 
   /** Nanoseconds in which the loop was there to listen, from an arbitrary start. */
-  public long listened() {
+  public long activeNanos() {
     return seenAt - stood;
   }
 
   /** Nanoseconds in all in which it was not. */
-  public long stood() {
+  public long stalledNanos() {
     return stood;
   }
 
   /** Whether there was a pause after which not all that waited has been read. */
-  public boolean behind() {
+  public boolean hasBacklog() {
     return turnsLeft > 0;
   }
 
   /** Runs the task once all that waited has been read: at once where nothing did. */
-  public void whenCaughtUp(Runnable task) {
-    if (behind()) {
+  public void whenBacklogRead(Runnable task) {
+    if (hasBacklog()) {
       waiting.add(task);
     } else {
       task.run();
@@ -223,12 +223,12 @@
 
   /** Whether the next poll must not sleep. */
   boolean pollsAtOnce() {
-    return behind() || !afterThisPoll.isEmpty();
+    return hasBacklog() || !afterThisPoll.isEmpty();
   }
 
   /** The loop begins to look for what has come. */
   void turnBegins(long now) {
-    look(now);
+    refresh(now);
     afterThisPoll.addAll(afterNextPoll);
     afterNextPoll.clear();
     previousPollAt = polledAt;
@@ -236,7 +236,7 @@
     polledAt = now;
     polled = false;
     pollMayBlock = false;
-    listener.turned(busySince, now);
+    listener.onTurnEnd(busySince, now);
     // What was looked at up to here belongs to the turn that ends.
     busy = false;
     turn++;
@@ -253,12 +253,12 @@
    * a handler: what is done before that, such as accepting connections, was taken for a sleep.
    */
   void pollEnds(long now) {
-    look(now);
+    refresh(now);
   }
 
   /** The loop has read what had come on so many connections. */
   void turnEnds(long now, int handled) {
-    look(now);
+    refresh(now);
     if (turnsLeft > 0) {
       boolean waitedLongEnough = now - behindSince > MAX_BACKLOG_NANOS;
       boolean allRead = handled == 0 && !pausedInTurn;
@@ -283,7 +283,7 @@
     try {
       task.run();
     } catch (RuntimeException e) {
-      listener.failed(e);
+      listener.onTaskFailure(e);
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/loop/Timers.java
+++ b/engine/src/main/java/shalepaddle/loop/Timers.java
@@ -46,12 +46,12 @@
   }
 
   /** Runs the task in the last tick that is not after the delay; at once if that has passed. */
-  public Timer by(long delayNanos, Runnable task) {
+  public Timer runNoLaterThan(long delayNanos, Runnable task) {
     return at(Math.floorDiv(clock.now() - start + delayNanos, tickNanos), task);
   }
 
   /** Runs the task in the first tick that is not before the delay. */
-  public Timer after(long delayNanos, Runnable task) {
+  public Timer runNoEarlierThan(long delayNanos, Runnable task) {
     return at(-Math.floorDiv(-(clock.now() - start + delayNanos), tickNanos), task);
   }
 
@@ -59,9 +59,9 @@
    * Runs the task once the event loop has been there to listen for so long: for what says of a peer
    * that it has been silent.
    */
-  public Timer afterListening(long nanos, Runnable task) {
+  public Timer afterActiveTime(long nanos, Runnable task) {
     Timer timer = new Timer(task);
-    listen(clock.listened() + nanos, timer);
+    listen(clock.activeNanos() + nanos, timer);
     return timer;
   }
 
@@ -71,19 +71,19 @@
    * bootstrap's own time-out: after a pause that may come before what has come up is looked at, and
    * a peer that runs would be taken for one that has vanished.
    */
-  public void limit(ChannelFuture connecting, long nanos) {
-    Timer patience = afterListening(nanos, () -> ConnectCompletion.close(connecting.channel()));
+  public void limitConnect(ChannelFuture connecting, long nanos) {
+    Timer patience = afterActiveTime(nanos, () -> ConnectCompletion.close(connecting.channel()));
     ConnectCompletion.whenDone(connecting, loop, done -> patience.cancel());
   }
 
   private void listen(long until, Timer timer) {
-    after(
-        until - clock.listened(),
+    runNoEarlierThan(
+        until - clock.activeNanos(),
         () -> {
           if (timer.task == null) {
             return;
           }
-          if (clock.listened() - until < 0) {
+          if (clock.activeNanos() - until < 0) {
             listen(until, timer);
           } else {
             timer.task.run();
@@ -136,8 +136,8 @@
    * and has not been read: that is read first.
    */
   private void alarm() {
-    clock.look();
-    clock.whenCaughtUp(this::run);
+    clock.refresh();
+    clock.whenBacklogRead(this::run);
   }
 
   private void run() {
--- a/engine/src/main/java/shalepaddle/loop/WatchedIoHandler.java
+++ b/engine/src/main/java/shalepaddle/loop/WatchedIoHandler.java
@@ -46,7 +46,7 @@
 
     @Override
     public long delayNanos(long now) {
-      return Math.min(LoopClock.BEAT_NANOS, context.delayNanos(now));
+      return Math.min(LoopClock.MAX_SLEEP_NANOS, context.delayNanos(now));
     }
 
     @Override
--- a/engine/src/main/java/shalepaddle/membership/DiscoveryClient.java
+++ b/engine/src/main/java/shalepaddle/membership/DiscoveryClient.java
@@ -168,7 +168,9 @@
     private final Lists lists = new Lists();
     private final Channel channel;
 
-    /** When anything came last. Not {@link LoopClock#listened}: the kernel listens in a pause. */
+    /**
+     * When anything came last. Not {@link LoopClock#activeNanos}: the kernel listens in a pause.
+     */
     private long heardAt = clock.now();
 
     /** Whether the answer has begun: what follows is a watch. */
@@ -190,7 +192,7 @@
                   });
       var connected = connector.connect(address);
       channel = connected.channel();
-      timers.limit(connected, (asked ? CONNECT_TIMEOUT_MILLIS : agentMillis) * 1_000_000);
+      timers.limitConnect(connected, (asked ? CONNECT_TIMEOUT_MILLIS : agentMillis) * 1_000_000);
       ConnectCompletion.whenDone(
           connected,
           loop,
@@ -228,7 +230,7 @@
      * read by the time that a timer runs, and what it missed binds it all the same.
      */
     private void watchOver() {
-      timers.after(
+      timers.runNoEarlierThan(
           Math.max(1, since() + patience() - clock.now()),
           () -> {
             if (over) {
@@ -251,7 +253,7 @@
       if (over) {
         return;
       }
-      clock.look();
+      clock.refresh();
       heardAt = clock.now();
       if (message.decoderResult().isFailure()) {
         fail("malformed answer");
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -377,7 +377,7 @@
       trimmedAt = now;
       transport.trim();
     }
-    dispatcher.timers().after(MEASURE_NANOS, this::measure);
+    dispatcher.timers().runNoEarlierThan(MEASURE_NANOS, this::measure);
   }
 
   /** One line for each change of a level, for who runs it. */
@@ -408,8 +408,8 @@
   private void sweepLater() {
     loop.schedule(
         () -> {
-          clock.look();
-          clock.whenCaughtUp(this::sweep);
+          clock.refresh();
+          clock.whenBacklogRead(this::sweep);
         },
         SWEEP_MILLIS,
         TimeUnit.MILLISECONDS);
@@ -420,7 +420,7 @@
       sweepLater();
       front.sweep();
       // Who takes this process's place needs the servers' places.
-      pools.closeStale(clock.look(), handedOver ? 0 : overload.posture().idleNanos());
+      pools.closeStale(clock.refresh(), handedOver ? 0 : overload.posture().idleNanos());
       pools.closeStalled();
     }
   }
@@ -485,7 +485,7 @@
     dispatcher.retune(settings);
     long now = clock.now();
     codec.retune(settings, now, now + DROPPED_NANOS);
-    dispatcher.timers().after(DROPPED_NANOS, () -> codec.forget(clock.now()));
+    dispatcher.timers().runNoEarlierThan(DROPPED_NANOS, () -> codec.forget(clock.now()));
     config = config.with(settings);
     discovery.moveTo(next.discovery());
     hangupsApplied++;
@@ -499,7 +499,7 @@
     publish();
   }
 
-  /** A turn of the loop ends that began then, see {@link LoopClock.Listener#turned}. */
+  /** A turn of the loop ends that began then, see {@link LoopClock.Listener#onTurnEnd}. */
   public void turned(long begunAt, long now) {
     // Not while it starts: loading and compiling its classes is one long turn after the other.
     if (listener != null) {
@@ -532,10 +532,12 @@
     long answered = beginDrain();
     long release = Math.max(ACCEPT_MILLIS, answered - RELEASE_MILLIS);
     // After a pause only once what came in it is accepted and read.
-    dispatcher.timers().after(TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS), this::stopAccepting);
     dispatcher
         .timers()
-        .after(
+        .runNoEarlierThan(TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS), this::stopAccepting);
+    dispatcher
+        .timers()
+        .runNoEarlierThan(
             TimeUnit.MILLISECONDS.toNanos(release),
             () -> {
               log.line("draining " + front.size() + " client connections");
--- a/engine/src/main/java/shalepaddle/node/Node.java
+++ b/engine/src/main/java/shalepaddle/node/Node.java
@@ -124,7 +124,7 @@
   /** Tells of the loop's pauses. */
   private final class Pauses implements LoopClock.Listener {
     @Override
-    public void paused(long nanos) {
+    public void onStall(long nanos) {
       // Not while it starts: loading and compiling its classes is one long turn after the other.
       if (nanos > TOLD_NANOS && listening) {
         log.line("stood still for " + nanos / 1_000_000 + " ms");
@@ -133,12 +133,12 @@
     }
 
     @Override
-    public void turned(long begunAt, long now) {
+    public void onTurnEnd(long begunAt, long now) {
       balancer.turned(begunAt, now);
     }
 
     @Override
-    public void failed(RuntimeException cause) {
+    public void onTaskFailure(RuntimeException cause) {
       log.failure("after a pause", cause);
     }
   }
--- a/engine/src/main/java/shalepaddle/node/Warmup.java
+++ b/engine/src/main/java/shalepaddle/node/Warmup.java
@@ -167,12 +167,12 @@
   /** Pauses of a loop that compiles harm nobody. */
   private record Unwatched(Log log) implements LoopClock.Listener {
     @Override
-    public void paused(long nanos) {
+    public void onStall(long nanos) {
       // Nobody waits.
     }
 
     @Override
-    public void failed(RuntimeException cause) {
+    public void onTaskFailure(RuntimeException cause) {
       log.failure("warm-up", cause);
     }
   }
--- a/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
@@ -97,14 +97,14 @@
     decoder = codec.decoder();
     this.dispatcher = dispatcher;
     clock = dispatcher.clock();
-    openedAt = clock.look();
+    openedAt = clock.refresh();
     usedAt = openedAt;
     heard();
   }
 
   private void heard() {
-    heardAt = clock.look();
-    listenedAt = clock.listened();
+    heardAt = clock.refresh();
+    listenedAt = clock.activeNanos();
   }
 
   ChannelFuture open(Bootstrap bootstrap, SocketAddress address) {
@@ -162,7 +162,7 @@
 
   /** Writes an attempt, or gives it back if it may not be written any more. */
   void write(Attempt attempt) {
-    long now = clock.look();
+    long now = clock.refresh();
     if (attempt.tooLate(now)
         || !dispatcher.guard().maySend(attempt, now, pool.drainingPastGrace(now))) {
       dispatcher.giveBack(attempt);
@@ -215,7 +215,7 @@
     awaited--;
     // Guards against writing more behind an attempt that may never be answered.
     retire();
-    if (!attempt.written && attempt.tooLate(clock.look())) {
+    if (!attempt.written && attempt.tooLate(clock.refresh())) {
       // The rest of it would go out once the kernel takes more; the others are worth less than
       // that.
       channel.close();
@@ -287,7 +287,7 @@
       // Off this connection, whatever becomes of it: it has provably not run.
       head.carrier = null;
       turnedAway = head;
-      dispatcher.timers().after(PARTING_NANOS, () -> stays(reply));
+      dispatcher.timers().runNoEarlierThan(PARTING_NANOS, () -> stays(reply));
       return;
     }
     if (!head.over) {
@@ -312,7 +312,7 @@
     if (!underWay.poll().abandoned) {
       awaited--;
     }
-    usedAt = clock.look();
+    usedAt = clock.refresh();
     if (retiring) {
       retire();
     }
@@ -489,7 +489,7 @@
         pieces == null
             ? MAX_PAUSE_NANOS
             : pieces.begun ? MAX_PIECES_PAUSE_NANOS : MAX_EARLY_PAUSE_NANOS;
-    if (decoder.midway() && clock.listened() - listenedAt > most) {
+    if (decoder.midway() && clock.activeNanos() - listenedAt > most) {
       spoil("a reply that does not end");
     }
   }
--- a/engine/src/main/java/shalepaddle/upstream/ServerPool.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPool.java
@@ -112,7 +112,7 @@
    * the list's, but not before the list was heard last, nor later than now.
    */
   private long startOf(ServerEntry news, double now) {
-    long at = clock.look();
+    long at = clock.refresh();
     double age = Math.min((at - listedAt) / 1e9, Math.max(0, now - news.startedAt()));
     return at - (long) (age * 1e9);
   }
@@ -189,7 +189,7 @@
   /** The connection that an attempt is best written to now; null if there is none for it. */
   private ServerConnection best() {
     ServerConnection best = null;
-    long now = clock.look();
+    long now = clock.refresh();
     for (ServerConnection connection : List.copyOf(connections)) {
       if (connection.load() == 0 && idleRisk.tooLong(now - connection.usedAt(), now)) {
         connection.retire();
@@ -209,7 +209,7 @@
    * is real, a connection is turned down every so often for nothing.
    */
   private int cap() {
-    while (cap < limits.connections() && clock.look() - cappedAt > cappedNanos) {
+    while (cap < limits.connections() && clock.refresh() - cappedAt > cappedNanos) {
       cap++;
       cappedAt += cappedNanos;
     }
@@ -218,7 +218,7 @@
 
   private void capped(int connections, long nanos) {
     cap = connections;
-    cappedAt = clock.look();
+    cappedAt = clock.refresh();
     cappedNanos = nanos;
   }
 
@@ -229,12 +229,12 @@
   private void connect() {
     connecting++;
     budget.take();
-    long began = clock.look();
+    long began = clock.refresh();
     int vacated = vacations;
     SocketAddress at = address;
     ServerConnection connection = new ServerConnection(this, codec, dispatcher);
     ChannelFuture future = connection.open(bootstrap, address);
-    dispatcher.timers().limit(future, limits.connectNanos());
+    dispatcher.timers().limitConnect(future, limits.connectNanos());
     ConnectCompletion.whenDone(
         future,
         dispatcher.loop(),
@@ -340,7 +340,7 @@
 
   /** A request was written after this pause, and its connection broke or brought an answer. */
   void rested(long pause, boolean broke) {
-    idleRisk.seen(pause, broke, clock.look());
+    idleRisk.seen(pause, broke, clock.refresh());
   }
 
   /** A connection is closed. */
--- a/engine/src/test/java/shalepaddle/loop/LoopClockTest.java
+++ b/engine/src/test/java/shalepaddle/loop/LoopClockTest.java
@@ -21,12 +21,12 @@
     final List<RuntimeException> failures = new ArrayList<>();
 
     @Override
-    public void paused(long nanos) {
+    public void onStall(long nanos) {
       pauses.add(nanos);
     }
 
     @Override
-    public void failed(RuntimeException cause) {
+    public void onTaskFailure(RuntimeException cause) {
       failures.add(cause);
     }
   }
@@ -39,7 +39,7 @@
   private void turn(long asleep, int handled, long reading) {
     clock.turnBegins(now);
     now += asleep;
-    clock.look(now);
+    clock.refresh(now);
     now += reading;
     clock.turnEnds(now, handled);
   }
@@ -52,19 +52,19 @@
     turn(0, 1, 20 * MILLI);
     long firstPoll = 7 * MILLI;
     clock.turnBegins(now);
-    clock.look(now);
+    clock.refresh(now);
     assertEquals(firstPoll, clock.earliestArrival(), "busy: since the poll of the turn before");
     clock.turnEnds(now, 1);
     clock.turnBegins(now);
     clock.pollMayBlock();
     now += 5 * MILLI;
-    clock.look(now);
+    clock.refresh(now);
     assertEquals(now - MILLI, clock.earliestArrival(), "it slept until they came");
     clock.turnEnds(now, 1);
     long thirdPoll = now;
     clock.turnBegins(now);
     now += 5 * MILLI;
-    clock.look(now);
+    clock.refresh(now);
     assertEquals(
         thirdPoll, clock.earliestArrival(), "it was held up in a poll that must not sleep");
   }
@@ -78,7 +78,7 @@
     clock.turnBegins(now);
     clock.pollEnds(now);
     now += 5 * MILLI;
-    clock.look(now);
+    clock.refresh(now);
     assertEquals(before, clock.earliestArrival());
   }
 
@@ -88,7 +88,7 @@
     long before = now;
     clock.turnBegins(now);
     now += 300 * MILLI;
-    clock.look(now);
+    clock.refresh(now);
     assertEquals(before, clock.earliestArrival());
     clock.turnEnds(now, 1);
     // A second turn reads what the first had no room for: not older than the first one's poll.
@@ -122,7 +122,7 @@
     for (int i = 0; i < 50; i++) {
       long asked = now;
       int before = ran.size();
-      clock.whenCaughtUp(() -> ran.add(now));
+      clock.whenBacklogRead(() -> ran.add(now));
       while (ran.size() == before) {
         turn(0, 5, 50 * MILLI);
       }
@@ -135,24 +135,24 @@
   @Test
   void aLoopThatSleepsForABeatHasNotPaused() {
     for (int i = 0; i < 1000; i++) {
-      turn(LoopClock.BEAT_NANOS, i % 3, MILLI);
+      turn(LoopClock.MAX_SLEEP_NANOS, i % 3, MILLI);
     }
     assertEquals(0, recorder.pauses.size());
-    assertEquals(now, clock.listened());
-    assertFalse(clock.behind());
+    assertEquals(now, clock.activeNanos());
+    assertFalse(clock.hasBacklog());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {50, 300, 1000, 3000})
   void timeStandsStillInAPause(int millis) {
     turn(MILLI, 1, MILLI);
-    long before = clock.listened();
+    long before = clock.activeNanos();
     now += millis * MILLI;
     turn(0, 5, MILLI);
     assertEquals(1, recorder.pauses.size());
-    assertEquals(List.of(millis * MILLI - LoopClock.BEAT_NANOS), recorder.pauses);
-    assertEquals(millis * MILLI - LoopClock.BEAT_NANOS, clock.stood());
-    assertTrue(clock.listened() - before <= LoopClock.BEAT_NANOS + MILLI);
+    assertEquals(List.of(millis * MILLI - LoopClock.MAX_SLEEP_NANOS), recorder.pauses);
+    assertEquals(millis * MILLI - LoopClock.MAX_SLEEP_NANOS, clock.stalledNanos());
+    assertTrue(clock.activeNanos() - before <= LoopClock.MAX_SLEEP_NANOS + MILLI);
   }
 
   @Test
@@ -160,16 +160,16 @@
     List<String> done = new ArrayList<>();
     now += 300 * MILLI;
     clock.turnBegins(now);
-    clock.whenCaughtUp(() -> done.add("first"));
+    clock.whenBacklogRead(() -> done.add("first"));
     clock.turnEnds(now, 7);
-    assertTrue(clock.behind());
-    clock.whenCaughtUp(() -> done.add("second"));
+    assertTrue(clock.hasBacklog());
+    clock.whenBacklogRead(() -> done.add("second"));
     turn(0, 2, MILLI);
     assertEquals(List.of(), done);
     turn(0, 0, MILLI);
     assertEquals(List.of("first", "second"), done);
-    assertFalse(clock.behind());
-    clock.whenCaughtUp(() -> done.add("at once"));
+    assertFalse(clock.hasBacklog());
+    clock.whenBacklogRead(() -> done.add("at once"));
     assertEquals(3, done.size());
   }
 
@@ -180,8 +180,8 @@
     clock.turnBegins(now);
     now += 500 * MILLI;
     clock.turnEnds(now, 0);
-    clock.whenCaughtUp(() -> done.add("judged"));
-    assertTrue(clock.behind());
+    clock.whenBacklogRead(() -> done.add("judged"));
+    assertTrue(clock.hasBacklog());
     turn(0, 0, MILLI);
     assertEquals(List.of("judged"), done);
   }
@@ -192,7 +192,7 @@
     int[] judged = {0};
     int turns = 2000;
     for (int i = 0; i < turns; i++) {
-      clock.whenCaughtUp(() -> judged[0]++);
+      clock.whenBacklogRead(() -> judged[0]++);
       // Run for 10 ms, stopped for 90, wherever that falls.
       if (random.nextBoolean()) {
         now += 90 * MILLI;
@@ -202,19 +202,19 @@
       }
     }
     assertTrue(judged[0] > turns - 10, judged[0] + " of " + turns);
-    assertTrue(clock.stood() > 0.7 * now, clock.stood() + " of " + now);
+    assertTrue(clock.stalledNanos() > 0.7 * now, clock.stalledNanos() + " of " + now);
   }
 
   @Test
   void aTaskThatFailsKeepsNoOtherFromRunning() {
     List<String> done = new ArrayList<>();
     now += 300 * MILLI;
-    clock.look(now);
-    clock.whenCaughtUp(
+    clock.refresh(now);
+    clock.whenBacklogRead(
         () -> {
           throw new IllegalStateException("on purpose");
         });
-    clock.whenCaughtUp(() -> done.add("next"));
+    clock.whenBacklogRead(() -> done.add("next"));
     turn(0, 0, 0);
     assertEquals(List.of("next"), done);
     assertEquals(1, recorder.failures.size());
--- a/engine/src/test/java/shalepaddle/loop/TimersTest.java
+++ b/engine/src/test/java/shalepaddle/loop/TimersTest.java
@@ -49,7 +49,7 @@
                 long began = System.nanoTime();
                 for (int i = 0; i < timers; i++) {
                   long delay = i * 200_000L;
-                  under.after(
+                  under.runNoEarlierThan(
                       delay,
                       () -> {
                         // Tasks that this turn of the loop still runs come before the next one.
@@ -80,14 +80,14 @@
       loop.submit(
               () -> {
                 Timers timers = new Timers(loop, group.clock, new Log(), TICK);
-                timers.after(
+                timers.runNoEarlierThan(
                     3 * TICK,
                     () -> {
                       order.add("after");
                       done.countDown();
                     });
-                timers.by(3 * TICK - 2_000_000, () -> order.add("by"));
-                timers.by(TICK, () -> order.add("cancelled")).cancel();
+                timers.runNoLaterThan(3 * TICK - 2_000_000, () -> order.add("by"));
+                timers.runNoLaterThan(TICK, () -> order.add("cancelled")).cancel();
               })
           .sync();
       assertTrue(done.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
@@ -119,7 +119,7 @@
                 Timers under = new Timers(counted, group.clock, new Log(), TICK / 10);
                 // Each is due before all that were set, so that each needs an earlier alarm.
                 for (int i = timers; i > 0; i--) {
-                  under.after(i * TICK / 10, done::countDown);
+                  under.runNoEarlierThan(i * TICK / 10, done::countDown);
                 }
               })
           .sync();
@@ -140,8 +140,8 @@
           .submit(
               () -> {
                 Timers timers = new Timers(group.loop, group.clock, new Log(), TICK);
-                timers.afterListening(300_000_000, silent::countDown);
-                timers.after(300_000_000, over::countDown);
+                timers.afterActiveTime(300_000_000, silent::countDown);
+                timers.runNoEarlierThan(300_000_000, over::countDown);
                 pause(400);
               })
           .sync();
--- a/engine/src/test/java/shalepaddle/node/ClientReadingTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientReadingTest.java
@@ -34,13 +34,13 @@
       new VirtualEngine(
           new LoopClock.Listener() {
             @Override
-            public void paused(long nanos) {}
+            public void onStall(long nanos) {}
 
             @Override
-            public void turned(long begunAt, long now) {}
+            public void onTurnEnd(long begunAt, long now) {}
 
             @Override
-            public void failed(RuntimeException cause) {
+            public void onTaskFailure(RuntimeException cause) {
               throw cause;
             }
           });
@@ -163,7 +163,7 @@
 
   private void pass(long millis) {
     engine.ticker.advance(millis, TimeUnit.MILLISECONDS);
-    engine.clock.look();
+    engine.clock.refresh();
     client.runScheduledPendingTasks();
   }
 
--- a/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
+++ b/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
@@ -59,15 +59,15 @@
       new VirtualEngine(
           new LoopClock.Listener() {
             @Override
-            public void paused(long nanos) {}
+            public void onStall(long nanos) {}
 
             @Override
-            public void failed(RuntimeException cause) {
+            public void onTaskFailure(RuntimeException cause) {
               throw cause;
             }
 
             @Override
-            public void turned(long begunAt, long now) {}
+            public void onTurnEnd(long begunAt, long now) {}
           });
 
   private Dispatcher dispatcher;
--- a/engine/src/test/java/shalepaddle/node/TurnsTest.java
+++ b/engine/src/test/java/shalepaddle/node/TurnsTest.java
@@ -29,17 +29,17 @@
       new VirtualEngine(
           new LoopClock.Listener() {
             @Override
-            public void paused(long nanos) {
+            public void onStall(long nanos) {
               throw new AssertionError("a turn with work in it is no pause");
             }
 
             @Override
-            public void failed(RuntimeException cause) {
+            public void onTaskFailure(RuntimeException cause) {
               throw cause;
             }
 
             @Override
-            public void turned(long begunAt, long now) {
+            public void onTurnEnd(long begunAt, long now) {
               turns.add(TimeUnit.NANOSECONDS.toMillis(now - begunAt));
             }
           });
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
@@ -264,19 +264,19 @@
     private LoadBalancer balancer;
 
     @Override
-    public void paused(long nanos) {
+    public void onStall(long nanos) {
       if (balancer != null) {
         balancer.paused(nanos);
       }
     }
 
     @Override
-    public void turned(long begunAt, long now) {
+    public void onTurnEnd(long begunAt, long now) {
       balancer.turned(begunAt, now);
     }
 
     @Override
-    public void failed(RuntimeException cause) {
+    public void onTaskFailure(RuntimeException cause) {
       throw cause;
     }
   }
