--- a/engine/src/main/java/shalepaddle/admin/PrometheusExposition.java
+++ b/engine/src/main/java/shalepaddle/admin/PrometheusExposition.java
@@ -20,8 +20,8 @@
     page.type("results", "counter", "Requests ended, by class and disposition.");
     for (RequestMetricsSnapshot.Results results : figures.results()) {
       page.result(results.service(), "succeeded", results.succeeded());
-      page.result(results.service(), "declined", results.declined());
-      page.result(results.service(), "aborted", results.aborted());
+      page.result(results.service(), "declined", results.rejected());
+      page.result(results.service(), "aborted", results.failed());
     }
     page.one("forwards", "counter", "Attempts written whole to cache servers.", figures.forwards());
     page.one("outstanding", "gauge", "Requests taken and not ended.", figures.outstanding());
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaReplies.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaReplies.java
@@ -27,13 +27,13 @@
     if (reply instanceof Reply.Value served) {
       return value(allocator, id, served.value());
     }
-    if (reply instanceof Reply.Pieces pieces) {
+    if (reply instanceof Reply.Streamed pieces) {
       return valueHead(allocator.buffer(id.length() + 16), id, pieces.length());
     }
     if (reply instanceof Reply.Receipt written) {
       return line(allocator, "HD O" + id + " c" + written.receipt());
     }
-    if (reply instanceof Reply.Refused refused) {
+    if (reply instanceof Reply.Rejected refused) {
       return busy(allocator.buffer(BUSY_LENGTH), refused.retryAfterMillis());
     }
     return line(allocator, "SERVER_ERROR failed");
--- a/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
+++ b/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
@@ -137,8 +137,8 @@
 
   /** A request that went alone has been answered: whoever comes now must not get older news. */
   void answered(Exchange exchange) {
-    String key = exchange.call.request().key();
-    if (key != null && !(exchange.call.sink() instanceof SharedTry)) {
+    String key = exchange.call().request().key();
+    if (key != null && !(exchange.call().sink() instanceof SharedTry)) {
       joining.touched(key);
     }
   }
@@ -187,7 +187,9 @@
 
     private void begin(Waiter waiter, Request asked, long now) {
       bearer = waiter;
-      exchange = dispatcher.open(new Call(asked, waiter.call.payload(), this), flight.deadline());
+      exchange =
+          dispatcher.open(
+              new Call(asked, waiter.call.payload(), this), flight.deadline(), flight.deadline());
       arm(now);
       // Last: it may be answered at once, and begin anew for the next.
       dispatcher.start(exchange, asked);
@@ -204,14 +206,14 @@
       FlightWaiter<Waiter> first = flight.bearer();
       if (first != null && first.who() != bearer) {
         bearer = first.who();
-        dispatcher.bear(exchange, bearer.call);
+        exchange.forwardAs(bearer.call);
       }
     }
 
     /** Nobody waits any more. */
     private void abandon() {
       disarm();
-      dispatcher.clientGone(exchange);
+      dispatcher.clientDisconnected(exchange);
     }
 
     private void arm(long now) {
@@ -269,8 +271,8 @@
       if (reply instanceof Reply.Value) {
         return FlightResult.SERVED;
       }
-      boolean refused = reply instanceof Reply.Refused && !dispatcher.closed();
-      return refused ? FlightResult.refused(exchange.lastResult) : FlightResult.OVER;
+      boolean refused = reply instanceof Reply.Rejected && !dispatcher.closed();
+      return refused ? FlightResult.refused(exchange.lastResult()) : FlightResult.OVER;
     }
 
     private void again(Waiter next, long now) {
@@ -299,10 +301,10 @@
       if (value != null) {
         return new Reply.Value(value.retainedDuplicate());
       }
-      if (reply instanceof Reply.Refused refused) {
+      if (reply instanceof Reply.Rejected refused) {
         long advice =
             RequestCoalescer.spread(refused.retryAfterMillis(), longestAdvice, place, all);
-        return new Reply.Refused(advice);
+        return new Reply.Rejected(advice);
       }
       return reply;
     }
--- a/engine/src/main/java/shalepaddle/engine/Dispatcher.java
+++ b/engine/src/main/java/shalepaddle/engine/Dispatcher.java
@@ -76,7 +76,7 @@
   private WarmStartLog seen;
 
   /** Whether the module lives through what another process did: nothing is carried out for it. */
-  private boolean reliving;
+  private boolean replaying;
 
   private boolean telling;
   private boolean rescuing;
@@ -147,7 +147,7 @@
   }
 
   /** Servers in the list; only those that get nothing now where that is asked. */
-  public int listed(boolean avoided) {
+  public int serverCount(boolean avoided) {
     return balancer.listed(avoided);
   }
 
@@ -179,7 +179,7 @@
   }
 
   /** What has become of requests and attempts. */
-  public RequestMetrics figures() {
+  public RequestMetrics metrics() {
     return figures;
   }
 
@@ -198,7 +198,7 @@
   }
 
   /** From now on what attempts show is kept there. */
-  public void recollect(WarmStartLog seen) {
+  public void recordObservationsIn(WarmStartLog seen) {
     this.seen = seen;
   }
 
@@ -208,15 +208,15 @@
    * @param known the list of servers as it is known
    * @param past what was seen, in the order in which it ended
    */
-  public void relive(MembershipUpdate known, List<Observation> past) {
-    reliving = true;
+  public void replay(MembershipUpdate known, List<Observation> past) {
+    replaying = true;
     try {
-      WarmStartLog.relive(balancer, known, WarmStartLog.inTime(clock.now(), past));
+      WarmStartLog.replay(balancer, known, WarmStartLog.inTime(clock.now(), past));
     } catch (RuntimeException e) {
       // What was lived through so far is no worse than nothing.
-      report("decision module, reliving", e);
+      reportFailure("decision module, replaying", e);
     } finally {
-      reliving = false;
+      replaying = false;
     }
   }
 
@@ -235,7 +235,7 @@
         try {
           next.tell(clock.now());
         } catch (RuntimeException | StackOverflowError e) {
-          report("decision module", e);
+          reportFailure("decision module", e);
           rescue();
         }
       }
@@ -259,11 +259,11 @@
   private void rescue(List<Exchange> doubtful) {
     long now = loopClock.now();
     for (Exchange request : doubtful) {
-      if (!request.ended && now - request.deadlineNanos > 0) {
+      if (!request.isEnded() && now - request.deadlineNanos() > 0) {
         fail(request);
       }
     }
-    doubtful.removeIf(request -> request.ended);
+    doubtful.removeIf(request -> request.isEnded());
     if (doubtful.isEmpty()) {
       rescuing = false;
     } else {
@@ -271,7 +271,7 @@
     }
   }
 
-  public void report(String where, Throwable cause) {
+  public void reportFailure(String where, Throwable cause) {
     log.failure(where, cause);
   }
 
@@ -281,7 +281,7 @@
    * By how much an answer has to be ready before it is due, since the event loop has to be expected
    * to stall; 0 where it does not.
    */
-  public long stallAllowance() {
+  public long stallAllowanceNanos() {
     return AnswerMargin.allowance(loopClock.expectedStallNanos());
   }
 
@@ -326,8 +326,9 @@
     long clientDeadline = sentAt + nanos(asked.budget());
     if (closed) {
       recorder.record(Event.REJECTED_SHUTDOWN, id);
-      Exchange refused = new Exchange(call, clientDeadline, 0, Settings.Effect.SAFE);
-      end(refused, new Reply.Refused(0));
+      Exchange refused =
+          new Exchange(call, clientDeadline, clientDeadline, 0, Settings.Effect.SAFE);
+      end(refused, new Reply.Rejected(0));
       return refused;
     }
     long deadline = clientDeadline - margin;
@@ -341,8 +342,7 @@
     if (joined != null) {
       return joined;
     }
-    Exchange request = open(call, deadline);
-    request.clientDeadlineNanos = clientDeadline;
+    Exchange request = open(call, deadline, clientDeadline);
     if (now - sentAt > LoopClock.STALL_THRESHOLD_NANOS) {
       // It waited unread, and so may the end of its connection, which is read in a turn of its own
       // and told behind that turn's reads.
@@ -356,16 +356,20 @@
   /** Its time was over before it was read: it is not worked for, and has not run. */
   private Exchange rejectExpired(Call call, long deadline) {
     recorder.record(Event.REJECTED_EXPIRED, call.request().id());
-    Exchange expired = new Exchange(call, deadline, 0, Settings.Effect.SAFE);
-    end(expired, new Reply.Refused(overload.advice()));
+    Exchange expired = new Exchange(call, deadline, deadline, 0, Settings.Effect.SAFE);
+    end(expired, new Reply.Rejected(overload.advice()));
     return expired;
   }
 
   /** An exchange for a request, which has until then; it is to be started. */
-  Exchange open(Call call, long deadline) {
+  Exchange open(Call call, long deadline, long clientDeadline) {
     Exchange request =
         new Exchange(
-            call, deadline, settings.limits().maxAttempts(), effect(call.request().serviceClass()));
+            call,
+            deadline,
+            clientDeadline,
+            settings.limits().maxAttempts(),
+            effect(call.request().serviceClass()));
     open.put(request.id(), request);
     return request;
   }
@@ -379,75 +383,63 @@
 
   /** Gives an exchange, and the attempts that are out for it, more time. */
   void extend(Exchange request, long deadline) {
-    if (request.ended || deadline - request.deadlineNanos <= 0) {
+    if (request.isEnded() || deadline - request.deadlineNanos() <= 0) {
       return;
     }
     long now = loopClock.now();
-    long before = request.deadlineNanos - ANSWER_MARGIN_NANOS;
-    request.deadlineNanos = deadline;
-    request.clientDeadlineNanos = Math.max(request.clientDeadlineNanos, deadline);
-    request.extended = true;
-    for (Attempt attempt : request.attempts) {
+    long before = request.deadlineNanos() - ANSWER_MARGIN_NANOS;
+    request.extendDeadline(deadline);
+    for (Attempt attempt : request.attempts()) {
       // One with a time of its own keeps it.
-      if (!attempt.over && attempt.deadlineNanos == before) {
-        attempt.timeout.cancel();
-        attempt.deadlineNanos = deadline - ANSWER_MARGIN_NANOS;
+      if (!attempt.isEnded() && attempt.deadlineNanos() == before) {
+        attempt.cancelResponseTimer();
+        attempt.extendDeadline(deadline - ANSWER_MARGIN_NANOS);
         limit(attempt, now);
       }
     }
-    if (request.begun) {
+    if (request.isRouted()) {
       tell(at -> balancer.extend(request.id(), at + (deadline - now) / 1e9));
     }
   }
 
-  /** From now on attempts go out in another's words; also those that wait for a connection. */
-  void bear(Exchange request, Call bearer) {
-    request.bearer = bearer;
-    for (Attempt attempt : request.attempts) {
-      if (!attempt.over && attempt.carrier == null) {
-        attempt.call = bearer;
-      }
-    }
-  }
-
   /** What is due to a client whose time is up while others wait on for the same exchange. */
   Reply timeUp(Exchange request) {
-    return request.out > 0
+    return request.hasAttemptsInFlight()
         ? new Reply.Failed(request.mayHaveRun())
-        : new Reply.Refused(overload.advice());
+        : new Reply.Rejected(overload.advice());
   }
 
   /** Refuses what has waited too long: it has not been begun, so that a new try does no harm. */
   private void turnAway(Exchange request) {
     recorder.record(Event.REJECTED_QUEUE, request.id());
-    end(request, new Reply.Refused(overload.advice()));
+    end(request, new Reply.Rejected(overload.advice()));
   }
 
   /** Nanoseconds for which a request has waited for its turn, 0 if none waits. */
-  public long oldestWaiting() {
-    return entrance.oldestWaiting();
+  public long oldestQueuedNanos() {
+    return entrance.oldestQueuedNanos();
   }
 
   private void begin(Exchange request, Request taken) {
     if (!guard.mayBegin(request)) {
       return;
     }
-    request.begun = true;
-    double left = (request.deadlineNanos - loopClock.now()) / 1e9;
+    request.route();
+    double left = (request.deadlineNanos() - loopClock.now()) / 1e9;
     Request asked = taken.lasting(Math.max(0, left));
     tell(
         at -> {
           try {
             balancer.request(at, asked);
           } catch (RuntimeException | StackOverflowError e) {
-            report("decision module", e);
+            reportFailure("decision module", e);
             fail(request);
           }
         });
   }
 
   /** The node has stood still until now. */
-  public void paused(long nanos) {
+  public void onStall(long nanos) {
     recorder.record(Event.LOOP_STALLED, null, stallLength(nanos));
     tell(now -> balancer.paused(nanos / 1e9));
   }
@@ -478,7 +470,7 @@
    * From now on gives requests no more time than until then; those that were open before, and would
    * wait for longer, are answered then. Guards against an end by force, which loses what it finds.
    */
-  public void answerBy(long nanos) {
+  public void drainBy(long nanos) {
     answerBy = nanos;
     ending = true;
     // A tick before attempts time out that end at the same time, which would be judged each for
@@ -490,8 +482,8 @@
   /** Gives every open request its one answer, a refusal where it can not have run. */
   private void answerOpen() {
     for (Exchange request : List.copyOf(open.values())) {
-      end(request, request.mayHaveRun() ? new Reply.Failed(true) : new Reply.Refused(0));
-      for (Attempt attempt : request.attempts) {
+      end(request, request.mayHaveRun() ? new Reply.Failed(true) : new Reply.Rejected(0));
+      for (Attempt attempt : request.attempts()) {
         withdraw(attempt, Outcome.Result.CANCELLED);
       }
     }
@@ -522,26 +514,26 @@
   }
 
   /** What joining has done so far, null where reads are not joined. */
-  public CoalescingSnapshot joining() {
+  public CoalescingSnapshot coalescingSnapshot() {
     return reads == null ? null : reads.reading();
   }
 
   /** The client has closed its connection. */
-  public void clientGone(Submission submission) {
+  public void clientDisconnected(Submission submission) {
     if (submission instanceof Exchange request) {
-      clientGone(request);
+      clientDisconnected(request);
     } else if (submission instanceof CoalescedReads.Waiter waiter) {
       reads.leave(waiter);
     }
   }
 
-  private void clientGone(Exchange request) {
-    if (request.ended) {
+  private void clientDisconnected(Exchange request) {
+    if (request.isEnded()) {
       return;
     }
-    request.ended = true;
+    request.disconnect();
     recorder.record(Event.CLIENT_DISCONNECTED, request.id());
-    gone(request.call);
+    gone(request.call());
     tell(
         now -> {
           balancer.clientGone(now, request.id());
@@ -559,12 +551,10 @@
   // What cache servers do.
 
   /** An attempt's last byte was handed to the socket: from now on it may run. */
-  public void written(Attempt attempt) {
-    attempt.written = true;
-    recorder.record(Event.ATTEMPT_WRITTEN, attempt.request.id());
-    if (attempt.unwritten != null) {
-      attempt.unwritten.cancel();
-    }
+  public void attemptWritten(Attempt attempt) {
+    attempt.markWritten();
+    recorder.record(Event.ATTEMPT_WRITTEN, attempt.exchange().id());
+    attempt.cancelWriteTimer();
     figures.forwarded();
   }
 
@@ -572,55 +562,49 @@
    * Whether an attempt that has provably not run may be written once more to its server: it then
    * counts as one more of its request.
    */
-  public boolean again(Attempt attempt) {
-    Exchange request = attempt.request;
-    if (request.ended || request.attempts.size() + request.rewritten >= request.maxAttempts) {
+  public boolean mayRewrite(Attempt attempt) {
+    Exchange request = attempt.exchange();
+    if (request.isEnded() || !request.hasAttemptLeft()) {
       return false;
     }
-    request.rewritten++;
-    attempt.written = false;
+    request.countRewrite();
+    attempt.markUnwritten();
     bound(attempt, loopClock.now());
     return true;
   }
 
   /** An attempt ended without an answer, or with one that serves nobody. */
-  public void ended(Attempt attempt, Outcome.Result result) {
-    ended(attempt, result, Outcome.Note.NONE, null);
+  public void attemptEnded(Attempt attempt, Outcome.Result result) {
+    attemptEnded(attempt, result, Outcome.Note.NONE, null);
   }
 
-  private void ended(Attempt attempt, Outcome.Result result, Outcome.Note note, LoadReport load) {
-    if (attempt.over) {
+  private void attemptEnded(
+      Attempt attempt, Outcome.Result result, Outcome.Note note, LoadReport load) {
+    if (attempt.isEnded()) {
       return;
     }
-    attempt.over = true;
-    recorder.record(Event.ATTEMPT_ENDED, attempt.request.id(), result.name());
-    attempt.provenNotRun = result.provesNotRun();
-    attempt.request.lastResult = result;
-    if (attempt.timeout != null) {
-      attempt.timeout.cancel();
-    }
-    if (attempt.unwritten != null) {
-      attempt.unwritten.cancel();
-    }
-    Exchange request = attempt.request;
-    double elapsed = (loopClock.refresh() - attempt.sentAt) / 1e9;
-    double unheard = (loopClock.stalledNanos() - attempt.stoodBefore) / 1e9;
+    attempt.end(result.provesNotRun());
+    recorder.record(Event.ATTEMPT_ENDED, attempt.exchange().id(), result.name());
+    attempt.exchange().attemptEnded(result);
+    Exchange request = attempt.exchange();
+    double elapsed = (loopClock.refresh() - attempt.sentAtNanos()) / 1e9;
+    double unheard = (loopClock.stalledNanos() - attempt.stalledBeforeNanos()) / 1e9;
     tell(
         now -> {
-          request.out--;
+          request.outcomeReported();
           Outcome outcome =
               new Outcome(
                   request.id(),
-                  attempt.number,
-                  attempt.server,
+                  attempt.number(),
+                  attempt.server(),
                   result,
                   elapsed,
                   unheard,
-                  request.ended,
+                  request.isEnded(),
                   note,
                   load);
           if (seen != null && result != Outcome.Result.MOOT) {
-            seen.add(new Observation(now, attempt.call.request(), outcome));
+            seen.add(new Observation(now, attempt.call().request(), outcome));
           }
           try {
             balancer.outcome(now, outcome);
@@ -631,16 +615,16 @@
   }
 
   /** A reply has come, whole. */
-  public void replied(Attempt attempt, ServerReply reply) {
-    Exchange request = attempt.request;
-    if (reply.result() == Outcome.Result.OK && !request.ended) {
+  public void responseReceived(Attempt attempt, ServerReply reply) {
+    Exchange request = attempt.exchange();
+    if (reply.result() == Outcome.Result.OK && !request.isEnded()) {
       finish(
           request,
           reply.value() != null
               ? new Reply.Value(reply.value().retain())
               : new Reply.Receipt(reply.receipt()));
     }
-    ended(attempt, reply.result(), reply.note(), reply.load());
+    attemptEnded(attempt, reply.result(), reply.note(), reply.load());
   }
 
   /**
@@ -649,46 +633,46 @@
    *
    * @return false if nobody wants it
    */
-  public boolean replied(Attempt attempt, LargeReply reply, ValueSource source) {
-    Exchange request = attempt.request;
-    if (attempt.over || request.ended) {
+  public boolean responseReceived(Attempt attempt, LargeReply reply, ValueSource source) {
+    Exchange request = attempt.exchange();
+    if (attempt.isEnded() || request.isEnded()) {
       return false;
     }
-    if (request.call.sink().takesPieces()) {
-      String service = request.call.request().serviceClass();
+    if (request.call().sink().acceptsStream()) {
+      String service = request.call().request().serviceClass();
       finish(
           request,
-          new Reply.Pieces(reply.length(), new MeteredValueSource(figures, service, source)));
+          new Reply.Streamed(reply.length(), new MeteredValueSource(figures, service, source)));
     } else {
-      request.ended = true;
-      source.begin(new ValueAggregator(reply.length(), whole -> finish(request, whole)));
+      request.collect();
+      source.start(new ValueAggregator(reply.length(), whole -> finish(request, whole)));
     }
-    ended(attempt, reply.head().result(), reply.head().note(), reply.head().load());
+    attemptEnded(attempt, reply.head().result(), reply.head().note(), reply.head().load());
     return true;
   }
 
   /** The one answer of an exchange. */
   private void finish(Exchange request, Reply reply) {
     Reply checked = guard.answer(request, reply, loopClock.now());
-    request.ended = true;
+    request.answer();
     if (reads != null) {
       reads.answered(request);
     }
-    give(request.call, checked);
+    give(request.call(), checked);
   }
 
   /** The final answer of a call that was taken. */
   void give(Call call, Reply reply) {
     recorder.record(Event.ANSWERED, call.request().id(), kind(reply));
     // A value in pieces is counted at its end.
-    if (!CoalescedReads.shared(call) && !(reply instanceof Reply.Pieces)) {
+    if (!CoalescedReads.shared(call) && !(reply instanceof Reply.Streamed)) {
       figures.answered(call.request().serviceClass(), reply);
     }
     deliver(call, reply);
   }
 
   private static String kind(Reply reply) {
-    return reply instanceof Reply.Refused
+    return reply instanceof Reply.Rejected
         ? "rejected"
         : reply instanceof Reply.Failed ? "failed" : "served";
   }
@@ -698,7 +682,7 @@
     try {
       call.sink().reply(reply);
     } catch (RuntimeException e) {
-      report("reply sink", e);
+      reportFailure("reply sink", e);
     }
   }
 
@@ -713,7 +697,7 @@
 
   @Override
   public void send(String requestId, long server, double within) {
-    if (reliving) {
+    if (replaying) {
       return;
     }
     Exchange request = open.get(requestId);
@@ -722,24 +706,23 @@
       return;
     }
     long now = loopClock.now();
-    long deadline = request.deadlineNanos - ANSWER_MARGIN_NANOS;
+    long deadline = request.deadlineNanos() - ANSWER_MARGIN_NANOS;
     Attempt attempt =
         new Attempt(
             request,
-            request.attempts.size(),
+            request.attempts().size(),
             server,
             now,
             deadline,
             within,
             loopClock.stalledNanos());
-    request.attempts.add(attempt);
     recorder.record(attemptKind(request), requestId);
-    request.out++;
+    boolean spent = !request.hasAttemptLeft();
+    request.add(attempt);
     // One with less than a tick would be given up in the tick in which it is sent.
     boolean late = deadline - now < tickNanos;
-    boolean spent = attempt.number + request.rewritten >= request.maxAttempts;
-    if (request.ended || spent || late) {
-      ended(attempt, Outcome.Result.MOOT);
+    if (request.isEnded() || spent || late) {
+      attemptEnded(attempt, Outcome.Result.MOOT);
       return;
     }
     limit(attempt, now);
@@ -747,18 +730,19 @@
     loopClock.whenBacklogRead(() -> upstream.send(attempt));
   }
 
-  /** What the attempt that was added last is to its request. */
+  /** What the attempt that is added next is to its request. */
   private static Event attemptKind(Exchange request) {
-    if (request.attempts.size() == 1) {
+    if (request.attempts().isEmpty()) {
       return Event.ATTEMPT_FIRST;
     }
-    return request.out > 0 ? Event.ATTEMPT_HEDGE : Event.ATTEMPT_RETRY;
+    return request.hasAttemptsInFlight() ? Event.ATTEMPT_HEDGE : Event.ATTEMPT_RETRY;
   }
 
   /** Sees to it that it is written whole while it may be, or not at all. */
   private void bound(Attempt attempt, long now) {
-    if (attempt.writeWithin(now) < attempt.deadlineNanos - now) {
-      attempt.unwritten = timers.runNoLaterThan(attempt.writeWithin(now), () -> giveBack(attempt));
+    if (attempt.writeWithinNanos(now) < attempt.deadlineNanos() - now) {
+      attempt.setWriteTimer(
+          timers.runNoLaterThan(attempt.writeWithinNanos(now), () -> returnUnwritten(attempt)));
     }
   }
 
@@ -766,33 +750,33 @@
    * It may not be written any more, wherever it waits, for a connection, a place or behind bytes
    * that the kernel has not taken. That says nothing of its server, and nothing more may be sent.
    */
-  public void giveBack(Attempt attempt) {
-    if (!attempt.written) {
+  public void returnUnwritten(Attempt attempt) {
+    if (!attempt.isWritten()) {
       withdraw(attempt, Outcome.Result.MOOT);
     }
   }
 
   private void limit(Attempt attempt, long now) {
-    attempt.timeout =
+    attempt.setResponseTimer(
         timers.runNoLaterThan(
-            attempt.deadlineNanos - now, () -> withdraw(attempt, Outcome.Result.TIMEOUT));
+            attempt.deadlineNanos() - now, () -> withdraw(attempt, Outcome.Result.TIMEOUT)));
   }
 
   /** Stops waiting for an attempt. */
   private void withdraw(Attempt attempt, Outcome.Result result) {
-    if (!attempt.over) {
+    if (!attempt.isEnded()) {
       // Its time ran out while it waited for a connection: that none came up proves it never ran.
-      boolean unsent = attempt.carrier == null && result == Outcome.Result.TIMEOUT;
+      boolean unsent = attempt.carrier() == null && result == Outcome.Result.TIMEOUT;
       upstream.withdraw(attempt, result == Outcome.Result.TIMEOUT);
-      ended(attempt, unsent ? Outcome.Result.CONNECT_FAILED : result);
+      attemptEnded(attempt, unsent ? Outcome.Result.CONNECT_FAILED : result);
     }
   }
 
   @Override
   public void cancel(String requestId, int number) {
     Exchange request = open.get(requestId);
-    if (request != null && number < request.attempts.size()) {
-      withdraw(request.attempts.get(number), Outcome.Result.CANCELLED);
+    if (request != null && number < request.attempts().size()) {
+      withdraw(request.attempts().get(number), Outcome.Result.CANCELLED);
     }
   }
 
@@ -800,7 +784,7 @@
   public void refuse(String requestId, double retryAfter) {
     long millis = Math.round(retryAfter * 1e3);
     recorder.record(Event.REJECTED_POLICY, requestId);
-    end(open.get(requestId), new Reply.Refused(millis));
+    end(open.get(requestId), new Reply.Rejected(millis));
   }
 
   @Override
@@ -815,7 +799,7 @@
   }
 
   private void end(Exchange request, Reply reply) {
-    if (request != null && !request.ended) {
+    if (request != null && !request.isEnded()) {
       finish(request, reply);
       settle(request);
     }
@@ -827,16 +811,16 @@
    * nothing may be sent for a request that has its answer, or whose client has left.
    */
   private void settle(Exchange request) {
-    if (request.ended) {
+    if (request.isEnded()) {
       // By index: the module may answer an outcome with one more attempt, which is over at once.
-      for (int i = 0; i < request.attempts.size(); i++) {
-        Attempt attempt = request.attempts.get(i);
-        if (attempt.carrier == null) {
+      for (int i = 0; i < request.attempts().size(); i++) {
+        Attempt attempt = request.attempts().get(i);
+        if (attempt.carrier() == null) {
           withdraw(attempt, Outcome.Result.MOOT);
         }
       }
-      request.call.payload().release();
-      if (request.out == 0) {
+      request.call().payload().release();
+      if (!request.hasAttemptsInFlight()) {
         open.remove(request.id(), request);
       }
     }
@@ -861,7 +845,7 @@
 
   @Override
   public void closeIdle(long server) {
-    if (!reliving) {
+    if (!replaying) {
       upstream.closeIdle(server);
     }
   }
--- a/engine/src/main/java/shalepaddle/engine/Engine.java
+++ b/engine/src/main/java/shalepaddle/engine/Engine.java
@@ -88,7 +88,7 @@
     /** The loop will never see it. */
     void turnAway() {
       call.payload().release();
-      dispatcher.deliver(call, new Reply.Refused(0));
+      dispatcher.deliver(call, new Reply.Rejected(0));
     }
 
     @Override
@@ -107,7 +107,7 @@
     private void withdraw() {
       cancelled = true;
       if (taken != null) {
-        dispatcher.clientGone(taken);
+        dispatcher.clientDisconnected(taken);
       }
     }
   }
--- a/engine/src/main/java/shalepaddle/engine/Exchange.java
+++ b/engine/src/main/java/shalepaddle/engine/Exchange.java
@@ -5,59 +5,186 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.Settings;
 
-/** A request that this node has taken, from its last byte to its final answer and last outcome. */
+/**
+ * A request that this node has accepted, from its last byte to its final answer and the last
+ * outcome of its attempts. Owned by the event loop.
+ */
 public final class Exchange implements Submission {
-  public final Call call;
+  /** How far it has come. Each change is made by one method of this class. */
+  private enum State {
+    /** Accepted; the policy does not know of it yet. */
+    ACCEPTED,
 
-  /** What running it more than once does, by the settings under which it was taken. */
-  final Settings.Effect effect;
+    /** Handed to the policy, which answers it or forwards it. */
+    ROUTED,
 
-  /** When its client stops waiting, counted from the earliest time at which it can have sent it. */
-  long clientDeadlineNanos;
+    /** A server's value is being collected for a client that takes it complete only. */
+    COLLECTING,
 
-  /** Later once somebody who waits longer has joined it. */
-  long deadlineNanos;
+    /** Its final answer is given. */
+    ANSWERED,
 
-  /** Attempts that it may have, by the settings under which it was taken. */
-  final int maxAttempts;
+    /** Its client has left before the answer. */
+    DISCONNECTED
+  }
 
-  /** Attempts that were written once more, on another connection to the same server. */
-  int rewritten;
+  private final Call call;
+  private final Settings.Effect effect;
+  private final int maxAttempts;
+  private final List<Attempt> attempts = new ArrayList<>(1);
+  private State state = State.ACCEPTED;
+  private long clientDeadlineNanos;
+  private long deadlineNanos;
+  private int rewrites;
+  private int attemptsInFlight;
+  private Call upstreamCall;
+  private Outcome.Result lastResult;
+
+  /**
+   * An exchange that the policy does not know of yet.
+   *
+   * @param deadlineNanos by when it must be answered
+   * @param clientDeadlineNanos when its client stops waiting, counted from the earliest time at
+   *     which it can have sent the request
+   * @param maxAttempts how often it may be written to servers
+   * @param effect what running it more than once does
+   */
+  Exchange(
+      Call call,
+      long deadlineNanos,
+      long clientDeadlineNanos,
+      int maxAttempts,
+      Settings.Effect effect) {
+    this.call = call;
+    this.effect = effect;
+    this.clientDeadlineNanos = clientDeadlineNanos;
+    this.maxAttempts = maxAttempts;
+    this.upstreamCall = call;
+    this.deadlineNanos = deadlineNanos;
+  }
 
-  final List<Attempt> attempts = new ArrayList<>(1);
+  /** What the client asked for and where its answer goes. */
+  public Call call() {
+    return call;
+  }
 
-  /** Attempts whose outcome the module has not been told. */
-  int out;
+  /** The request's id. */
+  public String id() {
+    return call.request().id();
+  }
 
-  /** Whether the final answer is given, or the client has gone. */
-  boolean ended;
+  /** What running it more than once does, by the settings under which it was accepted. */
+  Settings.Effect effect() {
+    return effect;
+  }
 
-  /** Whether the module knows of it, and whether it had got more time before that. */
-  boolean begun;
+  /** When its client stops waiting, by the loop's clock. */
+  long clientDeadlineNanos() {
+    return clientDeadlineNanos;
+  }
 
-  boolean extended;
+  /** By when it must be answered, by the loop's clock. */
+  long deadlineNanos() {
+    return deadlineNanos;
+  }
 
-  /** In whose words attempts go out from now on. */
-  Call bearer;
+  /** Gives it more time, since a client that waits longer has joined its flight. */
+  void extendDeadline(long nanos) {
+    deadlineNanos = nanos;
+    clientDeadlineNanos = Math.max(clientDeadlineNanos, nanos);
+  }
 
-  /** How the attempt ended that ended last, null if none has. */
-  Outcome.Result lastResult;
+  /** The policy is told of it now. */
+  void route() {
+    state = State.ROUTED;
+  }
 
-  Exchange(Call call, long deadlineNanos, int maxAttempts, Settings.Effect effect) {
-    this.call = call;
-    this.effect = effect;
-    this.clientDeadlineNanos = deadlineNanos;
-    this.maxAttempts = maxAttempts;
-    this.bearer = call;
-    this.deadlineNanos = deadlineNanos;
+  /** A server's value is collected from now on: it is not attempted any more. */
+  void collect() {
+    state = State.COLLECTING;
   }
 
-  public String id() {
-    return call.request().id();
+  /** Its final answer is given now. */
+  void answer() {
+    state = State.ANSWERED;
+  }
+
+  /** Its client has left. */
+  void disconnect() {
+    state = State.DISCONNECTED;
+  }
+
+  /** Whether the policy has been told of it and it has not ended. */
+  boolean isRouted() {
+    return state == State.ROUTED;
+  }
+
+  /** Whether no attempt can change its answer any more, or its client has left. */
+  boolean isEnded() {
+    return state != State.ACCEPTED && state != State.ROUTED;
+  }
+
+  /** All its attempts, by their numbers; changed by {@link #add} alone. */
+  List<Attempt> attempts() {
+    return attempts;
+  }
+
+  /** Adds an attempt, which is in flight until {@link #outcomeReported}. */
+  void add(Attempt attempt) {
+    attempts.add(attempt);
+    attemptsInFlight++;
+  }
+
+  /** The policy has been told of one attempt's outcome. */
+  void outcomeReported() {
+    attemptsInFlight--;
+  }
+
+  /** Whether there are attempts whose outcome the policy has not been told. */
+  boolean hasAttemptsInFlight() {
+    return attemptsInFlight > 0;
+  }
+
+  /** Whether it may be written to a server once more, by the settings when it was accepted. */
+  boolean hasAttemptLeft() {
+    return attempts.size() + rewrites < maxAttempts;
+  }
+
+  /** An attempt is written once more, on another connection to the same server. */
+  void countRewrite() {
+    rewrites++;
+  }
+
+  /** The call as which attempts are forwarded: of a client that still waits for the answer. */
+  Call upstreamCall() {
+    return upstreamCall;
+  }
+
+  /** From now on attempts are forwarded as this call; also those that wait for a connection. */
+  void forwardAs(Call other) {
+    upstreamCall = other;
+    for (Attempt attempt : attempts) {
+      attempt.forwardAs(other);
+    }
+  }
+
+  /** How the attempt ended that ended last, null if none has. */
+  Outcome.Result lastResult() {
+    return lastResult;
+  }
+
+  /** One of its attempts has ended like this. */
+  void attemptEnded(Outcome.Result result) {
+    lastResult = result;
   }
 
   /** Whether an attempt may have been carried out, or may yet be. */
   boolean mayHaveRun() {
-    return attempts.stream().anyMatch(Attempt::mayHaveRun);
+    for (Attempt attempt : attempts) {
+      if (attempt.mayHaveRun()) {
+        return true;
+      }
+    }
+    return false;
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/InvariantGuard.java
+++ b/engine/src/main/java/shalepaddle/engine/InvariantGuard.java
@@ -41,10 +41,10 @@
 
   /** Whether a request may be begun: once, and not after its answer. */
   boolean mayBegin(Exchange request) {
-    if (request.ended) {
+    if (request.isEnded()) {
       return false;
     }
-    if (request.begun) {
+    if (request.isRouted()) {
       violated(Event.VIOLATION_BEGUN_TWICE, request.id(), null);
       return false;
     }
@@ -58,13 +58,13 @@
    * @param drainingPastGrace whether its server has been draining for longer than the grace
    */
   public boolean maySend(Attempt attempt, long now, boolean drainingPastGrace) {
-    Exchange request = attempt.request;
+    Exchange request = attempt.exchange();
     Event violation = null;
-    if (request.ended || attempt.over) {
+    if (request.isEnded() || attempt.isEnded()) {
       violation = Event.VIOLATION_SENT_AFTER_END;
-    } else if (now - request.deadlineNanos > 0) {
+    } else if (now - request.deadlineNanos() > 0) {
       violation = Event.VIOLATION_SENT_AFTER_TIME;
-    } else if (request.effect == Effect.UNSAFE && anotherMayHaveRun(attempt)) {
+    } else if (request.effect() == Effect.UNSAFE && anotherMayHaveRun(attempt)) {
       violation = Event.VIOLATION_REPEATED;
     } else if (drainingPastGrace) {
       violation = Event.VIOLATION_SENT_TO_DRAINING;
@@ -76,7 +76,7 @@
   }
 
   private static boolean anotherMayHaveRun(Attempt attempt) {
-    for (Attempt other : attempt.request.attempts) {
+    for (Attempt other : attempt.exchange().attempts()) {
       if (other != attempt && other.mayHaveRun()) {
         return true;
       }
@@ -89,11 +89,11 @@
    * said of one that may have.
    */
   Reply answer(Exchange request, Reply reply, long now) {
-    if (now - request.clientDeadlineNanos > ANSWER_SLACK_NANOS) {
+    if (now - request.clientDeadlineNanos() > ANSWER_SLACK_NANOS) {
       violated(Event.VIOLATION_ANSWERED_LATE, request.id(), null);
     }
-    boolean rejected = reply instanceof Reply.Refused;
-    if (rejected && request.effect == Effect.UNSAFE && request.mayHaveRun()) {
+    boolean rejected = reply instanceof Reply.Rejected;
+    if (rejected && request.effect() == Effect.UNSAFE && request.mayHaveRun()) {
       violated(Event.VIOLATION_REJECTED_AFTER_RUN, request.id(), null);
       return new Reply.Failed(true);
     }
--- a/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
+++ b/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
@@ -3,11 +3,11 @@
 import io.netty.buffer.ByteBuf;
 
 /** A value whose request ends with it: it is counted when it is whole, or never will be. */
-final class MeteredValueSource implements ValueSource, ValueSource.Taker {
+final class MeteredValueSource implements ValueSource, ValueSource.Receiver {
   private final RequestMetrics figures;
   private final String service;
   private final ValueSource source;
-  private Taker taker;
+  private Receiver taker;
   private boolean over;
 
   MeteredValueSource(RequestMetrics figures, String service, ValueSource source) {
@@ -17,41 +17,41 @@
   }
 
   @Override
-  public void begin(Taker taker) {
+  public void start(Receiver taker) {
     this.taker = taker;
-    source.begin(this);
+    source.start(this);
   }
 
   @Override
-  public void flow(boolean on) {
-    source.flow(on);
+  public void setReading(boolean on) {
+    source.setReading(on);
   }
 
   @Override
-  public void drop() {
+  public void cancel() {
     if (!over) {
       over = true;
       figures.gone();
-      source.drop();
+      source.cancel();
     }
   }
 
   @Override
-  public void piece(ByteBuf bytes) {
-    taker.piece(bytes);
+  public void onChunk(ByteBuf bytes) {
+    taker.onChunk(bytes);
   }
 
   @Override
-  public void end() {
+  public void onComplete() {
     over = true;
     figures.served(service);
-    taker.end();
+    taker.onComplete();
   }
 
   @Override
-  public void broken() {
+  public void onFailure() {
     over = true;
     figures.answered(service, new Reply.Failed(true));
-    taker.broken();
+    taker.onFailure();
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/Reply.java
+++ b/engine/src/main/java/shalepaddle/engine/Reply.java
@@ -13,12 +13,12 @@
 
   /**
    * A read is being served with a large value, of which the first bytes have come. Given only to a
-   * sink that {@linkplain ReplySink#takesPieces takes pieces}.
+   * sink that {@linkplain ReplySink#acceptsStream takes pieces}.
    *
    * @param length the value's bytes
    * @param source gives them as they come; whoever takes the reply begins or drops it
    */
-  record Pieces(int length, ValueSource source) implements Reply {}
+  record Streamed(int length, ValueSource source) implements Reply {}
 
   /**
    * A write was carried out.
@@ -32,7 +32,7 @@
    *
    * @param retryAfterMillis when to come again, 0 where no advice is given
    */
-  record Refused(long retryAfterMillis) implements Reply {}
+  record Rejected(long retryAfterMillis) implements Reply {}
 
   /**
    * The request failed.
--- a/engine/src/main/java/shalepaddle/engine/ReplySink.java
+++ b/engine/src/main/java/shalepaddle/engine/ReplySink.java
@@ -10,8 +10,10 @@
    */
   void reply(Reply reply);
 
-  /** Whether it takes large values in pieces, {@link Reply.Pieces}; if not, it gets them whole. */
-  default boolean takesPieces() {
+  /**
+   * Whether it takes large values in pieces, {@link Reply.Streamed}; if not, it gets them whole.
+   */
+  default boolean acceptsStream() {
     return false;
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/RequestMetrics.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestMetrics.java
@@ -54,7 +54,7 @@
   void answered(String service, Reply reply) {
     ended++;
     Counts counts = of(service);
-    if (reply instanceof Reply.Refused) {
+    if (reply instanceof Reply.Rejected) {
       counts.declined++;
     } else if (reply instanceof Reply.Failed) {
       counts.aborted++;
@@ -70,7 +70,7 @@
   }
 
   /** A request was turned away before it was taken apart: taken and refused at once. */
-  public void declined(String service) {
+  public void rejectedBeforeParsing(String service) {
     taken++;
     ended++;
     of(service).declined++;
@@ -92,7 +92,7 @@
   }
 
   /** All of it, as it stands now. */
-  public RequestMetricsSnapshot reading() {
+  public RequestMetricsSnapshot snapshot() {
     List<RequestMetricsSnapshot.Results> results = new ArrayList<>(classes.size());
     classes.forEach(
         (name, counts) ->
--- a/engine/src/main/java/shalepaddle/engine/RequestQueue.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestQueue.java
@@ -88,7 +88,7 @@
   }
 
   /** Nanoseconds for which a request has waited for its turn, 0 if none waits. */
-  long oldestWaiting() {
+  long oldestQueuedNanos() {
     return intake.oldest(clock.now());
   }
 
@@ -123,7 +123,7 @@
   }
 
   private void begin(Waiting next, long now) {
-    double left = (next.exchange().deadlineNanos - now) / 1e9;
+    double left = (next.exchange().deadlineNanos() - now) / 1e9;
     begin.accept(next.exchange(), next.taken().within(Math.max(0, left)));
   }
 
--- a/engine/src/main/java/shalepaddle/engine/ValueAggregator.java
+++ b/engine/src/main/java/shalepaddle/engine/ValueAggregator.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** Gathers a large value for who takes it whole only. Bounded by the longest value there is. */
-final class ValueAggregator implements ValueSource.Taker {
+final class ValueAggregator implements ValueSource.Receiver {
   private final Consumer<Reply> done;
   private final ByteBuf value;
 
@@ -15,18 +15,18 @@
   }
 
   @Override
-  public void piece(ByteBuf bytes) {
+  public void onChunk(ByteBuf bytes) {
     value.writeBytes(bytes);
     bytes.release();
   }
 
   @Override
-  public void end() {
+  public void onComplete() {
     done.accept(new Reply.Value(value));
   }
 
   @Override
-  public void broken() {
+  public void onFailure() {
     value.release();
     done.accept(new Reply.Failed(true));
   }
--- a/engine/src/main/java/shalepaddle/engine/ValueSource.java
+++ b/engine/src/main/java/shalepaddle/engine/ValueSource.java
@@ -7,23 +7,23 @@
  */
 public interface ValueSource {
   /** Who takes the value as it comes. */
-  interface Taker {
+  interface Receiver {
     /** The next piece, which belongs to the taker. */
-    void piece(ByteBuf bytes);
+    void onChunk(ByteBuf bytes);
 
     /** It is whole. */
-    void end();
+    void onComplete();
 
     /** It will never be whole: the server broke off. */
-    void broken();
+    void onFailure();
   }
 
   /** Gives what has come, and from now on what comes, to the taker. Called once. */
-  void begin(Taker taker);
+  void start(Receiver taker);
 
   /** Whether more may come: what the taker can not take stays with the server. */
-  void flow(boolean on);
+  void setReading(boolean on);
 
   /** Nobody wants the rest; the taker hears nothing more. Does nothing once it is over. */
-  void drop();
+  void cancel();
 }
--- a/engine/src/main/java/shalepaddle/engine/WarmStartLog.java
+++ b/engine/src/main/java/shalepaddle/engine/WarmStartLog.java
@@ -68,7 +68,7 @@
    * @param known the list of servers
    * @param seen in the order in which it ended
    */
-  static void relive(RequestRouter balancer, MembershipUpdate known, List<Observation> seen) {
+  static void replay(RequestRouter balancer, MembershipUpdate known, List<Observation> seen) {
     List<Observation> sent = new ArrayList<>(seen);
     sent.sort(Comparator.comparingDouble(Observation::sentAt));
     balancer.membership(sent.get(0).sentAt(), known);
--- a/engine/src/main/java/shalepaddle/front/ClientHandler.java
+++ b/engine/src/main/java/shalepaddle/front/ClientHandler.java
@@ -132,7 +132,7 @@
   }
 
   /** The place of one answer in the order of a connection's answers. */
-  final class Slot implements ReplySink, ValueSource.Taker {
+  final class Slot implements ReplySink, ValueSource.Receiver {
     private Submission request;
     private String id;
     private long readAt;
@@ -152,22 +152,22 @@
     private ValueSource source;
 
     @Override
-    public boolean takesPieces() {
+    public boolean acceptsStream() {
       return true;
     }
 
     @Override
     public void reply(Reply reply) {
-      if (reply instanceof Reply.Pieces pieces) {
+      if (reply instanceof Reply.Streamed pieces) {
         pieces(pieces);
         return;
       }
       whole(codec.encode(channel.alloc(), id, reply));
     }
 
-    private void pieces(Reply.Pieces pieces) {
+    private void pieces(Reply.Streamed pieces) {
       if (closing || !channel.isActive()) {
-        pieces.source().drop();
+        pieces.source().cancel();
         return;
       }
       source = pieces.source();
@@ -186,26 +186,26 @@
     private void beginPieces() {
       channel.write(waiting, channel.voidPromise());
       waiting = null;
-      source.begin(this);
+      source.start(this);
     }
 
     @Override
-    public void piece(ByteBuf bytes) {
+    public void onChunk(ByteBuf bytes) {
       channel.writeAndFlush(bytes, channel.voidPromise());
       if (source != null) {
-        source.flow(channel.isWritable());
+        source.setReading(channel.isWritable());
       }
     }
 
     @Override
-    public void end() {
+    public void onComplete() {
       source = null;
       whole(codec.endOfPieces());
     }
 
     /** The client can tell by the length that this is not the end. */
     @Override
-    public void broken() {
+    public void onFailure() {
       source = null;
       abort(Event.CLOSE_VALUE_CUT_OFF);
     }
@@ -328,7 +328,7 @@
 
   /** Buffered commands want an answer by then: no pause lasts until that time. */
   private void due(long dueAt) {
-    long margin = DELIVERY_MARGIN_NANOS + dispatcher.stallAllowance();
+    long margin = DELIVERY_MARGIN_NANOS + dispatcher.stallAllowanceNanos();
     long latest = dueAt - margin;
     if (inbound.full() && clock.now() + UNSEEN_NANOS - latest < 0) {
       latest = clock.now() + UNSEEN_NANOS;
@@ -427,7 +427,7 @@
     stalledSince = clock.activeNanos();
     Slot first = slots.peek();
     if (first != null && first.flows()) {
-      first.source.flow(channel.isWritable());
+      first.source.setReading(channel.isWritable());
     }
     steer();
   }
@@ -444,11 +444,11 @@
       if (slot.source != null) {
         ValueSource dropped = slot.source;
         slot.source = null;
-        dropped.drop();
+        dropped.cancel();
       }
       if (slot.request != null) {
         reportUnanswered(slot);
-        dispatcher.clientGone(slot.request);
+        dispatcher.clientDisconnected(slot.request);
       }
     }
   }
@@ -477,7 +477,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      dispatcher.report("client connection", cause);
+      dispatcher.reportFailure("client connection", cause);
     }
     recorder.record(Event.CLOSE_FAILURE, name);
     ctx.close();
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -193,7 +193,7 @@
     dispatcher =
         new Dispatcher(
             settings, config.seed(), loop, clock, time, log, overload, operator.joining());
-    joining = dispatcher.joining();
+    joining = dispatcher.coalescingSnapshot();
     engine = new Engine(loop, dispatcher, MAX_SUBMITTED);
     pools =
         new ServerPools(
@@ -239,7 +239,9 @@
       long advice = overload.ask(serviceClass, tenant, subject, repeat, clock.now());
       if (advice != ADMITTED) {
         dispatcher.recorder().count(Event.REJECTED_ADMISSION, 1);
-        dispatcher.figures().declined(config.settings().services().get(serviceClass).name());
+        dispatcher
+            .metrics()
+            .rejectedBeforeParsing(config.settings().services().get(serviceClass).name());
       }
       return advice;
     }
@@ -247,7 +249,7 @@
     @Override
     public void turnedAway(String serviceClass) {
       dispatcher.recorder().count(Event.REJECTED_MEMORY, 1);
-      dispatcher.figures().declined(serviceClass);
+      dispatcher.metrics().rejectedBeforeParsing(serviceClass);
     }
   }
 
@@ -300,7 +302,7 @@
 
   /** From now on what attempts show is kept there, for a process that takes this one's place. */
   void recollect(WarmStartLog seen) {
-    dispatcher.recollect(seen);
+    dispatcher.recordObservationsIn(seen);
   }
 
   /** Begins with the list as it was last known, and to follow it. */
@@ -311,7 +313,7 @@
   /** The same, after learning from what another process of this node has seen. */
   void startAfter(List<Observation> past) {
     if (!past.isEmpty()) {
-      dispatcher.relive(config.known().update(MembershipUpdate.Kind.REMEMBERED), past);
+      dispatcher.replay(config.known().update(MembershipUpdate.Kind.REMEMBERED), past);
     }
     dispatcher.start(pools, discovery);
     take(config.known(), MembershipUpdate.Kind.REMEMBERED);
@@ -371,7 +373,7 @@
         descriptors / config.sockets(),
         now);
     reading = overload.reading();
-    joining = dispatcher.joining();
+    joining = dispatcher.coalescingSnapshot();
     publish();
     if (overload.posture().trims() && now - trimmedAt > TRIM_NANOS) {
       trimmedAt = now;
@@ -429,10 +431,10 @@
   private void publish() {
     telemetry =
         new Telemetry(
-            dispatcher.figures().reading(),
+            dispatcher.metrics().snapshot(),
             dispatcher.recorder().counts(),
-            dispatcher.listed(false),
-            dispatcher.listed(true),
+            dispatcher.serverCount(false),
+            dispatcher.serverCount(true),
             hangupsApplied,
             hangupsRejected);
     process = new ProcessState(pid, stage, front.size(), pools.connections(), words.all(), whole);
@@ -457,7 +459,7 @@
 
   /** What has become of requests and attempts, as it stands now. */
   public RequestMetricsSnapshot figures() {
-    return dispatcher.figures().reading();
+    return dispatcher.metrics().snapshot();
   }
 
   /** What operators see, as it stood some milliseconds ago. From any thread. */
@@ -503,14 +505,14 @@
   public void turned(long begunAt, long now) {
     // Not while it starts: loading and compiling its classes is one long turn after the other.
     if (listener != null) {
-      overload.turned(begunAt, now, dispatcher.oldestWaiting());
+      overload.turned(begunAt, now, dispatcher.oldestQueuedNanos());
     }
   }
 
   /** The loop has stood still until now. */
   public void paused(long nanos) {
     overload.paused(nanos, clock.now());
-    dispatcher.paused(nanos);
+    dispatcher.onStall(nanos);
   }
 
   /** How long a {@link #drain} goes on at most, but for clients that do not read their answers. */
@@ -574,7 +576,7 @@
     // The signal may have come while the process was stalled: its time runs since then.
     long sinceSignal = TimeUnit.NANOSECONDS.toMillis(clock.now() - clock.earliestArrival());
     long answered = Math.max(0, drainMillis() - sinceSignal);
-    dispatcher.answerBy(clock.now() + TimeUnit.MILLISECONDS.toNanos(answered));
+    dispatcher.drainBy(clock.now() + TimeUnit.MILLISECONDS.toNanos(answered));
     return answered;
   }
 
--- a/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
@@ -163,19 +163,19 @@
   /** Writes an attempt, or gives it back if it may not be written any more. */
   void write(Attempt attempt) {
     long now = clock.refresh();
-    if (attempt.tooLate(now)
+    if (attempt.isTooLateToWrite(now)
         || !dispatcher.guard().maySend(attempt, now, pool.drainingPastGrace(now))) {
-      dispatcher.giveBack(attempt);
+      dispatcher.returnUnwritten(attempt);
       return;
     }
-    attempt.carrier = this;
+    attempt.assignTo(this);
     pause = underWay.isEmpty() ? now - usedAt : pause;
     underWay.add(attempt);
     awaited++;
     usedAt = now;
-    long millis = (attempt.deadlineNanos - usedAt + 999_999) / 1_000_000;
+    long millis = (attempt.deadlineNanos() - usedAt + 999_999) / 1_000_000;
     ChannelFuture written =
-        channel.writeAndFlush(codec.encode(channel.alloc(), attempt.call, millis));
+        channel.writeAndFlush(codec.encode(channel.alloc(), attempt.call(), millis));
     if (written.isDone()) {
       written(attempt, written.isSuccess());
     } else {
@@ -193,7 +193,7 @@
 
   private void written(Attempt attempt, boolean whole) {
     if (whole) {
-      dispatcher.written(attempt);
+      dispatcher.attemptWritten(attempt);
     }
   }
 
@@ -211,17 +211,17 @@
    */
   @Override
   public void abandon(Attempt attempt, boolean overdue) {
-    attempt.abandoned = true;
+    attempt.abandon();
     awaited--;
     // Guards against writing more behind an attempt that may never be answered.
     retire();
-    if (!attempt.written && attempt.tooLate(clock.refresh())) {
+    if (!attempt.isWritten() && attempt.isTooLateToWrite(clock.refresh())) {
       // The rest of it would go out once the kernel takes more; the others are worth less than
       // that.
       channel.close();
     }
-    if (overdue && heardAt - attempt.sentAt < 0) {
-      pool.suspectSilence(attempt.sentAt);
+    if (overdue && heardAt - attempt.sentAtNanos() < 0) {
+      pool.suspectSilence(attempt.sentAtNanos());
     }
   }
 
@@ -261,16 +261,18 @@
       return null;
     }
     Attempt head = underWay.peek();
-    if (reply.id() != null && reply.id().equals(lastId) && (head == null || !head.has(lastId))) {
+    if (reply.id() != null
+        && reply.id().equals(lastId)
+        && (head == null || !head.hasRequestId(lastId))) {
       // A second copy of an answer. It harms nobody, but nothing new is written behind it.
       retire();
       return null;
     }
-    if (head == null || !(large ? head.fitsValue(reply) : head.fits(reply))) {
+    if (head == null || !(large ? head.matchesValue(reply) : head.matches(reply))) {
       spoil("a reply matches no request");
       return null;
     }
-    lastId = head.request.id();
+    lastId = head.exchange().id();
     rested(false);
     return head;
   }
@@ -282,16 +284,16 @@
     }
     boolean away = reply.result() == Outcome.Result.FULL && !proven && underWay.size() == 1;
     proven |= !away;
-    if (away && !head.over && pool.holdsOthers(this)) {
+    if (away && !head.isEnded() && pool.holdsOthers(this)) {
       over();
       // Off this connection, whatever becomes of it: it has provably not run.
-      head.carrier = null;
+      head.detach();
       turnedAway = head;
       dispatcher.timers().runNoEarlierThan(PARTING_NANOS, () -> stays(reply));
       return;
     }
-    if (!head.over) {
-      dispatcher.replied(head, reply);
+    if (!head.isEnded()) {
+      dispatcher.responseReceived(head, reply);
     }
     over();
   }
@@ -302,14 +304,14 @@
       Attempt head = turnedAway;
       turnedAway = null;
       proven = true;
-      dispatcher.replied(head, reply);
+      dispatcher.responseReceived(head, reply);
       pool.free(this);
     }
   }
 
   /** The reply to the attempt that waits longest has come, whole. */
   private void over() {
-    if (!underWay.poll().abandoned) {
+    if (!underWay.poll().isAbandoned()) {
       awaited--;
     }
     usedAt = clock.refresh();
@@ -349,7 +351,7 @@
 
     private boolean wanted = true;
     private boolean whole;
-    private Taker taker;
+    private Receiver taker;
 
     Pieces(Attempt attempt, LargeReply reply) {
       this.attempt = attempt;
@@ -362,38 +364,38 @@
         return;
       }
       if (taker != null) {
-        taker.piece(piece);
+        taker.onChunk(piece);
         return;
       }
       early.add(piece);
       held += piece.readableBytes();
       if (!begun && held >= HELD_BACK) {
         begun = true;
-        if (!dispatcher.replied(attempt, reply, this)) {
+        if (!dispatcher.responseReceived(attempt, reply, this)) {
           wanted = false;
           giveUp();
         }
       }
       if (wanted && taker == null && begun) {
         // Its turn at its client has not come: what has been read is held, and no more.
-        flow(false);
+        setReading(false);
       }
     }
 
     @Override
-    public void begin(Taker taker) {
+    public void start(Receiver taker) {
       this.taker = taker;
-      flow(true);
+      setReading(true);
       for (ByteBuf piece = early.poll(); piece != null; piece = early.poll()) {
-        taker.piece(piece);
+        taker.onChunk(piece);
       }
       if (whole) {
-        taker.end();
+        taker.onComplete();
       }
     }
 
     @Override
-    public void flow(boolean on) {
+    public void setReading(boolean on) {
       if (channel.config().isAutoRead() != on) {
         heard();
         channel.config().setAutoRead(on);
@@ -401,7 +403,7 @@
     }
 
     @Override
-    public void drop() {
+    public void cancel() {
       wanted = false;
       taker = null;
       giveUp();
@@ -413,21 +415,21 @@
       if (pieces == this && underWay.size() <= 1) {
         channel.close();
       } else {
-        flow(true);
+        setReading(true);
       }
     }
 
     void end() {
       whole = true;
       if (taker != null) {
-        taker.end();
+        taker.onComplete();
       }
     }
 
     void broken() {
       release();
       if (wanted && taker != null) {
-        taker.broken();
+        taker.onFailure();
       }
     }
 
@@ -513,9 +515,9 @@
     }
     for (Attempt attempt = underWay.poll(); attempt != null; attempt = underWay.poll()) {
       // Only a command whose last byte was not handed to the socket has provably not run.
-      dispatcher.ended(
+      dispatcher.attemptEnded(
           attempt,
-          !attempt.written
+          !attempt.isWritten()
               ? Outcome.Result.CONNECT_FAILED
               : spoilt ? Outcome.Result.SPOILT : Outcome.Result.RESET);
     }
@@ -527,7 +529,7 @@
     if (cause instanceof DecoderException && cause.getCause() != null) {
       spoil(cause.getCause().getMessage());
     } else if (!(cause instanceof IOException)) {
-      dispatcher.report("server connection", cause);
+      dispatcher.reportFailure("server connection", cause);
     }
     ctx.close();
   }
--- a/engine/src/main/java/shalepaddle/upstream/ServerPool.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPool.java
@@ -153,7 +153,7 @@
 
   private void handBack() {
     for (Attempt attempt = waiting.poll(); attempt != null; attempt = waiting.poll()) {
-      dispatcher.ended(attempt, Outcome.Result.CONNECT_FAILED);
+      dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
     }
   }
 
@@ -162,7 +162,7 @@
    * is none, opens one more; at the limit, writes it behind the fewest others.
    */
   void send(Attempt attempt) {
-    if (attempt.over) {
+    if (attempt.isEnded()) {
       return;
     }
     ServerConnection best = best();
@@ -276,7 +276,7 @@
     waiting.clear();
     for (Attempt attempt : stranded) {
       ServerConnection best = best();
-      if (attempt.over) {
+      if (attempt.isEnded()) {
         // The end of one before it has ended it.
         continue;
       }
@@ -285,7 +285,7 @@
       } else if (usable) {
         send(attempt);
       } else {
-        dispatcher.ended(attempt, Outcome.Result.CONNECT_FAILED);
+        dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
       }
     }
   }
@@ -305,10 +305,10 @@
     capped(Math.max(1, Math.min(cap(), live())), TURNED_DOWN_NANOS);
     // Never on one that it would have to open: the server may be left out by now.
     ServerConnection best = leaving() ? null : best();
-    if (best != null && !attempt.over && dispatcher.again(attempt)) {
+    if (best != null && !attempt.isEnded() && dispatcher.mayRewrite(attempt)) {
       best.write(attempt);
     } else {
-      dispatcher.ended(attempt, Outcome.Result.NO_PLACE);
+      dispatcher.attemptEnded(attempt, Outcome.Result.NO_PLACE);
     }
   }
 
--- a/engine/src/main/java/shalepaddle/upstream/ServerPools.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPools.java
@@ -103,14 +103,14 @@
 
   @Override
   public void send(Attempt attempt) {
-    if (attempt.over) {
+    if (attempt.isEnded()) {
       return;
     }
     // It may have been decided before an operator's word, and waited since for the loop to catch
     // up.
-    ServerPool pool = excluded.contains(attempt.server) ? null : pools.get(attempt.server);
+    ServerPool pool = excluded.contains(attempt.server()) ? null : pools.get(attempt.server());
     if (pool == null) {
-      dispatcher.ended(attempt, Outcome.Result.CONNECT_FAILED);
+      dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
     } else {
       pool.send(attempt);
     }
@@ -118,10 +118,10 @@
 
   @Override
   public void withdraw(Attempt attempt, boolean overdue) {
-    if (attempt.carrier != null) {
-      attempt.carrier.abandon(attempt, overdue);
+    if (attempt.carrier() != null) {
+      attempt.carrier().abandon(attempt, overdue);
     } else {
-      ServerPool pool = pools.get(attempt.server);
+      ServerPool pool = pools.get(attempt.server());
       if (pool != null) {
         pool.forget(attempt);
       }
--- a/engine/src/test/java/shalepaddle/codec/meta/MetaRepliesTest.java
+++ b/engine/src/test/java/shalepaddle/codec/meta/MetaRepliesTest.java
@@ -43,10 +43,10 @@
     assertEquals(
         "HD Oa1 c7\r\n", used(MetaReplies.encode(ALLOCATOR, "a1", new Reply.Receipt("7"))));
     assertEquals(
-        "SERVER_ERROR busy\r\n", used(MetaReplies.encode(ALLOCATOR, "a1", new Reply.Refused(0))));
+        "SERVER_ERROR busy\r\n", used(MetaReplies.encode(ALLOCATOR, "a1", new Reply.Rejected(0))));
     assertEquals(
         "SERVER_ERROR busy 40\r\n",
-        used(MetaReplies.encode(ALLOCATOR, "a1", new Reply.Refused(40))));
+        used(MetaReplies.encode(ALLOCATOR, "a1", new Reply.Rejected(40))));
     assertEquals(
         "SERVER_ERROR failed\r\n",
         used(MetaReplies.encode(ALLOCATOR, "a1", new Reply.Failed(true))));
--- a/engine/src/test/java/shalepaddle/engine/InvariantGuardTest.java
+++ b/engine/src/test/java/shalepaddle/engine/InvariantGuardTest.java
@@ -27,13 +27,14 @@
 
   private static Exchange exchange(Effect effect) {
     Request request = new Request("id1", "key", "put", null, 1, 0, 0, false, true);
-    return new Exchange(new Call(request, null, null), DEADLINE, 3, effect);
+    return new Exchange(new Call(request, null, null), DEADLINE, DEADLINE, 3, effect);
   }
 
   private static Attempt attempt(Exchange request) {
     Attempt attempt =
-        new Attempt(request, request.attempts.size(), 1, 0, DEADLINE, Double.POSITIVE_INFINITY, 0);
-    request.attempts.add(attempt);
+        new Attempt(
+            request, request.attempts().size(), 1, 0, DEADLINE, Double.POSITIVE_INFINITY, 0);
+    request.add(attempt);
     return attempt;
   }
 
@@ -48,7 +49,7 @@
     Exchange request = exchange(Effect.UNSAFE);
     assertTrue(guard.mayBegin(request));
     assertTrue(guard.maySend(attempt(request), DEADLINE, false));
-    Reply reply = new Reply.Refused(0);
+    Reply reply = new Reply.Rejected(0);
     assertEquals(reply, guard.answer(request, reply, DEADLINE + SLACK));
     assertEquals(List.of(), lines);
   }
@@ -56,7 +57,7 @@
   @Test
   void anUnsafeRequestIsNotSentAgainWhereItMayHaveRun() {
     Exchange request = exchange(Effect.UNSAFE);
-    attempt(request).written = true;
+    attempt(request).markWritten();
     assertFalse(guard.maySend(attempt(request), 0, false));
     assertViolated(Event.VIOLATION_REPEATED);
   }
@@ -65,9 +66,8 @@
   void itIsSentAgainWhereItProvablyHasNotRun() {
     Exchange request = exchange(Effect.UNSAFE);
     Attempt first = attempt(request);
-    first.written = true;
-    first.over = true;
-    first.provenNotRun = true;
+    first.markWritten();
+    first.end(true);
     assertTrue(guard.maySend(attempt(request), 0, false));
   }
 
@@ -75,7 +75,7 @@
   void nothingIsSentAfterTheEndOfARequest() {
     Exchange request = exchange(Effect.SAFE);
     Attempt attempt = attempt(request);
-    request.ended = true;
+    request.answer();
     assertFalse(guard.maySend(attempt, 0, false));
     assertViolated(Event.VIOLATION_SENT_AFTER_END);
   }
@@ -92,8 +92,8 @@
   @Test
   void anAttemptMayNotBeWrittenOnceNobodyWaitsForItsAnswer() {
     Attempt attempt = attempt(exchange(Effect.SAFE));
-    assertFalse(attempt.tooLate(DEADLINE - 1));
-    assertTrue(attempt.tooLate(DEADLINE));
+    assertFalse(attempt.isTooLateToWrite(DEADLINE - 1));
+    assertTrue(attempt.isTooLateToWrite(DEADLINE));
     assertEquals(0, lines.size());
   }
 
@@ -106,8 +106,8 @@
   @Test
   void aRejectionOfWhatMayHaveRunBecomesAFailure() {
     Exchange request = exchange(Effect.UNSAFE);
-    attempt(request).written = true;
-    assertInstanceOf(Reply.Failed.class, guard.answer(request, new Reply.Refused(0), 0));
+    attempt(request).markWritten();
+    assertInstanceOf(Reply.Failed.class, guard.answer(request, new Reply.Rejected(0), 0));
     assertViolated(Event.VIOLATION_REJECTED_AFTER_RUN);
   }
 
@@ -130,7 +130,7 @@
   @Test
   void aRequestIsBegunOnce() {
     Exchange request = exchange(Effect.SAFE);
-    request.begun = true;
+    request.route();
     assertFalse(guard.mayBegin(request));
     assertViolated(Event.VIOLATION_BEGUN_TWICE);
   }
--- a/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
@@ -62,7 +62,7 @@
   }
 
   private CoalescingSnapshot reading() throws Exception {
-    return rig.node.loop().submit(() -> rig.node.dispatcher().joining()).get();
+    return rig.node.loop().submit(() -> rig.node.dispatcher().coalescingSnapshot()).get();
   }
 
   @Test
--- a/engine/src/test/java/shalepaddle/node/EngineSubmissionTest.java
+++ b/engine/src/test/java/shalepaddle/node/EngineSubmissionTest.java
@@ -107,7 +107,7 @@
     cache.line();
     cache.line();
     cache.write("SERVER_ERROR busy\r\n");
-    assertEquals(new Reply.Refused(0), next());
+    assertEquals(new Reply.Rejected(0), next());
   }
 
   @Test
--- a/engine/src/test/java/shalepaddle/node/EngineTest.java
+++ b/engine/src/test/java/shalepaddle/node/EngineTest.java
@@ -193,7 +193,7 @@
     assertEquals(new Reply.Failed(true), sent.next());
     int refused = 0;
     for (Write other : others) {
-      refused += other.next() instanceof Reply.Refused ? 1 : 0;
+      refused += other.next() instanceof Reply.Rejected ? 1 : 0;
     }
     int arrived = 0;
     for (String line = cache.line(); line != null; line = cache.line()) {
@@ -203,7 +203,7 @@
     assertEquals(others.size() - arrived, refused);
     Write late = new Write("late");
     engine.submit(late.call());
-    assertEquals(new Reply.Refused(0), late.next());
+    assertEquals(new Reply.Rejected(0), late.next());
     engine.close();
     rig.settled();
     for (Write write : others) {
@@ -223,7 +223,7 @@
             engine.submit(write.call());
           }
           for (Write write : writes.subList(4096, 5000)) {
-            assertEquals(new Reply.Refused(0), write.replies.poll());
+            assertEquals(new Reply.Rejected(0), write.replies.poll());
             assertEquals(0, write.bytes.refCnt());
           }
           assertTrue(writes.subList(0, 4096).stream().allMatch(w -> w.replies.isEmpty()));
@@ -270,7 +270,7 @@
       if (reply instanceof Reply.Failed failed) {
         assertTrue(failed.mayHaveRun());
       } else {
-        assertInstanceOf(Reply.Refused.class, reply);
+        assertInstanceOf(Reply.Rejected.class, reply);
       }
       assertEquals(0, write.bytes.refCnt());
     }
--- a/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
+++ b/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
@@ -99,12 +99,12 @@
     public void send(Attempt attempt) {
       sent.add(attempt);
       if (breaksAtOnce) {
-        dispatcher.ended(attempt, Outcome.Result.CONNECT_FAILED);
+        dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
         return;
       }
       if (!noConnection) {
-        attempt.carrier = (gone, overdue) -> {};
-        attempt.written = true;
+        attempt.assignTo((gone, overdue) -> {});
+        attempt.markWritten();
       }
     }
 
@@ -122,8 +122,8 @@
     dispatcher.close();
     assertEquals(0, dispatcher.openRequests());
     assertEquals(0, dispatcher.timers().size());
-    assertEquals(0, dispatcher.joining().waiting());
-    assertEquals(0, dispatcher.joining().open());
+    assertEquals(0, dispatcher.coalescingSnapshot().waiting());
+    assertEquals(0, dispatcher.coalescingSnapshot().open());
     assertEquals(taken, engine.released, "each payload is released once");
     for (Reply reply : replies.values()) {
       if (reply instanceof Reply.Value served && served.value().refCnt() > 0) {
@@ -167,17 +167,17 @@
   }
 
   private void gone(String id) {
-    dispatcher.clientGone(submissions.get(id));
+    dispatcher.clientDisconnected(submissions.get(id));
   }
 
   private static ServerReply served(Attempt attempt, ByteBuf value) {
     return new ServerReply(
-        Outcome.Result.OK, attempt.call.request().id(), null, value, Outcome.Note.HIT, null);
+        Outcome.Result.OK, attempt.call().request().id(), null, value, Outcome.Note.HIT, null);
   }
 
   private ByteBuf serve(Attempt attempt, String text) {
     ByteBuf value = Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
-    dispatcher.replied(attempt, served(attempt, value));
+    dispatcher.responseReceived(attempt, served(attempt, value));
     value.release();
     return value;
   }
@@ -188,7 +188,7 @@
   }
 
   private static String idOf(Attempt attempt) {
-    return attempt.call.request().id();
+    return attempt.call().request().id();
   }
 
   @Test
@@ -278,8 +278,8 @@
     Attempt attempt = sent.get(0);
     assertEquals(
         "b", idOf(attempt), "what waits for a connection goes out in a waiting one's name");
-    attempt.carrier = (gone, overdue) -> {};
-    attempt.written = true;
+    attempt.assignTo((gone, overdue) -> {});
+    attempt.markWritten();
     serve(attempt, "v");
     assertEquals("v", value("b"));
   }
@@ -303,7 +303,7 @@
     warm();
     ask("write", "write", 1000, () -> {});
     read("during", 1000);
-    dispatcher.replied(
+    dispatcher.responseReceived(
         sent.get(0),
         new ServerReply(Outcome.Result.OK, "write", "7", null, Outcome.Note.NONE, null));
     assertEquals(new Reply.Receipt("7"), replies.get("write"));
@@ -330,7 +330,7 @@
     for (int i = 0; i < 100; i++) {
       read("r" + i, 1000);
     }
-    dispatcher.ended(sent.get(0), Outcome.Result.RESET);
+    dispatcher.attemptEnded(sent.get(0), Outcome.Result.RESET);
     assertEquals(List.of("r0"), List.copyOf(replies.keySet()));
     assertEquals(List.of("r0", "r1"), sent.stream().map(a -> idOf(a)).toList());
     serve(sent.get(1), "v");
@@ -344,7 +344,7 @@
       read("r" + i, 1000);
     }
     for (int i = 0; i < sent.size(); i++) {
-      dispatcher.ended(sent.get(i), Outcome.Result.RESET);
+      dispatcher.attemptEnded(sent.get(i), Outcome.Result.RESET);
     }
     assertEquals(4, sent.size());
     assertEquals(100, replies.size());
@@ -355,7 +355,7 @@
     dispatcher.membership(new MembershipUpdate(MembershipUpdate.Kind.FULL, 2, List.of()));
     for (int i = 0; i < 3; i++) {
       read("r" + i, 1000);
-      assertInstanceOf(Reply.Refused.class, replies.get("r" + i));
+      assertInstanceOf(Reply.Rejected.class, replies.get("r" + i));
     }
     assertEquals(0, dispatcher.openRequests());
   }
@@ -366,7 +366,7 @@
       read("r" + i, 1000);
     }
     breaksAtOnce = true;
-    dispatcher.ended(sent.get(0), Outcome.Result.RESET);
+    dispatcher.attemptEnded(sent.get(0), Outcome.Result.RESET);
     assertEquals(4, sent.size());
     assertEquals(10, replies.size());
     assertEquals("r0", replies.keySet().iterator().next());
@@ -376,7 +376,7 @@
   void whatJoinsAfterABreakGivesTheNewTryItsTime() {
     read("a", 300);
     read("b", 300);
-    dispatcher.ended(sent.get(0), Outcome.Result.RESET);
+    dispatcher.attemptEnded(sent.get(0), Outcome.Result.RESET);
     read("c", 2000);
     engine.pass(400);
     assertInstanceOf(Reply.Failed.class, replies.get("b"));
@@ -389,10 +389,10 @@
     for (int i = 0; i < 100; i++) {
       read("r" + i, 1000);
     }
-    dispatcher.ended(sent.get(0), Outcome.Result.FULL);
+    dispatcher.attemptEnded(sent.get(0), Outcome.Result.FULL);
     assertEquals(1, sent.size());
     assertEquals(100, replies.size());
-    assertInstanceOf(Reply.Refused.class, replies.get("r99"));
+    assertInstanceOf(Reply.Rejected.class, replies.get("r99"));
     // A key that is always refused is tried anew by each that comes after.
     read("next", 1000);
     assertEquals(2, sent.size());
@@ -406,9 +406,9 @@
     read("c", 1000);
     gone("a");
     gone("b");
-    dispatcher.ended(sent.get(0), Outcome.Result.RESET);
+    dispatcher.attemptEnded(sent.get(0), Outcome.Result.RESET);
     assertEquals(List.of("a", "c"), sent.stream().map(a -> idOf(a)).toList());
-    assertTrue(sent.get(1).fits(served(sent.get(1), Unpooled.EMPTY_BUFFER)));
+    assertTrue(sent.get(1).matches(served(sent.get(1), Unpooled.EMPTY_BUFFER)));
     serve(sent.get(1), "v");
     assertEquals("v", value("c"));
     assertEquals(1, replies.size());
@@ -440,7 +440,7 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"true, Failed", "false, Refused"})
+  @CsvSource({"true, Failed", "false, Rejected"})
   void theEndAnswersAllWhoWait(boolean written, String due) {
     noConnection = !written;
     for (int i = 0; i < 20; i++) {
@@ -450,14 +450,14 @@
     assertEquals(20, replies.size());
     replies.forEach((id, reply) -> assertEquals(due, reply.getClass().getSimpleName(), id));
     read("late", 1000);
-    assertInstanceOf(Reply.Refused.class, replies.get("late"));
+    assertInstanceOf(Reply.Rejected.class, replies.get("late"));
     assertEquals(1, sent.size());
   }
 
   @Test
   void aDrainGivesNobodyMoreTimeThanIsLeft() {
     read("a", 300);
-    dispatcher.answerBy(engine.clock.now() + TimeUnit.MILLISECONDS.toNanos(500));
+    dispatcher.drainBy(engine.clock.now() + TimeUnit.MILLISECONDS.toNanos(500));
     read("b", 2000);
     engine.pass(510);
     assertTrue(answeredAt.get("b") <= 500, "answered at " + answeredAt);
@@ -485,7 +485,7 @@
   void whoIsToldOfBadLuckMayAskAgainAndJoinsThoseWhoWait() {
     ask("a", "read", 1000, () -> read("again", 1000));
     read("b", 1000);
-    dispatcher.ended(sent.get(0), Outcome.Result.RESET);
+    dispatcher.attemptEnded(sent.get(0), Outcome.Result.RESET);
     assertEquals(List.of("a", "b"), sent.stream().map(a -> idOf(a)).toList());
     serve(sent.get(1), "v");
     assertEquals("v", value("again"));
@@ -495,7 +495,7 @@
   void whoIsToldOfBadLuckMayCallOffAllOthers() {
     ask("a", "read", 1000, () -> gone("b"));
     read("b", 1000);
-    dispatcher.ended(sent.get(0), Outcome.Result.RESET);
+    dispatcher.attemptEnded(sent.get(0), Outcome.Result.RESET);
     assertEquals(1, sent.size());
     assertEquals(0, dispatcher.openRequests());
   }
@@ -520,7 +520,7 @@
     }
     UnpooledByteBufAllocator allocator = new UnpooledByteBufAllocator(false);
     ByteBuf value = allocator.buffer(65_536).writeZero(65_536);
-    dispatcher.replied(sent.get(0), served(sent.get(0), value));
+    dispatcher.responseReceived(sent.get(0), served(sent.get(0), value));
     value.release();
     List<ByteBuf> unread = new ArrayList<>();
     replies.forEach((id, reply) -> unread.add(MetaReplies.encode(allocator, id, reply)));
@@ -541,7 +541,7 @@
     // An attempt must end 2 ms before its request.
     engine.pass(997);
     engine.ticker.advance(600, TimeUnit.MICROSECONDS);
-    dispatcher.ended(attempt, Outcome.Result.CONNECT_FAILED);
+    dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
     assertEquals(1, sent.size());
   }
 
@@ -550,15 +550,16 @@
     start(2);
     read("a", 2000);
     Attempt first = sent.get(0);
-    long other = first.server == 7 ? 8 : 7;
+    long other = first.server() == 7 ? 8 : 7;
     dispatcher.membership(
         new MembershipUpdate(
             MembershipUpdate.Kind.CHANGES,
             2,
-            List.of(new ServerEntry(first.server, "a", "m", 0, ServerEntry.State.DRAINING, 1, 0))));
+            List.of(
+                new ServerEntry(first.server(), "a", "m", 0, ServerEntry.State.DRAINING, 1, 0))));
     read("b", 2000);
-    dispatcher.ended(first, Outcome.Result.RESET);
-    assertEquals(other, sent.get(1).server);
+    dispatcher.attemptEnded(first, Outcome.Result.RESET);
+    assertEquals(other, sent.get(1).server());
     serve(sent.get(1), "v");
     assertEquals("v", value("a"));
     assertEquals("v", value("b"));
--- a/engine/src/test/java/shalepaddle/node/TurnsTest.java
+++ b/engine/src/test/java/shalepaddle/node/TurnsTest.java
@@ -60,7 +60,7 @@
             new Upstream() {
               @Override
               public void send(Attempt attempt) {
-                sent.add(attempt.request.id());
+                sent.add(attempt.exchange().id());
                 engine.ticker.advance(2, TimeUnit.MILLISECONDS);
               }
 
@@ -89,7 +89,7 @@
             engine.payload(),
             reply -> {
               replies.add(reply);
-              if (reply instanceof Reply.Refused) {
+              if (reply instanceof Reply.Rejected) {
                 refused.add(id);
               }
             }));
@@ -108,7 +108,7 @@
     }
     submit("w1", true);
     assertEquals(List.of("r1", "r2"), sent, "no more than 3 ms are begun with in one turn");
-    assertTrue(dispatcher.oldestWaiting() <= TimeUnit.MILLISECONDS.toNanos(3));
+    assertTrue(dispatcher.oldestQueuedNanos() <= TimeUnit.MILLISECONDS.toNanos(3));
     turn();
     assertEquals(List.of("r1", "r2", "w1", "r3"), sent);
     submit("r6", false);
@@ -116,7 +116,7 @@
     turn();
     turn();
     assertEquals(List.of("r1", "r2", "w1", "r3", "r4", "r5", "r6"), sent);
-    assertEquals(0, dispatcher.oldestWaiting());
+    assertEquals(0, dispatcher.oldestQueuedNanos());
   }
 
   @Test
@@ -139,7 +139,7 @@
     submit("r1", false);
     submit("r2", false);
     Submission gone = submit("r3", false);
-    dispatcher.clientGone(gone);
+    dispatcher.clientDisconnected(gone);
     turn();
     turn();
     assertEquals(List.of("r1", "r2"), sent);
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
@@ -573,14 +573,14 @@
   /** Every request that was taken has ended under exactly one disposition, or its client left. */
   private void expectTrueFigures(Instance instance) {
     RequestMetricsSnapshot figures = instance.balancer().figures();
-    long ended = figures.gone();
+    long ended = figures.disconnected();
     for (RequestMetricsSnapshot.Results results : figures.results()) {
-      ended += results.succeeded() + results.declined() + results.aborted();
+      ended += results.succeeded() + results.rejected() + results.failed();
     }
-    if (ended != figures.taken() || figures.outstanding() != 0) {
+    if (ended != figures.received() || figures.outstanding() != 0) {
       breaches.add(
           "%s took %d requests, of which %d ended and %d are outstanding"
-              .formatted(instance.name(), figures.taken(), ended, figures.outstanding()));
+              .formatted(instance.name(), figures.received(), ended, figures.outstanding()));
     }
   }
 
