--- a/benchmarks/src/main/java/shalepaddle/benchmarks/CoalescingCost.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/CoalescingCost.java
@@ -29,7 +29,8 @@
   private static final long PATIENCE = 2_000_000_000L;
 
   private final String[] keys = new String[KEYS];
-  private final RequestCoalescer<Integer> joining = new RequestCoalescer<>(CoalescingConfig.USUAL);
+  private final RequestCoalescer<Integer> joining =
+      new RequestCoalescer<>(CoalescingConfig.DEFAULTS);
 
   @SuppressWarnings({"unchecked", "rawtypes"})
   private final FlightWaiter<Integer>[] open = new FlightWaiter[OPEN];
@@ -51,7 +52,7 @@
     now += 30_000;
     // A new string has no hash yet, as one that was just read.
     String key = new String(keys[next++ % KEYS]);
-    return joining.arrive(key, "read", null, next, now + PATIENCE, now);
+    return joining.join(key, "read", null, next, now + PATIENCE, now);
   }
 
   /** A read that nobody joins: it arrives, and is answered later. */
--- a/core/src/main/java/shalepaddle/coalescing/CoalescingSnapshot.java
+++ b/core/src/main/java/shalepaddle/coalescing/CoalescingSnapshot.java
@@ -5,21 +5,21 @@
  *
  * @param flights reads that began a flight
  * @param joined reads that joined one
- * @param alone reads that could have begun one, and went alone for want of room
+ * @param uncoalesced reads that could have begun one, and went alone for want of room
  * @param shared reads served with a value that another's try brought
  * @param retried tries made in the next caller's name after one that broke
- * @param spent broken flights that were not tried again since too few had joined for that
+ * @param retriesDenied broken flights that were not tried again since too few had joined for that
  * @param left callers that left a flight while others stayed
- * @param open flights open now
- * @param waiting callers that wait now
+ * @param openFlights flights open now
+ * @param waiters callers that wait now
  */
 public record CoalescingSnapshot(
     long flights,
     long joined,
-    long alone,
+    long uncoalesced,
     long shared,
     long retried,
-    long spent,
+    long retriesDenied,
     long left,
-    int open,
-    int waiting) {}
+    int openFlights,
+    int waiters) {}
--- a/core/src/main/java/shalepaddle/coalescing/Flight.java
+++ b/core/src/main/java/shalepaddle/coalescing/Flight.java
@@ -83,7 +83,7 @@
   }
 
   /** The one in whose name it is tried now: of those that wait the first. Null if nobody does. */
-  public FlightWaiter<C> bearer() {
+  public FlightWaiter<C> leader() {
     while (!callers.isEmpty() && callers.peek().over) {
       callers.poll();
     }
@@ -142,27 +142,27 @@
     return all;
   }
 
-  /** Whether anybody but the bearer still has time. */
-  boolean outlastsBearer(long now) {
-    FlightWaiter<C> bearer = bearer();
+  /** Whether anybody but the leader still has time. */
+  boolean outlastsLeader(long now) {
+    FlightWaiter<C> leader = leader();
     for (FlightWaiter<C> caller : callers) {
-      if (caller != bearer && !caller.over && caller.deadline - now > 0) {
+      if (caller != leader && !caller.over && caller.deadline - now > 0) {
         return true;
       }
     }
     return false;
   }
 
-  /** Drops the bearer, and lasts for as long as those who still wait; returns who it was. */
-  FlightWaiter<C> dropBearer() {
-    FlightWaiter<C> bearer = bearer();
-    drop(bearer);
+  /** Drops the leader, and lasts for as long as those who still wait; returns who it was. */
+  FlightWaiter<C> dropLeader() {
+    FlightWaiter<C> leader = leader();
+    drop(leader);
     deadline = Long.MIN_VALUE;
     for (FlightWaiter<C> caller : callers) {
       if (!caller.over) {
         deadline = Math.max(deadline, caller.deadline);
       }
     }
-    return bearer;
+    return leader;
   }
 }
--- a/core/src/main/java/shalepaddle/coalescing/FlightResult.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightResult.java
@@ -11,20 +11,20 @@
    * It was turned away, by servers or by a decision, or an origin failed it: whoever asked next
    * would be told the same, and only add to the load.
    */
-  REFUSED,
+  REJECTED,
 
   /** Its connections broke, or what came could not be used: bad luck of one try. */
   BROKEN,
 
   /** Its time is up, or the load balancer ends: there is nothing left to try. */
-  OVER;
+  FINAL;
 
   /**
    * How a try has ended that was refused in the end.
    *
    * @param last the outcome of its last attempt, null if it had none
    */
-  public static FlightResult refused(Outcome.Result last) {
-    return last != null && (last.broken() || last == Outcome.Result.SPOILT) ? BROKEN : REFUSED;
+  public static FlightResult ofRejection(Outcome.Result last) {
+    return last != null && (last.broken() || last == Outcome.Result.SPOILT) ? BROKEN : REJECTED;
   }
 }
--- a/core/src/main/java/shalepaddle/coalescing/FlightWaiter.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightWaiter.java
@@ -27,7 +27,7 @@
   }
 
   /** Who waits. */
-  public C who() {
+  public C caller() {
     return who;
   }
 
--- a/core/src/main/java/shalepaddle/coalescing/RequestCoalescer.java
+++ b/core/src/main/java/shalepaddle/coalescing/RequestCoalescer.java
@@ -20,8 +20,8 @@
  * older flights from when it is taken.
  *
  * <p>Time is an argument, in nanoseconds of a clock that only goes on. All methods are for one
- * thread. Sizes are bounded: {@link CoalescingConfig#flights} times {@link
- * CoalescingConfig#callers}.
+ * thread. Sizes are bounded: {@link CoalescingConfig#maxFlights} times {@link
+ * CoalescingConfig#maxWaiters}.
  *
  * @param <C> what stands for a caller
  */
@@ -52,11 +52,11 @@
   /** Nobody waits yet. */
   public RequestCoalescer(CoalescingConfig tuning) {
     this.tuning = tuning;
-    this.ageNanos = (long) (tuning.age() * 1e9);
+    this.ageNanos = (long) (tuning.maxAgeSeconds() * 1e9);
   }
 
   /**
-   * A read arrives that does no harm if it is repeated. It is {@linkplain Flight#bearer the bearer}
+   * A read arrives that does no harm if it is repeated. It is {@linkplain Flight#leader the leader}
    * of its flight if it began one, which is to be tried then; if it made {@link Flight#deadline}
    * later, the try has that much longer.
    *
@@ -67,19 +67,19 @@
    * @param deadline when its client stops waiting
    * @return null if it goes alone, since too many flights are open
    */
-  public FlightWaiter<C> arrive(
+  public FlightWaiter<C> join(
       String key, String serviceClass, String tenant, C who, long deadline, long now) {
     String visible = tuning.acrossTenants() ? null : tenant;
     Flight<C> flight = byKey.get(key);
     while (flight != null && !flight.likeness.like(serviceClass, visible)) {
       flight = flight.next;
     }
-    if (flight != null && (now - flight.begun > ageNanos || flight.came() >= tuning.callers())) {
+    if (flight != null && (now - flight.begun > ageNanos || flight.came() >= tuning.maxWaiters())) {
       unlist(flight);
       flight = null;
     }
     if (flight == null) {
-      if (open >= tuning.flights()) {
+      if (open >= tuning.maxFlights()) {
         alone++;
         return null;
       }
@@ -89,7 +89,7 @@
       flights++;
     } else {
       joined++;
-      tokens = Math.min(BURST, tokens + tuning.retries());
+      tokens = Math.min(BURST, tokens + tuning.retriesPerJoin());
     }
     waiting++;
     return flight.add(who, deadline);
@@ -124,7 +124,7 @@
    * A write of this key is taken, or anything about it has ended, whether or not by a flight: from
    * now on nobody joins a flight that began before.
    */
-  public void touched(String key) {
+  public void invalidate(String key) {
     Flight<C> flight = byKey.remove(key);
     while (flight != null) {
       Flight<C> next = flight.next;
@@ -171,7 +171,7 @@
    * Those of a flight whose time is up, in the order of their deadlines: each is to be told so. If
    * the flight {@link Flight#isOver} then, nobody waits any more, and its try is to be given up.
    */
-  public List<FlightWaiter<C>> due(Flight<C> flight, long now) {
+  public List<FlightWaiter<C>> expire(Flight<C> flight, long now) {
     List<FlightWaiter<C>> due = flight.due(now);
     waiting -= due.size();
     abandoned(flight, due.size());
@@ -185,24 +185,24 @@
    * next one tries, as long as reads that joined have earned it. So one failure becomes neither a
    * hundred failures nor a hundred tries.
    */
-  public FlightDecision<C> ended(Flight<C> flight, FlightResult ending, long now) {
+  public FlightDecision<C> complete(Flight<C> flight, FlightResult ending, long now) {
     if (flight.over) {
       return new FlightDecision<>(List.of(), false);
     }
     if (ending == FlightResult.BROKEN && flight.waiting > 1 && flight.retries < MAX_RETRIES) {
       if (tokens < 1) {
         spent++;
-      } else if (flight.outlastsBearer(now)) {
+      } else if (flight.outlastsLeader(now)) {
         tokens--;
         retried++;
         flight.retries++;
         waiting--;
-        return new FlightDecision<>(List.of(flight.dropBearer()), true);
+        return new FlightDecision<>(List.of(flight.dropLeader()), true);
       }
     }
     // Nobody may join an older flight of this key: it could hold an older value.
     if (ending == FlightResult.SERVED) {
-      touched(flight.key);
+      invalidate(flight.key);
     }
     List<FlightWaiter<C>> all = flight.dismiss();
     close(flight);
@@ -222,7 +222,7 @@
    * @param place which of them it is, from 0
    * @param of how many there are
    */
-  public static long spread(long millis, long most, int place, int of) {
+  public static long spreadRetryAfter(long millis, long most, int place, int of) {
     if (millis <= 0 || of < 2) {
       return millis;
     }
@@ -231,7 +231,7 @@
   }
 
   /** What has been done so far. */
-  public CoalescingSnapshot reading() {
+  public CoalescingSnapshot snapshot() {
     return new CoalescingSnapshot(
         flights, joined, alone, shared, retried, spent, left, open, waiting);
   }
--- a/core/src/test/java/shalepaddle/coalescing/RequestCoalescerModelTest.java
+++ b/core/src/test/java/shalepaddle/coalescing/RequestCoalescerModelTest.java
@@ -93,7 +93,7 @@
     void read(String key, String tenant, int patience) {
       int id = next++;
       long deadline = now + patience * MILLI;
-      FlightWaiter<Integer> caller = real.arrive(key, "read", tenant, id, deadline, now);
+      FlightWaiter<Integer> caller = real.join(key, "read", tenant, id, deadline, now);
       String likeness = key + "/" + tenant;
       int count = touched.getOrDefault(key, 0);
       Out found = null;
@@ -114,7 +114,7 @@
         }
         found = new Out(likeness, key, now, count);
         outs.add(found);
-        assertEquals(caller, caller.flight().bearer(), "it begins a flight");
+        assertEquals(caller, caller.flight().leader(), "it begins a flight");
       } else {
         joined++;
         tokens = Math.min(10, tokens + 0.02);
@@ -126,7 +126,7 @@
     }
 
     void touch(String key) {
-      real.touched(key);
+      real.invalidate(key);
       touched.merge(key, 1, Integer::sum);
     }
 
@@ -160,7 +160,7 @@
               .peek(each -> each.over = true)
               .map(each -> each.id)
               .toList();
-      List<Integer> said = real.due(flight, now).stream().map(FlightWaiter::who).toList();
+      List<Integer> said = real.expire(flight, now).stream().map(FlightWaiter::caller).toList();
       assertEquals(due, said);
       said.forEach(id -> answers[id]++);
       out.over = out.waiting().isEmpty();
@@ -175,7 +175,8 @@
         return;
       }
       Out out = open.get(which % open.size());
-      FlightDecision<Integer> verdict = real.ended(out.callers.get(0).real.flight(), ending, now);
+      FlightDecision<Integer> verdict =
+          real.complete(out.callers.get(0).real.flight(), ending, now);
       List<Waits> waiting = out.waiting();
       boolean again = false;
       if (ending == FlightResult.BROKEN && waiting.size() > 1 && out.retries < 3) {
@@ -186,10 +187,10 @@
         }
       }
       List<Waits> told = again ? waiting.subList(0, 1) : waiting;
-      assertEquals(again, verdict.again());
+      assertEquals(again, verdict.retries());
       assertEquals(
           told.stream().map(each -> each.id).toList(),
-          verdict.answered().stream().map(FlightWaiter::who).toList());
+          verdict.recipients().stream().map(FlightWaiter::caller).toList());
       told.forEach(
           each -> {
             each.over = true;
@@ -199,7 +200,7 @@
         tokens--;
         retried++;
         out.retries++;
-        assertEquals(out.waiting().get(0).id, waiting.get(1).real.flight().bearer().who());
+        assertEquals(out.waiting().get(0).id, waiting.get(1).real.flight().leader().caller());
       } else {
         out.over = true;
       }
@@ -209,7 +210,7 @@
     }
 
     void check() {
-      CoalescingSnapshot reading = real.reading();
+      CoalescingSnapshot reading = real.snapshot();
       int waiting = 0;
       for (Out out : open()) {
         waiting += out.waiting().size();
@@ -217,20 +218,20 @@
           assertEquals(0, answers[each.id], "one that waits has no answer");
         }
       }
-      assertEquals(open().size(), reading.open());
-      assertEquals(waiting, reading.waiting());
+      assertEquals(open().size(), reading.openFlights());
+      assertEquals(waiting, reading.waiters());
       assertEquals(outs.size(), reading.flights());
       assertEquals(joined, reading.joined());
-      assertEquals(alone, reading.alone());
+      assertEquals(alone, reading.uncoalesced());
       assertEquals(retried, reading.retried());
-      assertEquals(spent, reading.spent());
+      assertEquals(spent, reading.retriesDenied());
       assertTrue(real.keys() <= open().size());
     }
 
     /** Ends all that is open: then each caller has had exactly one end. */
     void end() {
       while (!open().isEmpty()) {
-        ends(0, FlightResult.OVER);
+        ends(0, FlightResult.FINAL);
       }
       check();
       for (int id = 0; id < next; id++) {
@@ -251,8 +252,8 @@
   private static final Arbitrary<FlightResult> ENDINGS =
       Arbitraries.of(
           FlightResult.SERVED,
-          FlightResult.REFUSED,
-          FlightResult.OVER,
+          FlightResult.REJECTED,
+          FlightResult.FINAL,
           FlightResult.BROKEN,
           FlightResult.BROKEN,
           FlightResult.BROKEN);
--- a/core/src/test/java/shalepaddle/coalescing/RequestCoalescerTest.java
+++ b/core/src/test/java/shalepaddle/coalescing/RequestCoalescerTest.java
@@ -26,11 +26,11 @@
   }
 
   private FlightWaiter<Integer> read(String key, long deadlineMillis, long nowMillis) {
-    return joining.arrive(key, "read", "a", next++, deadlineMillis * MILLI, nowMillis * MILLI);
+    return joining.join(key, "read", "a", next++, deadlineMillis * MILLI, nowMillis * MILLI);
   }
 
   private static List<Integer> who(List<FlightWaiter<Integer>> callers) {
-    return callers.stream().map(FlightWaiter::who).toList();
+    return callers.stream().map(FlightWaiter::caller).toList();
   }
 
   @Test
@@ -38,9 +38,9 @@
     Flight<Integer> flight = read("k", 1000, 0).flight();
     assertSame(flight, read("k", 1000, 1).flight());
     assertNotSame(flight, read("other", 1000, 1).flight());
-    assertNotSame(flight, joining.arrive("k", "scan", "a", 9, 1000 * MILLI, MILLI).flight());
-    assertNotSame(flight, joining.arrive("k", "read", "b", 9, 1000 * MILLI, MILLI).flight());
-    assertNotSame(flight, joining.arrive("k", "read", null, 9, 1000 * MILLI, MILLI).flight());
+    assertNotSame(flight, joining.join("k", "scan", "a", 9, 1000 * MILLI, MILLI).flight());
+    assertNotSame(flight, joining.join("k", "read", "b", 9, 1000 * MILLI, MILLI).flight());
+    assertNotSame(flight, joining.join("k", "read", null, 9, 1000 * MILLI, MILLI).flight());
     assertSame(flight, read("k", 1000, 2).flight());
   }
 
@@ -49,8 +49,8 @@
     RequestCoalescer<Integer> all =
         new RequestCoalescer<>(new CoalescingConfig(true, true, 100, 0.25, 10, 0.1));
     assertSame(
-        all.arrive("k", "read", "a", 0, MILLI, 0).flight(),
-        all.arrive("k", "read", "b", 1, MILLI, 0).flight());
+        all.join("k", "read", "a", 0, MILLI, 0).flight(),
+        all.join("k", "read", "b", 1, MILLI, 0).flight());
   }
 
   @Test
@@ -59,17 +59,17 @@
     for (int i = 1; i < 50; i++) {
       read("k", 900 - i, 1);
     }
-    FlightDecision<Integer> verdict = joining.ended(flight, FlightResult.SERVED, 5 * MILLI);
+    FlightDecision<Integer> verdict = joining.complete(flight, FlightResult.SERVED, 5 * MILLI);
     List<Integer> order = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
       order.add(i);
     }
-    assertEquals(order, who(verdict.answered()));
-    assertFalse(verdict.again());
+    assertEquals(order, who(verdict.recipients()));
+    assertFalse(verdict.retries());
     assertTrue(flight.isOver());
-    assertEquals(new CoalescingSnapshot(1, 49, 0, 49, 0, 0, 0, 0, 0), joining.reading());
+    assertEquals(new CoalescingSnapshot(1, 49, 0, 49, 0, 0, 0, 0, 0), joining.snapshot());
     assertEquals(0, joining.keys());
-    assertEquals(List.of(), joining.ended(flight, FlightResult.SERVED, 6 * MILLI).answered());
+    assertEquals(List.of(), joining.complete(flight, FlightResult.SERVED, 6 * MILLI).recipients());
   }
 
   @Test
@@ -84,7 +84,7 @@
     assertNotSame(fresh, read("k", 9000, 252).flight());
     // Who waits for the old one still does.
     assertEquals(
-        List.of(0, 1), who(joining.ended(old, FlightResult.REFUSED, 300 * MILLI).answered()));
+        List.of(0, 1), who(joining.complete(old, FlightResult.REJECTED, 300 * MILLI).recipients()));
   }
 
   @Test
@@ -93,26 +93,26 @@
       read("k" + i, 1000, 0);
     }
     assertNull(read("k10", 1000, 0));
-    assertEquals(1, joining.reading().alone());
+    assertEquals(1, joining.snapshot().uncoalesced());
     assertTrue(read("k3", 1000, 0) != null, "one that is open can be joined");
   }
 
   @Test
   void aWriteBetweenTwoReadsKeepsTheSecondFromTheFirst() {
     Flight<Integer> before = read("k", 1000, 0).flight();
-    joining.touched("k");
+    joining.invalidate("k");
     Flight<Integer> during = read("k", 1000, 1).flight();
     assertNotSame(before, during);
     assertSame(during, read("k", 1000, 2).flight());
-    joining.touched("k"); // The write has ended.
+    joining.invalidate("k"); // The write has ended.
     assertNotSame(during, read("k", 1000, 3).flight());
   }
 
   @Test
   void aReadThatEndsKeepsNewcomersFromOlderFlightsOfItsKey() {
     Flight<Integer> older = read("k", 1000, 0).flight();
-    Flight<Integer> others = joining.arrive("k", "read", "b", 9, 1000 * MILLI, MILLI).flight();
-    joining.ended(others, FlightResult.SERVED, 2 * MILLI);
+    Flight<Integer> others = joining.join("k", "read", "b", 9, 1000 * MILLI, MILLI).flight();
+    joining.complete(others, FlightResult.SERVED, 2 * MILLI);
     assertNotSame(older, read("k", 1000, 3).flight());
   }
 
@@ -121,10 +121,10 @@
     FlightWaiter<Integer> first = read("k", 1000, 0);
     FlightWaiter<Integer> second = read("k", 1000, 1);
     assertFalse(joining.leave(first));
-    assertSame(second, first.flight().bearer());
+    assertSame(second, first.flight().leader());
     assertFalse(joining.leave(first), "does nothing the second time");
     assertTrue(joining.leave(second));
-    assertEquals(0, joining.reading().open());
+    assertEquals(0, joining.snapshot().openFlights());
     assertNotSame(first.flight(), read("k", 1000, 2).flight());
   }
 
@@ -136,21 +136,21 @@
     read("k", 500, 20);
     assertEquals(2000 * MILLI, flight.deadline());
     assertEquals(100 * MILLI, flight.nextDue());
-    assertEquals(List.of(0), who(joining.due(flight, 100 * MILLI)));
+    assertEquals(List.of(0), who(joining.expire(flight, 100 * MILLI)));
     assertEquals(500 * MILLI, flight.nextDue());
-    assertEquals(List.of(2), who(joining.due(flight, 500 * MILLI)));
+    assertEquals(List.of(2), who(joining.expire(flight, 500 * MILLI)));
     assertEquals(Long.MAX_VALUE, flight.nextDue());
     assertEquals(
-        List.of(1), who(joining.ended(flight, FlightResult.SERVED, 700 * MILLI).answered()));
+        List.of(1), who(joining.complete(flight, FlightResult.SERVED, 700 * MILLI).recipients()));
   }
 
   @Test
   void afterALongPauseAllMayBeDueTogether() {
     Flight<Integer> flight = read("k", 100, 0).flight();
     read("k", 200, 0);
-    assertEquals(List.of(0, 1), who(joining.due(flight, 900 * MILLI)));
+    assertEquals(List.of(0, 1), who(joining.expire(flight, 900 * MILLI)));
     assertTrue(flight.isOver());
-    assertEquals(0, joining.reading().open());
+    assertEquals(0, joining.snapshot().openFlights());
   }
 
   @Test
@@ -158,14 +158,14 @@
     Flight<Integer> flight = read("k", 1000, 0).flight();
     read("k", 500, 1);
     read("k", 800, 1);
-    FlightDecision<Integer> verdict = joining.ended(flight, FlightResult.BROKEN, 10 * MILLI);
-    assertEquals(List.of(0), who(verdict.answered()));
-    assertTrue(verdict.again());
-    assertEquals(1, flight.bearer().who());
+    FlightDecision<Integer> verdict = joining.complete(flight, FlightResult.BROKEN, 10 * MILLI);
+    assertEquals(List.of(0), who(verdict.recipients()));
+    assertTrue(verdict.retries());
+    assertEquals(1, flight.leader().caller());
     assertEquals(800 * MILLI, flight.deadline(), "nobody waits longer any more");
     assertEquals(500 * MILLI, flight.nextDue());
     assertEquals(
-        List.of(1, 2), who(joining.ended(flight, FlightResult.SERVED, 20 * MILLI).answered()));
+        List.of(1, 2), who(joining.complete(flight, FlightResult.SERVED, 20 * MILLI).recipients()));
   }
 
   @Test
@@ -175,12 +175,12 @@
       read("k", 1000, 1);
     }
     int tries = 1;
-    while (joining.ended(flight, FlightResult.BROKEN, 10 * MILLI).again()) {
+    while (joining.complete(flight, FlightResult.BROKEN, 10 * MILLI).retries()) {
       tries++;
     }
     assertEquals(4, tries);
     assertTrue(flight.isOver());
-    assertEquals(0, joining.reading().waiting());
+    assertEquals(0, joining.snapshot().waiters());
   }
 
   @Test
@@ -189,49 +189,50 @@
     for (int i = 0; i < 1000; i++) {
       Flight<Integer> flight = read("k", 1000, 0).flight();
       read("k", 1000, 0);
-      while (joining.ended(flight, FlightResult.BROKEN, MILLI).again()) {
+      while (joining.complete(flight, FlightResult.BROKEN, MILLI).retries()) {
         retried++;
       }
     }
     assertTrue(retried >= 100 && retried <= 110, retried + " for 1000 who joined");
-    assertEquals(1000 - retried, joining.reading().spent());
+    assertEquals(1000 - retried, joining.snapshot().retriesDenied());
   }
 
   @Test
   void nothingIsTriedAgainForWhomNoTimeIsLeft() {
     Flight<Integer> flight = read("k", 1000, 0).flight();
     read("k", 10, 0);
-    FlightDecision<Integer> verdict = joining.ended(flight, FlightResult.BROKEN, 20 * MILLI);
-    assertEquals(List.of(0, 1), who(verdict.answered()));
-    assertFalse(verdict.again());
+    FlightDecision<Integer> verdict = joining.complete(flight, FlightResult.BROKEN, 20 * MILLI);
+    assertEquals(List.of(0, 1), who(verdict.recipients()));
+    assertFalse(verdict.retries());
   }
 
   @Test
   void aRefusalIsEverybodys() {
     Flight<Integer> flight = read("k", 1000, 0).flight();
     read("k", 1000, 0);
-    assertEquals(List.of(0, 1), who(joining.ended(flight, FlightResult.REFUSED, MILLI).answered()));
+    assertEquals(
+        List.of(0, 1), who(joining.complete(flight, FlightResult.REJECTED, MILLI).recipients()));
   }
 
   @Test
   void whatBrokeIsToldFromWhatWasTurnedAway() {
-    assertEquals(FlightResult.BROKEN, FlightResult.refused(Outcome.Result.RESET));
-    assertEquals(FlightResult.BROKEN, FlightResult.refused(Outcome.Result.CONNECT_FAILED));
-    assertEquals(FlightResult.BROKEN, FlightResult.refused(Outcome.Result.SPOILT));
-    assertEquals(FlightResult.REFUSED, FlightResult.refused(Outcome.Result.FULL));
-    assertEquals(FlightResult.REFUSED, FlightResult.refused(Outcome.Result.ERROR));
-    assertEquals(FlightResult.REFUSED, FlightResult.refused(Outcome.Result.TIMEOUT));
-    assertEquals(FlightResult.REFUSED, FlightResult.refused(null));
+    assertEquals(FlightResult.BROKEN, FlightResult.ofRejection(Outcome.Result.RESET));
+    assertEquals(FlightResult.BROKEN, FlightResult.ofRejection(Outcome.Result.CONNECT_FAILED));
+    assertEquals(FlightResult.BROKEN, FlightResult.ofRejection(Outcome.Result.SPOILT));
+    assertEquals(FlightResult.REJECTED, FlightResult.ofRejection(Outcome.Result.FULL));
+    assertEquals(FlightResult.REJECTED, FlightResult.ofRejection(Outcome.Result.ERROR));
+    assertEquals(FlightResult.REJECTED, FlightResult.ofRejection(Outcome.Result.TIMEOUT));
+    assertEquals(FlightResult.REJECTED, FlightResult.ofRejection(null));
   }
 
   @Test
   void adviceIsSpread() {
-    assertEquals(100, RequestCoalescer.spread(100, 1000, 0, 1));
-    assertEquals(0, RequestCoalescer.spread(0, 1000, 3, 5));
-    assertEquals(75, RequestCoalescer.spread(100, 1000, 0, 5));
-    assertEquals(100, RequestCoalescer.spread(100, 1000, 2, 5));
-    assertEquals(125, RequestCoalescer.spread(100, 1000, 4, 5));
-    assertEquals(110, RequestCoalescer.spread(100, 110, 4, 5));
+    assertEquals(100, RequestCoalescer.spreadRetryAfter(100, 1000, 0, 1));
+    assertEquals(0, RequestCoalescer.spreadRetryAfter(0, 1000, 3, 5));
+    assertEquals(75, RequestCoalescer.spreadRetryAfter(100, 1000, 0, 5));
+    assertEquals(100, RequestCoalescer.spreadRetryAfter(100, 1000, 2, 5));
+    assertEquals(125, RequestCoalescer.spreadRetryAfter(100, 1000, 4, 5));
+    assertEquals(110, RequestCoalescer.spreadRetryAfter(100, 110, 4, 5));
   }
 
   @ParameterizedTest
--- a/engine/src/main/java/shalepaddle/config/OperatorFile.java
+++ b/engine/src/main/java/shalepaddle/config/OperatorFile.java
@@ -91,12 +91,12 @@
   private static CoalescingConfig joining(Reader reader, JsonNode table) throws FormatException {
     CoalescingConfig usual = CoalescingConfig.OFF;
     return new CoalescingConfig(
-        reader.flag(table, "join", usual.joins()),
+        reader.flag(table, "join", usual.enabled()),
         reader.flag(table, "across_tenants", usual.acrossTenants()),
-        reader.whole(table, "callers", usual.callers()),
-        reader.number(table, "age_ms", usual.age() * 1e3) / 1e3,
-        reader.whole(table, "flights", usual.flights()),
-        reader.number(table, "retries", usual.retries()));
+        reader.whole(table, "callers", usual.maxWaiters()),
+        reader.number(table, "age_ms", usual.maxAgeSeconds() * 1e3) / 1e3,
+        reader.whole(table, "flights", usual.maxFlights()),
+        reader.number(table, "retries", usual.retriesPerJoin()));
   }
 
   /** Reads values, and says in which line one is wrong. */
--- a/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
+++ b/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
@@ -99,7 +99,7 @@
   }
 
   CoalescingSnapshot reading() {
-    return joining.reading();
+    return joining.snapshot();
   }
 
   /**
@@ -111,19 +111,19 @@
   Submission submit(Call call, Request asked, long deadline, long now) {
     if (!joins(asked)) {
       if (asked.write()) {
-        joining.touched(asked.key());
+        joining.invalidate(asked.key());
       }
       return null;
     }
     Waiter waiter = new Waiter(call);
     FlightWaiter<Waiter> place =
-        joining.arrive(asked.key(), asked.serviceClass(), asked.tenant(), waiter, deadline, now);
+        joining.join(asked.key(), asked.serviceClass(), asked.tenant(), waiter, deadline, now);
     if (place == null) {
       return null;
     }
     waiter.place = place;
     Flight<Waiter> flight = place.flight();
-    Waiter bearer = flight.bearer().who();
+    Waiter bearer = flight.leader().caller();
     if (bearer == waiter) {
       waiter.shared = new SharedTry(flight);
       waiter.shared.begin(waiter, asked, now);
@@ -139,7 +139,7 @@
   void answered(Exchange exchange) {
     String key = exchange.call().request().key();
     if (key != null && !(exchange.call().sink() instanceof SharedTry)) {
-      joining.touched(key);
+      joining.invalidate(key);
     }
   }
 
@@ -203,9 +203,9 @@
 
     /** Goes on in the name of the first that still waits. */
     private void bear() {
-      FlightWaiter<Waiter> first = flight.bearer();
-      if (first != null && first.who() != bearer) {
-        bearer = first.who();
+      FlightWaiter<Waiter> first = flight.leader();
+      if (first != null && first.caller() != bearer) {
+        bearer = first.caller();
         exchange.forwardAs(bearer.call);
       }
     }
@@ -240,11 +240,11 @@
       disarm();
       long now = clock.now();
       // A timer comes within the tick before its time.
-      List<FlightWaiter<Waiter>> due = joining.due(flight, now - at > 0 ? now : at);
+      List<FlightWaiter<Waiter>> due = joining.expire(flight, now - at > 0 ? now : at);
       for (FlightWaiter<Waiter> caller : due) {
         // A copy: one that is told may call off others.
-        if (!caller.who().over) {
-          give(caller.who(), dispatcher.timeUp(exchange));
+        if (!caller.caller().over) {
+          give(caller.caller(), dispatcher.timeUp(exchange));
         }
       }
       if (flight.isOver()) {
@@ -259,11 +259,11 @@
     public void reply(Reply reply) {
       disarm();
       long now = clock.now();
-      FlightDecision<Waiter> verdict = joining.ended(flight, ending(reply), now);
-      tell(verdict.answered(), reply);
+      FlightDecision<Waiter> verdict = joining.complete(flight, ending(reply), now);
+      tell(verdict.recipients(), reply);
       // Who was told may have called off the others.
-      if (verdict.again() && !flight.isOver()) {
-        again(flight.bearer().who(), now);
+      if (verdict.retries() && !flight.isOver()) {
+        again(flight.leader().caller(), now);
       }
     }
 
@@ -272,7 +272,7 @@
         return FlightResult.SERVED;
       }
       boolean refused = reply instanceof Reply.Rejected && !dispatcher.closed();
-      return refused ? FlightResult.refused(exchange.lastResult()) : FlightResult.OVER;
+      return refused ? FlightResult.ofRejection(exchange.lastResult()) : FlightResult.FINAL;
     }
 
     private void again(Waiter next, long now) {
@@ -284,7 +284,7 @@
       ByteBuf value = reply instanceof Reply.Value served ? served.value() : null;
       try {
         for (int i = 0; i < callers.size(); i++) {
-          Waiter waiter = callers.get(i).who();
+          Waiter waiter = callers.get(i).caller();
           if (!waiter.over) {
             give(waiter, of(reply, value, i, callers.size()));
           }
@@ -303,7 +303,8 @@
       }
       if (reply instanceof Reply.Rejected refused) {
         long advice =
-            RequestCoalescer.spread(refused.retryAfterMillis(), longestAdvice, place, all);
+            RequestCoalescer.spreadRetryAfter(
+                refused.retryAfterMillis(), longestAdvice, place, all);
         return new Reply.Rejected(advice);
       }
       return reply;
--- a/engine/src/main/java/shalepaddle/engine/Dispatcher.java
+++ b/engine/src/main/java/shalepaddle/engine/Dispatcher.java
@@ -120,7 +120,7 @@
     this.balancer = new RequestRouter(settings, seed, this);
     figures.name(names(settings));
     this.reads =
-        joining.joins() ? new CoalescedReads(this, loopClock, timers, settings, joining) : null;
+        joining.enabled() ? new CoalescedReads(this, loopClock, timers, settings, joining) : null;
   }
 
   private static List<String> names(Settings settings) {
--- a/engine/src/main/java/shalepaddle/node/CoalescingMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/CoalescingMetrics.java
@@ -46,13 +46,13 @@
     SnapshotMeters<CoalescingSnapshot> meters = new SnapshotMeters<>(registry, PREFIX, this::read);
     meters.counter("reads", "reads", tags.and("as", "first"), CoalescingSnapshot::flights);
     meters.counter("reads", "reads", tags.and("as", "joined"), CoalescingSnapshot::joined);
-    meters.counter("reads", "reads", tags.and("as", "alone"), CoalescingSnapshot::alone);
+    meters.counter("reads", "reads", tags.and("as", "alone"), CoalescingSnapshot::uncoalesced);
     meters.counter("shared", "reads", tags, CoalescingSnapshot::shared);
     meters.counter("left", "reads", tags, CoalescingSnapshot::left);
     meters.counter("retried", "tries", tags, CoalescingSnapshot::retried);
-    meters.counter("spent", "tries", tags, CoalescingSnapshot::spent);
-    meters.gauge("open", "flights", tags, CoalescingSnapshot::open);
-    meters.gauge("waiting", "reads", tags, CoalescingSnapshot::waiting);
+    meters.counter("spent", "tries", tags, CoalescingSnapshot::retriesDenied);
+    meters.gauge("open", "flights", tags, CoalescingSnapshot::openFlights);
+    meters.gauge("waiting", "reads", tags, CoalescingSnapshot::waiters);
   }
 
   private CoalescingSnapshot read() {
--- a/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
@@ -300,7 +300,8 @@
   @Test
   void noneIsSentOnForJoinedReadsThatAllHaveLeft() throws Exception {
     rig =
-        new NodeFixture(ONE_PLACE, new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.USUAL));
+        new NodeFixture(
+            ONE_PLACE, new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.DEFAULTS));
     int sent = 0;
     ScriptedPeer cache = null;
     for (int batch = 0; batch < BATCHES; batch++) {
--- a/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
@@ -29,7 +29,7 @@
 /** Like reads of many clients, over sockets. */
 class CoalescingNodeTest {
   private static final OperatorFile JOINING =
-      new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.USUAL);
+      new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.DEFAULTS);
 
   private NodeFixture rig;
 
--- a/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
+++ b/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
@@ -88,7 +88,7 @@
             {"name":"once","effect":"fragile","slo":0.75,"give-up":2,"credit":2},
             {"name":"write","effect":"fragile","slo":0.3,"give-up":2,"credit":5}
             """,
-            CoalescingConfig.USUAL,
+            CoalescingConfig.DEFAULTS,
             new Servers(),
             7,
             8);
@@ -122,8 +122,8 @@
     dispatcher.close();
     assertEquals(0, dispatcher.openRequests());
     assertEquals(0, dispatcher.timers().size());
-    assertEquals(0, dispatcher.coalescingSnapshot().waiting());
-    assertEquals(0, dispatcher.coalescingSnapshot().open());
+    assertEquals(0, dispatcher.coalescingSnapshot().waiters());
+    assertEquals(0, dispatcher.coalescingSnapshot().openFlights());
     assertEquals(taken, engine.released, "each payload is released once");
     for (Reply reply : replies.values()) {
       if (reply instanceof Reply.Value served && served.value().refCnt() > 0) {
--- a/engine/src/test/java/shalepaddle/node/OperatorFileTest.java
+++ b/engine/src/test/java/shalepaddle/node/OperatorFileTest.java
@@ -42,7 +42,7 @@
   @Test
   void readsAreJoinedOnlyWhereItSaysSo() throws Exception {
     assertEquals(CoalescingConfig.OFF, load("").joining());
-    assertEquals(CoalescingConfig.USUAL, load("[joining];join = true").joining());
+    assertEquals(CoalescingConfig.DEFAULTS, load("[joining];join = true").joining());
     assertEquals(
         new CoalescingConfig(true, true, 50, 0.1, 20, 0.5),
         load("[joining];join = true;across_tenants = true;callers = 50;age_ms = 100;"
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
@@ -235,7 +235,7 @@
         new LoadBalancer(
             NodeConfig.parse(JsonObject.parse(config(discovery))),
             plan.joining()
-                ? new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.USUAL)
+                ? new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.DEFAULTS)
                 : OperatorFile.USUAL,
             loop,
             clock,
