--- a/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
@@ -55,10 +55,10 @@
   }
 
   private void awaitWaiting(int count) throws Exception {
-    for (int i = 0; i < 500 && reading().waiting() != count; i++) {
+    for (int i = 0; i < 500 && reading().waiters() != count; i++) {
       rig.settled();
     }
-    assertEquals(count, reading().waiting());
+    assertEquals(count, reading().waiters());
   }
 
   private CoalescingSnapshot reading() throws Exception {
