--- a/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
+++ b/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
@@ -99,7 +99,7 @@
   }
 
   CoalescingSnapshot reading() {
-    return joining.reading();
+    return joining.snapshot();
   }
 
   /**
@@ -111,19 +111,19 @@
   Submission submit(Call call, Request asked, long deadline, long now) {
     if (!joins(asked)) {
       if (asked.write()) {
-        joining.touched(asked.key());
+        joining.invalidate(asked.key());
       }
       return null;
     }
     Waiter waiter = new Waiter(call);
     FlightWaiter<Waiter> place =
-        joining.arrive(asked.key(), asked.serviceClass(), asked.tenant(), waiter, deadline, now);
+        joining.join(asked.key(), asked.serviceClass(), asked.tenant(), waiter, deadline, now);
     if (place == null) {
       return null;
     }
     waiter.place = place;
     Flight<Waiter> flight = place.flight();
-    Waiter bearer = flight.bearer().who();
+    Waiter bearer = flight.leader().caller();
     if (bearer == waiter) {
       waiter.shared = new SharedTry(flight);
       waiter.shared.begin(waiter, asked, now);
@@ -137,9 +137,9 @@
 
   /** A request that went alone has been answered: whoever comes now must not get older news. */
   void answered(Exchange exchange) {
-    String key = exchange.call.request().key();
-    if (key != null && !(exchange.call.sink() instanceof SharedTry)) {
-      joining.touched(key);
+    String key = exchange.call().request().key();
+    if (key != null && !(exchange.call().sink() instanceof SharedTry)) {
+      joining.invalidate(key);
     }
   }
 
@@ -187,7 +187,9 @@
 
     private void begin(Waiter waiter, Request asked, long now) {
       bearer = waiter;
-      exchange = dispatcher.open(new Call(asked, waiter.call.payload(), this), flight.deadline());
+      exchange =
+          dispatcher.open(
+              new Call(asked, waiter.call.payload(), this), flight.deadline(), flight.deadline());
       arm(now);
       // Last: it may be answered at once, and begin anew for the next.
       dispatcher.start(exchange, asked);
@@ -201,17 +203,17 @@
 
     /** Goes on in the name of the first that still waits. */
     private void bear() {
-      FlightWaiter<Waiter> first = flight.bearer();
-      if (first != null && first.who() != bearer) {
-        bearer = first.who();
-        dispatcher.bear(exchange, bearer.call);
+      FlightWaiter<Waiter> first = flight.leader();
+      if (first != null && first.caller() != bearer) {
+        bearer = first.caller();
+        exchange.forwardAs(bearer.call);
       }
     }
 
     /** Nobody waits any more. */
     private void abandon() {
       disarm();
-      dispatcher.clientGone(exchange);
+      dispatcher.clientDisconnected(exchange);
     }
 
     private void arm(long now) {
@@ -220,7 +222,7 @@
         disarm();
         alarmAt = next;
         if (next != Long.MAX_VALUE) {
-          alarm = timers.by(next - now, () -> due(next));
+          alarm = timers.runNoLaterThan(next - now, () -> due(next));
         }
       }
     }
@@ -238,11 +240,11 @@
       disarm();
       long now = clock.now();
       // A timer comes within the tick before its time.
-      List<FlightWaiter<Waiter>> due = joining.due(flight, now - at > 0 ? now : at);
+      List<FlightWaiter<Waiter>> due = joining.expire(flight, now - at > 0 ? now : at);
       for (FlightWaiter<Waiter> caller : due) {
         // A copy: one that is told may call off others.
-        if (!caller.who().over) {
-          give(caller.who(), dispatcher.timeUp(exchange));
+        if (!caller.caller().over) {
+          give(caller.caller(), dispatcher.timeUp(exchange));
         }
       }
       if (flight.isOver()) {
@@ -257,11 +259,11 @@
     public void reply(Reply reply) {
       disarm();
       long now = clock.now();
-      FlightDecision<Waiter> verdict = joining.ended(flight, ending(reply), now);
-      tell(verdict.answered(), reply);
+      FlightDecision<Waiter> verdict = joining.complete(flight, ending(reply), now);
+      tell(verdict.recipients(), reply);
       // Who was told may have called off the others.
-      if (verdict.again() && !flight.isOver()) {
-        again(flight.bearer().who(), now);
+      if (verdict.retries() && !flight.isOver()) {
+        again(flight.leader().caller(), now);
       }
     }
 
@@ -269,8 +271,8 @@
       if (reply instanceof Reply.Value) {
         return FlightResult.SERVED;
       }
-      boolean refused = reply instanceof Reply.Refused && !dispatcher.closed();
-      return refused ? FlightResult.refused(exchange.lastResult) : FlightResult.OVER;
+      boolean refused = reply instanceof Reply.Rejected && !dispatcher.closed();
+      return refused ? FlightResult.ofRejection(exchange.lastResult()) : FlightResult.FINAL;
     }
 
     private void again(Waiter next, long now) {
@@ -282,7 +284,7 @@
       ByteBuf value = reply instanceof Reply.Value served ? served.value() : null;
       try {
         for (int i = 0; i < callers.size(); i++) {
-          Waiter waiter = callers.get(i).who();
+          Waiter waiter = callers.get(i).caller();
           if (!waiter.over) {
             give(waiter, of(reply, value, i, callers.size()));
           }
@@ -299,10 +301,11 @@
       if (value != null) {
         return new Reply.Value(value.retainedDuplicate());
       }
-      if (reply instanceof Reply.Refused refused) {
+      if (reply instanceof Reply.Rejected refused) {
         long advice =
-            RequestCoalescer.spread(refused.retryAfterMillis(), longestAdvice, place, all);
-        return new Reply.Refused(advice);
+            RequestCoalescer.spreadRetryAfter(
+                refused.retryAfterMillis(), longestAdvice, place, all);
+        return new Reply.Rejected(advice);
       }
       return reply;
     }
--- a/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
@@ -29,7 +29,7 @@
 /** Like reads of many clients, over sockets. */
 class CoalescingNodeTest {
   private static final OperatorFile JOINING =
-      new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.USUAL);
+      new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.DEFAULTS);
 
   private NodeFixture rig;
 
@@ -55,14 +55,14 @@
   }
 
   private void awaitWaiting(int count) throws Exception {
-    for (int i = 0; i < 500 && reading().waiting() != count; i++) {
+    for (int i = 0; i < 500 && reading().waiters() != count; i++) {
       rig.settled();
     }
-    assertEquals(count, reading().waiting());
+    assertEquals(count, reading().waiters());
   }
 
   private CoalescingSnapshot reading() throws Exception {
-    return rig.node.loop().submit(() -> rig.node.dispatcher().joining()).get();
+    return rig.node.loop().submit(() -> rig.node.dispatcher().coalescingSnapshot()).get();
   }
 
   @Test
