--- a/capacity/src/main/java/shalepaddle/capacity/HollowSettings.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowSettings.java
@@ -53,7 +53,7 @@
 
   /** The number by which the decisions know a server. */
   static long id(int server) {
-    return MemberList.number("s-" + server);
+    return MemberList.serverNumber("s-" + server);
   }
 
   static ServerEntry entry(int server, FleetSize size, double startedAt) {
--- a/capacity/src/main/java/shalepaddle/capacity/ServerListPayload.java
+++ b/capacity/src/main/java/shalepaddle/capacity/ServerListPayload.java
@@ -38,7 +38,7 @@
     List<Double> times = new ArrayList<>();
     for (int i = 0; i < READS; i++) {
       long began = System.nanoTime();
-      MemberList read = MemberList.parse(JsonObject.parse(list)).whole(null);
+      MemberList read = MemberList.parse(JsonObject.parse(list)).appliedTo(null);
       times.add((System.nanoTime() - began) / 1e3);
       if (read.members().size() != size.servers()) {
         throw new FormatException("a list that lacks some");
--- a/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
@@ -67,7 +67,7 @@
     Map<String, InetSocketAddress> addresses() throws FormatException {
       Map<String, InetSocketAddress> addresses = new TreeMap<>();
       for (var member : members.entrySet()) {
-        addresses.put(member.getKey(), MemberList.address(member.getValue()));
+        addresses.put(member.getKey(), MemberList.parseAddress(member.getValue()));
       }
       return addresses;
     }
@@ -103,8 +103,8 @@
           group.group,
           name,
           folder,
-          MemberList.address(listen),
-          advertise == null ? null : MemberList.address(advertise),
+          MemberList.parseAddress(listen),
+          advertise == null ? null : MemberList.parseAddress(advertise),
           new TreeMap<>(group.addresses()));
     }
   }
@@ -189,7 +189,7 @@
             CountDownLatch end = new CountDownLatch(1);
             try (GroupMember member = new GroupMember(own.place(group), System.err::println)) {
               if (feed != null) {
-                System.err.println("feeds on " + member.feed(MemberList.address(feed)));
+                System.err.println("feeds on " + member.feed(MemberList.parseAddress(feed)));
               }
               member.start(new Lines());
               System.err.println("listens on " + member.address());
--- a/cli/src/main/java/shalepaddle/cli/Embedded.java
+++ b/cli/src/main/java/shalepaddle/cli/Embedded.java
@@ -85,7 +85,8 @@
           });
       discovery.start().sync();
       String list = on(servers, discovery::list);
-      node = new Node(NodeConfig.parse(JsonObject.parse(config(port, list))), OperatorFile.USUAL);
+      node =
+          new Node(NodeConfig.parse(JsonObject.parse(config(port, list))), OperatorFile.DEFAULTS);
       InetSocketAddress address = node.start();
       clients = new StandInClients(callers, ledger, traffic, GRACE_MILLIS, MAX_CONNECTIONS, SEED);
       on(
--- a/cluster/src/main/java/shalepaddle/transport/MemberTransport.java
+++ b/cluster/src/main/java/shalepaddle/transport/MemberTransport.java
@@ -178,7 +178,7 @@
       known = true;
       if (!theirs.address().isEmpty()) {
         try {
-          peer(theirs.name(), MemberList.address(theirs.address()));
+          peer(theirs.name(), MemberList.parseAddress(theirs.address()));
         } catch (FormatException e) {
           throw new IOException(e.getMessage());
         }
--- a/engine/src/main/java/shalepaddle/admin/AdminOperations.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminOperations.java
@@ -15,7 +15,7 @@
   }
 
   /** Whether a request that came now would be taken and served. */
-  boolean ready();
+  boolean isReady();
 
   /** The newest figures. */
   Telemetry telemetry();
--- a/engine/src/main/java/shalepaddle/admin/AdminRequestHandler.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminRequestHandler.java
@@ -54,7 +54,7 @@
       if (body > MAX_BODY) {
         answer(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "no call has a body\n");
       } else if (message instanceof LastHttpContent) {
-        door.whole(ctx.channel());
+        door.requestComplete(ctx.channel());
         call(ctx);
       }
     }
@@ -74,7 +74,7 @@
     switch (path) {
       case "/api/ready" -> {
         if (takes(ctx, HttpMethod.GET)) {
-          boolean ready = operated.ready();
+          boolean ready = operated.isReady();
           answer(
               ctx,
               ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
@@ -141,7 +141,7 @@
       return;
     }
     answered = true;
-    door.whole(ctx.channel());
+    door.requestComplete(ctx.channel());
     var response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, status, ByteBufUtil.writeUtf8(ctx.alloc(), text));
--- a/engine/src/main/java/shalepaddle/admin/AdminServer.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminServer.java
@@ -114,7 +114,7 @@
   }
 
   /** A whole call has come from there. */
-  void whole(Channel caller) {
+  void requestComplete(Channel caller) {
     if (incomplete.remove(caller)) {
       answered.add(caller);
     }
--- a/engine/src/main/java/shalepaddle/admin/PrometheusExposition.java
+++ b/engine/src/main/java/shalepaddle/admin/PrometheusExposition.java
@@ -16,7 +16,7 @@
 
   static String of(Telemetry telemetry) {
     PrometheusExposition page = new PrometheusExposition();
-    RequestMetricsSnapshot figures = telemetry.figures();
+    RequestMetricsSnapshot figures = telemetry.requestMetrics();
     page.type("results", "counter", "Requests ended, by class and disposition.");
     for (RequestMetricsSnapshot.Results results : figures.results()) {
       page.result(results.service(), "succeeded", results.succeeded());
@@ -29,12 +29,12 @@
     page.one(
         "ejected", "gauge", "Listed cache servers that get nothing new now.", telemetry.ejected());
     page.one(
-        "sighup_applied", "counter", "Configurations taken at SIGHUP.", telemetry.hangupsApplied());
+        "sighup_applied", "counter", "Configurations taken at SIGHUP.", telemetry.reloadsApplied());
     page.one(
         "sighup_rejected",
         "counter",
         "Configurations turned down at SIGHUP.",
-        telemetry.hangupsRejected());
+        telemetry.reloadsRejected());
     page.events(telemetry.events());
     return page.text.toString();
   }
--- a/engine/src/main/java/shalepaddle/config/NodeConfig.java
+++ b/engine/src/main/java/shalepaddle/config/NodeConfig.java
@@ -16,33 +16,33 @@
  * What the platform tells a node.
  *
  * @param listen where clients connect
- * @param management where operators call, null for nowhere
+ * @param adminAddress where operators call, null for nowhere
  * @param discovery where the list of servers is
  * @param seed for random numbers
- * @param sockets file descriptors that the process may hold
+ * @param maxDescriptors file descriptors that the process may hold
  * @param memoryMb memory that the process may hold
  * @param cores processor time that the process may use, in cores
- * @param known the list of servers as this node last had it
+ * @param knownMembers the list of servers as this node last had it
  * @param settings the object that an instance in the simulator is told
  */
 public record NodeConfig(
     InetSocketAddress listen,
-    InetSocketAddress management,
+    InetSocketAddress adminAddress,
     InetSocketAddress discovery,
     long seed,
-    int sockets,
+    int maxDescriptors,
     int memoryMb,
     double cores,
-    MemberList known,
+    MemberList knownMembers,
     Settings settings) {
 
   /** Reads the file of this name, usually from {@code ROUTER_CONFIG}. */
   public static NodeConfig load(String file) throws FormatException {
-    return of(file, text(file));
+    return read(file, readJson(file));
   }
 
-  /** Reads what the file of this name says, as {@link #text} has it. */
-  public static NodeConfig of(String file, JsonObject text) throws FormatException {
+  /** Reads what the file of this name says, as {@link #readJson} has it. */
+  public static NodeConfig read(String file, JsonObject text) throws FormatException {
     try {
       return parse(text);
     } catch (FormatException e) {
@@ -56,17 +56,17 @@
    * @param shape what the file said when the node started: each of its keys is still needed
    */
   public static NodeConfig reload(String file, JsonObject shape) throws FormatException {
-    JsonObject next = text(file);
+    JsonObject next = readJson(file);
     try {
       Retuning.check(shape, next);
     } catch (FormatException e) {
       throw in(file, e);
     }
-    return of(file, next);
+    return read(file, next);
   }
 
   /** What the file of this name says, as far as it is JSON. */
-  public static JsonObject text(String file) throws FormatException {
+  public static JsonObject readJson(String file) throws FormatException {
     if (file == null || file.isEmpty()) {
       throw new FormatException("ROUTER_CONFIG does not name a file");
     }
@@ -108,9 +108,9 @@
       throw new FormatException("settings without services");
     }
     return new NodeConfig(
-        MemberList.address(config.requiredText("listen")),
-        management(config),
-        MemberList.address(config.requiredText("discovery")),
+        MemberList.parseAddress(config.requiredText("listen")),
+        adminAddress(config),
+        MemberList.parseAddress(config.requiredText("discovery")),
         seed(config.requiredText("seed")),
         (int) limits.requiredNumber("sockets"),
         (int) limits.requiredNumber("memory_mb"),
@@ -119,39 +119,41 @@
         settings);
   }
 
-  private static InetSocketAddress management(JsonObject config) throws FormatException {
-    return config.has("management") ? MemberList.address(config.requiredText("management")) : null;
+  private static InetSocketAddress adminAddress(JsonObject config) throws FormatException {
+    return config.has("management")
+        ? MemberList.parseAddress(config.requiredText("management"))
+        : null;
   }
 
   /** The same, where this is known of the list of servers. */
-  public NodeConfig knowing(MemberList list) {
+  public NodeConfig withKnownMembers(MemberList list) {
     return new NodeConfig(
-        listen, management, discovery, seed, sockets, memoryMb, cores, list, settings);
+        listen, adminAddress, discovery, seed, maxDescriptors, memoryMb, cores, list, settings);
   }
 
   /** The same, with other settings. */
-  public NodeConfig with(Settings next) {
+  public NodeConfig withSettings(Settings next) {
     return new NodeConfig(
-        listen, management, discovery, seed, sockets, memoryMb, cores, known, next);
+        listen, adminAddress, discovery, seed, maxDescriptors, memoryMb, cores, knownMembers, next);
   }
 
   /**
    * The same, where operators call at the address that the environment names for this one process:
    * it goes before what the file says of the node. Null or empty leaves all as it is.
    */
-  public NodeConfig managedAt(String address) throws FormatException {
+  public NodeConfig withAdminAddress(String address) throws FormatException {
     if (address == null || address.isEmpty()) {
       return this;
     }
     return new NodeConfig(
         listen,
-        MemberList.address(address),
+        MemberList.parseAddress(address),
         discovery,
         seed,
-        sockets,
+        maxDescriptors,
         memoryMb,
         cores,
-        known,
+        knownMembers,
         settings);
   }
 
@@ -164,7 +166,7 @@
   }
 
   /** The longest time that a client may wait, in seconds. */
-  public double longestDeadline() {
+  public double longestDeadlineSeconds() {
     return settings.services().stream()
         .mapToDouble(Settings.ServiceClass::deadline)
         .max()
--- a/engine/src/main/java/shalepaddle/config/OperatorFile.java
+++ b/engine/src/main/java/shalepaddle/config/OperatorFile.java
@@ -21,11 +21,11 @@
  * the pen.
  *
  * @param overload the figures of shedding
- * @param joining whether and how like reads share an answer
+ * @param coalescing whether and how like reads share an answer
  */
-public record OperatorFile(OverloadConfig overload, CoalescingConfig joining) {
+public record OperatorFile(OverloadConfig overload, CoalescingConfig coalescing) {
   /** Without a file. */
-  public static final OperatorFile USUAL =
+  public static final OperatorFile DEFAULTS =
       new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.OFF);
 
   private static final List<String> TABLES = List.of("overload", "joining");
@@ -44,7 +44,7 @@
    */
   public static OperatorFile load(String file) throws FormatException {
     if (file == null) {
-      return USUAL;
+      return DEFAULTS;
     }
     String text;
     try {
@@ -71,7 +71,7 @@
     JsonNode overload = reader.table(root, "overload", OVERLOAD);
     JsonNode joining = reader.table(root, "joining", JOINING);
     try {
-      return new OperatorFile(overload(reader, overload), joining(reader, joining));
+      return new OperatorFile(overload(reader, overload), coalescing(reader, joining));
     } catch (IllegalArgumentException e) {
       throw reader.wrong(e.getMessage().split(" ")[0], e.getMessage());
     }
@@ -88,7 +88,7 @@
         reader.number(table, "advice_ms", usual.advice() * 1e3) / 1e3);
   }
 
-  private static CoalescingConfig joining(Reader reader, JsonNode table) throws FormatException {
+  private static CoalescingConfig coalescing(Reader reader, JsonNode table) throws FormatException {
     CoalescingConfig usual = CoalescingConfig.OFF;
     return new CoalescingConfig(
         reader.flag(table, "join", usual.joins()),
--- a/engine/src/main/java/shalepaddle/hotrestart/Frame.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/Frame.java
@@ -12,7 +12,7 @@
 final class Frame {
   private Frame() {}
 
-  static byte[] around(String version, String text) {
+  static byte[] wrap(String version, String text) {
     byte[] body = text.getBytes(StandardCharsets.UTF_8);
     String head = version + " " + body.length + " " + Long.toHexString(checksum(body, 0)) + "\n";
     byte[] start = head.getBytes(StandardCharsets.US_ASCII);
@@ -23,7 +23,7 @@
   }
 
   /** The text that it was put around. */
-  static String open(String version, byte[] whole) throws FormatException {
+  static String unwrap(String version, byte[] whole) throws FormatException {
     int end = 0;
     while (end < whole.length && whole[end] != '\n') {
       end++;
--- a/engine/src/main/java/shalepaddle/hotrestart/HotRestart.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/HotRestart.java
@@ -10,10 +10,10 @@
 
 /**
  * Keeps the processes of one node told of each other, on a thread of its own: looks for news every
- * {@link #LOOK_MILLIS}, and tells of this process when it has changed or some time has passed.
+ * {@link #POLL_MILLIS}, and tells of this process when it has changed or some time has passed.
  */
 public final class HotRestart implements AutoCloseable {
-  static final long LOOK_MILLIS = 50;
+  static final long POLL_MILLIS = 50;
 
   /** Looks after which this process is told of anew though nothing has changed. */
   private static final int BEAT = 10;
@@ -24,7 +24,8 @@
   /** Takes news of other processes in, on the handover's thread. */
   public interface Listener {
     /** What the others have told by now; the same may come again. */
-    void told(List<ServerExclusion> words, int partners, int clients, int serverConnections);
+    void onPartnersChanged(
+        List<ServerExclusion> words, int partners, int clients, int serverConnections);
   }
 
   private final ProcessFiles files;
@@ -61,14 +62,14 @@
 
   /** Begins to look and to tell. */
   public void start() {
-    thread.scheduleWithFixedDelay(this::look, 0, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    thread.scheduleWithFixedDelay(this::poll, 0, POLL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Tells of this process, and the listener of the others, as of now. From any thread. */
-  public synchronized void look() {
+  public synchronized void poll() {
     try {
-      tell();
-      Others others = files.others();
+      publish();
+      Others others = files.readOthers();
       int clients = 0;
       int connections = 0;
       boolean starting = false;
@@ -77,10 +78,11 @@
         connections += partner.serverConnections();
         starting |= partner.stage() == ProcessState.Stage.STARTING;
       }
-      listener.told(others.words(), others.partners().size(), clients, connections);
+      listener.onPartnersChanged(
+          others.exclusions(), others.partners().size(), clients, connections);
       if (starting && self.get().stage() == ProcessState.Stage.READY) {
         if (seenTold++ % SEEN_EVERY == 0) {
-          files.tellSeen(seen.get());
+          files.publishObservations(seen.get());
         }
       } else {
         seenTold = 0;
@@ -91,18 +93,18 @@
   }
 
   /** Tells of this process now, where it has changed; returns when it is told or has failed. */
-  public synchronized void tell() {
+  public synchronized void publish() {
     ProcessState state = self.get();
     if (!state.equals(lastTold) || ++looks >= BEAT) {
       looks = 0;
       lastTold = state;
-      files.tell(state);
+      files.publish(state);
     }
   }
 
   /** Whether another process of this node is there for clients, as of now. */
-  public boolean successorReady() {
-    return files.others().partners().stream()
+  public boolean isSuccessorReady() {
+    return files.readOthers().partners().stream()
         .anyMatch(partner -> partner.stage() == ProcessState.Stage.READY);
   }
 
--- a/engine/src/main/java/shalepaddle/hotrestart/InheritedListener.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/InheritedListener.java
@@ -21,7 +21,7 @@
    * @throws IOException if that is no listening socket, or not descriptor 0, the only one that a
    *     Java program can take
    */
-  public static ServerSocketChannel named(String descriptor) throws IOException {
+  public static ServerSocketChannel fromDescriptor(String descriptor) throws IOException {
     if (descriptor == null || descriptor.isEmpty()) {
       return null;
     }
--- a/engine/src/main/java/shalepaddle/hotrestart/ObservationFormat.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ObservationFormat.java
@@ -33,7 +33,7 @@
       }
       json.writeEndArray();
     }
-    return Frame.around(VERSION, text.toString());
+    return Frame.wrap(VERSION, text.toString());
   }
 
   private static void write(JsonGenerator json, Observation seen) throws IOException {
@@ -74,7 +74,7 @@
   }
 
   static List<Observation> read(byte[] whole) throws FormatException {
-    try (JsonParser json = FACTORY.createParser(Frame.open(VERSION, whole))) {
+    try (JsonParser json = FACTORY.createParser(Frame.unwrap(VERSION, whole))) {
       expect(json, JsonToken.START_ARRAY);
       List<Observation> seen = new ArrayList<>();
       while (json.nextToken() != JsonToken.END_ARRAY) {
--- a/engine/src/main/java/shalepaddle/hotrestart/ProcessFiles.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ProcessFiles.java
@@ -22,15 +22,15 @@
  *
  * <p>Nothing here waits for another process. A file that can not be read is passed over; one whose
  * process has gone, or has been silent for {@link #SILENT_MILLIS}, still tells of operators' words,
- * and of nothing else. Bounded to {@link #MOST_FILES} files of {@link #MOST_BYTES}. All methods are
- * for one thread at a time.
+ * and of nothing else. Bounded to {@link #MAX_FILES} files of {@link #MAX_FILE_BYTES}. All methods
+ * are for one thread at a time.
  */
 public final class ProcessFiles {
   /** A living process writes its file several times in this. */
   static final long SILENT_MILLIS = 2000;
 
-  private static final int MOST_FILES = 16;
-  private static final long MOST_BYTES = 1 << 20;
+  private static final int MAX_FILES = 16;
+  private static final long MAX_FILE_BYTES = 1 << 20;
   private static final String PREFIX = "shalepaddle-";
   private static final String SUFFIX = ".process";
   private static final String SEEN_SUFFIX = ".seen";
@@ -67,12 +67,12 @@
   }
 
   /** Tells the others; false, with a line in the log, if that fails. */
-  public synchronized boolean tell(ProcessState state) {
+  public synchronized boolean publish(ProcessState state) {
     return replace(file(pid), () -> StateFormat.write(state));
   }
 
   /** Tells a process that starts what this one has seen; false if that fails. */
-  public synchronized boolean tellSeen(List<Observation> seen) {
+  public synchronized boolean publishObservations(List<Observation> seen) {
     return replace(seen(pid), () -> ObservationFormat.write(seen));
   }
 
@@ -84,7 +84,7 @@
     Path next = folder.resolve(PREFIX + pid + ".next");
     try {
       byte[] bytes = form.write();
-      if (bytes.length > MOST_BYTES) {
+      if (bytes.length > MAX_FILE_BYTES) {
         throw new IOException(bytes.length + " bytes are too many");
       }
       Files.write(next, bytes);
@@ -100,12 +100,12 @@
    * What living processes have seen, and removes what they have told of it: it is for one start.
    * Empty where nothing can be read; nobody waits for it.
    */
-  public synchronized List<Observation> takeSeen() {
+  public synchronized List<Observation> takeObservations() {
     List<Observation> all = new ArrayList<>();
-    for (ProcessState partner : others().partners()) {
+    for (ProcessState partner : readOthers().partners()) {
       Path file = seen(partner.pid());
       try {
-        if (Files.exists(file) && Files.size(file) <= MOST_BYTES) {
+        if (Files.exists(file) && Files.size(file) <= MAX_FILE_BYTES) {
           all.addAll(ObservationFormat.read(Files.readAllBytes(file)));
           Files.deleteIfExists(file);
         }
@@ -122,11 +122,11 @@
    * What the others have told.
    *
    * @param partners those that live
-   * @param words operators' words, also of those that have gone
+   * @param exclusions operators' words, also of those that have gone
    */
-  public record Others(List<ProcessState> partners, List<ServerExclusion> words) {
+  public record Others(List<ProcessState> partners, List<ServerExclusion> exclusions) {
     /** The newest list that a living process has, null if there is none. */
-    public MemberList newestList() {
+    public MemberList newestMemberList() {
       return partners.stream()
           .map(ProcessState::list)
           .filter(Objects::nonNull)
@@ -136,22 +136,22 @@
   }
 
   /** Reads what the others have told; files of processes that have gone are removed. */
-  public synchronized Others others() {
+  public synchronized Others readOthers() {
     List<ProcessState> partners = new ArrayList<>();
     List<ServerExclusion> words = new ArrayList<>();
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*" + SUFFIX)) {
       int count = 0;
       for (Path file : files) {
-        if (file.equals(file(pid)) || ++count > MOST_FILES) {
+        if (file.equals(file(pid)) || ++count > MAX_FILES) {
           continue;
         }
         try {
-          if (Files.size(file) > MOST_BYTES) {
+          if (Files.size(file) > MAX_FILE_BYTES) {
             throw new FormatException("too long");
           }
           long silent = millis.getAsLong() - Files.getLastModifiedTime(file).toMillis();
           ProcessState state = StateFormat.read(Files.readAllBytes(file));
-          words.addAll(state.words());
+          words.addAll(state.exclusions());
           if (!alive.test(state.pid())) {
             gone(file, state, silent);
           } else if (silent < SILENT_MILLIS) {
@@ -172,14 +172,14 @@
   /** Its words are known here from now on, and told on. */
   private void gone(Path file, ProcessState state, long silent) throws IOException {
     Files.deleteIfExists(seen(state.pid()));
-    if (state.words().isEmpty() || silent > 2 * SILENT_MILLIS) {
+    if (state.exclusions().isEmpty() || silent > 2 * SILENT_MILLIS) {
       Files.deleteIfExists(file);
     }
   }
 
   /** Once for each complaint: what can't be read now can't be read 50 ms later. */
   private void complain(String text) {
-    if (complained.size() < MOST_FILES && !complained.contains(text)) {
+    if (complained.size() < MAX_FILES && !complained.contains(text)) {
       complained.add(text);
       log.accept(text);
     }
--- a/engine/src/main/java/shalepaddle/hotrestart/ProcessState.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ProcessState.java
@@ -10,7 +10,7 @@
  * @param stage what it does for clients now
  * @param clients connections of clients that it holds
  * @param serverConnections connections to cache servers that it holds
- * @param words operators' words on servers
+ * @param exclusions operators' words on servers
  * @param list the list of servers as it has it, null if it has none yet
  */
 public record ProcessState(
@@ -18,7 +18,7 @@
     Stage stage,
     int clients,
     int serverConnections,
-    List<ServerExclusion> words,
+    List<ServerExclusion> exclusions,
     MemberList list) {
   /** What a process does for clients. */
   public enum Stage {
--- a/engine/src/main/java/shalepaddle/hotrestart/ServerExclusions.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ServerExclusions.java
@@ -15,32 +15,32 @@
  * nothing but for a partner that has not heard it yet. Not thread-safe.
  */
 public final class ServerExclusions {
-  private static final int MOST = 4096;
+  private static final int MAX_EXCLUSIONS = 4096;
 
   private final Map<Long, ServerExclusion> last = new LinkedHashMap<>();
 
   /** Takes a word; true if it is news. */
-  public boolean say(ServerExclusion word) {
+  public boolean record(ServerExclusion word) {
     ServerExclusion before = last.get(word.server());
-    if (!word.after(before)) {
+    if (!word.supersedes(before)) {
       return false;
     }
     last.remove(word.server());
     last.put(word.server(), word);
-    if (last.size() > MOST) {
+    if (last.size() > MAX_EXCLUSIONS) {
       last.values().stream()
-          .filter(old -> !old.out())
+          .filter(old -> !old.excluded())
           .findFirst()
           .ifPresent(old -> last.remove(old.server()));
     }
-    return before == null ? word.out() : before.out() != word.out();
+    return before == null ? word.excluded() : before.excluded() != word.excluded();
   }
 
   /** Takes another process's words; returns those that change what holds. */
   public List<ServerExclusion> merge(Collection<ServerExclusion> others) {
     List<ServerExclusion> news = new ArrayList<>();
     for (ServerExclusion word : others) {
-      if (say(word)) {
+      if (record(word)) {
         news.add(word);
       }
     }
--- a/engine/src/main/java/shalepaddle/hotrestart/StateFormat.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/StateFormat.java
@@ -28,10 +28,10 @@
       json.writeNumberField("clients", state.clients());
       json.writeNumberField("connections", state.serverConnections());
       json.writeArrayFieldStart("words");
-      for (ServerExclusion word : state.words()) {
+      for (ServerExclusion word : state.exclusions()) {
         json.writeStartObject();
         json.writeNumberField("server", word.server());
-        json.writeBooleanField("out", word.out());
+        json.writeBooleanField("out", word.excluded());
         json.writeNumberField("at", word.atMillis());
         json.writeEndObject();
       }
@@ -46,7 +46,7 @@
       }
       json.writeEndObject();
     }
-    return Frame.around(VERSION, text.toString());
+    return Frame.wrap(VERSION, text.toString());
   }
 
   private static void write(JsonGenerator json, MemberList.Member member) throws IOException {
@@ -65,7 +65,7 @@
   }
 
   static ProcessState read(byte[] whole) throws FormatException {
-    JsonObject json = JsonObject.parse(Frame.open(VERSION, whole));
+    JsonObject json = JsonObject.parse(Frame.unwrap(VERSION, whole));
     List<ServerExclusion> words = new ArrayList<>();
     for (JsonObject word : json.objects("words")) {
       words.add(
@@ -98,7 +98,7 @@
                   ServerEntry.State.valueOf(line.requiredText("state")),
                   line.requiredNumber("weight"),
                   line.requiredNumber("started")),
-              MemberList.address(line.requiredText("addr"))));
+              MemberList.parseAddress(line.requiredText("addr"))));
     }
     return new MemberList(true, json.requiredInteger("version"), List.copyOf(members));
   }
--- a/engine/src/main/java/shalepaddle/membership/DiscoveryClient.java
+++ b/engine/src/main/java/shalepaddle/membership/DiscoveryClient.java
@@ -125,7 +125,7 @@
    * Goes on with the service at this address, at once: what the old one had to tell may never come,
    * and a pause after its last failure says nothing of the new one.
    */
-  public void moveTo(InetSocketAddress there) {
+  public void switchTo(InetSocketAddress there) {
     if (!there.equals(address)) {
       address = there;
       stop();
@@ -149,7 +149,7 @@
     }
     // An agent that ends a watch, as it does when it restarts, is asked anew: not worth a line.
     if (asked || !why.equals(ENDED)) {
-      listener.listFailed(why);
+      listener.onFailure(why);
     }
     if (!asked) {
       loop.schedule(
@@ -320,7 +320,7 @@
         list.requireDistinct();
         lists.midway = false;
         version = list.full() ? list.version() : Math.max(version, list.version());
-        listener.list(list);
+        listener.onList(list);
       }
 
       @Override
--- a/engine/src/main/java/shalepaddle/membership/MemberList.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberList.java
@@ -41,7 +41,7 @@
    *
    * @param before the whole list until then, null for none
    */
-  public MemberList whole(MemberList before) {
+  public MemberList appliedTo(MemberList before) {
     Map<Long, Member> whole = new TreeMap<>();
     if (before != null && !full) {
       before.members.forEach(member -> whole.put(member.entry().id(), member));
@@ -73,7 +73,7 @@
    *
    * @param known the whole list as it is known, null for none
    */
-  public MemberList after(MemberList known) {
+  public MemberList withKnownDrains(MemberList known) {
     if (known == null || version >= known.version) {
       return this;
     }
@@ -96,7 +96,7 @@
   }
 
   /** What the decision module is told of it. */
-  public MembershipUpdate update(MembershipUpdate.Kind kind) {
+  public MembershipUpdate toUpdate(MembershipUpdate.Kind kind) {
     return new MembershipUpdate(kind, version, members.stream().map(Member::entry).toList());
   }
 
@@ -113,14 +113,14 @@
       members.add(
           new Member(
               new ServerEntry(
-                  number(line.requiredText("id")),
+                  serverNumber(line.requiredText("id")),
                   line.text("zone", ""),
                   line.text("kind", ""),
                   (int) line.number("cell", 0),
                   state,
                   line.number("weight", 1),
                   line.number("started_ms", 0) / 1e3),
-              state == ServerEntry.State.GONE ? null : address(line.requiredText("addr"))));
+              state == ServerEntry.State.GONE ? null : parseAddress(line.requiredText("addr"))));
     }
     return new MemberList(list.flag("full"), (long) list.requiredNumber("version"), members);
   }
@@ -129,12 +129,12 @@
    * The number by which the module knows a server: made from the id alone, so that all nodes agree
    * on a key's home, and wide enough that no two ids of a fleet meet.
    */
-  public static long number(String id) {
+  public static long serverNumber(String id) {
     return UUID.nameUUIDFromBytes(id.getBytes(StandardCharsets.UTF_8)).getMostSignificantBits();
   }
 
   /** An address and port written in figures: there is no DNS. */
-  public static InetSocketAddress address(String text) throws FormatException {
+  public static InetSocketAddress parseAddress(String text) throws FormatException {
     int colon = text.lastIndexOf(':');
     byte[] ip =
         colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
--- a/engine/src/main/java/shalepaddle/node/CoalescingMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/CoalescingMetrics.java
@@ -8,7 +8,7 @@
 
 /**
  * The joining of like reads as Micrometer meters. Nothing is counted here: each meter reads what
- * {@link LoadBalancer#joining} published last, from any thread.
+ * {@link LoadBalancer#coalescingSnapshot} published last, from any thread.
  *
  * <table>
  * <caption>Meters</caption>
--- a/engine/src/main/java/shalepaddle/node/EventLoopThreads.java
+++ b/engine/src/main/java/shalepaddle/node/EventLoopThreads.java
@@ -28,7 +28,7 @@
   }
 
   /** From now on loops may end. */
-  void ending() {
+  void allowShutdown() {
     ending = true;
   }
 
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -162,11 +162,11 @@
       Clock time,
       Transport transport,
       Log log) {
-    this(config, operator, connections(config), loop, clock, time, transport, log);
+    this(config, operator, defaultConnectionsPerServer(config), loop, clock, time, transport, log);
   }
 
   /** How many connections to each server are this node's part of the tier's. */
-  static int connections(NodeConfig config) {
+  static int defaultConnectionsPerServer(NodeConfig config) {
     return Math.max(1, TIER_CONNECTIONS / config.settings().instances());
   }
 
@@ -192,7 +192,7 @@
     processor = new ProcessorUse(config.cores());
     dispatcher =
         new Dispatcher(
-            settings, config.seed(), loop, clock, time, log, overload, operator.joining());
+            settings, config.seed(), loop, clock, time, log, overload, operator.coalescing());
     joining = dispatcher.joining();
     engine = new Engine(loop, dispatcher, MAX_SUBMITTED);
     pools =
@@ -211,16 +211,16 @@
             config.discovery(),
             settings.asksForList(),
             settings.contract().drainGrace(),
-            config.known().version(),
+            config.knownMembers().version(),
             new Members());
     MemoryBudget values =
-        new MemoryBudget(Math.min((long) config.memoryMb() << 18, transport.mostMemory() / 2));
+        new MemoryBudget(Math.min((long) config.memoryMb() << 18, transport.maxBufferBytes() / 2));
     codec = new MetaClientCodec(values, settings, new Entrance());
     front =
         new ClientFront(
             dispatcher,
             codec,
-            (int) (config.sockets() * CLIENT_SHARE),
+            (int) (config.maxDescriptors() * CLIENT_SHARE),
             overload::posture,
             new MemoryBudget(((long) config.memoryMb() << 20) / AHEAD_PART));
     publish();
@@ -230,7 +230,7 @@
   private final class Entrance implements RequestAdmission {
     @Override
     public boolean shuts() {
-      overload.places((front.owed() + clientsElsewhere) / (config.sockets() * PLACES_SHARE));
+      overload.places((front.owed() + clientsElsewhere) / (config.maxDescriptors() * PLACES_SHARE));
       return overload.shedding();
     }
 
@@ -252,14 +252,14 @@
   }
 
   private static int own(NodeConfig config) {
-    return OWN_DESCRIPTORS + (config.management() == null ? 0 : DOOR_DESCRIPTORS);
+    return OWN_DESCRIPTORS + (config.adminAddress() == null ? 0 : DOOR_DESCRIPTORS);
   }
 
   private static ServerPool.Limits serverLimits(NodeConfig config, int connections) {
     Settings.Limits limits = config.settings().limits();
     return new ServerPool.Limits(
         connections,
-        (int) (config.sockets() * (1 - CLIENT_SHARE)) - own(config),
+        (int) (config.maxDescriptors() * (1 - CLIENT_SHARE)) - own(config),
         // Where a request may not have two attempts out, one that is given up must be off its
         // connection before the next goes out: nothing may share it.
         limits.parallelAttempts() ? Math.max(1, limits.perConnection()) : 1,
@@ -273,14 +273,14 @@
     private String toldFailure;
 
     @Override
-    public void list(MemberList list) {
+    public void onList(MemberList list) {
       toldFailure = null;
       take(list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.CHANGES);
       listed.countDown();
     }
 
     @Override
-    public void listFailed(String why) {
+    public void onFailure(String why) {
       // Once until the next list: while discovery is down an agent is asked again and again.
       if (!why.equals(toldFailure)) {
         toldFailure = why;
@@ -291,15 +291,15 @@
   }
 
   private void take(MemberList news, MembershipUpdate.Kind kind) {
-    MemberList list = news.after(whole);
-    whole = list.whole(whole);
+    MemberList list = news.withKnownDrains(whole);
+    whole = list.appliedTo(whole);
     pools.update(list, time.now());
-    dispatcher.membership(list.update(kind));
+    dispatcher.membership(list.toUpdate(kind));
     pools.handBack();
   }
 
   /** From now on what attempts show is kept there, for a process that takes this one's place. */
-  void recollect(WarmStartLog seen) {
+  void recordObservations(WarmStartLog seen) {
     dispatcher.recollect(seen);
   }
 
@@ -311,10 +311,10 @@
   /** The same, after learning from what another process of this node has seen. */
   void startAfter(List<Observation> past) {
     if (!past.isEmpty()) {
-      dispatcher.relive(config.known().update(MembershipUpdate.Kind.REMEMBERED), past);
+      dispatcher.relive(config.knownMembers().toUpdate(MembershipUpdate.Kind.REMEMBERED), past);
     }
     dispatcher.start(pools, discovery);
-    take(config.known(), MembershipUpdate.Kind.REMEMBERED);
+    take(config.knownMembers(), MembershipUpdate.Kind.REMEMBERED);
     if (!config.settings().asksForList()) {
       discovery.follow();
     }
@@ -362,20 +362,20 @@
     }
     Runtime heap = Runtime.getRuntime();
     double heapShare = (double) (heap.totalMemory() - heap.freeMemory()) / heap.maxMemory();
-    double buffers = transport.memoryShare();
+    double buffers = transport.bufferMemoryRatio();
     double descriptors = own(config) + front.size() + pools.connections();
     long now = clock.now();
     overload.uses(
-        processor.share(now),
+        processor.usedRatio(now),
         Double.isNaN(buffers) ? heapShare : Math.max(heapShare, buffers),
-        descriptors / config.sockets(),
+        descriptors / config.maxDescriptors(),
         now);
     reading = overload.reading();
     joining = dispatcher.joining();
     publish();
     if (overload.posture().trims() && now - trimmedAt > TRIM_NANOS) {
       trimmedAt = now;
-      transport.trim();
+      transport.releaseCachedBuffers();
     }
     dispatcher.timers().after(MEASURE_NANOS, this::measure);
   }
@@ -393,7 +393,7 @@
    * What is measured and decided of the process's own overload, as it stood some milliseconds ago.
    * From any thread.
    */
-  public OverloadSnapshot overload() {
+  public OverloadSnapshot overloadSnapshot() {
     return reading;
   }
 
@@ -401,7 +401,7 @@
    * What joining has done, as it stood some milliseconds ago; null where reads are not joined. From
    * any thread.
    */
-  public CoalescingSnapshot joining() {
+  public CoalescingSnapshot coalescingSnapshot() {
     return joining;
   }
 
@@ -439,7 +439,7 @@
   }
 
   /** What other processes of this node are told, as it stood some milliseconds ago. Any thread. */
-  public ProcessState process() {
+  public ProcessState processState() {
     return process;
   }
 
@@ -447,16 +447,16 @@
    * So many other processes of this node have told of operators' words, and of the connections that
    * they hold: to every limit all are one.
    */
-  public void partnered(
+  public void updatePartners(
       List<ServerExclusion> theirs, int partners, int clients, int serverConnections) {
-    words.heard(theirs);
+    words.merge(theirs);
     clientsElsewhere = clients;
-    front.limit((int) (config.sockets() * CLIENT_SHARE) - clients);
+    front.limit((int) (config.maxDescriptors() * CLIENT_SHARE) - clients);
     pools.elsewhere(partners, serverConnections);
   }
 
   /** What has become of requests and attempts, as it stands now. */
-  public RequestMetricsSnapshot figures() {
+  public RequestMetricsSnapshot requestMetrics() {
     return dispatcher.figures().reading();
   }
 
@@ -466,12 +466,12 @@
   }
 
   /** Whether a request that came now would be taken and served. From any thread. */
-  public boolean ready() {
+  public boolean isReady() {
     return stage == ProcessState.Stage.READY;
   }
 
   /** What operators have said of cache servers, and where it comes in. */
-  OperatorExclusions words() {
+  OperatorExclusions exclusions() {
     return words;
   }
 
@@ -479,28 +479,28 @@
    * From now on these settings hold for what comes, and the list comes from where they say. Limits,
    * addresses to listen on and the seed hold from the next start on.
    */
-  public void retune(NodeConfig next) {
+  public void applyConfiguration(NodeConfig next) {
     log.line("configuration taken, discovery at " + next.discovery());
     Settings settings = next.settings();
     dispatcher.retune(settings);
     long now = clock.now();
     codec.retune(settings, now, now + DROPPED_NANOS);
     dispatcher.timers().after(DROPPED_NANOS, () -> codec.forget(clock.now()));
-    config = config.with(settings);
-    discovery.moveTo(next.discovery());
+    config = config.withSettings(settings);
+    discovery.switchTo(next.discovery());
     hangupsApplied++;
     publish();
   }
 
   /** A configuration was turned down. */
-  public void notRetuned(String why) {
+  public void rejectConfiguration(String why) {
     log.line("configuration not taken, the old one holds: " + why);
     hangupsRejected++;
     publish();
   }
 
   /** A turn of the loop ends that began then, see {@link LoopClock.Listener#turned}. */
-  public void turned(long begunAt, long now) {
+  public void recordLoopTurn(long begunAt, long now) {
     // Not while it starts: loading and compiling its classes is one long turn after the other.
     if (listener != null) {
       overload.turned(begunAt, now, dispatcher.oldestWaiting());
@@ -508,14 +508,14 @@
   }
 
   /** The loop has stood still until now. */
-  public void paused(long nanos) {
+  public void recordStall(long nanos) {
     overload.paused(nanos, clock.now());
     dispatcher.paused(nanos);
   }
 
   /** How long a {@link #drain} goes on at most, but for clients that do not read their answers. */
-  public long drainMillis() {
-    long deadline = Math.min(MOST_DEADLINE_MILLIS, (long) (config.longestDeadline() * 1e3));
+  public long maxDrainMillis() {
+    long deadline = Math.min(MOST_DEADLINE_MILLIS, (long) (config.longestDeadlineSeconds() * 1e3));
     return deadline + KILL_MILLIS - ANSWERED_MILLIS;
   }
 
@@ -571,7 +571,7 @@
     log.line("event=totals " + dispatcher.recorder().totals());
     // The signal may have come while the process was stalled: its time runs since then.
     long sinceSignal = TimeUnit.NANOSECONDS.toMillis(clock.now() - clock.earliestArrival());
-    long answered = Math.max(0, drainMillis() - sinceSignal);
+    long answered = Math.max(0, maxDrainMillis() - sinceSignal);
     dispatcher.answerBy(clock.now() + TimeUnit.MILLISECONDS.toNanos(answered));
     return answered;
   }
@@ -605,7 +605,7 @@
   }
 
   /** Connections of clients that are open. */
-  public int clients() {
+  public int clientConnections() {
     return front.size();
   }
 
@@ -620,7 +620,7 @@
   }
 
   /** Timers that are due. */
-  public int timers() {
+  public int pendingTimers() {
     return dispatcher.timers().size();
   }
 }
--- a/engine/src/main/java/shalepaddle/node/Node.java
+++ b/engine/src/main/java/shalepaddle/node/Node.java
@@ -76,7 +76,7 @@
 
   /** A node that is not listening yet. */
   public Node(NodeConfig config, OperatorFile operator) {
-    this(config, operator, LoadBalancer.connections(config));
+    this(config, operator, LoadBalancer.defaultConnectionsPerServer(config));
   }
 
   /** A node that opens so many connections to each server. */
@@ -129,12 +129,12 @@
       if (nanos > TOLD_NANOS && listening) {
         log.line("stood still for " + nanos / 1_000_000 + " ms");
       }
-      balancer.paused(nanos);
+      balancer.recordStall(nanos);
     }
 
     @Override
     public void turned(long begunAt, long now) {
-      balancer.turned(begunAt, now);
+      balancer.recordLoopTurn(begunAt, now);
     }
 
     @Override
@@ -154,20 +154,23 @@
     OperatorFile operator;
     ServerSocketChannel inherited;
     try {
-      shape = NodeConfig.text(configFile);
-      config = NodeConfig.of(configFile, shape).managedAt(System.getenv("ROUTER_MANAGEMENT"));
+      shape = NodeConfig.readJson(configFile);
+      config =
+          NodeConfig.read(configFile, shape).withAdminAddress(System.getenv("ROUTER_MANAGEMENT"));
       operator = OperatorFile.load(operatorFile);
-      inherited = InheritedListener.named(System.getenv("ROUTER_LISTEN_FD"));
+      inherited = InheritedListener.fromDescriptor(System.getenv("ROUTER_LISTEN_FD"));
     } catch (FormatException | IOException e) {
       System.err.println("serve: " + e.getMessage());
       return 2;
     }
     ProcessFiles files = inherited == null ? null : files(System.getenv("TMPDIR"));
     if (files != null) {
-      MemberList newer = files.others().newestList();
-      config = newer == null ? config : config.knowing(newer);
+      MemberList newer = files.readOthers().newestMemberList();
+      config = newer == null ? config : config.withKnownMembers(newer);
     }
-    Node node = new Node(config, operator, LoadBalancer.connections(config), inherited, files);
+    Node node =
+        new Node(
+            config, operator, LoadBalancer.defaultConnectionsPerServer(config), inherited, files);
     try {
       node.open();
     } catch (IOException e) {
@@ -180,9 +183,9 @@
     // Before it listens: who sees a node answer may signal it at once.
     Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain"));
     try {
-      ReloadSignal.on(() -> node.reload(configFile, shape));
-      if (ReloadSignal.ignored()) {
-        node.loop.execute(() -> node.balancer.notRetuned(HANGUP_IGNORED));
+      ReloadSignal.install(() -> node.reload(configFile, shape));
+      if (ReloadSignal.isIgnored()) {
+        node.loop.execute(() -> node.balancer.rejectConfiguration(HANGUP_IGNORED));
       }
     } catch (ReflectiveOperationException | IllegalArgumentException e) {
       node.log.line("no new configuration can be taken: " + e);
@@ -219,12 +222,12 @@
    * Opens the operators' door, where there is one: before all else, so that it tells of a start.
    */
   private void open() throws IOException, InterruptedException {
-    if (config.management() != null) {
+    if (config.adminAddress() != null) {
       door =
           new AdminServer(
-              config.management(),
+              config.adminAddress(),
               transport.allocator(),
-              new NodeAdminOperations(loop, balancer, () -> listening && balancer.ready()));
+              new NodeAdminOperations(loop, balancer, () -> listening && balancer.isReady()));
     }
   }
 
@@ -238,9 +241,9 @@
     // Read and checked here: the request loop must not wait for a disk.
     try {
       NodeConfig next = NodeConfig.reload(configFile, shape);
-      loop.execute(() -> balancer.retune(next));
+      loop.execute(() -> balancer.applyConfiguration(next));
     } catch (FormatException e) {
-      loop.execute(() -> balancer.notRetuned(e.getMessage()));
+      loop.execute(() -> balancer.rejectConfiguration(e.getMessage()));
     }
   }
 
@@ -292,17 +295,17 @@
     handover =
         new HotRestart(
             files,
-            balancer::process,
+            balancer::processState,
             seen::all,
             (theirs, partners, clients, servers) ->
-                loop.execute(() -> balancer.partnered(theirs, partners, clients, servers)));
+                loop.execute(() -> balancer.updatePartners(theirs, partners, clients, servers)));
     // Before the warm-up: who is told of this one tells what it has seen meanwhile.
     handover.start();
     Warmup.run(config, transport, log);
-    List<Observation> past = files.takeSeen();
+    List<Observation> past = files.takeObservations();
     loop.submit(
             () -> {
-              balancer.recollect(seen);
+              balancer.recordObservations(seen);
               balancer.startAfter(past);
             })
         .await();
@@ -310,7 +313,7 @@
       log.line("learned from " + past.size() + " attempts of the process before");
     }
     // Before the first request: what operators have said holds for every process of the node.
-    handover.look();
+    handover.poll();
     loop.submit(() -> {}).await();
   }
 
@@ -325,7 +328,7 @@
     loop.submit(() -> {}).await();
     if (handover != null) {
       // First: whoever hears that this one is ready may end the other at once.
-      handover.tell();
+      handover.publish();
     }
     listening = true;
     return (InetSocketAddress) bound.channel().localAddress();
@@ -333,7 +336,7 @@
 
   /** A planned restart; returns when all is answered. */
   void drain() {
-    boolean successor = handover != null && handover.successorReady();
+    boolean successor = handover != null && handover.isSuccessorReady();
     loop.execute(
         () -> {
           if (successor) {
@@ -343,8 +346,9 @@
           }
         });
     try {
-      boolean whole = awaitDrained(balancer.drainMillis() + LINGER_MILLIS);
-      log.line(whole ? "drained" : "not drained in time, " + balancer.clients() + " left");
+      boolean whole = awaitDrained(balancer.maxDrainMillis() + LINGER_MILLIS);
+      log.line(
+          whole ? "drained" : "not drained in time, " + balancer.clientConnections() + " left");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -365,7 +369,7 @@
   }
 
   /** Where operators call, null for nowhere. */
-  public InetSocketAddress management() {
+  public InetSocketAddress adminAddress() {
     return door == null ? null : door.address();
   }
 
@@ -381,9 +385,9 @@
     return balancer;
   }
 
-  /** See {@link LoadBalancer#overload}. From any thread. */
-  public OverloadSnapshot overload() {
-    return balancer.overload();
+  /** See {@link LoadBalancer#overloadSnapshot}. From any thread. */
+  public OverloadSnapshot overloadSnapshot() {
+    return balancer.overloadSnapshot();
   }
 
   /** The edge at which any thread may hand calls in. */
@@ -401,7 +405,7 @@
       if (handover != null) {
         handover.close();
       }
-      threads.ending();
+      threads.allowShutdown();
       loop.submit(balancer::close).awaitUninterruptibly();
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
--- a/engine/src/main/java/shalepaddle/node/NodeAdminOperations.java
+++ b/engine/src/main/java/shalepaddle/node/NodeAdminOperations.java
@@ -21,7 +21,7 @@
   }
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return ready.getAsBoolean();
   }
 
@@ -39,7 +39,10 @@
       loop.execute(
           () -> {
             if (claimed.compareAndSet(false, true)) {
-              done.accept(balancer.words().said(member, out) ? Result.DONE : Result.UNKNOWN_MEMBER);
+              done.accept(
+                  balancer.exclusions().setExcluded(member, out)
+                      ? Result.DONE
+                      : Result.UNKNOWN_MEMBER);
             }
           });
     } catch (RejectedExecutionException e) {
--- a/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
+++ b/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
@@ -38,22 +38,22 @@
   }
 
   /** An operator says it at this node; false, and nothing is done, if no such server is known. */
-  boolean said(String member, boolean out) {
-    if (!knows(member)) {
+  boolean setExcluded(String member, boolean out) {
+    if (!isKnown(member)) {
       return false;
     }
     log.line(member + (out ? " left out" : " put back") + " by hand");
-    say(MemberList.number(member), out);
+    say(MemberList.serverNumber(member), out);
     return true;
   }
 
   /** Whether a server of this id is known. */
-  boolean knows(String member) {
-    return pools.knows(MemberList.number(member));
+  boolean isKnown(String member) {
+    return pools.knows(MemberList.serverNumber(member));
   }
 
   /** Other processes of this node have heard these. */
-  void heard(List<ServerExclusion> theirs) {
+  void merge(List<ServerExclusion> theirs) {
     words.merge(theirs).forEach(this::apply);
   }
 
@@ -67,13 +67,13 @@
             .orElse(0);
     ServerExclusion word =
         new ServerExclusion(server, out, Math.max((long) (time.now() * 1e3), latest + 1));
-    words.say(word);
+    words.record(word);
     apply(word);
   }
 
   private void apply(ServerExclusion word) {
-    pools.exclude(word.server(), word.out());
-    dispatcher.exclude(word.server(), word.out());
+    pools.exclude(word.server(), word.excluded());
+    dispatcher.exclude(word.server(), word.excluded());
     changed.run();
   }
 
--- a/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
@@ -24,7 +24,7 @@
  * </table>
  *
  * <p>The reading is taken on the registry's thread: it must be a published one, see {@link
- * LoadBalancer#overload}.
+ * LoadBalancer#overloadSnapshot}.
  */
 public final class OverloadMetrics implements MeterBinder {
   private static final String PREFIX = "shalepaddle.overload.";
--- a/engine/src/main/java/shalepaddle/node/ProcessorUse.java
+++ b/engine/src/main/java/shalepaddle/node/ProcessorUse.java
@@ -51,7 +51,7 @@
   }
 
   /** Nanoseconds of processor time that this process has used, -1 if that is not known. */
-  long used() {
+  long usedNanos() {
     if (FILE == null) {
       return ProcessHandle.current().info().totalCpuDuration().map(Duration::toNanos).orElse(-1L);
     }
@@ -70,9 +70,9 @@
   }
 
   /** From 0 to about 1, over the last half second or more; NaN until it is known. */
-  double share(long now) {
+  double usedRatio(long now) {
     if (used < 0 || now - readAt >= PERIOD_NANOS) {
-      long total = used();
+      long total = usedNanos();
       if (used >= 0 && total >= 0) {
         share = (total - used) / (cores * Math.max(1, now - readAt));
       }
--- a/engine/src/main/java/shalepaddle/node/ReloadSignal.java
+++ b/engine/src/main/java/shalepaddle/node/ReloadSignal.java
@@ -25,7 +25,7 @@
    * Whether the process was started with the signal ignored, as nohup does. The virtual machine
    * then leaves it so and tells nobody: the step never runs. False where the system does not say.
    */
-  static boolean ignored() {
+  static boolean isIgnored() {
     try {
       return Files.readAllLines(STATUS).stream()
           .filter(line -> line.startsWith(IGNORED_SIGNALS))
@@ -40,7 +40,7 @@
    * Runs the step, on a thread of the virtual machine's, at each SIGHUP. The classes are reached by
    * name: every virtual machine for Java 17 has them, yet the compiler warns of each use.
    */
-  static void on(Runnable step) throws ReflectiveOperationException {
+  static void install(Runnable step) throws ReflectiveOperationException {
     Class<?> signal = Class.forName("sun.misc.Signal");
     Class<?> handler = Class.forName("sun.misc.SignalHandler");
     MethodHandle run =
--- a/engine/src/main/java/shalepaddle/node/Transport.java
+++ b/engine/src/main/java/shalepaddle/node/Transport.java
@@ -19,17 +19,17 @@
   ByteBufAllocator allocator();
 
   /** The part of the memory outside of the heap that buffers in use take, NaN if unknown. */
-  default double memoryShare() {
+  default double bufferMemoryRatio() {
     return Double.NaN;
   }
 
   /** Bytes that buffers may take in all. */
-  default long mostMemory() {
+  default long maxBufferBytes() {
     return Long.MAX_VALUE;
   }
 
   /** Gives back memory that is kept for buffers to come, as far as that can be told. */
-  default void trim() {}
+  default void releaseCachedBuffers() {}
 
   /** Opens connections to cache servers and to discovery. */
   Bootstrap connector(EventLoop loop);
@@ -53,17 +53,17 @@
       }
 
       @Override
-      public double memoryShare() {
+      public double bufferMemoryRatio() {
         return (double) allocator.pinnedDirectMemory() / PlatformDependent.maxDirectMemory();
       }
 
       @Override
-      public long mostMemory() {
+      public long maxBufferBytes() {
         return PlatformDependent.maxDirectMemory();
       }
 
       @Override
-      public void trim() {
+      public void releaseCachedBuffers() {
         allocator.trimCurrentThreadCache();
       }
 
--- a/engine/src/main/java/shalepaddle/node/Warmup.java
+++ b/engine/src/main/java/shalepaddle/node/Warmup.java
@@ -60,7 +60,7 @@
    * begins at 200 calls. More of them only keep a node that was restarted from its clients: where
    * many were, those are waiting for anybody at all.
    */
-  static final int REQUESTS = 150;
+  static final int REQUEST_COUNT = 150;
 
   private static final int AT_ONCE = 4;
   private static final int SERVERS = 4;
@@ -121,7 +121,7 @@
             () -> {
               MemberList list = new MemberList(true, 1, members);
               pools.update(list, time.now());
-              dispatcher.membership(list.update(MembershipUpdate.Kind.FULL));
+              dispatcher.membership(list.toUpdate(MembershipUpdate.Kind.FULL));
             })
         .await();
     MemoryBudget values = new MemoryBudget(1 << 20);
@@ -294,12 +294,12 @@
         // An answer is the only line with this letter: values have none, and receipts neither.
         if (bytes.readByte() == 'O') {
           answered++;
-          if (sent < REQUESTS) {
+          if (sent < REQUEST_COUNT) {
             send(ctx);
           }
         }
       }
-      if (answered >= REQUESTS) {
+      if (answered >= REQUEST_COUNT) {
         done.countDown();
       }
     }
--- a/engine/src/main/java/shalepaddle/sockets/AcceptBackoff.java
+++ b/engine/src/main/java/shalepaddle/sockets/AcceptBackoff.java
@@ -6,20 +6,20 @@
  * connections waiting is always ready and would keep the event loop busy.
  */
 final class AcceptBackoff {
-  static final long FIRST_MILLIS = 2;
-  static final long LONGEST_MILLIS = 50;
+  static final long INITIAL_MILLIS = 2;
+  static final long MAX_MILLIS = 50;
 
-  private long next = FIRST_MILLIS;
+  private long next = INITIAL_MILLIS;
 
   /** An accept has failed; returns in how many milliseconds to try again. */
-  long failed() {
+  long nextDelayMillis() {
     long delay = next;
-    next = Math.min(LONGEST_MILLIS, 2 * next);
+    next = Math.min(MAX_MILLIS, 2 * next);
     return delay;
   }
 
   /** An accept has succeeded. */
-  void succeeded() {
-    next = FIRST_MILLIS;
+  void reset() {
+    next = INITIAL_MILLIS;
   }
 }
--- a/engine/src/main/java/shalepaddle/sockets/TcpListener.java
+++ b/engine/src/main/java/shalepaddle/sockets/TcpListener.java
@@ -47,7 +47,7 @@
       backlogEmpty();
       return 0;
     }
-    backoff.succeeded();
+    backoff.reset();
     try {
       accepted.add(connection(socket));
     } catch (RuntimeException e) {
@@ -68,7 +68,7 @@
   private void acceptLater() {
     acceptFailed();
     config().setAutoRead(false);
-    eventLoop().schedule(this::acceptAgain, backoff.failed(), TimeUnit.MILLISECONDS);
+    eventLoop().schedule(this::acceptAgain, backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
   }
 
   private void acceptAgain() {
--- a/engine/src/test/java/shalepaddle/hotrestart/HotRestartTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/HotRestartTest.java
@@ -34,7 +34,7 @@
   @Test
   void aLookTellsOfPartnersTheirConnectionsAndTheirWordsTogether() {
     List<ServerExclusion> words = List.of(new ServerExclusion(5, true, now));
-    files(2).tell(state(2, Stage.READY, words));
+    files(2).publish(state(2, Stage.READY, words));
     try (HotRestart handover =
         new HotRestart(
             files(1),
@@ -42,9 +42,9 @@
             List::of,
             (theirs, partners, clients, servers) ->
                 told.add(new Told(theirs, partners, clients, servers)))) {
-      handover.look();
+      handover.poll();
     }
     assertEquals(List.of(new Told(words, 1, 12, 34)), told);
-    assertEquals(1, files(2).others().partners().size(), "it has not told of itself");
+    assertEquals(1, files(2).readOthers().partners().size(), "it has not told of itself");
   }
 }
--- a/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
@@ -70,7 +70,7 @@
   @Test
   void whatALaterVersionAddsAtTheEndIsPassedOver() throws Exception {
     byte[] more =
-        Frame.around(
+        Frame.wrap(
             "shalepaddle-seen-1",
             "[[1,2,\"OK\",\"HIT\",0.25,0,\"k\",\"read\",null,1,0,0,false,false,"
                 + "1,2,3,4,5,6,7,8,{\"new\":[1]},9]]");
@@ -84,13 +84,13 @@
         new ProcessFiles(folder, 1, System::currentTimeMillis, pid -> true, log::add);
     ProcessFiles next =
         new ProcessFiles(folder, 2, System::currentTimeMillis, pid -> true, log::add);
-    old.tell(new ProcessState(1, ProcessState.Stage.READY, 0, 0, List.of(), null));
-    assertEquals(List.of(), next.takeSeen());
-    assertTrue(old.tellSeen(some()));
-    assertEquals(some(), next.takeSeen());
-    assertEquals(List.of(), next.takeSeen());
+    old.publish(new ProcessState(1, ProcessState.Stage.READY, 0, 0, List.of(), null));
+    assertEquals(List.of(), next.takeObservations());
+    assertTrue(old.publishObservations(some()));
+    assertEquals(some(), next.takeObservations());
+    assertEquals(List.of(), next.takeObservations());
     Files.writeString(folder.resolve("shalepaddle-1.seen"), "shalepaddle-seen-2 2 0\n[]");
-    assertEquals(List.of(), next.takeSeen());
+    assertEquals(List.of(), next.takeObservations());
     assertEquals(List.of("shalepaddle-1.seen: of another version, or none"), log);
   }
 }
--- a/engine/src/test/java/shalepaddle/hotrestart/ProcessFilesTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ProcessFilesTest.java
@@ -42,7 +42,7 @@
                 new MemberList.Member(
                     new ServerEntry(
                         Long.MIN_VALUE, "a \"b\"", "m", 3, ServerEntry.State.DRAINING, 1.5, 17.25),
-                    MemberList.address("127.0.0.1:11211"))));
+                    MemberList.parseAddress("127.0.0.1:11211"))));
     return new ProcessState(pid, stage, 12, 34, List.of(words), list);
   }
 
@@ -50,11 +50,11 @@
   void whatIsToldIsReadAsItWasTold() throws Exception {
     ProcessState told =
         state(2, ProcessState.Stage.READY, new ServerExclusion(Long.MAX_VALUE, true, now));
-    assertTrue(of(2).tell(told));
-    assertEquals(List.of(told), of(1).others().partners());
-    assertEquals(List.of(), of(2).others().partners(), "not of itself");
-    assertEquals(told.list(), of(1).others().newestList());
-    assertNull(of(2).others().newestList());
+    assertTrue(of(2).publish(told));
+    assertEquals(List.of(told), of(1).readOthers().partners());
+    assertEquals(List.of(), of(2).readOthers().partners(), "not of itself");
+    assertEquals(told.list(), of(1).readOthers().newestMemberList());
+    assertNull(of(2).readOthers().newestMemberList());
   }
 
   @Test
@@ -72,7 +72,7 @@
     Files.write(folder.resolve("shalepaddle-3.process"), new byte[2 << 20]);
     ProcessFiles own = of(1);
     for (int i = 0; i < 100; i++) {
-      assertEquals(List.of(), own.others().partners());
+      assertEquals(List.of(), own.readOthers().partners());
     }
     assertEquals(2, log.size(), "each is told of once: " + log);
   }
@@ -80,15 +80,15 @@
   @Test
   void onePartnerThatIsSilentOrGoneLeavesItsWordsAlone() throws Exception {
     ServerExclusion word = new ServerExclusion(5, true, now);
-    of(2).tell(state(2, ProcessState.Stage.READY, word));
+    of(2).publish(state(2, ProcessState.Stage.READY, word));
     Path file = folder.resolve("shalepaddle-2.process");
     Files.setLastModifiedTime(file, FileTime.fromMillis(now - ProcessFiles.SILENT_MILLIS));
-    assertEquals(List.of(), of(1).others().partners());
-    assertEquals(List.of(word), of(1).others().words());
+    assertEquals(List.of(), of(1).readOthers().partners());
+    assertEquals(List.of(word), of(1).readOthers().exclusions());
     alive.remove(2L);
-    assertEquals(List.of(word), of(1).others().words());
+    assertEquals(List.of(word), of(1).readOthers().exclusions());
     now += 3 * ProcessFiles.SILENT_MILLIS;
-    assertEquals(List.of(word), of(1).others().words());
+    assertEquals(List.of(word), of(1).readOthers().exclusions());
     assertFalse(Files.exists(file), "its words are told by who has read them");
   }
 
@@ -96,8 +96,8 @@
   void aFolderThatIsMissingHarmsNobody() {
     ProcessFiles lost =
         new ProcessFiles(folder.resolve("none"), 1, () -> now, alive::contains, log::add);
-    assertEquals(List.of(), lost.others().partners());
-    assertFalse(lost.tell(new ProcessState(1, ProcessState.Stage.READY, 0, 0, List.of(), null)));
+    assertEquals(List.of(), lost.readOthers().partners());
+    assertFalse(lost.publish(new ProcessState(1, ProcessState.Stage.READY, 0, 0, List.of(), null)));
     assertEquals(2, log.size());
   }
 }
--- a/engine/src/test/java/shalepaddle/hotrestart/ServerExclusionsTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ServerExclusionsTest.java
@@ -21,7 +21,7 @@
         said.add(new ServerExclusion(random.nextInt(4), random.nextBoolean(), random.nextInt(6)));
       }
       ServerExclusions one = new ServerExclusions();
-      said.forEach(one::say);
+      said.forEach(one::record);
       Collections.shuffle(said, random);
       ServerExclusions other = new ServerExclusions();
       other.merge(said);
@@ -35,20 +35,20 @@
   @Test
   void theNewestWordHoldsAndTellsWhetherItChangesAnything() {
     ServerExclusions words = new ServerExclusions();
-    assertTrue(words.say(new ServerExclusion(1, true, 10)));
-    assertEquals(false, words.say(new ServerExclusion(1, true, 20)), "twice out");
-    assertEquals(false, words.say(new ServerExclusion(1, false, 15)), "older than the last");
-    assertTrue(words.say(new ServerExclusion(1, false, 30)), "one call back undoes both");
-    assertEquals(false, words.say(new ServerExclusion(2, false, 30)), "it was never out");
+    assertTrue(words.record(new ServerExclusion(1, true, 10)));
+    assertEquals(false, words.record(new ServerExclusion(1, true, 20)), "twice out");
+    assertEquals(false, words.record(new ServerExclusion(1, false, 15)), "older than the last");
+    assertTrue(words.record(new ServerExclusion(1, false, 30)), "one call back undoes both");
+    assertEquals(false, words.record(new ServerExclusion(2, false, 30)), "it was never out");
   }
 
   @Test
   void aServerThatIsOutIsNeverForgotten() {
     ServerExclusions words = new ServerExclusions();
-    words.say(new ServerExclusion(-1, true, 1));
+    words.record(new ServerExclusion(-1, true, 1));
     for (int i = 0; i < 10_000; i++) {
-      words.say(new ServerExclusion(i, true, 2));
-      words.say(new ServerExclusion(i, false, 3));
+      words.record(new ServerExclusion(i, true, 2));
+      words.record(new ServerExclusion(i, false, 3));
     }
     assertTrue(words.all().size() <= 4096);
     assertTrue(words.all().contains(new ServerExclusion(-1, true, 1)));
--- a/engine/src/test/java/shalepaddle/node/AdminServerTest.java
+++ b/engine/src/test/java/shalepaddle/node/AdminServerTest.java
@@ -47,7 +47,7 @@
   private record Answer(int status, String body) {}
 
   private ScriptedPeer caller() throws IOException {
-    return ScriptedPeer.connect(rig.node.management());
+    return ScriptedPeer.connect(rig.node.adminAddress());
   }
 
   private Answer call(String method, String target) throws IOException {
@@ -358,7 +358,7 @@
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       String port = ":" + taken.getLocalPort();
       String settings = DOOR.replace(":0\"", port + "\"");
-      try (Node node = new Node(rig.config(settings), OperatorFile.USUAL)) {
+      try (Node node = new Node(rig.config(settings), OperatorFile.DEFAULTS)) {
         IOException e = assertThrows(IOException.class, node::start);
         assertTrue(e.getMessage().contains(port) && e.getMessage().contains("management"));
       }
--- a/engine/src/test/java/shalepaddle/node/EventLoopThreadsTest.java
+++ b/engine/src/test/java/shalepaddle/node/EventLoopThreadsTest.java
@@ -58,7 +58,7 @@
 
   @Test
   void aLoopThatWasToldToEndMayEnd() throws Exception {
-    threads.ending();
+    threads.allowShutdown();
     run(() -> {});
     assertEquals(0, failures.get());
   }
--- a/engine/src/test/java/shalepaddle/node/NodeFixture.java
+++ b/engine/src/test/java/shalepaddle/node/NodeFixture.java
@@ -32,7 +32,7 @@
 
   /** A node with further settings, which override the usual ones. */
   NodeFixture(String settings) throws Exception {
-    this(settings, OperatorFile.USUAL);
+    this(settings, OperatorFile.DEFAULTS);
   }
 
   /** A node with further settings, and what an operator sets. */
@@ -47,7 +47,7 @@
   NodeFixture(ServerSocket discovery, ServerSocket cache, String settings) throws Exception {
     this.cache = cache;
     this.discovery = discovery;
-    node = new Node(config(settings), OperatorFile.USUAL);
+    node = new Node(config(settings), OperatorFile.DEFAULTS);
     address = node.start();
   }
 
@@ -55,7 +55,7 @@
   NodeFixture(int connections) throws Exception {
     cache = listen();
     discovery = listen();
-    node = new Node(config(""), OperatorFile.USUAL, connections);
+    node = new Node(config(""), OperatorFile.DEFAULTS, connections);
     address = node.start();
   }
 
@@ -66,7 +66,7 @@
     node =
         new Node(
             load(configText("").replace("\"sockets\":1024", "\"sockets\":" + sockets)),
-            OperatorFile.USUAL,
+            OperatorFile.DEFAULTS,
             connections);
     address = node.start();
   }
--- a/engine/src/test/java/shalepaddle/node/OperatorFileTest.java
+++ b/engine/src/test/java/shalepaddle/node/OperatorFileTest.java
@@ -25,9 +25,9 @@
 
   @Test
   void theFileThatIsDeployedSaysWhatHoldsWithoutIt() throws Exception {
-    assertEquals(OperatorFile.USUAL, OperatorFile.load("deploy/operator.toml"));
-    assertEquals(OperatorFile.USUAL, load(""));
-    assertEquals(OperatorFile.USUAL, OperatorFile.load(null));
+    assertEquals(OperatorFile.DEFAULTS, OperatorFile.load("deploy/operator.toml"));
+    assertEquals(OperatorFile.DEFAULTS, load(""));
+    assertEquals(OperatorFile.DEFAULTS, OperatorFile.load(null));
   }
 
   @Test
@@ -41,13 +41,13 @@
 
   @Test
   void readsAreJoinedOnlyWhereItSaysSo() throws Exception {
-    assertEquals(CoalescingConfig.OFF, load("").joining());
-    assertEquals(CoalescingConfig.USUAL, load("[joining];join = true").joining());
+    assertEquals(CoalescingConfig.OFF, load("").coalescing());
+    assertEquals(CoalescingConfig.USUAL, load("[joining];join = true").coalescing());
     assertEquals(
         new CoalescingConfig(true, true, 50, 0.1, 20, 0.5),
         load("[joining];join = true;across_tenants = true;callers = 50;age_ms = 100;"
                 + "flights = 20;retries = 0.5")
-            .joining());
+            .coalescing());
   }
 
   @ParameterizedTest
--- a/engine/src/test/java/shalepaddle/node/ProcessorUseTest.java
+++ b/engine/src/test/java/shalepaddle/node/ProcessorUseTest.java
@@ -12,26 +12,26 @@
     ProcessorUse half = new ProcessorUse(0.5);
     ProcessorUse eight = new ProcessorUse(8);
     long now = System.nanoTime();
-    assertTrue(Double.isNaN(half.share(now)), "not known at first");
-    assertTrue(Double.isNaN(eight.share(now)));
+    assertTrue(Double.isNaN(half.usedRatio(now)), "not known at first");
+    assertTrue(Double.isNaN(eight.usedRatio(now)));
     double sum = 0;
     while (System.nanoTime() - now < TimeUnit.MILLISECONDS.toNanos(120)) {
       sum += Math.sqrt(sum + 1);
     }
-    assertTrue(Double.isNaN(half.share(now + 1)), "no sooner than in half a second");
+    assertTrue(Double.isNaN(half.usedRatio(now + 1)), "no sooner than in half a second");
     // Told that a second has passed: the work done is the same for both, and more than nothing.
     long later = now + TimeUnit.SECONDS.toNanos(1);
-    double share = half.share(later);
+    double share = half.usedRatio(later);
     assertTrue(share > 0.05, "share of half a core: " + share + ", " + sum);
-    assertTrue(eight.share(later) < share, "share of eight cores");
-    assertEquals(share, half.share(later + 1), "as it was read last");
+    assertTrue(eight.usedRatio(later) < share, "share of eight cores");
+    assertEquals(share, half.usedRatio(later + 1), "as it was read last");
   }
 
   /** The platform's own figure, asked before and after, has it between. */
   @Test
   void tellsWhatThePlatformTells() {
     long before = platform();
-    long used = new ProcessorUse(1).used();
+    long used = new ProcessorUse(1).usedNanos();
     long after = platform();
     assertTrue(before <= used && used <= after, before + " " + used + " " + after);
   }
--- a/engine/src/test/java/shalepaddle/node/ServerDrainingTest.java
+++ b/engine/src/test/java/shalepaddle/node/ServerDrainingTest.java
@@ -73,7 +73,7 @@
     tell(8, state);
     if (state.equals("active")) {
       // Left out by hand instead.
-      try (ScriptedPeer caller = ScriptedPeer.connect(rig.node.management())) {
+      try (ScriptedPeer caller = ScriptedPeer.connect(rig.node.adminAddress())) {
         String member = "s-" + rig.cache.getLocalPort();
         caller.write("PUT /api/exclude?member=" + member + " HTTP/1.1\r\nHost: node\r\n\r\n");
         assertTrue(caller.line().contains(" 200 "));
--- a/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
@@ -156,7 +156,7 @@
   @Test
   void metersTellWhatTheReadingTells() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
-      OverloadSnapshot reading = rig.node.overload();
+      OverloadSnapshot reading = rig.node.overloadSnapshot();
       SimpleMeterRegistry registry = new SimpleMeterRegistry();
       new OverloadMetrics(() -> reading, Tags.of("node", "n0")).bindTo(registry);
       assertEquals(
--- a/engine/src/test/java/shalepaddle/node/WarmupTest.java
+++ b/engine/src/test/java/shalepaddle/node/WarmupTest.java
@@ -14,6 +14,6 @@
   @RepeatedTest(25)
   void answersAllItsRequestsWithinTheProcess() throws Exception {
     assertEquals(
-        Warmup.REQUESTS, Warmup.run(NodeConfig.rehearsal(), Transport.sockets(), new Log()));
+        Warmup.REQUEST_COUNT, Warmup.run(NodeConfig.rehearsal(), Transport.sockets(), new Log()));
   }
 }
--- a/engine/src/test/java/shalepaddle/sockets/AcceptBackoffTest.java
+++ b/engine/src/test/java/shalepaddle/sockets/AcceptBackoffTest.java
@@ -11,12 +11,12 @@
   void triesAgainSoonAndEverLaterUpToABound() {
     long last = 0;
     for (int i = 0; i < 20; i++) {
-      long delay = backoff.failed();
-      assertEquals(i == 0 ? AcceptBackoff.FIRST_MILLIS : Math.min(50, 2 * last), delay);
+      long delay = backoff.nextDelayMillis();
+      assertEquals(i == 0 ? AcceptBackoff.INITIAL_MILLIS : Math.min(50, 2 * last), delay);
       last = delay;
     }
-    assertEquals(AcceptBackoff.LONGEST_MILLIS, last);
-    backoff.succeeded();
-    assertEquals(AcceptBackoff.FIRST_MILLIS, backoff.failed());
+    assertEquals(AcceptBackoff.MAX_MILLIS, last);
+    backoff.reset();
+    assertEquals(AcceptBackoff.INITIAL_MILLIS, backoff.nextDelayMillis());
   }
 }
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
@@ -188,7 +188,7 @@
   }
 
   private static long shared(Instance instance) {
-    CoalescingSnapshot joining = instance.balancer().joining();
+    CoalescingSnapshot joining = instance.balancer().coalescingSnapshot();
     return joining == null ? 0 : joining.shared();
   }
 
@@ -236,7 +236,7 @@
             NodeConfig.parse(JsonObject.parse(config(discovery))),
             plan.joining()
                 ? new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.USUAL)
-                : OperatorFile.USUAL,
+                : OperatorFile.DEFAULTS,
             loop,
             clock,
             new Clock(time.ticker(), EPOCH_MILLIS + time.millis()),
@@ -266,13 +266,13 @@
     @Override
     public void paused(long nanos) {
       if (balancer != null) {
-        balancer.paused(nanos);
+        balancer.recordStall(nanos);
       }
     }
 
     @Override
     public void turned(long begunAt, long now) {
-      balancer.turned(begunAt, now);
+      balancer.recordLoopTurn(begunAt, now);
     }
 
     @Override
@@ -435,7 +435,7 @@
   private void retune(Instance instance) {
     try {
       NodeConfig same = NodeConfig.parse(JsonObject.parse(config(instance.discovery())));
-      instance.loop().execute(() -> instance.balancer().retune(same));
+      instance.loop().execute(() -> instance.balancer().applyConfiguration(same));
     } catch (FormatException e) {
       throw new IllegalStateException(e);
     }
@@ -453,7 +453,7 @@
     addInstance(old.name() + "x");
     later(NEW_CONNECTIONS_MILLIS, () -> clients.leaving(old.name()));
     old.loop().execute(() -> old.balancer().drain(() -> drained.add(old.name())));
-    long latest = old.balancer().drainMillis();
+    long latest = old.balancer().maxDrainMillis();
     later(
         latest + LINGER_MILLIS,
         () -> later(heldMillis.getOrDefault(old.name(), 0L), () -> checkDrained(old)));
@@ -552,12 +552,12 @@
     clients.close();
     time.pass(1000);
     for (Instance instance : instances) {
-      expectNone(instance, "clients' connections", instance.balancer().clients());
+      expectNone(instance, "clients' connections", instance.balancer().clientConnections());
       instance.loop().execute(instance.balancer()::close);
     }
     time.pass(1000);
     for (Instance instance : instances) {
-      expectNone(instance, "timers", instance.balancer().timers());
+      expectNone(instance, "timers", instance.balancer().pendingTimers());
       expectNone(instance, "connections to servers", instance.balancer().serverConnections());
       instance.discovery().down();
     }
@@ -572,7 +572,7 @@
 
   /** Every request that was taken has ended under exactly one disposition, or its client left. */
   private void expectTrueFigures(Instance instance) {
-    RequestMetricsSnapshot figures = instance.balancer().figures();
+    RequestMetricsSnapshot figures = instance.balancer().requestMetrics();
     long ended = figures.gone();
     for (RequestMetricsSnapshot.Results results : figures.results()) {
       ended += results.succeeded() + results.declined() + results.aborted();
