--- a/engine/src/main/java/shalepaddle/codec/meta/MetaClientCodec.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaClientCodec.java
@@ -30,14 +30,14 @@
 
   /**
    * From now on requests are read by these settings, on all connections. Classes that are dropped
-   * are still taken until then; {@link #forget} is due at that time.
+   * are still taken until then; {@link #expireRemovedClasses} is due at that time.
    */
-  public void retune(Settings settings, long now, long until) {
+  public void updateSettings(Settings settings, long now, long until) {
     names.retune(settings, now, until);
   }
 
   /** Turns down classes that were dropped and whose time is up. */
-  public void forget(long now) {
+  public void expireRemovedClasses(long now) {
     names.forget(now);
   }
 
@@ -52,12 +52,12 @@
   }
 
   @Override
-  public ByteBuf endOfPieces() {
+  public ByteBuf encodeStreamEnd() {
     return MetaReplies.valueEnd();
   }
 
   @Override
-  public ByteBuf idInUse(ByteBufAllocator allocator) {
+  public ByteBuf encodeDuplicateId(ByteBufAllocator allocator) {
     return MetaReplies.line(allocator, "CLIENT_ERROR id in use");
   }
 }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaCommandDecoder.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaCommandDecoder.java
@@ -7,7 +7,7 @@
 import shalepaddle.engine.MemoryBudget;
 import shalepaddle.front.ClientCodec;
 import shalepaddle.front.ClientCommand;
-import shalepaddle.front.ClientCommand.Refused;
+import shalepaddle.front.ClientCommand.Rejections;
 import shalepaddle.front.RequestAdmission;
 import shalepaddle.model.Request;
 
@@ -50,18 +50,18 @@
 
   /** Whether a command has begun and not ended. */
   @Override
-  public boolean midway() {
+  public boolean isMidCommand() {
     return write != null || actualReadableBytes() > 0;
   }
 
   @Override
-  public boolean inValue() {
+  public boolean isReadingValue() {
     return write != null;
   }
 
   /** Whether nothing more is taken: what comes can no longer be told apart. */
   @Override
-  public boolean lost() {
+  public boolean isDesynchronized() {
     return lost;
   }
 
@@ -76,7 +76,7 @@
         readValue(in, out);
         return;
       }
-      if (!asked && gate.shuts()) {
+      if (!asked && gate.mayReject()) {
         ClientCommand refused = refuse(ctx.alloc(), in);
         if (refused != null) {
           out.add(refused);
@@ -110,36 +110,38 @@
    */
   private ClientCommand refuse(ByteBufAllocator allocator, ByteBuf in) {
     ByteBuf answers = null;
-    Refused refused = Refused.NONE;
+    Rejections refused = Rejections.NONE;
     while (write == null) {
       int start = in.readerIndex();
-      int newline = in.bytesBefore(Math.min(in.readableBytes(), MetaLine.MAX_LENGTH), (byte) '\n');
+      int newline =
+          in.bytesBefore(Math.min(in.readableBytes(), MetaLine.MAX_LINE_BYTES), (byte) '\n');
       if (newline < 1
           || in.getByte(start + newline - 1) != '\r'
           || !glance.read(in, start, start + newline - 1)) {
         break;
       }
-      long verdict = gate.ask(glance.serviceClass, glance.tenant, glance.subject, glance.repeat);
+      long verdict = gate.admit(glance.serviceClass, glance.tenant, glance.subject, glance.repeat);
       if (verdict == RequestAdmission.ADMITTED) {
         asked = true;
         break;
       }
-      long advice = verdict & ~RequestAdmission.REPEAT;
+      long advice = verdict & ~RequestAdmission.RETRY;
       int repeat = verdict == advice ? 0 : 1;
       in.skipBytes(newline + 1);
       if (glance.length < 0) {
         answers = answers == null ? allocator.buffer(MetaReplies.BUSY_LENGTH) : answers;
         MetaReplies.busy(answers, advice);
-        refused = new Refused(refused.count() + 1, refused.repeats() + repeat, advice);
+        refused = new Rejections(refused.count() + 1, refused.repeats() + repeat, advice);
       } else {
         ByteBuf answer = allocator.buffer(MetaReplies.BUSY_LENGTH);
         write =
-            ClientCommand.refused(MetaReplies.busy(answer, advice), new Refused(1, repeat, advice));
+            ClientCommand.rejected(
+                MetaReplies.busy(answer, advice), new Rejections(1, repeat, advice));
         value = null;
         missing = glance.length + 2;
       }
     }
-    return answers == null ? null : ClientCommand.refused(answers, refused);
+    return answers == null ? null : ClientCommand.rejected(answers, refused);
   }
 
   private void readValue(ByteBuf in, List<Object> out) throws MetaLine.MalformedException {
@@ -197,11 +199,11 @@
       if (command.request() != null && value == null) {
         // Guards against more writes at once than there is memory for: this one is read and
         // dropped, and refused, which is true since it has never gone out.
-        gate.turnedAway(command.request().serviceClass());
+        gate.rejectedAfterAdmission(command.request().serviceClass());
         command.release();
         command =
-            ClientCommand.refused(
-                MetaReplies.line(allocator, "SERVER_ERROR busy"), new Refused(1, 0, 0));
+            ClientCommand.rejected(
+                MetaReplies.line(allocator, "SERVER_ERROR busy"), new Rejections(1, 0, 0));
       }
       write = command;
       missing = length + 2;
@@ -288,7 +290,7 @@
     }
     if (!asked) {
       // Admitted, since the gate would have been asked before: this tells it what comes.
-      gate.ask(classPlace, tenantPlace, 0, repeat);
+      gate.admit(classPlace, tenantPlace, 0, repeat);
     }
     Request request =
         new Request(id, key, serviceClass, tenant, deadline / 1e3, work, size, repeat, sets);
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaLine.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaLine.java
@@ -6,7 +6,7 @@
 /** One line of the memcache text protocol, cut at its spaces. */
 public final class MetaLine {
   /** Longest line taken, well above a key of 250 bytes with its flags. */
-  public static final int MAX_LENGTH = 2048;
+  public static final int MAX_LINE_BYTES = 2048;
 
   /** Longest value taken or passed on. */
   static final int MAX_VALUE = 4 << 20;
@@ -24,9 +24,9 @@
 
   /** Takes the next whole line off the buffer, null if it has not all come. */
   static MetaLine read(ByteBuf in) throws MalformedException {
-    int length = in.bytesBefore(Math.min(in.readableBytes(), MAX_LENGTH), (byte) '\n');
+    int length = in.bytesBefore(Math.min(in.readableBytes(), MAX_LINE_BYTES), (byte) '\n');
     if (length < 0) {
-      if (in.readableBytes() >= MAX_LENGTH) {
+      if (in.readableBytes() >= MAX_LINE_BYTES) {
         throw new MalformedException("line too long");
       }
       return null;
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaReplyDecoder.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaReplyDecoder.java
@@ -28,7 +28,7 @@
   private boolean spoilt;
 
   @Override
-  public boolean midway() {
+  public boolean isMidReply() {
     return head != null || actualReadableBytes() > 0;
   }
 
--- a/engine/src/main/java/shalepaddle/front/ClientCodec.java
+++ b/engine/src/main/java/shalepaddle/front/ClientCodec.java
@@ -17,20 +17,20 @@
   ByteBuf encode(ByteBufAllocator allocator, String id, Reply reply);
 
   /** The bytes behind the last piece of a value, of which {@link #encode} made the head alone. */
-  ByteBuf endOfPieces();
+  ByteBuf encodeStreamEnd();
 
   /** The bytes of the answer to a request whose id belongs to another that is open. */
-  ByteBuf idInUse(ByteBufAllocator allocator);
+  ByteBuf encodeDuplicateId(ByteBufAllocator allocator);
 
   /** Reads {@link ClientCommand}s off a connection, however its bytes are cut. */
   abstract class CommandDecoder extends ByteToMessageDecoder {
     /** Whether a command has begun and not ended. */
-    public abstract boolean midway();
+    public abstract boolean isMidCommand();
 
     /** Whether the value of a command is being read, whose head is whole. */
-    public abstract boolean inValue();
+    public abstract boolean isReadingValue();
 
     /** Whether nothing more is taken: what comes can no longer be told apart. */
-    public abstract boolean lost();
+    public abstract boolean isDesynchronized();
   }
 }
--- a/engine/src/main/java/shalepaddle/front/ClientCommand.java
+++ b/engine/src/main/java/shalepaddle/front/ClientCommand.java
@@ -11,8 +11,8 @@
  * @param error whether that answer says that the client broke the protocol
  * @param lost whether the client's bytes can no longer be told apart, so that its connection must
  *     close
- * @param refused the requests that this is the answer to, of which no more was read than it takes
- *     to refuse them; {@link Refused#NONE} where it is no such answer
+ * @param rejections the requests that this is the answer to, of which no more was read than it
+ *     takes to refuse them; {@link Rejections#NONE} where it is no such answer
  * @param request what it asks for, null where it is answered at once
  * @param payload what is passed on, null where it is answered at once
  */
@@ -20,7 +20,7 @@
     ByteBuf answer,
     boolean error,
     boolean lost,
-    Refused refused,
+    Rejections rejections,
     Request request,
     Payload payload) {
 
@@ -32,24 +32,24 @@
    * @param adviceMillis for how long the client of the last of them was told to stay away, 0 for no
    *     advice
    */
-  public record Refused(int count, int repeats, long adviceMillis) {
+  public record Rejections(int count, int repeats, long adviceMillis) {
     /** No request was refused. */
-    public static final Refused NONE = new Refused(0, 0, 0);
+    public static final Rejections NONE = new Rejections(0, 0, 0);
   }
 
   /** A request for the engine. */
   public static ClientCommand of(Request request, Payload payload) {
-    return new ClientCommand(null, false, false, Refused.NONE, request, payload);
+    return new ClientCommand(null, false, false, Rejections.NONE, request, payload);
   }
 
   /** What is answered at once, in these words. */
   public static ClientCommand answer(ByteBuf answer, boolean error, boolean lost) {
-    return new ClientCommand(answer, error, lost, Refused.NONE, null, null);
+    return new ClientCommand(answer, error, lost, Rejections.NONE, null, null);
   }
 
   /** Requests in a row that are refused in these words. */
-  public static ClientCommand refused(ByteBuf answers, Refused refused) {
-    return new ClientCommand(answers, false, false, refused, null, null);
+  public static ClientCommand rejected(ByteBuf answers, Rejections rejections) {
+    return new ClientCommand(answers, false, false, rejections, null, null);
   }
 
   /** Lets go what it holds. */
--- a/engine/src/main/java/shalepaddle/front/ClientConnections.java
+++ b/engine/src/main/java/shalepaddle/front/ClientConnections.java
@@ -106,13 +106,13 @@
   }
 
   /** Holds so many at most from now on; those that are there stay. */
-  public void limit(int connections) {
+  public void setMaxConnections(int connections) {
     limit = Math.max(1, connections);
   }
 
   /** Makes room for one more connection; false if no other can give way. */
   public boolean admit() {
-    if (size() < limit) {
+    if (connectionCount() < limit) {
       return true;
     }
     long now = clock.listened();
@@ -159,7 +159,7 @@
    * No more connections come: those that are there may rest for as long as they like. Guards
    * against sending away clients that can not come back, to nodes that are crowded themselves.
    */
-  public void shut() {
+  public void listenerClosed() {
     shut = true;
   }
 
@@ -182,7 +182,7 @@
    * what crosses their end.
    */
   private void tellIfEmpty() {
-    if (draining && whenEmpty != null && size() == 0) {
+    if (draining && whenEmpty != null && connectionCount() == 0) {
       Runnable step = whenEmpty;
       whenEmpty = null;
       step.run();
@@ -195,11 +195,11 @@
   }
 
   /** Connections on which an answer is owed. */
-  public int owed() {
+  public int connectionsAwaitingResponse() {
     return open.get(Standing.OWED).size();
   }
 
-  public int size() {
+  public int connectionCount() {
     int size = 0;
     for (var clients : open.values()) {
       size += clients.size();
@@ -208,7 +208,7 @@
   }
 
   /** Closes what has been of no use for too long. Not to be called while the loop is behind. */
-  public void sweep() {
+  public void closeExpired() {
     long now = clock.listened();
     endAll(Standing.UNUSED, Event.CLOSE_UNUSED, now - MAX_COMMAND_NANOS);
     for (ClientHandler client :
@@ -294,7 +294,7 @@
     draining = true;
     whenEmpty = then;
     tellIfEmpty();
-    if (size() > 0) {
+    if (connectionCount() > 0) {
       loop.schedule(() -> closeNext(loop), restMillis, TimeUnit.MILLISECONDS);
       loop.schedule(
           () -> clock.whenCaughtUp(this::lastCall),
--- a/engine/src/main/java/shalepaddle/front/ClientFront.java
+++ b/engine/src/main/java/shalepaddle/front/ClientFront.java
@@ -62,23 +62,23 @@
   }
 
   /** Closes what has been of no use for too long. Not to be called while the loop is behind. */
-  public void sweep() {
-    clients.sweep();
+  public void closeExpired() {
+    clients.closeExpired();
   }
 
   /** No more connections come. */
-  public void shut() {
-    clients.shut();
+  public void listenerClosed() {
+    clients.listenerClosed();
   }
 
   /** Connections on which an answer is owed. */
-  public int owed() {
-    return clients.owed();
+  public int connectionsAwaitingResponse() {
+    return clients.connectionsAwaitingResponse();
   }
 
   /** Connections that are open. */
-  public int size() {
-    return clients.size();
+  public int connectionCount() {
+    return clients.connectionCount();
   }
 
   /**
@@ -91,7 +91,7 @@
   }
 
   /** Holds so many connections at most from now on; those that are there stay. */
-  public void limit(int connections) {
-    clients.limit(connections);
+  public void setMaxConnections(int connections) {
+    clients.setMaxConnections(connections);
   }
 }
--- a/engine/src/main/java/shalepaddle/front/ClientHandler.java
+++ b/engine/src/main/java/shalepaddle/front/ClientHandler.java
@@ -200,7 +200,7 @@
     @Override
     public void end() {
       source = null;
-      whole(codec.endOfPieces());
+      whole(codec.encodeStreamEnd());
     }
 
     /** The client can tell by the length that this is not the end. */
@@ -259,7 +259,7 @@
             ? leaving ? ClientConnections.Standing.LEAVING : ClientConnections.Standing.CLOSING
             : !slots.isEmpty()
                 ? ClientConnections.Standing.OWED
-                : decoder.midway()
+                : decoder.isMidCommand()
                     ? ClientConnections.Standing.MIDWAY
                     : used ? ClientConnections.Standing.IDLE : ClientConnections.Standing.UNUSED;
     if (now != standing && channel.isActive()) {
@@ -277,7 +277,8 @@
    */
   private void steer() {
     boolean owesTooMany = slots.size() >= turns.owed();
-    boolean takes = channel.isWritable() && !owesTooMany && !readPause.on() && !decoder.lost();
+    boolean takes =
+        channel.isWritable() && !owesTooMany && !readPause.on() && !decoder.isDesynchronized();
     recordSuspension(owesTooMany, !channel.isWritable());
     if (leaving || lastCall) {
       inbound.mode(crossing || !leaving ? InboundBuffer.Mode.SUSPEND : InboundBuffer.Mode.DELIVER);
@@ -303,11 +304,11 @@
   }
 
   /** For how long to read nothing, since requests in a row were refused. */
-  private long insists(ClientCommand.Refused refused) {
-    long advice = TimeUnit.MILLISECONDS.toNanos(refused.adviceMillis());
+  private long insists(ClientCommand.Rejections rejections) {
+    long advice = TimeUnit.MILLISECONDS.toNanos(rejections.adviceMillis());
     long pause = 0;
-    for (int i = 0; i < refused.count(); i++) {
-      pause = insistence.refused(i < refused.repeats(), advice, clock.now());
+    for (int i = 0; i < rejections.count(); i++) {
+      pause = insistence.refused(i < rejections.repeats(), advice, clock.now());
     }
     return pause;
   }
@@ -375,8 +376,8 @@
       return;
     }
     reading = true;
-    ClientCommand.Refused refused = command.refused();
-    int asks = command.answer() == null ? 1 : refused.count();
+    ClientCommand.Rejections rejections = command.rejections();
+    int asks = command.answer() == null ? 1 : rejections.count();
     used |= asks > 0;
     Slot slot = new Slot();
     slots.add(slot);
@@ -391,7 +392,7 @@
       slot.request =
           dispatcher.submit(new Call(command.request(), command.payload(), slot), slot.arrival);
       if (slot.request == null) {
-        answer = codec.idInUse(channel.alloc());
+        answer = codec.encodeDuplicateId(channel.alloc());
         error = true;
       }
     }
@@ -404,7 +405,7 @@
     }
     if (asks > 0) {
       pause(Event.READ_PAUSE_FAIR_SHARE, turns.pause(sent, asks, clock.now()));
-      pause(Event.READ_PAUSE_EARLY_RETRY, insists(refused));
+      pause(Event.READ_PAUSE_EARLY_RETRY, insists(rejections));
     }
     if (slots.size() >= turns.owed()) {
       steer();
@@ -586,7 +587,7 @@
 
   /** Whether it sends the value of a command, and has gone on with that since the given time. */
   boolean sendsValue(long since) {
-    return decoder.inValue() && heardAt - since > 0;
+    return decoder.isReadingValue() && heardAt - since > 0;
   }
 
   /** When bytes came last. */
--- a/engine/src/main/java/shalepaddle/front/RequestAdmission.java
+++ b/engine/src/main/java/shalepaddle/front/RequestAdmission.java
@@ -13,24 +13,24 @@
   long ADMITTED = OverloadControl.ADMITTED;
 
   /** Added to the advice of a refusal whose client has tried before, as far as is known. */
-  long REPEAT = OverloadControl.REPEAT;
+  long RETRY = OverloadControl.REPEAT;
 
   /** Admits all and counts nothing. */
-  RequestAdmission OPEN =
+  RequestAdmission ADMIT_ALL =
       new RequestAdmission() {
         @Override
-        public boolean shuts() {
+        public boolean mayReject() {
           return false;
         }
 
         @Override
-        public long ask(int serviceClass, int tenant, long subject, boolean repeat) {
+        public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
           return ADMITTED;
         }
       };
 
   /** Whether any request may be refused now: while not, none needs to be looked at early. */
-  boolean shuts();
+  boolean mayReject();
 
   /**
    * A request has come.
@@ -40,10 +40,10 @@
    * @param subject a hash of its key
    * @param repeat whether its client marked it as a repeat
    * @return {@link #ADMITTED}, or in how many milliseconds its client should come again, 0 for no
-   *     advice, with {@link #REPEAT} added where it has come again
+   *     advice, with {@link #RETRY} added where it has come again
    */
-  long ask(int serviceClass, int tenant, long subject, boolean repeat);
+  long admit(int serviceClass, int tenant, long subject, boolean repeat);
 
   /** An admitted request of this class was refused all the same, since there is no room for it. */
-  default void turnedAway(String serviceClass) {}
+  default void rejectedAfterAdmission(String serviceClass) {}
 }
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -229,13 +229,15 @@
   /** Asks whether a request is admitted, at the time of the loop. */
   private final class Entrance implements RequestAdmission {
     @Override
-    public boolean shuts() {
-      overload.places((front.owed() + clientsElsewhere) / (config.sockets() * PLACES_SHARE));
+    public boolean mayReject() {
+      overload.places(
+          (front.connectionsAwaitingResponse() + clientsElsewhere)
+              / (config.sockets() * PLACES_SHARE));
       return overload.shedding();
     }
 
     @Override
-    public long ask(int serviceClass, int tenant, long subject, boolean repeat) {
+    public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
       long advice = overload.ask(serviceClass, tenant, subject, repeat, clock.now());
       if (advice != ADMITTED) {
         dispatcher.recorder().count(Event.REJECTED_ADMISSION, 1);
@@ -245,7 +247,7 @@
     }
 
     @Override
-    public void turnedAway(String serviceClass) {
+    public void rejectedAfterAdmission(String serviceClass) {
       dispatcher.recorder().count(Event.REJECTED_MEMORY, 1);
       dispatcher.figures().declined(serviceClass);
     }
@@ -295,7 +297,7 @@
     whole = list.whole(whole);
     pools.update(list, time.now());
     dispatcher.membership(list.update(kind));
-    pools.handBack();
+    pools.failUnroutable();
   }
 
   /** From now on what attempts show is kept there, for a process that takes this one's place. */
@@ -363,7 +365,7 @@
     Runtime heap = Runtime.getRuntime();
     double heapShare = (double) (heap.totalMemory() - heap.freeMemory()) / heap.maxMemory();
     double buffers = transport.memoryShare();
-    double descriptors = own(config) + front.size() + pools.connections();
+    double descriptors = own(config) + front.connectionCount() + pools.connections();
     long now = clock.now();
     overload.uses(
         processor.share(now),
@@ -418,9 +420,9 @@
   private void sweep() {
     if (!closed) {
       sweepLater();
-      front.sweep();
+      front.closeExpired();
       // Who takes this process's place needs the servers' places.
-      pools.closeStale(clock.look(), handedOver ? 0 : overload.posture().idleNanos());
+      pools.closeExpiredIdle(clock.look(), handedOver ? 0 : overload.posture().idleNanos());
       pools.closeStalled();
     }
   }
@@ -435,7 +437,9 @@
             dispatcher.listed(true),
             hangupsApplied,
             hangupsRejected);
-    process = new ProcessState(pid, stage, front.size(), pools.connections(), words.all(), whole);
+    process =
+        new ProcessState(
+            pid, stage, front.connectionCount(), pools.connections(), words.all(), whole);
   }
 
   /** What other processes of this node are told, as it stood some milliseconds ago. Any thread. */
@@ -451,8 +455,8 @@
       List<ServerExclusion> theirs, int partners, int clients, int serverConnections) {
     words.heard(theirs);
     clientsElsewhere = clients;
-    front.limit((int) (config.sockets() * CLIENT_SHARE) - clients);
-    pools.elsewhere(partners, serverConnections);
+    front.setMaxConnections((int) (config.sockets() * CLIENT_SHARE) - clients);
+    pools.setPeerProcessUsage(partners, serverConnections);
   }
 
   /** What has become of requests and attempts, as it stands now. */
@@ -484,8 +488,8 @@
     Settings settings = next.settings();
     dispatcher.retune(settings);
     long now = clock.now();
-    codec.retune(settings, now, now + DROPPED_NANOS);
-    dispatcher.timers().after(DROPPED_NANOS, () -> codec.forget(clock.now()));
+    codec.updateSettings(settings, now, now + DROPPED_NANOS);
+    dispatcher.timers().after(DROPPED_NANOS, () -> codec.expireRemovedClasses(clock.now()));
     config = config.with(settings);
     discovery.moveTo(next.discovery());
     hangupsApplied++;
@@ -538,7 +542,7 @@
         .after(
             TimeUnit.MILLISECONDS.toNanos(release),
             () -> {
-              log.line("draining " + front.size() + " client connections");
+              log.line("draining " + front.connectionCount() + " client connections");
               front.drain(loop, 0, lastCall(answered - release), then);
             });
   }
@@ -553,7 +557,7 @@
     long answered = beginDrain();
     handedOver = true;
     stopAccepting();
-    log.line("handing over " + front.size() + " client connections");
+    log.line("handing over " + front.connectionCount() + " client connections");
     // Where deadlines are short the process is killed before clients have rested for as long.
     long rest = Math.min(REST_MILLIS, Math.max(0, answered - RELEASE_MILLIS));
     front.drain(loop, rest, lastCall(Math.min(answered - rest, RELEASE_MILLIS)), then);
@@ -578,7 +582,7 @@
 
   /** Accepts no more clients; those that are there are served on. */
   private void stopAccepting() {
-    front.shut();
+    front.listenerClosed();
     if (listener instanceof ClientListener shared) {
       shared.stop();
     } else if (listener != null) {
@@ -606,7 +610,7 @@
 
   /** Connections of clients that are open. */
   public int clients() {
-    return front.size();
+    return front.connectionCount();
   }
 
   /** Connections to cache servers that are open or on their way. */
--- a/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
+++ b/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
@@ -49,7 +49,7 @@
 
   /** Whether a server of this id is known. */
   boolean knows(String member) {
-    return pools.knows(MemberList.number(member));
+    return pools.isKnown(MemberList.number(member));
   }
 
   /** Other processes of this node have heard these. */
@@ -72,7 +72,7 @@
   }
 
   private void apply(ServerExclusion word) {
-    pools.exclude(word.server(), word.out());
+    pools.setExcluded(word.server(), word.out());
     dispatcher.exclude(word.server(), word.out());
     changed.run();
   }
--- a/engine/src/main/java/shalepaddle/node/Warmup.java
+++ b/engine/src/main/java/shalepaddle/node/Warmup.java
@@ -125,7 +125,8 @@
             })
         .await();
     MemoryBudget values = new MemoryBudget(1 << 20);
-    MetaClientCodec codec = new MetaClientCodec(values, config.settings(), RequestAdmission.OPEN);
+    MetaClientCodec codec =
+        new MetaClientCodec(values, config.settings(), RequestAdmission.ADMIT_ALL);
     listen(
         loop,
         allocator,
@@ -235,7 +236,8 @@
 
     Cache(NodeConfig config) {
       codec =
-          new MetaClientCodec(new MemoryBudget(1 << 20), config.settings(), RequestAdmission.OPEN);
+          new MetaClientCodec(
+              new MemoryBudget(1 << 20), config.settings(), RequestAdmission.ADMIT_ALL);
     }
 
     @Override
--- a/engine/src/main/java/shalepaddle/upstream/ConnectionBudget.java
+++ b/engine/src/main/java/shalepaddle/upstream/ConnectionBudget.java
@@ -23,7 +23,7 @@
     return taken;
   }
 
-  void elsewhere(int partners, int connections) {
+  void setPeerProcessUsage(int partners, int connections) {
     this.partners = partners;
     elsewhere = connections;
   }
--- a/engine/src/main/java/shalepaddle/upstream/ServerCodec.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerCodec.java
@@ -25,6 +25,6 @@
    */
   abstract class ReplyDecoder extends ByteToMessageDecoder {
     /** Whether a reply has begun and not ended. */
-    public abstract boolean midway();
+    public abstract boolean isMidReply();
   }
 }
--- a/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
@@ -454,7 +454,7 @@
   public void channelReadComplete(ChannelHandlerContext ctx) {
     heard();
     reading = false;
-    if (underWay.isEmpty() && decoder.midway()) {
+    if (underWay.isEmpty() && decoder.isMidReply()) {
       spoil("bytes behind the last reply");
     }
     if (!closed && !spoilt && !retiring) {
@@ -489,7 +489,7 @@
         pieces == null
             ? MAX_PAUSE_NANOS
             : pieces.begun ? MAX_PIECES_PAUSE_NANOS : MAX_EARLY_PAUSE_NANOS;
-    if (decoder.midway() && clock.listened() - listenedAt > most) {
+    if (decoder.isMidReply() && clock.listened() - listenedAt > most) {
       spoil("a reply that does not end");
     }
   }
@@ -503,7 +503,7 @@
       turnedAway = null;
       pool.turnedDown(head);
     }
-    if (!underWay.isEmpty() && !spoilt && !decoder.midway()) {
+    if (!underWay.isEmpty() && !spoilt && !decoder.isMidReply()) {
       rested(true);
     }
     if (pieces != null) {
--- a/engine/src/main/java/shalepaddle/upstream/ServerPools.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPools.java
@@ -20,7 +20,7 @@
   /** Servers that an operator leaves out, also such as are not listed for now. */
   private final Set<Long> excluded = new HashSet<>();
 
-  /** Servers that the list no longer has, until {@link #handBack}. */
+  /** Servers that the list no longer has, until {@link #failUnroutable}. */
   private final Set<Long> gone = new HashSet<>();
 
   private final Bootstrap bootstrap;
@@ -47,7 +47,7 @@
 
   /**
    * Takes in where the servers are now; what waits for those that leave or have left is handed back
-   * by {@link #handBack}.
+   * by {@link #failUnroutable}.
    */
   public void update(MemberList list, double now) {
     if (list.full()) {
@@ -72,7 +72,7 @@
    * What waits for a server that leaves or has left goes back; to be called once the decisions know
    * of that, so that it does not come again until it has used up its attempts.
    */
-  public void handBack() {
+  public void failUnroutable() {
     List<Long> left = List.copyOf(gone);
     gone.clear();
     for (long id : left) {
@@ -85,7 +85,7 @@
   }
 
   /** Whether the server is listed, or left out by an operator. */
-  public boolean knows(long server) {
+  public boolean isKnown(long server) {
     return pools.containsKey(server) || excluded.contains(server);
   }
 
@@ -93,7 +93,7 @@
    * An operator leaves a server out, or puts it back. What waits for a connection to it goes back,
    * never sent; what is under way may end, and no connection is used again.
    */
-  public void exclude(long server, boolean out) {
+  public void setExcluded(long server, boolean out) {
     if (!out) {
       excluded.remove(server);
     } else if (excluded.add(server) && pools.containsKey(server)) {
@@ -148,8 +148,8 @@
   }
 
   /** So many other processes of this node hold so many of those that all may have together. */
-  public void elsewhere(int partners, int connections) {
-    budget.elsewhere(partners, connections);
+  public void setPeerProcessUsage(int partners, int connections) {
+    budget.setPeerProcessUsage(partners, connections);
   }
 
   /** Closes connections on which a reply began and does not go on. */
@@ -163,7 +163,7 @@
    * Closes connections that have been idle for so long that the server might, those idle for longer
    * than what is short allows, and idle ones past this process's part.
    */
-  public void closeStale(long now, long mostNanos) {
+  public void closeExpiredIdle(long now, long mostNanos) {
     for (ServerPool pool : pools.values()) {
       pool.closeIdle(now - Math.min(mostNanos, limits.idleNanos()));
       pool.closeSurplus();
--- a/engine/src/test/java/shalepaddle/node/ClientReadingTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientReadingTest.java
@@ -127,13 +127,13 @@
     RequestAdmission refusing =
         new RequestAdmission() {
           @Override
-          public boolean shuts() {
+          public boolean mayReject() {
             return true;
           }
 
           @Override
-          public long ask(int serviceClass, int tenant, long subject, boolean repeat) {
-            return ADVICE_MILLIS + (repeat ? REPEAT : 0);
+          public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
+            return ADVICE_MILLIS + (repeat ? RETRY : 0);
           }
         };
     try (NodeFixture rig = new NodeFixture()) {
--- a/engine/src/test/java/shalepaddle/node/NodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/NodeTest.java
@@ -376,7 +376,7 @@
   @Test
   void endsAConnectionWithAnEndlessLine() throws Exception {
     ScriptedPeer client = rig.client();
-    client.write("\0".repeat(MetaLine.MAX_LENGTH));
+    client.write("\0".repeat(MetaLine.MAX_LINE_BYTES));
     assertEquals("CLIENT_ERROR line too long", client.line());
     assertNull(client.line());
   }
--- a/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
@@ -27,12 +27,12 @@
     private boolean shuts = true;
 
     @Override
-    public boolean shuts() {
+    public boolean mayReject() {
       return shuts;
     }
 
     @Override
-    public long ask(int serviceClass, int tenant, long subject, boolean repeat) {
+    public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
       asked.add(serviceClass + (repeat ? " again" : ""));
       return shuts && serviceClass == 0 ? 40 : ADMITTED;
     }
@@ -64,7 +64,7 @@
     EmbeddedChannel channel = channel();
     channel.writeInbound(bytes(NodeFixture.get("a1", 500) + NodeFixture.put("w1", 500, "value")));
     ClientCommand read = channel.readInbound();
-    assertEquals(1, read.refused().count());
+    assertEquals(1, read.rejections().count());
     assertEquals("SERVER_ERROR busy 40\r\n", answer(read));
     ClientCommand write = channel.readInbound();
     assertEquals("w1", write.request().id());
@@ -82,8 +82,8 @@
       assertNull(channel.<ClientCommand>readInbound());
       channel.writeInbound(bytes(write.substring(cut) + NodeFixture.get("a" + cut, 500)));
       ClientCommand refused = channel.readInbound();
-      assertEquals(1, refused.refused().count());
-      assertEquals(40, refused.refused().adviceMillis());
+      assertEquals(1, refused.rejections().count());
+      assertEquals(40, refused.rejections().adviceMillis());
       assertEquals("SERVER_ERROR busy 40\r\n", answer(refused));
       assertTrue(budget.reserve(1000), "nothing of the value is held");
       budget.release(1000);
@@ -106,7 +106,7 @@
         .append("mg ke");
     channel.writeInbound(bytes(asked.toString()));
     ClientCommand five = channel.readInbound();
-    assertEquals(5, five.refused().count());
+    assertEquals(5, five.rejections().count());
     assertEquals("SERVER_ERROR busy 40\r\n".repeat(5), answer(five));
     ClientCommand write = channel.readInbound();
     assertEquals("w1", write.request().id(), "what is admitted keeps its place");
@@ -146,7 +146,7 @@
     EmbeddedChannel channel = channel();
     channel.writeInbound(bytes(NodeFixture.get("a1", 500) + NodeFixture.put("w1", 500, "value")));
     ClientCommand read = channel.readInbound();
-    assertEquals(0, read.refused().count());
+    assertEquals(0, read.rejections().count());
     read.release();
     ((ClientCommand) channel.readInbound()).release();
     assertEquals(List.of("0", "1"), gate.asked);
