--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -229,13 +229,15 @@
   /** Asks whether a request is admitted, at the time of the loop. */
   private final class Entrance implements RequestAdmission {
     @Override
-    public boolean shuts() {
-      overload.places((front.owed() + clientsElsewhere) / (config.maxDescriptors() * PLACES_SHARE));
+    public boolean mayReject() {
+      overload.places(
+          (front.connectionsAwaitingResponse() + clientsElsewhere)
+              / (config.maxDescriptors() * PLACES_SHARE));
       return overload.shedding();
     }
 
     @Override
-    public long ask(int serviceClass, int tenant, long subject, boolean repeat) {
+    public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
       long advice = overload.ask(serviceClass, tenant, subject, repeat, clock.now());
       if (advice != ADMITTED) {
         dispatcher.recorder().count(Event.REJECTED_ADMISSION, 1);
@@ -247,7 +249,7 @@
     }
 
     @Override
-    public void turnedAway(String serviceClass) {
+    public void rejectedAfterAdmission(String serviceClass) {
       dispatcher.recorder().count(Event.REJECTED_MEMORY, 1);
       dispatcher.metrics().rejectedBeforeParsing(serviceClass);
     }
@@ -297,7 +299,7 @@
     whole = list.appliedTo(whole);
     pools.update(list, time.now());
     dispatcher.membership(list.toUpdate(kind));
-    pools.handBack();
+    pools.failUnroutable();
   }
 
   /** From now on what attempts show is kept there, for a process that takes this one's place. */
@@ -365,7 +367,7 @@
     Runtime heap = Runtime.getRuntime();
     double heapShare = (double) (heap.totalMemory() - heap.freeMemory()) / heap.maxMemory();
     double buffers = transport.bufferMemoryRatio();
-    double descriptors = own(config) + front.size() + pools.connections();
+    double descriptors = own(config) + front.connectionCount() + pools.connections();
     long now = clock.now();
     overload.uses(
         processor.usedRatio(now),
@@ -420,9 +422,9 @@
   private void sweep() {
     if (!closed) {
       sweepLater();
-      front.sweep();
+      front.closeExpired();
       // Who takes this process's place needs the servers' places.
-      pools.closeStale(clock.refresh(), handedOver ? 0 : overload.posture().idleNanos());
+      pools.closeExpiredIdle(clock.refresh(), handedOver ? 0 : overload.posture().idleNanos());
       pools.closeStalled();
     }
   }
@@ -437,7 +439,9 @@
             dispatcher.serverCount(true),
             hangupsApplied,
             hangupsRejected);
-    process = new ProcessState(pid, stage, front.size(), pools.connections(), words.all(), whole);
+    process =
+        new ProcessState(
+            pid, stage, front.connectionCount(), pools.connections(), words.all(), whole);
   }
 
   /** What other processes of this node are told, as it stood some milliseconds ago. Any thread. */
@@ -453,8 +457,8 @@
       List<ServerExclusion> theirs, int partners, int clients, int serverConnections) {
     words.merge(theirs);
     clientsElsewhere = clients;
-    front.limit((int) (config.maxDescriptors() * CLIENT_SHARE) - clients);
-    pools.elsewhere(partners, serverConnections);
+    front.setMaxConnections((int) (config.maxDescriptors() * CLIENT_SHARE) - clients);
+    pools.setPeerProcessUsage(partners, serverConnections);
   }
 
   /** What has become of requests and attempts, as it stands now. */
@@ -486,8 +490,8 @@
     Settings settings = next.settings();
     dispatcher.retune(settings);
     long now = clock.now();
-    codec.retune(settings, now, now + DROPPED_NANOS);
-    dispatcher.timers().runNoEarlierThan(DROPPED_NANOS, () -> codec.forget(clock.now()));
+    codec.updateSettings(settings, now, now + DROPPED_NANOS);
+    dispatcher.timers().runNoEarlierThan(DROPPED_NANOS, () -> codec.expireRemovedClasses(clock.now()));
     config = config.withSettings(settings);
     discovery.switchTo(next.discovery());
     hangupsApplied++;
@@ -542,7 +546,7 @@
         .runNoEarlierThan(
             TimeUnit.MILLISECONDS.toNanos(release),
             () -> {
-              log.line("draining " + front.size() + " client connections");
+              log.line("draining " + front.connectionCount() + " client connections");
               front.drain(loop, 0, lastCall(answered - release), then);
             });
   }
@@ -557,7 +561,7 @@
     long answered = beginDrain();
     handedOver = true;
     stopAccepting();
-    log.line("handing over " + front.size() + " client connections");
+    log.line("handing over " + front.connectionCount() + " client connections");
     // Where deadlines are short the process is killed before clients have rested for as long.
     long rest = Math.min(REST_MILLIS, Math.max(0, answered - RELEASE_MILLIS));
     front.drain(loop, rest, lastCall(Math.min(answered - rest, RELEASE_MILLIS)), then);
@@ -582,7 +586,7 @@
 
   /** Accepts no more clients; those that are there are served on. */
   private void stopAccepting() {
-    front.shut();
+    front.listenerClosed();
     if (listener instanceof ClientListener shared) {
       shared.stop();
     } else if (listener != null) {
@@ -610,7 +614,7 @@
 
   /** Connections of clients that are open. */
   public int clientConnections() {
-    return front.size();
+    return front.connectionCount();
   }
 
   /** Connections to cache servers that are open or on their way. */
--- a/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
+++ b/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
@@ -49,7 +49,7 @@
 
   /** Whether a server of this id is known. */
   boolean isKnown(String member) {
-    return pools.knows(MemberList.serverNumber(member));
+    return pools.isKnown(MemberList.serverNumber(member));
   }
 
   /** Other processes of this node have heard these. */
@@ -72,7 +72,7 @@
   }
 
   private void apply(ServerExclusion word) {
-    pools.exclude(word.server(), word.excluded());
+    pools.setExcluded(word.server(), word.excluded());
     dispatcher.exclude(word.server(), word.excluded());
     changed.run();
   }
