--- /dev/null
+++ b/cluster/src/test/java/shalepaddle/storage/RaftLogFormatTest.java
@@ -0,0 +1,146 @@
+package shalepaddle.storage;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.microraft.MembershipChangeMode;
+import io.microraft.model.groupop.UpdateRaftGroupMembersOp;
+import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.SnapshotChunk;
+import io.microraft.persistence.RestoredRaftState;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import shalepaddle.encoding.Endpoint;
+import shalepaddle.encoding.LogEntryCodec;
+import shalepaddle.encoding.ReplicatedStateCodec;
+import shalepaddle.replicatedstate.CommandResult;
+import shalepaddle.replicatedstate.Proposal;
+import shalepaddle.replicatedstate.ReplicatedState;
+import shalepaddle.replicatedstate.StateCommand;
+
+/**
+ * The stored format, against folders that an earlier version wrote.
+ *
+ * <p>{@code raft-log-format-1} is the folder of member m0 of group birds after a crash: the current
+ * segment, with a record of every kind and a partial record at its end, an older segment, and one
+ * that was not completed. {@code raft-log-format-1-reopened} is the segment to which that version
+ * compacted it when it opened the folder. Both were written by version 0.1.0 and never change.
+ */
+class RaftLogFormatTest {
+  private static final String FOLDER = "/raft-log-format-1/";
+  private static final String CURRENT = "journal-0000000000000002";
+  private static final String COMPACTED = "journal-0000000000000003";
+  private static final List<String> FILES =
+      List.of("journal-0000000000000001", CURRENT, "lock", "next-0000000000000003");
+
+  private static byte[] resource(String name) throws IOException {
+    try (InputStream stream = RaftLogFormatTest.class.getResourceAsStream(name)) {
+      return stream.readAllBytes();
+    }
+  }
+
+  private static void copyTo(Path folder) throws IOException {
+    for (String file : FILES) {
+      Files.write(folder.resolve(file), resource(FOLDER + file));
+    }
+  }
+
+  private static Proposal proposal(LogEntry entry) throws IOException {
+    return ReplicatedStateCodec.proposal((byte[]) entry.getOperation());
+  }
+
+  @Test
+  void opensLogFolderWrittenByEarlierVersion(@TempDir Path folder) throws Exception {
+    copyTo(folder);
+    RestoredRaftState state;
+    try (FileLogDirectory directory = new FileLogDirectory(folder)) {
+      assertEquals(List.of("birds", "m0"), RaftLogStore.owner(directory));
+      RaftLogStore store = new RaftLogStore(directory, "birds", "m0");
+      assertEquals(
+          List.of(
+              folder.resolve(CURRENT) + ": 17 bytes of a write that was cut short are left out"),
+          store.told());
+      assertEquals(9, store.lastIndex());
+      assertEquals(3, store.term());
+      state = store.restored();
+    }
+
+    assertEquals(new Endpoint("m0"), state.getLocalEndpointPersistentState().getLocalEndpoint());
+    assertTrue(state.getLocalEndpointPersistentState().isVoting());
+    assertEquals(
+        List.of("m0", "m1", "m2"),
+        LogEntryCodec.names(state.getInitialGroupMembers().getMembers()));
+    assertEquals(3, state.getTermPersistentState().getTerm());
+    assertEquals(new Endpoint("m0"), state.getTermPersistentState().getVotedFor());
+
+    List<LogEntry> entries = state.getLogEntries();
+    assertEquals(List.of(5L, 6L, 7L, 8L, 9L), entries.stream().map(LogEntry::getIndex).toList());
+    assertEquals(List.of(1, 2, 3, 3, 3), entries.stream().map(LogEntry::getTerm).toList());
+    UpdateRaftGroupMembersOp change =
+        assertInstanceOf(UpdateRaftGroupMembersOp.class, entries.get(0).getOperation());
+    assertEquals(MembershipChangeMode.ADD_LEARNER, change.getMode());
+    assertEquals(new Endpoint("m3"), change.getEndpoint());
+    assertEquals(List.of("m0", "m1", "m2", "m3"), LogEntryCodec.names(change.getMembers()));
+    assertEquals(List.of("m0", "m1", "m2"), LogEntryCodec.names(change.getVotingMembers()));
+    assertEquals(
+        new Proposal("id-6", 1003, new StateCommand.Say("s-1", false)), proposal(entries.get(1)));
+    assertArrayEquals(LogEntryCodec.NOTHING, (byte[]) entries.get(2).getOperation());
+    assertEquals(
+        new Proposal("id-8", 1006, new StateCommand.Say("s-3", true)), proposal(entries.get(3)));
+    assertEquals(
+        new Proposal("id-9", 1007, new StateCommand.Unknown(79)), proposal(entries.get(4)));
+  }
+
+  @Test
+  void readsSnapshotWrittenByEarlierVersion(@TempDir Path folder) throws Exception {
+    copyTo(folder);
+    RestoredRaftState state;
+    try (RaftLogStore store = new RaftLogStore(new FileLogDirectory(folder), "birds", "m0")) {
+      state = store.restored();
+    }
+    assertEquals(4, state.getSnapshotEntry().getIndex());
+    assertEquals(1, state.getSnapshotEntry().getTerm());
+    assertEquals(2, state.getSnapshotEntry().getSnapshotChunkCount());
+    ByteArrayOutputStream image = new ByteArrayOutputStream();
+    List<?> chunks = (List<?>) state.getSnapshotEntry().getOperation();
+    for (Object chunk : chunks) {
+      image.writeBytes((byte[]) ((SnapshotChunk) chunk).getOperation());
+    }
+    assertEquals(
+        new ReplicatedState.Image(
+            4,
+            1002,
+            List.of("s-1", "s-2"),
+            List.of(
+                new ReplicatedState.Given(
+                    "id-2", 1000, new CommandResult(CommandResult.Kind.HELD, 2)),
+                new ReplicatedState.Given(
+                    "id-3", 1001, new CommandResult(CommandResult.Kind.HELD, 3)),
+                new ReplicatedState.Given(
+                    "id-4", 1002, new CommandResult(CommandResult.Kind.NOT_KNOWN, 4)))),
+        ReplicatedStateCodec.image(image.toByteArray()));
+  }
+
+  /** An earlier version must be able to read what this one leaves behind. */
+  @Test
+  void compactsToTheSameBytesAsEarlierVersion(@TempDir Path folder) throws Exception {
+    copyTo(folder);
+    new RaftLogStore(new FileLogDirectory(folder), "birds", "m0").close();
+    try (var files = Files.list(folder)) {
+      assertEquals(
+          List.of(COMPACTED, "lock"),
+          files.map(file -> file.getFileName().toString()).sorted().toList());
+    }
+    assertArrayEquals(
+        resource("/raft-log-format-1-reopened/" + COMPACTED),
+        Files.readAllBytes(folder.resolve(COMPACTED)));
+  }
+}
