--- a/capacity/src/main/java/shalepaddle/capacity/CapacityRun.java
+++ b/capacity/src/main/java/shalepaddle/capacity/CapacityRun.java
@@ -230,7 +230,7 @@
                 ENTRIES,
                 BODY_BYTES,
                 FEED_SECONDS,
-                ChangeFeedPublisher.Limits.USUAL,
+                ChangeFeedPublisher.Limits.DEFAULT,
                 HollowFeed.real(3),
                 seed));
     if (weather.vanishes >= 0) {
--- a/capacity/src/main/java/shalepaddle/capacity/HollowFeed.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowFeed.java
@@ -68,14 +68,14 @@
 
   /** Makes the decisions of a node. */
   interface Followers {
-    ChangeFeedSubscriber make(int node, long seed, long now, ChangeFeedSubscriber.Carrier carrier);
+    ChangeFeedSubscriber make(int node, long seed, long now, ChangeFeedSubscriber.Output carrier);
   }
 
   /** The decisions that are built, before so many members. */
   static Followers real(int members) {
     return (node, seed, now, carrier) ->
         new ChangeFeedSubscriber(
-            "g", "n" + node, members, seed, now, ChangeFeedSubscriber.Pace.USUAL, carrier);
+            "g", "n" + node, members, seed, now, ChangeFeedSubscriber.Timeouts.DEFAULT, carrier);
   }
 
   /**
@@ -160,7 +160,7 @@
           () -> {
             if (stands()) {
               long began = System.nanoTime();
-              member.publisher.said(now, number, said);
+              member.publisher.received(now, number, said);
               member.nanos += System.nanoTime() - began;
             }
           });
@@ -182,14 +182,14 @@
         bytes += ENTRY_BYTES + entry.body().length;
       }
     } else if (told instanceof PublisherMessage.Snapshot snapshot) {
-      bytes += snapshot.image().length;
+      bytes += snapshot.state().length;
     }
     // One header for each packet of 1,400 bytes.
     return bytes + bytes / 1400 * PACKET_BYTES;
   }
 
   /** A member of the group: its part of the log, and who follows it. */
-  private final class Member implements ChangeFeedPublisher.Carrier {
+  private final class Member implements ChangeFeedPublisher.Output {
     final int number;
     final int region;
     final Map<Long, Connection> followers = new HashMap<>();
@@ -210,7 +210,7 @@
 
     void begins() {
       publisher = new ChangeFeedPublisher("g", now, plan.limits, this);
-      publisher.led(now, true);
+      publisher.setLeaderKnown(now, true);
       followers.clear();
     }
 
@@ -221,14 +221,14 @@
       }
       long began = System.nanoTime();
       while (applied < upTo) {
-        publisher.applied(now, log.get(applied++).entry);
+        publisher.entryApplied(now, log.get(applied++).entry);
       }
       nanos += System.nanoTime() - began;
-      mostFollowers = Math.max(mostFollowers, publisher.followers());
+      mostFollowers = Math.max(mostFollowers, publisher.subscriberCount());
     }
 
     @Override
-    public void tell(long connection, PublisherMessage told) {
+    public void send(long connection, PublisherMessage told) {
       snapshots += told instanceof PublisherMessage.Snapshot ? 1 : 0;
       Connection to = followers.get(connection);
       if (to != null) {
@@ -237,7 +237,7 @@
     }
 
     @Override
-    public void drop(long connection) {
+    public void close(long connection) {
       Connection dropped = followers.remove(connection);
       if (dropped != null && !dropped.ended) {
         at(
@@ -248,18 +248,18 @@
 
     @Override
     public PublisherMessage.Snapshot snapshot() {
-      return new PublisherMessage.Snapshot(publisher.index(), new byte[2000]);
+      return new PublisherMessage.Snapshot(publisher.lastIndex(), new byte[2000]);
     }
 
     void hearsOfEnd(Connection connection) {
       if (followers.remove(connection.number) != null) {
-        publisher.gone(connection.number);
+        publisher.disconnected(connection.number);
       }
     }
   }
 
   /** A node. */
-  private final class Node implements ChangeFeedSubscriber.Carrier {
+  private final class Node implements ChangeFeedSubscriber.Output {
     final int number;
     final int region;
     final long[] cutFrom = new long[plan.members];
@@ -309,11 +309,11 @@
 
     private void arm() {
       ChangeFeedSubscriber present = follower;
-      long due = present.nextDue();
+      long due = present.nextTickNanos();
       at(
           Math.max(due, now),
           () -> {
-            if (present == follower && present.nextDue() <= now) {
+            if (present == follower && present.nextTickNanos() <= now) {
               run(f -> f.tick(now));
             }
           });
@@ -324,7 +324,7 @@
         run(
             f -> {
               if (from == connection) {
-                f.told(now, told);
+                f.received(now, told);
               }
             });
       }
@@ -334,7 +334,7 @@
       if (ended == connection) {
         connection = null;
         ended.ended = true;
-        run(f -> f.down(now));
+        run(f -> f.disconnected(now));
       }
     }
 
@@ -368,7 +368,7 @@
             run(
                 f -> {
                   if (made == connection) {
-                    f.up(now);
+                    f.connected(now);
                   }
                 });
           });
@@ -383,7 +383,7 @@
     }
 
     @Override
-    public void say(SubscriberMessage said) {
+    public void send(SubscriberMessage said) {
       if (connection != null) {
         connection.up(said);
       }
@@ -399,7 +399,7 @@
     }
 
     @Override
-    public boolean load(long index, byte[] image) {
+    public boolean installSnapshot(long index, byte[] image) {
       takes(index);
       return true;
     }
@@ -419,13 +419,13 @@
     }
 
     @Override
-    public void contact(boolean in) {
+    public void contactChanged(boolean in) {
       contact = in;
       contactSince = now;
     }
 
     @Override
-    public void turnedDown(int member, String why) {}
+    public void rejected(int member, String why) {}
   }
 
   private final Plan plan;
@@ -476,10 +476,10 @@
     for (Member member : members) {
       if (member.alive) {
         long began = System.nanoTime();
-        member.publisher.led(now, member.behindUntil <= now && noLeaderUntil <= now);
+        member.publisher.setLeaderKnown(now, member.behindUntil <= now && noLeaderUntil <= now);
         member.publisher.tick(now);
         member.nanos += System.nanoTime() - began;
-        member.mostOutBytes = Math.max(member.mostOutBytes, member.publisher.outBytes());
+        member.mostOutBytes = Math.max(member.mostOutBytes, member.publisher.inFlightBytes());
       }
     }
     at(now + TICK, this::tick);
--- a/capacity/src/test/java/shalepaddle/capacity/ChangeFeedSimulationTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/ChangeFeedSimulationTest.java
@@ -24,15 +24,15 @@
 
   private static HollowFeed.Plan plan(
       int nodes, double loss, long keptBytes, long seed, HollowFeed.Followers followers) {
-    ChangeFeedPublisher.Limits usual = ChangeFeedPublisher.Limits.USUAL;
+    ChangeFeedPublisher.Limits usual = ChangeFeedPublisher.Limits.DEFAULT;
     ChangeFeedPublisher.Limits limits =
         new ChangeFeedPublisher.Limits(
-            usual.mostFollowers(),
+            usual.maxSubscribers(),
             keptBytes,
             4000,
-            usual.aliveNanos(),
-            usual.silenceNanos(),
-            usual.aloneNanos());
+            usual.heartbeatNanos(),
+            usual.ackTimeoutNanos(),
+            usual.leaderLossTimeoutNanos());
     return new HollowFeed.Plan(nodes, 3, 5, 80_000_000L, loss, 6, 120, 25, limits, followers, seed);
   }
 
@@ -82,21 +82,21 @@
   }
 
   /** Changes what a follower is made with, and nothing else. */
-  private static HollowFeed.Followers broken(ChangeFeedSubscriber.Pace pace) {
+  private static HollowFeed.Followers broken(ChangeFeedSubscriber.Timeouts pace) {
     return (node, seed, now, carrier) ->
         new ChangeFeedSubscriber("g", "n" + node, 3, seed, now, pace, carrier);
   }
 
   @Test
   void aNodeThatWaitsForeverOnASilentMemberIsFound() {
-    ChangeFeedSubscriber.Pace usual = ChangeFeedSubscriber.Pace.USUAL;
-    ChangeFeedSubscriber.Pace patient =
-        new ChangeFeedSubscriber.Pace(
+    ChangeFeedSubscriber.Timeouts usual = ChangeFeedSubscriber.Timeouts.DEFAULT;
+    ChangeFeedSubscriber.Timeouts patient =
+        new ChangeFeedSubscriber.Timeouts(
             60 * SECOND,
-            usual.connectNanos(),
-            usual.firstWaitNanos(),
-            usual.mostWaitNanos(),
-            usual.takenNanos(),
+            usual.connectTimeoutNanos(),
+            usual.initialBackoffNanos(),
+            usual.maxBackoffNanos(),
+            usual.ackIntervalNanos(),
             60 * SECOND);
     List<String> found = play(DAYS, broken(patient));
     assertTrue(found.stream().anyMatch(breach -> breach.contains("lacks entry")), found.toString());
@@ -104,14 +104,14 @@
 
   @Test
   void aMemberThatPublishesWhatItLostSightOfIsFound() {
-    ChangeFeedPublisher.Limits usual = ChangeFeedPublisher.Limits.USUAL;
+    ChangeFeedPublisher.Limits usual = ChangeFeedPublisher.Limits.DEFAULT;
     ChangeFeedPublisher.Limits never =
         new ChangeFeedPublisher.Limits(
-            usual.mostFollowers(),
-            usual.mostBytes(),
+            usual.maxSubscribers(),
+            usual.maxRetainedBytes(),
             usual.windowBytes(),
-            usual.aliveNanos(),
-            usual.silenceNanos(),
+            usual.heartbeatNanos(),
+            usual.ackTimeoutNanos(),
             1000 * SECOND);
     HollowFeed.Plan plan =
         new HollowFeed.Plan(9, 3, 3, 80_000_000L, 0, 6, 120, 25, never, HollowFeed.real(3), 1);
@@ -159,7 +159,7 @@
                   6,
                   120,
                   15,
-                  ChangeFeedPublisher.Limits.USUAL,
+                  ChangeFeedPublisher.Limits.DEFAULT,
                   HollowFeed.real(3),
                   seed));
       feed.vanish(6 * SECOND, 1, 6 * SECOND);
--- a/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
@@ -189,7 +189,8 @@
             CountDownLatch end = new CountDownLatch(1);
             try (GroupMember member = new GroupMember(own.place(group), System.err::println)) {
               if (feed != null) {
-                System.err.println("feeds on " + member.feed(MemberList.address(feed)));
+                System.err.println(
+                    "feeds on " + member.listenForSubscribers(MemberList.address(feed)));
               }
               member.start(new Lines());
               System.err.println("listens on " + member.address());
@@ -206,22 +207,22 @@
     private String last = "";
 
     @Override
-    public void applied(long index, byte[] body, Proposal proposal, CommandResult answer) {}
+    public void entryApplied(long index, byte[] body, Proposal proposal, CommandResult answer) {}
 
     @Override
-    public void restored(ReplicatedState.Image image) {
+    public void snapshotInstalled(ReplicatedState.Snapshot image) {
       System.err.println("caught up by a snapshot to entry " + image.index());
     }
 
     @Override
-    public void changed(MemberStatus now) {
+    public void statusChanged(MemberStatus now) {
       String line =
           "group: term %d, leader %s, voting %s%s"
               .formatted(
                   now.term(),
                   now.leader(),
-                  now.voting(),
-                  now.steppedAside() == null ? "" : ", stepped aside: " + now.steppedAside());
+                  now.votingMembers(),
+                  now.inactiveReason() == null ? "" : ", stepped aside: " + now.inactiveReason());
       if (!line.equals(last)) {
         last = line;
         System.err.println(line);
@@ -261,11 +262,11 @@
             standing.role(),
             standing.term(),
             standing.leader(),
-            standing.committed(),
-            standing.last(),
-            standing.voting(),
-            standing.steppedAside() == null ? "" : "  ASIDE: " + standing.steppedAside());
-        return standing.leads();
+            standing.commitIndex(),
+            standing.lastLogIndex(),
+            standing.votingMembers(),
+            standing.inactiveReason() == null ? "" : "  ASIDE: " + standing.inactiveReason());
+        return standing.isLeader();
       } catch (IOException e) {
         System.out.printf("%-12s no answer: %s%n", member, e.getMessage());
         return false;
@@ -277,12 +278,12 @@
         throws IOException, InterruptedException {
       for (int i = 0; i < 20; i++) {
         try {
-          return caller.standing(member);
+          return caller.status(member);
         } catch (IOException e) {
           Thread.sleep(20);
         }
       }
-      return caller.standing(member);
+      return caller.status(member);
     }
   }
 
@@ -321,11 +322,11 @@
                 new Proposal(
                     id,
                     System.currentTimeMillis(),
-                    new StateCommand.Say(server, word.equals("exclude")));
+                    new StateCommand.SetExclusion(server, word.equals("exclude")));
             try (GroupClient caller = group.caller()) {
-              CommandResult answer = caller.hold(proposal, null, millis);
-              System.out.println(answer.kind() + " as entry " + answer.index());
-              return answer.kind() == CommandResult.Kind.HELD ? 0 : 1;
+              CommandResult answer = caller.propose(proposal, null, millis);
+              System.out.println(answer.outcome().wireName() + " as entry " + answer.index());
+              return answer.outcome() == CommandResult.Outcome.COMMITTED ? 0 : 1;
             } catch (IOException e) {
               throw new IOException(e.getMessage() + "; ask again with --id " + id, e);
             }
@@ -347,7 +348,7 @@
           "held",
           () -> {
             try (GroupClient caller = group.caller()) {
-              caller.read(null, 3000).out().forEach(System.out::println);
+              caller.read(null, 3000).excludedServers().forEach(System.out::println);
             }
             return 0;
           });
@@ -371,7 +372,7 @@
           "remove",
           () -> {
             try (GroupClient caller = group.caller()) {
-              caller.remove(name, 10_000);
+              caller.removeMember(name, 10_000);
             }
             return 0;
           });
--- a/cli/src/main/java/shalepaddle/cli/FollowCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/FollowCommand.java
@@ -59,20 +59,20 @@
     }
 
     @Override
-    public void applied(long to, Proposal proposal, CommandResult answer) {
+    public void entryApplied(long to, Proposal proposal, CommandResult answer) {
       goesOn(to);
     }
 
     @Override
-    public void restored(ReplicatedState.Image image) {
+    public void snapshotInstalled(ReplicatedState.Snapshot image) {
       goesOn(image.index());
     }
 
     @Override
-    public void contact(boolean in) {}
+    public void contactChanged(boolean in) {}
 
     @Override
-    public void line(String text) {
+    public void diagnostic(String text) {
       System.err.println(name + ": " + text);
     }
   }
@@ -107,11 +107,12 @@
 
   /** A line for each change, five a second at the most. */
   private void tell() {
-    long inContact = followers.stream().filter(follower -> follower.link.inContact()).count();
-    long least = followers.stream().mapToLong(follower -> follower.link.index()).min().orElse(0);
-    long most = followers.stream().mapToLong(follower -> follower.link.index()).max().orElse(0);
+    long inContact = followers.stream().filter(follower -> follower.link.isInContact()).count();
+    long least =
+        followers.stream().mapToLong(follower -> follower.link.lastIndex()).min().orElse(0);
+    long most = followers.stream().mapToLong(follower -> follower.link.lastIndex()).max().orElse(0);
     Set<List<String>> states = new HashSet<>();
-    followers.forEach(follower -> states.add(follower.link.held().out()));
+    followers.forEach(follower -> states.add(follower.link.snapshot().excludedServers()));
     String line =
         "%d of %d in contact, up to %d to %d, %s"
             .formatted(
--- a/cli/src/test/java/shalepaddle/cli/ChangeFeedIT.java
+++ b/cli/src/test/java/shalepaddle/cli/ChangeFeedIT.java
@@ -145,9 +145,11 @@
       for (int word = 0; word < WORDS; word++) {
         Proposal proposal =
             new Proposal(
-                "r" + run + "w" + word, 1000 + word, new StateCommand.Say("s-" + word, true));
-        CommandResult answer = caller.hold(proposal, null, 60_000);
-        assertEquals(CommandResult.Kind.HELD, answer.kind());
+                "r" + run + "w" + word,
+                1000 + word,
+                new StateCommand.SetExclusion("s-" + word, true));
+        CommandResult answer = caller.propose(proposal, null, 60_000);
+        assertEquals(CommandResult.Outcome.COMMITTED, answer.outcome());
         index = answer.index();
         trouble(word, random);
         Thread.sleep(random.nextInt(60));
--- a/cli/src/test/java/shalepaddle/cli/ClusterIT.java
+++ b/cli/src/test/java/shalepaddle/cli/ClusterIT.java
@@ -134,13 +134,15 @@
         String id = "r" + run + "c" + number + "i" + i;
         Proposal proposal =
             new Proposal(
-                id, 1000 + i, new StateCommand.Say("s-" + number + "-" + i % 7, i % 3 != 0));
-        CommandResult answer = caller.hold(proposal, null, 60_000);
+                id,
+                1000 + i,
+                new StateCommand.SetExclusion("s-" + number + "-" + i % 7, i % 3 != 0));
+        CommandResult answer = caller.propose(proposal, null, 60_000);
         yes.put(id, answer.index());
         highestYes.accumulateAndGet(answer.index(), Math::max);
         if (random.nextInt(5) == 0) {
           long atLeast = highestYes.get();
-          ReplicatedState.Image image = caller.read(null, 60_000);
+          ReplicatedState.Snapshot image = caller.read(null, 60_000);
           if (image.index() < atLeast) {
             broken.add("read up to " + image.index() + ", " + atLeast + " was answered before");
           }
@@ -239,13 +241,13 @@
     Machine fresh = add(name);
     assertEquals(0, fresh.command("join", began).waitFor());
     fresh.process = fresh.command("member", began);
-    caller.know(name, fresh.address());
-    caller.forget(lost.name);
+    caller.setAddress(name, fresh.address());
+    caller.removeAddress(lost.name);
     machines.remove(lost.name);
     for (int i = 0; i < 600; i++) {
       try {
-        if (caller.standing(name).voting().contains(name)) {
-          caller.remove(lost.name, 20_000);
+        if (caller.status(name).votingMembers().contains(name)) {
+          caller.removeMember(lost.name, 20_000);
           return;
         }
       } catch (IOException e) {
@@ -262,13 +264,14 @@
       for (int i = 0; i < CALLS; i++) {
         String id = "r" + run + "c" + number + "i" + i;
         CommandResult again =
-            caller.hold(new Proposal(id, 1, new StateCommand.Say("another", true)), null, 30_000);
+            caller.propose(
+                new Proposal(id, 1, new StateCommand.SetExclusion("another", true)), null, 30_000);
         if (again.index() != yes.getOrDefault(id, -1L)) {
           broken.add(id + " was " + yes.get(id) + " and is " + again.index());
         }
       }
     }
-    if (caller.read(null, 30_000).out().contains("another")) {
+    if (caller.read(null, 30_000).excludedServers().contains("another")) {
       broken.add("a promise that was asked again had a second effect");
     }
     assertTrue(highestYes.get() >= (long) CALLERS * CALLS);
--- a/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
@@ -46,29 +46,29 @@
             "",
             new MemberTransport.Listener() {
               @Override
-              public void agree(byte[] message) {}
+              public void raftMessage(byte[] message) {}
 
               @Override
-              public CompletionStage<byte[]> asked(String what, byte[] body) {
+              public CompletionStage<byte[]> request(String what, byte[] body) {
                 return CompletableFuture.failedFuture(new IOException("never: nobody is here"));
               }
 
               @Override
-              public void line(String text) {
+              public void diagnostic(String text) {
                 log.accept(text);
               }
             });
-    members.forEach(this::know);
+    members.forEach(this::setAddress);
   }
 
   /** A member is to be found there. */
-  public synchronized void know(String member, InetSocketAddress address) {
+  public synchronized void setAddress(String member, InetSocketAddress address) {
     members.put(member, address);
-    links.know(member, address);
+    links.setAddress(member, address);
   }
 
   /** A member is asked no more. */
-  public synchronized void forget(String member) {
+  public synchronized void removeAddress(String member) {
     members.remove(member);
   }
 
@@ -86,27 +86,27 @@
    * @param first who is asked before all others, null for any
    * @throws IOException if nobody has answered by then: it may be held, ask again under the same id
    */
-  public CommandResult hold(Proposal proposal, String first, long millis)
+  public CommandResult propose(Proposal proposal, String first, long millis)
       throws IOException, InterruptedException {
     return ReplicatedStateCodec.answer(
         ask(GroupMember.HOLD, ReplicatedStateCodec.proposal(proposal), first, millis));
   }
 
   /** What is held now. */
-  public ReplicatedState.Image read(String first, long millis)
+  public ReplicatedState.Snapshot read(String first, long millis)
       throws IOException, InterruptedException {
     return ReplicatedStateCodec.image(ask(GroupMember.READ, new byte[0], first, millis));
   }
 
   /** Takes a member out of the group for good. */
-  public void remove(String member, long millis) throws IOException, InterruptedException {
+  public void removeMember(String member, long millis) throws IOException, InterruptedException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     IOException last = new IOException("nobody leads");
     while (System.nanoTime() - until < 0) {
       for (String one : all(null)) {
         try {
-          MemberStatus standing = standing(one);
-          if (!standing.leads()) {
+          MemberStatus standing = status(one);
+          if (!standing.isLeader()) {
             continue;
           }
           if (!standing.members().contains(member)) {
@@ -123,7 +123,7 @@
   }
 
   /** How a member sees the group. */
-  public MemberStatus standing(String member) throws IOException, InterruptedException {
+  public MemberStatus status(String member) throws IOException, InterruptedException {
     return MemberStatusCodec.standing(once(member, GroupMember.STANDING, new byte[0], ONE_MILLIS));
   }
 
@@ -151,7 +151,7 @@
   private byte[] once(String member, String what, byte[] body, long millis)
       throws IOException, InterruptedException {
     try {
-      return links.ask(member, what, body, millis).get(millis + 1000, TimeUnit.MILLISECONDS);
+      return links.request(member, what, body, millis).get(millis + 1000, TimeUnit.MILLISECONDS);
     } catch (ExecutionException e) {
       throw e.getCause() instanceof IOException cause ? cause : new IOException(e.getCause());
     } catch (TimeoutException e) {
--- a/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
@@ -17,7 +17,7 @@
 import shalepaddle.encoding.ReplicatedStateCodec;
 import shalepaddle.raft.MemberStatus;
 import shalepaddle.raft.NotCommittedException;
-import shalepaddle.raft.NotCommittedException.Known;
+import shalepaddle.raft.NotCommittedException.Outcome;
 import shalepaddle.raft.RaftMember;
 import shalepaddle.replicatedstate.CommandResult;
 import shalepaddle.replicatedstate.Proposal;
@@ -66,7 +66,7 @@
   private volatile RaftMember agreement;
 
   /** Null where no node follows this member. */
-  private ChangeFeedServer feed;
+  private ChangeFeedServer listenForSubscribers;
 
   /**
    * Opens the member's folder and listens; {@link #start} takes part.
@@ -80,7 +80,7 @@
     FileLogDirectory disk = new FileLogDirectory(place.folder());
     RaftLogStore opened = null;
     try {
-      if (RaftLogStore.owner(disk) == null) {
+      if (RaftLogStore.readOwner(disk) == null) {
         throw new IOException(
             place.folder()
                 + " holds no member: begin it with init where the group begins, and with join, under a"
@@ -88,7 +88,7 @@
       }
       opened = new RaftLogStore(disk, place.group(), place.name());
       journal = opened;
-      opened.told().forEach(log);
+      opened.recoveryWarnings().forEach(log);
       turns = new MemberThread(log);
       links =
           new MemberTransport(
@@ -97,7 +97,7 @@
       disk.close();
       throw e;
     }
-    place.others().forEach(links::know);
+    place.others().forEach(links::setAddress);
   }
 
   private static String advertised(MemberConfig place) {
@@ -131,7 +131,7 @@
   private static void begin(MemberConfig place, boolean first) throws IOException {
     FileLogDirectory disk = new FileLogDirectory(place.folder());
     try {
-      List<String> owner = RaftLogStore.owner(disk);
+      List<String> owner = RaftLogStore.readOwner(disk);
       if (owner != null) {
         throw new IOException(
             "%s holds member '%s' of group '%s' already: nothing was changed"
@@ -139,7 +139,7 @@
       }
       RaftLogStore journal = new RaftLogStore(disk, place.group(), place.name());
       if (first) {
-        journal.beginGroup(place.members().keySet());
+        journal.initializeGroup(place.members().keySet());
       }
     } finally {
       disk.close();
@@ -152,37 +152,37 @@
    * @return where it listens for them
    * @throws IOException if it can not listen there
    */
-  public InetSocketAddress feed(InetSocketAddress listen) throws IOException {
-    feed = new ChangeFeedServer(place.group(), listen, turns, this::state, log);
-    return feed.address();
+  public InetSocketAddress listenForSubscribers(InetSocketAddress listen) throws IOException {
+    listenForSubscribers = new ChangeFeedServer(place.group(), listen, turns, this::state, log);
+    return listenForSubscribers.address();
   }
 
   private PublisherMessage.Snapshot state() {
-    ReplicatedState.Image image = agreement.applied();
+    ReplicatedState.Snapshot image = agreement.appliedState();
     return new PublisherMessage.Snapshot(image.index(), ReplicatedStateCodec.image(image));
   }
 
   private RaftMember.Listener fed(RaftMember.Listener listener) {
-    if (feed == null) {
+    if (listenForSubscribers == null) {
       return listener;
     }
     return new RaftMember.Listener() {
       @Override
-      public void applied(long index, byte[] body, Proposal proposal, CommandResult answer) {
-        listener.applied(index, body, proposal, answer);
-        feed.applied(index, body);
+      public void entryApplied(long index, byte[] body, Proposal proposal, CommandResult answer) {
+        listener.entryApplied(index, body, proposal, answer);
+        listenForSubscribers.entryApplied(index, body);
       }
 
       @Override
-      public void restored(ReplicatedState.Image image) {
-        listener.restored(image);
-        feed.restored(image.index());
+      public void snapshotInstalled(ReplicatedState.Snapshot image) {
+        listener.snapshotInstalled(image);
+        listenForSubscribers.snapshotInstalled(image.index());
       }
 
       @Override
-      public void changed(MemberStatus now) {
-        listener.changed(now);
-        feed.led(now.leader() != null && now.steppedAside() == null);
+      public void statusChanged(MemberStatus now) {
+        listener.statusChanged(now);
+        listenForSubscribers.setLeaderKnown(now.leader() != null && now.inactiveReason() == null);
       }
     };
   }
@@ -198,7 +198,7 @@
    * @param listener is told on the member's thread
    */
   public void start(RaftMember.Listener listener) {
-    if (journal.restored() != null) {
+    if (journal.restoredState() != null) {
       agree(place.members().keySet(), listener);
       log.accept("member " + place.name() + " of " + place.group() + " goes on");
       return;
@@ -226,15 +226,15 @@
     CompletableFuture<byte[]> first = new CompletableFuture<>();
     for (String other : place.others().keySet()) {
       links
-          .ask(other, JOIN, place.name().getBytes(StandardCharsets.UTF_8), 4 * ASK_MILLIS)
+          .request(other, JOIN, place.name().getBytes(StandardCharsets.UTF_8), 4 * ASK_MILLIS)
           .thenAccept(first::complete);
     }
-    turns.runIn(
+    turns.schedule(
         TimeUnit.MILLISECONDS.toNanos(4 * ASK_MILLIS),
         () -> first.completeExceptionally(new IOException("nobody answers")));
     first.whenComplete(
         (began, cause) ->
-            turns.run(
+            turns.execute(
                 () -> {
                   if (cause != null) {
                     askToJoin(listener);
@@ -248,22 +248,23 @@
 
   /** A member that has joined hears all; it asks for its vote until it has one. */
   private void askForVote() {
-    MemberStatus standing = standing();
-    if (standing.voting().contains(place.name())) {
+    MemberStatus standing = status();
+    if (standing.votingMembers().contains(place.name())) {
       return;
     }
     if (standing.leader() != null) {
-      links.ask(standing.leader(), VOTE, place.name().getBytes(StandardCharsets.UTF_8), ASK_MILLIS);
+      links.request(
+          standing.leader(), VOTE, place.name().getBytes(StandardCharsets.UTF_8), ASK_MILLIS);
     }
-    turns.runIn(TimeUnit.MILLISECONDS.toNanos(ASK_MILLIS), this::askForVote);
+    turns.schedule(TimeUnit.MILLISECONDS.toNanos(ASK_MILLIS), this::askForVote);
   }
 
   /** How the group stands, as this member sees it. */
-  public MemberStatus standing() {
+  public MemberStatus status() {
     RaftMember now = agreement;
     return now == null
         ? new MemberStatus(place.name(), "JOINING", null, 0, List.of(), List.of(), 0, 0, null)
-        : now.standing();
+        : now.status();
   }
 
   /**
@@ -273,7 +274,7 @@
    * @return the answer, once a majority has it on disk; else fails with {@link
    *     NotCommittedException}
    */
-  public CompletionStage<CommandResult> hold(Proposal proposal, long millis) {
+  public CompletionStage<CommandResult> propose(Proposal proposal, long millis) {
     return new Asking<CommandResult>(
             HOLD,
             ReplicatedStateCodec.proposal(proposal),
@@ -284,8 +285,8 @@
   }
 
   /** What is held at this moment: whoever was answered before this call finds it here. */
-  public CompletionStage<ReplicatedState.Image> read(long millis) {
-    return new Asking<ReplicatedState.Image>(
+  public CompletionStage<ReplicatedState.Snapshot> read(long millis) {
+    return new Asking<ReplicatedState.Snapshot>(
             READ, new byte[0], ReplicatedStateCodec::image, () -> agreement.read(), millis)
         .begin();
   }
@@ -312,28 +313,30 @@
       this.body = body;
       this.parse = parse;
       this.here = here;
-      until = turns.nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
+      until = turns.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
     CompletionStage<T> begin() {
-      turns.run(this::ask);
+      turns.execute(this::ask);
       return answer;
     }
 
     private void ask() {
-      long left = TimeUnit.NANOSECONDS.toMillis(until - turns.nanos());
+      long left = TimeUnit.NANOSECONDS.toMillis(until - turns.nanoTime());
       if (left <= 0) {
         answer.completeExceptionally(
             new NotCommittedException(
-                maybe ? Known.MAYBE : Known.NEVER, "the group has no majority in contact", null));
+                maybe ? Outcome.INDETERMINATE : Outcome.REJECTED,
+                "the group has no majority in contact",
+                null));
         return;
       }
-      MemberStatus standing = standing();
-      if (standing.leads()) {
+      MemberStatus standing = status();
+      if (standing.isLeader()) {
         here.get().whenComplete(this::came);
       } else if (standing.leader() != null) {
         links
-            .ask(standing.leader(), what, body, Math.min(left, ASK_MILLIS))
+            .request(standing.leader(), what, body, Math.min(left, ASK_MILLIS))
             .thenApply(this::parsed)
             .whenComplete(this::came);
       } else {
@@ -357,10 +360,10 @@
       Throwable root = cause instanceof CompletionException ? cause.getCause() : cause;
       boolean never =
           root instanceof NotCommittedException held
-              ? held.known() == Known.NEVER
+              ? held.outcome() == Outcome.REJECTED
               : root instanceof HandshakeRejectedException down
                   && down.getMessage().startsWith("never");
-      turns.run(
+      turns.execute(
           () -> {
             maybe |= !never;
             later();
@@ -368,14 +371,14 @@
     }
 
     private void later() {
-      turns.runIn(TimeUnit.MILLISECONDS.toNanos(AGAIN_MILLIS), this::ask);
+      turns.schedule(TimeUnit.MILLISECONDS.toNanos(AGAIN_MILLIS), this::ask);
     }
   }
 
   /** What comes from others. */
   private final class Incoming implements MemberTransport.Listener {
     @Override
-    public void agree(byte[] message) {
+    public void raftMessage(byte[] message) {
       RaftMember now = agreement;
       if (now == null) {
         return;
@@ -391,10 +394,10 @@
     }
 
     @Override
-    public CompletionStage<byte[]> asked(String what, byte[] body) {
+    public CompletionStage<byte[]> request(String what, byte[] body) {
       RaftMember now = agreement;
       if (what.equals(STANDING)) {
-        return CompletableFuture.completedFuture(MemberStatusCodec.standing(standing()));
+        return CompletableFuture.completedFuture(MemberStatusCodec.standing(status()));
       }
       if (now == null) {
         return CompletableFuture.failedFuture(
@@ -410,11 +413,15 @@
           case JOIN -> joins(now, new String(body, StandardCharsets.UTF_8));
           case VOTE ->
               told(
-                  now.change(new String(body, StandardCharsets.UTF_8), RaftMember.Change.VOTE)
+                  now.changeMembership(
+                          new String(body, StandardCharsets.UTF_8),
+                          RaftMember.MembershipChange.PROMOTE_TO_VOTER)
                       .thenApply(done -> new byte[0]));
           case REMOVE ->
               told(
-                  now.change(new String(body, StandardCharsets.UTF_8), RaftMember.Change.LEAVE)
+                  now.changeMembership(
+                          new String(body, StandardCharsets.UTF_8),
+                          RaftMember.MembershipChange.REMOVE)
                       .thenApply(done -> new byte[0]));
           default ->
               CompletableFuture.failedFuture(
@@ -427,23 +434,25 @@
 
     /** Whoever does not lead passes on what a caller from outside asks; members ask the leader. */
     private CompletionStage<CommandResult> here(Proposal proposal, RaftMember now) {
-      return now.standing().leads() ? now.propose(proposal) : hold(proposal, ASK_MILLIS);
+      return now.status().isLeader() ? now.propose(proposal) : propose(proposal, ASK_MILLIS);
     }
 
-    private CompletionStage<ReplicatedState.Image> read(RaftMember now) {
-      return now.standing().leads() ? now.read() : GroupMember.this.read(ASK_MILLIS);
+    private CompletionStage<ReplicatedState.Snapshot> read(RaftMember now) {
+      return now.status().isLeader() ? now.read() : GroupMember.this.read(ASK_MILLIS);
     }
 
     private CompletionStage<byte[]> joins(RaftMember now, String name) {
-      byte[] began = String.join(" ", now.began()).getBytes(StandardCharsets.UTF_8);
-      if (now.standing().members().contains(name)) {
+      byte[] began = String.join(" ", now.initialMembers()).getBytes(StandardCharsets.UTF_8);
+      if (now.status().members().contains(name)) {
         return CompletableFuture.completedFuture(began);
       }
-      if (!now.standing().leads()) {
+      if (!now.status().isLeader()) {
         return CompletableFuture.failedFuture(
             new IOException("never: " + place.name() + " does not lead"));
       }
-      return told(now.change(name, RaftMember.Change.LEARN).thenApply(done -> began));
+      return told(
+          now.changeMembership(name, RaftMember.MembershipChange.ADD_LEARNER)
+              .thenApply(done -> began));
     }
 
     /** A failure tells at its begin whether it can have been held. */
@@ -455,14 +464,14 @@
             }
             Throwable root = cause instanceof CompletionException ? cause.getCause() : cause;
             boolean never =
-                root instanceof NotCommittedException held && held.known() == Known.NEVER;
+                root instanceof NotCommittedException held && held.outcome() == Outcome.REJECTED;
             throw new CompletionException(
                 new IOException((never ? "never: " : "maybe: ") + root.getMessage()));
           });
     }
 
     @Override
-    public void line(String text) {
+    public void diagnostic(String text) {
       log.accept(text);
     }
   }
@@ -470,8 +479,8 @@
   /** Takes no part any more. */
   @Override
   public void close() throws IOException {
-    if (feed != null) {
-      feed.close();
+    if (listenForSubscribers != null) {
+      listenForSubscribers.close();
     }
     links.close();
     if (agreement != null) {
--- a/cluster/src/main/java/shalepaddle/cluster/MemberStatusCodec.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberStatusCodec.java
@@ -10,30 +10,30 @@
 
   /** Its bytes. */
   static byte[] standing(MemberStatus standing) {
-    return CborValues.write(
+    return CborValues.encode(
         standing,
         (value, out) -> {
           out.put(value.name()).put(value.role()).put(value.leader()).put(value.term());
-          out.each(value.members(), (member, to) -> to.put(member));
-          out.each(value.voting(), (member, to) -> to.put(member));
-          out.put(value.committed()).put(value.last()).put(value.steppedAside());
+          out.putList(value.members(), (member, to) -> to.put(member));
+          out.putList(value.votingMembers(), (member, to) -> to.put(member));
+          out.put(value.commitIndex()).put(value.lastLogIndex()).put(value.inactiveReason());
         });
   }
 
   /** The same, read. */
   static MemberStatus standing(byte[] bytes) throws IOException {
-    return CborValues.read(
+    return CborValues.decode(
         bytes,
         in ->
             new MemberStatus(
-                in.text(),
-                in.text(),
-                in.text(),
-                in.small(),
-                in.each(CborValues.Reader::text),
-                in.each(CborValues.Reader::text),
-                in.number(),
-                in.number(),
-                in.text()));
+                in.readText(),
+                in.readText(),
+                in.readText(),
+                in.readInt(),
+                in.readList(CborValues.Reader::readText),
+                in.readList(CborValues.Reader::readText),
+                in.readLong(),
+                in.readLong(),
+                in.readText()));
   }
 }
--- a/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
@@ -36,12 +36,12 @@
   }
 
   @Override
-  public void run(Runnable task) {
-    runIn(0, task);
+  public void execute(Runnable task) {
+    schedule(0, task);
   }
 
   @Override
-  public void runIn(long nanos, Runnable task) {
+  public void schedule(long nanos, Runnable task) {
     try {
       thread.schedule(guarded(task), nanos, TimeUnit.NANOSECONDS);
     } catch (RejectedExecutionException e) {
@@ -50,7 +50,7 @@
   }
 
   @Override
-  public long nanos() {
+  public long nanoTime() {
     return System.nanoTime();
   }
 
--- a/cluster/src/main/java/shalepaddle/encoding/CborValues.java
+++ b/cluster/src/main/java/shalepaddle/encoding/CborValues.java
@@ -53,11 +53,11 @@
     }
 
     /** Values of one kind, in an array of their own. */
-    public <T> Writer each(Iterable<T> values, Form<T> form) throws IOException {
+    public <T> Writer putList(Iterable<T> values, Encoder<T> form) throws IOException {
       out.writeStartArray();
       for (T value : values) {
         out.writeStartArray();
-        form.write(value, this);
+        form.encode(value, this);
         out.writeEndArray();
       }
       out.writeEndArray();
@@ -67,8 +67,8 @@
 
   /** How a value is written. */
   @FunctionalInterface
-  public interface Form<T> {
-    void write(T value, Writer out) throws IOException;
+  public interface Encoder<T> {
+    void encode(T value, Writer out) throws IOException;
   }
 
   /** Reads values in the order in which they were written. */
@@ -90,41 +90,41 @@
     }
 
     /** A whole number. */
-    public long number() throws IOException {
+    public long readLong() throws IOException {
       next(JsonToken.VALUE_NUMBER_INT);
       return in.getLongValue();
     }
 
     /** A whole number of fewer bits. */
-    public int small() throws IOException {
+    public int readInt() throws IOException {
       next(JsonToken.VALUE_NUMBER_INT);
       return in.getIntValue();
     }
 
     /** A word, or null. */
-    public String text() throws IOException {
+    public String readText() throws IOException {
       return next(JsonToken.VALUE_STRING, JsonToken.VALUE_NULL) == JsonToken.VALUE_NULL
           ? null
           : in.getText();
     }
 
     /** Yes or no. */
-    public boolean flag() throws IOException {
+    public boolean readBoolean() throws IOException {
       return next(JsonToken.VALUE_TRUE, JsonToken.VALUE_FALSE) == JsonToken.VALUE_TRUE;
     }
 
     /** Bytes. */
-    public byte[] bytes() throws IOException {
+    public byte[] readBytes() throws IOException {
       next(JsonToken.VALUE_EMBEDDED_OBJECT);
       return in.getBinaryValue();
     }
 
     /** Values of one kind; what a later version has put behind the known of each is passed over. */
-    public <T> List<T> each(Parse<T> parse) throws IOException {
+    public <T> List<T> readList(Decoder<T> parse) throws IOException {
       next(JsonToken.START_ARRAY);
       List<T> all = new ArrayList<>();
       while (next(JsonToken.START_ARRAY, JsonToken.END_ARRAY) == JsonToken.START_ARRAY) {
-        all.add(parse.read(this));
+        all.add(parse.decode(this));
         passOver();
       }
       return List.copyOf(all);
@@ -143,16 +143,16 @@
 
   /** How a value is read. */
   @FunctionalInterface
-  public interface Parse<T> {
-    T read(Reader in) throws IOException;
+  public interface Decoder<T> {
+    T decode(Reader in) throws IOException;
   }
 
   /** The bytes of a value of this form. */
-  public static <T> byte[] write(T value, Form<T> form) {
+  public static <T> byte[] encode(T value, Encoder<T> form) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
       out.writeStartArray();
-      form.write(value, new Writer(out));
+      form.encode(value, new Writer(out));
       out.writeEndArray();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -165,11 +165,11 @@
    *
    * @throws IOException if it is of another form, or cut short
    */
-  public static <T> T read(byte[] bytes, Parse<T> parse) throws IOException {
+  public static <T> T decode(byte[] bytes, Decoder<T> parse) throws IOException {
     try (CBORParser in = FACTORY.createParser(bytes)) {
       Reader reader = new Reader(in);
       reader.next(JsonToken.START_ARRAY);
-      T value = parse.read(reader);
+      T value = parse.decode(reader);
       reader.passOver();
       return value;
     } catch (IllegalArgumentException e) {
--- a/cluster/src/main/java/shalepaddle/encoding/ChangeFeedCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/ChangeFeedCodec.java
@@ -19,15 +19,15 @@
 
   /** The bytes of what a follower says. */
   public static byte[] said(SubscriberMessage said) {
-    return CborValues.write(
+    return CborValues.encode(
         said,
         (value, out) -> {
           if (value instanceof SubscriberMessage.Hello hello) {
             out.put(HELLO).put(hello.group()).put(hello.name()).put(hello.index());
-          } else if (value instanceof SubscriberMessage.Taken taken) {
+          } else if (value instanceof SubscriberMessage.Acknowledgement taken) {
             out.put(TAKEN).put(taken.index());
-          } else if (value instanceof SubscriberMessage.Wrong wrong) {
-            out.put(WRONG).put(wrong.index()).put(wrong.what());
+          } else if (value instanceof SubscriberMessage.EntryRejected wrong) {
+            out.put(WRONG).put(wrong.index()).put(wrong.reason());
           }
         });
   }
@@ -38,30 +38,30 @@
    * @throws IOException if it is of another form
    */
   public static SubscriberMessage said(byte[] bytes) throws IOException {
-    return CborValues.read(
+    return CborValues.decode(
         bytes,
         in -> {
-          int kind = in.small();
+          int kind = in.readInt();
           return switch (kind) {
             case HELLO -> new SubscriberMessage.Hello(text(in), text(in), place(in));
-            case TAKEN -> new SubscriberMessage.Taken(place(in));
-            case WRONG -> new SubscriberMessage.Wrong(place(in), text(in));
+            case TAKEN -> new SubscriberMessage.Acknowledgement(place(in));
+            case WRONG -> new SubscriberMessage.EntryRejected(place(in), text(in));
             default -> throw new IOException("a follower's word of kind " + kind);
           };
         });
   }
 
   private static String text(CborValues.Reader in) throws IOException {
-    String text = in.text();
-    if (text == null || text.length() > SubscriberMessage.MOST_TEXT) {
+    String text = in.readText();
+    if (text == null || text.length() > SubscriberMessage.MAX_TEXT_LENGTH) {
       throw new IOException(
-          "a text of up to " + SubscriberMessage.MOST_TEXT + " characters is due");
+          "a text of up to " + SubscriberMessage.MAX_TEXT_LENGTH + " characters is due");
     }
     return text;
   }
 
   private static long place(CborValues.Reader in) throws IOException {
-    long place = in.number();
+    long place = in.readLong();
     if (place < 0) {
       throw new IOException("a place in the log is due, and not " + place);
     }
@@ -70,18 +70,18 @@
 
   /** The bytes of what a member tells. */
   public static byte[] told(PublisherMessage told) {
-    return CborValues.write(
+    return CborValues.encode(
         told,
         (value, out) -> {
           if (value instanceof PublisherMessage.Entries entries) {
-            out.put(ENTRIES).put(entries.after());
-            out.each(entries.entries(), (entry, to) -> to.put(entry.index()).put(entry.body()));
+            out.put(ENTRIES).put(entries.previousIndex());
+            out.putList(entries.entries(), (entry, to) -> to.put(entry.index()).put(entry.body()));
           } else if (value instanceof PublisherMessage.Snapshot snapshot) {
-            out.put(SNAPSHOT).put(snapshot.index()).put(snapshot.image());
-          } else if (value instanceof PublisherMessage.Alive alive) {
+            out.put(SNAPSHOT).put(snapshot.index()).put(snapshot.state());
+          } else if (value instanceof PublisherMessage.Heartbeat alive) {
             out.put(ALIVE).put(alive.index());
-          } else if (value instanceof PublisherMessage.TurnedDown down) {
-            out.put(TURNED_DOWN).put(down.why());
+          } else if (value instanceof PublisherMessage.Rejected down) {
+            out.put(TURNED_DOWN).put(down.reason());
           }
         });
   }
@@ -92,17 +92,17 @@
    * @throws IOException if it is of another form
    */
   public static PublisherMessage told(byte[] bytes) throws IOException {
-    return CborValues.read(
+    return CborValues.decode(
         bytes,
         in -> {
-          int kind = in.small();
+          int kind = in.readInt();
           return switch (kind) {
             case ENTRIES ->
                 new PublisherMessage.Entries(
-                    place(in), in.each(from -> new ChangeEntry(place(from), from.bytes())));
-            case SNAPSHOT -> new PublisherMessage.Snapshot(place(in), in.bytes());
-            case ALIVE -> new PublisherMessage.Alive(place(in));
-            case TURNED_DOWN -> new PublisherMessage.TurnedDown(text(in));
+                    place(in), in.readList(from -> new ChangeEntry(place(from), from.readBytes())));
+            case SNAPSHOT -> new PublisherMessage.Snapshot(place(in), in.readBytes());
+            case ALIVE -> new PublisherMessage.Heartbeat(place(in));
+            case TURNED_DOWN -> new PublisherMessage.Rejected(text(in));
             default -> throw new IOException("a member's word of kind " + kind);
           };
         });
--- a/cluster/src/main/java/shalepaddle/encoding/Endpoint.java
+++ b/cluster/src/main/java/shalepaddle/encoding/Endpoint.java
@@ -18,12 +18,12 @@
   }
 
   /** The name of a member as the library has it. */
-  static String of(RaftEndpoint endpoint) {
+  static String nameOf(RaftEndpoint endpoint) {
     return endpoint == null ? null : ((Endpoint) endpoint).name();
   }
 
   /** The member of this name, null for none. */
-  static Endpoint named(String name) {
+  static Endpoint ofName(String name) {
     return name == null ? null : new Endpoint(name);
   }
 }
--- a/cluster/src/main/java/shalepaddle/encoding/LogEntryCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/LogEntryCodec.java
@@ -18,7 +18,7 @@
 /** The forms of what the log is made of. */
 public final class LogEntryCodec {
   /** What a new leader begins its term with: it asks for nothing. */
-  public static final byte[] NOTHING = new byte[0];
+  public static final byte[] EMPTY_OPERATION = new byte[0];
 
   private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
   private static final int BYTES = 1;
@@ -32,11 +32,11 @@
   }
 
   static void members(Collection<RaftEndpoint> members, CborValues.Writer out) throws IOException {
-    out.each(members, (member, to) -> to.put(Endpoint.of(member)));
+    out.putList(members, (member, to) -> to.put(Endpoint.nameOf(member)));
   }
 
   static Collection<RaftEndpoint> members(CborValues.Reader in) throws IOException {
-    List<RaftEndpoint> members = in.each(from -> Endpoint.named(from.text()));
+    List<RaftEndpoint> members = in.readList(from -> Endpoint.ofName(from.readText()));
     return new LinkedHashSet<>(members);
   }
 
@@ -51,7 +51,7 @@
   public static RaftGroupMembersView view(CborValues.Reader in) throws IOException {
     return MODEL
         .createRaftGroupMembersViewBuilder()
-        .setLogIndex(in.number())
+        .setLogIndex(in.readLong())
         .setMembers(members(in))
         .setVotingMembers(members(in))
         .build();
@@ -64,23 +64,23 @@
       out.put(MEMBERS);
       members(change.getMembers(), out);
       members(change.getVotingMembers(), out);
-      out.put(Endpoint.of(change.getEndpoint())).put(change.getMode().name());
+      out.put(Endpoint.nameOf(change.getEndpoint())).put(change.getMode().name());
     } else {
       throw new IOException("no form for " + operation);
     }
   }
 
   private static Object operation(CborValues.Reader in) throws IOException {
-    int kind = in.small();
+    int kind = in.readInt();
     return switch (kind) {
-      case BYTES -> in.bytes();
+      case BYTES -> in.readBytes();
       case MEMBERS ->
           MODEL
               .createUpdateRaftGroupMembersOpBuilder()
               .setMembers(members(in))
               .setVotingMembers(members(in))
-              .setEndpoint(Endpoint.named(in.text()))
-              .setMode(MembershipChangeMode.valueOf(in.text()))
+              .setEndpoint(Endpoint.ofName(in.readText()))
+              .setMode(MembershipChangeMode.valueOf(in.readText()))
               .build();
       default -> throw new IOException("an entry of form " + kind + ", made by a later version");
     };
@@ -96,8 +96,8 @@
   public static LogEntry entry(CborValues.Reader in) throws IOException {
     return MODEL
         .createLogEntryBuilder()
-        .setIndex(in.number())
-        .setTerm(in.small())
+        .setIndex(in.readLong())
+        .setTerm(in.readInt())
         .setOperation(operation(in))
         .build();
   }
@@ -116,10 +116,10 @@
   public static SnapshotChunk chunk(CborValues.Reader in) throws IOException {
     return MODEL
         .createSnapshotChunkBuilder()
-        .setIndex(in.number())
-        .setTerm(in.small())
-        .setSnapshotChunkIndex(in.small())
-        .setSnapshotChunkCount(in.small())
+        .setIndex(in.readLong())
+        .setTerm(in.readInt())
+        .setSnapshotChunkIndex(in.readInt())
+        .setSnapshotChunkCount(in.readInt())
         .setGroupMembersView(view(in))
         .setOperation(operation(in))
         .build();
@@ -127,22 +127,22 @@
 
   /** The term, and who has this member's vote in it. */
   public static void term(RaftTermPersistentState term, CborValues.Writer out) throws IOException {
-    out.put(term.getTerm()).put(Endpoint.of(term.getVotedFor()));
+    out.put(term.getTerm()).put(Endpoint.nameOf(term.getVotedFor()));
   }
 
   /** The same, read. */
   public static RaftTermPersistentState term(CborValues.Reader in) throws IOException {
     return MODEL
         .createRaftTermPersistentStateBuilder()
-        .setTerm(in.small())
-        .setVotedFor(Endpoint.named(in.text()))
+        .setTerm(in.readInt())
+        .setVotedFor(Endpoint.ofName(in.readText()))
         .build();
   }
 
   /** The names of members, in order. */
   public static List<String> names(Collection<RaftEndpoint> members) {
     List<String> names = new ArrayList<>();
-    members.forEach(member -> names.add(Endpoint.of(member)));
+    members.forEach(member -> names.add(Endpoint.nameOf(member)));
     names.sort(null);
     return names;
   }
--- a/cluster/src/main/java/shalepaddle/encoding/RaftMessageCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/RaftMessageCodec.java
@@ -25,14 +25,14 @@
 
   /** A message's bytes. */
   public static byte[] message(RaftMessage message) {
-    return CborValues.write(message, RaftMessageCodec::write);
+    return CborValues.encode(message, RaftMessageCodec::write);
   }
 
   private static void write(RaftMessage message, CborValues.Writer out) throws IOException {
     if (message instanceof AppendEntriesRequest m) {
       head(1, m, out);
       out.put(m.getPreviousLogTerm()).put(m.getPreviousLogIndex()).put(m.getCommitIndex());
-      out.each(m.getLogEntries(), LogEntryCodec::entry);
+      out.putList(m.getLogEntries(), LogEntryCodec::entry);
       out.put(m.getQuerySequenceNumber()).put(m.getFlowControlSequenceNumber());
     } else if (message instanceof AppendEntriesSuccessResponse m) {
       head(2, m, out);
@@ -62,7 +62,7 @@
       out.put(m.isSenderLeader()).put(m.getSnapshotTerm()).put(m.getSnapshotIndex());
       out.put(m.getTotalSnapshotChunkCount());
       SnapshotChunk chunk = m.getSnapshotChunk();
-      out.each(chunk == null ? List.of() : List.of(chunk), LogEntryCodec::chunk);
+      out.putList(chunk == null ? List.of() : List.of(chunk), LogEntryCodec::chunk);
       LogEntryCodec.members(m.getSnapshottedMembers(), out);
       LogEntryCodec.view(m.getGroupMembersView(), out);
       out.put(m.getQuerySequenceNumber()).put(m.getFlowControlSequenceNumber());
@@ -80,7 +80,7 @@
       throws IOException {
     out.put(kind)
         .put((String) message.getGroupId())
-        .put(Endpoint.of(message.getSender()))
+        .put(Endpoint.nameOf(message.getSender()))
         .put(message.getTerm());
   }
 
@@ -90,14 +90,14 @@
    * @throws IOException if it is of a form that is not known, or cut short
    */
   public static RaftMessage message(byte[] bytes) throws IOException {
-    return CborValues.read(bytes, RaftMessageCodec::read);
+    return CborValues.decode(bytes, RaftMessageCodec::read);
   }
 
   private static RaftMessage read(CborValues.Reader in) throws IOException {
-    int kind = in.small();
-    String group = in.text();
-    RaftEndpoint sender = Endpoint.named(in.text());
-    int term = in.small();
+    int kind = in.readInt();
+    String group = in.readText();
+    RaftEndpoint sender = Endpoint.ofName(in.readText());
+    int term = in.readInt();
     return switch (kind) {
       case 1 ->
           MODEL
@@ -105,12 +105,12 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setPreviousLogTerm(in.small())
-              .setPreviousLogIndex(in.number())
-              .setCommitIndex(in.number())
-              .setLogEntries(in.each(LogEntryCodec::entry))
-              .setQuerySequenceNumber(in.number())
-              .setFlowControlSequenceNumber(in.number())
+              .setPreviousLogTerm(in.readInt())
+              .setPreviousLogIndex(in.readLong())
+              .setCommitIndex(in.readLong())
+              .setLogEntries(in.readList(LogEntryCodec::entry))
+              .setQuerySequenceNumber(in.readLong())
+              .setFlowControlSequenceNumber(in.readLong())
               .build();
       case 2 ->
           MODEL
@@ -118,9 +118,9 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setLastLogIndex(in.number())
-              .setQuerySequenceNumber(in.number())
-              .setFlowControlSequenceNumber(in.number())
+              .setLastLogIndex(in.readLong())
+              .setQuerySequenceNumber(in.readLong())
+              .setFlowControlSequenceNumber(in.readLong())
               .build();
       case 3 ->
           MODEL
@@ -128,9 +128,9 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setExpectedNextIndex(in.number())
-              .setQuerySequenceNumber(in.number())
-              .setFlowControlSequenceNumber(in.number())
+              .setExpectedNextIndex(in.readLong())
+              .setQuerySequenceNumber(in.readLong())
+              .setFlowControlSequenceNumber(in.readLong())
               .build();
       case 4 ->
           MODEL
@@ -138,8 +138,8 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setLastLogTerm(in.small())
-              .setLastLogIndex(in.number())
+              .setLastLogTerm(in.readInt())
+              .setLastLogIndex(in.readLong())
               .build();
       case 5 ->
           MODEL
@@ -147,7 +147,7 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setGranted(in.flag())
+              .setGranted(in.readBoolean())
               .build();
       case 6 ->
           MODEL
@@ -155,9 +155,9 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setLastLogTerm(in.small())
-              .setLastLogIndex(in.number())
-              .setSticky(in.flag())
+              .setLastLogTerm(in.readInt())
+              .setLastLogIndex(in.readLong())
+              .setSticky(in.readBoolean())
               .build();
       case 7 ->
           MODEL
@@ -165,7 +165,7 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setGranted(in.flag())
+              .setGranted(in.readBoolean())
               .build();
       case 8 ->
           MODEL
@@ -173,8 +173,8 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setLastLogTerm(in.small())
-              .setLastLogIndex(in.number())
+              .setLastLogTerm(in.readInt())
+              .setLastLogIndex(in.readLong())
               .build();
       case 9 ->
           MODEL
@@ -182,15 +182,15 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setSenderLeader(in.flag())
-              .setSnapshotTerm(in.small())
-              .setSnapshotIndex(in.number())
-              .setTotalSnapshotChunkCount(in.small())
-              .setSnapshotChunk(in.each(LogEntryCodec::chunk).stream().findFirst().orElse(null))
+              .setSenderLeader(in.readBoolean())
+              .setSnapshotTerm(in.readInt())
+              .setSnapshotIndex(in.readLong())
+              .setTotalSnapshotChunkCount(in.readInt())
+              .setSnapshotChunk(in.readList(LogEntryCodec::chunk).stream().findFirst().orElse(null))
               .setSnapshottedMembers(LogEntryCodec.members(in))
               .setGroupMembersView(LogEntryCodec.view(in))
-              .setQuerySequenceNumber(in.number())
-              .setFlowControlSequenceNumber(in.number())
+              .setQuerySequenceNumber(in.readLong())
+              .setFlowControlSequenceNumber(in.readLong())
               .build();
       case 10 ->
           MODEL
@@ -198,10 +198,10 @@
               .setGroupId(group)
               .setSender(sender)
               .setTerm(term)
-              .setSnapshotIndex(in.number())
-              .setRequestedSnapshotChunkIndex(in.small())
-              .setQuerySequenceNumber(in.number())
-              .setFlowControlSequenceNumber(in.number())
+              .setSnapshotIndex(in.readLong())
+              .setRequestedSnapshotChunkIndex(in.readInt())
+              .setQuerySequenceNumber(in.readLong())
+              .setFlowControlSequenceNumber(in.readLong())
               .build();
       default -> throw new IOException("a message of form " + kind + ", made by a later version");
     };
--- a/cluster/src/main/java/shalepaddle/encoding/ReplicatedStateCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/ReplicatedStateCodec.java
@@ -15,13 +15,13 @@
 
   /** A proposal's bytes. */
   public static byte[] proposal(Proposal proposal) {
-    return CborValues.write(
+    return CborValues.encode(
         proposal,
         (value, out) -> {
-          out.put(value.id()).put(value.atMillis());
-          if (value.entry() instanceof StateCommand.Say say) {
-            out.put(SAY).put(say.member()).put(say.out());
-          } else if (value.entry() instanceof StateCommand.Unknown unknown) {
+          out.put(value.id()).put(value.proposedAtMillis());
+          if (value.command() instanceof StateCommand.SetExclusion say) {
+            out.put(SAY).put(say.serverId()).put(say.excluded());
+          } else if (value.command() instanceof StateCommand.Unknown unknown) {
             out.put(unknown.kind());
           }
         });
@@ -29,51 +29,51 @@
 
   /** A proposal, of this version or a later one. */
   public static Proposal proposal(byte[] bytes) throws IOException {
-    return CborValues.read(
+    return CborValues.decode(
         bytes,
         in -> {
-          String id = in.text();
-          long at = in.number();
-          int kind = in.small();
+          String id = in.readText();
+          long at = in.readLong();
+          int kind = in.readInt();
           return new Proposal(
               id,
               at,
               kind == SAY
-                  ? new StateCommand.Say(in.text(), in.flag())
+                  ? new StateCommand.SetExclusion(in.readText(), in.readBoolean())
                   : new StateCommand.Unknown(kind));
         });
   }
 
   /** An answer's bytes. */
   public static byte[] answer(CommandResult answer) {
-    return CborValues.write(answer, ReplicatedStateCodec::answer);
+    return CborValues.encode(answer, ReplicatedStateCodec::answer);
   }
 
   /** An answer. */
   public static CommandResult answer(byte[] bytes) throws IOException {
-    return CborValues.read(bytes, ReplicatedStateCodec::answer);
+    return CborValues.decode(bytes, ReplicatedStateCodec::answer);
   }
 
   private static void answer(CommandResult answer, CborValues.Writer out) throws IOException {
-    out.put(answer.kind().name()).put(answer.index());
+    out.put(answer.outcome().wireName()).put(answer.index());
   }
 
   private static CommandResult answer(CborValues.Reader in) throws IOException {
-    return new CommandResult(CommandResult.Kind.valueOf(in.text()), in.number());
+    return new CommandResult(CommandResult.Outcome.ofWireName(in.readText()), in.readLong());
   }
 
   /** The bytes of a snapshot. */
-  public static byte[] image(ReplicatedState.Image image) {
-    return CborValues.write(
+  public static byte[] image(ReplicatedState.Snapshot image) {
+    return CborValues.encode(
         image,
         (value, out) -> {
-          out.put(IMAGE).put(value.index()).put(value.atMillis());
-          out.each(value.out(), (member, to) -> to.put(member));
-          out.each(
-              value.answers(),
+          out.put(IMAGE).put(value.index()).put(value.logTimeMillis());
+          out.putList(value.excludedServers(), (member, to) -> to.put(member));
+          out.putList(
+              value.retainedResults(),
               (given, to) -> {
-                to.put(given.id()).put(given.atMillis());
-                answer(given.answer(), to);
+                to.put(given.id()).put(given.logTimeMillis());
+                answer(given.result(), to);
               });
         });
   }
@@ -83,20 +83,23 @@
    *
    * @throws IOException if it is of another form
    */
-  public static ReplicatedState.Image image(byte[] bytes) throws IOException {
-    return CborValues.read(
+  public static ReplicatedState.Snapshot image(byte[] bytes) throws IOException {
+    return CborValues.decode(
         bytes,
         in -> {
-          int form = in.small();
+          int form = in.readInt();
           if (form != IMAGE) {
             throw new IOException(
                 "a snapshot of form " + form + ", and this version knows " + IMAGE);
           }
-          return new ReplicatedState.Image(
-              in.number(),
-              in.number(),
-              in.each(CborValues.Reader::text),
-              in.each(from -> new ReplicatedState.Given(from.text(), from.number(), answer(from))));
+          return new ReplicatedState.Snapshot(
+              in.readLong(),
+              in.readLong(),
+              in.readList(CborValues.Reader::readText),
+              in.readList(
+                  from ->
+                      new ReplicatedState.RetainedResult(
+                          from.readText(), from.readLong(), answer(from))));
         });
   }
 }
--- a/cluster/src/main/java/shalepaddle/raft/MemberStatus.java
+++ b/cluster/src/main/java/shalepaddle/raft/MemberStatus.java
@@ -10,10 +10,10 @@
  * @param leader who leads, null if that is not known
  * @param term the number of the present leader's reign; grows with each, and never twice the same
  * @param members all of the group, as a majority holds it, in order
- * @param voting those that vote, in order
- * @param committed the last entry that is held
- * @param last the last entry that is here
- * @param steppedAside why it takes no part, null while it does
+ * @param votingMembers those that vote, in order
+ * @param commitIndex the last entry that is held
+ * @param lastLogIndex the last entry that is here
+ * @param inactiveReason why it takes no part, null while it does
  */
 public record MemberStatus(
     String name,
@@ -21,12 +21,12 @@
     String leader,
     int term,
     List<String> members,
-    List<String> voting,
-    long committed,
-    long last,
-    String steppedAside) {
+    List<String> votingMembers,
+    long commitIndex,
+    long lastLogIndex,
+    String inactiveReason) {
   /** Whether it leads. */
-  public boolean leads() {
-    return name.equals(leader) && steppedAside == null;
+  public boolean isLeader() {
+    return name.equals(leader) && inactiveReason == null;
   }
 }
--- a/cluster/src/main/java/shalepaddle/raft/NotCommittedException.java
+++ b/cluster/src/main/java/shalepaddle/raft/NotCommittedException.java
@@ -5,26 +5,26 @@
   private static final long serialVersionUID = 1;
 
   /** What is known of it. */
-  public enum Known {
+  public enum Outcome {
     /** It is in nobody's log, and never will be. */
-    NEVER,
+    REJECTED,
     /** It may be held, now or later: to be asked again under the same id. */
-    MAYBE
+    INDETERMINATE
   }
 
-  private final Known known;
+  private final Outcome outcome;
   private final String leader;
 
   /** With a reason for people, and who may know better, null for nobody. */
-  public NotCommittedException(Known known, String why, String leader) {
+  public NotCommittedException(Outcome known, String why, String leader) {
     super(why);
-    this.known = known;
+    this.outcome = known;
     this.leader = leader;
   }
 
   /** What is known of it. */
-  public Known known() {
-    return known;
+  public Outcome outcome() {
+    return outcome;
   }
 
   /** Who leads instead, null if that is not known. */
--- a/cluster/src/main/java/shalepaddle/raft/RaftMember.java
+++ b/cluster/src/main/java/shalepaddle/raft/RaftMember.java
@@ -31,7 +31,7 @@
 import shalepaddle.encoding.Endpoint;
 import shalepaddle.encoding.LogEntryCodec;
 import shalepaddle.encoding.ReplicatedStateCodec;
-import shalepaddle.raft.NotCommittedException.Known;
+import shalepaddle.raft.NotCommittedException.Outcome;
 import shalepaddle.replicatedstate.CommandResult;
 import shalepaddle.replicatedstate.Proposal;
 import shalepaddle.replicatedstate.ReplicatedState;
@@ -55,23 +55,23 @@
      *
      * @param body its bytes as the log has them, with what a later version may have put into them
      */
-    void applied(long index, byte[] body, Proposal proposal, CommandResult answer);
+    void entryApplied(long index, byte[] body, Proposal proposal, CommandResult answer);
 
     /** A snapshot took the place of all that was applied. */
-    void restored(ReplicatedState.Image image);
+    void snapshotInstalled(ReplicatedState.Snapshot image);
 
     /** The group stands otherwise than before. */
-    void changed(MemberStatus standing);
+    void statusChanged(MemberStatus standing);
   }
 
   /** Carries messages to other members; may lose, delay, double and reorder them. */
   @FunctionalInterface
-  public interface Links {
+  public interface MessageSender {
     void send(String member, RaftMessage message);
   }
 
   /** No word of a leader for so long, and none asked for a vote: the library is stuck. */
-  private static final long STUCK_NANOS = 3 * RaftTimeouts.lostMillis() * 1_000_000;
+  private static final long STUCK_NANOS = 3 * RaftTimeouts.leaderLossTimeoutMillis() * 1_000_000;
 
   /** How often it is tried to hold again after the journal has failed. */
   private static final long RECOVER_NANOS = 250_000_000;
@@ -80,19 +80,19 @@
   private final String name;
   private final Collection<RaftEndpoint> first = new LinkedHashSet<>();
   private final int snapshotEvery;
-  private final RaftLogStore journal;
-  private final MemberExecutor turns;
-  private final Links links;
+  private final RaftLogStore logStore;
+  private final MemberExecutor executor;
+  private final MessageSender sender;
   private final Random random;
   private final Listener listener;
 
   // Changed on the member's thread alone.
-  private ReplicatedStateMachine machine;
+  private ReplicatedStateMachine stateMachine;
   private volatile RaftNode node;
-  private volatile MemberStatus standing;
+  private volatile MemberStatus status;
   private volatile long heardAt;
   private volatile long askedAt;
-  private volatile SnapshotBoundary seam;
+  private volatile SnapshotBoundary snapshotBoundary;
 
   private boolean closed;
 
@@ -111,41 +111,42 @@
       int snapshotEvery,
       RaftLogStore journal,
       MemberExecutor turns,
-      Links links,
+      MessageSender links,
       long seed,
       Listener listener) {
     this.group = group;
     this.name = name;
     this.snapshotEvery = snapshotEvery;
-    this.journal = journal;
-    this.turns = turns;
-    this.links = links;
+    this.logStore = journal;
+    this.executor = turns;
+    this.sender = links;
     this.random = new Random(seed);
     this.listener = listener;
     members.forEach(member -> first.add(new Endpoint(member)));
-    standing = new MemberStatus(name, "FOLLOWER", null, 0, List.of(), List.of(), 0, 0, null);
+    status = new MemberStatus(name, "FOLLOWER", null, 0, List.of(), List.of(), 0, 0, null);
     node = build();
   }
 
   private RaftNode build() {
-    machine =
-        new ReplicatedStateMachine(machine == null ? 0 : machine.promises().index(), listener);
-    heardAt = turns.nanos();
+    stateMachine =
+        new ReplicatedStateMachine(
+            stateMachine == null ? 0 : stateMachine.promises().index(), listener);
+    heardAt = executor.nanoTime();
     askedAt = heardAt;
     RaftNode.RaftNodeBuilder builder =
         RaftNode.newBuilder()
             .setGroupId(group)
             .setConfig(RaftTimeouts.config(snapshotEvery))
-            .setExecutor(RaftTimeouts.executor(turns))
-            .setClock(RaftTimeouts.clock(turns::nanos))
+            .setExecutor(RaftTimeouts.executor(executor))
+            .setClock(RaftTimeouts.clock(executor::nanoTime))
             .setRandom(random)
             .setTransport(transport())
-            .setStateMachine(machine)
-            .setStore(journal)
+            .setStateMachine(stateMachine)
+            .setStore(logStore)
             .setModelFactory(LogEntryCodec.model())
             .setRaftNodeReportListener(this::reported);
-    RestoredRaftState restored = journal.restored();
-    seam =
+    RestoredRaftState restored = logStore.restoredState();
+    snapshotBoundary =
         new SnapshotBoundary(
             restored == null || restored.getSnapshotEntry() == null
                 ? 0
@@ -163,12 +164,12 @@
       @Override
       public void send(RaftEndpoint target, RaftMessage message) {
         if (message instanceof PreVoteRequest || message instanceof VoteRequest) {
-          askedAt = turns.nanos();
+          askedAt = executor.nanoTime();
         }
-        links.send(
+        sender.send(
             ((Endpoint) target).name(),
             message instanceof AppendEntriesSuccessResponse response
-                ? seam.answer((Endpoint) target, response)
+                ? snapshotBoundary.answer((Endpoint) target, response)
                 : message);
       }
 
@@ -182,8 +183,8 @@
 
   /** Begins to take part. */
   public CompletionStage<?> start() {
-    turns.runIn(STUCK_NANOS, this::watch);
-    turns.runIn(RECOVER_NANOS, this::recover);
+    executor.schedule(STUCK_NANOS, this::watch);
+    executor.schedule(RECOVER_NANOS, this::recover);
     return node.start();
   }
 
@@ -192,10 +193,10 @@
     if (closed) {
       return;
     }
-    if (journal.failed() != null && journal.recover()) {
+    if (logStore.failure() != null && logStore.recover()) {
       beginAnew();
     }
-    turns.runIn(RECOVER_NANOS, this::recover);
+    executor.schedule(RECOVER_NANOS, this::recover);
   }
 
   private void beginAnew() {
@@ -215,25 +216,26 @@
     if (closed) {
       return;
     }
-    long now = turns.nanos();
-    boolean votes = standing.role().equals("FOLLOWER") && standing.steppedAside() == null;
+    long now = executor.nanoTime();
+    boolean votes = status.role().equals("FOLLOWER") && status.inactiveReason() == null;
     if (votes && now - heardAt > STUCK_NANOS && now - askedAt > STUCK_NANOS) {
       beginAnew();
     }
-    turns.runIn(STUCK_NANOS / 3, this::watch);
+    executor.schedule(STUCK_NANOS / 3, this::watch);
   }
 
   /** A message has come from another member. */
   public void handle(RaftMessage message) {
     if (message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest) {
-      heardAt = turns.nanos();
+      heardAt = executor.nanoTime();
     }
-    if (standing.steppedAside() != null) {
+    if (status.inactiveReason() != null) {
       return;
     }
-    node.handle(message instanceof AppendEntriesRequest request ? seam.ask(request) : message);
+    node.handle(
+        message instanceof AppendEntriesRequest request ? snapshotBoundary.ask(request) : message);
     if (message instanceof PreVoteResponse response && !response.isGranted()) {
-      turns.run(() -> takeTerm(response));
+      executor.execute(() -> takeTerm(response));
     }
   }
 
@@ -264,10 +266,10 @@
       // Of a part that was left behind.
       return;
     }
-    MemberStatus before = standing;
-    IOException failed = journal.failed();
+    MemberStatus before = status;
+    IOException failed = logStore.failure();
     boolean over = RaftNodeStatus.isTerminal(report.getStatus());
-    standing =
+    status =
         new MemberStatus(
             name,
             report.getRole().name(),
@@ -280,14 +282,14 @@
             report.getLog().getCommitIndex(),
             report.getLog().getLastLogOrSnapshotIndex(),
             failed != null ? failed.getMessage() : over ? "it has ended" : null);
-    if (!standing.equals(before)) {
-      listener.changed(standing);
+    if (!status.equals(before)) {
+      listener.statusChanged(status);
     }
   }
 
   /** How the group stands, as it was last reported. */
-  public MemberStatus standing() {
-    return standing;
+  public MemberStatus status() {
+    return status;
   }
 
   /**
@@ -298,9 +300,9 @@
    */
   public CompletionStage<CommandResult> propose(Proposal proposal) {
     CompletableFuture<CommandResult> answered = new CompletableFuture<>();
-    turns.run(
+    executor.execute(
         () -> {
-          CommandResult before = machine.promises().answered(proposal.id());
+          CommandResult before = stateMachine.promises().retainedResult(proposal.id());
           if (before != null) {
             // Asked again, and applied, so it is held: no second entry.
             answered.complete(before);
@@ -323,15 +325,17 @@
     Throwable root = cause instanceof CompletionException ? cause.getCause() : cause;
     if (root instanceof NotLeaderException e) {
       String leader = e.getLeader() == null ? null : ((Endpoint) e.getLeader()).name();
-      return new NotCommittedException(Known.NEVER, name + " does not lead", leader);
+      return new NotCommittedException(Outcome.REJECTED, name + " does not lead", leader);
     }
     if (root instanceof CannotReplicateException) {
-      return new NotCommittedException(Known.NEVER, "too much waits for the majority", null);
+      return new NotCommittedException(Outcome.REJECTED, "too much waits for the majority", null);
     }
     if (root instanceof IndeterminateStateException) {
-      return new NotCommittedException(Known.MAYBE, name + " lost its lead meanwhile", null);
+      return new NotCommittedException(
+          Outcome.INDETERMINATE, name + " lost its lead meanwhile", null);
     }
-    return new NotCommittedException(Known.MAYBE, String.valueOf(root.getMessage()), null);
+    return new NotCommittedException(
+        Outcome.INDETERMINATE, String.valueOf(root.getMessage()), null);
   }
 
   /**
@@ -339,19 +343,19 @@
    *
    * @return the image, from the leader alone, which asks a majority whether it still leads
    */
-  public CompletionStage<ReplicatedState.Image> read() {
-    CompletableFuture<ReplicatedState.Image> answered = new CompletableFuture<>();
-    turns.run(
+  public CompletionStage<ReplicatedState.Snapshot> read() {
+    CompletableFuture<ReplicatedState.Snapshot> answered = new CompletableFuture<>();
+    executor.execute(
         () ->
             node.query(
-                    LogEntryCodec.NOTHING,
+                    LogEntryCodec.EMPTY_OPERATION,
                     QueryPolicy.LINEARIZABLE,
                     Optional.empty(),
                     Optional.empty())
                 .whenComplete(
                     (ordered, cause) -> {
                       if (cause == null) {
-                        answered.complete(machine.promises().image());
+                        answered.complete(stateMachine.promises().snapshot());
                       } else {
                         answered.completeExceptionally(notHeld(cause));
                       }
@@ -360,30 +364,30 @@
   }
 
   /** What is held as far as it is applied here, perhaps less than at others; on its thread. */
-  public ReplicatedState.Image applied() {
-    return machine.promises().image();
+  public ReplicatedState.Snapshot appliedState() {
+    return stateMachine.promises().snapshot();
   }
 
   /** How a member comes and goes. One change at a time. */
-  public enum Change {
+  public enum MembershipChange {
     /** It hears all, and has no vote. */
-    LEARN,
+    ADD_LEARNER,
     /** It votes. */
-    VOTE,
+    PROMOTE_TO_VOTER,
     /** It leaves for good; its name is not used again. */
-    LEAVE
+    REMOVE
   }
 
   /** Changes the group, where this member leads. */
-  public CompletionStage<?> change(String member, Change change) {
+  public CompletionStage<?> changeMembership(String member, MembershipChange change) {
     CompletableFuture<Object> answered = new CompletableFuture<>();
     MembershipChangeMode mode =
         switch (change) {
-          case LEARN -> MembershipChangeMode.ADD_LEARNER;
-          case VOTE -> MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER;
-          case LEAVE -> MembershipChangeMode.REMOVE_MEMBER;
+          case ADD_LEARNER -> MembershipChangeMode.ADD_LEARNER;
+          case PROMOTE_TO_VOTER -> MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER;
+          case REMOVE -> MembershipChangeMode.REMOVE_MEMBER;
         };
-    turns.run(
+    executor.execute(
         () ->
             node.changeMembership(
                     new Endpoint(member), mode, node.getCommittedMembers().getLogIndex())
@@ -399,14 +403,14 @@
   }
 
   /** The members with whom the group began: a new one has to be told. */
-  public List<String> began() {
+  public List<String> initialMembers() {
     return LogEntryCodec.names(node.getInitialMembers().getMembers());
   }
 
   /** Takes no part any more. The journal is left to whoever opened it. */
   @Override
   public void close() {
-    turns.run(
+    executor.execute(
         () -> {
           closed = true;
           node.terminate();
--- a/cluster/src/main/java/shalepaddle/raft/RaftTimeouts.java
+++ b/cluster/src/main/java/shalepaddle/raft/RaftTimeouts.java
@@ -11,13 +11,13 @@
 
 /**
  * How fast a group's time runs. The library counts heartbeats in whole seconds, which is long for
- * nodes beside each other: so its second lasts {@value #SECOND_MILLIS} ms here, for its clock and
- * its timers alike. The clock is monotonic: a machine whose time of day jumps by hours changes
- * nothing for the group.
+ * nodes beside each other: so its second lasts {@value #LIBRARY_SECOND_MILLIS} ms here, for its
+ * clock and its timers alike. The clock is monotonic: a machine whose time of day jumps by hours
+ * changes nothing for the group.
  */
 public final class RaftTimeouts {
   /** Real milliseconds of one of the library's seconds. */
-  public static final long SECOND_MILLIS = 200;
+  public static final long LIBRARY_SECOND_MILLIS = 200;
 
   /** Beats of the leader, in the library's seconds. */
   private static final int BEAT = 1;
@@ -49,8 +49,8 @@
   }
 
   /** Real milliseconds for which a leader that was lost may go unnoticed. */
-  public static long lostMillis() {
-    return LOST * SECOND_MILLIS;
+  public static long leaderLossTimeoutMillis() {
+    return LOST * LIBRARY_SECOND_MILLIS;
   }
 
   /** The library's clock, made of monotonic nanoseconds. */
@@ -60,7 +60,7 @@
       @Override
       public long millis() {
         // From a day on: the library takes 0 for never.
-        return 86_400_000L + (nanos.getAsLong() - began) / 1_000_000 * 1000 / SECOND_MILLIS;
+        return 86_400_000L + (nanos.getAsLong() - began) / 1_000_000 * 1000 / LIBRARY_SECOND_MILLIS;
       }
 
       @Override
@@ -85,17 +85,17 @@
     return new RaftNodeExecutor() {
       @Override
       public void execute(Runnable task) {
-        turns.run(task);
+        turns.execute(task);
       }
 
       @Override
       public void submit(Runnable task) {
-        turns.run(task);
+        turns.execute(task);
       }
 
       @Override
       public void schedule(Runnable task, long delay, TimeUnit unit) {
-        turns.runIn(unit.toNanos(delay) / 1000 * SECOND_MILLIS, task);
+        turns.schedule(unit.toNanos(delay) / 1000 * LIBRARY_SECOND_MILLIS, task);
       }
     };
   }
--- a/cluster/src/main/java/shalepaddle/raft/ReplicatedStateMachine.java
+++ b/cluster/src/main/java/shalepaddle/raft/ReplicatedStateMachine.java
@@ -44,18 +44,18 @@
       proposal = ReplicatedStateCodec.proposal(bytes);
     } catch (IOException e) {
       // The same bytes on every member: all pass it over.
-      return new CommandResult(CommandResult.Kind.NOT_KNOWN, index);
+      return new CommandResult(CommandResult.Outcome.UNKNOWN_COMMAND, index);
     }
     CommandResult answer = promises.apply(index, proposal);
     if (index > told) {
-      listener.applied(index, bytes, proposal, answer);
+      listener.entryApplied(index, bytes, proposal, answer);
     }
     return answer;
   }
 
   @Override
   public void takeSnapshot(long index, Consumer<Object> parts) {
-    byte[] image = ReplicatedStateCodec.image(promises.image());
+    byte[] image = ReplicatedStateCodec.image(promises.snapshot());
     for (int from = 0; from == 0 || from < image.length; from += PART) {
       parts.accept(Arrays.copyOfRange(image, from, Math.min(image.length, from + PART)));
     }
@@ -71,12 +71,12 @@
       throw new IllegalStateException("the snapshot can't be read: " + e.getMessage(), e);
     }
     if (index > told) {
-      listener.restored(promises.image());
+      listener.snapshotInstalled(promises.snapshot());
     }
   }
 
   @Override
   public Object getNewTermOperation() {
-    return LogEntryCodec.NOTHING;
+    return LogEntryCodec.EMPTY_OPERATION;
   }
 }
--- a/cluster/src/main/java/shalepaddle/storage/FileLogDirectory.java
+++ b/cluster/src/main/java/shalepaddle/storage/FileLogDirectory.java
@@ -85,14 +85,14 @@
   }
 
   @Override
-  public void forceNames() throws IOException {
+  public void syncNames() throws IOException {
     try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
       names.force(true);
     }
   }
 
   @Override
-  public String place() {
+  public String location() {
     return folder.toString();
   }
 
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public void force() throws IOException {
+    public void sync() throws IOException {
       file.force(false);
     }
 
--- a/cluster/src/main/java/shalepaddle/storage/LogDirectory.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogDirectory.java
@@ -28,17 +28,17 @@
   void delete(String name) throws IOException;
 
   /** Returns once names that were made, changed or deleted survive a stop of the machine. */
-  void forceNames() throws IOException;
+  void syncNames() throws IOException;
 
   /** Where it is, for people. */
-  String place();
+  String location();
 
   /** A file that grows. */
   interface Appender extends Closeable {
-    /** Adds bytes, which may be lost until {@link #force}. */
+    /** Adds bytes, which may be lost until {@link #sync}. */
     void write(byte[] bytes) throws IOException;
 
     /** Returns once all that was written survives a stop of the machine. */
-    void force() throws IOException;
+    void sync() throws IOException;
   }
 }
--- a/cluster/src/main/java/shalepaddle/storage/RaftLogStore.java
+++ b/cluster/src/main/java/shalepaddle/storage/RaftLogStore.java
@@ -80,8 +80,8 @@
   /** Bytes of the file that were forced. */
   private long forced;
 
-  private IOException failed;
-  private final List<String> told = new ArrayList<>();
+  private IOException failure;
+  private final List<String> recoveryWarnings = new ArrayList<>();
 
   /**
    * Opens the journal of a member, which may be empty.
@@ -103,12 +103,12 @@
   }
 
   /** The names of the group and of the member that a folder belongs to, null if it is empty. */
-  public static List<String> owner(LogDirectory disk) throws IOException {
+  public static List<String> readOwner(LogDirectory disk) throws IOException {
     String newest = newest(disk);
     if (newest == null) {
       return null;
     }
-    RecordFormat.Read read = RecordFormat.read(disk.place() + "/" + newest, disk.read(newest));
+    RecordFormat.Read read = RecordFormat.read(disk.location() + "/" + newest, disk.read(newest));
     return header(disk, newest, read);
   }
 
@@ -123,29 +123,29 @@
       throws IOException {
     if (read.whole().isEmpty() || read.whole().get(0).kind() != HEADER) {
       throw new CorruptLogException(
-          disk.place()
+          disk.location()
               + "/"
               + file
               + " is no journal: take this folder away, and let the member join anew under a new"
               + " name");
     }
-    return CborValues.read(
+    return CborValues.decode(
         read.whole().get(0).body(),
         in -> {
-          int format = in.small();
+          int format = in.readInt();
           if (format != FORMAT) {
             throw new CorruptLogException(
                 "%s/%s is of format %d, and this version reads %d: start the version that wrote it"
-                    .formatted(disk.place(), file, format, FORMAT));
+                    .formatted(disk.location(), file, format, FORMAT));
           }
-          return List.of(in.text(), in.text());
+          return List.of(in.readText(), in.readText());
         });
   }
 
   /** Removes what was begun and never named, or is no longer needed: a failure came in between. */
   private void removeAllBut(String newest) throws IOException {
     // The newest one's name must outlive the others.
-    disk.forceNames();
+    disk.syncNames();
     for (String left : disk.names()) {
       if (!left.equals(newest)) {
         disk.delete(left);
@@ -160,7 +160,7 @@
       begin(1);
       return;
     }
-    String place = disk.place() + "/" + newest;
+    String place = disk.location() + "/" + newest;
     RecordFormat.Read read = RecordFormat.read(place, disk.read(newest));
     List<String> owner = header(disk, newest, read);
     if (!owner.equals(List.of(group, name))) {
@@ -170,7 +170,8 @@
     }
     restore(newest, read);
     if (read.torn() > 0) {
-      told.add(place + ": " + read.torn() + " bytes of a write that was cut short are left out");
+      recoveryWarnings.add(
+          place + ": " + read.torn() + " bytes of a write that was cut short are left out");
     }
     begin(generation + 1);
   }
@@ -182,7 +183,7 @@
     term = null;
     entries.clear();
     chunks.clear();
-    String place = disk.place() + "/" + name;
+    String place = disk.location() + "/" + name;
     for (RecordFormat.Framed record : read.whole().subList(1, read.whole().size())) {
       take(place, record);
     }
@@ -197,7 +198,7 @@
    * @return false if the disk does not allow it now; it may be tried again
    */
   public boolean recover() {
-    if (failed == null) {
+    if (failure == null) {
       return true;
     }
     try {
@@ -207,20 +208,20 @@
       }
       String newest = newest(disk);
       if (newest == null) {
-        throw new IOException(disk.place() + " has lost its files");
+        throw new IOException(disk.location() + " has lost its files");
       }
       byte[] bytes = disk.read(newest);
       boolean current = newest.equals(PREFIX + number(generation));
       byte[] sure = current ? Arrays.copyOf(bytes, (int) Math.min(bytes.length, forced)) : bytes;
-      RecordFormat.Read read = RecordFormat.read(disk.place() + "/" + newest, sure);
+      RecordFormat.Read read = RecordFormat.read(disk.location() + "/" + newest, sure);
       header(disk, newest, read);
       removeAllBut(newest);
       restore(newest, read);
       begin(generation + 1);
-      failed = null;
+      failure = null;
       return true;
     } catch (IOException e) {
-      failed = e;
+      failure = e;
       return false;
     }
   }
@@ -229,20 +230,21 @@
     byte[] body = record.body();
     switch (record.kind()) {
       case ENDPOINT -> {
-        boolean voting = CborValues.read(body, CborValues.Reader::flag);
+        boolean voting = CborValues.decode(body, CborValues.Reader::readBoolean);
         endpoint = endpoint(voting);
       }
-      case MEMBERS -> members = CborValues.read(body, LogEntryCodec::view);
-      case TERM -> term = CborValues.read(body, LogEntryCodec::term);
+      case MEMBERS -> members = CborValues.decode(body, LogEntryCodec::view);
+      case TERM -> term = CborValues.decode(body, LogEntryCodec::term);
       case ENTRY -> {
-        LogEntry entry = CborValues.read(body, LogEntryCodec::entry);
+        LogEntry entry = CborValues.decode(body, LogEntryCodec::entry);
         entries.put(entry.getIndex(), entry);
       }
-      case CUT_FROM -> entries.tailMap(CborValues.read(body, CborValues.Reader::number)).clear();
+      case CUT_FROM ->
+          entries.tailMap(CborValues.decode(body, CborValues.Reader::readLong)).clear();
       case CUT_UNTIL ->
-          entries.headMap(CborValues.read(body, CborValues.Reader::number) + 1).clear();
-      case CHUNK -> keep(CborValues.read(body, LogEntryCodec::chunk));
-      case DROP_CHUNKS -> chunks.remove(CborValues.read(body, CborValues.Reader::number));
+          entries.headMap(CborValues.decode(body, CborValues.Reader::readLong) + 1).clear();
+      case CHUNK -> keep(CborValues.decode(body, LogEntryCodec::chunk));
+      case DROP_CHUNKS -> chunks.remove(CborValues.decode(body, CborValues.Reader::readLong));
       default ->
           throw new CorruptLogException(
               "%s holds a record of kind %d, made by a later version: start that one"
@@ -299,7 +301,7 @@
   }
 
   /** The member is one of these, with whom the group begins; all of them vote. */
-  public void beginGroup(Collection<String> names) throws IOException {
+  public void initializeGroup(Collection<String> names) throws IOException {
     Collection<RaftEndpoint> all = new LinkedHashSet<>();
     names.forEach(member -> all.add(new Endpoint(member)));
     persistAndFlushInitialGroupMembers(
@@ -313,7 +315,7 @@
   }
 
   /** What was read, to begin with; null where the member has never begun. */
-  public RestoredRaftState restored() {
+  public RestoredRaftState restoredState() {
     if (endpoint == null || members == null) {
       return null;
     }
@@ -332,8 +334,8 @@
   }
 
   /** What an operator should hear of how it was found; empty if there is nothing. */
-  public List<String> told() {
-    return List.copyOf(told);
+  public List<String> recoveryWarnings() {
+    return List.copyOf(recoveryWarnings);
   }
 
   /** The last entry that is in it, of the snapshot or behind it. */
@@ -349,13 +351,13 @@
   }
 
   /** Bytes of its file. */
-  public long bytes() {
+  public long sizeBytes() {
     return length;
   }
 
   /** Why nothing can be held any more, null while it can. */
-  public IOException failed() {
-    return failed;
+  public IOException failure() {
+    return failure;
   }
 
   private static String number(long generation) {
@@ -367,25 +369,25 @@
     List<byte[]> all = new ArrayList<>();
     all.add(
         RecordFormat.frame(
-            HEADER, CborValues.write(this, (own, out) -> out.put(FORMAT).put(group).put(name))));
+            HEADER, CborValues.encode(this, (own, out) -> out.put(FORMAT).put(group).put(name))));
     if (endpoint != null) {
       all.add(
           RecordFormat.frame(
-              ENDPOINT, CborValues.write(endpoint.isVoting(), (v, out) -> out.put(v))));
+              ENDPOINT, CborValues.encode(endpoint.isVoting(), (v, out) -> out.put(v))));
     }
     if (members != null) {
-      all.add(RecordFormat.frame(MEMBERS, CborValues.write(members, LogEntryCodec::view)));
+      all.add(RecordFormat.frame(MEMBERS, CborValues.encode(members, LogEntryCodec::view)));
     }
     if (term != null) {
-      all.add(RecordFormat.frame(TERM, CborValues.write(term, LogEntryCodec::term)));
+      all.add(RecordFormat.frame(TERM, CborValues.encode(term, LogEntryCodec::term)));
     }
     for (Map<Integer, SnapshotChunk> parts : chunks.values()) {
       for (SnapshotChunk chunk : parts.values()) {
-        all.add(RecordFormat.frame(CHUNK, CborValues.write(chunk, LogEntryCodec::chunk)));
+        all.add(RecordFormat.frame(CHUNK, CborValues.encode(chunk, LogEntryCodec::chunk)));
       }
     }
     for (LogEntry entry : entries.values()) {
-      all.add(RecordFormat.frame(ENTRY, CborValues.write(entry, LogEntryCodec::entry)));
+      all.add(RecordFormat.frame(ENTRY, CborValues.encode(entry, LogEntryCodec::entry)));
     }
     String old = PREFIX + number(generation);
     LogDirectory.Appender before = file;
@@ -410,9 +412,9 @@
     LogDirectory.Appender made = disk.create(NEXT + number(number));
     try {
       made.write(bytes);
-      made.force();
+      made.sync();
       disk.rename(NEXT + number(number), PREFIX + number(number));
-      disk.forceNames();
+      disk.syncNames();
       return made;
     } catch (IOException e) {
       made.close();
@@ -422,7 +424,7 @@
 
   /** Returns once all that was written survives a stop of the machine. */
   private void force() throws IOException {
-    file.force();
+    file.sync();
     forced = length;
   }
 
@@ -432,13 +434,13 @@
 
   /** Nothing more is done after a failure. */
   private void guarded(Step step) throws IOException {
-    if (failed != null) {
-      throw new IOException("the journal failed before: " + failed.getMessage(), failed);
+    if (failure != null) {
+      throw new IOException("the journal failed before: " + failure.getMessage(), failure);
     }
     try {
       step.run();
     } catch (IOException e) {
-      failed = e;
+      failure = e;
       throw e;
     }
   }
@@ -454,7 +456,7 @@
     guarded(
         () -> {
           endpoint = endpoint(state.isVoting());
-          append(ENDPOINT, CborValues.write(state.isVoting(), (voting, out) -> out.put(voting)));
+          append(ENDPOINT, CborValues.encode(state.isVoting(), (voting, out) -> out.put(voting)));
           force();
         });
   }
@@ -464,7 +466,7 @@
     guarded(
         () -> {
           members = view;
-          append(MEMBERS, CborValues.write(view, LogEntryCodec::view));
+          append(MEMBERS, CborValues.encode(view, LogEntryCodec::view));
           force();
         });
   }
@@ -474,7 +476,7 @@
     guarded(
         () -> {
           term = state;
-          append(TERM, CborValues.write(state, LogEntryCodec::term));
+          append(TERM, CborValues.encode(state, LogEntryCodec::term));
           force();
         });
   }
@@ -485,7 +487,7 @@
         () -> {
           for (LogEntry entry : more) {
             entries.put(entry.getIndex(), entry);
-            append(ENTRY, CborValues.write(entry, LogEntryCodec::entry));
+            append(ENTRY, CborValues.encode(entry, LogEntryCodec::entry));
           }
         });
   }
@@ -495,7 +497,7 @@
     guarded(
         () -> {
           keep(chunk);
-          append(CHUNK, CborValues.write(chunk, LogEntryCodec::chunk));
+          append(CHUNK, CborValues.encode(chunk, LogEntryCodec::chunk));
         });
   }
 
@@ -504,7 +506,7 @@
     guarded(
         () -> {
           entries.tailMap(index).clear();
-          append(CUT_FROM, CborValues.write(index, (value, out) -> out.put(value)));
+          append(CUT_FROM, CborValues.encode(index, (value, out) -> out.put(value)));
         });
   }
 
@@ -513,7 +515,7 @@
     guarded(
         () -> {
           entries.headMap(index + 1).clear();
-          append(CUT_UNTIL, CborValues.write(index, (value, out) -> out.put(value)));
+          append(CUT_UNTIL, CborValues.encode(index, (value, out) -> out.put(value)));
         });
   }
 
@@ -522,7 +524,7 @@
     guarded(
         () -> {
           chunks.remove(index);
-          append(DROP_CHUNKS, CborValues.write(index, (value, out) -> out.put(value)));
+          append(DROP_CHUNKS, CborValues.encode(index, (value, out) -> out.put(value)));
         });
   }
 
--- a/cluster/src/main/java/shalepaddle/transport/ChangeFeedClient.java
+++ b/cluster/src/main/java/shalepaddle/transport/ChangeFeedClient.java
@@ -28,22 +28,22 @@
   /** Is told of what happens, on the event loop. */
   public interface Listener {
     /** An entry is in force, in the order of the log. */
-    void applied(long index, Proposal proposal, CommandResult answer);
+    void entryApplied(long index, Proposal proposal, CommandResult answer);
 
     /** A state took the place of all that was in force. */
-    void restored(ReplicatedState.Image image);
+    void snapshotInstalled(ReplicatedState.Snapshot image);
 
     /** Whether the node is in contact has changed. */
-    void contact(boolean in);
+    void contactChanged(boolean in);
 
     /** A line for operators. */
-    void line(String text);
+    void diagnostic(String text);
   }
 
   private final EventLoop loop;
   private final List<InetSocketAddress> members;
   private final Listener listener;
-  private final ReplicatedState held = new ReplicatedState();
+  private final ReplicatedState snapshot = new ReplicatedState();
   private final ChangeFeedSubscriber follower;
   private Channel channel;
   private boolean closed;
@@ -75,7 +75,7 @@
             members.size(),
             seed,
             System.nanoTime(),
-            ChangeFeedSubscriber.Pace.USUAL,
+            ChangeFeedSubscriber.Timeouts.DEFAULT,
             new Doing());
     loop.execute(this::arm);
   }
@@ -92,27 +92,27 @@
             arm();
           }
         },
-        Math.max(0, follower.nextDue() - System.nanoTime()),
+        Math.max(0, follower.nextTickNanos() - System.nanoTime()),
         TimeUnit.NANOSECONDS);
   }
 
   /** What is in force here, up to which place; on the event loop. */
-  public ReplicatedState.Image held() {
-    return held.image();
+  public ReplicatedState.Snapshot snapshot() {
+    return snapshot.snapshot();
   }
 
   /** Whether it is in contact; on the event loop. */
-  public boolean inContact() {
-    return follower.inContact();
+  public boolean isInContact() {
+    return follower.isInContact();
   }
 
   /** Up to which place it knows all; on the event loop. */
-  public long index() {
-    return follower.index();
+  public long lastIndex() {
+    return follower.lastIndex();
   }
 
   /** Carries out what the follower decides. */
-  private final class Doing implements ChangeFeedSubscriber.Carrier {
+  private final class Doing implements ChangeFeedSubscriber.Output {
     @Override
     public void connect(int member) {
       ChannelFuture opened =
@@ -122,7 +122,7 @@
               .option(ChannelOption.TCP_NODELAY, true)
               .option(
                   ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                  (int) (ChangeFeedSubscriber.Pace.USUAL.connectNanos() / 1_000_000))
+                  (int) (ChangeFeedSubscriber.Timeouts.DEFAULT.connectTimeoutNanos() / 1_000_000))
               .handler(
                   new ChannelInitializer<>() {
                     @Override
@@ -138,7 +138,7 @@
             if (channel != made) {
               made.close();
             } else if (done.isSuccess()) {
-              follower.up(System.nanoTime());
+              follower.connected(System.nanoTime());
               arm();
             }
           });
@@ -147,7 +147,7 @@
               gone -> {
                 if (channel == made) {
                   channel = null;
-                  follower.down(System.nanoTime());
+                  follower.disconnected(System.nanoTime());
                   arm();
                 }
               });
@@ -163,7 +163,7 @@
     }
 
     @Override
-    public void say(SubscriberMessage said) {
+    public void send(SubscriberMessage said) {
       if (channel != null) {
         channel.writeAndFlush(
             new Frame(Frame.Kind.FOLLOW, ChangeFeedCodec.said(said)).write(channel.alloc()),
@@ -178,35 +178,35 @@
         proposal = ReplicatedStateCodec.proposal(entry.body());
       } catch (IOException | IllegalArgumentException e) {
         // The members passed it over as well; what was in force holds.
-        listener.line("entry " + entry.index() + " can't be read: " + e.getMessage());
-        follower.wrong(entry.index(), String.valueOf(e.getMessage()));
+        listener.diagnostic("entry " + entry.index() + " can't be read: " + e.getMessage());
+        follower.rejectEntry(entry.index(), String.valueOf(e.getMessage()));
         return;
       }
-      listener.applied(entry.index(), proposal, held.apply(entry.index(), proposal));
+      listener.entryApplied(entry.index(), proposal, snapshot.apply(entry.index(), proposal));
     }
 
     @Override
-    public boolean load(long index, byte[] image) {
-      ReplicatedState.Image read;
+    public boolean installSnapshot(long index, byte[] image) {
+      ReplicatedState.Snapshot read;
       try {
         read = ReplicatedStateCodec.image(image);
       } catch (IOException | IllegalArgumentException e) {
-        listener.line("the state up to " + index + " can't be read: " + e.getMessage());
+        listener.diagnostic("the state up to " + index + " can't be read: " + e.getMessage());
         return false;
       }
-      held.restore(read);
-      listener.restored(read);
+      snapshot.restore(read);
+      listener.snapshotInstalled(read);
       return true;
     }
 
     @Override
-    public void contact(boolean in) {
-      listener.contact(in);
+    public void contactChanged(boolean in) {
+      listener.contactChanged(in);
     }
 
     @Override
-    public void turnedDown(int member, String why) {
-      listener.line("the member at " + members.get(member) + " can't be followed: " + why);
+    public void rejected(int member, String why) {
+      listener.diagnostic("the member at " + members.get(member) + " can't be followed: " + why);
     }
   }
 
@@ -218,7 +218,7 @@
       }
       PublisherMessage told = ChangeFeedCodec.told(frame.body());
       if (ctx.channel() == channel) {
-        follower.told(System.nanoTime(), told);
+        follower.received(System.nanoTime(), told);
         arm();
       }
     }
@@ -227,7 +227,7 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       Throwable root = cause.getCause() == null ? cause : cause.getCause();
       if (ctx.channel() == channel) {
-        listener.line("a member's words can't be read: " + root.getMessage());
+        listener.diagnostic("a member's words can't be read: " + root.getMessage());
       }
       ctx.close();
     }
--- a/cluster/src/main/java/shalepaddle/transport/ChangeFeedServer.java
+++ b/cluster/src/main/java/shalepaddle/transport/ChangeFeedServer.java
@@ -24,8 +24,8 @@
 
 /**
  * Where nodes follow a member. What is sent whom is decided on the member's thread ({@link
- * ChangeFeedPublisher}), which {@link #applied}, {@link #restored} and {@link #led} are called on;
- * the bytes go on an event loop and a thread of their own.
+ * ChangeFeedPublisher}), which {@link #entryApplied}, {@link #snapshotInstalled} and {@link
+ * #setLeaderKnown} are called on; the bytes go on an event loop and a thread of their own.
  */
 public final class ChangeFeedServer implements AutoCloseable {
   /** A follower that has not said who it is by then is closed. */
@@ -63,7 +63,7 @@
     this.log = log;
     this.publisher =
         new ChangeFeedPublisher(
-            group, turns.nanos(), ChangeFeedPublisher.Limits.USUAL, new Telling(snapshot));
+            group, turns.nanoTime(), ChangeFeedPublisher.Limits.DEFAULT, new Telling(snapshot));
     this.loops =
         new MultiThreadIoEventLoopGroup(
             1, new DefaultThreadFactory("feed", true), NioIoHandler.newFactory());
@@ -72,9 +72,9 @@
             loops,
             listen,
             "followers",
-            2 * ChangeFeedPublisher.Limits.USUAL.mostFollowers(),
+            2 * ChangeFeedPublisher.Limits.DEFAULT.maxSubscribers(),
             this::accept);
-    turns.run(this::tick);
+    turns.execute(this::tick);
   }
 
   /** Where it listens. */
@@ -87,39 +87,39 @@
     made.closeFuture()
         .addListener(
             gone ->
-                turns.run(
+                turns.execute(
                     () -> {
                       followers.remove(number);
-                      publisher.gone(number);
+                      publisher.disconnected(number);
                     }));
-    turns.run(() -> followers.put(number, made));
+    turns.execute(() -> followers.put(number, made));
     made.pipeline().addLast(new Frame.Decoder(), new Incoming(number));
   }
 
   private void tick() {
     if (!closed) {
-      publisher.tick(turns.nanos());
-      turns.runIn(ChangeFeedPublisher.Limits.USUAL.aliveNanos() / 4, this::tick);
+      publisher.tick(turns.nanoTime());
+      turns.schedule(ChangeFeedPublisher.Limits.DEFAULT.heartbeatNanos() / 4, this::tick);
     }
   }
 
   /** An entry was applied at this member. */
-  public void applied(long index, byte[] body) {
-    publisher.applied(turns.nanos(), new ChangeEntry(index, body));
+  public void entryApplied(long index, byte[] body) {
+    publisher.entryApplied(turns.nanoTime(), new ChangeEntry(index, body));
   }
 
   /** A snapshot took the place of all that was applied at this member. */
-  public void restored(long index) {
-    publisher.restored(turns.nanos(), index);
+  public void snapshotInstalled(long index) {
+    publisher.snapshotInstalled(turns.nanoTime(), index);
   }
 
   /** Whether this member knows who leads its group. */
-  public void led(boolean known) {
-    publisher.led(turns.nanos(), known);
+  public void setLeaderKnown(boolean known) {
+    publisher.setLeaderKnown(turns.nanoTime(), known);
   }
 
   /** Carries out what the publisher decides, on the member's thread. */
-  private final class Telling implements ChangeFeedPublisher.Carrier {
+  private final class Telling implements ChangeFeedPublisher.Output {
     private final Supplier<PublisherMessage.Snapshot> snapshot;
 
     Telling(Supplier<PublisherMessage.Snapshot> snapshot) {
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public void tell(long connection, PublisherMessage told) {
+    public void send(long connection, PublisherMessage told) {
       Channel channel = followers.get(connection);
       if (channel != null) {
         channel.writeAndFlush(
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void drop(long connection) {
+    public void close(long connection) {
       Channel channel = followers.remove(connection);
       if (channel != null) {
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
@@ -179,7 +179,7 @@
       }
       SubscriberMessage said = ChangeFeedCodec.said(frame.body());
       known = true;
-      turns.run(() -> publisher.said(turns.nanos(), number, said));
+      turns.execute(() -> publisher.received(turns.nanoTime(), number, said));
     }
 
     @Override
--- a/cluster/src/main/java/shalepaddle/transport/ControlMessages.java
+++ b/cluster/src/main/java/shalepaddle/transport/ControlMessages.java
@@ -16,12 +16,12 @@
    */
   record Hello(String group, String name, String address) {
     byte[] bytes() {
-      return CborValues.write(
+      return CborValues.encode(
           this, (hello, out) -> out.put(hello.group).put(hello.name).put(hello.address));
     }
 
     static Hello of(byte[] bytes) throws IOException {
-      return CborValues.read(bytes, in -> new Hello(in.text(), in.text(), in.text()));
+      return CborValues.decode(bytes, in -> new Hello(in.readText(), in.readText(), in.readText()));
     }
   }
 
@@ -35,12 +35,12 @@
    */
   record Said(long number, String what, byte[] body) {
     byte[] bytes() {
-      return CborValues.write(
+      return CborValues.encode(
           this, (said, out) -> out.put(said.number).put(said.what).put(said.body));
     }
 
     static Said of(byte[] bytes) throws IOException {
-      return CborValues.read(bytes, in -> new Said(in.number(), in.text(), in.bytes()));
+      return CborValues.decode(bytes, in -> new Said(in.readLong(), in.readText(), in.readBytes()));
     }
   }
 }
--- a/cluster/src/main/java/shalepaddle/transport/MemberTransport.java
+++ b/cluster/src/main/java/shalepaddle/transport/MemberTransport.java
@@ -32,13 +32,13 @@
   /** What comes from others, on the links' thread. */
   public interface Listener {
     /** A message by which members agree. */
-    void agree(byte[] message);
+    void raftMessage(byte[] message);
 
     /** A question; a failed answer tells why, in words for people. */
-    CompletionStage<byte[]> asked(String what, byte[] body);
+    CompletionStage<byte[]> request(String what, byte[] body);
 
     /** A line for operators. */
-    void line(String text);
+    void diagnostic(String text);
   }
 
   private final MultiThreadIoEventLoopGroup group;
@@ -85,7 +85,7 @@
   }
 
   /** That member is to be found there, from now on. */
-  public void know(String member, InetSocketAddress address) {
+  public void setAddress(String member, InetSocketAddress address) {
     loop.execute(() -> peer(member, address));
   }
 
@@ -107,7 +107,7 @@
   }
 
   /** Asks a member; fails where it can't be asked, or does not answer in that time. */
-  public CompletableFuture<byte[]> ask(String member, String what, byte[] body, long millis) {
+  public CompletableFuture<byte[]> request(String member, String what, byte[] body, long millis) {
     CompletableFuture<byte[]> answer = new CompletableFuture<>();
     loop.execute(
         () -> {
@@ -132,7 +132,7 @@
   /** Tells of the same trouble of the same peer once, until it is another. */
   private void complain(String peer, String what) {
     if (told.size() < MOST_CONNECTIONS && !what.equals(told.put(peer, what))) {
-      listener.line("a peer at " + peer + " is turned down: " + what);
+      listener.diagnostic("a peer at " + peer + " is turned down: " + what);
     }
   }
 
@@ -160,7 +160,7 @@
         return;
       }
       switch (frame.kind()) {
-        case AGREE -> listener.agree(frame.body());
+        case AGREE -> listener.raftMessage(frame.body());
         case ASK -> answer(ctx, ControlMessages.Said.of(frame.body()));
         default -> throw new IOException("a frame of kind " + frame.kind() + " out of place");
       }
@@ -187,7 +187,7 @@
 
     private void answer(ChannelHandlerContext ctx, ControlMessages.Said question) {
       listener
-          .asked(question.what(), question.body())
+          .request(question.what(), question.body())
           .whenComplete(
               (body, cause) -> {
                 ControlMessages.Said said =
--- a/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
@@ -98,8 +98,8 @@
 
   private void end() {
     for (MemberStatus standing : standings()) {
-      if (standing.steppedAside() != null) {
-        broken.add(standing.name() + " is still aside: " + standing.steppedAside());
+      if (standing.inactiveReason() != null) {
+        broken.add(standing.name() + " is still aside: " + standing.inactiveReason());
       }
     }
     VirtualGroup.Machine leader = group.leader();
@@ -107,7 +107,7 @@
       broken.add("nobody leads at the end: " + standings());
       return;
     }
-    List<ReplicatedState.Image> last = new ArrayList<>();
+    List<ReplicatedState.Snapshot> last = new ArrayList<>();
     List<Throwable> why = new ArrayList<>();
     leader
         .agreement
@@ -134,13 +134,17 @@
                 id + " was answered yes at " + index + ", where there is " + group.log.get(index));
           }
         });
-    if (!replayed.out().equals(last.get(0).out())) {
-      broken.add("held is " + last.get(0).out() + ", the log says " + replayed.out());
+    if (!replayed.excludedServers().equals(last.get(0).excludedServers())) {
+      broken.add(
+          "held is "
+              + last.get(0).excludedServers()
+              + ", the log says "
+              + replayed.excludedServers());
     }
   }
 
   private List<MemberStatus> standings() {
-    return group.machines.values().stream().map(machine -> machine.agreement.standing()).toList();
+    return group.machines.values().stream().map(machine -> machine.agreement.status()).toList();
   }
 
   /** Now and then something breaks, or is mended. */
@@ -240,16 +244,18 @@
     VirtualGroup.Machine fresh = group.add(name, lost.first);
     change(
         fresh.name,
-        RaftMember.Change.LEARN,
+        RaftMember.MembershipChange.ADD_LEARNER,
         () ->
             change(
                 fresh.name,
-                RaftMember.Change.VOTE,
-                () -> change(lost.name, RaftMember.Change.LEAVE, () -> replacing = false)));
+                RaftMember.MembershipChange.PROMOTE_TO_VOTER,
+                () ->
+                    change(
+                        lost.name, RaftMember.MembershipChange.REMOVE, () -> replacing = false)));
   }
 
   /** Asks whoever leads until the group has changed. */
-  private void change(String member, RaftMember.Change change, Runnable then) {
+  private void change(String member, RaftMember.MembershipChange change, Runnable then) {
     VirtualGroup.Machine leader = group.leader();
     boolean done = leader != null && stands(leader, member, change);
     if (done) {
@@ -257,18 +263,18 @@
       return;
     }
     if (leader != null) {
-      leader.agreement.change(member, change);
+      leader.agreement.changeMembership(member, change);
     }
     group.at(group.now + 300 * VirtualGroup.MILLI, () -> change(member, change, then));
   }
 
   private static boolean stands(
-      VirtualGroup.Machine leader, String member, RaftMember.Change change) {
-    MemberStatus standing = leader.agreement.standing();
+      VirtualGroup.Machine leader, String member, RaftMember.MembershipChange change) {
+    MemberStatus standing = leader.agreement.status();
     return switch (change) {
-      case LEARN -> standing.members().contains(member);
-      case VOTE -> standing.voting().contains(member);
-      case LEAVE -> !standing.members().contains(member);
+      case ADD_LEARNER -> standing.members().contains(member);
+      case PROMOTE_TO_VOTER -> standing.votingMembers().contains(member);
+      case REMOVE -> !standing.members().contains(member);
     };
   }
 
@@ -293,7 +299,9 @@
       String server = "s-" + number + "-" + count % 5;
       Proposal proposal =
           new Proposal(
-              id, group.now / VirtualGroup.MILLI, new StateCommand.Say(server, count % 3 != 0));
+              id,
+              group.now / VirtualGroup.MILLI,
+              new StateCommand.SetExclusion(server, count % 3 != 0));
       asked.put(id, proposal);
       ask(proposal);
     }
@@ -335,14 +343,14 @@
                     group.at(group.now + 50 * VirtualGroup.MILLI, () -> ask(proposal));
                   }
                 });
-        if (variant == Variant.EARLY_YES && machine.agreement.standing().leads()) {
+        if (variant == Variant.EARLY_YES && machine.agreement.status().isLeader()) {
           group.at(
               group.now,
               () -> {
                 if (!settled[0] && machine.up()) {
                   settled[0] = true;
-                  long index = machine.agreement.standing().last() + 1;
-                  answered(proposal, new CommandResult(CommandResult.Kind.HELD, index));
+                  long index = machine.agreement.status().lastLogIndex() + 1;
+                  answered(proposal, new CommandResult(CommandResult.Outcome.COMMITTED, index));
                   later();
                 }
               });
--- a/cluster/src/test/java/shalepaddle/raft/ReplicatedStateMachineTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/ReplicatedStateMachineTest.java
@@ -17,24 +17,24 @@
   @Test
   void anEntryOfALaterVersionIsToldWithAllItsBytes() {
     byte[] later =
-        CborValues.write("id", (id, out) -> out.put(id).put(7).put(77).put("what only they know"));
+        CborValues.encode("id", (id, out) -> out.put(id).put(7).put(77).put("what only they know"));
     List<byte[]> told = new ArrayList<>();
     ReplicatedStateMachine machine =
         new ReplicatedStateMachine(
             0,
             new RaftMember.Listener() {
               @Override
-              public void applied(
+              public void entryApplied(
                   long index, byte[] body, Proposal proposal, CommandResult answer) {
-                assertEquals(CommandResult.Kind.NOT_KNOWN, answer.kind());
+                assertEquals(CommandResult.Outcome.UNKNOWN_COMMAND, answer.outcome());
                 told.add(body);
               }
 
               @Override
-              public void restored(ReplicatedState.Image image) {}
+              public void snapshotInstalled(ReplicatedState.Snapshot image) {}
 
               @Override
-              public void changed(MemberStatus standing) {}
+              public void statusChanged(MemberStatus standing) {}
             });
     machine.runOperation(3, later);
     assertEquals(1, told.size());
--- a/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
+++ b/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
@@ -79,12 +79,12 @@
     }
 
     @Override
-    public void run(Runnable task) {
-      runIn(0, task);
+    public void execute(Runnable task) {
+      schedule(0, task);
     }
 
     @Override
-    public void runIn(long nanos, Runnable task) {
+    public void schedule(long nanos, Runnable task) {
       int mine = life;
       at(
           now + nanos,
@@ -104,12 +104,12 @@
     }
 
     @Override
-    public long nanos() {
+    public long nanoTime() {
       return now;
     }
 
     @Override
-    public void applied(long index, byte[] body, Proposal proposal, CommandResult answer) {
+    public void entryApplied(long index, byte[] body, Proposal proposal, CommandResult answer) {
       String before = log.putIfAbsent(index, proposal.id());
       if (before != null && !before.equals(proposal.id())) {
         throw new AssertionError(
@@ -122,13 +122,13 @@
     }
 
     @Override
-    public void restored(ReplicatedState.Image image) {
+    public void snapshotInstalled(ReplicatedState.Snapshot image) {
       appliedTo = image.index();
     }
 
     @Override
-    public void changed(MemberStatus standing) {
-      if (standing.leads()) {
+    public void statusChanged(MemberStatus standing) {
+      if (standing.isLeader()) {
         String before = leaders.putIfAbsent(standing.term(), name);
         if (before != null && !before.equals(name)) {
           throw new AssertionError(before + " and " + name + " both lead term " + standing.term());
@@ -224,7 +224,7 @@
     if (machine == null || !machine.up()) {
       return;
     }
-    machine.run(
+    machine.execute(
         () -> {
           try {
             machine.agreement.handle(RaftMessageCodec.message(bytes));
@@ -237,8 +237,8 @@
   /** Who leads, as the one of the highest term sees it; null for nobody. */
   Machine leader() {
     return machines.values().stream()
-        .filter(machine -> machine.up() && machine.agreement.standing().leads())
-        .max(Comparator.comparingInt(machine -> machine.agreement.standing().term()))
+        .filter(machine -> machine.up() && machine.agreement.status().isLeader())
+        .max(Comparator.comparingInt(machine -> machine.agreement.status().term()))
         .orElse(null);
   }
 }
--- a/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
@@ -154,7 +154,7 @@
   }
 
   @Override
-  public void forceNames() {
+  public void syncNames() {
     step();
     forced.clear();
     forced.putAll(names);
@@ -162,7 +162,7 @@
   }
 
   @Override
-  public String place() {
+  public String location() {
     return "disk";
   }
 
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void force() throws IOException {
+    public void sync() throws IOException {
       step();
       if (failing || failAt >= 0 && forces++ >= failAt) {
         bytes.dropped = true;
--- a/cluster/src/test/java/shalepaddle/storage/ForwardingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/ForwardingLogDirectory.java
@@ -29,13 +29,13 @@
   }
 
   @Override
-  default void forceNames() throws IOException {
-    disk().forceNames();
+  default void syncNames() throws IOException {
+    disk().syncNames();
   }
 
   @Override
-  default String place() {
-    return disk().place();
+  default String location() {
+    return disk().location();
   }
 
   @Override
--- a/cluster/src/test/java/shalepaddle/storage/RaftLogFormatTest.java
+++ b/cluster/src/test/java/shalepaddle/storage/RaftLogFormatTest.java
@@ -62,15 +62,15 @@
     copyTo(folder);
     RestoredRaftState state;
     try (FileLogDirectory directory = new FileLogDirectory(folder)) {
-      assertEquals(List.of("birds", "m0"), RaftLogStore.owner(directory));
+      assertEquals(List.of("birds", "m0"), RaftLogStore.readOwner(directory));
       RaftLogStore store = new RaftLogStore(directory, "birds", "m0");
       assertEquals(
           List.of(
               folder.resolve(CURRENT) + ": 17 bytes of a write that was cut short are left out"),
-          store.told());
+          store.recoveryWarnings());
       assertEquals(9, store.lastIndex());
       assertEquals(3, store.term());
-      state = store.restored();
+      state = store.restoredState();
     }
 
     assertEquals(new Endpoint("m0"), state.getLocalEndpointPersistentState().getLocalEndpoint());
@@ -91,10 +91,12 @@
     assertEquals(List.of("m0", "m1", "m2", "m3"), LogEntryCodec.names(change.getMembers()));
     assertEquals(List.of("m0", "m1", "m2"), LogEntryCodec.names(change.getVotingMembers()));
     assertEquals(
-        new Proposal("id-6", 1003, new StateCommand.Say("s-1", false)), proposal(entries.get(1)));
-    assertArrayEquals(LogEntryCodec.NOTHING, (byte[]) entries.get(2).getOperation());
+        new Proposal("id-6", 1003, new StateCommand.SetExclusion("s-1", false)),
+        proposal(entries.get(1)));
+    assertArrayEquals(LogEntryCodec.EMPTY_OPERATION, (byte[]) entries.get(2).getOperation());
     assertEquals(
-        new Proposal("id-8", 1006, new StateCommand.Say("s-3", true)), proposal(entries.get(3)));
+        new Proposal("id-8", 1006, new StateCommand.SetExclusion("s-3", true)),
+        proposal(entries.get(3)));
     assertEquals(
         new Proposal("id-9", 1007, new StateCommand.Unknown(79)), proposal(entries.get(4)));
   }
@@ -104,7 +106,7 @@
     copyTo(folder);
     RestoredRaftState state;
     try (RaftLogStore store = new RaftLogStore(new FileLogDirectory(folder), "birds", "m0")) {
-      state = store.restored();
+      state = store.restoredState();
     }
     assertEquals(4, state.getSnapshotEntry().getIndex());
     assertEquals(1, state.getSnapshotEntry().getTerm());
@@ -115,17 +117,17 @@
       image.writeBytes((byte[]) ((SnapshotChunk) chunk).getOperation());
     }
     assertEquals(
-        new ReplicatedState.Image(
+        new ReplicatedState.Snapshot(
             4,
             1002,
             List.of("s-1", "s-2"),
             List.of(
-                new ReplicatedState.Given(
-                    "id-2", 1000, new CommandResult(CommandResult.Kind.HELD, 2)),
-                new ReplicatedState.Given(
-                    "id-3", 1001, new CommandResult(CommandResult.Kind.HELD, 3)),
-                new ReplicatedState.Given(
-                    "id-4", 1002, new CommandResult(CommandResult.Kind.NOT_KNOWN, 4)))),
+                new ReplicatedState.RetainedResult(
+                    "id-2", 1000, new CommandResult(CommandResult.Outcome.COMMITTED, 2)),
+                new ReplicatedState.RetainedResult(
+                    "id-3", 1001, new CommandResult(CommandResult.Outcome.COMMITTED, 3)),
+                new ReplicatedState.RetainedResult(
+                    "id-4", 1002, new CommandResult(CommandResult.Outcome.UNKNOWN_COMMAND, 4)))),
         ReplicatedStateCodec.image(image.toByteArray()));
   }
 
--- a/cluster/src/test/java/shalepaddle/storage/RaftLogStoreTest.java
+++ b/cluster/src/test/java/shalepaddle/storage/RaftLogStoreTest.java
@@ -178,8 +178,8 @@
     life.live(journal);
     assertEquals("3 b 4 [5:2, 6:2, 7:3, 8:3, 9:3]", life.now.toString());
     RaftLogStore again = new RaftLogStore(disk.found(0, 1), "g", "a");
-    assertEquals(life.now.toString(), read(again.restored()));
-    assertEquals(List.of(), again.told());
+    assertEquals(life.now.toString(), read(again.restoredState()));
+    assertEquals(List.of(), again.recoveryWarnings());
     assertEquals(9, again.lastIndex());
     assertEquals(3, again.term());
   }
@@ -205,7 +205,7 @@
         for (int names = 0; names <= disk.pendingNames(); names++) {
           for (double part : new double[] {0, 0.3, 0.5, 0.9, 1}) {
             String after =
-                read(new RaftLogStore(disk.found(names, part), "g", "a", room).restored());
+                read(new RaftLogStore(disk.found(names, part), "g", "a", room).restoredState());
             // The step that was under way may be there as well.
             int state = life.states.lastIndexOf(after);
             assertTrue(
@@ -243,8 +243,8 @@
       damaged.damage(file, at);
       try {
         RaftLogStore journal = new RaftLogStore(damaged, "g", "a");
-        assertEquals(1, journal.told().size(), "a cut end is told");
-        assertTrue(life.states.contains(read(journal.restored())));
+        assertEquals(1, journal.recoveryWarnings().size(), "a cut end is told");
+        assertTrue(life.states.contains(read(journal.restoredState())));
       } catch (CorruptLogException e) {
         assertTrue(e.getMessage().contains(file) && e.getMessage().contains("join anew"));
         refused++;
@@ -260,7 +260,7 @@
       Life life = new Life();
       RaftLogStore journal = new RaftLogStore(disk, "g", "a");
       assertThrows(IOException.class, () -> life.live(journal));
-      assertNotNull(journal.failed());
+      assertNotNull(journal.failure());
       byte[] before = disk.read(disk.names().get(0));
       IOException again =
           assertThrows(IOException.class, () -> journal.persistLogEntries(List.of(entry(1, 1))));
@@ -280,11 +280,11 @@
       assertFalse(journal.recover(), "the disk fails still");
       disk.failingForce(ALL);
       assertTrue(journal.recover());
-      assertNull(journal.failed());
-      String held = read(journal.restored());
+      assertNull(journal.failure());
+      String held = read(journal.restoredState());
       assertEquals(life.states.get(life.held), held);
       journal.flush();
-      assertEquals(held, read(new RaftLogStore(disk.found(0, 0), "g", "a").restored()));
+      assertEquals(held, read(new RaftLogStore(disk.found(0, 0), "g", "a").restoredState()));
     }
   }
 
@@ -298,8 +298,8 @@
     disk.failing(true);
     assertThrows(IOException.class, first::flush);
     disk.failing(false);
-    String believed = read(new RaftLogStore(disk, "g", "a").restored());
-    assertEquals(believed, read(new RaftLogStore(disk.found(0, 0), "g", "a").restored()));
+    String believed = read(new RaftLogStore(disk, "g", "a").restoredState());
+    assertEquals(believed, read(new RaftLogStore(disk.found(0, 0), "g", "a").restoredState()));
   }
 
   @Test
@@ -311,19 +311,19 @@
       journal.persistLogEntries(List.of(entry(10, 3)));
       journal.truncateLogEntriesFrom(10);
       journal.flush();
-      assertTrue(journal.bytes() < 12_000, journal.bytes() + " bytes");
+      assertTrue(journal.sizeBytes() < 12_000, journal.sizeBytes() + " bytes");
       assertEquals(1, disk.names().size());
     }
-    String before = read(journal.restored());
-    assertEquals(before, read(new RaftLogStore(disk.found(0, 1), "g", "a").restored()));
+    String before = read(journal.restoredState());
+    assertEquals(before, read(new RaftLogStore(disk.found(0, 1), "g", "a").restoredState()));
   }
 
   @Test
   void foldersOfOthersAndOfOtherFormatsAreTurnedDownWithTheRemedy() throws Exception {
     CrashingLogDirectory disk = new CrashingLogDirectory(ALL);
     new Life().live(new RaftLogStore(disk, "g", "a"));
-    assertEquals(List.of("g", "a"), RaftLogStore.owner(disk));
-    assertNull(RaftLogStore.owner(new CrashingLogDirectory(ALL)));
+    assertEquals(List.of("g", "a"), RaftLogStore.readOwner(disk));
+    assertNull(RaftLogStore.readOwner(new CrashingLogDirectory(ALL)));
     CorruptLogException other =
         assertThrows(CorruptLogException.class, () -> new RaftLogStore(disk.found(0, 1), "g", "b"));
     assertTrue(other.getMessage().contains("belongs to member 'a' of group 'g'"));
@@ -344,8 +344,9 @@
     }
     Files.write(file, new byte[] {1, 2, 3}, java.nio.file.StandardOpenOption.APPEND);
     try (RaftLogStore journal = new RaftLogStore(new FileLogDirectory(folder), "g", "a")) {
-      assertEquals(life.now.toString(), read(journal.restored()));
-      assertTrue(journal.told().get(0).contains("3 bytes of a write that was cut short"));
+      assertEquals(life.now.toString(), read(journal.restoredState()));
+      assertTrue(
+          journal.recoveryWarnings().get(0).contains("3 bytes of a write that was cut short"));
     }
   }
 }
--- a/cluster/src/test/java/shalepaddle/storage/SilentlyFailingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/SilentlyFailingLogDirectory.java
@@ -25,9 +25,9 @@
     }
 
     @Override
-    public void force() throws IOException {
+    public void sync() throws IOException {
       try {
-        file.force();
+        file.sync();
       } catch (IOException e) {
         // As above.
       }
--- a/cluster/src/test/java/shalepaddle/storage/UnsyncedLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/UnsyncedLogDirectory.java
@@ -21,9 +21,9 @@
   }
 
   @Override
-  public void forceNames() throws IOException {
+  public void syncNames() throws IOException {
     if (begins) {
-      disk.forceNames();
+      disk.syncNames();
     }
   }
 
@@ -42,9 +42,9 @@
     }
 
     @Override
-    public void force() throws IOException {
+    public void sync() throws IOException {
       if (forcesOnce) {
-        file.force();
+        file.sync();
         forcesOnce = false;
       }
     }
--- a/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
+++ b/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
@@ -48,19 +48,19 @@
   private final MemberExecutor turns =
       new MemberExecutor() {
         @Override
-        public void run(Runnable task) {
-          runIn(0, task);
+        public void execute(Runnable task) {
+          schedule(0, task);
         }
 
         @Override
-        public void runIn(long nanos, Runnable task) {
+        public void schedule(long nanos, Runnable task) {
           if (!thread.isShutdown()) {
             thread.schedule(task, nanos, TimeUnit.NANOSECONDS);
           }
         }
 
         @Override
-        public long nanos() {
+        public long nanoTime() {
           return System.nanoTime();
         }
       };
@@ -78,13 +78,13 @@
     ChangeFeedServer port =
         new ChangeFeedServer("birds", ANY, turns, this::snapshot, portLines::add);
     open.add(port);
-    thread.submit(() -> port.led(true)).get();
+    thread.submit(() -> port.setLeaderKnown(true)).get();
     return port;
   }
 
   private PublisherMessage.Snapshot snapshot() {
     return new PublisherMessage.Snapshot(
-        state.index(), image == null ? ReplicatedStateCodec.image(state.image()) : image);
+        state.index(), image == null ? ReplicatedStateCodec.image(state.snapshot()) : image);
   }
 
   /** The member applies an entry. */
@@ -95,7 +95,7 @@
         .submit(
             () -> {
               state.apply(index, proposal);
-              port.applied(index, body);
+              port.entryApplied(index, body);
             })
         .get();
   }
@@ -106,22 +106,22 @@
     ChangeFeedClient.Listener listener =
         new ChangeFeedClient.Listener() {
           @Override
-          public void applied(long index, Proposal proposal, CommandResult answer) {
-            told.add(index + " " + answer.kind());
+          public void entryApplied(long index, Proposal proposal, CommandResult answer) {
+            told.add(index + " " + answer.outcome().wireName());
           }
 
           @Override
-          public void restored(ReplicatedState.Image read) {
-            told.add("restored to " + read.index() + " " + read.out());
+          public void snapshotInstalled(ReplicatedState.Snapshot read) {
+            told.add("restored to " + read.index() + " " + read.excludedServers());
           }
 
           @Override
-          public void contact(boolean in) {
+          public void contactChanged(boolean in) {
             told.add(in ? "in contact" : "out of contact");
           }
 
           @Override
-          public void line(String text) {
+          public void diagnostic(String text) {
             told.add(text);
           }
         };
@@ -138,12 +138,12 @@
   @Test
   void entriesComeInOrderAlsoOnesOfAKindThatIsNotKnown() throws Exception {
     ChangeFeedServer port = port();
-    applies(port, 3, new StateCommand.Say("s-1", true));
+    applies(port, 3, new StateCommand.SetExclusion("s-1", true));
     LinkedBlockingQueue<String> told = follow("birds", port);
     assertEquals("3 HELD", next(told));
     assertEquals("in contact", next(told));
     applies(port, 5, new StateCommand.Unknown(77));
-    applies(port, 6, new StateCommand.Say("s-2", true));
+    applies(port, 6, new StateCommand.SetExclusion("s-2", true));
     assertEquals("5 NOT_KNOWN", next(told));
     assertEquals("6 HELD", next(told));
   }
@@ -151,7 +151,7 @@
   @Test
   void anotherGroupIsTurnedDownInWordsAndChangesNothing() throws Exception {
     ChangeFeedServer port = port();
-    applies(port, 3, new StateCommand.Say("s-1", true));
+    applies(port, 3, new StateCommand.SetExclusion("s-1", true));
     LinkedBlockingQueue<String> told = follow("fish", port);
     assertTrue(next(told).endsWith("it follows group 'fish', and this is 'birds'"));
     assertTrue(next(told).endsWith("it follows group 'fish', and this is 'birds'"));
@@ -160,17 +160,17 @@
   @Test
   void whoComesAfterASnapshotIsGivenTheState() throws Exception {
     ChangeFeedServer port = port();
-    state.apply(9, new Proposal("id9", 1, new StateCommand.Say("s-9", true)));
-    thread.submit(() -> port.restored(9)).get();
+    state.apply(9, new Proposal("id9", 1, new StateCommand.SetExclusion("s-9", true)));
+    thread.submit(() -> port.snapshotInstalled(9)).get();
     assertEquals("restored to 9 [s-9]", next(follow("birds", port)));
   }
 
   @Test
   void aStateThatCanNotBeReadIsNotTaken() throws Exception {
     ChangeFeedServer port = port();
-    state.apply(9, new Proposal("id9", 1, new StateCommand.Say("s-9", true)));
+    state.apply(9, new Proposal("id9", 1, new StateCommand.SetExclusion("s-9", true)));
     image = new byte[] {1, 2, 3};
-    thread.submit(() -> port.restored(9)).get();
+    thread.submit(() -> port.snapshotInstalled(9)).get();
     LinkedBlockingQueue<String> told = follow("birds", port);
     assertTrue(next(told).startsWith("the state up to 9 can't be read"));
     image = null;
@@ -193,7 +193,7 @@
       assertEquals(-1, readOrEnd(stranger));
     }
     assertTrue(next(portLines).contains("these are no members' bytes"));
-    applies(port, 3, new StateCommand.Say("s-1", true));
+    applies(port, 3, new StateCommand.SetExclusion("s-1", true));
     assertEquals("3 HELD", next(told));
   }
 
@@ -212,7 +212,7 @@
     open.add(port);
     LinkedBlockingQueue<String> told = follow("birds", port);
     assertTrue(next(told).endsWith("this member knows nobody who leads its group"));
-    thread.submit(() -> port.led(true)).get();
+    thread.submit(() -> port.setLeaderKnown(true)).get();
     String line = next(told);
     while (line.endsWith("this member knows nobody who leads its group")) {
       line = next(told);
--- a/core/src/main/java/shalepaddle/changefeed/ChangeFeedPublisher.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedPublisher.java
@@ -30,32 +30,33 @@
   /**
    * What bounds a publisher.
    *
-   * @param mostFollowers connections that are served
-   * @param mostBytes of entries that are kept for those that come back
+   * @param maxSubscribers connections that are served
+   * @param maxRetainedBytes of entries that are kept for those that come back
    * @param windowBytes that may be on their way to one follower
-   * @param aliveNanos after which a follower that was told nothing is told so
-   * @param silenceNanos after which one that has not taken what it was sent is dropped
-   * @param aloneNanos without a leader in sight, after which nobody is told that nothing is new
+   * @param heartbeatNanos after which a follower that was told nothing is told so
+   * @param ackTimeoutNanos after which one that has not taken what it was sent is dropped
+   * @param leaderLossTimeoutNanos without a leader in sight, after which nobody is told that
+   *     nothing is new
    */
   public record Limits(
-      int mostFollowers,
-      long mostBytes,
+      int maxSubscribers,
+      long maxRetainedBytes,
       int windowBytes,
-      long aliveNanos,
-      long silenceNanos,
-      long aloneNanos) {
+      long heartbeatNanos,
+      long ackTimeoutNanos,
+      long leaderLossTimeoutNanos) {
     /** Those for a fleet of the size that is coming, and twice that. */
-    public static final Limits USUAL =
+    public static final Limits DEFAULT =
         new Limits(1024, 8L << 20, 256 << 10, 250_000_000L, 5_000_000_000L, 2_500_000_000L);
   }
 
   /** Carries out what is decided. */
-  public interface Carrier {
+  public interface Output {
     /** Tells a follower; in the order of the calls, or not at all once it is dropped. */
-    void tell(long connection, PublisherMessage told);
+    void send(long connection, PublisherMessage told);
 
     /** Closes a follower's connection, once what it was told has gone out. */
-    void drop(long connection);
+    void close(long connection);
 
     /** The whole state, as of the last entry that is in it. */
     PublisherMessage.Snapshot snapshot();
@@ -82,29 +83,29 @@
 
   private final String group;
   private final Limits limits;
-  private final Carrier carrier;
+  private final Output output;
   private final TreeMap<Long, ChangeEntry> kept = new TreeMap<>();
   private final Map<Long, Session> sessions = new LinkedHashMap<>();
-  private final Map<String, SubscriberMessage.Wrong> wrong = new HashMap<>();
-  private long keptBytes;
+  private final Map<String, SubscriberMessage.EntryRejected> lastRejections = new HashMap<>();
+  private long retainedBytes;
 
   /** All entries behind this place are kept. */
   private long base;
 
-  private long index;
+  private long lastIndex;
 
   /** Whether this member knows who leads, and since when it has not. */
-  private boolean led;
+  private boolean setLeaderKnown;
 
   private long aloneSince;
 
   /** A publisher of a log of which nothing is known yet; it serves once it knows who leads. */
-  public ChangeFeedPublisher(String group, long now, Limits limits, Carrier carrier) {
+  public ChangeFeedPublisher(String group, long now, Limits limits, Output carrier) {
     this.group = group;
     // Whoever has just started does not know yet what it lacks.
-    this.aloneSince = now - limits.aloneNanos();
+    this.aloneSince = now - limits.leaderLossTimeoutNanos();
     this.limits = limits;
-    this.carrier = carrier;
+    this.output = carrier;
   }
 
   /**
@@ -112,15 +113,15 @@
    * off from the others, which would hear that nothing is new while much is: after a while, in
    * which an election may come to its end, they are sent on.
    */
-  public void led(long now, boolean known) {
-    if (led && !known) {
+  public void setLeaderKnown(long now, boolean known) {
+    if (setLeaderKnown && !known) {
       aloneSince = now;
     }
-    led = known;
+    setLeaderKnown = known;
   }
 
   private boolean alone(long now) {
-    return !led && now - aloneSince >= limits.aloneNanos();
+    return !setLeaderKnown && now - aloneSince >= limits.leaderLossTimeoutNanos();
   }
 
   /**
@@ -128,16 +129,16 @@
    *
    * @throws IllegalStateException if it is not behind the last one
    */
-  public void applied(long now, ChangeEntry entry) {
-    if (entry.index() <= index) {
-      throw new IllegalStateException("entry " + entry.index() + " after " + index);
+  public void entryApplied(long now, ChangeEntry entry) {
+    if (entry.index() <= lastIndex) {
+      throw new IllegalStateException("entry " + entry.index() + " after " + lastIndex);
     }
-    index = entry.index();
-    kept.put(index, entry);
-    keptBytes += size(entry);
-    while (keptBytes > limits.mostBytes()) {
+    lastIndex = entry.index();
+    kept.put(lastIndex, entry);
+    retainedBytes += size(entry);
+    while (retainedBytes > limits.maxRetainedBytes()) {
       ChangeEntry oldest = kept.pollFirstEntry().getValue();
-      keptBytes -= size(oldest);
+      retainedBytes -= size(oldest);
       base = oldest.index();
     }
     // A copy: what is told may end in a follower's being dropped.
@@ -145,19 +146,19 @@
   }
 
   /** A snapshot took the place of all that was applied here. */
-  public void restored(long now, long at) {
-    if (at <= index) {
+  public void snapshotInstalled(long now, long at) {
+    if (at <= lastIndex) {
       return;
     }
     kept.clear();
-    keptBytes = 0;
+    retainedBytes = 0;
     base = at;
-    index = at;
+    lastIndex = at;
     List.copyOf(sessions.keySet()).forEach(connection -> feed(now, connection));
   }
 
   /** A follower has said something on this connection. */
-  public void said(long now, long connection, SubscriberMessage said) {
+  public void received(long now, long connection, SubscriberMessage said) {
     Session session = sessions.get(connection);
     if (said instanceof SubscriberMessage.Hello hello) {
       if (session != null) {
@@ -167,11 +168,11 @@
       }
     } else if (session == null) {
       turnDown(connection, "speaks before it says who it is");
-    } else if (said instanceof SubscriberMessage.Taken taken) {
+    } else if (said instanceof SubscriberMessage.Acknowledgement taken) {
       taken(now, connection, session, taken.index());
-    } else if (said instanceof SubscriberMessage.Wrong found
-        && (wrong.size() < MOST_WRONG || wrong.containsKey(session.name))) {
-      wrong.put(session.name, found);
+    } else if (said instanceof SubscriberMessage.EntryRejected found
+        && (lastRejections.size() < MOST_WRONG || lastRejections.containsKey(session.name))) {
+      lastRejections.put(session.name, found);
     }
   }
 
@@ -179,32 +180,38 @@
     if (!hello.group().equals(group)) {
       turnDown(
           connection, "it follows group '%s', and this is '%s'".formatted(hello.group(), group));
-    } else if (sessions.size() >= limits.mostFollowers()) {
+    } else if (sessions.size() >= limits.maxSubscribers()) {
       turnDown(connection, "as many follow this member as may");
     } else if (alone(now)) {
       turnDown(connection, "this member knows nobody who leads its group");
-    } else if (hello.index() > index) {
+    } else if (hello.index() > lastIndex) {
       // It knows more than this member, which lags or has gone back in time: nothing older.
       turnDown(
-          connection, "this member knows up to %d, less than %d".formatted(index, hello.index()));
+          connection,
+          "this member knows up to %d, less than %d".formatted(lastIndex, hello.index()));
     } else {
       sessions.put(connection, new Session(hello.name(), hello.index(), now));
       feed(now, connection);
-      if (hello.index() == index) {
+      if (hello.index() == lastIndex) {
         // That it lacks nothing is news to it.
-        tell(now, connection, sessions.get(connection), new PublisherMessage.Alive(index), 0);
+        tell(
+            now,
+            connection,
+            sessions.get(connection),
+            new PublisherMessage.Heartbeat(lastIndex),
+            0);
       }
     }
   }
 
   private void turnDown(long connection, String why) {
-    carrier.tell(connection, new PublisherMessage.TurnedDown(why));
+    output.send(connection, new PublisherMessage.Rejected(why));
     drop(connection);
   }
 
   private void drop(long connection) {
     sessions.remove(connection);
-    carrier.drop(connection);
+    output.close(connection);
   }
 
   private void taken(long now, long connection, Session session, long upTo) {
@@ -218,16 +225,16 @@
   /** Sends what a follower lacks, as far as its window allows. */
   private void feed(long now, long connection) {
     Session session = sessions.get(connection);
-    while (session != null && session.sent < index && session.outBytes < limits.windowBytes()) {
+    while (session != null && session.sent < lastIndex && session.outBytes < limits.windowBytes()) {
       if (session.sent < base) {
-        PublisherMessage.Snapshot snapshot = carrier.snapshot();
+        PublisherMessage.Snapshot snapshot = output.snapshot();
         if (snapshot.index() < base || snapshot.index() <= session.sent) {
           // It is applying its log anew: what is behind its state is not kept either.
           turnDown(connection, "this member is catching up");
           return;
         }
         session.sent = snapshot.index();
-        tell(now, connection, session, snapshot, snapshot.image().length);
+        tell(now, connection, session, snapshot, snapshot.state().length);
       } else {
         long after = session.sent;
         List<ChangeEntry> batch = new ArrayList<>();
@@ -255,7 +262,7 @@
       session.outBytes += bytes;
     }
     session.toldAt = now;
-    carrier.tell(connection, told);
+    output.send(connection, told);
   }
 
   private static int size(ChangeEntry entry) {
@@ -263,11 +270,11 @@
   }
 
   /** A connection has ended. */
-  public void gone(long connection) {
+  public void disconnected(long connection) {
     sessions.remove(connection);
   }
 
-  /** To be called several times in {@link Limits#aliveNanos}. */
+  /** To be called several times in {@link Limits#heartbeatNanos}. */
   public void tick(long now) {
     for (long connection : List.copyOf(sessions.keySet())) {
       Session session = sessions.get(connection);
@@ -276,36 +283,36 @@
       }
       if (alone(now)) {
         turnDown(connection, "this member knows nobody who leads its group");
-      } else if (!session.out.isEmpty() && now - session.takenAt >= limits.silenceNanos()) {
+      } else if (!session.out.isEmpty() && now - session.takenAt >= limits.ackTimeoutNanos()) {
         drop(connection);
-      } else if (now - session.toldAt >= limits.aliveNanos()) {
-        tell(now, connection, session, new PublisherMessage.Alive(session.sent), 0);
+      } else if (now - session.toldAt >= limits.heartbeatNanos()) {
+        tell(now, connection, session, new PublisherMessage.Heartbeat(session.sent), 0);
       }
     }
   }
 
   /** The last entry that was applied here. */
-  public long index() {
-    return index;
+  public long lastIndex() {
+    return lastIndex;
   }
 
   /** How many follow this member. */
-  public int followers() {
+  public int subscriberCount() {
     return sessions.size();
   }
 
   /** Bytes of entries that are kept. */
-  public long keptBytes() {
-    return keptBytes;
+  public long retainedBytes() {
+    return retainedBytes;
   }
 
   /** Bytes that are on their way to all followers. */
-  public long outBytes() {
+  public long inFlightBytes() {
     return sessions.values().stream().mapToLong(session -> session.outBytes).sum();
   }
 
   /** What followers found wrong last, by their names. */
-  public Map<String, SubscriberMessage.Wrong> wrong() {
-    return Map.copyOf(wrong);
+  public Map<String, SubscriberMessage.EntryRejected> lastRejections() {
+    return Map.copyOf(lastRejections);
   }
 }
--- a/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
@@ -16,23 +16,24 @@
   /**
    * How long things may take.
    *
-   * @param silenceNanos without a word, after which the next member is tried
-   * @param connectNanos for a connection to come up and be answered
-   * @param firstWaitNanos before the next try at most, doubled with each that fails
-   * @param mostWaitNanos the same at the most
-   * @param takenNanos between two words on what was taken
-   * @param lostNanos without a word, after which the node is out of contact; longer than all others
+   * @param silenceTimeoutNanos without a word, after which the next member is tried
+   * @param connectTimeoutNanos for a connection to come up and be answered
+   * @param initialBackoffNanos before the next try at most, doubled with each that fails
+   * @param maxBackoffNanos the same at the most
+   * @param ackIntervalNanos between two words on what was taken
+   * @param contactTimeoutNanos without a word, after which the node is out of contact; longer than
+   *     all others
    */
-  public record Pace(
-      long silenceNanos,
-      long connectNanos,
-      long firstWaitNanos,
-      long mostWaitNanos,
-      long takenNanos,
-      long lostNanos) {
+  public record Timeouts(
+      long silenceTimeoutNanos,
+      long connectTimeoutNanos,
+      long initialBackoffNanos,
+      long maxBackoffNanos,
+      long ackIntervalNanos,
+      long contactTimeoutNanos) {
     /** For entries that are to be everywhere within 1.1 s, also where a member vanishes. */
-    public static final Pace USUAL =
-        new Pace(
+    public static final Timeouts DEFAULT =
+        new Timeouts(
             600_000_000L,
             1_500_000_000L,
             100_000_000L,
@@ -42,7 +43,7 @@
   }
 
   /** Carries out what is decided. */
-  public interface Carrier {
+  public interface Output {
     /** Opens a connection to the member of this number; any older one is closed. */
     void connect(int member);
 
@@ -50,7 +51,7 @@
     void close();
 
     /** Says something on the connection. */
-    void say(SubscriberMessage said);
+    void send(SubscriberMessage said);
 
     /** An entry is in force from now on. */
     void apply(ChangeEntry entry);
@@ -60,13 +61,13 @@
      *
      * @return false if it can't be read, and nothing has changed
      */
-    boolean load(long index, byte[] image);
+    boolean installSnapshot(long index, byte[] image);
 
     /** Whether the node is in contact has changed. */
-    void contact(boolean in);
+    void contactChanged(boolean in);
 
     /** A member can't be followed. */
-    void turnedDown(int member, String why);
+    void rejected(int member, String why);
   }
 
   private enum State {
@@ -81,15 +82,15 @@
   private final String group;
   private final String name;
   private final int members;
-  private final Pace pace;
-  private final Carrier carrier;
+  private final Timeouts timeouts;
+  private final Output output;
   private final SplittableRandom random;
   private State state = State.WAITING;
   private int member;
   private long due;
   private long wait;
-  private long index;
-  private boolean inContact;
+  private long lastIndex;
+  private boolean isInContact;
   private long heardAt;
 
   /** The place up to which the member knows that all is taken, and when it is told next. */
@@ -108,15 +109,15 @@
    * @param seed for whom it follows first, and its times; another one at each node
    */
   public ChangeFeedSubscriber(
-      String group, String name, int members, long seed, long now, Pace pace, Carrier carrier) {
+      String group, String name, int members, long seed, long now, Timeouts pace, Output carrier) {
     this.group = group;
     this.name = name;
     this.members = members;
-    this.pace = pace;
-    this.carrier = carrier;
+    this.timeouts = pace;
+    this.output = carrier;
     this.random = new SplittableRandom(seed);
     this.member = random.nextInt(members);
-    this.wait = pace.firstWaitNanos;
+    this.wait = pace.initialBackoffNanos;
     this.heardAt = now;
     this.calledAt = now;
     pause(now);
@@ -128,20 +129,20 @@
    * is out of contact until it is answered.
    */
   private boolean stoodStill(long now) {
-    boolean still = now - calledAt >= pace.lostNanos;
+    boolean still = now - calledAt >= timeouts.contactTimeoutNanos;
     calledAt = now;
     if (still && state != State.WAITING) {
       out();
-      carrier.close();
+      output.close();
       pause(now);
     }
     return still;
   }
 
   private void out() {
-    if (inContact) {
-      inContact = false;
-      carrier.contact(false);
+    if (isInContact) {
+      isInContact = false;
+      output.contactChanged(false);
     }
   }
 
@@ -151,21 +152,21 @@
   }
 
   /** When {@link #tick} is to be called at the latest. */
-  public long nextDue() {
+  public long nextTickNanos() {
     long next = due;
-    if (inContact) {
-      next = Math.min(next, heardAt + pace.lostNanos);
+    if (isInContact) {
+      next = Math.min(next, heardAt + timeouts.contactTimeoutNanos);
     }
-    return index > toldTaken && state == State.FOLLOWING ? Math.min(next, takenDue) : next;
+    return lastIndex > toldTaken && state == State.FOLLOWING ? Math.min(next, takenDue) : next;
   }
 
   /** Time has passed. */
   public void tick(long now) {
     stoodStill(now);
-    if (now - heardAt >= pace.lostNanos) {
+    if (now - heardAt >= timeouts.contactTimeoutNanos) {
       out();
     }
-    if (state == State.FOLLOWING && index > toldTaken && now - takenDue >= 0) {
+    if (state == State.FOLLOWING && lastIndex > toldTaken && now - takenDue >= 0) {
       sayTaken(now);
     }
     if (now - due < 0) {
@@ -173,10 +174,10 @@
     }
     if (state == State.WAITING) {
       state = State.CONNECTING;
-      due = now + pace.connectNanos;
-      carrier.connect(member);
+      due = now + timeouts.connectTimeoutNanos;
+      output.connect(member);
     } else {
-      carrier.close();
+      output.close();
       next(now);
     }
   }
@@ -185,106 +186,106 @@
   private void next(long now) {
     member = members == 1 ? 0 : (member + 1 + random.nextInt(members - 1)) % members;
     pause(now);
-    wait = Math.min(pace.mostWaitNanos, 2 * wait);
+    wait = Math.min(timeouts.maxBackoffNanos, 2 * wait);
   }
 
   /** The connection has come up. */
-  public void up(long now) {
+  public void connected(long now) {
     if (!stoodStill(now) && state == State.CONNECTING) {
       state = State.GREETED;
-      toldTaken = index;
-      carrier.say(new SubscriberMessage.Hello(group, name, index));
+      toldTaken = lastIndex;
+      output.send(new SubscriberMessage.Hello(group, name, lastIndex));
     }
   }
 
   /** The connection did not come up, or has ended. */
-  public void down(long now) {
+  public void disconnected(long now) {
     if (!stoodStill(now) && state != State.WAITING) {
       next(now);
     }
   }
 
   /** The member that is followed has told something. */
-  public void told(long now, PublisherMessage told) {
+  public void received(long now, PublisherMessage told) {
     if (stoodStill(now) || state != State.GREETED && state != State.FOLLOWING) {
       return;
     }
-    if (told instanceof PublisherMessage.TurnedDown down) {
-      carrier.turnedDown(member, down.why());
-      carrier.close();
+    if (told instanceof PublisherMessage.Rejected down) {
+      output.rejected(member, down.reason());
+      output.close();
       next(now);
       return;
     }
     state = State.FOLLOWING;
     heardAt = now;
-    due = now + pace.silenceNanos;
+    due = now + timeouts.silenceTimeoutNanos;
     if (takes(now, told)) {
-      wait = pace.firstWaitNanos;
-      if (!inContact) {
-        inContact = true;
-        carrier.contact(true);
+      wait = timeouts.initialBackoffNanos;
+      if (!isInContact) {
+        isInContact = true;
+        output.contactChanged(true);
       }
     } else {
       // A hole: it asks again from its own place, of whoever is next.
-      carrier.close();
+      output.close();
       next(now);
     }
   }
 
   /** Takes what is new; false if something between it and what is known is missing. */
   private boolean takes(long now, PublisherMessage told) {
-    long before = index;
+    long before = lastIndex;
     if (told instanceof PublisherMessage.Snapshot snapshot) {
-      if (snapshot.index() > index) {
-        if (!carrier.load(snapshot.index(), snapshot.image())) {
+      if (snapshot.index() > lastIndex) {
+        if (!output.installSnapshot(snapshot.index(), snapshot.state())) {
           return false;
         }
-        index = snapshot.index();
+        lastIndex = snapshot.index();
       }
     } else if (told instanceof PublisherMessage.Entries entries) {
-      if (entries.after() > index) {
+      if (entries.previousIndex() > lastIndex) {
         return false;
       }
       for (ChangeEntry entry : entries.entries()) {
-        if (entry.index() > index) {
-          index = entry.index();
-          carrier.apply(entry);
+        if (entry.index() > lastIndex) {
+          lastIndex = entry.index();
+          output.apply(entry);
         }
       }
-    } else if (told instanceof PublisherMessage.Alive alive && alive.index() > index) {
+    } else if (told instanceof PublisherMessage.Heartbeat alive && alive.index() > lastIndex) {
       return false;
     }
-    if (index > before && before == toldTaken) {
-      takenDue = now + pace.takenNanos;
+    if (lastIndex > before && before == toldTaken) {
+      takenDue = now + timeouts.ackIntervalNanos;
     }
     return true;
   }
 
   private void sayTaken(long now) {
-    toldTaken = index;
-    takenDue = now + pace.takenNanos;
-    carrier.say(new SubscriberMessage.Taken(index));
+    toldTaken = lastIndex;
+    takenDue = now + timeouts.ackIntervalNanos;
+    output.send(new SubscriberMessage.Acknowledgement(lastIndex));
   }
 
   /** What an entry says can't be done here: what was in force before holds. */
-  public void wrong(long at, String what) {
+  public void rejectEntry(long at, String what) {
     if (state == State.FOLLOWING) {
       String told =
-          what.length() > SubscriberMessage.MOST_TEXT
-              ? what.substring(0, SubscriberMessage.MOST_TEXT)
+          what.length() > SubscriberMessage.MAX_TEXT_LENGTH
+              ? what.substring(0, SubscriberMessage.MAX_TEXT_LENGTH)
               : what;
-      carrier.say(new SubscriberMessage.Wrong(at, told));
+      output.send(new SubscriberMessage.EntryRejected(at, told));
     }
   }
 
   /** The place up to which it knows all. */
-  public long index() {
-    return index;
+  public long lastIndex() {
+    return lastIndex;
   }
 
   /** Whether it has heard from a member lately, and lacked nothing of what that one told. */
-  public boolean inContact() {
-    return inContact;
+  public boolean isInContact() {
+    return isInContact;
   }
 
   /** The number of the member that it follows, or tries to. */
--- a/core/src/main/java/shalepaddle/changefeed/PublisherMessage.java
+++ b/core/src/main/java/shalepaddle/changefeed/PublisherMessage.java
@@ -7,30 +7,30 @@
   /**
    * All entries behind that place up to the last of these.
    *
-   * @param after the place up to which the follower knows all
+   * @param previousIndex the place up to which the follower knows all
    * @param entries in order, at least one
    */
-  record Entries(long after, List<ChangeEntry> entries) implements PublisherMessage {}
+  record Entries(long previousIndex, List<ChangeEntry> entries) implements PublisherMessage {}
 
   /**
    * The whole state, for one that lacks entries that are not kept any more.
    *
    * @param index up to which place of the log it goes
-   * @param image the state
+   * @param state the state
    */
-  record Snapshot(long index, byte[] image) implements PublisherMessage {}
+  record Snapshot(long index, byte[] state) implements PublisherMessage {}
 
   /**
    * Nothing is new.
    *
    * @param index the place up to which all has been told on this connection
    */
-  record Alive(long index) implements PublisherMessage {}
+  record Heartbeat(long index) implements PublisherMessage {}
 
   /**
    * This member can't be followed now.
    *
-   * @param why in words
+   * @param reason in words
    */
-  record TurnedDown(String why) implements PublisherMessage {}
+  record Rejected(String reason) implements PublisherMessage {}
 }
--- a/core/src/main/java/shalepaddle/changefeed/SubscriberMessage.java
+++ b/core/src/main/java/shalepaddle/changefeed/SubscriberMessage.java
@@ -3,7 +3,7 @@
 /** What a follower says to the member that it follows. */
 public sealed interface SubscriberMessage {
   /** Characters of a name, and of what is wrong, at most. */
-  int MOST_TEXT = 256;
+  int MAX_TEXT_LENGTH = 256;
 
   /**
    * The first words on a connection.
@@ -19,13 +19,13 @@
    *
    * @param index a place in the log
    */
-  record Taken(long index) implements SubscriberMessage {}
+  record Acknowledgement(long index) implements SubscriberMessage {}
 
   /**
    * It has taken an entry and can't do what it says; what was in force before holds.
    *
    * @param index the entry's place
-   * @param what is wrong with it, in words
+   * @param reason is wrong with it, in words
    */
-  record Wrong(long index, String what) implements SubscriberMessage {}
+  record EntryRejected(long index, String reason) implements SubscriberMessage {}
 }
--- a/core/src/main/java/shalepaddle/replicatedstate/Proposal.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/Proposal.java
@@ -4,15 +4,15 @@
  * An entry, and who asks for it.
  *
  * @param id the caller's own; the same id asked again gets the same answer, and no second effect
- * @param atMillis when it was proposed, in milliseconds since 1970
- * @param entry what is to be held
+ * @param proposedAtMillis when it was proposed, in milliseconds since 1970
+ * @param command what is to be held
  */
-public record Proposal(String id, long atMillis, StateCommand entry) {
+public record Proposal(String id, long proposedAtMillis, StateCommand command) {
   /** Characters of an id at most. */
-  public static final int MOST_ID = 64;
+  public static final int MAX_ID_LENGTH = 64;
 
   /** Characters of a cache server's id at most. */
-  public static final int MOST_MEMBER = 256;
+  public static final int MAX_SERVER_ID_LENGTH = 256;
 
   /**
    * Checks what would be held for good.
@@ -20,12 +20,13 @@
    * @throws IllegalArgumentException says what is wrong
    */
   public Proposal {
-    if (id.isEmpty() || id.length() > MOST_ID) {
-      throw new IllegalArgumentException("an id has 1 to " + MOST_ID + " characters");
+    if (id.isEmpty() || id.length() > MAX_ID_LENGTH) {
+      throw new IllegalArgumentException("an id has 1 to " + MAX_ID_LENGTH + " characters");
     }
-    if (entry instanceof StateCommand.Say say
-        && (say.member().isEmpty() || say.member().length() > MOST_MEMBER)) {
-      throw new IllegalArgumentException("a member has 1 to " + MOST_MEMBER + " characters");
+    if (command instanceof StateCommand.SetExclusion say
+        && (say.serverId().isEmpty() || say.serverId().length() > MAX_SERVER_ID_LENGTH)) {
+      throw new IllegalArgumentException(
+          "a member has 1 to " + MAX_SERVER_ID_LENGTH + " characters");
     }
   }
 }
--- a/core/src/main/java/shalepaddle/replicatedstate/ReplicatedState.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/ReplicatedState.java
@@ -15,45 +15,50 @@
  * Services Using the State Machine Approach", 1990) whose answers are part of the state: a caller
  * that does not know what became of its proposal asks again under the same id, at any node, and
  * gets the answer of the first time (Ongaro, "Consensus: Bridging Theory and Practice", 2014, 6.3).
- * Answers are kept for {@value #WINDOW_MILLIS} ms of the log's own time and {@value #MOST_ANSWERS}
- * at most, the oldest give way. The log's time is the latest that any entry has brought: it never
- * runs backwards, whatever a proposer's clock does. A clock that is hours ahead makes answers give
- * way early; a repeat is then an entry of its own, and words are idempotent.
+ * Answers are kept for {@value #RESULT_RETENTION_MILLIS} ms of the log's own time and {@value
+ * #MAX_RETAINED_RESULTS} at most, the oldest give way. The log's time is the latest that any entry
+ * has brought: it never runs backwards, whatever a proposer's clock does. A clock that is hours
+ * ahead makes answers give way early; a repeat is then an entry of its own, and words are
+ * idempotent.
  *
  * <p>Not thread-safe: it belongs to whoever applies the log.
  */
 public final class ReplicatedState {
   /** Cache servers that may be left out at once. */
-  public static final int MOST_OUT = 1024;
+  public static final int MAX_EXCLUDED_SERVERS = 1024;
 
   /** Answers that are kept. */
-  public static final int MOST_ANSWERS = 20_000;
+  public static final int MAX_RETAINED_RESULTS = 20_000;
 
   /** How long an answer is kept, in the log's time. */
-  public static final long WINDOW_MILLIS = 600_000;
+  public static final long RESULT_RETENTION_MILLIS = 600_000;
 
-  private final SortedSet<String> out = new TreeSet<>();
-  private final Map<String, Given> answers = new LinkedHashMap<>();
+  private final SortedSet<String> excludedServers = new TreeSet<>();
+  private final Map<String, RetainedResult> retainedResults = new LinkedHashMap<>();
   private long index;
-  private long atMillis;
+  private long logTimeMillis;
 
   /**
    * An answer that was given.
    *
    * @param id whose proposal it was
-   * @param atMillis when, in the log's time
+   * @param logTimeMillis when, in the log's time
    */
-  public record Given(String id, long atMillis, CommandResult answer) {}
+  public record RetainedResult(String id, long logTimeMillis, CommandResult result) {}
 
   /**
    * The whole state, for a snapshot. Immutable.
    *
    * @param index the last entry that it has in it
-   * @param atMillis the log's time
-   * @param out cache servers that are left out, in order
-   * @param answers those that are kept, oldest first
+   * @param logTimeMillis the log's time
+   * @param excludedServers cache servers that are left out, in order
+   * @param retainedResults those that are kept, oldest first
    */
-  public record Image(long index, long atMillis, List<String> out, List<Given> answers) {}
+  public record Snapshot(
+      long index,
+      long logTimeMillis,
+      List<String> excludedServers,
+      List<RetainedResult> retainedResults) {}
 
   /**
    * Applies the entry at this place of the log.
@@ -66,37 +71,38 @@
       throw new IllegalStateException("entry " + place + " after " + index);
     }
     index = place;
-    atMillis = Math.max(atMillis, proposal.atMillis());
-    Given before = answers.get(proposal.id());
+    logTimeMillis = Math.max(logTimeMillis, proposal.proposedAtMillis());
+    RetainedResult before = retainedResults.get(proposal.id());
     if (before != null) {
-      return before.answer();
+      return before.result();
     }
-    CommandResult answer = new CommandResult(effect(proposal.entry()), place);
-    answers.put(proposal.id(), new Given(proposal.id(), atMillis, answer));
+    CommandResult answer = new CommandResult(effect(proposal.command()), place);
+    retainedResults.put(proposal.id(), new RetainedResult(proposal.id(), logTimeMillis, answer));
     forget();
     return answer;
   }
 
-  private CommandResult.Kind effect(StateCommand entry) {
-    if (!(entry instanceof StateCommand.Say say)) {
-      return CommandResult.Kind.NOT_KNOWN;
+  private CommandResult.Outcome effect(StateCommand entry) {
+    if (!(entry instanceof StateCommand.SetExclusion say)) {
+      return CommandResult.Outcome.UNKNOWN_COMMAND;
     }
-    if (!say.out()) {
-      out.remove(say.member());
-    } else if (!out.contains(say.member())) {
-      if (out.size() >= MOST_OUT) {
-        return CommandResult.Kind.NO_ROOM;
+    if (!say.excluded()) {
+      excludedServers.remove(say.serverId());
+    } else if (!excludedServers.contains(say.serverId())) {
+      if (excludedServers.size() >= MAX_EXCLUDED_SERVERS) {
+        return CommandResult.Outcome.CAPACITY_EXCEEDED;
       }
-      out.add(say.member());
+      excludedServers.add(say.serverId());
     }
-    return CommandResult.Kind.HELD;
+    return CommandResult.Outcome.COMMITTED;
   }
 
   private void forget() {
-    Iterator<Given> oldest = answers.values().iterator();
+    Iterator<RetainedResult> oldest = retainedResults.values().iterator();
     while (oldest.hasNext()) {
-      Given given = oldest.next();
-      if (answers.size() <= MOST_ANSWERS && given.atMillis() + WINDOW_MILLIS >= atMillis) {
+      RetainedResult given = oldest.next();
+      if (retainedResults.size() <= MAX_RETAINED_RESULTS
+          && given.logTimeMillis() + RESULT_RETENTION_MILLIS >= logTimeMillis) {
         return;
       }
       oldest.remove();
@@ -104,9 +110,9 @@
   }
 
   /** The answer that a proposal of this id got, null if it is not known or not kept any more. */
-  public CommandResult answered(String id) {
-    Given given = answers.get(id);
-    return given == null ? null : given.answer();
+  public CommandResult retainedResult(String id) {
+    RetainedResult given = retainedResults.get(id);
+    return given == null ? null : given.result();
   }
 
   /** The last entry that was applied, 0 for none. */
@@ -115,22 +121,26 @@
   }
 
   /** Cache servers that are left out. */
-  public List<String> out() {
-    return List.copyOf(out);
+  public List<String> excludedServers() {
+    return List.copyOf(excludedServers);
   }
 
   /** All of it, as it stands. */
-  public Image image() {
-    return new Image(index, atMillis, out(), List.copyOf(new ArrayList<>(answers.values())));
+  public Snapshot snapshot() {
+    return new Snapshot(
+        index,
+        logTimeMillis,
+        excludedServers(),
+        List.copyOf(new ArrayList<>(retainedResults.values())));
   }
 
   /** Takes the state of a snapshot in the place of all that was known. */
-  public void restore(Image image) {
+  public void restore(Snapshot image) {
     index = image.index();
-    atMillis = image.atMillis();
-    out.clear();
-    out.addAll(image.out());
-    answers.clear();
-    image.answers().forEach(given -> answers.put(given.id(), given));
+    logTimeMillis = image.logTimeMillis();
+    excludedServers.clear();
+    excludedServers.addAll(image.excludedServers());
+    retainedResults.clear();
+    image.retainedResults().forEach(given -> retainedResults.put(given.id(), given));
   }
 }
--- a/core/src/main/java/shalepaddle/replicatedstate/StateCommand.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/StateCommand.java
@@ -5,10 +5,10 @@
   /**
    * An operator's word on a cache server, for all nodes.
    *
-   * @param member its id, as discovery has it
-   * @param out whether it is left out, or put back
+   * @param serverId its id, as discovery has it
+   * @param excluded whether it is left out, or put back
    */
-  record Say(String member, boolean out) implements StateCommand {}
+  record SetExclusion(String serverId, boolean excluded) implements StateCommand {}
 
   /**
    * An entry of a kind that a later version made.
--- a/core/src/test/java/shalepaddle/changefeed/ChangeFeedPublisherTest.java
+++ b/core/src/test/java/shalepaddle/changefeed/ChangeFeedPublisherTest.java
@@ -27,14 +27,14 @@
           "birds",
           0,
           LIMITS,
-          new ChangeFeedPublisher.Carrier() {
+          new ChangeFeedPublisher.Output() {
             @Override
-            public void tell(long connection, PublisherMessage what) {
+            public void send(long connection, PublisherMessage what) {
               told.add(connection + " " + text(what));
             }
 
             @Override
-            public void drop(long connection) {
+            public void close(long connection) {
               told.add(connection + " dropped");
             }
 
@@ -46,16 +46,16 @@
 
   private static String text(PublisherMessage told) {
     if (told instanceof PublisherMessage.Entries entries) {
-      return entries.after()
+      return entries.previousIndex()
           + " then "
           + entries.entries().stream().map(ChangeEntry::index).toList();
     }
     if (told instanceof PublisherMessage.Snapshot snapshot) {
       return "snapshot " + snapshot.index();
     }
-    return told instanceof PublisherMessage.Alive alive
+    return told instanceof PublisherMessage.Heartbeat alive
         ? "alive " + alive.index()
-        : "turned down: " + ((PublisherMessage.TurnedDown) told).why();
+        : "turned down: " + ((PublisherMessage.Rejected) told).reason();
   }
 
   private List<String> told() {
@@ -65,15 +65,16 @@
   }
 
   private void hello(long connection, long index) {
-    publisher.led(now, true);
-    publisher.said(now, connection, new SubscriberMessage.Hello("birds", "n" + connection, index));
+    publisher.setLeaderKnown(now, true);
+    publisher.received(
+        now, connection, new SubscriberMessage.Hello("birds", "n" + connection, index));
   }
 
   /** Entries of 4 bytes, which take 20 each. */
   private void applied(long... indexes) {
     for (long index : indexes) {
       state = index;
-      publisher.applied(now, new ChangeEntry(index, new byte[4]));
+      publisher.entryApplied(now, new ChangeEntry(index, new byte[4]));
     }
   }
 
@@ -98,7 +99,7 @@
   @Test
   void whoLacksWhatIsNotKeptGetsASnapshot() {
     applied(1, 2, 3, 4, 5, 6, 7);
-    assertEquals(100, publisher.keptBytes());
+    assertEquals(100, publisher.retainedBytes());
     hello(1, 1);
     hello(2, 5);
     assertEquals(List.of("1 snapshot 7", "2 5 then [6, 7]"), told());
@@ -122,15 +123,15 @@
     told();
     for (long index = 1; index <= 40; index++) {
       applied(index);
-      publisher.said(now, 2, new SubscriberMessage.Taken(index));
+      publisher.received(now, 2, new SubscriberMessage.Acknowledgement(index));
     }
     List<String> all = told();
     assertEquals(40, all.stream().filter(line -> line.startsWith("2 ")).count());
     assertEquals(3, all.stream().filter(line -> line.startsWith("1 ")).count(), all.toString());
-    assertTrue(publisher.outBytes() <= 50 + 20, "on their way: " + publisher.outBytes());
-    assertEquals(100, publisher.keptBytes());
+    assertTrue(publisher.inFlightBytes() <= 50 + 20, "on their way: " + publisher.inFlightBytes());
+    assertEquals(100, publisher.retainedBytes());
     // It goes on with a snapshot, since what it lacks is not kept any more.
-    publisher.said(now, 1, new SubscriberMessage.Taken(3));
+    publisher.received(now, 1, new SubscriberMessage.Acknowledgement(3));
     assertEquals(List.of("1 snapshot 40"), told());
   }
 
@@ -145,15 +146,15 @@
     now += MILLI;
     publisher.tick(now);
     assertEquals(List.of("1 dropped"), told());
-    assertEquals(0, publisher.followers());
+    assertEquals(0, publisher.subscriberCount());
   }
 
   @Test
   void turnsDownWhomItCanNotServe() {
     applied(3);
-    publisher.led(now, true);
-    publisher.said(now, 7, new SubscriberMessage.Taken(3));
-    publisher.said(now, 8, new SubscriberMessage.Hello("fish", "n8", 0));
+    publisher.setLeaderKnown(now, true);
+    publisher.received(now, 7, new SubscriberMessage.Acknowledgement(3));
+    publisher.received(now, 8, new SubscriberMessage.Hello("fish", "n8", 0));
     hello(9, 4);
     assertEquals(
         List.of(
@@ -180,14 +181,14 @@
 
   @Test
   void oneThatHasJustStartedServesNobody() {
-    publisher.said(now, 1, new SubscriberMessage.Hello("birds", "n1", 0));
+    publisher.received(now, 1, new SubscriberMessage.Hello("birds", "n1", 0));
     assertTrue(told().get(0).startsWith("1 turned down: this member knows nobody who leads"));
   }
 
   @Test
   void whoKnowsNobodyThatLeadsSendsFollowersOnAfterAWhile() {
     hello(1, 0);
-    publisher.led(now, false);
+    publisher.setLeaderKnown(now, false);
     told();
     now += 2400 * MILLI;
     publisher.tick(now);
@@ -197,7 +198,7 @@
     assertEquals(
         List.of("1 turned down: this member knows nobody who leads its group", "1 dropped"),
         told());
-    publisher.said(now, 2, new SubscriberMessage.Hello("birds", "n2", 0));
+    publisher.received(now, 2, new SubscriberMessage.Hello("birds", "n2", 0));
     assertTrue(told().get(0).startsWith("2 turned down"));
     hello(2, 0);
     assertEquals(List.of("2 alive 0"), told());
@@ -209,10 +210,10 @@
     hello(1, 2);
     told();
     state = 50;
-    publisher.restored(now, 50);
-    publisher.restored(now, 40);
+    publisher.snapshotInstalled(now, 50);
+    publisher.snapshotInstalled(now, 40);
     assertEquals(List.of("1 snapshot 50"), told());
-    assertEquals(50, publisher.index());
+    assertEquals(50, publisher.lastIndex());
     assertThrows(IllegalStateException.class, () -> applied(50));
   }
 
@@ -220,7 +221,8 @@
   void whatFollowersFindWrongIsKnownByName() {
     applied(3);
     hello(1, 3);
-    publisher.said(now, 1, new SubscriberMessage.Wrong(3, "settings: 'classes' is missing"));
-    assertEquals("settings: 'classes' is missing", publisher.wrong().get("n1").what());
+    publisher.received(
+        now, 1, new SubscriberMessage.EntryRejected(3, "settings: 'classes' is missing"));
+    assertEquals("settings: 'classes' is missing", publisher.lastRejections().get("n1").reason());
   }
 }
--- a/core/src/test/java/shalepaddle/changefeed/ChangeFeedSubscriberTest.java
+++ b/core/src/test/java/shalepaddle/changefeed/ChangeFeedSubscriberTest.java
@@ -12,7 +12,7 @@
 /** What a node takes, and when it goes on to another member. */
 class ChangeFeedSubscriberTest {
   private static final long MILLI = 1_000_000L;
-  private static final ChangeFeedSubscriber.Pace PACE = ChangeFeedSubscriber.Pace.USUAL;
+  private static final ChangeFeedSubscriber.Timeouts PACE = ChangeFeedSubscriber.Timeouts.DEFAULT;
 
   private final List<String> acts = new ArrayList<>();
   private long now = 1_000_000 * MILLI;
@@ -24,7 +24,7 @@
           1,
           now,
           PACE,
-          new ChangeFeedSubscriber.Carrier() {
+          new ChangeFeedSubscriber.Output() {
             @Override
             public void connect(int member) {
               acts.add("connect");
@@ -36,7 +36,7 @@
             }
 
             @Override
-            public void say(SubscriberMessage said) {
+            public void send(SubscriberMessage said) {
               acts.add(said.toString());
             }
 
@@ -46,18 +46,18 @@
             }
 
             @Override
-            public boolean load(long index, byte[] image) {
+            public boolean installSnapshot(long index, byte[] image) {
               acts.add("load " + index);
               return image.length > 0;
             }
 
             @Override
-            public void contact(boolean in) {
+            public void contactChanged(boolean in) {
               acts.add(in ? "in contact" : "out of contact");
             }
 
             @Override
-            public void turnedDown(int member, String why) {
+            public void rejected(int member, String why) {
               acts.add("turned down: " + why);
             }
           });
@@ -78,7 +78,7 @@
   /** Lets so much time pass, in which it is called when it asks to be. */
   private void pass(long millis) {
     for (long end = now + millis * MILLI; now < end; now += MILLI) {
-      if (follower.nextDue() <= now) {
+      if (follower.nextTickNanos() <= now) {
         follower.tick(now);
       }
     }
@@ -86,84 +86,84 @@
 
   private void followFrom(long index) {
     pass(200);
-    follower.up(now);
-    follower.told(now, new PublisherMessage.Snapshot(index, new byte[1]));
+    follower.connected(now);
+    follower.received(now, new PublisherMessage.Snapshot(index, new byte[1]));
     acts();
   }
 
   @Test
   void saysHelloFromItsOwnPlace() {
     pass(200);
-    follower.up(now);
+    follower.connected(now);
     assertEquals(List.of("connect", "Hello[group=birds, name=n1, index=0]"), acts());
-    follower.told(now, entries(0, 3, 5));
+    follower.received(now, entries(0, 3, 5));
     assertEquals(List.of("apply 3", "apply 5", "in contact"), acts());
     pass(600);
-    assertEquals("Taken[index=5]", acts().get(0));
+    assertEquals("Acknowledgement[index=5]", acts().get(0));
   }
 
   @Test
   void takesAnEntryOnceAndNeverGoesBack() {
     followFrom(5);
-    follower.told(now, entries(3, 4, 5, 7));
-    follower.told(now, entries(3, 4, 5, 7));
-    follower.told(now, new PublisherMessage.Snapshot(6, new byte[1]));
+    follower.received(now, entries(3, 4, 5, 7));
+    follower.received(now, entries(3, 4, 5, 7));
+    follower.received(now, new PublisherMessage.Snapshot(6, new byte[1]));
     assertEquals(List.of("apply 7"), acts());
-    assertEquals(7, follower.index());
+    assertEquals(7, follower.lastIndex());
   }
 
   @Test
   void aHoleIsNotTakenAndAskedForAnew() {
     followFrom(5);
-    follower.told(now, entries(7, 9));
+    follower.received(now, entries(7, 9));
     assertEquals(List.of("close"), acts());
-    follower.told(now, entries(5, 7));
+    follower.received(now, entries(5, 7));
     assertEquals(List.of(), acts(), "of the connection that it has left");
     pass(200);
-    follower.up(now);
+    follower.connected(now);
     assertEquals(List.of("connect", "Hello[group=birds, name=n1, index=5]"), acts());
   }
 
   @Test
   void aWordThatAllIsToldWhileSomethingLacksIsAHole() {
     followFrom(5);
-    follower.told(now, new PublisherMessage.Alive(6));
+    follower.received(now, new PublisherMessage.Heartbeat(6));
     assertEquals(List.of("close"), acts());
   }
 
   @Test
   void aStateThatCanNotBeReadChangesNothing() {
     followFrom(5);
-    follower.told(now, new PublisherMessage.Snapshot(9, new byte[0]));
+    follower.received(now, new PublisherMessage.Snapshot(9, new byte[0]));
     assertEquals(List.of("load 9", "close"), acts());
-    assertEquals(5, follower.index());
+    assertEquals(5, follower.lastIndex());
   }
 
   @Test
   void goesToAnotherMemberAfterSilenceAndSaysWhenItIsOutOfContact() {
     followFrom(5);
     final int first = follower.member();
-    pass(PACE.silenceNanos() / MILLI + 1);
+    pass(PACE.silenceTimeoutNanos() / MILLI + 1);
     assertTrue(acts().contains("close"));
     assertTrue(follower.member() != first);
-    pass(PACE.lostNanos() / MILLI);
+    pass(PACE.contactTimeoutNanos() / MILLI);
     assertTrue(acts().contains("out of contact"));
-    assertFalse(follower.inContact());
-    follower.up(now);
-    follower.told(now, new PublisherMessage.Alive(5));
-    assertTrue(follower.inContact());
+    assertFalse(follower.isInContact());
+    follower.connected(now);
+    follower.received(now, new PublisherMessage.Heartbeat(5));
+    assertTrue(follower.isInContact());
   }
 
   @Test
   void oneThatIsTurnedDownSaysWhyAndGoesOn() {
     pass(200);
-    follower.up(now);
+    follower.connected(now);
     acts();
-    follower.told(
-        now, new PublisherMessage.TurnedDown("it follows group 'fish', and this is 'birds'"));
+    follower.received(
+        now, new PublisherMessage.Rejected("it follows group 'fish', and this is 'birds'"));
     assertEquals(
         List.of("turned down: it follows group 'fish', and this is 'birds'", "close"), acts());
-    assertEquals(0, follower.index());
+    assertEquals(0, follower.lastIndex());
   }
 
   /** What is read after the node stood still may be as old as that. */
@@ -171,9 +171,9 @@
   void oneThatStoodStillBelievesNothingThatWaited() {
     followFrom(5);
     now += 3000 * MILLI;
-    follower.told(now, entries(5, 7));
+    follower.received(now, entries(5, 7));
     assertEquals(List.of("out of contact", "close"), acts());
-    assertEquals(5, follower.index());
+    assertEquals(5, follower.lastIndex());
   }
 
   @Test
@@ -183,7 +183,7 @@
       pass(100);
       if (acts().contains("connect")) {
         tries++;
-        follower.down(now);
+        follower.disconnected(now);
         acts();
       }
     }
@@ -194,8 +194,10 @@
   @Test
   void tellsWhatIsWrongShortly() {
     followFrom(5);
-    follower.wrong(5, "x".repeat(1000));
+    follower.rejectEntry(5, "x".repeat(1000));
     assertEquals(
-        List.of("Wrong[index=5, what=" + "x".repeat(SubscriberMessage.MOST_TEXT) + "]"), acts());
+        List.of(
+            "EntryRejected[index=5, reason=" + "x".repeat(SubscriberMessage.MAX_TEXT_LENGTH) + "]"),
+        acts());
   }
 }
