--- a/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
@@ -6,6 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Collection;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.CompletionStage;
@@ -23,6 +24,7 @@
 import shalepaddle.replicatedstate.Proposal;
 import shalepaddle.replicatedstate.ReplicatedState;
 import shalepaddle.storage.FileLogDirectory;
+import shalepaddle.storage.LogOwner;
 import shalepaddle.storage.RaftLogStore;
 import shalepaddle.transport.ChangeFeedServer;
 import shalepaddle.transport.HandshakeRejectedException;
@@ -80,7 +82,7 @@
     FileLogDirectory disk = new FileLogDirectory(place.folder());
     RaftLogStore opened = null;
     try {
-      if (RaftLogStore.readOwner(disk) == null) {
+      if (RaftLogStore.readOwner(disk).isEmpty()) {
         throw new IOException(
             place.folder()
                 + " holds no member: begin it with init where the group begins, and with join, under a"
@@ -131,11 +133,11 @@
   private static void begin(MemberConfig place, boolean first) throws IOException {
     FileLogDirectory disk = new FileLogDirectory(place.folder());
     try {
-      List<String> owner = RaftLogStore.readOwner(disk);
-      if (owner != null) {
+      Optional<LogOwner> owner = RaftLogStore.readOwner(disk);
+      if (owner.isPresent()) {
         throw new IOException(
             "%s holds member '%s' of group '%s' already: nothing was changed"
-                .formatted(place.folder(), owner.get(1), owner.get(0)));
+                .formatted(place.folder(), owner.get().member(), owner.get().group()));
       }
       RaftLogStore journal = new RaftLogStore(disk, place.group(), place.name());
       if (first) {
--- a/cluster/src/main/java/shalepaddle/encoding/LogEntryCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/LogEntryCodec.java
@@ -8,6 +8,7 @@
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
+import io.microraft.model.persistence.RaftEndpointPersistentState;
 import io.microraft.model.persistence.RaftTermPersistentState;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -125,6 +126,32 @@
         .build();
   }
 
+  /**
+   * Whether a member votes.
+   *
+   * @param member its name
+   */
+  public static RaftEndpointPersistentState localEndpoint(String member, boolean voting) {
+    return MODEL
+        .createRaftEndpointPersistentStateBuilder()
+        .setLocalEndpoint(new Endpoint(member))
+        .setVoting(voting)
+        .build();
+  }
+
+  /**
+   * A term.
+   *
+   * @param votedFor the member that has this one's vote in it, null for none
+   */
+  public static RaftTermPersistentState term(int term, String votedFor) {
+    return MODEL
+        .createRaftTermPersistentStateBuilder()
+        .setTerm(term)
+        .setVotedFor(Endpoint.ofName(votedFor))
+        .build();
+  }
+
   /** The term, and who has this member's vote in it. */
   public static void term(RaftTermPersistentState term, CborValues.Writer out) throws IOException {
     out.put(term.getTerm()).put(Endpoint.nameOf(term.getVotedFor()));
@@ -132,11 +159,7 @@
 
   /** The same, read. */
   public static RaftTermPersistentState term(CborValues.Reader in) throws IOException {
-    return MODEL
-        .createRaftTermPersistentStateBuilder()
-        .setTerm(in.readInt())
-        .setVotedFor(Endpoint.ofName(in.readText()))
-        .build();
+    return term(in.readInt(), in.readText());
   }
 
   /** The names of members, in order. */
--- a/cluster/src/main/java/shalepaddle/storage/FileLogDirectory.java
+++ b/cluster/src/main/java/shalepaddle/storage/FileLogDirectory.java
@@ -12,43 +12,52 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A real folder, held by one process at a time. */
+/**
+ * A directory of the file system, locked against other processes from construction to {@link
+ * #close}.
+ */
 public final class FileLogDirectory implements LogDirectory {
-  private static final String LOCK = "lock";
+  private static final String LOCK_FILE = "lock";
 
-  private final Path folder;
+  private final Path directory;
   private final FileChannel lockFile;
   private final FileLock lock;
 
   /**
-   * Takes a folder, which is made where there is none.
+   * Creates the directory where there is none, and locks it.
    *
-   * @throws IOException if it can't be had, or another process holds it; says which
+   * @throws LogDirectoryLockedException if another process, or another store of this one, has it
+   * @throws IOException if it can't be created or opened
    */
-  public FileLogDirectory(Path folder) throws IOException {
-    this.folder = folder;
-    Files.createDirectories(folder);
+  public FileLogDirectory(Path directory) throws IOException {
+    this.directory = directory;
+    Files.createDirectories(directory);
     lockFile =
-        FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-    FileLock taken = null;
+        FileChannel.open(
+            directory.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    lock = tryLock(lockFile);
+    if (lock == null) {
+      lockFile.close();
+      throw new LogDirectoryLockedException(directory);
+    }
+  }
+
+  /** The lock, null if somebody else has it. */
+  private static FileLock tryLock(FileChannel lockFile) throws IOException {
     try {
-      taken = lockFile.tryLock();
+      return lockFile.tryLock();
     } catch (OverlappingFileLockException e) {
-      // By this very process: told below.
+      // Locked by this very process, which tryLock reports by an exception.
+      return null;
     }
-    if (taken == null) {
-      lockFile.close();
-      throw new IOException(folder + " is held by another process; each member has its own");
-    }
-    lock = taken;
   }
 
   @Override
   public List<String> names() throws IOException {
-    try (Stream<Path> files = Files.list(folder)) {
+    try (Stream<Path> files = Files.list(directory)) {
       return files
           .map(file -> file.getFileName().toString())
-          .filter(name -> !name.equals(LOCK))
+          .filter(name -> !name.equals(LOCK_FILE))
           .sorted()
           .toList();
     }
@@ -56,44 +65,36 @@
 
   @Override
   public byte[] read(String name) throws IOException {
-    return Files.readAllBytes(folder.resolve(name));
+    return Files.readAllBytes(directory.resolve(name));
   }
 
   @Override
   public Appender create(String name) throws IOException {
-    return new Channel(
+    return new ChannelAppender(
         FileChannel.open(
-            folder.resolve(name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
-  }
-
-  @Override
-  public Appender append(String name, long after) throws IOException {
-    FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE);
-    file.truncate(after);
-    file.position(after);
-    return new Channel(file);
+            directory.resolve(name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
   }
 
   @Override
   public void rename(String from, String to) throws IOException {
-    Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+    Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
   }
 
   @Override
   public void delete(String name) throws IOException {
-    Files.deleteIfExists(folder.resolve(name));
+    Files.deleteIfExists(directory.resolve(name));
   }
 
   @Override
   public void syncNames() throws IOException {
-    try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
+    try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
       names.force(true);
     }
   }
 
   @Override
   public String location() {
-    return folder.toString();
+    return directory.toString();
   }
 
   @Override
@@ -102,11 +103,11 @@
     lockFile.close();
   }
 
-  private record Channel(FileChannel file) implements Appender {
+  private record ChannelAppender(FileChannel file) implements Appender {
     @Override
     public void write(byte[] bytes) throws IOException {
-      for (ByteBuffer left = ByteBuffer.wrap(bytes); left.hasRemaining(); ) {
-        file.write(left);
+      for (ByteBuffer remaining = ByteBuffer.wrap(bytes); remaining.hasRemaining(); ) {
+        file.write(remaining);
       }
     }
 
--- /dev/null
+++ b/cluster/src/main/java/shalepaddle/storage/LogContents.java
@@ -0,0 +1,215 @@
+package shalepaddle.storage;
+
+import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.RaftGroupMembersView;
+import io.microraft.model.log.SnapshotChunk;
+import io.microraft.model.log.SnapshotEntry;
+import io.microraft.model.persistence.RaftEndpointPersistentState;
+import io.microraft.model.persistence.RaftTermPersistentState;
+import io.microraft.persistence.RestoredRaftState;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import shalepaddle.encoding.CborValues;
+import shalepaddle.encoding.LogEntryCodec;
+
+/**
+ * The state that the records of a log add up to, in memory. Changes are made here and appended by
+ * {@link RaftLogStore}. Owned by the member's thread.
+ */
+final class LogContents {
+  private final String memberName;
+  private RaftEndpointPersistentState localEndpoint;
+  private RaftGroupMembersView initialMembers;
+  private RaftTermPersistentState term;
+  private final SortedMap<Long, LogEntry> entries = new TreeMap<>();
+
+  /** Chunks by the index of their snapshot, then by their number. */
+  private final SortedMap<Long, Map<Integer, SnapshotChunk>> snapshotChunks = new TreeMap<>();
+
+  LogContents(String memberName) {
+    this.memberName = memberName;
+  }
+
+  /**
+   * Makes the change of a stored record.
+   *
+   * @param path the segment, for messages
+   * @throws UnknownRecordException if a later version wrote it
+   * @throws IOException if its body can't be decoded
+   */
+  void apply(RecordFormat.StoredRecord stored, String path) throws IOException {
+    byte[] body = stored.body();
+    switch (RecordKind.ofCode(stored.kind(), path)) {
+      case LOCAL_ENDPOINT ->
+          setLocalEndpoint(CborValues.decode(body, CborValues.Reader::readBoolean));
+      case INITIAL_MEMBERS -> initialMembers = CborValues.decode(body, LogEntryCodec::view);
+      case TERM -> term = CborValues.decode(body, LogEntryCodec::term);
+      case ENTRY -> putEntry(CborValues.decode(body, LogEntryCodec::entry));
+      case TRUNCATE_SUFFIX -> truncateSuffix(CborValues.decode(body, CborValues.Reader::readLong));
+      case TRUNCATE_PREFIX -> truncatePrefix(CborValues.decode(body, CborValues.Reader::readLong));
+      case SNAPSHOT_CHUNK -> putSnapshotChunk(CborValues.decode(body, LogEntryCodec::chunk));
+      case DELETE_SNAPSHOT -> deleteSnapshot(CborValues.decode(body, CborValues.Reader::readLong));
+      case HEADER -> throw new UnknownRecordException(path, stored.kind());
+    }
+  }
+
+  void setLocalEndpoint(boolean voting) {
+    localEndpoint = LogEntryCodec.localEndpoint(memberName, voting);
+  }
+
+  void setInitialMembers(RaftGroupMembersView members) {
+    initialMembers = members;
+  }
+
+  void setTerm(RaftTermPersistentState newTerm) {
+    term = newTerm;
+  }
+
+  void putEntry(LogEntry entry) {
+    entries.put(entry.getIndex(), entry);
+  }
+
+  /** Removes the entries from this index on. */
+  void truncateSuffix(long firstIndex) {
+    entries.tailMap(firstIndex).clear();
+  }
+
+  /** Removes the entries up to this index. */
+  void truncatePrefix(long lastIndex) {
+    entries.headMap(lastIndex + 1).clear();
+  }
+
+  void putSnapshotChunk(SnapshotChunk chunk) {
+    snapshotChunks
+        .computeIfAbsent(chunk.getIndex(), index -> new TreeMap<>())
+        .put(chunk.getSnapshotChunkIndex(), chunk);
+  }
+
+  void deleteSnapshot(long index) {
+    snapshotChunks.remove(index);
+  }
+
+  /**
+   * Checks that the entries follow the snapshot without a gap.
+   *
+   * @param path the segment, for the message
+   * @throws CorruptLogException if entries are missing
+   */
+  void checkContiguous(String path) throws CorruptLogException {
+    if (entries.isEmpty()) {
+      return;
+    }
+    long snapshotIndex = snapshotIndex();
+    if (entries.firstKey() > snapshotIndex + 1) {
+      throw CorruptLogException.withoutEntries(path, snapshotIndex + 1, entries.firstKey() - 1);
+    }
+    if (entries.lastKey() - entries.firstKey() + 1 != entries.size()) {
+      throw CorruptLogException.withGaps(path);
+    }
+  }
+
+  /** The newest snapshot of which all chunks are there, null for none. */
+  private SnapshotEntry completeSnapshot() {
+    SnapshotEntry newest = null;
+    for (Map<Integer, SnapshotChunk> chunks : snapshotChunks.values()) {
+      SnapshotChunk first = chunks.values().iterator().next();
+      if (chunks.size() == first.getSnapshotChunkCount()) {
+        newest =
+            LogEntryCodec.model()
+                .createSnapshotEntryBuilder()
+                .setIndex(first.getIndex())
+                .setTerm(first.getTerm())
+                .setSnapshotChunks(new ArrayList<>(chunks.values()))
+                .setGroupMembersView(first.getGroupMembersView())
+                .build();
+      }
+    }
+    return newest;
+  }
+
+  private long snapshotIndex() {
+    SnapshotEntry snapshot = completeSnapshot();
+    return snapshot == null ? 0 : snapshot.getIndex();
+  }
+
+  /** The last index of the snapshot or of an entry, 0 for none. */
+  long lastIndex() {
+    long snapshotIndex = snapshotIndex();
+    return entries.isEmpty() ? snapshotIndex : Math.max(snapshotIndex, entries.lastKey());
+  }
+
+  /** The current term, 0 for none. */
+  int term() {
+    return term == null ? 0 : term.getTerm();
+  }
+
+  /** What the library starts from, null if the member has never taken part. */
+  RestoredRaftState restoredState() {
+    if (localEndpoint == null || initialMembers == null) {
+      return null;
+    }
+    SnapshotEntry snapshot = completeSnapshot();
+    long snapshotIndex = snapshot == null ? 0 : snapshot.getIndex();
+    return new RestoredRaftState(
+        localEndpoint,
+        initialMembers,
+        term != null ? term : LogEntryCodec.term(0, null),
+        snapshot,
+        new ArrayList<>(entries.tailMap(snapshotIndex + 1).values()));
+  }
+
+  /** The bytes of a segment, below its header, that holds this state and no superseded record. */
+  List<byte[]> encode() throws IOException {
+    List<byte[]> records = new ArrayList<>();
+    if (localEndpoint != null) {
+      records.add(encodeLocalEndpoint(localEndpoint.isVoting()));
+    }
+    if (initialMembers != null) {
+      records.add(encodeInitialMembers(initialMembers));
+    }
+    if (term != null) {
+      records.add(encodeTerm(term));
+    }
+    for (Map<Integer, SnapshotChunk> chunks : snapshotChunks.values()) {
+      for (SnapshotChunk chunk : chunks.values()) {
+        records.add(encodeSnapshotChunk(chunk));
+      }
+    }
+    for (LogEntry entry : entries.values()) {
+      records.add(encodeEntry(entry));
+    }
+    return records;
+  }
+
+  static byte[] encodeLocalEndpoint(boolean voting) throws IOException {
+    return RecordFormat.encode(
+        RecordKind.LOCAL_ENDPOINT, CborValues.encode(voting, (value, out) -> out.put(value)));
+  }
+
+  static byte[] encodeInitialMembers(RaftGroupMembersView members) throws IOException {
+    return RecordFormat.encode(
+        RecordKind.INITIAL_MEMBERS, CborValues.encode(members, LogEntryCodec::view));
+  }
+
+  static byte[] encodeTerm(RaftTermPersistentState term) throws IOException {
+    return RecordFormat.encode(RecordKind.TERM, CborValues.encode(term, LogEntryCodec::term));
+  }
+
+  static byte[] encodeEntry(LogEntry entry) throws IOException {
+    return RecordFormat.encode(RecordKind.ENTRY, CborValues.encode(entry, LogEntryCodec::entry));
+  }
+
+  static byte[] encodeSnapshotChunk(SnapshotChunk chunk) throws IOException {
+    return RecordFormat.encode(
+        RecordKind.SNAPSHOT_CHUNK, CborValues.encode(chunk, LogEntryCodec::chunk));
+  }
+
+  /** A record whose body is an index alone: a truncation or a deletion. */
+  static byte[] encodeIndex(RecordKind kind, long index) throws IOException {
+    return RecordFormat.encode(kind, CborValues.encode(index, (value, out) -> out.put(value)));
+  }
+}
--- a/cluster/src/main/java/shalepaddle/storage/LogDirectory.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogDirectory.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * A folder of files, as far as a journal needs one: few enough calls that a test can stop at each
- * of them and see what a machine would find after it.
+ * The directory of a log's segment files. The interface is small so that a test can stop at each
+ * call and check what a machine finds after a crash there. Not thread-safe.
  */
 public interface LogDirectory extends Closeable {
   /** The names of all files. */
@@ -15,30 +15,31 @@
   /** All bytes of a file. */
   byte[] read(String name) throws IOException;
 
-  /** Makes a file that is not there yet, to be written from its beginning. */
+  /**
+   * Creates a file, to be written from its beginning.
+   *
+   * @throws IOException if there is one of that name
+   */
   Appender create(String name) throws IOException;
 
-  /** Goes on writing a file after so many bytes; what was behind them is gone. */
-  Appender append(String name, long after) throws IOException;
-
-  /** Gives a file another name, of which there is none. */
+  /** Renames a file to a name that no file has; atomic. */
   void rename(String from, String to) throws IOException;
 
-  /** Deletes a file. */
+  /** Deletes a file, if there is one of that name. */
   void delete(String name) throws IOException;
 
-  /** Returns once names that were made, changed or deleted survive a stop of the machine. */
+  /** Returns once files that were created, renamed or deleted stay so after a power failure. */
   void syncNames() throws IOException;
 
-  /** Where it is, for people. */
+  /** The directory's path, for messages. */
   String location();
 
-  /** A file that grows. */
+  /** A file that is written from its beginning to its end. */
   interface Appender extends Closeable {
-    /** Adds bytes, which may be lost until {@link #sync}. */
+    /** Adds bytes at the end; a power failure may lose them until {@link #sync}. */
     void write(byte[] bytes) throws IOException;
 
-    /** Returns once all that was written survives a stop of the machine. */
+    /** Returns once all bytes that were written survive a power failure. */
     void sync() throws IOException;
   }
 }
--- a/cluster/src/main/java/shalepaddle/storage/RecordFormat.java
+++ b/cluster/src/main/java/shalepaddle/storage/RecordFormat.java
@@ -8,94 +8,102 @@
 import java.util.zip.CRC32;
 
 /**
- * The frames of a journal's file: length, CRC-32, kind and body of each record, one behind the
- * other. The checksum covers the length as well, so that a frame whose length is damaged is not
- * taken for one that was cut short.
+ * The bytes of a segment: for each record the length of its body (4 bytes), a CRC-32 (4), its kind
+ * (1) and the body. The checksum covers the length as well, so that a record whose length is
+ * damaged is not mistaken for a partial write. Stateless.
  */
 final class RecordFormat {
-  /** Bytes of a body at most; a length past it is damage. */
-  static final int MOST_BYTES = 16 << 20;
+  /** Bytes of a body at most; a greater length is damage. */
+  static final int MAX_BODY_BYTES = 16 << 20;
 
-  private static final int HEAD = 9;
+  private static final int HEADER_BYTES = 9;
+  private static final int CHECKSUM_OFFSET = 4;
+  private static final int KIND_OFFSET = 8;
+  private static final int NO_RECORD = -1;
 
   private RecordFormat() {}
 
   /**
-   * A record.
+   * A record as it is stored.
    *
-   * @param kind what the body is
+   * @param kind a code of {@link RecordKind}, or of a later version's
    */
-  record Framed(byte kind, byte[] body) {}
+  record StoredRecord(int kind, byte[] body) {}
 
   /**
-   * What a file holds.
+   * What a segment holds.
    *
-   * @param whole the records up to the end, or to where they can't be read any more
-   * @param length the bytes that those take
-   * @param torn bytes behind them, of a write that a crash cut short
+   * @param records the complete records, in order
+   * @param partialBytes bytes after them, of a write that a crash cut short
    */
-  record Read(List<Framed> whole, long length, long torn) {}
+  record Segment(List<StoredRecord> records, long partialBytes) {}
 
-  static byte[] frame(int kind, byte[] body) throws IOException {
-    if (body.length > MOST_BYTES) {
-      throw new IOException("a record of " + body.length + " bytes is too long");
+  /**
+   * The bytes of a record.
+   *
+   * @throws IOException if the body exceeds {@link #MAX_BODY_BYTES}
+   */
+  static byte[] encode(RecordKind kind, byte[] body) throws IOException {
+    if (body.length > MAX_BODY_BYTES) {
+      throw new IOException(
+          "a record of %d bytes exceeds the limit of %d".formatted(body.length, MAX_BODY_BYTES));
     }
-    ByteBuffer framed = ByteBuffer.allocate(HEAD + body.length);
-    framed.putInt(body.length).putInt(0).put((byte) kind).put(body);
-    framed.putInt(4, checksum(framed.array(), 0, body.length));
-    return framed.array();
+    ByteBuffer encoded = ByteBuffer.allocate(HEADER_BYTES + body.length);
+    encoded.putInt(body.length).putInt(0).put((byte) kind.code()).put(body);
+    encoded.putInt(CHECKSUM_OFFSET, checksum(encoded.array(), 0, body.length));
+    return encoded.array();
   }
 
-  private static int checksum(byte[] bytes, int from, int length) {
+  private static int checksum(byte[] bytes, int position, int bodyLength) {
     CRC32 crc = new CRC32();
-    crc.update(bytes, from, 4);
-    crc.update(bytes, from + 8, 1 + length);
+    crc.update(bytes, position, Integer.BYTES);
+    crc.update(bytes, position + KIND_OFFSET, 1 + bodyLength);
     return (int) crc.getValue();
   }
 
-  /** The length of the body of the whole record there, -1 if there is none. */
-  private static int lengthAt(byte[] bytes, int from) {
-    if (bytes.length - from < HEAD) {
-      return -1;
+  /** The body length of the complete record at a position, {@link #NO_RECORD} if there is none. */
+  private static int bodyLengthAt(byte[] bytes, int position) {
+    if (bytes.length - position < HEADER_BYTES) {
+      return NO_RECORD;
     }
-    int length = ByteBuffer.wrap(bytes, from, 4).getInt();
-    if (length < 0 || length > MOST_BYTES || length > bytes.length - from - HEAD) {
-      return -1;
+    int length = ByteBuffer.wrap(bytes, position, Integer.BYTES).getInt();
+    if (length < 0 || length > MAX_BODY_BYTES || length > bytes.length - position - HEADER_BYTES) {
+      return NO_RECORD;
     }
-    int sum = ByteBuffer.wrap(bytes, from + 4, 4).getInt();
-    return sum == checksum(bytes, from, length) ? length : -1;
+    int stored = ByteBuffer.wrap(bytes, position + CHECKSUM_OFFSET, Integer.BYTES).getInt();
+    return stored == checksum(bytes, position, length) ? length : NO_RECORD;
   }
 
   /**
-   * Reads a file's records. What can't be read at its end is a write that a crash cut short; where
-   * a whole record follows it, something in the middle is damaged.
+   * Reads a segment. Unreadable bytes at its end are a partial write; where a complete record
+   * follows them, the segment is damaged.
    *
-   * @throws CorruptLogException if so
+   * @param path for the message
+   * @throws CorruptLogException if the segment is damaged
    */
-  static Read read(String file, byte[] bytes) throws CorruptLogException {
-    List<Framed> whole = new ArrayList<>();
-    int at = 0;
-    for (int length = lengthAt(bytes, at); length >= 0; length = lengthAt(bytes, at)) {
+  static Segment decode(String path, byte[] bytes) throws CorruptLogException {
+    List<StoredRecord> records = new ArrayList<>();
+    int position = 0;
+    for (int length = bodyLengthAt(bytes, position);
+        length != NO_RECORD;
+        length = bodyLengthAt(bytes, position)) {
       byte[] body = new byte[length];
-      System.arraycopy(bytes, at + HEAD, body, 0, length);
-      whole.add(new Framed(bytes[at + 8], body));
-      at += HEAD + length;
+      System.arraycopy(bytes, position + HEADER_BYTES, body, 0, length);
+      records.add(new StoredRecord(bytes[position + KIND_OFFSET], body));
+      position += HEADER_BYTES + length;
     }
-    for (int later = at + 1; later < bytes.length; later++) {
-      if (lengthAt(bytes, later) >= 0) {
-        throw new CorruptLogException(
-            "%s is damaged at byte %d, with whole records behind it: take this folder away, and let"
-                    .formatted(file, at)
-                + " the member join anew under a new name");
+    for (int later = position + 1; later < bytes.length; later++) {
+      if (bodyLengthAt(bytes, later) != NO_RECORD) {
+        throw CorruptLogException.damagedAt(path, position);
       }
     }
-    return new Read(whole, at, bytes.length - at);
+    return new Segment(records, bytes.length - position);
   }
 
-  /** Some records, one behind the other. */
-  static byte[] join(List<byte[]> framed) {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    framed.forEach(all::writeBytes);
-    return all.toByteArray();
+  /** The concatenation of encoded records. */
+  static byte[] join(List<byte[]> encodedRecords) {
+    ByteArrayOutputStream joined = new ByteArrayOutputStream();
+    encodedRecords.forEach(joined::writeBytes);
+    return joined.toByteArray();
   }
 }
--- a/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
@@ -86,7 +86,7 @@
     group.heal();
     for (VirtualGroup.Machine machine : group.machines.values()) {
       machine.heldUntil = 0;
-      machine.disk.failing(false);
+      machine.disk.setFailing(false);
       if (!machine.up()) {
         machine.start();
       }
@@ -214,11 +214,11 @@
 
   private void failDisk(VirtualGroup.Machine machine) {
     CrashingLogDirectory disk = machine.disk;
-    disk.failing(true);
+    disk.setFailing(true);
     group.at(
         group.now + random.nextLong(3000) * VirtualGroup.MILLI,
         () -> {
-          disk.failing(false);
+          disk.setFailing(false);
           if (random.nextBoolean() && !over && machine.up() && machine.disk == disk) {
             machine.crash();
           }
--- a/cluster/src/test/java/shalepaddle/raft/RaftMemberTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftMemberTest.java
@@ -49,7 +49,7 @@
     VirtualGroup group = new VirtualGroup(1).begin(3);
     group.pass(3000);
     VirtualGroup.Machine failing = group.leader();
-    failing.disk.failing(true);
+    failing.disk.setFailing(true);
     failing.agreement.propose(say("p1", "s-1", true));
     group.pass(3000);
     assertNotNull(failing.agreement.status().inactiveReason());
@@ -59,7 +59,7 @@
     next.agreement.propose(say("p2", "s-2", true)).thenAccept(answers::add);
     group.pass(100);
     assertEquals(CommandResult.Outcome.COMMITTED, answers.get(0).outcome());
-    failing.disk.failing(false);
+    failing.disk.setFailing(false);
     group.pass(3000);
     assertNull(failing.agreement.status().inactiveReason());
     assertEquals(next.agreement.status().commitIndex(), failing.agreement.status().commitIndex());
--- a/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
+++ b/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
@@ -75,7 +75,7 @@
     void crash() {
       life++;
       agreement = null;
-      disk = disk.found(random.nextDouble());
+      disk = disk.afterCrash(random.nextDouble());
     }
 
     @Override
--- a/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
@@ -2,110 +2,113 @@
 
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * A disk in memory that stops at the step that is asked for, and tells what a machine may find
- * after it: of each file what was forced, and any beginning of what was written since; of names
- * what was forced, and any first few of the changes since.
+ * A directory in memory that crashes at a chosen call, and gives each state that a machine may find
+ * afterwards: of each file the bytes that were synced and any prefix of those written since, and of
+ * names those that were synced and any first few of the changes since.
  */
 public final class CrashingLogDirectory implements LogDirectory {
-  /** The machine stops here. */
+  /** The machine stops at this call. */
   static final class Crash extends RuntimeException {
     private static final long serialVersionUID = 1;
   }
 
-  /** A file's bytes, and how many of them are sure to be there after a crash. */
-  private static final class Bytes {
-    private byte[] all = new byte[0];
-    private int forced;
+  /** A file's bytes, and how many of them survive a crash for certain. */
+  private static final class Content {
+    private byte[] bytes = new byte[0];
+    private int syncedLength;
 
-    /** Whether a force has failed: the system drops what it covered, and the next one succeeds. */
-    private boolean dropped;
+    /** Whether a sync has failed: what it covered is dropped, though the next one succeeds. */
+    private boolean hasDroppedWrites;
   }
 
-  private interface Change {
-    void make(Map<String, Bytes> names);
+  private interface NameChange {
+    void applyTo(Map<String, Content> names);
   }
 
-  private final Map<String, Bytes> forced = new TreeMap<>();
-  private final List<Change> pending = new ArrayList<>();
-  private final Map<String, Bytes> names = new TreeMap<>();
-  private int stepsLeft;
-  private int failAt = -1;
-  private int forces;
-  private boolean failing;
+  private final Map<String, Content> syncedNames = new TreeMap<>();
+  private final List<NameChange> unsyncedChanges = new ArrayList<>();
+  private final Map<String, Content> names = new TreeMap<>();
+  private int remainingCalls;
+  private int firstFailingSync = -1;
+  private int syncCount;
+  private boolean isFailing;
 
-  /** One that never stops by itself. */
+  /** One that never crashes by itself. */
   public CrashingLogDirectory() {
     this(Integer.MAX_VALUE);
   }
 
-  /** One that stops after so many steps. */
-  CrashingLogDirectory(int steps) {
-    stepsLeft = steps;
+  /** One that crashes after so many calls that change it. */
+  CrashingLogDirectory(int calls) {
+    remainingCalls = calls;
   }
 
-  private void step() {
-    if (stepsLeft-- <= 0) {
+  private void countCall() {
+    if (remainingCalls-- <= 0) {
       throw new Crash();
     }
   }
 
-  /** The force of this number fails, as may all that come after it. */
-  CrashingLogDirectory failingForce(int number) {
-    failAt = number;
+  /** Syncs fail from the one of this number on. */
+  CrashingLogDirectory failFromSync(int number) {
+    firstFailingSync = number;
     return this;
   }
 
-  /** Writes and forces fail from now on, or succeed again. */
-  public void failing(boolean on) {
-    failing = on;
+  /** Whether writes and syncs fail from now on. */
+  public void setFailing(boolean failing) {
+    isFailing = failing;
   }
 
-  private void change(Change change) {
-    change.make(names);
-    pending.add(change);
+  private void change(NameChange change) {
+    change.applyTo(names);
+    unsyncedChanges.add(change);
   }
 
   /**
-   * A disk as it may be found after a crash.
+   * The directory as it may be found after a crash.
    *
-   * @param changes how many of the changes of names since the last force are there
-   * @param part of what was written and not forced, 0 to 1
+   * @param changes how many of the name changes since the last sync survive
+   * @param unsyncedPart of the bytes that were written and not synced, 0 to 1
    */
-  CrashingLogDirectory found(int changes, double part) {
-    Map<String, Bytes> left = new LinkedHashMap<>(forced);
-    pending.subList(0, changes).forEach(change -> change.make(left));
-    CrashingLogDirectory found = new CrashingLogDirectory();
-    left.forEach(
-        (name, bytes) -> {
-          Bytes kept = new Bytes();
-          int length = bytes.forced + (int) Math.round(part * (bytes.all.length - bytes.forced));
-          kept.all = java.util.Arrays.copyOf(bytes.all, length);
-          kept.forced = length;
-          found.forced.put(name, kept);
-          found.names.put(name, kept);
+  CrashingLogDirectory afterCrash(int changes, double unsyncedPart) {
+    Map<String, Content> survivingNames = new LinkedHashMap<>(syncedNames);
+    unsyncedChanges.subList(0, changes).forEach(change -> change.applyTo(survivingNames));
+    CrashingLogDirectory crashed = new CrashingLogDirectory();
+    survivingNames.forEach(
+        (name, content) -> {
+          Content survivor = new Content();
+          int length =
+              content.syncedLength
+                  + (int) Math.round(unsyncedPart * (content.bytes.length - content.syncedLength));
+          survivor.bytes = Arrays.copyOf(content.bytes, length);
+          survivor.syncedLength = length;
+          crashed.syncedNames.put(name, survivor);
+          crashed.names.put(name, survivor);
         });
-    return found;
+    return crashed;
   }
 
-  /** A disk as it may be found after a crash, by a number from 0 to 1 that is drawn. */
-  public CrashingLogDirectory found(double drawn) {
-    return found((int) Math.round(drawn * 1000) % (pendingNames() + 1), drawn);
+  /** The directory as it may be found after a crash, by a random number from 0 to 1. */
+  public CrashingLogDirectory afterCrash(double drawn) {
+    return afterCrash((int) Math.round(drawn * 1000) % (unsyncedNameChanges() + 1), drawn);
   }
 
-  /** Changes of names that may be lost. */
-  int pendingNames() {
-    return pending.size();
+  /** Name changes that a crash may lose. */
+  int unsyncedNameChanges() {
+    return unsyncedChanges.size();
   }
 
   /** Changes a byte of a file. */
-  void damage(String name, int at) {
-    names.get(name).all[at] ^= 0x20;
+  void damage(String name, int position) {
+    names.get(name).bytes[position] ^= 0x20;
   }
 
   @Override
@@ -115,50 +118,41 @@
 
   @Override
   public byte[] read(String name) {
-    return names.get(name).all.clone();
+    return names.get(name).bytes.clone();
   }
 
   @Override
   public Appender create(String name) {
-    step();
-    Bytes made = new Bytes();
-    change(all -> all.put(name, made));
-    return new File(made);
-  }
-
-  @Override
-  public Appender append(String name, long after) {
-    step();
-    Bytes bytes = names.get(name);
-    bytes.all = java.util.Arrays.copyOf(bytes.all, (int) after);
-    bytes.forced = (int) Math.min(bytes.forced, after);
-    return new File(bytes);
+    countCall();
+    Content created = new Content();
+    change(target -> target.put(name, created));
+    return new MemoryAppender(created);
   }
 
   @Override
   public void rename(String from, String to) {
-    step();
+    countCall();
     change(
-        all -> {
-          Bytes moved = all.remove(from);
+        target -> {
+          Content moved = target.remove(from);
           if (moved != null) {
-            all.put(to, moved);
+            target.put(to, moved);
           }
         });
   }
 
   @Override
   public void delete(String name) {
-    step();
-    change(all -> all.remove(name));
+    countCall();
+    change(target -> target.remove(name));
   }
 
   @Override
   public void syncNames() {
-    step();
-    forced.clear();
-    forced.putAll(names);
-    pending.clear();
+    countCall();
+    syncedNames.clear();
+    syncedNames.putAll(names);
+    unsyncedChanges.clear();
   }
 
   @Override
@@ -169,32 +163,32 @@
   @Override
   public void close() {}
 
-  private final class File implements Appender {
-    private final Bytes bytes;
+  private final class MemoryAppender implements Appender {
+    private final Content content;
 
-    File(Bytes bytes) {
-      this.bytes = bytes;
+    MemoryAppender(Content content) {
+      this.content = content;
     }
 
     @Override
     public void write(byte[] more) throws IOException {
-      step();
-      if (failing) {
+      countCall();
+      if (isFailing) {
         throw new IOException("no space left on device");
       }
-      int from = bytes.all.length;
-      bytes.all = java.util.Arrays.copyOf(bytes.all, from + more.length);
-      System.arraycopy(more, 0, bytes.all, from, more.length);
+      int from = content.bytes.length;
+      content.bytes = Arrays.copyOf(content.bytes, from + more.length);
+      System.arraycopy(more, 0, content.bytes, from, more.length);
     }
 
     @Override
     public void sync() throws IOException {
-      step();
-      if (failing || failAt >= 0 && forces++ >= failAt) {
-        bytes.dropped = true;
+      countCall();
+      if (isFailing || firstFailingSync >= 0 && syncCount++ >= firstFailingSync) {
+        content.hasDroppedWrites = true;
         throw new IOException("no space left on device");
       }
-      bytes.forced = bytes.dropped ? bytes.forced : bytes.all.length;
+      content.syncedLength = content.hasDroppedWrites ? content.syncedLength : content.bytes.length;
     }
 
     @Override
--- a/cluster/src/test/java/shalepaddle/storage/ForwardingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/ForwardingLogDirectory.java
@@ -3,43 +3,43 @@
 import java.io.IOException;
 import java.util.List;
 
-/** A disk before another one, which does all that is not done otherwise here. */
+/** Forwards each call that is not overridden to another directory. */
 interface ForwardingLogDirectory extends LogDirectory {
-  /** The disk behind it. */
-  LogDirectory disk();
+  /** Where calls go. */
+  LogDirectory delegate();
 
   @Override
   default List<String> names() throws IOException {
-    return disk().names();
+    return delegate().names();
   }
 
   @Override
   default byte[] read(String name) throws IOException {
-    return disk().read(name);
+    return delegate().read(name);
   }
 
   @Override
   default void rename(String from, String to) throws IOException {
-    disk().rename(from, to);
+    delegate().rename(from, to);
   }
 
   @Override
   default void delete(String name) throws IOException {
-    disk().delete(name);
+    delegate().delete(name);
   }
 
   @Override
   default void syncNames() throws IOException {
-    disk().syncNames();
+    delegate().syncNames();
   }
 
   @Override
   default String location() {
-    return disk().location();
+    return delegate().location();
   }
 
   @Override
   default void close() throws IOException {
-    disk().close();
+    delegate().close();
   }
 }
--- a/cluster/src/test/java/shalepaddle/storage/RaftLogFormatTest.java
+++ b/cluster/src/test/java/shalepaddle/storage/RaftLogFormatTest.java
@@ -16,6 +16,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import shalepaddle.encoding.Endpoint;
@@ -62,7 +63,7 @@
     copyTo(folder);
     RestoredRaftState state;
     try (FileLogDirectory directory = new FileLogDirectory(folder)) {
-      assertEquals(List.of("birds", "m0"), RaftLogStore.readOwner(directory));
+      assertEquals(Optional.of(new LogOwner("birds", "m0")), RaftLogStore.readOwner(directory));
       RaftLogStore store = new RaftLogStore(directory, "birds", "m0");
       assertEquals(
           List.of(
--- a/cluster/src/test/java/shalepaddle/storage/SilentlyFailingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/SilentlyFailingLogDirectory.java
@@ -2,25 +2,20 @@
 
 import java.io.IOException;
 
-/** A disk whose failures are not told to whoever writes: what a test has to find out. */
-public record SilentlyFailingLogDirectory(LogDirectory disk) implements ForwardingLogDirectory {
+/** A directory that hides failed writes and syncs from its caller. Tests must detect it. */
+public record SilentlyFailingLogDirectory(LogDirectory delegate) implements ForwardingLogDirectory {
   @Override
   public Appender create(String name) throws IOException {
-    return new Silent(disk.create(name));
+    return new SilentAppender(delegate.create(name));
   }
 
-  @Override
-  public Appender append(String name, long after) throws IOException {
-    return new Silent(disk.append(name, after));
-  }
-
-  private record Silent(Appender file) implements Appender {
+  private record SilentAppender(Appender file) implements Appender {
     @Override
     public void write(byte[] bytes) throws IOException {
       try {
         file.write(bytes);
       } catch (IOException e) {
-        // The writer goes on as if nothing had happened.
+        // Hidden: the caller goes on as if it had been written.
       }
     }
 
@@ -29,7 +24,7 @@
       try {
         file.sync();
       } catch (IOException e) {
-        // As above.
+        // Hidden, as above.
       }
     }
 
--- a/cluster/src/test/java/shalepaddle/storage/UnsyncedLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/UnsyncedLogDirectory.java
@@ -3,37 +3,32 @@
 import java.io.IOException;
 
 /**
- * A disk that says to have forced what it has not: what a test of promises has to find out.
+ * A directory whose syncs return without effect. Tests must detect it.
  *
- * @param begins whether what each file begins with is there all the same, and its name: a folder
- *     that is empty is a fresh one, and found out as such
+ * @param syncsFirstWrite whether the first sync of each file and those of names are made all the
+ *     same: an empty directory would be mistaken for a new one
  */
-public record UnsyncedLogDirectory(LogDirectory disk, boolean begins)
+public record UnsyncedLogDirectory(LogDirectory delegate, boolean syncsFirstWrite)
     implements ForwardingLogDirectory {
   @Override
   public Appender create(String name) throws IOException {
-    return new Unforced(disk.create(name), begins);
-  }
-
-  @Override
-  public Appender append(String name, long after) throws IOException {
-    return new Unforced(disk.append(name, after), false);
+    return new UnsyncedAppender(delegate.create(name), syncsFirstWrite);
   }
 
   @Override
   public void syncNames() throws IOException {
-    if (begins) {
-      disk.syncNames();
+    if (syncsFirstWrite) {
+      delegate.syncNames();
     }
   }
 
-  private static final class Unforced implements Appender {
+  private static final class UnsyncedAppender implements Appender {
     private final Appender file;
-    private boolean forcesOnce;
+    private boolean syncsOnce;
 
-    Unforced(Appender file, boolean forcesOnce) {
+    UnsyncedAppender(Appender file, boolean syncsOnce) {
       this.file = file;
-      this.forcesOnce = forcesOnce;
+      this.syncsOnce = syncsOnce;
     }
 
     @Override
@@ -43,9 +38,9 @@
 
     @Override
     public void sync() throws IOException {
-      if (forcesOnce) {
+      if (syncsOnce) {
         file.sync();
-        forcesOnce = false;
+        syncsOnce = false;
       }
     }
 
