--- a/core/src/main/java/shalepaddle/policy/PendingRequest.java
+++ b/core/src/main/java/shalepaddle/policy/PendingRequest.java
@@ -119,7 +119,7 @@
     boolean bound =
         type.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
             && type.deduplicationScope() != Settings.DeduplicationScope.ALL;
-    return first == null || !bound && harmlessFor(first, now) > 0;
+    return first == null || (!bound && harmlessFor(first, now) > 0);
   }
 
   /** Seconds in which the group of servers drops repeats, with some to spare for their way. */
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -162,11 +162,11 @@
       Clock time,
       Transport transport,
       Log log) {
-    this(config, operator, connections(config), loop, clock, time, transport, log);
+    this(config, operator, defaultConnectionsPerServer(config), loop, clock, time, transport, log);
   }
 
   /** How many connections to each server are this node's part of the tier's. */
-  static int connections(NodeConfig config) {
+  static int defaultConnectionsPerServer(NodeConfig config) {
     return Math.max(1, TIER_CONNECTIONS / config.settings().instances());
   }
 
@@ -192,8 +192,8 @@
     processor = new ProcessorUse(config.cores());
     dispatcher =
         new Dispatcher(
-            settings, config.seed(), loop, clock, time, log, overload, operator.joining());
-    joining = dispatcher.joining();
+            settings, config.seed(), loop, clock, time, log, overload, operator.coalescing());
+    joining = dispatcher.coalescingSnapshot();
     engine = new Engine(loop, dispatcher, MAX_SUBMITTED);
     pools =
         new ServerPools(
@@ -211,16 +211,16 @@
             config.discovery(),
             settings.pollsEndpointList(),
             settings.contract().drainGraceSeconds(),
-            config.known().version(),
+            config.knownMembers().version(),
             new Members());
     MemoryBudget values =
-        new MemoryBudget(Math.min((long) config.memoryMb() << 18, transport.mostMemory() / 2));
+        new MemoryBudget(Math.min((long) config.memoryMb() << 18, transport.maxBufferBytes() / 2));
     codec = new MetaClientCodec(values, settings, new Entrance());
     front =
         new ClientFront(
             dispatcher,
             codec,
-            (int) (config.sockets() * CLIENT_SHARE),
+            (int) (config.maxDescriptors() * CLIENT_SHARE),
             overload::degradationPolicy,
             new MemoryBudget(((long) config.memoryMb() << 20) / AHEAD_PART));
     publish();
@@ -229,38 +229,41 @@
   /** Asks whether a request is admitted, at the time of the loop. */
   private final class Entrance implements RequestAdmission {
     @Override
-    public boolean shuts() {
+    public boolean mayReject() {
       overload.onConnectionSlotUsage(
-          (front.owed() + clientsElsewhere) / (config.sockets() * PLACES_SHARE));
+          (front.connectionsAwaitingResponse() + clientsElsewhere)
+              / (config.maxDescriptors() * PLACES_SHARE));
       return overload.isShedding();
     }
 
     @Override
-    public long ask(int serviceClass, int tenant, long subject, boolean repeat) {
+    public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
       long advice = overload.admit(serviceClass, tenant, subject, repeat, clock.now());
       if (advice != ADMITTED) {
         dispatcher.recorder().count(Event.REJECTED_ADMISSION, 1);
-        dispatcher.figures().declined(config.settings().services().get(serviceClass).name());
+        dispatcher
+            .metrics()
+            .rejectedBeforeParsing(config.settings().services().get(serviceClass).name());
       }
       return advice;
     }
 
     @Override
-    public void turnedAway(String serviceClass) {
+    public void rejectedAfterAdmission(String serviceClass) {
       dispatcher.recorder().count(Event.REJECTED_MEMORY, 1);
-      dispatcher.figures().declined(serviceClass);
+      dispatcher.metrics().rejectedBeforeParsing(serviceClass);
     }
   }
 
   private static int own(NodeConfig config) {
-    return OWN_DESCRIPTORS + (config.management() == null ? 0 : DOOR_DESCRIPTORS);
+    return OWN_DESCRIPTORS + (config.adminAddress() == null ? 0 : DOOR_DESCRIPTORS);
   }
 
   private static ServerPool.Limits serverLimits(NodeConfig config, int connections) {
     Settings.Limits limits = config.settings().limits();
     return new ServerPool.Limits(
         connections,
-        (int) (config.sockets() * (1 - CLIENT_SHARE)) - own(config),
+        (int) (config.maxDescriptors() * (1 - CLIENT_SHARE)) - own(config),
         // Where a request may not have two attempts out, one that is given up must be off its
         // connection before the next goes out: nothing may share it.
         limits.allowsParallelAttempts() ? Math.max(1, limits.maxAttemptsPerConnection()) : 1,
@@ -274,14 +277,14 @@
     private String toldFailure;
 
     @Override
-    public void list(MemberList list) {
+    public void onList(MemberList list) {
       toldFailure = null;
       take(list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.DELTA);
       listed.countDown();
     }
 
     @Override
-    public void listFailed(String why) {
+    public void onFailure(String why) {
       // Once until the next list: while discovery is down an agent is asked again and again.
       if (!why.equals(toldFailure)) {
         toldFailure = why;
@@ -292,16 +295,16 @@
   }
 
   private void take(MemberList news, MembershipUpdate.Kind kind) {
-    MemberList list = news.after(whole);
-    whole = list.whole(whole);
+    MemberList list = news.withKnownDrains(whole);
+    whole = list.appliedTo(whole);
     pools.update(list, time.now());
-    dispatcher.membership(list.update(kind));
-    pools.handBack();
+    dispatcher.membership(list.toUpdate(kind));
+    pools.failUnroutable();
   }
 
   /** From now on what attempts show is kept there, for a process that takes this one's place. */
-  void recollect(WarmStartLog seen) {
-    dispatcher.recollect(seen);
+  void recordObservations(WarmStartLog seen) {
+    dispatcher.recordObservationsIn(seen);
   }
 
   /** Begins with the list as it was last known, and to follow it. */
@@ -312,10 +315,10 @@
   /** The same, after learning from what another process of this node has seen. */
   void startAfter(List<Observation> past) {
     if (!past.isEmpty()) {
-      dispatcher.relive(config.known().update(MembershipUpdate.Kind.CACHED), past);
+      dispatcher.replay(config.knownMembers().toUpdate(MembershipUpdate.Kind.CACHED), past);
     }
     dispatcher.start(pools, discovery);
-    take(config.known(), MembershipUpdate.Kind.CACHED);
+    take(config.knownMembers(), MembershipUpdate.Kind.CACHED);
     if (!config.settings().pollsEndpointList()) {
       discovery.follow();
     }
@@ -363,22 +366,22 @@
     }
     Runtime heap = Runtime.getRuntime();
     double heapShare = (double) (heap.totalMemory() - heap.freeMemory()) / heap.maxMemory();
-    double buffers = transport.memoryShare();
-    double descriptors = own(config) + front.size() + pools.connections();
+    double buffers = transport.bufferMemoryRatio();
+    double descriptors = own(config) + front.connectionCount() + pools.connections();
     long now = clock.now();
     overload.onResourceUsage(
-        processor.share(now),
+        processor.usedRatio(now),
         Double.isNaN(buffers) ? heapShare : Math.max(heapShare, buffers),
-        descriptors / config.sockets(),
+        descriptors / config.maxDescriptors(),
         now);
     reading = overload.snapshot();
-    joining = dispatcher.joining();
+    joining = dispatcher.coalescingSnapshot();
     publish();
     if (overload.degradationPolicy().shrinksBuffers() && now - trimmedAt > TRIM_NANOS) {
       trimmedAt = now;
-      transport.trim();
+      transport.releaseCachedBuffers();
     }
-    dispatcher.timers().after(MEASURE_NANOS, this::measure);
+    dispatcher.timers().runNoEarlierThan(MEASURE_NANOS, this::measure);
   }
 
   /** One line for each change of a level, for who runs it. */
@@ -394,7 +397,7 @@
    * What is measured and decided of the process's own overload, as it stood some milliseconds ago.
    * From any thread.
    */
-  public OverloadSnapshot overload() {
+  public OverloadSnapshot overloadSnapshot() {
     return reading;
   }
 
@@ -402,15 +405,15 @@
    * What joining has done, as it stood some milliseconds ago; null where reads are not joined. From
    * any thread.
    */
-  public CoalescingSnapshot joining() {
+  public CoalescingSnapshot coalescingSnapshot() {
     return joining;
   }
 
   private void sweepLater() {
     loop.schedule(
         () -> {
-          clock.look();
-          clock.whenCaughtUp(this::sweep);
+          clock.refresh();
+          clock.whenBacklogRead(this::sweep);
         },
         SWEEP_MILLIS,
         TimeUnit.MILLISECONDS);
@@ -419,9 +422,10 @@
   private void sweep() {
     if (!closed) {
       sweepLater();
-      front.sweep();
+      front.closeExpired();
       // Who takes this process's place needs the servers' places.
-      pools.closeStale(clock.look(), handedOver ? 0 : overload.degradationPolicy().maxIdleNanos());
+      pools.closeExpiredIdle(
+          clock.refresh(), handedOver ? 0 : overload.degradationPolicy().maxIdleNanos());
       pools.closeStalled();
     }
   }
@@ -430,17 +434,19 @@
   private void publish() {
     telemetry =
         new Telemetry(
-            dispatcher.figures().reading(),
+            dispatcher.metrics().snapshot(),
             dispatcher.recorder().counts(),
-            dispatcher.listed(false),
-            dispatcher.listed(true),
+            dispatcher.serverCount(false),
+            dispatcher.serverCount(true),
             hangupsApplied,
             hangupsRejected);
-    process = new ProcessState(pid, stage, front.size(), pools.connections(), words.all(), whole);
+    process =
+        new ProcessState(
+            pid, stage, front.connectionCount(), pools.connections(), words.all(), whole);
   }
 
   /** What other processes of this node are told, as it stood some milliseconds ago. Any thread. */
-  public ProcessState process() {
+  public ProcessState processState() {
     return process;
   }
 
@@ -448,17 +454,17 @@
    * So many other processes of this node have told of operators' words, and of the connections that
    * they hold: to every limit all are one.
    */
-  public void partnered(
+  public void updatePartners(
       List<ServerExclusion> theirs, int partners, int clients, int serverConnections) {
-    words.heard(theirs);
+    words.merge(theirs);
     clientsElsewhere = clients;
-    front.limit((int) (config.sockets() * CLIENT_SHARE) - clients);
-    pools.elsewhere(partners, serverConnections);
+    front.setMaxConnections((int) (config.maxDescriptors() * CLIENT_SHARE) - clients);
+    pools.setPeerProcessUsage(partners, serverConnections);
   }
 
   /** What has become of requests and attempts, as it stands now. */
-  public RequestMetricsSnapshot figures() {
-    return dispatcher.figures().reading();
+  public RequestMetricsSnapshot requestMetrics() {
+    return dispatcher.metrics().snapshot();
   }
 
   /** What operators see, as it stood some milliseconds ago. From any thread. */
@@ -467,12 +473,12 @@
   }
 
   /** Whether a request that came now would be taken and served. From any thread. */
-  public boolean ready() {
+  public boolean isReady() {
     return stage == ProcessState.Stage.READY;
   }
 
   /** What operators have said of cache servers, and where it comes in. */
-  OperatorExclusions words() {
+  OperatorExclusions exclusions() {
     return words;
   }
 
@@ -480,43 +486,45 @@
    * From now on these settings hold for what comes, and the list comes from where they say. Limits,
    * addresses to listen on and the seed hold from the next start on.
    */
-  public void retune(NodeConfig next) {
+  public void applyConfiguration(NodeConfig next) {
     log.line("configuration taken, discovery at " + next.discovery());
     Settings settings = next.settings();
     dispatcher.retune(settings);
     long now = clock.now();
-    codec.retune(settings, now, now + DROPPED_NANOS);
-    dispatcher.timers().after(DROPPED_NANOS, () -> codec.forget(clock.now()));
-    config = config.with(settings);
-    discovery.moveTo(next.discovery());
+    codec.updateSettings(settings, now, now + DROPPED_NANOS);
+    dispatcher
+        .timers()
+        .runNoEarlierThan(DROPPED_NANOS, () -> codec.expireRemovedClasses(clock.now()));
+    config = config.withSettings(settings);
+    discovery.switchTo(next.discovery());
     hangupsApplied++;
     publish();
   }
 
   /** A configuration was turned down. */
-  public void notRetuned(String why) {
+  public void rejectConfiguration(String why) {
     log.line("configuration not taken, the old one holds: " + why);
     hangupsRejected++;
     publish();
   }
 
-  /** A turn of the loop ends that began then, see {@link LoopClock.Listener#turned}. */
-  public void turned(long begunAt, long now) {
+  /** A turn of the loop ends that began then, see {@link LoopClock.Listener#onTurnEnd}. */
+  public void recordLoopTurn(long begunAt, long now) {
     // Not while it starts: loading and compiling its classes is one long turn after the other.
     if (listener != null) {
-      overload.onLoopTurnEnd(begunAt, now, dispatcher.oldestWaiting());
+      overload.onLoopTurnEnd(begunAt, now, dispatcher.oldestQueuedNanos());
     }
   }
 
   /** The loop has stood still until now. */
-  public void paused(long nanos) {
+  public void recordStall(long nanos) {
     overload.onEventLoopStall(nanos, clock.now());
-    dispatcher.paused(nanos);
+    dispatcher.onStall(nanos);
   }
 
   /** How long a {@link #drain} goes on at most, but for clients that do not read their answers. */
-  public long drainMillis() {
-    long deadline = Math.min(MOST_DEADLINE_MILLIS, (long) (config.longestDeadline() * 1e3));
+  public long maxDrainMillis() {
+    long deadline = Math.min(MOST_DEADLINE_MILLIS, (long) (config.longestDeadlineSeconds() * 1e3));
     return deadline + KILL_MILLIS - ANSWERED_MILLIS;
   }
 
@@ -533,13 +541,15 @@
     long answered = beginDrain();
     long release = Math.max(ACCEPT_MILLIS, answered - RELEASE_MILLIS);
     // After a pause only once what came in it is accepted and read.
-    dispatcher.timers().after(TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS), this::stopAccepting);
     dispatcher
         .timers()
-        .after(
+        .runNoEarlierThan(TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS), this::stopAccepting);
+    dispatcher
+        .timers()
+        .runNoEarlierThan(
             TimeUnit.MILLISECONDS.toNanos(release),
             () -> {
-              log.line("draining " + front.size() + " client connections");
+              log.line("draining " + front.connectionCount() + " client connections");
               front.drain(loop, 0, lastCall(answered - release), then);
             });
   }
@@ -554,7 +564,7 @@
     long answered = beginDrain();
     handedOver = true;
     stopAccepting();
-    log.line("handing over " + front.size() + " client connections");
+    log.line("handing over " + front.connectionCount() + " client connections");
     // Where deadlines are short the process is killed before clients have rested for as long.
     long rest = Math.min(REST_MILLIS, Math.max(0, answered - RELEASE_MILLIS));
     front.drain(loop, rest, lastCall(Math.min(answered - rest, RELEASE_MILLIS)), then);
@@ -572,14 +582,14 @@
     log.line("event=totals " + dispatcher.recorder().totals());
     // The signal may have come while the process was stalled: its time runs since then.
     long sinceSignal = TimeUnit.NANOSECONDS.toMillis(clock.now() - clock.earliestArrival());
-    long answered = Math.max(0, drainMillis() - sinceSignal);
-    dispatcher.answerBy(clock.now() + TimeUnit.MILLISECONDS.toNanos(answered));
+    long answered = Math.max(0, maxDrainMillis() - sinceSignal);
+    dispatcher.drainBy(clock.now() + TimeUnit.MILLISECONDS.toNanos(answered));
     return answered;
   }
 
   /** Accepts no more clients; those that are there are served on. */
   private void stopAccepting() {
-    front.shut();
+    front.listenerClosed();
     if (listener instanceof ClientListener shared) {
       shared.stop();
     } else if (listener != null) {
@@ -606,8 +616,8 @@
   }
 
   /** Connections of clients that are open. */
-  public int clients() {
-    return front.size();
+  public int clientConnections() {
+    return front.connectionCount();
   }
 
   /** Connections to cache servers that are open or on their way. */
@@ -621,7 +631,7 @@
   }
 
   /** Timers that are due. */
-  public int timers() {
+  public int pendingTimers() {
     return dispatcher.timers().size();
   }
 }
--- a/engine/src/main/java/shalepaddle/node/Warmup.java
+++ b/engine/src/main/java/shalepaddle/node/Warmup.java
@@ -23,6 +23,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import shalepaddle.coalescing.CoalescingConfig;
 import shalepaddle.codec.meta.MetaClientCodec;
 import shalepaddle.codec.meta.MetaServerCodec;
@@ -60,7 +61,7 @@
    * begins at 200 calls. More of them only keep a node that was restarted from its clients: where
    * many were, those are waiting for anybody at all.
    */
-  static final int REQUESTS = 150;
+  static final int REQUEST_COUNT = 150;
 
   private static final int AT_ONCE = 4;
   private static final int SERVERS = 4;
@@ -121,11 +122,12 @@
             () -> {
               MemberList list = new MemberList(true, 1, members);
               pools.update(list, time.now());
-              dispatcher.membership(list.update(MembershipUpdate.Kind.FULL));
+              dispatcher.membership(list.toUpdate(MembershipUpdate.Kind.FULL));
             })
         .await();
     MemoryBudget values = new MemoryBudget(1 << 20);
-    MetaClientCodec codec = new MetaClientCodec(values, config.settings(), RequestAdmission.OPEN);
+    MetaClientCodec codec =
+        new MetaClientCodec(values, config.settings(), RequestAdmission.ADMIT_ALL);
     listen(
         loop,
         allocator,
@@ -149,7 +151,7 @@
               pools.close();
             })
         .await();
-    return client.answered;
+    return client.answered.get();
   }
 
   private static void listen(
@@ -167,12 +169,12 @@
   /** Pauses of a loop that compiles harm nobody. */
   private record Unwatched(Log log) implements LoopClock.Listener {
     @Override
-    public void paused(long nanos) {
+    public void onStall(long nanos) {
       // Nobody waits.
     }
 
     @Override
-    public void failed(RuntimeException cause) {
+    public void onTaskFailure(RuntimeException cause) {
       log.failure("warm-up", cause);
     }
   }
@@ -235,7 +237,8 @@
 
     Cache(NodeConfig config) {
       codec =
-          new MetaClientCodec(new MemoryBudget(1 << 20), config.settings(), RequestAdmission.OPEN);
+          new MetaClientCodec(
+              new MemoryBudget(1 << 20), config.settings(), RequestAdmission.ADMIT_ALL);
     }
 
     @Override
@@ -265,7 +268,7 @@
     private final CountDownLatch done = new CountDownLatch(1);
     private final List<Settings.ServiceClass> services;
     private int sent;
-    private volatile int answered;
+    private final AtomicInteger answered = new AtomicInteger();
 
     Client(Settings settings) {
       services = settings.services();
@@ -293,13 +296,13 @@
       while (bytes.isReadable()) {
         // An answer is the only line with this letter: values have none, and receipts neither.
         if (bytes.readByte() == 'O') {
-          answered++;
-          if (sent < REQUESTS) {
+          answered.incrementAndGet();
+          if (sent < REQUEST_COUNT) {
             send(ctx);
           }
         }
       }
-      if (answered >= REQUESTS) {
+      if (answered.get() >= REQUEST_COUNT) {
         done.countDown();
       }
     }
--- a/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
@@ -97,14 +97,14 @@
     decoder = codec.decoder();
     this.dispatcher = dispatcher;
     clock = dispatcher.clock();
-    openedAt = clock.look();
+    openedAt = clock.refresh();
     usedAt = openedAt;
     heard();
   }
 
   private void heard() {
-    heardAt = clock.look();
-    listenedAt = clock.listened();
+    heardAt = clock.refresh();
+    listenedAt = clock.activeNanos();
   }
 
   ChannelFuture open(Bootstrap bootstrap, SocketAddress address) {
@@ -162,20 +162,20 @@
 
   /** Writes an attempt, or gives it back if it may not be written any more. */
   void write(Attempt attempt) {
-    long now = clock.look();
-    if (attempt.tooLate(now)
+    long now = clock.refresh();
+    if (attempt.isTooLateToWrite(now)
         || !dispatcher.guard().maySend(attempt, now, pool.drainingPastGrace(now))) {
-      dispatcher.giveBack(attempt);
+      dispatcher.returnUnwritten(attempt);
       return;
     }
-    attempt.carrier = this;
+    attempt.assignTo(this);
     pause = underWay.isEmpty() ? now - usedAt : pause;
     underWay.add(attempt);
     awaited++;
     usedAt = now;
-    long millis = (attempt.deadlineNanos - usedAt + 999_999) / 1_000_000;
+    long millis = (attempt.deadlineNanos() - usedAt + 999_999) / 1_000_000;
     ChannelFuture written =
-        channel.writeAndFlush(codec.encode(channel.alloc(), attempt.call, millis));
+        channel.writeAndFlush(codec.encode(channel.alloc(), attempt.call(), millis));
     if (written.isDone()) {
       written(attempt, written.isSuccess());
     } else {
@@ -193,7 +193,7 @@
 
   private void written(Attempt attempt, boolean whole) {
     if (whole) {
-      dispatcher.written(attempt);
+      dispatcher.attemptWritten(attempt);
     }
   }
 
@@ -211,17 +211,17 @@
    */
   @Override
   public void abandon(Attempt attempt, boolean overdue) {
-    attempt.abandoned = true;
+    attempt.abandon();
     awaited--;
     // Guards against writing more behind an attempt that may never be answered.
     retire();
-    if (!attempt.written && attempt.tooLate(clock.look())) {
+    if (!attempt.isWritten() && attempt.isTooLateToWrite(clock.refresh())) {
       // The rest of it would go out once the kernel takes more; the others are worth less than
       // that.
       channel.close();
     }
-    if (overdue && heardAt - attempt.sentAt < 0) {
-      pool.suspectSilence(attempt.sentAt);
+    if (overdue && heardAt - attempt.sentAtNanos() < 0) {
+      pool.suspectSilence(attempt.sentAtNanos());
     }
   }
 
@@ -261,16 +261,18 @@
       return null;
     }
     Attempt head = underWay.peek();
-    if (reply.id() != null && reply.id().equals(lastId) && (head == null || !head.has(lastId))) {
+    if (reply.id() != null
+        && reply.id().equals(lastId)
+        && (head == null || !head.hasRequestId(lastId))) {
       // A second copy of an answer. It harms nobody, but nothing new is written behind it.
       retire();
       return null;
     }
-    if (head == null || !(large ? head.fitsValue(reply) : head.fits(reply))) {
+    if (head == null || !(large ? head.matchesValue(reply) : head.matches(reply))) {
       spoil("a reply matches no request");
       return null;
     }
-    lastId = head.request.id();
+    lastId = head.exchange().id();
     rested(false);
     return head;
   }
@@ -282,16 +284,16 @@
     }
     boolean away = reply.result() == Outcome.Result.SERVER_BUSY && !proven && underWay.size() == 1;
     proven |= !away;
-    if (away && !head.over && pool.holdsOthers(this)) {
+    if (away && !head.isEnded() && pool.holdsOthers(this)) {
       over();
       // Off this connection, whatever becomes of it: it has provably not run.
-      head.carrier = null;
+      head.detach();
       turnedAway = head;
-      dispatcher.timers().after(PARTING_NANOS, () -> stays(reply));
+      dispatcher.timers().runNoEarlierThan(PARTING_NANOS, () -> stays(reply));
       return;
     }
-    if (!head.over) {
-      dispatcher.replied(head, reply);
+    if (!head.isEnded()) {
+      dispatcher.responseReceived(head, reply);
     }
     over();
   }
@@ -302,17 +304,17 @@
       Attempt head = turnedAway;
       turnedAway = null;
       proven = true;
-      dispatcher.replied(head, reply);
+      dispatcher.responseReceived(head, reply);
       pool.free(this);
     }
   }
 
   /** The reply to the attempt that waits longest has come, whole. */
   private void over() {
-    if (!underWay.poll().abandoned) {
+    if (!underWay.poll().isAbandoned()) {
       awaited--;
     }
-    usedAt = clock.look();
+    usedAt = clock.refresh();
     if (retiring) {
       retire();
     }
@@ -349,7 +351,7 @@
 
     private boolean wanted = true;
     private boolean whole;
-    private Taker taker;
+    private Receiver taker;
 
     Pieces(Attempt attempt, LargeReply reply) {
       this.attempt = attempt;
@@ -362,38 +364,38 @@
         return;
       }
       if (taker != null) {
-        taker.piece(piece);
+        taker.onChunk(piece);
         return;
       }
       early.add(piece);
       held += piece.readableBytes();
       if (!begun && held >= HELD_BACK) {
         begun = true;
-        if (!dispatcher.replied(attempt, reply, this)) {
+        if (!dispatcher.responseReceived(attempt, reply, this)) {
           wanted = false;
           giveUp();
         }
       }
       if (wanted && taker == null && begun) {
         // Its turn at its client has not come: what has been read is held, and no more.
-        flow(false);
+        setReading(false);
       }
     }
 
     @Override
-    public void begin(Taker taker) {
+    public void start(Receiver taker) {
       this.taker = taker;
-      flow(true);
+      setReading(true);
       for (ByteBuf piece = early.poll(); piece != null; piece = early.poll()) {
-        taker.piece(piece);
+        taker.onChunk(piece);
       }
       if (whole) {
-        taker.end();
+        taker.onComplete();
       }
     }
 
     @Override
-    public void flow(boolean on) {
+    public void setReading(boolean on) {
       if (channel.config().isAutoRead() != on) {
         heard();
         channel.config().setAutoRead(on);
@@ -401,7 +403,7 @@
     }
 
     @Override
-    public void drop() {
+    public void cancel() {
       wanted = false;
       taker = null;
       giveUp();
@@ -413,21 +415,21 @@
       if (pieces == this && underWay.size() <= 1) {
         channel.close();
       } else {
-        flow(true);
+        setReading(true);
       }
     }
 
     void end() {
       whole = true;
       if (taker != null) {
-        taker.end();
+        taker.onComplete();
       }
     }
 
     void broken() {
       release();
       if (wanted && taker != null) {
-        taker.broken();
+        taker.onFailure();
       }
     }
 
@@ -454,7 +456,7 @@
   public void channelReadComplete(ChannelHandlerContext ctx) {
     heard();
     reading = false;
-    if (underWay.isEmpty() && decoder.midway()) {
+    if (underWay.isEmpty() && decoder.isMidReply()) {
       spoil("bytes behind the last reply");
     }
     if (!closed && !spoilt && !retiring) {
@@ -489,7 +491,7 @@
         pieces == null
             ? MAX_PAUSE_NANOS
             : pieces.begun ? MAX_PIECES_PAUSE_NANOS : MAX_EARLY_PAUSE_NANOS;
-    if (decoder.midway() && clock.listened() - listenedAt > most) {
+    if (decoder.isMidReply() && clock.activeNanos() - listenedAt > most) {
       spoil("a reply that does not end");
     }
   }
@@ -503,7 +505,7 @@
       turnedAway = null;
       pool.turnedDown(head);
     }
-    if (!underWay.isEmpty() && !spoilt && !decoder.midway()) {
+    if (!underWay.isEmpty() && !spoilt && !decoder.isMidReply()) {
       rested(true);
     }
     if (pieces != null) {
@@ -513,9 +515,9 @@
     }
     for (Attempt attempt = underWay.poll(); attempt != null; attempt = underWay.poll()) {
       // Only a command whose last byte was not handed to the socket has provably not run.
-      dispatcher.ended(
+      dispatcher.attemptEnded(
           attempt,
-          !attempt.written
+          !attempt.isWritten()
               ? Outcome.Result.CONNECT_FAILED
               : spoilt ? Outcome.Result.MALFORMED_RESPONSE : Outcome.Result.RESET);
     }
@@ -527,7 +529,7 @@
     if (cause instanceof DecoderException && cause.getCause() != null) {
       spoil(cause.getCause().getMessage());
     } else if (!(cause instanceof IOException)) {
-      dispatcher.report("server connection", cause);
+      dispatcher.reportFailure("server connection", cause);
     }
     ctx.close();
   }
--- a/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
@@ -1,6 +1,7 @@
 package shalepaddle.hotrestart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,6 +10,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Iterator;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -70,32 +72,33 @@
 
   @Test
   void resultsKeepTheirStoredNames() throws Exception {
-    List<String> names =
+    Iterator<String> names =
         List.of(
-            "OK",
-            "ERROR",
-            "FULL",
-            "TIMEOUT",
-            "CONNECT_FAILED",
-            "RESET",
-            "CANCELLED",
-            "MOOT",
-            "NO_PLACE",
-            "NOT_STORED",
-            "SPOILT");
-    assertEquals(names.size(), Outcome.Result.values().length);
+                "OK",
+                "ERROR",
+                "FULL",
+                "TIMEOUT",
+                "CONNECT_FAILED",
+                "RESET",
+                "CANCELLED",
+                "MOOT",
+                "NO_PLACE",
+                "NOT_STORED",
+                "SPOILT")
+            .iterator();
     for (Outcome.Result result : Outcome.Result.values()) {
       byte[] bytes = ObservationFormat.write(List.of(seen("k", result, null)));
-      String stored = "\"" + names.get(result.ordinal()) + "\",\"MISS\"";
+      String stored = "\"" + names.next() + "\",\"MISS\"";
       assertTrue(new String(bytes, StandardCharsets.UTF_8).contains(stored), stored);
       assertEquals(result, ObservationFormat.read(bytes).get(0).outcome().result());
     }
+    assertFalse(names.hasNext());
   }
 
   @Test
   void whatALaterVersionAddsAtTheEndIsPassedOver() throws Exception {
     byte[] more =
-        Frame.around(
+        Frame.wrap(
             "shalepaddle-seen-1",
             "[[1,2,\"OK\",\"HIT\",0.25,0,\"k\",\"read\",null,1,0,0,false,false,"
                 + "1,2,3,4,5,6,7,8,{\"new\":[1]},9]]");
@@ -109,13 +112,13 @@
         new ProcessFiles(folder, 1, System::currentTimeMillis, pid -> true, log::add);
     ProcessFiles next =
         new ProcessFiles(folder, 2, System::currentTimeMillis, pid -> true, log::add);
-    old.tell(new ProcessState(1, ProcessState.Stage.READY, 0, 0, List.of(), null));
-    assertEquals(List.of(), next.takeSeen());
-    assertTrue(old.tellSeen(some()));
-    assertEquals(some(), next.takeSeen());
-    assertEquals(List.of(), next.takeSeen());
+    old.publish(new ProcessState(1, ProcessState.Stage.READY, 0, 0, List.of(), null));
+    assertEquals(List.of(), next.takeObservations());
+    assertTrue(old.publishObservations(some()));
+    assertEquals(some(), next.takeObservations());
+    assertEquals(List.of(), next.takeObservations());
     Files.writeString(folder.resolve("shalepaddle-1.seen"), "shalepaddle-seen-2 2 0\n[]");
-    assertEquals(List.of(), next.takeSeen());
+    assertEquals(List.of(), next.takeObservations());
     assertEquals(List.of("shalepaddle-1.seen: of another version, or none"), log);
   }
 }
--- a/engine/src/test/java/shalepaddle/node/AdminServerTest.java
+++ b/engine/src/test/java/shalepaddle/node/AdminServerTest.java
@@ -13,6 +13,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -47,7 +48,7 @@
   private record Answer(int status, String body) {}
 
   private ScriptedPeer caller() throws IOException {
-    return ScriptedPeer.connect(rig.node.management());
+    return ScriptedPeer.connect(rig.node.adminAddress());
   }
 
   private Answer call(String method, String target) throws IOException {
@@ -58,10 +59,10 @@
   }
 
   private static Answer answer(ScriptedPeer caller) throws IOException {
-    int status = Integer.parseInt(caller.line().split(" ")[1]);
+    int status = Integer.parseInt(caller.line().split(" ", 0)[1]);
     int length = 0;
     for (String line = caller.line(); !line.isEmpty(); line = caller.line()) {
-      if (line.toLowerCase().startsWith("content-length:")) {
+      if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
         length = Integer.parseInt(line.substring(15).strip());
       }
     }
@@ -358,7 +359,7 @@
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       String port = ":" + taken.getLocalPort();
       String settings = DOOR.replace(":0\"", port + "\"");
-      try (Node node = new Node(rig.config(settings), OperatorFile.USUAL)) {
+      try (Node node = new Node(rig.config(settings), OperatorFile.DEFAULTS)) {
         IOException e = assertThrows(IOException.class, node::start);
         assertTrue(e.getMessage().contains(port) && e.getMessage().contains("management"));
       }
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
@@ -188,7 +188,7 @@
   }
 
   private static long shared(Instance instance) {
-    CoalescingSnapshot joining = instance.balancer().joining();
+    CoalescingSnapshot joining = instance.balancer().coalescingSnapshot();
     return joining == null ? 0 : joining.shared();
   }
 
@@ -235,8 +235,8 @@
         new LoadBalancer(
             NodeConfig.parse(JsonObject.parse(config(discovery))),
             plan.joining()
-                ? new OperatorFile(OverloadConfig.DEFAULT, CoalescingConfig.USUAL)
-                : OperatorFile.USUAL,
+                ? new OperatorFile(OverloadConfig.DEFAULT, CoalescingConfig.DEFAULTS)
+                : OperatorFile.DEFAULTS,
             loop,
             clock,
             new Clock(time.ticker(), EPOCH_MILLIS + time.millis()),
@@ -264,19 +264,19 @@
     private LoadBalancer balancer;
 
     @Override
-    public void paused(long nanos) {
+    public void onStall(long nanos) {
       if (balancer != null) {
-        balancer.paused(nanos);
+        balancer.recordStall(nanos);
       }
     }
 
     @Override
-    public void turned(long begunAt, long now) {
-      balancer.turned(begunAt, now);
+    public void onTurnEnd(long begunAt, long now) {
+      balancer.recordLoopTurn(begunAt, now);
     }
 
     @Override
-    public void failed(RuntimeException cause) {
+    public void onTaskFailure(RuntimeException cause) {
       throw cause;
     }
   }
@@ -435,7 +435,7 @@
   private void retune(Instance instance) {
     try {
       NodeConfig same = NodeConfig.parse(JsonObject.parse(config(instance.discovery())));
-      instance.loop().execute(() -> instance.balancer().retune(same));
+      instance.loop().execute(() -> instance.balancer().applyConfiguration(same));
     } catch (FormatException e) {
       throw new IllegalStateException(e);
     }
@@ -453,7 +453,7 @@
     addInstance(old.name() + "x");
     later(NEW_CONNECTIONS_MILLIS, () -> clients.leaving(old.name()));
     old.loop().execute(() -> old.balancer().drain(() -> drained.add(old.name())));
-    long latest = old.balancer().drainMillis();
+    long latest = old.balancer().maxDrainMillis();
     later(
         latest + LINGER_MILLIS,
         () -> later(heldMillis.getOrDefault(old.name(), 0L), () -> checkDrained(old)));
@@ -552,12 +552,12 @@
     clients.close();
     time.pass(1000);
     for (Instance instance : instances) {
-      expectNone(instance, "clients' connections", instance.balancer().clients());
+      expectNone(instance, "clients' connections", instance.balancer().clientConnections());
       instance.loop().execute(instance.balancer()::close);
     }
     time.pass(1000);
     for (Instance instance : instances) {
-      expectNone(instance, "timers", instance.balancer().timers());
+      expectNone(instance, "timers", instance.balancer().pendingTimers());
       expectNone(instance, "connections to servers", instance.balancer().serverConnections());
       instance.discovery().down();
     }
@@ -572,15 +572,15 @@
 
   /** Every request that was taken has ended under exactly one disposition, or its client left. */
   private void expectTrueFigures(Instance instance) {
-    RequestMetricsSnapshot figures = instance.balancer().figures();
-    long ended = figures.gone();
+    RequestMetricsSnapshot figures = instance.balancer().requestMetrics();
+    long ended = figures.disconnected();
     for (RequestMetricsSnapshot.Results results : figures.results()) {
-      ended += results.succeeded() + results.declined() + results.aborted();
+      ended += results.succeeded() + results.rejected() + results.failed();
     }
-    if (ended != figures.taken() || figures.outstanding() != 0) {
+    if (ended != figures.received() || figures.outstanding() != 0) {
       breaches.add(
           "%s took %d requests, of which %d ended and %d are outstanding"
-              .formatted(instance.name(), figures.taken(), ended, figures.outstanding()));
+              .formatted(instance.name(), figures.received(), ended, figures.outstanding()));
     }
   }
 
