--- a/core/src/main/java/shalepaddle/policy/PendingRequest.java
+++ b/core/src/main/java/shalepaddle/policy/PendingRequest.java
@@ -5,135 +5,247 @@
 import shalepaddle.model.Request;
 import shalepaddle.model.ServerEntry;
 import shalepaddle.model.Settings;
-
-/** A request and its attempts: what rules 1 and 2 (one answer, no effect twice) are kept by. */
-final class PendingRequest {
-  /** One attempt. */
-  static final class Attempt {
-    final ServerHealth server;
-    final ServerEntry entry;
-    final double sentAt;
-    private boolean out = true;
+import shalepaddle.policy.admission.FetchCandidate;
+import shalepaddle.policy.hash.Hashing;
+import shalepaddle.policy.health.ServerHealth;
+import shalepaddle.policy.placement.HotKeyReplication;
+
+/**
+ * A request without a final answer, or with attempts still in flight, and all of its attempts. It
+ * keeps two rules of the contract: every request gets one final answer, and no request takes effect
+ * twice.
+ *
+ * <p>Times are in seconds. Not thread-safe: owned by one router.
+ */
+final class PendingRequest extends FetchCandidate implements HotKeyReplication.Target {
+  /** One attempt at a server. */
+  private static final class Attempt {
+    private final ServerHealth server;
+    private final ServerEntry entry;
+    private final double sentAtSeconds;
+    private boolean isInFlight = true;
     private boolean mayHaveRun = true;
 
-    Attempt(ServerHealth server, double sentAt) {
+    Attempt(ServerHealth server, double sentAtSeconds) {
       this.server = server;
-      this.entry = server.entry;
-      this.sentAt = sentAt;
+      this.entry = server.entry();
+      this.sentAtSeconds = sentAtSeconds;
     }
   }
 
-  final Request request;
-  final Settings.ServiceClass type;
-  final Settings.Limits limits;
-  final long keyHash;
-  final long serial;
-  final double arrived;
-
-  /** When its client stops waiting; later once somebody who waits longer has joined it. */
-  double deadline;
-
-  /** How many owners of the key's sequence share it, and with which of them to begin. */
-  int homes = 1;
-
-  int firstHome;
-
-  /** How many jumps look for a server in the balancer's own zone before any may take it. */
-  int localJumps;
-
-  final List<Attempt> tries = new ArrayList<>(2);
-  int out;
-  boolean answered;
-  boolean streaming;
-
-  /** Whether it is held for a fetch. */
-  boolean waiting;
-
-  /** Whether it has been held for as long as it may be. */
-  boolean impatient;
-
-  /** Which attempt is a likely fetch, of what, and whether it counts among those in flight. */
-  int fetchAttempt = -1;
-
-  long fetchPair;
-  boolean fetchCounted;
+  /** Whether the final answer is still to come, and from whom. */
+  private enum State {
+    OPEN,
+    /** A streamed answer has begun and goes on without a deadline. */
+    STREAMING,
+    ANSWERED
+  }
 
+  private final Request request;
+  private final Settings.ServiceClass serviceClass;
+  private final Settings.Limits limits;
+  private final long keyHash;
+  private final long serial;
+  private final double arrivedAtSeconds;
+  private final List<Attempt> attempts = new ArrayList<>(2);
+  private State state = State.OPEN;
+  private double deadlineSeconds;
+  private int replicas = 1;
+  private int firstReplica;
+  private int localJumps;
+  private int attemptsInFlight;
+
+  /** A request that has just come; it follows the limits that hold now. */
   PendingRequest(
       Request request,
-      Settings.ServiceClass type,
+      Settings.ServiceClass serviceClass,
       Settings.Limits limits,
       long serial,
-      double now) {
+      double nowSeconds) {
     this.request = request;
-    this.type = type;
+    this.serviceClass = serviceClass;
     this.limits = limits;
-    this.keyHash = ConsistentHashRing.hash(request.key() != null ? request.key() : request.id());
+    this.keyHash = Hashing.ofText(request.key() != null ? request.key() : request.id());
     this.serial = serial;
-    this.arrived = now;
-    this.deadline = now + request.budgetSeconds();
+    this.arrivedAtSeconds = nowSeconds;
+    this.deadlineSeconds = nowSeconds + request.budgetSeconds();
   }
 
-  void sent(ServerHealth server, double now) {
-    tries.add(new Attempt(server, now));
-    out++;
+  Request request() {
+    return request;
   }
 
-  /** Notes an attempt's end; false if it was not out. */
-  boolean ended(int attempt, boolean provenNotRun) {
-    if (!isOut(attempt)) {
-      return false;
-    }
-    tries.get(attempt).out = false;
-    tries.get(attempt).mayHaveRun = !provenNotRun;
-    out--;
-    return true;
+  String id() {
+    return request.id();
+  }
+
+  Settings.ServiceClass serviceClass() {
+    return serviceClass;
   }
 
-  boolean isOut(int attempt) {
-    return attempt >= 0 && attempt < tries.size() && tries.get(attempt).out;
+  /** A number of its own, for timers. */
+  long serial() {
+    return serial;
   }
 
-  /** The attempt number to hash the key with at the given jump: its homes in turn, then onward. */
+  double arrivedAtSeconds() {
+    return arrivedAtSeconds;
+  }
+
+  /** The hash of the key; of the id where the request names no key. */
+  @Override
+  public long keyHash() {
+    return keyHash;
+  }
+
+  @Override
+  public boolean isWrite() {
+    return request.write();
+  }
+
+  @Override
+  public void assignReplicas(int replicas, int localJumps, int firstReplica) {
+    this.replicas = replicas;
+    this.localJumps = localJumps;
+    this.firstReplica = firstReplica;
+  }
+
+  /** How many jumps look for a server in the own zone before any server may take it. */
+  int localJumps() {
+    return localJumps;
+  }
+
+  /** The attempt number to hash the key with at a jump: its replicas in turn, then onward. */
   int hashAttempt(int jump) {
     if (jump < localJumps) {
-      return (firstHome + jump) % localJumps;
+      return (firstReplica + jump) % localJumps;
     }
     int onward = jump - localJumps;
-    return onward < homes ? (firstHome + onward) % homes : onward;
+    return onward < replicas ? (firstReplica + onward) % replicas : onward;
+  }
+
+  /** When its client stops waiting. */
+  double deadlineSeconds() {
+    return deadlineSeconds;
+  }
+
+  /** A client that waits until then has joined the request's flight. */
+  void extendDeadline(double untilSeconds) {
+    deadlineSeconds = Math.max(deadlineSeconds, untilSeconds);
+  }
+
+  @Override
+  public boolean isAnswered() {
+    return state == State.ANSWERED;
+  }
+
+  boolean isStreaming() {
+    return state == State.STREAMING;
+  }
+
+  void startStreaming() {
+    if (state == State.OPEN) {
+      state = State.STREAMING;
+    }
+  }
+
+  /** The final answer is given, or nobody waits for it. */
+  void markAnswered() {
+    state = State.ANSWERED;
   }
 
-  /** Rule 2: seconds in which one more attempt may go to this server, 0 for never. */
-  double sendWithin(ServerHealth server, double now) {
-    boolean over = answered || streaming || tries.size() >= limits.maxAttempts();
-    boolean may = !over && (out == 0 || limits.allowsParallelAttempts());
+  boolean hasAttemptInFlight() {
+    return attemptsInFlight > 0;
+  }
+
+  int attemptCount() {
+    return attempts.size();
+  }
+
+  /** The server of an attempt. */
+  ServerHealth server(int attempt) {
+    return attempts.get(attempt).server;
+  }
+
+  boolean wasSentTo(ServerHealth server) {
+    for (Attempt attempt : attempts) {
+      if (attempt.server == server) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  boolean isInFlight(int attempt) {
+    return attempt >= 0 && attempt < attempts.size() && attempts.get(attempt).isInFlight;
+  }
+
+  void onSent(ServerHealth server, double nowSeconds) {
+    attempts.add(new Attempt(server, nowSeconds));
+    attemptsInFlight++;
+  }
+
+  /** An attempt has ended; false if it was not in flight. */
+  boolean onAttemptEnded(int attempt, boolean provenNotRun) {
+    if (!isInFlight(attempt)) {
+      return false;
+    }
+    attempts.get(attempt).isInFlight = false;
+    attempts.get(attempt).mayHaveRun = !provenNotRun;
+    attemptsInFlight--;
+    return true;
+  }
+
+  /**
+   * Seconds in which one more attempt may go to this server without taking effect twice; 0 if it
+   * must not be sent.
+   */
+  double sendWithinSeconds(ServerHealth server, double nowSeconds) {
+    boolean isClosed = state != State.OPEN || attempts.size() >= limits.maxAttempts();
+    if (isClosed || (attemptsInFlight > 0 && !limits.allowsParallelAttempts())) {
+      return 0;
+    }
     Attempt first = firstThatMayHaveRun();
-    boolean held = first == null || type.deduplicationScope().spans(first.entry, server.entry);
-    return may && (held || type.idempotency() == Settings.Idempotency.IDEMPOTENT)
-        ? harmlessFor(first, now)
-        : 0;
+    boolean isDeduplicated =
+        first == null || serviceClass.deduplicationScope().spans(first.entry, server.entry());
+    return isDeduplicated || isIdempotent() ? idempotentForSeconds(first, nowSeconds) : 0;
   }
 
-  /** Rule 2: whether the client may be told that a new try, anywhere, does no harm. */
-  boolean mayRefuse(double now) {
+  /**
+   * Whether the client may be told that a retry, at any load balancer, does not take effect twice.
+   */
+  boolean mayReject(double nowSeconds) {
     Attempt first = firstThatMayHaveRun();
-    boolean bound =
-        type.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
-            && type.deduplicationScope() != Settings.DeduplicationScope.ALL;
-    return first == null || (!bound && harmlessFor(first, now) > 0);
+    boolean isBoundToServers =
+        serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
+            && serviceClass.deduplicationScope() != Settings.DeduplicationScope.ALL;
+    return first == null || (!isBoundToServers && idempotentForSeconds(first, nowSeconds) > 0);
   }
 
-  /** Seconds in which the group of servers drops repeats, with some to spare for their way. */
-  private double harmlessFor(Attempt first, double now) {
-    if (first == null || type.idempotency() == Settings.Idempotency.IDEMPOTENT) {
+  boolean isIdempotent() {
+    return serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT;
+  }
+
+  /** Seconds in which servers still drop a repeated key, less the time that an attempt takes. */
+  private double idempotentForSeconds(Attempt first, double nowSeconds) {
+    if (first == null || isIdempotent()) {
       return Double.POSITIVE_INFINITY;
     }
-    double until = first.sentAt + type.idempotencyWindowSeconds() - limits.connectTimeoutSeconds();
-    return type.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
-        ? Math.max(0, until - now)
+    double until =
+        first.sentAtSeconds
+            + serviceClass.idempotencyWindowSeconds()
+            - limits.connectTimeoutSeconds();
+    return serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
+        ? Math.max(0, until - nowSeconds)
         : 0;
   }
 
   private Attempt firstThatMayHaveRun() {
-    return tries.stream().filter(a -> a.mayHaveRun).findFirst().orElse(null);
+    for (Attempt attempt : attempts) {
+      if (attempt.mayHaveRun) {
+        return attempt;
+      }
+    }
+    return null;
   }
 }
--- a/core/src/main/java/shalepaddle/policy/RetryAfterAdvice.java
+++ b/core/src/main/java/shalepaddle/policy/retry/RetryAfterAdvice.java
@@ -1,14 +1,14 @@
-package shalepaddle.policy;
+package shalepaddle.policy.retry;
 
-import java.util.function.DoubleSupplier;
+import java.util.SplittableRandom;
 import shalepaddle.model.Settings;
 
 /**
  * How long a rejected client should stay away (HTTP's Retry-After): the time in which the requests
  * that are pending now will have been answered, by Little's law, with jitter of a quarter so that
- * clients rejected together do not come back together.
+ * clients rejected together do not come back together. Stateless.
  */
-final class RetryAfterAdvice {
+public final class RetryAfterAdvice {
   private static final double MIN_RESPONSES_PER_SECOND = 1e-3;
 
   private RetryAfterAdvice() {}
@@ -19,15 +19,15 @@
    *
    * @param pending requests without a final answer
    * @param responsesPerSecond rate at which servers respond, infinite while unknown
-   * @param random draws from [0, 1); called once if there is advice, else not at all
+   * @param random source of the jitter; drawn from once if there is advice, else not at all
    */
-  static double seconds(
-      Settings.Limits limits, int pending, double responsesPerSecond, DoubleSupplier random) {
+  public static double seconds(
+      Settings.Limits limits, int pending, double responsesPerSecond, SplittableRandom random) {
     if (!limits.sendsRetryAfter() || Double.isInfinite(responsesPerSecond)) {
       return 0;
     }
     double drainSeconds = pending / Math.max(MIN_RESPONSES_PER_SECOND, responsesPerSecond);
-    double jitter = 0.75 + random.getAsDouble() / 2;
+    double jitter = 0.75 + random.nextDouble() / 2;
     return Math.min(limits.maxRetryAfterSeconds(), drainSeconds * jitter);
   }
 }
--- a/core/src/main/java/shalepaddle/policy/RetryBudget.java
+++ b/core/src/main/java/shalepaddle/policy/retry/RetryBudget.java
@@ -1,4 +1,4 @@
-package shalepaddle.policy;
+package shalepaddle.policy.retry;
 
 /**
  * Limits retries to a ratio of successful responses, so that they can't multiply the load while
--- a/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
+++ b/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
@@ -12,40 +12,40 @@
   private static final Settings SETTINGS = PolicyFixture.settings(false, 2, true);
 
   private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
-  private final RequestRouter balancer = new RequestRouter(SETTINGS, 1, actions);
+  private final RequestRouter router = new RequestRouter(SETTINGS, 1, actions);
   private final long token;
 
   DeadlineExtensionTest() {
-    balancer.onMembershipUpdate(100, PolicyFixture.fleet(3));
-    balancer.onRequest(100, PolicyFixture.request("a", "key", "safe", 0.3));
+    router.onMembershipUpdate(100, PolicyFixture.fleet(3));
+    router.onRequest(100, PolicyFixture.request("a", "key", "safe", 0.3));
     token = actions.of("wake").get(0).number();
   }
 
   @Test
-  void itIsAnsweredWhenTheLongerTimeIsUp() {
-    balancer.extendDeadline("a", 101.5);
-    balancer.onTimer(100.3, token);
+  void answersAtExtendedDeadline() {
+    router.extendDeadline("a", 101.5);
+    router.onTimer(100.3, token);
     assertEquals(List.of(), actions.of("fail"));
     PolicyFixture.Act again = actions.of("wake").get(1);
     assertEquals(token, again.number());
     assertEquals(1.2, again.value(), 1e-9);
-    balancer.onTimer(101.5, token);
+    router.onTimer(101.5, token);
     assertEquals(1, actions.of("fail").size());
   }
 
   @Test
-  void itIsTriedAgainWithinIt() {
-    balancer.extendDeadline("a", 101.5);
+  void retriesWithinExtendedDeadline() {
+    router.extendDeadline("a", 101.5);
     long server = actions.of("send").get(0).number();
-    balancer.onOutcome(100.4, PolicyFixture.outcome("a", 0, server, Outcome.Result.RESET));
+    router.onOutcome(100.4, PolicyFixture.outcome("a", 0, server, Outcome.Result.RESET));
     assertEquals(2, actions.of("send").size());
   }
 
   @Test
-  void nobodyTakesTimeFromIt() {
-    balancer.extendDeadline("a", 100.1);
-    balancer.extendDeadline("unknown", 200);
-    balancer.onTimer(100.3, token);
+  void neverShortensDeadline() {
+    router.extendDeadline("a", 100.1);
+    router.extendDeadline("unknown", 200);
+    router.onTimer(100.3, token);
     assertEquals(1, actions.of("fail").size());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/ExclusionTest.java
+++ b/core/src/test/java/shalepaddle/policy/ExclusionTest.java
@@ -17,7 +17,7 @@
   private static final Settings SETTINGS = PolicyFixture.settings(false, 4, true);
 
   private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
-  private final RequestRouter balancer = new RequestRouter(SETTINGS, 1, actions);
+  private final RequestRouter router = new RequestRouter(SETTINGS, 1, actions);
 
   private long sent() {
     return actions.acts.get(actions.acts.size() - 1).number();
@@ -25,15 +25,15 @@
 
   private boolean sends(double now, String id, String key) {
     int before = actions.of("send").size();
-    balancer.onRequest(now, PolicyFixture.request(id, key, "safe", 1));
+    router.onRequest(now, PolicyFixture.request(id, key, "safe", 1));
     return actions.of("send").size() > before;
   }
 
   @Test
-  void anExcludedServerGetsNothingWhateverTheListSaysAndWhoeverFails() {
-    balancer.onMembershipUpdate(100, PolicyFixture.fleet(6));
-    balancer.setExcluded(100, 3, true);
-    balancer.setExcluded(100, 3, true);
+  void sendsNothingToExcludedServer() {
+    router.onMembershipUpdate(100, PolicyFixture.fleet(6));
+    router.setExcluded(100, 3, true);
+    router.setExcluded(100, 3, true);
     Random random = new Random(5);
     int got = 0;
     for (int i = 0; i < 3000; i++) {
@@ -42,7 +42,7 @@
         // It leaves, vanishes, comes back under its id, and starts anew.
         ServerEntry.State state = List.of(ServerEntry.State.values()).get(random.nextInt(3));
         ServerEntry entry = PolicyFixture.server(3, state, random.nextBoolean() ? now - 1 : 0);
-        balancer.onMembershipUpdate(
+        router.onMembershipUpdate(
             now, PolicyFixture.list(MembershipUpdate.Kind.DELTA, List.of(entry)));
       }
       if (sends(now, "r" + i, "k" + i % 200)) {
@@ -51,7 +51,7 @@
         got++;
         // Now and then all others fail together: no panic may bring it back.
         Outcome.Result result = i % 1000 > 800 ? Outcome.Result.CONNECT_FAILED : Outcome.Result.OK;
-        balancer.onOutcome(now, PolicyFixture.outcome("r" + i, 0, server, result));
+        router.onOutcome(now, PolicyFixture.outcome("r" + i, 0, server, result));
       }
     }
     assertTrue(actions.of("send").stream().noneMatch(act -> act.number() == 3), "nor any retry");
@@ -59,31 +59,31 @@
   }
 
   @Test
-  void whereAllAreExcludedRequestsAreRefused() {
-    balancer.onMembershipUpdate(100, PolicyFixture.fleet(2));
-    balancer.setExcluded(100, 1, true);
-    balancer.setExcluded(100, 2, true);
+  void rejectsRequestsWhenAllServersAreExcluded() {
+    router.onMembershipUpdate(100, PolicyFixture.fleet(2));
+    router.setExcluded(100, 1, true);
+    router.setExcluded(100, 2, true);
     assertFalse(sends(100.1, "r1", "k"));
     assertEquals(1, actions.of("refuse").size());
-    assertEquals(2, balancer.serverCount(false));
-    assertEquals(2, balancer.serverCount(true));
-    balancer.setExcluded(101, 1, false);
-    assertEquals(1, balancer.serverCount(true));
+    assertEquals(2, router.serverCount(false));
+    assertEquals(2, router.serverCount(true));
+    router.setExcluded(101, 1, false);
+    assertEquals(1, router.serverCount(true));
   }
 
   @Test
-  void oneThatIsPutBackIsColdFromThenOnUnlessTheListToldOfItsStart() {
-    balancer.onMembershipUpdate(100, PolicyFixture.fleet(2));
-    balancer.setExcluded(100, 1, true);
-    balancer.setExcluded(100, 2, true);
+  void slowStartsIncludedServerUnlessItsStartWasListed() {
+    router.onMembershipUpdate(100, PolicyFixture.fleet(2));
+    router.setExcluded(100, 1, true);
+    router.setExcluded(100, 2, true);
     // The second has started anew long enough ago to be warm, and the list has told so.
-    balancer.onMembershipUpdate(
+    router.onMembershipUpdate(
         105,
         PolicyFixture.list(
             MembershipUpdate.Kind.DELTA,
             List.of(PolicyFixture.server(2, ServerEntry.State.READY, 101))));
-    balancer.setExcluded(125, 1, false);
-    balancer.setExcluded(125, 2, false);
+    router.setExcluded(125, 1, false);
+    router.setExcluded(125, 2, false);
     int cold = 0;
     int warm = 0;
     for (int i = 0; i < 200; i++) {
@@ -91,7 +91,7 @@
       if (sends(now, "r" + i, "k" + i)) {
         cold += sent() == 1 ? 1 : 0;
         warm += sent() == 2 ? 1 : 0;
-        balancer.onOutcome(now, PolicyFixture.outcome("r" + i, 0, sent(), Outcome.Result.OK));
+        router.onOutcome(now, PolicyFixture.outcome("r" + i, 0, sent(), Outcome.Result.OK));
       }
     }
     assertTrue(warm > 150, warm + " to the warm one");
@@ -99,10 +99,10 @@
   }
 
   @Test
-  void anOpenRequestKeepsItsClassAndNumberOfAttempts() {
-    balancer.onMembershipUpdate(100, PolicyFixture.fleet(6));
-    balancer.onRequest(100, PolicyFixture.request("old", "k", "unsafe", 1));
-    balancer.onRequest(100, PolicyFixture.request("many", "k", "safe", 1));
+  void openRequestKeepsItsSettings() {
+    router.onMembershipUpdate(100, PolicyFixture.fleet(6));
+    router.onRequest(100, PolicyFixture.request("old", "k", "unsafe", 1));
+    router.onRequest(100, PolicyFixture.request("many", "k", "safe", 1));
     List<Settings.ServiceClass> repeatable =
         SETTINGS.services().stream()
             .map(
@@ -110,16 +110,16 @@
                     PolicyFixture.service(
                         type.name(), Settings.Idempotency.IDEMPOTENT, type.deduplicationScope()))
             .toList();
-    balancer.updateSettings(PolicyFixture.settings(0, 4, false, 1, true, repeatable));
+    router.updateSettings(PolicyFixture.settings(0, 4, false, 1, true, repeatable));
     // It may have run, and was taken as one that must not run twice.
-    balancer.onOutcome(100.1, PolicyFixture.outcome("old", 0, 0, Outcome.Result.ERROR));
+    router.onOutcome(100.1, PolicyFixture.outcome("old", 0, 0, Outcome.Result.ERROR));
     assertEquals(List.of("old"), actions.of("fail").stream().map(PolicyFixture.Act::id).toList());
     long before = actions.of("send").size();
-    balancer.onOutcome(100.1, PolicyFixture.outcome("many", 0, 0, Outcome.Result.RESET));
+    router.onOutcome(100.1, PolicyFixture.outcome("many", 0, 0, Outcome.Result.RESET));
     assertEquals(before + 1, actions.of("send").size(), "four attempts were its due");
     // What comes now has one attempt, and the class may be repeated.
-    balancer.onRequest(100.2, PolicyFixture.request("new", "k", "unsafe", 1));
-    balancer.onOutcome(100.3, PolicyFixture.outcome("new", 0, 0, Outcome.Result.ERROR));
+    router.onRequest(100.2, PolicyFixture.request("new", "k", "unsafe", 1));
+    router.onOutcome(100.3, PolicyFixture.outcome("new", 0, 0, Outcome.Result.ERROR));
     assertEquals(List.of("new"), actions.of("refuse").stream().map(PolicyFixture.Act::id).toList());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/FleetTest.java
+++ b/core/src/test/java/shalepaddle/policy/FleetTest.java
@@ -84,7 +84,7 @@
    * meant for them all went to the others meanwhile, each time elsewhere.
    */
   @Test
-  void manyColdServersAreOfferedWhatTheyCanDoFromTheFirstSecondOn() {
+  void offersManyWarmingServersTheirCapacityFromFirstSecond() {
     startWarm();
     List<ServerEntry> started = new ArrayList<>();
     for (long id = 1; id <= NEW; id++) {
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void allNodesKeepTheSameKeysAtColdServers() {
+  void allLoadBalancersOfferSameKeysToWarmingServers() {
     startWarm();
     restart(List.of(PolicyFixture.server(5, ServerEntry.State.READY, 110)));
     play(110, 116);
--- a/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
+++ b/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
@@ -7,31 +7,31 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.Outcome.Result;
 
-/** What a balancer learns from attempts that another process of its node has made. */
+/** What a router learns from attempts that another process of its node has made. */
 class ObservedAttemptTest {
   private static final int KEYS = 120;
 
   private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
-  private final RequestRouter balancer =
+  private final RequestRouter router =
       new RequestRouter(PolicyFixture.settings(false, 4, true), 1, actions);
   private double now = 100;
   private int attempts;
 
   ObservedAttemptTest() {
-    balancer.onMembershipUpdate(now, PolicyFixture.fleet(6));
+    router.onMembershipUpdate(now, PolicyFixture.fleet(6));
   }
 
   /** Another process has had this attempt. */
-  private void witness(String key, long server, Result result) {
+  private void observe(String key, long server, Result result) {
     String id = "~" + attempts++;
-    balancer.observeAttempt(now += 0.003, PolicyFixture.request(id, key, "safe", 1), server);
+    router.observeAttempt(now += 0.003, PolicyFixture.request(id, key, "safe", 1), server);
     Outcome outcome = PolicyFixture.outcome(id, 0, server, result);
-    balancer.onOutcome(now += 0.001, outcome);
+    router.onOutcome(now += 0.001, outcome);
   }
 
   private long sent(String id, String key) {
     int seen = actions.acts.size();
-    balancer.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
+    router.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
     return actions.acts.stream()
         .skip(seen)
         .filter(act -> act.what().equals("send"))
@@ -41,30 +41,30 @@
   }
 
   @Test
-  void nothingIsOwedForWhatWasWitnessed() {
+  void givesNoAnswerForObservedAttempt() {
     for (int i = 0; i < KEYS; i++) {
-      witness("k" + i, 1 + i % 6, i % 7 == 0 ? Result.TIMEOUT : Result.OK);
+      observe("k" + i, 1 + i % 6, i % 7 == 0 ? Result.TIMEOUT : Result.OK);
     }
     assertEquals(0, actions.of("refuse").size() + actions.of("fail").size(), "answers");
     assertEquals(0, actions.of("wake").size(), "timers");
     // A late end of such an attempt, or one told twice, changes nothing.
-    balancer.onOutcome(now, PolicyFixture.outcome("~0", 0, 1, Result.ERROR));
-    balancer.onTimer(now, 2);
+    router.onOutcome(now, PolicyFixture.outcome("~0", 0, 1, Result.ERROR));
+    router.onTimer(now, 2);
     assertEquals(0, actions.of("refuse").size() + actions.of("fail").size(), "answers");
   }
 
   @Test
-  void serverThatServedNobodyIsLeftOutFromTheFirstRequestOn() {
+  void ejectsServerByObservedAttemptsAlone() {
     for (int i = 0; i < KEYS; i++) {
       long server = 1L + i % 6;
-      witness("k" + i, server, server == 3 ? Result.ERROR : Result.OK);
+      observe("k" + i, server, server == 3 ? Result.ERROR : Result.OK);
     }
     int tried = 0;
     for (int i = 0; i < KEYS; i++) {
       String id = "r" + i;
       long server = sent(id, "k" + i);
       tried += server == 3 ? 1 : 0;
-      balancer.onOutcome(
+      router.onOutcome(
           now, PolicyFixture.outcome(id, 0, server, server == 3 ? Result.ERROR : Result.OK));
     }
     // Half a second of requests holds one trial.
@@ -74,7 +74,7 @@
   /**
    * Asks the one before, whose origin gives nothing out, and tells the next one of each attempt.
    */
-  private void bothLive(
+  private void playOnBoth(
       RequestRouter before, PolicyFixture.Recorder its, String key, boolean held) {
     String id = "~" + attempts++;
     int seen = its.acts.size();
@@ -84,34 +84,34 @@
       sent = act.what().equals("send") ? act : sent;
     }
     if (sent != null) {
-      balancer.observeAttempt(now, PolicyFixture.request(id, key, "safe", 1), sent.number());
+      router.observeAttempt(now, PolicyFixture.request(id, key, "safe", 1), sent.number());
       Outcome outcome =
           held
               ? PolicyFixture.outcome(id, 0, sent.number(), Result.OK)
               : new Outcome(
                   id, 0, sent.number(), Result.TIMEOUT, 1, true, Outcome.CacheStatus.NONE, null);
       before.onOutcome(now, outcome);
-      balancer.onOutcome(now, outcome);
+      router.onOutcome(now, outcome);
     }
   }
 
   @Test
-  void aWindowThatHadShrunkLetsWhatTheCachesHoldPass() {
+  void shrunkWindowPassesCachedKeys() {
     PolicyFixture.Recorder its = new PolicyFixture.Recorder();
     RequestRouter before = new RequestRouter(PolicyFixture.settings(false, 4, true), 1, its);
     before.onMembershipUpdate(now, PolicyFixture.fleet(6));
     for (int i = 0; i < KEYS; i++) {
-      bothLive(before, its, "held" + i, true);
+      playOnBoth(before, its, "held" + i, true);
     }
     for (int i = 0; i < 200; i++) {
-      bothLive(before, its, "new" + i, false);
+      playOnBoth(before, its, "new" + i, false);
     }
     int hits = 0;
     int fetches = 0;
     for (int i = 0; i < KEYS; i++) {
       long server = sent("h" + i, "held" + i);
       hits += server == 0 ? 0 : 1;
-      balancer.onOutcome(now, PolicyFixture.outcome("h" + i, 0, server, Result.OK));
+      router.onOutcome(now, PolicyFixture.outcome("h" + i, 0, server, Result.OK));
       fetches += sent("n" + i, "other" + i) == 0 ? 0 : 1;
     }
     assertTrue(hits > KEYS * 0.9, hits + " of " + KEYS + " reads of what is held were sent");
@@ -119,8 +119,8 @@
   }
 
   @Test
-  void serverThatIsNotListedIsPassedOver() {
-    witness("k", 77, Result.OK);
+  void ignoresServerThatIsNotListed() {
+    observe("k", 77, Result.OK);
     assertEquals(0, actions.acts.size());
     assertTrue(sent("r", "k") > 0);
   }
--- a/core/src/test/java/shalepaddle/policy/OriginFetchTest.java
+++ b/core/src/test/java/shalepaddle/policy/OriginFetchTest.java
@@ -13,14 +13,14 @@
 /** Servers that lack room for fetches, and the queue of what waits for the origin. */
 class OriginFetchTest {
   private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
-  private final RequestRouter balancer =
+  private final RequestRouter router =
       new RequestRouter(PolicyFixture.settings(false, 4, true), 1, actions);
   private double now = 100;
   private int busy;
   private int served;
 
   OriginFetchTest() {
-    balancer.onMembershipUpdate(now, PolicyFixture.fleet(9));
+    router.onMembershipUpdate(now, PolicyFixture.fleet(9));
   }
 
   /**
@@ -29,7 +29,7 @@
    */
   private long ask(String id, String key, boolean held, LongPredicate noRoom) {
     int seen = actions.acts.size();
-    balancer.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
+    router.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
     int attempt = 0;
     for (int i = seen; i < actions.acts.size(); i++) {
       PolicyFixture.Act act = actions.acts.get(i);
@@ -40,7 +40,7 @@
       now += full ? 0.016 : 0.004;
       busy += full ? 1 : 0;
       served += full ? 0 : 1;
-      balancer.onOutcome(
+      router.onOutcome(
           now,
           PolicyFixture.outcome(
               id, attempt++, act.number(), full ? Result.SERVER_BUSY : Result.OK));
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void serversWithoutRoomForFetchesGetFewAndGoOnServingWhatTheyHold() {
+  void sendsFewFetchesToFetchLimitedServer() {
     long[] homes = new long[200];
     for (int i = 0; i < homes.length; i++) {
       homes[i] = ask("w" + i, "held" + i, true, server -> false);
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void whereAllTurnAwayTheWindowClosesAndNothingIsTriedForEver() {
+  void shrinksWindowWhenAllServersAreBusy() {
     for (int i = 0; i < 400; i++) {
       ask("n" + i, "new" + i, false, server -> true);
     }
@@ -84,23 +84,23 @@
   }
 
   @Test
-  void oneServersLossesAreNotTheOrigins() {
+  void doesNotBlameOriginForLossesOfOneServer() {
     for (int i = 0; i < 400; i++) {
       String id = "n" + i;
-      balancer.onRequest(now += 0.01, PolicyFixture.request(id, "new" + i, "safe", 1));
+      router.onRequest(now += 0.01, PolicyFixture.request(id, "new" + i, "safe", 1));
       List<PolicyFixture.Act> sent = actions.of("send");
       PolicyFixture.Act last = sent.get(sent.size() - 1);
       Result result = last.number() == 1 ? Result.ERROR : Result.OK;
-      balancer.onOutcome(now, PolicyFixture.outcome(id, 0, last.number(), result));
+      router.onOutcome(now, PolicyFixture.outcome(id, 0, last.number(), result));
     }
     for (int i = 0; i < 60; i++) {
-      balancer.onRequest(now, PolicyFixture.request("o" + i, "other" + i, "safe", 1));
+      router.onRequest(now, PolicyFixture.request("o" + i, "other" + i, "safe", 1));
     }
     assertEquals(60, actions.of("send").stream().filter(a -> a.id().startsWith("o")).count());
   }
 
   @Test
-  void aQueueForTheOriginIsShortAndWhoFindsItFullIsRefusedAtOnce() {
+  void boundsHeldRequestsAndRejectsOthersAtOnce() {
     RequestRouter once = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, actions);
     once.onMembershipUpdate(now, PolicyFixture.fleet(9));
     for (int i = 0; i < 60; i++) {
--- a/core/src/test/java/shalepaddle/policy/PolicyFixture.java
+++ b/core/src/test/java/shalepaddle/policy/PolicyFixture.java
@@ -9,7 +9,7 @@
 import shalepaddle.model.Settings;
 
 /** Builds small worlds for tests: settings, servers, and a recorder of actions. */
-final class PolicyFixture {
+public final class PolicyFixture {
   /** One recorded action. */
   record Act(String what, String id, long number, double value) {}
 
@@ -59,12 +59,12 @@
 
   private PolicyFixture() {}
 
-  static Settings settings(boolean asks, int maxAttempts, boolean parallel) {
+  public static Settings settings(boolean asks, int maxAttempts, boolean parallel) {
     return settings(0, 4, asks, maxAttempts, parallel);
   }
 
   /** Those of one of so many instances. */
-  static Settings settings(
+  public static Settings settings(
       int number, int instances, boolean asks, int maxAttempts, boolean parallel) {
     return settings(
         number,
@@ -85,7 +85,7 @@
   }
 
   /** Those with these classes. */
-  static Settings settings(
+  public static Settings settings(
       int number,
       int instances,
       boolean asks,
@@ -111,24 +111,24 @@
         0.005);
   }
 
-  static Settings.ServiceClass service(
+  public static Settings.ServiceClass service(
       String name, Settings.Idempotency effect, Settings.DeduplicationScope group) {
     return new Settings.ServiceClass(name, 0.5, 0, 2, 1, 0.2, effect, group, 1, false);
   }
 
-  static ServerEntry server(long id) {
+  public static ServerEntry server(long id) {
     return server(id, ServerEntry.State.READY, 0);
   }
 
-  static ServerEntry server(long id, ServerEntry.State state, double startedAt) {
+  public static ServerEntry server(long id, ServerEntry.State state, double startedAt) {
     return new ServerEntry(id, id % 2 == 0 ? "a" : "b", "box", (int) id % 3, state, 1, startedAt);
   }
 
-  static MembershipUpdate list(MembershipUpdate.Kind kind, List<ServerEntry> entries) {
+  public static MembershipUpdate list(MembershipUpdate.Kind kind, List<ServerEntry> entries) {
     return new MembershipUpdate(kind, 1, entries);
   }
 
-  static MembershipUpdate fleet(int size) {
+  public static MembershipUpdate fleet(int size) {
     List<ServerEntry> entries = new ArrayList<>();
     for (long id = 1; id <= size; id++) {
       entries.add(server(id));
@@ -136,11 +136,11 @@
     return list(MembershipUpdate.Kind.CACHED, entries);
   }
 
-  static Request request(String id, String key, String type, double budget) {
+  public static Request request(String id, String key, String type, double budget) {
     return new Request(id, key, type, null, budget, 0, 0, false, !type.equals("safe"));
   }
 
-  static Outcome outcome(String id, int attempt, long server, Outcome.Result result) {
+  public static Outcome outcome(String id, int attempt, long server, Outcome.Result result) {
     return new Outcome(
         id,
         attempt,
--- a/core/src/test/java/shalepaddle/policy/PolicySizeTest.java
+++ b/core/src/test/java/shalepaddle/policy/PolicySizeTest.java
@@ -10,28 +10,28 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** The decision module is made of small files, and the deploy file names all of them. */
+/** The policy and its sub-packages have small files, and the deploy file names all of them. */
 class PolicySizeTest {
   /** Lines of a file that are not blank. */
-  private static final int LIMIT = 500;
+  private static final int MAX_LINES = 500;
 
   @Test
-  void filesStayWithinTheirLimitAndAreNamed() throws IOException {
+  void filesStayWithinLimitAndAreNamedInDeployFile() throws IOException {
     Path folder = Path.of("core/src/main/java/shalepaddle/policy");
     String deploy = Files.readString(Path.of("deploy/balancer.toml"));
     TreeSet<String> named = new TreeSet<>();
     TreeSet<String> present = new TreeSet<>();
     List<Path> files;
-    try (var list = Files.list(folder)) {
-      files = list.toList();
+    try (var tree = Files.walk(folder)) {
+      files = tree.filter(Files::isRegularFile).toList();
     }
     for (Path file : files) {
-      present.add(file.getFileName().toString());
+      present.add(folder.relativize(file).toString());
       if (deploy.contains("\"" + file.toString().replace('\\', '/') + "\"")) {
-        named.add(file.getFileName().toString());
+        named.add(folder.relativize(file).toString());
       }
       long lines = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
-      assertTrue(lines <= LIMIT, file + ": " + lines + " lines");
+      assertTrue(lines <= MAX_LINES, file + ": " + lines + " lines");
     }
     assertEquals(present, named);
   }
--- a/core/src/test/java/shalepaddle/policy/RingProbingTest.java
+++ b/core/src/test/java/shalepaddle/policy/RingProbingTest.java
@@ -8,51 +8,55 @@
 import org.junit.jupiter.api.Test;
 import shalepaddle.model.MembershipUpdate;
 import shalepaddle.model.ServerEntry;
+import shalepaddle.policy.hash.Hashing;
+import shalepaddle.policy.health.ServerHealth;
+import shalepaddle.policy.placement.ConsistentHashRing;
 
-/** The ordinary path: home, jumps past full servers, and its end. */
+/** The ordinary path: the key's owner, jumps past servers at their cap, and its end. */
 class RingProbingTest {
   private static List<Long> sends(PolicyFixture.Recorder actions) {
     return actions.of("send").stream().map(PolicyFixture.Act::number).toList();
   }
 
-  private static RequestRouter balancer(PolicyFixture.Recorder actions, long seed) {
+  private static RequestRouter router(PolicyFixture.Recorder actions, long seed) {
     return new RequestRouter(PolicyFixture.settings(false, 4, true), seed, actions);
   }
 
   @Test
-  void aFullHomeSendsTheKeyToItsNextOwner() {
+  void sendsKeyToNextOwnerWhenOwnerIsAtItsCap() {
     PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
-    RequestRouter balancer = balancer(actions, 1);
-    balancer.onMembershipUpdate(100, PolicyFixture.fleet(10));
-    ConsistentHashRing table = new ConsistentHashRing();
+    RequestRouter router = router(actions, 1);
+    router.onMembershipUpdate(100, PolicyFixture.fleet(10));
+    ConsistentHashRing ring = new ConsistentHashRing();
     List<ServerHealth> servers = new ArrayList<>();
     for (long id = 1; id <= 10; id++) {
       servers.add(
           new ServerHealth(PolicyFixture.server(id), 100, PolicyFixture.settings(false, 4, true)));
     }
-    table.rebuild(servers, false);
-    long hash = ConsistentHashRing.hash("k");
+    ring.rebuild(servers, false);
+    long hash = Hashing.ofText("k");
     List<Long> want = new ArrayList<>();
-    // Writes are never held for a fetch. Four balancers: a floor of 3, and 1.25 * 10 / 10 < 3.
+    // Writes are never held for a fetch. Four load balancers: a least cap of 3, and 1.25 * 10 / 10
+    // < 3.
     for (int attempt = 0; want.size() < 6; attempt++) {
-      long owner = table.owner(hash, attempt).id;
+      long owner = ring.owner(hash, attempt).id();
       if (!want.contains(owner)) {
         want.addAll(List.of(owner, owner, owner));
       }
     }
     for (int i = 0; i < 6; i++) {
-      balancer.onRequest(100, PolicyFixture.request("w" + i, "k", "unsafe", 1));
+      router.onRequest(100, PolicyFixture.request("w" + i, "k", "unsafe", 1));
     }
     assertEquals(want, sends(actions));
   }
 
   @Test
-  void endsWhenAllServersAreAtTheirCap() {
+  void selectsServerWhenAllAreAtTheirCap() {
     PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
-    RequestRouter balancer = balancer(actions, 1);
-    balancer.onMembershipUpdate(100, PolicyFixture.fleet(2));
+    RequestRouter router = router(actions, 1);
+    router.onMembershipUpdate(100, PolicyFixture.fleet(2));
     for (int i = 0; i < 500; i++) {
-      balancer.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
+      router.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
     }
     assertEquals(500, sends(actions).size());
     long first = sends(actions).stream().filter(id -> id == 1).count();
@@ -60,12 +64,12 @@
   }
 
   @Test
-  void sameListByDifferentRoutesGivesTheSameHomes() {
+  void sameListByDifferentUpdatesGivesSameOwners() {
     PolicyFixture.Recorder one = new PolicyFixture.Recorder();
-    RequestRouter whole = balancer(one, 1);
+    RequestRouter whole = router(one, 1);
     whole.onMembershipUpdate(100, PolicyFixture.fleet(9));
     PolicyFixture.Recorder two = new PolicyFixture.Recorder();
-    RequestRouter pieces = balancer(two, 2);
+    RequestRouter pieces = router(two, 2);
     pieces.onMembershipUpdate(100, PolicyFixture.fleet(4));
     for (long id = 12; id >= 5; id--) {
       pieces.onMembershipUpdate(
--- a/core/src/test/java/shalepaddle/policy/RulesTest.java
+++ b/core/src/test/java/shalepaddle/policy/RulesTest.java
@@ -21,13 +21,13 @@
 
   private static void membership(
       RuleChecker world,
-      RequestRouter balancer,
+      RequestRouter router,
       MembershipUpdate.Kind kind,
       List<ServerEntry> lines) {
     for (ServerEntry line : lines) {
       world.servers.put(line.id(), line);
     }
-    balancer.onMembershipUpdate(world.now, PolicyFixture.list(kind, lines));
+    router.onMembershipUpdate(world.now, PolicyFixture.list(kind, lines));
   }
 
   private static String play(long seed, boolean parallel, List<String> breaches) {
@@ -36,19 +36,19 @@
         PolicyFixture.settings(random.nextBoolean(), 2 + random.nextInt(4), parallel);
     RuleChecker world = new RuleChecker(settings);
     world.now = 100;
-    RequestRouter balancer = new RequestRouter(settings, seed, world);
+    RequestRouter router = new RequestRouter(settings, seed, world);
     List<ServerEntry> first = new ArrayList<>();
     for (long id = 1; id <= random.nextInt(8); id++) {
       first.add(PolicyFixture.server(id));
     }
-    membership(world, balancer, MembershipUpdate.Kind.CACHED, first);
+    membership(world, router, MembershipUpdate.Kind.CACHED, first);
     TreeMap<Double, List<Long>> timers = new TreeMap<>();
     int seen = 0;
     for (int step = 0; step < 4000; step++) {
       world.now += random.nextInt(3) * 0.005;
       while (!timers.isEmpty() && timers.firstKey() <= world.now) {
         for (long token : timers.pollFirstEntry().getValue()) {
-          balancer.onTimer(world.now, token);
+          router.onTimer(world.now, token);
         }
       }
       int what = step > 3000 ? 9 : random.nextInt(10);
@@ -57,21 +57,21 @@
         String key = random.nextInt(9) == 0 ? null : "k" + random.nextInt(40);
         var request = PolicyFixture.request("r" + step, key, type, 0.05 + random.nextDouble());
         world.arrives(request);
-        balancer.onRequest(world.now, request);
+        router.onRequest(world.now, request);
       } else if (what == 4 && random.nextInt(8) == 0) {
         long id = 1L + random.nextInt(12);
         ServerEntry.State state = List.of(ServerEntry.State.values()).get(random.nextInt(3));
         double started = random.nextInt(3) == 0 ? world.now - random.nextDouble() : 0;
         membership(
             world,
-            balancer,
+            router,
             MembershipUpdate.Kind.DELTA,
             List.of(PolicyFixture.server(id, state, started)));
       } else if (what == 5 && random.nextInt(20) == 0) {
-        balancer.onMembershipUpdate(
+        router.onMembershipUpdate(
             world.now, PolicyFixture.list(MembershipUpdate.Kind.FAILED, List.of()));
       } else {
-        step(world, balancer, random);
+        step(world, router, random);
       }
       for (; seen < world.acts.size(); seen++) {
         PolicyFixture.Act act = world.acts.get(seen);
@@ -88,7 +88,7 @@
   }
 
   /** Ends an attempt, or lets a client go. */
-  private static void step(RuleChecker world, RequestRouter balancer, Random random) {
+  private static void step(RuleChecker world, RequestRouter router, Random random) {
     for (RuleChecker.Tracked t : new ArrayList<>(world.requests.values())) {
       for (int i = 0; i < t.attempts.size(); i++) {
         RuleChecker.Attempt a = t.attempts.get(i);
@@ -98,7 +98,7 @@
           var result = due ? Outcome.Result.TIMEOUT : results[random.nextInt(results.length - 1)];
           boolean over = t.over;
           world.ends(t.request.id(), i, result);
-          balancer.onOutcome(
+          router.onOutcome(
               world.now,
               new Outcome(
                   t.request.id(),
@@ -113,7 +113,7 @@
       }
       if (!t.over && random.nextInt(300) == 0) {
         world.gone(t.request.id());
-        balancer.onClientDisconnected(world.now, t.request.id());
+        router.onClientDisconnected(world.now, t.request.id());
       }
     }
     world.requests.values().removeIf(t -> t.over && t.attempts.stream().noneMatch(a -> a.out));
@@ -121,28 +121,28 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-  void areKeptUnderRandomEvents(long seed) {
+  void keepsRulesUnderRandomEvents(long seed) {
     List<String> breaches = new ArrayList<>();
     play(seed, seed % 2 == 0, breaches);
     assertEquals(List.of(), breaches);
   }
 
   @Test
-  void sameEventsGiveTheSameActions() {
+  void sameEventsLeadToSameActions() {
     assertEquals(play(5, true, new ArrayList<>()), play(5, true, new ArrayList<>()));
   }
 
   @Test
-  void coldServerGetsNoMoreThanItsBudget() {
+  void warmingServerGetsNoMoreThanItsBudget() {
     Settings settings = PolicyFixture.settings(false, 4, true);
     RuleChecker world = new RuleChecker(settings);
-    RequestRouter balancer = new RequestRouter(settings, 1, world);
+    RequestRouter router = new RequestRouter(settings, 1, world);
     world.now = 100;
     List<ServerEntry> fleet = new ArrayList<>();
     for (long id = 1; id <= 8; id++) {
       fleet.add(PolicyFixture.server(id));
     }
-    membership(world, balancer, MembershipUpdate.Kind.CACHED, fleet);
+    membership(world, router, MembershipUpdate.Kind.CACHED, fleet);
     Random random = new Random(4);
     world.warmRate = 200.0 / 8;
     int coldSends = 0;
@@ -151,20 +151,20 @@
       if (i == 2000) {
         membership(
             world,
-            balancer,
+            router,
             MembershipUpdate.Kind.DELTA,
             List.of(PolicyFixture.server(3, ServerEntry.State.READY, world.now)));
       }
       var request = PolicyFixture.request("r" + i, "k" + random.nextInt(500), "safe", 1);
       world.arrives(request);
-      balancer.onRequest(world.now, request);
+      router.onRequest(world.now, request);
       for (RuleChecker.Tracked t : new ArrayList<>(world.requests.values())) {
         for (int a = 0; a < t.attempts.size(); a++) {
           if (t.attempts.get(a).out) {
             long server = t.attempts.get(a).server;
             coldSends += i > 2000 && i < 4000 && server == 3 ? 1 : 0;
             world.ends(t.request.id(), a, Outcome.Result.OK);
-            balancer.onOutcome(
+            router.onOutcome(
                 world.now, PolicyFixture.outcome(t.request.id(), a, server, Outcome.Result.OK));
           }
         }
@@ -185,7 +185,7 @@
   }
 
   @Test
-  void checkerCatchesALostRequestAndASecondAnswer() {
+  void checkerCatchesLostRequestAndSecondAnswer() {
     RuleChecker world = planted();
     world.arrives(PolicyFixture.request("x", "k", "safe", 1));
     world.now += 2;
@@ -196,7 +196,7 @@
   }
 
   @Test
-  void checkerCatchesADoubledEffect() {
+  void checkerCatchesDoubledEffect() {
     RuleChecker world = planted();
     world.arrives(PolicyFixture.request("x", "k", "unsafe", 1));
     world.send("x", 1, 0);
@@ -209,7 +209,7 @@
   }
 
   @Test
-  void checkerCatchesARepeatThatMayWaitForTooLong() {
+  void checkerCatchesRetryThatMayWaitTooLong() {
     RuleChecker world = planted();
     world.arrives(PolicyFixture.request("x", "k", "all", 3));
     world.send("x", 1, Double.POSITIVE_INFINITY);
@@ -227,7 +227,7 @@
   }
 
   @Test
-  void checkerCatchesASendToADrainingServer() {
+  void checkerCatchesSendToDrainingServer() {
     RuleChecker world = planted();
     world.arrives(PolicyFixture.request("x", "k", "safe", 1));
     world.send("x", 2, 0);
@@ -235,7 +235,7 @@
   }
 
   @Test
-  void checkerCatchesAColdServerPushedOver() {
+  void checkerCatchesOverloadDuringSlowStart() {
     RuleChecker world = planted();
     world.warmRate = 10;
     for (int i = 0; i < 20; i++) {
--- a/core/src/test/java/shalepaddle/policy/SlowStartTest.java
+++ b/core/src/test/java/shalepaddle/policy/SlowStartTest.java
@@ -99,8 +99,7 @@
    */
   @ParameterizedTest
   @MethodSource("fleets")
-  void aServerInSlowStartIsSentWhatTheContractAllows(
-      int size, double rate, Start start, Load load) {
+  void sendsServerInSlowStartWhatContractPermits(int size, double rate, Start start, Load load) {
     for (int number = 0; number < size; number++) {
       PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
       actions.add(recorder);
--- a/core/src/test/java/shalepaddle/policy/ServerStartTimesTest.java
+++ b/core/src/test/java/shalepaddle/policy/health/ServerStartTimesTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.policy;
+package shalepaddle.policy.health;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,13 +10,14 @@
 import shalepaddle.model.MembershipUpdate;
 import shalepaddle.model.MembershipUpdate.Kind;
 import shalepaddle.model.ServerEntry;
+import shalepaddle.policy.PolicyFixture;
 
 /** Starts by the stamps of a clock that is off by an hour, either way, or by nothing. */
 class ServerStartTimesTest {
-  private static final double WARM_WITHIN = 10;
+  private static final double SLOW_START_SECONDS = 10;
   private static final double NOW = 100_000;
 
-  private final ServerStartTimes starts = new ServerStartTimes(WARM_WITHIN);
+  private final ServerStartTimes starts = new ServerStartTimes(SLOW_START_SECONDS);
   private long version = 1;
 
   /** An update whose servers, by id from 1 on, have these stamps. */
@@ -30,7 +31,7 @@
 
   @ParameterizedTest
   @ValueSource(doubles = {0, 3600, -3600})
-  void aFirstListOfOldServersIsWarm(double skew) {
+  void firstListOfOldServersIsWarm(double skew) {
     double then = NOW + skew - 600;
     learn(NOW, Kind.CACHED, then, then + 1, then + 2, 0);
     for (int id = 1; id <= 4; id++) {
@@ -40,7 +41,7 @@
 
   @ParameterizedTest
   @ValueSource(doubles = {0, 3600, -3600})
-  void theNewestOfAFirstListMayHaveStartedJustNow(double skew) {
+  void newestOfFirstListMayHaveStartedJustNow(double skew) {
     double then = NOW + skew;
     learn(NOW, Kind.CACHED, then - 600, then - 500, then - 4, then - 1, then - 12);
     assertEquals(ServerStartTimes.LONG_AGO, starts.of(1));
@@ -50,7 +51,7 @@
   }
 
   @Test
-  void aFirstListOfServersThatStartedTogetherIsColdIfBothClocksSaySo() {
+  void firstListOfServersStartedTogetherIsWarmingUpIfBothClocksAgree() {
     learn(NOW, Kind.FULL, NOW - 2, NOW - 1, NOW - 1);
     assertEquals(NOW - 1, starts.of(1));
     assertEquals(NOW, starts.of(2));
@@ -58,7 +59,7 @@
 
   @ParameterizedTest
   @ValueSource(doubles = {0, 3600, -3600})
-  void aStartThatIsToldLaterCountsFromWhenItIsHeardOf(double step) {
+  void laterListedStartCountsFromItsReceipt(double step) {
     learn(NOW, Kind.FULL, NOW - 600, NOW - 900);
     learn(NOW + 50, Kind.DELTA, NOW + 49 + step);
     assertEquals(NOW + 50, starts.of(1));
@@ -68,14 +69,14 @@
   }
 
   @Test
-  void aChangeThatComesBeforeAnyWholeListCountsFromWhenItIsHeardOf() {
+  void deltaBeforeAnyFullListCountsFromItsReceipt() {
     learn(NOW, Kind.CACHED, NOW - 600, NOW - 700, NOW - 800);
     learn(NOW + 1, Kind.DELTA, NOW - 2);
     assertEquals(NOW + 1, starts.of(1));
   }
 
   @Test
-  void anOlderListTellsNoStart() {
+  void olderListHasNoNewStart() {
     version = 5;
     learn(NOW, Kind.FULL, NOW - 60, NOW - 600);
     version = 4;
@@ -87,7 +88,7 @@
   }
 
   @Test
-  void aServerThatComesBackUnchangedHasNotStarted() {
+  void serverThatComesBackUnchangedHasNotRestarted() {
     learn(NOW, Kind.FULL, NOW - 600, NOW - 900);
     learn(NOW + 10, Kind.FULL);
     learn(NOW + 20, Kind.FULL, NOW - 600, NOW - 900);
@@ -95,7 +96,7 @@
   }
 
   @Test
-  void oneThatIsPutBackCountsAsStartedUntilTheListTellsAnother() {
+  void includedServerCountsAsStartedUntilAnotherStartIsListed() {
     learn(NOW, Kind.FULL, NOW - 600);
     starts.restarted(NOW + 5, 1);
     learn(NOW + 6, Kind.FULL, NOW - 600);
--- a/core/src/test/java/shalepaddle/policy/ConsistentHashRingTest.java
+++ b/core/src/test/java/shalepaddle/policy/placement/ConsistentHashRingTest.java
@@ -1,4 +1,4 @@
-package shalepaddle.policy;
+package shalepaddle.policy.placement;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,30 +9,33 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
+import shalepaddle.policy.PolicyFixture;
+import shalepaddle.policy.hash.Hashing;
+import shalepaddle.policy.health.ServerHealth;
 
 class ConsistentHashRingTest {
   private static ServerHealth server(long id) {
     return new ServerHealth(PolicyFixture.server(id), 0, PolicyFixture.settings(false, 4, true));
   }
 
-  private static long[] homes(List<ServerHealth> servers) {
-    ConsistentHashRing table = new ConsistentHashRing();
-    table.rebuild(servers, false);
-    long[] homes = new long[20_000];
-    for (int i = 0; i < homes.length; i++) {
-      homes[i] = table.owner(ConsistentHashRing.hash("key" + i), 0).id;
+  private static long[] owners(List<ServerHealth> servers) {
+    ConsistentHashRing ring = new ConsistentHashRing();
+    ring.rebuild(servers, false);
+    long[] owners = new long[20_000];
+    for (int i = 0; i < owners.length; i++) {
+      owners[i] = ring.owner(Hashing.ofText("key" + i), 0).id();
     }
-    return homes;
+    return owners;
   }
 
   @Test
-  void changesMoveOnlyTheSlotsOfTheServersConcerned() {
+  void changeMovesOnlySlotsOfChangedServer() {
     Random random = new Random(7);
     List<ServerHealth> servers = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       servers.add(server(random.nextInt(1 << 30)));
     }
-    long[] before = homes(servers);
+    long[] before = owners(servers);
     for (int change = 0; change < 30; change++) {
       long id;
       boolean added = random.nextBoolean() || servers.size() < 5;
@@ -40,9 +43,9 @@
         id = random.nextInt(1 << 30);
         servers.add(server(id));
       } else {
-        id = servers.remove(random.nextInt(servers.size())).id;
+        id = servers.remove(random.nextInt(servers.size())).id();
       }
-      long[] after = homes(servers);
+      long[] after = owners(servers);
       int moved = 0;
       for (int i = 0; i < before.length; i++) {
         if (before[i] != after[i]) {
@@ -51,46 +54,46 @@
         }
       }
       int size = added ? servers.size() : servers.size() + 1;
-      assertTrue(moved <= 1.6 * before.length / size, moved + " keys moved of a fair share");
+      assertTrue(moved <= 1.6 * before.length / size, moved + " keys moved");
       before = after;
     }
   }
 
   @Test
-  void agreesWhateverOrderTheServersCameIn() {
+  void ringDoesNotDependOnServerOrder() {
     List<ServerHealth> servers = new ArrayList<>();
     for (long id = 1; id <= 30; id++) {
       servers.add(server(id * 7919));
     }
-    long[] one = homes(servers);
+    long[] one = owners(servers);
     Collections.shuffle(servers, new Random(3));
-    long[] other = homes(servers);
+    long[] other = owners(servers);
     for (int i = 0; i < one.length; i++) {
       assertEquals(one[i], other[i]);
     }
   }
 
   @Test
-  void spreadsHomesEvenly() {
+  void spreadsOwnersEvenly() {
     List<ServerHealth> servers = new ArrayList<>();
     for (long id = 1; id <= 25; id++) {
       servers.add(server(id * 104729));
     }
     int[] count = new int[26];
-    long[] homes = homes(servers);
-    for (long home : homes) {
-      count[(int) (home / 104729)]++;
+    long[] owners = owners(servers);
+    for (long owner : owners) {
+      count[(int) (owner / 104729)]++;
     }
     for (int i = 1; i <= 25; i++) {
-      double share = count[i] * 25.0 / homes.length;
-      assertTrue(share > 0.65 && share < 1.4, "share of a fair one: " + share);
+      double ratio = count[i] * 25.0 / owners.length;
+      assertTrue(ratio > 0.65 && ratio < 1.4, "ratio to an equal part: " + ratio);
     }
   }
 
   @Test
-  void ownsNothingWithoutServers() {
-    ConsistentHashRing table = new ConsistentHashRing();
-    table.rebuild(List.of(), true);
-    assertNull(table.owner(5, 0));
+  void hasNoOwnerWithoutServers() {
+    ConsistentHashRing ring = new ConsistentHashRing();
+    ring.rebuild(List.of(), true);
+    assertNull(ring.owner(5, 0));
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/ArchitectureTest.java
+++ b/daemon/src/test/java/shalepaddle/daemon/ArchitectureTest.java
@@ -189,6 +189,54 @@
         .check(ALL);
   }
 
+  /** Each rule of the policy, and the others that it may know; the router joins all of them. */
+  private static final Map<String, List<String>> RULES_MAY_KNOW =
+      Map.of(
+          "hash", List.of(),
+          "health", List.of("hash"),
+          "placement", List.of("hash", "health"),
+          "admission", List.of(),
+          "retry", List.of(),
+          "membership", List.of("health"));
+
+  @Test
+  void onlyTheRoutersPackageJoinsTheRulesOfThePolicy() {
+    RULES_MAY_KNOW.forEach(
+        (rule, known) ->
+            noClasses()
+                .that()
+                .resideInAPackage("shalepaddle.policy." + rule + "..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                    Stream.concat(
+                            Stream.of("shalepaddle.policy"),
+                            RULES_MAY_KNOW.keySet().stream()
+                                .filter(other -> !other.equals(rule) && !known.contains(other))
+                                .map(other -> "shalepaddle.policy." + other + ".."))
+                        .toArray(String[]::new))
+                .check(ALL));
+    // A rule that is not in the table would know what it likes.
+    classes()
+        .that()
+        .resideInAPackage("shalepaddle.policy.*..")
+        .should()
+        .resideInAnyPackage(
+            RULES_MAY_KNOW.keySet().stream()
+                .map(rule -> "shalepaddle.policy." + rule + "..")
+                .toArray(String[]::new))
+        .check(ALL);
+  }
+
+  @Test
+  void rulesOfThePolicyHaveNoCycles() {
+    SlicesRuleDefinition.slices()
+        .matching("shalepaddle.policy.(*)..")
+        .should()
+        .beFreeOfCycles()
+        .check(ALL);
+  }
+
   @Test
   void callsAndRepliesKnowNoConnections() {
     noClasses()
