--- a/benchmarks/src/main/java/shalepaddle/benchmarks/CoalescingCost.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/CoalescingCost.java
@@ -59,7 +59,8 @@
   @Benchmark
   public FlightDecision<Integer> neverJoined() {
     int place = next % OPEN;
-    FlightDecision<Integer> verdict = joining.complete(open[place].flight(), FlightResult.SERVED, now);
+    FlightDecision<Integer> verdict =
+        joining.complete(open[place].flight(), FlightResult.SERVED, now);
     open[place] = arrive();
     return verdict;
   }
