--- a/core/src/test/java/shalepaddle/coalescing/RequestCoalescerTest.java
+++ b/core/src/test/java/shalepaddle/coalescing/RequestCoalescerTest.java
@@ -218,8 +218,8 @@
   void whatBrokeIsToldFromWhatWasTurnedAway() {
     assertEquals(FlightResult.BROKEN, FlightResult.ofRejection(Outcome.Result.RESET));
     assertEquals(FlightResult.BROKEN, FlightResult.ofRejection(Outcome.Result.CONNECT_FAILED));
-    assertEquals(FlightResult.BROKEN, FlightResult.ofRejection(Outcome.Result.SPOILT));
-    assertEquals(FlightResult.REJECTED, FlightResult.ofRejection(Outcome.Result.FULL));
+    assertEquals(FlightResult.BROKEN, FlightResult.ofRejection(Outcome.Result.MALFORMED_RESPONSE));
+    assertEquals(FlightResult.REJECTED, FlightResult.ofRejection(Outcome.Result.SERVER_BUSY));
     assertEquals(FlightResult.REJECTED, FlightResult.ofRejection(Outcome.Result.ERROR));
     assertEquals(FlightResult.REJECTED, FlightResult.ofRejection(Outcome.Result.TIMEOUT));
     assertEquals(FlightResult.REJECTED, FlightResult.ofRejection(null));
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -188,7 +188,7 @@
     this.log = log;
     Settings settings = config.settings();
     overload = new OverloadControl(settings, operator.overload(), config.seed(), this::told);
-    reading = overload.reading();
+    reading = overload.snapshot();
     processor = new ProcessorUse(config.cores());
     dispatcher =
         new Dispatcher(
@@ -209,8 +209,8 @@
             dispatcher.timers(),
             clock,
             config.discovery(),
-            settings.asksForList(),
-            settings.contract().drainGrace(),
+            settings.pollsEndpointList(),
+            settings.contract().drainGraceSeconds(),
             config.knownMembers().version(),
             new Members());
     MemoryBudget values =
@@ -221,7 +221,7 @@
             dispatcher,
             codec,
             (int) (config.maxDescriptors() * CLIENT_SHARE),
-            overload::posture,
+            overload::degradationPolicy,
             new MemoryBudget(((long) config.memoryMb() << 20) / AHEAD_PART));
     publish();
   }
@@ -230,15 +230,15 @@
   private final class Entrance implements RequestAdmission {
     @Override
     public boolean mayReject() {
-      overload.places(
+      overload.onConnectionSlotUsage(
           (front.connectionsAwaitingResponse() + clientsElsewhere)
               / (config.maxDescriptors() * PLACES_SHARE));
-      return overload.shedding();
+      return overload.isShedding();
     }
 
     @Override
     public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
-      long advice = overload.ask(serviceClass, tenant, subject, repeat, clock.now());
+      long advice = overload.admit(serviceClass, tenant, subject, repeat, clock.now());
       if (advice != ADMITTED) {
         dispatcher.recorder().count(Event.REJECTED_ADMISSION, 1);
         dispatcher
@@ -266,9 +266,9 @@
         (int) (config.maxDescriptors() * (1 - CLIENT_SHARE)) - own(config),
         // Where a request may not have two attempts out, one that is given up must be off its
         // connection before the next goes out: nothing may share it.
-        limits.parallelAttempts() ? Math.max(1, limits.perConnection()) : 1,
-        (long) (Math.max(1, limits.idleTimeout() / 2) * 1e9),
-        (long) (Math.max(0.001, limits.connectTimeout()) * 1e9));
+        limits.allowsParallelAttempts() ? Math.max(1, limits.maxAttemptsPerConnection()) : 1,
+        (long) (Math.max(1, limits.idleTimeoutSeconds() / 2) * 1e9),
+        (long) (Math.max(0.001, limits.connectTimeoutSeconds()) * 1e9));
   }
 
   /** Tells first the connections and then the module of what discovery says. */
@@ -279,7 +279,7 @@
     @Override
     public void onList(MemberList list) {
       toldFailure = null;
-      take(list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.CHANGES);
+      take(list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.DELTA);
       listed.countDown();
     }
 
@@ -315,11 +315,11 @@
   /** The same, after learning from what another process of this node has seen. */
   void startAfter(List<Observation> past) {
     if (!past.isEmpty()) {
-      dispatcher.replay(config.knownMembers().toUpdate(MembershipUpdate.Kind.REMEMBERED), past);
+      dispatcher.replay(config.knownMembers().toUpdate(MembershipUpdate.Kind.CACHED), past);
     }
     dispatcher.start(pools, discovery);
-    take(config.knownMembers(), MembershipUpdate.Kind.REMEMBERED);
-    if (!config.settings().asksForList()) {
+    take(config.knownMembers(), MembershipUpdate.Kind.CACHED);
+    if (!config.settings().pollsEndpointList()) {
       discovery.follow();
     }
   }
@@ -330,7 +330,7 @@
    * be called on the event loop.
    */
   void awaitPushedList(long millis) throws InterruptedException {
-    if (!config.settings().asksForList()) {
+    if (!config.settings().pollsEndpointList()) {
       listed.await(millis, TimeUnit.MILLISECONDS);
     }
   }
@@ -369,15 +369,15 @@
     double buffers = transport.bufferMemoryRatio();
     double descriptors = own(config) + front.connectionCount() + pools.connections();
     long now = clock.now();
-    overload.uses(
+    overload.onResourceUsage(
         processor.usedRatio(now),
         Double.isNaN(buffers) ? heapShare : Math.max(heapShare, buffers),
         descriptors / config.maxDescriptors(),
         now);
-    reading = overload.reading();
+    reading = overload.snapshot();
     joining = dispatcher.coalescingSnapshot();
     publish();
-    if (overload.posture().trims() && now - trimmedAt > TRIM_NANOS) {
+    if (overload.degradationPolicy().shrinksBuffers() && now - trimmedAt > TRIM_NANOS) {
       trimmedAt = now;
       transport.releaseCachedBuffers();
     }
@@ -424,7 +424,7 @@
       sweepLater();
       front.closeExpired();
       // Who takes this process's place needs the servers' places.
-      pools.closeExpiredIdle(clock.refresh(), handedOver ? 0 : overload.posture().idleNanos());
+      pools.closeExpiredIdle(clock.refresh(), handedOver ? 0 : overload.degradationPolicy().maxIdleNanos());
       pools.closeStalled();
     }
   }
@@ -511,13 +511,13 @@
   public void recordLoopTurn(long begunAt, long now) {
     // Not while it starts: loading and compiling its classes is one long turn after the other.
     if (listener != null) {
-      overload.turned(begunAt, now, dispatcher.oldestQueuedNanos());
+      overload.onLoopTurnEnd(begunAt, now, dispatcher.oldestQueuedNanos());
     }
   }
 
   /** The loop has stood still until now. */
   public void recordStall(long nanos) {
-    overload.paused(nanos, clock.now());
+    overload.onEventLoopStall(nanos, clock.now());
     dispatcher.onStall(nanos);
   }
 
--- a/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
@@ -282,7 +282,7 @@
     if (head == null) {
       return;
     }
-    boolean away = reply.result() == Outcome.Result.FULL && !proven && underWay.size() == 1;
+    boolean away = reply.result() == Outcome.Result.SERVER_BUSY && !proven && underWay.size() == 1;
     proven |= !away;
     if (away && !head.isEnded() && pool.holdsOthers(this)) {
       over();
@@ -519,7 +519,7 @@
           attempt,
           !attempt.isWritten()
               ? Outcome.Result.CONNECT_FAILED
-              : spoilt ? Outcome.Result.SPOILT : Outcome.Result.RESET);
+              : spoilt ? Outcome.Result.MALFORMED_RESPONSE : Outcome.Result.RESET);
     }
     pool.closed(this);
   }
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
@@ -235,7 +235,7 @@
         new LoadBalancer(
             NodeConfig.parse(JsonObject.parse(config(discovery))),
             plan.joining()
-                ? new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.DEFAULTS)
+                ? new OperatorFile(OverloadConfig.DEFAULT, CoalescingConfig.DEFAULTS)
                 : OperatorFile.DEFAULTS,
             loop,
             clock,
