--- a/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
@@ -88,14 +88,14 @@
    */
   public CommandResult propose(Proposal proposal, String first, long millis)
       throws IOException, InterruptedException {
-    return ReplicatedStateCodec.answer(
-        ask(GroupMember.HOLD, ReplicatedStateCodec.proposal(proposal), first, millis));
+    return ReplicatedStateCodec.decodeResult(
+        ask(GroupMember.HOLD, ReplicatedStateCodec.encodeProposal(proposal), first, millis));
   }
 
   /** What is held now. */
   public ReplicatedState.Snapshot read(String first, long millis)
       throws IOException, InterruptedException {
-    return ReplicatedStateCodec.image(ask(GroupMember.READ, new byte[0], first, millis));
+    return ReplicatedStateCodec.decodeSnapshot(ask(GroupMember.READ, new byte[0], first, millis));
   }
 
   /** Takes a member out of the group for good. */
@@ -124,7 +124,7 @@
 
   /** How a member sees the group. */
   public MemberStatus status(String member) throws IOException, InterruptedException {
-    return MemberStatusCodec.standing(once(member, GroupMember.STANDING, new byte[0], ONE_MILLIS));
+    return MemberStatusCodec.decode(once(member, GroupMember.STANDING, new byte[0], ONE_MILLIS));
   }
 
   private byte[] ask(String what, byte[] body, String first, long millis)
--- a/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
@@ -16,6 +16,7 @@
 import shalepaddle.changefeed.PublisherMessage;
 import shalepaddle.encoding.RaftMessageCodec;
 import shalepaddle.encoding.ReplicatedStateCodec;
+import shalepaddle.raft.MemberRole;
 import shalepaddle.raft.MemberStatus;
 import shalepaddle.raft.NotCommittedException;
 import shalepaddle.raft.NotCommittedException.Outcome;
@@ -161,7 +162,7 @@
 
   private PublisherMessage.Snapshot state() {
     ReplicatedState.Snapshot image = agreement.appliedState();
-    return new PublisherMessage.Snapshot(image.index(), ReplicatedStateCodec.image(image));
+    return new PublisherMessage.Snapshot(image.index(), ReplicatedStateCodec.encodeSnapshot(image));
   }
 
   private RaftMember.Listener fed(RaftMember.Listener listener) {
@@ -218,7 +219,7 @@
             SNAPSHOT_EVERY,
             journal,
             turns,
-            (to, message) -> links.send(to, RaftMessageCodec.message(message)),
+            (to, message) -> links.send(to, RaftMessageCodec.encode(message)),
             System.nanoTime(),
             fed(listener));
     agreement.start();
@@ -264,9 +265,7 @@
   /** How the group stands, as this member sees it. */
   public MemberStatus status() {
     RaftMember now = agreement;
-    return now == null
-        ? new MemberStatus(place.name(), "JOINING", null, 0, List.of(), List.of(), 0, 0, null)
-        : now.status();
+    return now == null ? MemberStatus.initial(place.name(), MemberRole.JOINING) : now.status();
   }
 
   /**
@@ -279,8 +278,8 @@
   public CompletionStage<CommandResult> propose(Proposal proposal, long millis) {
     return new Asking<CommandResult>(
             HOLD,
-            ReplicatedStateCodec.proposal(proposal),
-            ReplicatedStateCodec::answer,
+            ReplicatedStateCodec.encodeProposal(proposal),
+            ReplicatedStateCodec::decodeResult,
             () -> agreement.propose(proposal),
             millis)
         .begin();
@@ -289,7 +288,7 @@
   /** What is held at this moment: whoever was answered before this call finds it here. */
   public CompletionStage<ReplicatedState.Snapshot> read(long millis) {
     return new Asking<ReplicatedState.Snapshot>(
-            READ, new byte[0], ReplicatedStateCodec::image, () -> agreement.read(), millis)
+            READ, new byte[0], ReplicatedStateCodec::decodeSnapshot, () -> agreement.read(), millis)
         .begin();
   }
 
@@ -329,8 +328,7 @@
         answer.completeExceptionally(
             new NotCommittedException(
                 maybe ? Outcome.INDETERMINATE : Outcome.REJECTED,
-                "the group has no majority in contact",
-                null));
+                "the group has no majority in contact"));
         return;
       }
       MemberStatus standing = status();
@@ -387,7 +385,7 @@
       }
       RaftMessage read;
       try {
-        read = RaftMessageCodec.message(message);
+        read = RaftMessageCodec.decode(message);
       } catch (IOException e) {
         log.accept("a message is passed over: " + e.getMessage());
         return;
@@ -399,7 +397,7 @@
     public CompletionStage<byte[]> request(String what, byte[] body) {
       RaftMember now = agreement;
       if (what.equals(STANDING)) {
-        return CompletableFuture.completedFuture(MemberStatusCodec.standing(status()));
+        return CompletableFuture.completedFuture(MemberStatusCodec.encode(status()));
       }
       if (now == null) {
         return CompletableFuture.failedFuture(
@@ -409,9 +407,9 @@
         return switch (what) {
           case HOLD ->
               told(
-                  here(ReplicatedStateCodec.proposal(body), now)
-                      .thenApply(ReplicatedStateCodec::answer));
-          case READ -> told(read(now).thenApply(ReplicatedStateCodec::image));
+                  here(ReplicatedStateCodec.decodeProposal(body), now)
+                      .thenApply(ReplicatedStateCodec::encodeResult));
+          case READ -> told(read(now).thenApply(ReplicatedStateCodec::encodeSnapshot));
           case JOIN -> joins(now, new String(body, StandardCharsets.UTF_8));
           case VOTE ->
               told(
--- a/cluster/src/main/java/shalepaddle/cluster/MemberStatusCodec.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberStatusCodec.java
@@ -2,32 +2,37 @@
 
 import java.io.IOException;
 import shalepaddle.encoding.CborValues;
+import shalepaddle.raft.MemberRole;
 import shalepaddle.raft.MemberStatus;
 
-/** The form of how a member sees its group. */
+/** The format of {@link MemberStatus}. Stateless. */
 final class MemberStatusCodec {
   private MemberStatusCodec() {}
 
-  /** Its bytes. */
-  static byte[] standing(MemberStatus standing) {
+  /** The bytes of a status. */
+  static byte[] encode(MemberStatus status) {
     return CborValues.encode(
-        standing,
+        status,
         (value, out) -> {
-          out.put(value.name()).put(value.role()).put(value.leader()).put(value.term());
+          out.put(value.name()).put(value.role().name()).put(value.leader()).put(value.term());
           out.putList(value.members(), (member, to) -> to.put(member));
           out.putList(value.votingMembers(), (member, to) -> to.put(member));
           out.put(value.commitIndex()).put(value.lastLogIndex()).put(value.inactiveReason());
         });
   }
 
-  /** The same, read. */
-  static MemberStatus standing(byte[] bytes) throws IOException {
+  /**
+   * A status.
+   *
+   * @throws IOException if the bytes are none, or the role is one of a later version
+   */
+  static MemberStatus decode(byte[] bytes) throws IOException {
     return CborValues.decode(
         bytes,
         in ->
             new MemberStatus(
                 in.readText(),
-                in.readText(),
+                MemberRole.valueOf(in.readText()),
                 in.readText(),
                 in.readInt(),
                 in.readList(CborValues.Reader::readText),
--- a/cluster/src/main/java/shalepaddle/encoding/CborValues.java
+++ b/cluster/src/main/java/shalepaddle/encoding/CborValues.java
@@ -1,5 +1,6 @@
 package shalepaddle.encoding;
 
+import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
@@ -10,13 +11,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Values one behind the other, in CBOR (RFC 8949), as arrays within arrays. */
+/** Writes and reads values as CBOR arrays (RFC 8949). */
 public final class CborValues {
   private static final CBORFactory FACTORY = new CBORFactory();
 
   private CborValues() {}
 
-  /** Writes values. */
+  /** Writes the fields of a value, in order. */
   public static final class Writer {
     private final CBORGenerator out;
 
@@ -24,13 +25,13 @@
       this.out = out;
     }
 
-    /** A whole number. */
+    /** Writes an integer. */
     public Writer put(long value) throws IOException {
       out.writeNumber(value);
       return this;
     }
 
-    /** A word; null is a value, too. */
+    /** Writes a text, or null. */
     public Writer put(String value) throws IOException {
       if (value == null) {
         out.writeNull();
@@ -40,24 +41,24 @@
       return this;
     }
 
-    /** Yes or no. */
+    /** Writes a boolean. */
     public Writer put(boolean value) throws IOException {
       out.writeBoolean(value);
       return this;
     }
 
-    /** Bytes. */
+    /** Writes bytes. */
     public Writer put(byte[] value) throws IOException {
       out.writeBinary(value);
       return this;
     }
 
-    /** Values of one kind, in an array of their own. */
-    public <T> Writer putList(Iterable<T> values, Encoder<T> form) throws IOException {
+    /** Writes an array of values, each as an array of its fields. */
+    public <T> Writer putList(Iterable<T> values, Encoder<T> encoder) throws IOException {
       out.writeStartArray();
       for (T value : values) {
         out.writeStartArray();
-        form.encode(value, this);
+        encoder.encode(value, this);
         out.writeEndArray();
       }
       out.writeEndArray();
@@ -65,13 +66,16 @@
     }
   }
 
-  /** How a value is written. */
+  /** Writes the fields of a value. */
   @FunctionalInterface
   public interface Encoder<T> {
     void encode(T value, Writer out) throws IOException;
   }
 
-  /** Reads values in the order in which they were written. */
+  /**
+   * Reads the fields of a value, in the order in which they were written. Each method throws {@link
+   * MalformedMessageException} if the field is of another type.
+   */
   public static final class Reader {
     private final CBORParser in;
 
@@ -79,80 +83,81 @@
       this.in = in;
     }
 
-    private JsonToken next(JsonToken... wanted) throws IOException {
+    private JsonToken next(String expected, JsonToken... tokens) throws IOException {
       JsonToken token = in.nextToken();
-      for (JsonToken one : wanted) {
-        if (token == one) {
+      for (JsonToken accepted : tokens) {
+        if (token == accepted) {
           return token;
         }
       }
-      throw new IOException("a value of another kind than was written there: " + token);
+      throw new MalformedMessageException(expected, token);
     }
 
-    /** A whole number. */
+    /** Reads an integer of 64 bits. */
     public long readLong() throws IOException {
-      next(JsonToken.VALUE_NUMBER_INT);
+      next("an integer", JsonToken.VALUE_NUMBER_INT);
       return in.getLongValue();
     }
 
-    /** A whole number of fewer bits. */
+    /** Reads an integer of 32 bits. */
     public int readInt() throws IOException {
-      next(JsonToken.VALUE_NUMBER_INT);
+      next("an integer", JsonToken.VALUE_NUMBER_INT);
       return in.getIntValue();
     }
 
-    /** A word, or null. */
+    /** Reads a text, or null. */
     public String readText() throws IOException {
-      return next(JsonToken.VALUE_STRING, JsonToken.VALUE_NULL) == JsonToken.VALUE_NULL
+      return next("a text", JsonToken.VALUE_STRING, JsonToken.VALUE_NULL) == JsonToken.VALUE_NULL
           ? null
           : in.getText();
     }
 
-    /** Yes or no. */
+    /** Reads a boolean. */
     public boolean readBoolean() throws IOException {
-      return next(JsonToken.VALUE_TRUE, JsonToken.VALUE_FALSE) == JsonToken.VALUE_TRUE;
+      return next("a boolean", JsonToken.VALUE_TRUE, JsonToken.VALUE_FALSE) == JsonToken.VALUE_TRUE;
     }
 
-    /** Bytes. */
+    /** Reads bytes. */
     public byte[] readBytes() throws IOException {
-      next(JsonToken.VALUE_EMBEDDED_OBJECT);
+      next("a byte string", JsonToken.VALUE_EMBEDDED_OBJECT);
       return in.getBinaryValue();
     }
 
-    /** Values of one kind; what a later version has put behind the known of each is passed over. */
-    public <T> List<T> readList(Decoder<T> parse) throws IOException {
-      next(JsonToken.START_ARRAY);
-      List<T> all = new ArrayList<>();
-      while (next(JsonToken.START_ARRAY, JsonToken.END_ARRAY) == JsonToken.START_ARRAY) {
-        all.add(parse.decode(this));
-        passOver();
+    /** Reads an array of values; fields that a later version appended to one are skipped. */
+    public <T> List<T> readList(Decoder<T> decoder) throws IOException {
+      next("an array", JsonToken.START_ARRAY);
+      List<T> values = new ArrayList<>();
+      while (next("an array or its end", JsonToken.START_ARRAY, JsonToken.END_ARRAY)
+          == JsonToken.START_ARRAY) {
+        values.add(decoder.decode(this));
+        skipRest();
       }
-      return List.copyOf(all);
+      return List.copyOf(values);
     }
 
-    /** To the end of the array that is open. */
-    private void passOver() throws IOException {
+    /** Skips the rest of the array that is open. */
+    private void skipRest() throws IOException {
       for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
         if (token == null) {
-          throw new IOException("ends in the middle");
+          throw new MalformedMessageException("the end of an array", "the end of the bytes");
         }
         in.skipChildren();
       }
     }
   }
 
-  /** How a value is read. */
+  /** Reads the fields of a value. */
   @FunctionalInterface
   public interface Decoder<T> {
     T decode(Reader in) throws IOException;
   }
 
-  /** The bytes of a value of this form. */
-  public static <T> byte[] encode(T value, Encoder<T> form) {
+  /** The bytes of a value. */
+  public static <T> byte[] encode(T value, Encoder<T> encoder) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
       out.writeStartArray();
-      form.encode(value, new Writer(out));
+      encoder.encode(value, new Writer(out));
       out.writeEndArray();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -163,17 +168,18 @@
   /**
    * The value in these bytes.
    *
-   * @throws IOException if it is of another form, or cut short
+   * @throws MalformedMessageException if they are in another format, or incomplete
+   * @throws IOException as the decoder throws it
    */
-  public static <T> T decode(byte[] bytes, Decoder<T> parse) throws IOException {
+  public static <T> T decode(byte[] bytes, Decoder<T> decoder) throws IOException {
     try (CBORParser in = FACTORY.createParser(bytes)) {
       Reader reader = new Reader(in);
-      reader.next(JsonToken.START_ARRAY);
-      T value = parse.decode(reader);
-      reader.passOver();
+      reader.next("an array", JsonToken.START_ARRAY);
+      T value = decoder.decode(reader);
+      reader.skipRest();
       return value;
-    } catch (IllegalArgumentException e) {
-      throw new IOException(e);
+    } catch (JsonProcessingException | IllegalArgumentException e) {
+      throw new MalformedMessageException(e);
     }
   }
 }
--- a/cluster/src/main/java/shalepaddle/encoding/ChangeFeedCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/ChangeFeedCodec.java
@@ -5,106 +5,114 @@
 import shalepaddle.changefeed.PublisherMessage;
 import shalepaddle.changefeed.SubscriberMessage;
 
-/** The forms of what members and followers tell each other. */
+/** The formats of the messages between publishers and subscribers of the change feed. */
 public final class ChangeFeedCodec {
   private static final int HELLO = 1;
-  private static final int TAKEN = 2;
-  private static final int WRONG = 3;
+  private static final int ACKNOWLEDGEMENT = 2;
+  private static final int ENTRY_REJECTED = 3;
+
   private static final int ENTRIES = 1;
   private static final int SNAPSHOT = 2;
-  private static final int ALIVE = 3;
-  private static final int TURNED_DOWN = 4;
+  private static final int HEARTBEAT = 3;
+  private static final int REJECTED = 4;
 
   private ChangeFeedCodec() {}
 
-  /** The bytes of what a follower says. */
-  public static byte[] said(SubscriberMessage said) {
+  /** The bytes of a subscriber's message. */
+  public static byte[] encode(SubscriberMessage message) {
     return CborValues.encode(
-        said,
+        message,
         (value, out) -> {
           if (value instanceof SubscriberMessage.Hello hello) {
             out.put(HELLO).put(hello.group()).put(hello.name()).put(hello.index());
-          } else if (value instanceof SubscriberMessage.Acknowledgement taken) {
-            out.put(TAKEN).put(taken.index());
-          } else if (value instanceof SubscriberMessage.EntryRejected wrong) {
-            out.put(WRONG).put(wrong.index()).put(wrong.reason());
+          } else if (value instanceof SubscriberMessage.Acknowledgement acknowledgement) {
+            out.put(ACKNOWLEDGEMENT).put(acknowledgement.index());
+          } else if (value instanceof SubscriberMessage.EntryRejected rejected) {
+            out.put(ENTRY_REJECTED).put(rejected.index()).put(rejected.reason());
           }
         });
   }
 
   /**
-   * What a follower says.
+   * A subscriber's message.
    *
-   * @throws IOException if it is of another form
+   * @throws UnknownFormatException if a later version made it
+   * @throws MalformedMessageException if the bytes are none
    */
-  public static SubscriberMessage said(byte[] bytes) throws IOException {
+  public static SubscriberMessage decodeSubscriberMessage(byte[] bytes) throws IOException {
     return CborValues.decode(
         bytes,
         in -> {
-          int kind = in.readInt();
-          return switch (kind) {
-            case HELLO -> new SubscriberMessage.Hello(text(in), text(in), place(in));
-            case TAKEN -> new SubscriberMessage.Acknowledgement(place(in));
-            case WRONG -> new SubscriberMessage.EntryRejected(place(in), text(in));
-            default -> throw new IOException("a follower's word of kind " + kind);
+          int format = in.readInt();
+          return switch (format) {
+            case HELLO ->
+                new SubscriberMessage.Hello(
+                    readBoundedText(in), readBoundedText(in), readIndex(in));
+            case ACKNOWLEDGEMENT -> new SubscriberMessage.Acknowledgement(readIndex(in));
+            case ENTRY_REJECTED ->
+                new SubscriberMessage.EntryRejected(readIndex(in), readBoundedText(in));
+            default -> throw new UnknownFormatException("a subscriber's message", format);
           };
         });
   }
 
-  private static String text(CborValues.Reader in) throws IOException {
-    String text = in.readText();
-    if (text == null || text.length() > SubscriberMessage.MAX_TEXT_LENGTH) {
-      throw new IOException(
-          "a text of up to " + SubscriberMessage.MAX_TEXT_LENGTH + " characters is due");
-    }
-    return text;
-  }
-
-  private static long place(CborValues.Reader in) throws IOException {
-    long place = in.readLong();
-    if (place < 0) {
-      throw new IOException("a place in the log is due, and not " + place);
-    }
-    return place;
-  }
-
-  /** The bytes of what a member tells. */
-  public static byte[] told(PublisherMessage told) {
+  /** The bytes of a publisher's message. */
+  public static byte[] encode(PublisherMessage message) {
     return CborValues.encode(
-        told,
+        message,
         (value, out) -> {
           if (value instanceof PublisherMessage.Entries entries) {
             out.put(ENTRIES).put(entries.previousIndex());
             out.putList(entries.entries(), (entry, to) -> to.put(entry.index()).put(entry.body()));
           } else if (value instanceof PublisherMessage.Snapshot snapshot) {
             out.put(SNAPSHOT).put(snapshot.index()).put(snapshot.state());
-          } else if (value instanceof PublisherMessage.Heartbeat alive) {
-            out.put(ALIVE).put(alive.index());
-          } else if (value instanceof PublisherMessage.Rejected down) {
-            out.put(TURNED_DOWN).put(down.reason());
+          } else if (value instanceof PublisherMessage.Heartbeat heartbeat) {
+            out.put(HEARTBEAT).put(heartbeat.index());
+          } else if (value instanceof PublisherMessage.Rejected rejected) {
+            out.put(REJECTED).put(rejected.reason());
           }
         });
   }
 
   /**
-   * What a member tells.
+   * A publisher's message.
    *
-   * @throws IOException if it is of another form
+   * @throws UnknownFormatException if a later version made it
+   * @throws MalformedMessageException if the bytes are none
    */
-  public static PublisherMessage told(byte[] bytes) throws IOException {
+  public static PublisherMessage decodePublisherMessage(byte[] bytes) throws IOException {
     return CborValues.decode(
         bytes,
         in -> {
-          int kind = in.readInt();
-          return switch (kind) {
+          int format = in.readInt();
+          return switch (format) {
             case ENTRIES ->
                 new PublisherMessage.Entries(
-                    place(in), in.readList(from -> new ChangeEntry(place(from), from.readBytes())));
-            case SNAPSHOT -> new PublisherMessage.Snapshot(place(in), in.readBytes());
-            case ALIVE -> new PublisherMessage.Heartbeat(place(in));
-            case TURNED_DOWN -> new PublisherMessage.Rejected(text(in));
-            default -> throw new IOException("a member's word of kind " + kind);
+                    readIndex(in),
+                    in.readList(from -> new ChangeEntry(readIndex(from), from.readBytes())));
+            case SNAPSHOT -> new PublisherMessage.Snapshot(readIndex(in), in.readBytes());
+            case HEARTBEAT -> new PublisherMessage.Heartbeat(readIndex(in));
+            case REJECTED -> new PublisherMessage.Rejected(readBoundedText(in));
+            default -> throw new UnknownFormatException("a publisher's message", format);
           };
         });
   }
+
+  private static String readBoundedText(CborValues.Reader in) throws IOException {
+    String text = in.readText();
+    if (text == null || text.length() > SubscriberMessage.MAX_TEXT_LENGTH) {
+      throw new MalformedMessageException(
+          "a text of up to %d characters".formatted(SubscriberMessage.MAX_TEXT_LENGTH),
+          text == null ? "null" : text.length());
+    }
+    return text;
+  }
+
+  private static long readIndex(CborValues.Reader in) throws IOException {
+    long index = in.readLong();
+    if (index < 0) {
+      throw new MalformedMessageException("a log index", index);
+    }
+    return index;
+  }
 }
--- a/cluster/src/main/java/shalepaddle/encoding/Endpoint.java
+++ b/cluster/src/main/java/shalepaddle/encoding/Endpoint.java
@@ -3,8 +3,8 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A member, by the name under which it votes. A machine that has lost its disk comes back under
- * another.
+ * A member of a Raft group, by the name under which it votes. A machine that has lost its disk
+ * comes back under another name. Immutable.
  */
 public record Endpoint(String name) implements RaftEndpoint, Comparable<Endpoint> {
   @Override
@@ -17,12 +17,12 @@
     return name.compareTo(other.name);
   }
 
-  /** The name of a member as the library has it. */
+  /** The name of a member, null for none. */
   static String nameOf(RaftEndpoint endpoint) {
     return endpoint == null ? null : ((Endpoint) endpoint).name();
   }
 
-  /** The member of this name, null for none. */
+  /** The member of a name, null for none. */
   static Endpoint ofName(String name) {
     return name == null ? null : new Endpoint(name);
   }
--- a/cluster/src/main/java/shalepaddle/encoding/LogEntryCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/LogEntryCodec.java
@@ -16,113 +16,120 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 
-/** The forms of what the log is made of. */
+/** The formats of log entries, snapshot chunks, terms and group configurations. */
 public final class LogEntryCodec {
-  /** What a new leader begins its term with: it asks for nothing. */
+  /** The operation with which a leader begins its term, and of a read; it changes nothing. */
   public static final byte[] EMPTY_OPERATION = new byte[0];
 
   private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-  private static final int BYTES = 1;
-  private static final int MEMBERS = 2;
+  private static final int OPERATION_BYTES = 1;
+  private static final int OPERATION_MEMBERSHIP_CHANGE = 2;
 
   private LogEntryCodec() {}
 
-  /** Makes what the library works with. */
+  /** Builds the library's messages and entries. */
   public static RaftModelFactory model() {
     return MODEL;
   }
 
-  static void members(Collection<RaftEndpoint> members, CborValues.Writer out) throws IOException {
+  static void writeMembers(Collection<RaftEndpoint> members, CborValues.Writer out)
+      throws IOException {
     out.putList(members, (member, to) -> to.put(Endpoint.nameOf(member)));
   }
 
-  static Collection<RaftEndpoint> members(CborValues.Reader in) throws IOException {
+  static Collection<RaftEndpoint> readMembers(CborValues.Reader in) throws IOException {
     List<RaftEndpoint> members = in.readList(from -> Endpoint.ofName(from.readText()));
     return new LinkedHashSet<>(members);
   }
 
-  /** Who is in the group, and who votes. */
-  public static void view(RaftGroupMembersView view, CborValues.Writer out) throws IOException {
+  /** Writes a group configuration: all members, and those that vote. */
+  public static void writeMembersView(RaftGroupMembersView view, CborValues.Writer out)
+      throws IOException {
     out.put(view.getLogIndex());
-    members(view.getMembers(), out);
-    members(view.getVotingMembers(), out);
+    writeMembers(view.getMembers(), out);
+    writeMembers(view.getVotingMembers(), out);
   }
 
-  /** The same, read. */
-  public static RaftGroupMembersView view(CborValues.Reader in) throws IOException {
+  /** Reads a group configuration. */
+  public static RaftGroupMembersView readMembersView(CborValues.Reader in) throws IOException {
     return MODEL
         .createRaftGroupMembersViewBuilder()
         .setLogIndex(in.readLong())
-        .setMembers(members(in))
-        .setVotingMembers(members(in))
+        .setMembers(readMembers(in))
+        .setVotingMembers(readMembers(in))
         .build();
   }
 
-  private static void operation(Object operation, CborValues.Writer out) throws IOException {
+  private static void writeOperation(Object operation, CborValues.Writer out) throws IOException {
     if (operation instanceof byte[] bytes) {
-      out.put(BYTES).put(bytes);
+      out.put(OPERATION_BYTES).put(bytes);
     } else if (operation instanceof UpdateRaftGroupMembersOp change) {
-      out.put(MEMBERS);
-      members(change.getMembers(), out);
-      members(change.getVotingMembers(), out);
+      out.put(OPERATION_MEMBERSHIP_CHANGE);
+      writeMembers(change.getMembers(), out);
+      writeMembers(change.getVotingMembers(), out);
       out.put(Endpoint.nameOf(change.getEndpoint())).put(change.getMode().name());
     } else {
-      throw new IOException("no form for " + operation);
+      throw new IOException("an operation without a format: " + operation);
     }
   }
 
-  private static Object operation(CborValues.Reader in) throws IOException {
-    int kind = in.readInt();
-    return switch (kind) {
-      case BYTES -> in.readBytes();
-      case MEMBERS ->
+  private static Object readOperation(CborValues.Reader in) throws IOException {
+    int format = in.readInt();
+    return switch (format) {
+      case OPERATION_BYTES -> in.readBytes();
+      case OPERATION_MEMBERSHIP_CHANGE ->
           MODEL
               .createUpdateRaftGroupMembersOpBuilder()
-              .setMembers(members(in))
-              .setVotingMembers(members(in))
+              .setMembers(readMembers(in))
+              .setVotingMembers(readMembers(in))
               .setEndpoint(Endpoint.ofName(in.readText()))
               .setMode(MembershipChangeMode.valueOf(in.readText()))
               .build();
-      default -> throw new IOException("an entry of form " + kind + ", made by a later version");
+      default -> throw new UnknownFormatException("an entry", format);
     };
   }
 
-  /** An entry of the log. */
-  public static void entry(LogEntry entry, CborValues.Writer out) throws IOException {
+  /** Writes a log entry. */
+  public static void writeEntry(LogEntry entry, CborValues.Writer out) throws IOException {
     out.put(entry.getIndex()).put(entry.getTerm());
-    operation(entry.getOperation(), out);
+    writeOperation(entry.getOperation(), out);
   }
 
-  /** The same, read. */
-  public static LogEntry entry(CborValues.Reader in) throws IOException {
+  /**
+   * Reads a log entry.
+   *
+   * @throws UnknownFormatException if a later version made its operation
+   */
+  public static LogEntry readEntry(CborValues.Reader in) throws IOException {
     return MODEL
         .createLogEntryBuilder()
         .setIndex(in.readLong())
         .setTerm(in.readInt())
-        .setOperation(operation(in))
+        .setOperation(readOperation(in))
         .build();
   }
 
-  /** A part of a snapshot. */
-  public static void chunk(SnapshotChunk chunk, CborValues.Writer out) throws IOException {
+  /** Writes a chunk of a snapshot. */
+  public static void writeSnapshotChunk(SnapshotChunk chunk, CborValues.Writer out)
+      throws IOException {
     out.put(chunk.getIndex())
         .put(chunk.getTerm())
         .put(chunk.getSnapshotChunkIndex())
         .put(chunk.getSnapshotChunkCount());
-    view(chunk.getGroupMembersView(), out);
-    operation(chunk.getOperation(), out);
+    writeMembersView(chunk.getGroupMembersView(), out);
+    writeOperation(chunk.getOperation(), out);
   }
 
-  /** The same, read. */
-  public static SnapshotChunk chunk(CborValues.Reader in) throws IOException {
+  /** Reads a chunk of a snapshot. */
+  public static SnapshotChunk readSnapshotChunk(CborValues.Reader in) throws IOException {
     return MODEL
         .createSnapshotChunkBuilder()
         .setIndex(in.readLong())
         .setTerm(in.readInt())
         .setSnapshotChunkIndex(in.readInt())
         .setSnapshotChunkCount(in.readInt())
-        .setGroupMembersView(view(in))
-        .setOperation(operation(in))
+        .setGroupMembersView(readMembersView(in))
+        .setOperation(readOperation(in))
         .build();
   }
 
@@ -152,17 +159,18 @@
         .build();
   }
 
-  /** The term, and who has this member's vote in it. */
-  public static void term(RaftTermPersistentState term, CborValues.Writer out) throws IOException {
+  /** Writes a term and the vote in it. */
+  public static void writeTerm(RaftTermPersistentState term, CborValues.Writer out)
+      throws IOException {
     out.put(term.getTerm()).put(Endpoint.nameOf(term.getVotedFor()));
   }
 
-  /** The same, read. */
-  public static RaftTermPersistentState term(CborValues.Reader in) throws IOException {
+  /** Reads a term and the vote in it. */
+  public static RaftTermPersistentState readTerm(CborValues.Reader in) throws IOException {
     return term(in.readInt(), in.readText());
   }
 
-  /** The names of members, in order. */
+  /** The names of members, sorted. */
   public static List<String> names(Collection<RaftEndpoint> members) {
     List<String> names = new ArrayList<>();
     members.forEach(member -> names.add(Endpoint.nameOf(member)));
--- a/cluster/src/main/java/shalepaddle/encoding/RaftMessageCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/RaftMessageCodec.java
@@ -1,8 +1,6 @@
 package shalepaddle.encoding;
 
 import io.microraft.RaftEndpoint;
-import io.microraft.model.RaftModelFactory;
-import io.microraft.model.log.SnapshotChunk;
 import io.microraft.model.message.AppendEntriesFailureResponse;
 import io.microraft.model.message.AppendEntriesRequest;
 import io.microraft.model.message.AppendEntriesSuccessResponse;
@@ -15,195 +13,104 @@
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
 import java.io.IOException;
-import java.util.List;
 
-/** The forms of what members send each other to agree. */
+/**
+ * The formats of the messages of Raft: the number of the format, a header that all have, and the
+ * fields of each. {@link AppendEntriesCodec}, {@link ElectionCodec} and {@link
+ * InstallSnapshotCodec} have the fields.
+ */
 public final class RaftMessageCodec {
-  private static final RaftModelFactory MODEL = LogEntryCodec.model();
+  private static final int APPEND_ENTRIES_REQUEST = 1;
+  private static final int APPEND_ENTRIES_SUCCESS = 2;
+  private static final int APPEND_ENTRIES_FAILURE = 3;
+  private static final int PRE_VOTE_REQUEST = 4;
+  private static final int PRE_VOTE_RESPONSE = 5;
+  private static final int VOTE_REQUEST = 6;
+  private static final int VOTE_RESPONSE = 7;
+  private static final int TRIGGER_ELECTION = 8;
+  private static final int INSTALL_SNAPSHOT_REQUEST = 9;
+  private static final int INSTALL_SNAPSHOT_RESPONSE = 10;
 
   private RaftMessageCodec() {}
 
-  /** A message's bytes. */
-  public static byte[] message(RaftMessage message) {
-    return CborValues.encode(message, RaftMessageCodec::write);
-  }
+  /** What each message begins with. */
+  record Header(String group, RaftEndpoint sender, int term) {
+    static Header of(RaftMessage message) {
+      return new Header((String) message.getGroupId(), message.getSender(), message.getTerm());
+    }
 
-  private static void write(RaftMessage message, CborValues.Writer out) throws IOException {
-    if (message instanceof AppendEntriesRequest m) {
-      head(1, m, out);
-      out.put(m.getPreviousLogTerm()).put(m.getPreviousLogIndex()).put(m.getCommitIndex());
-      out.putList(m.getLogEntries(), LogEntryCodec::entry);
-      out.put(m.getQuerySequenceNumber()).put(m.getFlowControlSequenceNumber());
-    } else if (message instanceof AppendEntriesSuccessResponse m) {
-      head(2, m, out);
-      out.put(m.getLastLogIndex()).put(m.getQuerySequenceNumber());
-      out.put(m.getFlowControlSequenceNumber());
-    } else if (message instanceof AppendEntriesFailureResponse m) {
-      head(3, m, out);
-      out.put(m.getExpectedNextIndex()).put(m.getQuerySequenceNumber());
-      out.put(m.getFlowControlSequenceNumber());
-    } else if (message instanceof PreVoteRequest m) {
-      head(4, m, out);
-      out.put(m.getLastLogTerm()).put(m.getLastLogIndex());
-    } else if (message instanceof PreVoteResponse m) {
-      head(5, m, out);
-      out.put(m.isGranted());
-    } else if (message instanceof VoteRequest m) {
-      head(6, m, out);
-      out.put(m.getLastLogTerm()).put(m.getLastLogIndex()).put(m.isSticky());
-    } else if (message instanceof VoteResponse m) {
-      head(7, m, out);
-      out.put(m.isGranted());
-    } else if (message instanceof TriggerLeaderElectionRequest m) {
-      head(8, m, out);
-      out.put(m.getLastLogTerm()).put(m.getLastLogIndex());
-    } else if (message instanceof InstallSnapshotRequest m) {
-      head(9, m, out);
-      out.put(m.isSenderLeader()).put(m.getSnapshotTerm()).put(m.getSnapshotIndex());
-      out.put(m.getTotalSnapshotChunkCount());
-      SnapshotChunk chunk = m.getSnapshotChunk();
-      out.putList(chunk == null ? List.of() : List.of(chunk), LogEntryCodec::chunk);
-      LogEntryCodec.members(m.getSnapshottedMembers(), out);
-      LogEntryCodec.view(m.getGroupMembersView(), out);
-      out.put(m.getQuerySequenceNumber()).put(m.getFlowControlSequenceNumber());
-    } else if (message instanceof InstallSnapshotResponse m) {
-      head(10, m, out);
-      out.put(m.getSnapshotIndex()).put(m.getRequestedSnapshotChunkIndex());
-      out.put(m.getQuerySequenceNumber()).put(m.getFlowControlSequenceNumber());
-    } else {
-      throw new IOException("no form for " + message);
+    void write(CborValues.Writer out) throws IOException {
+      out.put(group).put(Endpoint.nameOf(sender)).put(term);
+    }
+
+    static Header read(CborValues.Reader in) throws IOException {
+      return new Header(in.readText(), Endpoint.ofName(in.readText()), in.readInt());
     }
   }
 
-  /** What each message begins with; the kind tells what follows. */
-  private static void head(int kind, RaftMessage message, CborValues.Writer out)
-      throws IOException {
-    out.put(kind)
-        .put((String) message.getGroupId())
-        .put(Endpoint.nameOf(message.getSender()))
-        .put(message.getTerm());
+  /** The bytes of a message. */
+  public static byte[] encode(RaftMessage message) {
+    return CborValues.encode(message, RaftMessageCodec::write);
   }
 
   /**
    * A message.
    *
-   * @throws IOException if it is of a form that is not known, or cut short
+   * @throws UnknownFormatException if a later version made it
+   * @throws MalformedMessageException if the bytes are none
    */
-  public static RaftMessage message(byte[] bytes) throws IOException {
+  public static RaftMessage decode(byte[] bytes) throws IOException {
     return CborValues.decode(bytes, RaftMessageCodec::read);
   }
 
+  private static CborValues.Writer begin(int format, RaftMessage message, CborValues.Writer out)
+      throws IOException {
+    out.put(format);
+    Header.of(message).write(out);
+    return out;
+  }
+
+  private static void write(RaftMessage message, CborValues.Writer out) throws IOException {
+    if (message instanceof AppendEntriesRequest request) {
+      AppendEntriesCodec.writeRequest(request, begin(APPEND_ENTRIES_REQUEST, message, out));
+    } else if (message instanceof AppendEntriesSuccessResponse response) {
+      AppendEntriesCodec.writeSuccess(response, begin(APPEND_ENTRIES_SUCCESS, message, out));
+    } else if (message instanceof AppendEntriesFailureResponse response) {
+      AppendEntriesCodec.writeFailure(response, begin(APPEND_ENTRIES_FAILURE, message, out));
+    } else if (message instanceof PreVoteRequest request) {
+      ElectionCodec.writePreVoteRequest(request, begin(PRE_VOTE_REQUEST, message, out));
+    } else if (message instanceof PreVoteResponse response) {
+      begin(PRE_VOTE_RESPONSE, message, out).put(response.isGranted());
+    } else if (message instanceof VoteRequest request) {
+      ElectionCodec.writeVoteRequest(request, begin(VOTE_REQUEST, message, out));
+    } else if (message instanceof VoteResponse response) {
+      begin(VOTE_RESPONSE, message, out).put(response.isGranted());
+    } else if (message instanceof TriggerLeaderElectionRequest request) {
+      ElectionCodec.writeTriggerElection(request, begin(TRIGGER_ELECTION, message, out));
+    } else if (message instanceof InstallSnapshotRequest request) {
+      InstallSnapshotCodec.writeRequest(request, begin(INSTALL_SNAPSHOT_REQUEST, message, out));
+    } else if (message instanceof InstallSnapshotResponse response) {
+      InstallSnapshotCodec.writeResponse(response, begin(INSTALL_SNAPSHOT_RESPONSE, message, out));
+    } else {
+      throw new IOException("a message without a format: " + message);
+    }
+  }
+
   private static RaftMessage read(CborValues.Reader in) throws IOException {
-    int kind = in.readInt();
-    String group = in.readText();
-    RaftEndpoint sender = Endpoint.ofName(in.readText());
-    int term = in.readInt();
-    return switch (kind) {
-      case 1 ->
-          MODEL
-              .createAppendEntriesRequestBuilder()
-              .setGroupId(group)
-              .setSender(sender)
-              .setTerm(term)
-              .setPreviousLogTerm(in.readInt())
-              .setPreviousLogIndex(in.readLong())
-              .setCommitIndex(in.readLong())
-              .setLogEntries(in.readList(LogEntryCodec::entry))
-              .setQuerySequenceNumber(in.readLong())
-              .setFlowControlSequenceNumber(in.readLong())
-              .build();
-      case 2 ->
-          MODEL
-              .createAppendEntriesSuccessResponseBuilder()
-              .setGroupId(group)
-              .setSender(sender)
-              .setTerm(term)
-              .setLastLogIndex(in.readLong())
-              .setQuerySequenceNumber(in.readLong())
-              .setFlowControlSequenceNumber(in.readLong())
-              .build();
-      case 3 ->
-          MODEL
-              .createAppendEntriesFailureResponseBuilder()
-              .setGroupId(group)
-              .setSender(sender)
-              .setTerm(term)
-              .setExpectedNextIndex(in.readLong())
-              .setQuerySequenceNumber(in.readLong())
-              .setFlowControlSequenceNumber(in.readLong())
-              .build();
-      case 4 ->
-          MODEL
-              .createPreVoteRequestBuilder()
-              .setGroupId(group)
-              .setSender(sender)
-              .setTerm(term)
-              .setLastLogTerm(in.readInt())
-              .setLastLogIndex(in.readLong())
-              .build();
-      case 5 ->
-          MODEL
-              .createPreVoteResponseBuilder()
-              .setGroupId(group)
-              .setSender(sender)
-              .setTerm(term)
-              .setGranted(in.readBoolean())
-              .build();
-      case 6 ->
-          MODEL
-              .createVoteRequestBuilder()
-              .setGroupId(group)
-              .setSender(sender)
-              .setTerm(term)
-              .setLastLogTerm(in.readInt())
-              .setLastLogIndex(in.readLong())
-              .setSticky(in.readBoolean())
-              .build();
-      case 7 ->
-          MODEL
-              .createVoteResponseBuilder()
-              .setGroupId(group)
-              .setSender(sender)
-              .setTerm(term)
-              .setGranted(in.readBoolean())
-              .build();
-      case 8 ->
-          MODEL
-              .createTriggerLeaderElectionRequestBuilder()
-              .setGroupId(group)
-              .setSender(sender)
-              .setTerm(term)
-              .setLastLogTerm(in.readInt())
-              .setLastLogIndex(in.readLong())
-              .build();
-      case 9 ->
-          MODEL
-              .createInstallSnapshotRequestBuilder()
-              .setGroupId(group)
-              .setSender(sender)
-              .setTerm(term)
-              .setSenderLeader(in.readBoolean())
-              .setSnapshotTerm(in.readInt())
-              .setSnapshotIndex(in.readLong())
-              .setTotalSnapshotChunkCount(in.readInt())
-              .setSnapshotChunk(in.readList(LogEntryCodec::chunk).stream().findFirst().orElse(null))
-              .setSnapshottedMembers(LogEntryCodec.members(in))
-              .setGroupMembersView(LogEntryCodec.view(in))
-              .setQuerySequenceNumber(in.readLong())
-              .setFlowControlSequenceNumber(in.readLong())
-              .build();
-      case 10 ->
-          MODEL
-              .createInstallSnapshotResponseBuilder()
-              .setGroupId(group)
-              .setSender(sender)
-              .setTerm(term)
-              .setSnapshotIndex(in.readLong())
-              .setRequestedSnapshotChunkIndex(in.readInt())
-              .setQuerySequenceNumber(in.readLong())
-              .setFlowControlSequenceNumber(in.readLong())
-              .build();
-      default -> throw new IOException("a message of form " + kind + ", made by a later version");
+    int format = in.readInt();
+    Header header = Header.read(in);
+    return switch (format) {
+      case APPEND_ENTRIES_REQUEST -> AppendEntriesCodec.readRequest(header, in);
+      case APPEND_ENTRIES_SUCCESS -> AppendEntriesCodec.readSuccess(header, in);
+      case APPEND_ENTRIES_FAILURE -> AppendEntriesCodec.readFailure(header, in);
+      case PRE_VOTE_REQUEST -> ElectionCodec.readPreVoteRequest(header, in);
+      case PRE_VOTE_RESPONSE -> ElectionCodec.readPreVoteResponse(header, in);
+      case VOTE_REQUEST -> ElectionCodec.readVoteRequest(header, in);
+      case VOTE_RESPONSE -> ElectionCodec.readVoteResponse(header, in);
+      case TRIGGER_ELECTION -> ElectionCodec.readTriggerElection(header, in);
+      case INSTALL_SNAPSHOT_REQUEST -> InstallSnapshotCodec.readRequest(header, in);
+      case INSTALL_SNAPSHOT_RESPONSE -> InstallSnapshotCodec.readResponse(header, in);
+      default -> throw new UnknownFormatException("a message", format);
     };
   }
 }
--- a/cluster/src/main/java/shalepaddle/encoding/ReplicatedStateCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/ReplicatedStateCodec.java
@@ -6,74 +6,81 @@
 import shalepaddle.replicatedstate.ReplicatedState;
 import shalepaddle.replicatedstate.StateCommand;
 
-/** The forms of what is held. An entry of a kind that is not known is read as such, not refused. */
+/** The formats of proposals, results and snapshots of the replicated state. */
 public final class ReplicatedStateCodec {
-  private static final int SAY = 1;
-  private static final int IMAGE = 1;
+  private static final int SET_EXCLUSION = 1;
+  private static final int SNAPSHOT_FORMAT = 1;
 
   private ReplicatedStateCodec() {}
 
-  /** A proposal's bytes. */
-  public static byte[] proposal(Proposal proposal) {
+  /** The bytes of a proposal. */
+  public static byte[] encodeProposal(Proposal proposal) {
     return CborValues.encode(
         proposal,
         (value, out) -> {
           out.put(value.id()).put(value.proposedAtMillis());
-          if (value.command() instanceof StateCommand.SetExclusion say) {
-            out.put(SAY).put(say.serverId()).put(say.excluded());
+          if (value.command() instanceof StateCommand.SetExclusion exclusion) {
+            out.put(SET_EXCLUSION).put(exclusion.serverId()).put(exclusion.excluded());
           } else if (value.command() instanceof StateCommand.Unknown unknown) {
             out.put(unknown.kind());
           }
         });
   }
 
-  /** A proposal, of this version or a later one. */
-  public static Proposal proposal(byte[] bytes) throws IOException {
+  /**
+   * A proposal. A command of a later version is read as {@link StateCommand.Unknown}.
+   *
+   * @throws MalformedMessageException if the bytes are none
+   */
+  public static Proposal decodeProposal(byte[] bytes) throws IOException {
     return CborValues.decode(
         bytes,
         in -> {
           String id = in.readText();
-          long at = in.readLong();
+          long proposedAtMillis = in.readLong();
           int kind = in.readInt();
-          return new Proposal(
-              id,
-              at,
-              kind == SAY
+          StateCommand command =
+              kind == SET_EXCLUSION
                   ? new StateCommand.SetExclusion(in.readText(), in.readBoolean())
-                  : new StateCommand.Unknown(kind));
+                  : new StateCommand.Unknown(kind);
+          return new Proposal(id, proposedAtMillis, command);
         });
   }
 
-  /** An answer's bytes. */
-  public static byte[] answer(CommandResult answer) {
-    return CborValues.encode(answer, ReplicatedStateCodec::answer);
+  /** The bytes of a result. */
+  public static byte[] encodeResult(CommandResult result) {
+    return CborValues.encode(result, ReplicatedStateCodec::writeResult);
   }
 
-  /** An answer. */
-  public static CommandResult answer(byte[] bytes) throws IOException {
-    return CborValues.decode(bytes, ReplicatedStateCodec::answer);
+  /**
+   * A result.
+   *
+   * @throws MalformedMessageException if the bytes are none
+   */
+  public static CommandResult decodeResult(byte[] bytes) throws IOException {
+    return CborValues.decode(bytes, ReplicatedStateCodec::readResult);
   }
 
-  private static void answer(CommandResult answer, CborValues.Writer out) throws IOException {
-    out.put(answer.outcome().wireName()).put(answer.index());
+  private static void writeResult(CommandResult result, CborValues.Writer out) throws IOException {
+    out.put(result.outcome().wireName()).put(result.index());
   }
 
-  private static CommandResult answer(CborValues.Reader in) throws IOException {
+  private static CommandResult readResult(CborValues.Reader in) throws IOException {
     return new CommandResult(CommandResult.Outcome.ofWireName(in.readText()), in.readLong());
   }
 
   /** The bytes of a snapshot. */
-  public static byte[] image(ReplicatedState.Snapshot image) {
+  public static byte[] encodeSnapshot(ReplicatedState.Snapshot snapshot) {
     return CborValues.encode(
-        image,
+        snapshot,
         (value, out) -> {
-          out.put(IMAGE).put(value.index()).put(value.logTimeMillis());
-          out.putList(value.excludedServers(), (member, to) -> to.put(member));
+          out.put(SNAPSHOT_FORMAT).put(value.index()).put(value.logTimeMillis());
+          out.putList(value.excludedServers(), (server, to) -> to.put(server));
           out.putList(
               value.retainedResults(),
-              (given, to) -> {
-                to.put(given.id()).put(given.logTimeMillis());
-                answer(given.result(), to);
+              (retained, to) -> {
+                to.put(retained.id()).put(retained.logTimeMillis());
+                writeResult(retained.result(), to);
               });
         });
   }
@@ -81,16 +88,16 @@
   /**
    * A snapshot.
    *
-   * @throws IOException if it is of another form
+   * @throws UnknownFormatException if a later version made it
+   * @throws MalformedMessageException if the bytes are none
    */
-  public static ReplicatedState.Snapshot image(byte[] bytes) throws IOException {
+  public static ReplicatedState.Snapshot decodeSnapshot(byte[] bytes) throws IOException {
     return CborValues.decode(
         bytes,
         in -> {
-          int form = in.readInt();
-          if (form != IMAGE) {
-            throw new IOException(
-                "a snapshot of form " + form + ", and this version knows " + IMAGE);
+          int format = in.readInt();
+          if (format != SNAPSHOT_FORMAT) {
+            throw new UnknownFormatException("a snapshot", format);
           }
           return new ReplicatedState.Snapshot(
               in.readLong(),
@@ -99,7 +106,7 @@
               in.readList(
                   from ->
                       new ReplicatedState.RetainedResult(
-                          from.readText(), from.readLong(), answer(from))));
+                          from.readText(), from.readLong(), readResult(from))));
         });
   }
 }
--- a/cluster/src/main/java/shalepaddle/raft/MemberExecutor.java
+++ b/cluster/src/main/java/shalepaddle/raft/MemberExecutor.java
@@ -1,13 +1,13 @@
 package shalepaddle.raft;
 
-/** The one thread of a member, whatever that is. What is handed in runs in order, never at once. */
+/** The single thread of a member, with its clock. Tasks run one at a time, in order. */
 public interface MemberExecutor {
-  /** Runs a task after those before it. From any thread. */
+  /** Runs a task after those before it. May be called from any thread. */
   void execute(Runnable task);
 
-  /** Runs a task in so many nanoseconds. From any thread. */
+  /** Runs a task after so many nanoseconds. May be called from any thread. */
   void schedule(long nanos, Runnable task);
 
-  /** Monotonic nanoseconds. From any thread. */
+  /** Monotonic nanoseconds. May be called from any thread. */
   long nanoTime();
 }
--- a/cluster/src/main/java/shalepaddle/raft/MemberStatus.java
+++ b/cluster/src/main/java/shalepaddle/raft/MemberStatus.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * How a member sees its group, at one moment.
+ * A member's view of its group at one moment. Immutable.
  *
- * @param name its own name
- * @param role what it does: {@code LEADER}, {@code FOLLOWER}, {@code CANDIDATE}, {@code LEARNER}
- * @param leader who leads, null if that is not known
- * @param term the number of the present leader's reign; grows with each, and never twice the same
- * @param members all of the group, as a majority holds it, in order
- * @param votingMembers those that vote, in order
- * @param commitIndex the last entry that is held
- * @param lastLogIndex the last entry that is here
- * @param inactiveReason why it takes no part, null while it does
+ * @param name the member's own
+ * @param role what it does
+ * @param leader the leader's name, null if unknown
+ * @param term the current term; each has at most one leader
+ * @param members the names of all members of the committed configuration, sorted
+ * @param votingMembers those of them that vote, sorted
+ * @param commitIndex the last committed log index
+ * @param lastLogIndex the last index of this member's log or snapshot
+ * @param inactiveReason why the member takes no part, null while it does
  */
 public record MemberStatus(
     String name,
-    String role,
+    MemberRole role,
     String leader,
     int term,
     List<String> members,
@@ -25,8 +25,18 @@
     long commitIndex,
     long lastLogIndex,
     String inactiveReason) {
-  /** Whether it leads. */
+  /** The status of a member that has not heard from its group yet. */
+  public static MemberStatus initial(String name, MemberRole role) {
+    return new MemberStatus(name, role, null, 0, List.of(), List.of(), 0, 0, null);
+  }
+
+  /** Whether it is the leader. */
   public boolean isLeader() {
-    return name.equals(leader) && inactiveReason == null;
+    return name.equals(leader) && isActive();
+  }
+
+  /** Whether it takes part in the group. */
+  public boolean isActive() {
+    return inactiveReason == null;
   }
 }
--- a/cluster/src/main/java/shalepaddle/raft/RaftTimeouts.java
+++ b/cluster/src/main/java/shalepaddle/raft/RaftTimeouts.java
@@ -10,57 +10,64 @@
 import java.util.function.LongSupplier;
 
 /**
- * How fast a group's time runs. The library counts heartbeats in whole seconds, which is long for
- * nodes beside each other: so its second lasts {@value #LIBRARY_SECOND_MILLIS} ms here, for its
- * clock and its timers alike. The clock is monotonic: a machine whose time of day jumps by hours
- * changes nothing for the group.
+ * The timeouts of a group, and the scale of the library's time.
+ *
+ * <p>The library counts heartbeats in whole seconds, which is long for nodes on one network. So one
+ * of its seconds lasts {@value #LIBRARY_SECOND_MILLIS} ms here, for its clock and its timers alike.
+ * The clock is monotonic: changes of the time of day have no effect on the group.
  */
 public final class RaftTimeouts {
   /** Real milliseconds of one of the library's seconds. */
   public static final long LIBRARY_SECOND_MILLIS = 200;
 
-  /** Beats of the leader, in the library's seconds. */
-  private static final int BEAT = 1;
+  /** Between two heartbeats of the leader, in the library's seconds. */
+  private static final int HEARTBEAT_PERIOD_LIBRARY_SECONDS = 1;
 
-  /** Without a beat for so long a leader is taken for lost, in the library's seconds. */
-  private static final int LOST = 4;
+  /** Without a heartbeat for so long a leader is considered lost, in the library's seconds. */
+  private static final int LEADER_LOSS_LIBRARY_SECONDS = 4;
 
-  /** An election that has not ended by then begins anew, in the library's milliseconds. */
-  private static final int ELECTION_MILLIS = 2000;
+  /** After which an election without a result starts again, in the library's milliseconds. */
+  private static final int ELECTION_LIBRARY_MILLIS = 2000;
 
-  /** Entries in one message to a follower at most. */
-  private static final int BATCH = 256;
+  /** Between two status reports, in the library's seconds. */
+  private static final int REPORT_PERIOD_LIBRARY_SECONDS = 1;
 
-  /** Entries that wait for the majority at most; what comes then is turned down at once. */
-  private static final int PENDING = 4096;
+  /** Entries in one request to a follower at most. */
+  private static final int MAX_BATCH_ENTRIES = 256;
+
+  /** Uncommitted entries at most; further proposals are rejected. */
+  private static final int MAX_PENDING_ENTRIES = 4096;
+
+  /** The library's clock starts a day after the epoch, since it takes 0 for never. */
+  private static final long CLOCK_START_MILLIS = TimeUnit.DAYS.toMillis(1);
 
   private RaftTimeouts() {}
 
-  static RaftConfig config(int snapshotEvery) {
+  static RaftConfig config(int entriesBetweenSnapshots) {
     return RaftConfig.newBuilder()
-        .setLeaderHeartbeatPeriodSecs(BEAT)
-        .setLeaderHeartbeatTimeoutSecs(LOST)
-        .setLeaderElectionTimeoutMillis(ELECTION_MILLIS)
-        .setAppendEntriesRequestBatchSize(BATCH)
-        .setMaxPendingLogEntryCount(PENDING)
-        .setCommitCountToTakeSnapshot(snapshotEvery)
-        .setRaftNodeReportPublishPeriodSecs(1)
+        .setLeaderHeartbeatPeriodSecs(HEARTBEAT_PERIOD_LIBRARY_SECONDS)
+        .setLeaderHeartbeatTimeoutSecs(LEADER_LOSS_LIBRARY_SECONDS)
+        .setLeaderElectionTimeoutMillis(ELECTION_LIBRARY_MILLIS)
+        .setAppendEntriesRequestBatchSize(MAX_BATCH_ENTRIES)
+        .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
+        .setCommitCountToTakeSnapshot(entriesBetweenSnapshots)
+        .setRaftNodeReportPublishPeriodSecs(REPORT_PERIOD_LIBRARY_SECONDS)
         .build();
   }
 
-  /** Real milliseconds for which a leader that was lost may go unnoticed. */
+  /** Real milliseconds for which the loss of a leader may go unnoticed. */
   public static long leaderLossTimeoutMillis() {
-    return LOST * LIBRARY_SECOND_MILLIS;
+    return LEADER_LOSS_LIBRARY_SECONDS * LIBRARY_SECOND_MILLIS;
   }
 
-  /** The library's clock, made of monotonic nanoseconds. */
-  static Clock clock(LongSupplier nanos) {
-    long began = nanos.getAsLong();
+  /** The library's clock, driven by monotonic nanoseconds. */
+  static Clock clock(LongSupplier nanoTime) {
+    long startNanos = nanoTime.getAsLong();
     return new Clock() {
       @Override
       public long millis() {
-        // From a day on: the library takes 0 for never.
-        return 86_400_000L + (nanos.getAsLong() - began) / 1_000_000 * 1000 / LIBRARY_SECOND_MILLIS;
+        long realMillis = (nanoTime.getAsLong() - startNanos) / 1_000_000;
+        return CLOCK_START_MILLIS + realMillis * 1000 / LIBRARY_SECOND_MILLIS;
       }
 
       @Override
@@ -80,22 +87,22 @@
     };
   }
 
-  /** The member's thread, with the library's timers. */
-  static RaftNodeExecutor executor(MemberExecutor turns) {
+  /** The member's thread, with delays on the library's scale. */
+  static RaftNodeExecutor executor(MemberExecutor executor) {
     return new RaftNodeExecutor() {
       @Override
       public void execute(Runnable task) {
-        turns.execute(task);
+        executor.execute(task);
       }
 
       @Override
       public void submit(Runnable task) {
-        turns.execute(task);
+        executor.execute(task);
       }
 
       @Override
       public void schedule(Runnable task, long delay, TimeUnit unit) {
-        turns.schedule(unit.toNanos(delay) / 1000 * LIBRARY_SECOND_MILLIS, task);
+        executor.schedule(unit.toNanos(delay) / 1000 * LIBRARY_SECOND_MILLIS, task);
       }
     };
   }
--- a/cluster/src/main/java/shalepaddle/raft/ReplicatedStateMachine.java
+++ b/cluster/src/main/java/shalepaddle/raft/ReplicatedStateMachine.java
@@ -3,6 +3,7 @@
 import io.microraft.statemachine.StateMachine;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Consumer;
@@ -12,27 +13,31 @@
 import shalepaddle.replicatedstate.Proposal;
 import shalepaddle.replicatedstate.ReplicatedState;
 
-/** Applies the log to the promises. Runs on the member's thread. */
+/** Applies committed entries to the replicated state. Owned by the member's thread. */
 final class ReplicatedStateMachine implements StateMachine {
-  /** Bytes of a part of a snapshot: one message each. */
-  private static final int PART = 256 << 10;
+  /** Bytes of a chunk of a snapshot at most; each goes in one message. */
+  private static final int CHUNK_BYTES = 256 << 10;
 
-  private final ReplicatedState promises = new ReplicatedState();
+  private final ReplicatedState state = new ReplicatedState();
   private final RaftMember.Listener listener;
+  private final long lastNotifiedIndex;
 
-  /** Entries up to here were told of before. */
-  private final long told;
-
-  ReplicatedStateMachine(long told, RaftMember.Listener listener) {
-    this.told = told;
+  /**
+   * A state machine without state.
+   *
+   * @param lastNotifiedIndex the listener was notified of entries up to there, by a state machine
+   *     before this one; 0 for none
+   */
+  ReplicatedStateMachine(long lastNotifiedIndex, RaftMember.Listener listener) {
+    this.lastNotifiedIndex = lastNotifiedIndex;
     this.listener = listener;
   }
 
-  ReplicatedState promises() {
-    return promises;
+  ReplicatedState state() {
+    return state;
   }
 
-  /** Returns the {@link CommandResult}; null for an entry that asks for nothing. */
+  /** Returns the {@link CommandResult}, null for an entry without a command. */
   @Override
   public Object runOperation(long index, Object operation) {
     byte[] bytes = (byte[]) operation;
@@ -41,37 +46,37 @@
     }
     Proposal proposal;
     try {
-      proposal = ReplicatedStateCodec.proposal(bytes);
+      proposal = ReplicatedStateCodec.decodeProposal(bytes);
     } catch (IOException e) {
-      // The same bytes on every member: all pass it over.
+      // Every member has the same bytes, so all of them skip the entry.
       return new CommandResult(CommandResult.Outcome.UNKNOWN_COMMAND, index);
     }
-    CommandResult answer = promises.apply(index, proposal);
-    if (index > told) {
-      listener.entryApplied(index, bytes, proposal, answer);
+    CommandResult result = state.apply(index, proposal);
+    if (index > lastNotifiedIndex) {
+      listener.entryApplied(index, bytes, proposal, result);
     }
-    return answer;
+    return result;
   }
 
   @Override
-  public void takeSnapshot(long index, Consumer<Object> parts) {
-    byte[] image = ReplicatedStateCodec.image(promises.snapshot());
-    for (int from = 0; from == 0 || from < image.length; from += PART) {
-      parts.accept(Arrays.copyOfRange(image, from, Math.min(image.length, from + PART)));
+  public void takeSnapshot(long index, Consumer<Object> chunks) {
+    byte[] bytes = ReplicatedStateCodec.encodeSnapshot(state.snapshot());
+    for (int from = 0; from == 0 || from < bytes.length; from += CHUNK_BYTES) {
+      chunks.accept(Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + CHUNK_BYTES)));
     }
   }
 
   @Override
-  public void installSnapshot(long index, List<Object> parts) {
-    ByteArrayOutputStream image = new ByteArrayOutputStream();
-    parts.forEach(part -> image.writeBytes((byte[]) part));
+  public void installSnapshot(long index, List<Object> chunks) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    chunks.forEach(chunk -> bytes.writeBytes((byte[]) chunk));
     try {
-      promises.restore(ReplicatedStateCodec.image(image.toByteArray()));
+      state.restore(ReplicatedStateCodec.decodeSnapshot(bytes.toByteArray()));
     } catch (IOException e) {
-      throw new IllegalStateException("the snapshot can't be read: " + e.getMessage(), e);
+      throw new UncheckedIOException("the snapshot can't be read: " + e.getMessage(), e);
     }
-    if (index > told) {
-      listener.snapshotInstalled(promises.snapshot());
+    if (index > lastNotifiedIndex) {
+      listener.snapshotInstalled(state.snapshot());
     }
   }
 
--- a/cluster/src/main/java/shalepaddle/raft/SnapshotBoundary.java
+++ b/cluster/src/main/java/shalepaddle/raft/SnapshotBoundary.java
@@ -6,35 +6,41 @@
 import shalepaddle.encoding.LogEntryCodec;
 
 /**
- * Where a member's log goes on behind the snapshot from which it began.
+ * Lets a member that was restored from a snapshot accept the entries that follow it.
  *
- * <p>Guards against a standstill of MicroRaft 0.7: a member that began from a snapshot and has
- * entries behind it no longer knows the term in which the snapshot ends, and turns down for good
- * what goes on there. What a snapshot ends with is committed, so every later leader has the same
- * there, and nothing has to be compared: such entries are handed on as if they went on from
- * nothing, and what is said to have come of them is set right on its way out. They tell of no
- * commit, since the library would count that from nothing as well; the next message tells it.
+ * <p>MicroRaft 0.7 does not restore the term in which the snapshot ends if entries follow it, and
+ * then rejects for good what a leader appends there. The snapshot is committed, so every later
+ * leader has the same entry at its end and the term needs no check: such a request is passed on as
+ * if the log began with it, and the index in its response is corrected. The request's commit index
+ * is left out, since the library would apply it to the shifted log; the next request brings it.
  *
- * <p>Thread-safe: messages come from any thread.
+ * <p>Thread-safe: messages come and go on any thread.
  */
 final class SnapshotBoundary {
-  private final long begunAfter;
-  private RaftEndpoint asker;
-  private long asked;
+  private final long snapshotIndex;
 
-  /** Of a member that began from a snapshot that ends there, 0 for none. */
-  SnapshotBoundary(long begunAfter) {
-    this.begunAfter = begunAfter;
+  // Of the last request that was adjusted.
+  private RaftEndpoint requestSender;
+  private long requestSequenceNumber;
+
+  /**
+   * The boundary of a member that starts now.
+   *
+   * @param snapshotIndex the last index of the snapshot it was restored from, 0 for none
+   */
+  SnapshotBoundary(long snapshotIndex) {
+    this.snapshotIndex = snapshotIndex;
   }
 
-  synchronized AppendEntriesRequest ask(AppendEntriesRequest request) {
-    if (begunAfter == 0
-        || request.getPreviousLogIndex() != begunAfter
+  /** The request to hand to the library. */
+  synchronized AppendEntriesRequest adjustRequest(AppendEntriesRequest request) {
+    if (snapshotIndex == 0
+        || request.getPreviousLogIndex() != snapshotIndex
         || request.getLogEntries().isEmpty()) {
       return request;
     }
-    asker = request.getSender();
-    asked = request.getFlowControlSequenceNumber();
+    requestSender = request.getSender();
+    requestSequenceNumber = request.getFlowControlSequenceNumber();
     return LogEntryCodec.model()
         .createAppendEntriesRequestBuilder()
         .setGroupId(request.getGroupId())
@@ -49,11 +55,12 @@
         .build();
   }
 
-  synchronized AppendEntriesSuccessResponse answer(
-      RaftEndpoint to, AppendEntriesSuccessResponse response) {
-    if (!to.equals(asker)
-        || response.getFlowControlSequenceNumber() != asked
-        || response.getLastLogIndex() >= begunAfter) {
+  /** The response to send for the library's. */
+  synchronized AppendEntriesSuccessResponse adjustResponse(
+      RaftEndpoint target, AppendEntriesSuccessResponse response) {
+    if (!target.equals(requestSender)
+        || response.getFlowControlSequenceNumber() != requestSequenceNumber
+        || response.getLastLogIndex() >= snapshotIndex) {
       return response;
     }
     return LogEntryCodec.model()
@@ -61,7 +68,7 @@
         .setGroupId(response.getGroupId())
         .setSender(response.getSender())
         .setTerm(response.getTerm())
-        .setLastLogIndex(response.getLastLogIndex() + begunAfter)
+        .setLastLogIndex(response.getLastLogIndex() + snapshotIndex)
         .setQuerySequenceNumber(response.getQuerySequenceNumber())
         .setFlowControlSequenceNumber(response.getFlowControlSequenceNumber())
         .build();
--- a/cluster/src/main/java/shalepaddle/storage/LogContents.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogContents.java
@@ -46,12 +46,14 @@
     switch (RecordKind.ofCode(stored.kind(), path)) {
       case LOCAL_ENDPOINT ->
           setLocalEndpoint(CborValues.decode(body, CborValues.Reader::readBoolean));
-      case INITIAL_MEMBERS -> initialMembers = CborValues.decode(body, LogEntryCodec::view);
-      case TERM -> term = CborValues.decode(body, LogEntryCodec::term);
-      case ENTRY -> putEntry(CborValues.decode(body, LogEntryCodec::entry));
+      case INITIAL_MEMBERS ->
+          initialMembers = CborValues.decode(body, LogEntryCodec::readMembersView);
+      case TERM -> term = CborValues.decode(body, LogEntryCodec::readTerm);
+      case ENTRY -> putEntry(CborValues.decode(body, LogEntryCodec::readEntry));
       case TRUNCATE_SUFFIX -> truncateSuffix(CborValues.decode(body, CborValues.Reader::readLong));
       case TRUNCATE_PREFIX -> truncatePrefix(CborValues.decode(body, CborValues.Reader::readLong));
-      case SNAPSHOT_CHUNK -> putSnapshotChunk(CborValues.decode(body, LogEntryCodec::chunk));
+      case SNAPSHOT_CHUNK ->
+          putSnapshotChunk(CborValues.decode(body, LogEntryCodec::readSnapshotChunk));
       case DELETE_SNAPSHOT -> deleteSnapshot(CborValues.decode(body, CborValues.Reader::readLong));
       case HEADER -> throw new UnknownRecordException(path, stored.kind());
     }
@@ -192,20 +194,21 @@
 
   static byte[] encodeInitialMembers(RaftGroupMembersView members) throws IOException {
     return RecordFormat.encode(
-        RecordKind.INITIAL_MEMBERS, CborValues.encode(members, LogEntryCodec::view));
+        RecordKind.INITIAL_MEMBERS, CborValues.encode(members, LogEntryCodec::writeMembersView));
   }
 
   static byte[] encodeTerm(RaftTermPersistentState term) throws IOException {
-    return RecordFormat.encode(RecordKind.TERM, CborValues.encode(term, LogEntryCodec::term));
+    return RecordFormat.encode(RecordKind.TERM, CborValues.encode(term, LogEntryCodec::writeTerm));
   }
 
   static byte[] encodeEntry(LogEntry entry) throws IOException {
-    return RecordFormat.encode(RecordKind.ENTRY, CborValues.encode(entry, LogEntryCodec::entry));
+    return RecordFormat.encode(
+        RecordKind.ENTRY, CborValues.encode(entry, LogEntryCodec::writeEntry));
   }
 
   static byte[] encodeSnapshotChunk(SnapshotChunk chunk) throws IOException {
     return RecordFormat.encode(
-        RecordKind.SNAPSHOT_CHUNK, CborValues.encode(chunk, LogEntryCodec::chunk));
+        RecordKind.SNAPSHOT_CHUNK, CborValues.encode(chunk, LogEntryCodec::writeSnapshotChunk));
   }
 
   /** A record whose body is an index alone: a truncation or a deletion. */
--- a/cluster/src/main/java/shalepaddle/transport/ChangeFeedClient.java
+++ b/cluster/src/main/java/shalepaddle/transport/ChangeFeedClient.java
@@ -166,7 +166,7 @@
     public void send(SubscriberMessage said) {
       if (channel != null) {
         channel.writeAndFlush(
-            new Frame(Frame.Kind.FOLLOW, ChangeFeedCodec.said(said)).write(channel.alloc()),
+            new Frame(Frame.Kind.FOLLOW, ChangeFeedCodec.encode(said)).write(channel.alloc()),
             channel.voidPromise());
       }
     }
@@ -175,7 +175,7 @@
     public void apply(ChangeEntry entry) {
       Proposal proposal;
       try {
-        proposal = ReplicatedStateCodec.proposal(entry.body());
+        proposal = ReplicatedStateCodec.decodeProposal(entry.body());
       } catch (IOException | IllegalArgumentException e) {
         // The members passed it over as well; what was in force holds.
         listener.diagnostic("entry " + entry.index() + " can't be read: " + e.getMessage());
@@ -189,7 +189,7 @@
     public boolean installSnapshot(long index, byte[] image) {
       ReplicatedState.Snapshot read;
       try {
-        read = ReplicatedStateCodec.image(image);
+        read = ReplicatedStateCodec.decodeSnapshot(image);
       } catch (IOException | IllegalArgumentException e) {
         listener.diagnostic("the state up to " + index + " can't be read: " + e.getMessage());
         return false;
@@ -216,7 +216,7 @@
       if (frame.kind() != Frame.Kind.FEED) {
         throw new IOException("a frame of kind " + frame.kind() + " out of place");
       }
-      PublisherMessage told = ChangeFeedCodec.told(frame.body());
+      PublisherMessage told = ChangeFeedCodec.decodePublisherMessage(frame.body());
       if (ctx.channel() == channel) {
         follower.received(System.nanoTime(), told);
         arm();
--- a/cluster/src/main/java/shalepaddle/transport/ChangeFeedServer.java
+++ b/cluster/src/main/java/shalepaddle/transport/ChangeFeedServer.java
@@ -131,7 +131,7 @@
       Channel channel = followers.get(connection);
       if (channel != null) {
         channel.writeAndFlush(
-            new Frame(Frame.Kind.FEED, ChangeFeedCodec.told(told)).write(channel.alloc()),
+            new Frame(Frame.Kind.FEED, ChangeFeedCodec.encode(told)).write(channel.alloc()),
             channel.voidPromise());
       }
     }
@@ -177,7 +177,7 @@
       if (frame.kind() != Frame.Kind.FOLLOW) {
         throw new IOException("a frame of kind " + frame.kind() + " out of place");
       }
-      SubscriberMessage said = ChangeFeedCodec.said(frame.body());
+      SubscriberMessage said = ChangeFeedCodec.decodeSubscriberMessage(frame.body());
       known = true;
       turns.execute(() -> publisher.received(turns.nanoTime(), number, said));
     }
--- a/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
@@ -17,268 +17,256 @@
 import shalepaddle.storage.UnsyncedLogDirectory;
 
 /**
- * A day of a group by a seed: callers who ask for promises and read them, while machines stop,
- * pause and lose their disks, and links lose, delay and are cut, one way or both. Ends with all
- * healed and tells what was broken.
+ * A group under random faults, by a seed: callers propose and read while machines crash, pause and
+ * lose their disks, and links lose, delay and duplicate messages or are cut in one or both
+ * directions. Ends with all faults healed, and reports what was violated.
  */
 final class RaftGroupSimulation {
-  /** How the day is broken on purpose. */
-  enum Variant {
-    /** It is not. */
-    SOUND,
-    /** It is not, and disks fail for a while. */
-    FAILING_DISKS,
-    /** Disks fail for a while, and whoever forces a file is not told. */
-    UNTOLD_FAILURES,
-    /** A force returns before anything is on the disk. */
-    NO_FORCE,
-    /** A machine that lost its disk comes back under its old name. */
-    OLD_NAME,
-    /** A caller hears yes as soon as the leader has taken its proposal. */
-    EARLY_YES,
-    /** A read is answered from what the asked machine has. */
-    STALE_READ
-  }
-
-  private static final long DAY_MILLIS = 20_000;
-  private static final long PATIENCE_MILLIS = 700;
+  private static final long FAULT_PHASE_MILLIS = 20_000;
+  private static final long REQUEST_TIMEOUT_MILLIS = 700;
   private static final int CALLERS = 4;
 
   private final VirtualGroup group;
   private final SplittableRandom random;
-  private final Variant variant;
+  private final InjectedDefect defect;
   private final int size;
-  private final List<String> broken = new ArrayList<>();
-  private final Map<String, Proposal> asked = new HashMap<>();
-  private final Map<String, Long> yes = new HashMap<>();
-  private long highestYes;
+  private final List<String> violations = new ArrayList<>();
+  private final Map<String, Proposal> proposals = new HashMap<>();
+  private final Map<String, Long> acknowledged = new HashMap<>();
+  private long highestAcknowledged;
   private int reads;
-  private int machinesEver;
-  private boolean replacing;
-  private boolean over;
+  private int machinesCreated;
+  private boolean isReplacing;
+  private boolean isOver;
 
-  RaftGroupSimulation(long seed, Variant variant) {
-    this.variant = variant;
+  RaftGroupSimulation(long seed, InjectedDefect defect) {
+    this.defect = defect;
     random = new SplittableRandom(seed);
     size = random.nextBoolean() ? 3 : 5;
     group = new VirtualGroup(random.nextLong());
-    group.snapshotEvery = random.nextBoolean() ? 20 : 100;
-    if (variant == Variant.NO_FORCE) {
-      group.wrap = disk -> new UnsyncedLogDirectory(disk, true);
+    group.entriesBetweenSnapshots = random.nextBoolean() ? 20 : 100;
+    if (defect == InjectedDefect.IGNORED_SYNC) {
+      group.directoryWrapper = disk -> new UnsyncedLogDirectory(disk, true);
     }
-    if (variant == Variant.UNTOLD_FAILURES) {
-      group.wrap = SilentlyFailingLogDirectory::new;
+    if (defect == InjectedDefect.HIDDEN_DISK_FAILURES) {
+      group.directoryWrapper = SilentlyFailingLogDirectory::new;
     }
   }
 
-  /** What came of it. */
-  record Report(int yes, int reads, int terms, List<String> broken) {}
+  /** The counts of a run, and what was violated. */
+  record Report(int acknowledged, int reads, int terms, List<String> violations) {}
 
-  Report play() throws IOException {
-    group.begin(size);
-    machinesEver = size;
+  Report run() throws IOException {
+    group.startGroup(size);
+    machinesCreated = size;
     for (int i = 0; i < CALLERS; i++) {
       new Caller(i).next();
     }
-    trouble();
-    group.pass(DAY_MILLIS);
-    over = true;
+    scheduleNextFault();
+    group.advance(FAULT_PHASE_MILLIS);
+    isOver = true;
     group.heal();
     for (VirtualGroup.Machine machine : group.machines.values()) {
-      machine.heldUntil = 0;
-      machine.disk.setFailing(false);
-      if (!machine.up()) {
+      machine.pausedUntil = 0;
+      machine.directory.setFailing(false);
+      if (!machine.isUp()) {
         machine.start();
       }
     }
-    group.pass(8000);
-    end();
-    return new Report(yes.size(), reads, group.leaders.size(), broken);
+    group.advance(8000);
+    checkFinalState();
+    return new Report(acknowledged.size(), reads, group.leaderByTerm.size(), violations);
   }
 
-  private void end() {
-    for (MemberStatus standing : standings()) {
-      if (standing.inactiveReason() != null) {
-        broken.add(standing.name() + " is still aside: " + standing.inactiveReason());
+  private void checkFinalState() {
+    for (MemberStatus status : statuses()) {
+      if (status.inactiveReason() != null) {
+        violations.add(status.name() + " is still aside: " + status.inactiveReason());
       }
     }
     VirtualGroup.Machine leader = group.leader();
     if (leader == null) {
-      broken.add("nobody leads at the end: " + standings());
+      violations.add("nobody leads at the end: " + statuses());
       return;
     }
-    List<ReplicatedState.Snapshot> last = new ArrayList<>();
-    List<Throwable> why = new ArrayList<>();
+    List<ReplicatedState.Snapshot> reads = new ArrayList<>();
+    List<Throwable> failures = new ArrayList<>();
     leader
-        .agreement
+        .member
         .read()
         .whenComplete(
             (image, cause) -> {
               if (cause == null) {
-                last.add(image);
+                reads.add(image);
               } else {
-                why.add(cause);
+                failures.add(cause);
               }
             });
-    group.pass(1000);
-    if (last.isEmpty()) {
-      broken.add("nothing can be read at the end: " + why + standings());
+    group.advance(1000);
+    if (reads.isEmpty()) {
+      violations.add("nothing can be read at the end: " + failures + statuses());
       return;
     }
     ReplicatedState replayed = new ReplicatedState();
-    new TreeMap<>(group.log).forEach((index, id) -> replayed.apply(index, asked.get(id)));
-    yes.forEach(
+    new TreeMap<>(group.appliedIds)
+        .forEach((index, id) -> replayed.apply(index, proposals.get(id)));
+    acknowledged.forEach(
         (id, index) -> {
-          if (!id.equals(group.log.get(index))) {
-            broken.add(
-                id + " was answered yes at " + index + ", where there is " + group.log.get(index));
+          if (!id.equals(group.appliedIds.get(index))) {
+            violations.add(
+                id
+                    + " was answered yes at "
+                    + index
+                    + ", where there is "
+                    + group.appliedIds.get(index));
           }
         });
-    if (!replayed.excludedServers().equals(last.get(0).excludedServers())) {
-      broken.add(
+    if (!replayed.excludedServers().equals(reads.get(0).excludedServers())) {
+      violations.add(
           "held is "
-              + last.get(0).excludedServers()
+              + reads.get(0).excludedServers()
               + ", the log says "
               + replayed.excludedServers());
     }
   }
 
-  private List<MemberStatus> standings() {
-    return group.machines.values().stream().map(machine -> machine.agreement.status()).toList();
+  private List<MemberStatus> statuses() {
+    return group.machines.values().stream().map(machine -> machine.member.status()).toList();
   }
 
-  /** Now and then something breaks, or is mended. */
-  private void trouble() {
-    group.at(
+  /** Injects a fault or heals some, again and again. */
+  private void scheduleNextFault() {
+    group.scheduleAt(
         group.now + (100 + random.nextLong(700)) * VirtualGroup.MILLI,
         () -> {
-          if (over) {
+          if (isOver) {
             return;
           }
           try {
-            somethingHappens();
+            injectFault();
           } catch (IOException e) {
-            // On a disk that fails a process ends, and is started again later.
-            if (!disksFail()) {
-              broken.add("a machine can't start: " + e.getMessage());
+            // A process ends when its disk fails, and is started again later.
+            if (!hasFailingDisks()) {
+              violations.add("a machine can't start: " + e.getMessage());
             }
           }
-          trouble();
+          scheduleNextFault();
         });
   }
 
-  private VirtualGroup.Machine any() {
+  private VirtualGroup.Machine randomMachine() {
     List<VirtualGroup.Machine> all = List.copyOf(group.machines.values());
     return all.get(random.nextInt(all.size()));
   }
 
-  private void somethingHappens() throws IOException {
-    VirtualGroup.Machine one = any();
-    VirtualGroup.Machine other = any();
-    if (disksFail() && random.nextInt(3) == 0) {
-      failDisk(one);
+  private void injectFault() throws IOException {
+    VirtualGroup.Machine machine = randomMachine();
+    VirtualGroup.Machine other = randomMachine();
+    if (hasFailingDisks() && random.nextInt(3) == 0) {
+      failDisk(machine);
       return;
     }
     switch (random.nextInt(9)) {
       case 0, 1 -> {
-        if (one.up()) {
-          one.crash();
+        if (machine.isUp()) {
+          machine.crash();
         } else {
-          one.start();
+          machine.start();
         }
       }
-      case 2 -> group.cut(one.name, other.name, true);
+      case 2 -> group.cut(machine.name, other.name, true);
       case 3 -> {
         for (String name : group.machines.keySet()) {
-          group.cut(one.name, name, true);
-          group.cut(name, one.name, random.nextBoolean());
+          group.cut(machine.name, name, true);
+          group.cut(name, machine.name, random.nextBoolean());
         }
       }
-      case 4 -> group.loss = random.nextDouble() * 0.3;
-      case 5 -> one.heldUntil = group.now + random.nextLong(5000) * VirtualGroup.MILLI;
-      case 6 -> loseDisk(one);
+      case 4 -> group.lossRatio = random.nextDouble() * 0.3;
+      case 5 -> machine.pausedUntil = group.now + random.nextLong(5000) * VirtualGroup.MILLI;
+      case 6 -> loseDisk(machine);
       default -> {
         group.heal();
-        for (VirtualGroup.Machine machine : group.machines.values()) {
-          if (!machine.up()) {
-            machine.start();
+        for (VirtualGroup.Machine stopped : group.machines.values()) {
+          if (!stopped.isUp()) {
+            stopped.start();
           }
         }
       }
     }
   }
 
-  private boolean disksFail() {
-    return variant == Variant.FAILING_DISKS || variant == Variant.UNTOLD_FAILURES;
+  private boolean hasFailingDisks() {
+    return defect == InjectedDefect.FAILING_DISKS || defect == InjectedDefect.HIDDEN_DISK_FAILURES;
   }
 
   private void failDisk(VirtualGroup.Machine machine) {
-    CrashingLogDirectory disk = machine.disk;
+    CrashingLogDirectory disk = machine.directory;
     disk.setFailing(true);
-    group.at(
+    group.scheduleAt(
         group.now + random.nextLong(3000) * VirtualGroup.MILLI,
         () -> {
           disk.setFailing(false);
-          if (random.nextBoolean() && !over && machine.up() && machine.disk == disk) {
+          if (random.nextBoolean() && !isOver && machine.isUp() && machine.directory == disk) {
             machine.crash();
           }
         });
   }
 
-  /** A machine is lost with its disk, and another takes its place: one at a time. */
+  /** Replaces a machine that is lost with its disk; one at a time. */
   private void loseDisk(VirtualGroup.Machine lost) throws IOException {
-    if (replacing) {
+    if (isReplacing) {
       return;
     }
-    if (lost.up()) {
+    if (lost.isUp()) {
       lost.crash();
     }
-    if (variant == Variant.OLD_NAME) {
-      lost.disk = new CrashingLogDirectory();
+    if (defect == InjectedDefect.REUSED_NAME) {
+      lost.directory = new CrashingLogDirectory();
       lost.start();
       return;
     }
-    replacing = true;
+    isReplacing = true;
     group.machines.remove(lost.name);
-    String name = "m" + machinesEver++;
-    VirtualGroup.Machine fresh = group.add(name, lost.first);
-    change(
-        fresh.name,
+    String name = "m" + machinesCreated++;
+    VirtualGroup.Machine replacement = group.startMachine(name, lost.initialMembers);
+    changeMembership(
+        replacement.name,
         RaftMember.MembershipChange.ADD_LEARNER,
         () ->
-            change(
-                fresh.name,
+            changeMembership(
+                replacement.name,
                 RaftMember.MembershipChange.PROMOTE_TO_VOTER,
                 () ->
-                    change(
-                        lost.name, RaftMember.MembershipChange.REMOVE, () -> replacing = false)));
+                    changeMembership(
+                        lost.name, RaftMember.MembershipChange.REMOVE, () -> isReplacing = false)));
   }
 
-  /** Asks whoever leads until the group has changed. */
-  private void change(String member, RaftMember.MembershipChange change, Runnable then) {
+  /** Asks the leader until the change is effective. */
+  private void changeMembership(String member, RaftMember.MembershipChange change, Runnable then) {
     VirtualGroup.Machine leader = group.leader();
-    boolean done = leader != null && stands(leader, member, change);
+    boolean done = leader != null && isEffective(leader, member, change);
     if (done) {
       then.run();
       return;
     }
     if (leader != null) {
-      leader.agreement.changeMembership(member, change);
+      leader.member.changeMembership(member, change);
     }
-    group.at(group.now + 300 * VirtualGroup.MILLI, () -> change(member, change, then));
+    group.scheduleAt(
+        group.now + 300 * VirtualGroup.MILLI, () -> changeMembership(member, change, then));
   }
 
-  private static boolean stands(
+  private static boolean isEffective(
       VirtualGroup.Machine leader, String member, RaftMember.MembershipChange change) {
-    MemberStatus standing = leader.agreement.status();
+    MemberStatus status = leader.member.status();
     return switch (change) {
-      case ADD_LEARNER -> standing.members().contains(member);
-      case PROMOTE_TO_VOTER -> standing.votingMembers().contains(member);
-      case REMOVE -> !standing.members().contains(member);
+      case ADD_LEARNER -> status.members().contains(member);
+      case PROMOTE_TO_VOTER -> status.votingMembers().contains(member);
+      case REMOVE -> !status.members().contains(member);
     };
   }
 
-  /** Asks for one thing after the other, each until it hears yes. */
+  /** Sends one request after the other, each until it is acknowledged. */
   private final class Caller {
     private final int number;
     private int count;
@@ -288,7 +276,7 @@
     }
 
     void next() {
-      if (over) {
+      if (isOver) {
         return;
       }
       if (random.nextInt(4) == 0) {
@@ -302,98 +290,99 @@
               id,
               group.now / VirtualGroup.MILLI,
               new StateCommand.SetExclusion(server, count % 3 != 0));
-      asked.put(id, proposal);
-      ask(proposal);
+      proposals.put(id, proposal);
+      send(proposal);
     }
 
-    private void later() {
-      group.at(group.now + random.nextLong(60) * VirtualGroup.MILLI, this::next);
+    private void scheduleNext() {
+      group.scheduleAt(group.now + random.nextLong(60) * VirtualGroup.MILLI, this::next);
     }
 
-    private VirtualGroup.Machine somebody() {
+    private VirtualGroup.Machine randomTarget() {
       VirtualGroup.Machine leader = group.leader();
-      VirtualGroup.Machine one = leader == null || random.nextInt(4) == 0 ? any() : leader;
-      return one.up() ? one : null;
+      VirtualGroup.Machine machine =
+          leader == null || random.nextInt(4) == 0 ? randomMachine() : leader;
+      return machine.isUp() ? machine : null;
     }
 
-    private void ask(Proposal proposal) {
-      if (over) {
+    private void send(Proposal proposal) {
+      if (isOver) {
         return;
       }
       boolean[] settled = {false};
-      VirtualGroup.Machine machine = somebody();
+      VirtualGroup.Machine machine = randomTarget();
       if (machine != null) {
         machine
-            .agreement
+            .member
             .propose(proposal)
             .whenComplete(
-                (answer, cause) -> {
+                (result, cause) -> {
                   if (settled[0]) {
                     return;
                   }
                   settled[0] = true;
                   if (cause == null) {
-                    answered(proposal, answer);
-                    later();
+                    acknowledged(proposal, result);
+                    scheduleNext();
                   } else {
                     if (!(cause instanceof NotCommittedException)
                         && !(cause instanceof CompletionException)) {
-                      broken.add("an answer that is none: " + cause);
+                      violations.add("an answer that is none: " + cause);
                     }
-                    group.at(group.now + 50 * VirtualGroup.MILLI, () -> ask(proposal));
+                    group.scheduleAt(group.now + 50 * VirtualGroup.MILLI, () -> send(proposal));
                   }
                 });
-        if (variant == Variant.EARLY_YES && machine.agreement.status().isLeader()) {
-          group.at(
+        if (defect == InjectedDefect.EARLY_ACKNOWLEDGEMENT && machine.member.status().isLeader()) {
+          group.scheduleAt(
               group.now,
               () -> {
-                if (!settled[0] && machine.up()) {
+                if (!settled[0] && machine.isUp()) {
                   settled[0] = true;
-                  long index = machine.agreement.status().lastLogIndex() + 1;
-                  answered(proposal, new CommandResult(CommandResult.Outcome.COMMITTED, index));
-                  later();
+                  long index = machine.member.status().lastLogIndex() + 1;
+                  acknowledged(proposal, new CommandResult(CommandResult.Outcome.COMMITTED, index));
+                  scheduleNext();
                 }
               });
         }
       }
-      group.at(
-          group.now + PATIENCE_MILLIS * VirtualGroup.MILLI,
+      group.scheduleAt(
+          group.now + REQUEST_TIMEOUT_MILLIS * VirtualGroup.MILLI,
           () -> {
             if (!settled[0]) {
               settled[0] = true;
-              ask(proposal);
+              send(proposal);
             }
           });
     }
 
-    private void answered(Proposal proposal, CommandResult answer) {
-      Long before = yes.put(proposal.id(), answer.index());
-      if (before != null && before != answer.index()) {
-        broken.add(proposal.id() + " was answered " + before + " and " + answer.index());
+    private void acknowledged(Proposal proposal, CommandResult result) {
+      Long before = acknowledged.put(proposal.id(), result.index());
+      if (before != null && before != result.index()) {
+        violations.add(proposal.id() + " was answered " + before + " and " + result.index());
       }
-      highestYes = Math.max(highestYes, answer.index());
+      highestAcknowledged = Math.max(highestAcknowledged, result.index());
     }
 
     private void read() {
-      VirtualGroup.Machine machine = somebody();
+      VirtualGroup.Machine machine = randomTarget();
       if (machine == null) {
-        later();
+        scheduleNext();
         return;
       }
-      long atLeast = highestYes;
-      if (variant == Variant.STALE_READ) {
-        check(machine.appliedTo, atLeast);
+      long atLeast = highestAcknowledged;
+      if (defect == InjectedDefect.STALE_READ) {
+        checkRead(machine.appliedIndex, atLeast);
       } else {
-        machine.agreement.read().thenAccept(image -> check(image.index(), atLeast));
+        machine.member.read().thenAccept(image -> checkRead(image.index(), atLeast));
       }
-      later();
+      scheduleNext();
     }
 
-    /** Whoever was answered before the read began is found by it. */
-    private void check(long index, long atLeast) {
+    /** A read must have all entries that were acknowledged before it. */
+    private void checkRead(long index, long atLeast) {
       reads++;
       if (index < atLeast) {
-        broken.add("read up to " + index + ", where " + atLeast + " was answered before");
+        violations.add("read up to " + index + ", where " + atLeast + " was answered before");
       }
     }
   }
--- a/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulationTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulationTest.java
@@ -12,50 +12,58 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Days of groups in virtual time. {@code -Dgroup.days=10000} plays more, {@code -Dgroup.first=17}
- * begins with another seed.
+ * Groups under random faults in virtual time. {@code -Dgroup.days=10000} runs more seeds, {@code
+ * -Dgroup.first=17} starts with another one.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class RaftGroupSimulationTest {
-  private static final int DAYS = Integer.getInteger("group.days", 150);
-  private static final int FIRST = Integer.getInteger("group.first", 1);
+  private static final int SEEDS = Integer.getInteger("group.days", 150);
+  private static final int FIRST_SEED = Integer.getInteger("group.first", 1);
 
   @ParameterizedTest
-  @EnumSource(names = {"SOUND", "FAILING_DISKS"})
-  void nothingThatWasPromisedIsLost(RaftGroupSimulation.Variant variant) throws Exception {
-    long yes = 0;
+  @EnumSource(names = {"NONE", "FAILING_DISKS"})
+  void losesNoAcknowledgedEntry(InjectedDefect defect) throws Exception {
+    long acknowledged = 0;
     long reads = 0;
-    for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-      RaftGroupSimulation.Report report = new RaftGroupSimulation(seed, variant).play();
-      assertEquals(List.of(), report.broken(), "seed " + seed);
-      yes += report.yes();
+    for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
+      RaftGroupSimulation.Report report = new RaftGroupSimulation(seed, defect).run();
+      assertEquals(List.of(), report.violations(), "seed " + seed);
+      acknowledged += report.acknowledged();
       reads += report.reads();
     }
-    System.out.printf("%s, %d days: %d promises, %d reads%n", variant, DAYS, yes, reads);
-    assertTrue(yes > 50L * DAYS, yes + " promises in " + DAYS + " days");
+    System.out.printf(
+        "%s, %d seeds: %d acknowledged, %d reads%n", defect, SEEDS, acknowledged, reads);
+    assertTrue(acknowledged > 50L * SEEDS, acknowledged + " acknowledged with " + SEEDS + " seeds");
   }
 
   @Test
-  void theSameSeedGivesTheSameDay() throws Exception {
+  void isReproducibleBySeed() throws Exception {
     assertEquals(
-        new RaftGroupSimulation(5, RaftGroupSimulation.Variant.SOUND).play(),
-        new RaftGroupSimulation(5, RaftGroupSimulation.Variant.SOUND).play());
+        new RaftGroupSimulation(5, InjectedDefect.NONE).run(),
+        new RaftGroupSimulation(5, InjectedDefect.NONE).run());
   }
 
   @ParameterizedTest
-  @EnumSource(names = {"NO_FORCE", "UNTOLD_FAILURES", "OLD_NAME", "EARLY_YES", "STALE_READ"})
-  void whatIsBrokenOnPurposeIsFoundOut(RaftGroupSimulation.Variant variant) throws Exception {
+  @EnumSource(
+      names = {
+        "IGNORED_SYNC",
+        "HIDDEN_DISK_FAILURES",
+        "REUSED_NAME",
+        "EARLY_ACKNOWLEDGEMENT",
+        "STALE_READ"
+      })
+  void findsInjectedDefects(InjectedDefect defect) throws Exception {
     for (int seed = 1; seed <= 200; seed++) {
       try {
-        if (!new RaftGroupSimulation(seed, variant).play().broken().isEmpty()) {
-          System.out.println(variant + " found at seed " + seed);
+        if (!new RaftGroupSimulation(seed, defect).run().violations().isEmpty()) {
+          System.out.println(defect + " found at seed " + seed);
           return;
         }
       } catch (AssertionError | IOException e) {
-        System.out.println(variant + " found at seed " + seed + ": " + e.getMessage());
+        System.out.println(defect + " found at seed " + seed + ": " + e.getMessage());
         return;
       }
     }
-    throw new AssertionError(variant + " is not found in 200 days");
+    throw new AssertionError(defect + " is not found with 200 seeds");
   }
 }
--- a/cluster/src/test/java/shalepaddle/raft/RaftMemberTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftMemberTest.java
@@ -14,59 +14,59 @@
 
 /** A group in virtual time. */
 class RaftMemberTest {
-  private static Proposal say(String id, String member, boolean out) {
-    return new Proposal(id, 1000, new StateCommand.SetExclusion(member, out));
+  private static Proposal exclusion(String id, String serverId, boolean excluded) {
+    return new Proposal(id, 1000, new StateCommand.SetExclusion(serverId, excluded));
   }
 
   @Test
-  void whatIsAnsweredIsHeldByAllAndOutlivesTheLeadersDisk() throws Exception {
-    VirtualGroup group = new VirtualGroup(1).begin(3);
-    group.pass(3000);
+  void commitsEntryThatSurvivesLossOfLeader() throws Exception {
+    VirtualGroup group = new VirtualGroup(1).startGroup(3);
+    group.advance(3000);
     VirtualGroup.Machine leader = group.leader();
     assertNotNull(leader);
-    List<CommandResult> answers = new ArrayList<>();
-    leader.agreement.propose(say("p1", "s-1", true)).thenAccept(answers::add);
-    group.pass(50);
-    assertEquals(1, answers.size(), "held within milliseconds");
-    assertEquals(CommandResult.Outcome.COMMITTED, answers.get(0).outcome());
+    List<CommandResult> results = new ArrayList<>();
+    leader.member.propose(exclusion("p1", "s-1", true)).thenAccept(results::add);
+    group.advance(50);
+    assertEquals(1, results.size(), "committed within milliseconds");
+    assertEquals(CommandResult.Outcome.COMMITTED, results.get(0).outcome());
     leader.crash();
     group.machines.remove(leader.name);
-    group.pass(3000);
+    group.advance(3000);
     VirtualGroup.Machine next = group.leader();
     assertNotNull(next, "nobody leads");
     List<Object> read = new ArrayList<>();
-    next.agreement.read().thenAccept(image -> read.add(image.excludedServers()));
-    next.agreement.propose(say("p1", "s-1", true)).thenAccept(answers::add);
-    group.pass(100);
+    next.member.read().thenAccept(image -> read.add(image.excludedServers()));
+    next.member.propose(exclusion("p1", "s-1", true)).thenAccept(results::add);
+    group.advance(100);
     assertEquals(List.of(List.of("s-1")), read);
-    assertEquals(answers.get(0), answers.get(1), "asked again: the same answer, no second entry");
-    assertTrue(next.agreement.status().term() > 1);
+    assertEquals(results.get(0), results.get(1), "repeated: the same result, no second entry");
+    assertTrue(next.member.status().term() > 1);
   }
 
-  /** It has missed what the others held meanwhile, and comes to it without a restart. */
+  /** It catches up with what the others committed meanwhile, without a restart. */
   @Test
-  void aMemberWhoseDiskFailsForAWhileComesBackByItself() throws Exception {
-    VirtualGroup group = new VirtualGroup(1).begin(3);
-    group.pass(3000);
+  void recoversAfterDiskFailure() throws Exception {
+    VirtualGroup group = new VirtualGroup(1).startGroup(3);
+    group.advance(3000);
     VirtualGroup.Machine failing = group.leader();
-    failing.disk.setFailing(true);
-    failing.agreement.propose(say("p1", "s-1", true));
-    group.pass(3000);
-    assertNotNull(failing.agreement.status().inactiveReason());
+    failing.directory.setFailing(true);
+    failing.member.propose(exclusion("p1", "s-1", true));
+    group.advance(3000);
+    assertNotNull(failing.member.status().inactiveReason());
     VirtualGroup.Machine next = group.leader();
     assertNotNull(next, "the others go on");
-    List<CommandResult> answers = new ArrayList<>();
-    next.agreement.propose(say("p2", "s-2", true)).thenAccept(answers::add);
-    group.pass(100);
-    assertEquals(CommandResult.Outcome.COMMITTED, answers.get(0).outcome());
-    failing.disk.setFailing(false);
-    group.pass(3000);
-    assertNull(failing.agreement.status().inactiveReason());
-    assertEquals(next.agreement.status().commitIndex(), failing.agreement.status().commitIndex());
-    // What it has taken on since outlives a stop of its machine.
+    List<CommandResult> results = new ArrayList<>();
+    next.member.propose(exclusion("p2", "s-2", true)).thenAccept(results::add);
+    group.advance(100);
+    assertEquals(CommandResult.Outcome.COMMITTED, results.get(0).outcome());
+    failing.directory.setFailing(false);
+    group.advance(3000);
+    assertNull(failing.member.status().inactiveReason());
+    assertEquals(next.member.status().commitIndex(), failing.member.status().commitIndex());
+    // What it has persisted since survives a crash.
     failing.crash();
     failing.start();
-    group.pass(3000);
-    assertEquals(next.agreement.status().commitIndex(), failing.agreement.status().commitIndex());
+    group.advance(3000);
+    assertEquals(next.member.status().commitIndex(), failing.member.status().commitIndex());
   }
 }
--- a/cluster/src/test/java/shalepaddle/raft/ReplicatedStateMachineTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/ReplicatedStateMachineTest.java
@@ -11,15 +11,15 @@
 import shalepaddle.replicatedstate.Proposal;
 import shalepaddle.replicatedstate.ReplicatedState;
 
-/** What is told of an entry as it is applied. */
+/** What the listener is notified of when an entry is applied. */
 class ReplicatedStateMachineTest {
-  /** A follower may know the kind, though this member does not. */
+  /** A subscriber may know the command, though this member does not. */
   @Test
-  void anEntryOfALaterVersionIsToldWithAllItsBytes() {
-    byte[] later =
+  void notifiesOfCommandOfLaterVersionWithAllItsBytes() {
+    byte[] laterCommand =
         CborValues.encode("id", (id, out) -> out.put(id).put(7).put(77).put("what only they know"));
-    List<byte[]> told = new ArrayList<>();
-    ReplicatedStateMachine machine =
+    List<byte[]> bodies = new ArrayList<>();
+    ReplicatedStateMachine stateMachine =
         new ReplicatedStateMachine(
             0,
             new RaftMember.Listener() {
@@ -27,7 +27,7 @@
               public void entryApplied(
                   long index, byte[] body, Proposal proposal, CommandResult answer) {
                 assertEquals(CommandResult.Outcome.UNKNOWN_COMMAND, answer.outcome());
-                told.add(body);
+                bodies.add(body);
               }
 
               @Override
@@ -36,8 +36,8 @@
               @Override
               public void statusChanged(MemberStatus standing) {}
             });
-    machine.runOperation(3, later);
-    assertEquals(1, told.size());
-    assertArrayEquals(later, told.get(0));
+    stateMachine.runOperation(3, laterCommand);
+    assertEquals(1, bodies.size());
+    assertArrayEquals(laterCommand, bodies.get(0));
   }
 }
--- a/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
+++ b/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
@@ -22,60 +22,59 @@
 import shalepaddle.storage.RaftLogStore;
 
 /**
- * Members of a group in virtual time, in one thread: messages go as bytes over links that lose,
- * delay and cut one way; machines stop anywhere, with or without their disks. The same seed gives
- * the same run.
+ * The members of a group in virtual time, in one thread: messages go as bytes over links that lose,
+ * delay and duplicate them or are cut in one direction; machines crash at any moment, with or
+ * without their disks. Reproducible by seed.
  */
 final class VirtualGroup {
   static final long MILLI = 1_000_000;
 
-  /** Something that is due. */
-  private record Due(long at, long number, Runnable task) {}
+  private record ScheduledTask(long atNanos, long number, Runnable task) {}
 
-  /** One machine, and who lives on it now. */
+  /** A machine, its disk, and the member that runs on it. */
   final class Machine implements MemberExecutor, RaftMember.Listener {
     final String name;
-    final List<String> first;
-    CrashingLogDirectory disk = new CrashingLogDirectory();
-    RaftMember agreement;
-    RaftLogStore journal;
-    int life;
-    long heldUntil;
-    long appliedTo;
-
-    Machine(String name, List<String> first) {
+    final List<String> initialMembers;
+    CrashingLogDirectory directory = new CrashingLogDirectory();
+    RaftMember member;
+    RaftLogStore logStore;
+    int incarnation;
+    long pausedUntil;
+    long appliedIndex;
+
+    Machine(String name, List<String> initialMembers) {
       this.name = name;
-      this.first = first;
+      this.initialMembers = initialMembers;
     }
 
-    boolean up() {
-      return agreement != null;
+    boolean isUp() {
+      return member != null;
     }
 
     void start() throws IOException {
-      life++;
-      appliedTo = 0;
-      LogDirectory own = wrap.apply(disk);
-      journal = new RaftLogStore(own, "g", name);
-      agreement =
+      incarnation++;
+      appliedIndex = 0;
+      LogDirectory wrapped = directoryWrapper.apply(directory);
+      logStore = new RaftLogStore(wrapped, "g", name);
+      member =
           new RaftMember(
               "g",
               name,
-              first,
-              snapshotEvery,
-              journal,
+              initialMembers,
+              entriesBetweenSnapshots,
+              logStore,
               this,
-              (to, message) -> carry(this, to, message),
+              (to, message) -> transmit(this, to, message),
               random.nextLong(),
               this);
-      agreement.start();
+      member.start();
     }
 
-    /** The machine stops at once; a part of what was not forced may be there when it comes back. */
+    /** Stops at once; a part of what was not synced may survive. */
     void crash() {
-      life++;
-      agreement = null;
-      disk = disk.afterCrash(random.nextDouble());
+      incarnation++;
+      member = null;
+      directory = directory.afterCrash(random.nextDouble());
     }
 
     @Override
@@ -85,17 +84,17 @@
 
     @Override
     public void schedule(long nanos, Runnable task) {
-      int mine = life;
-      at(
+      int scheduledIn = incarnation;
+      scheduleAt(
           now + nanos,
           new Runnable() {
             @Override
             public void run() {
-              if (life != mine) {
+              if (incarnation != scheduledIn) {
                 return;
               }
-              if (heldUntil > now) {
-                at(heldUntil, this);
+              if (pausedUntil > now) {
+                scheduleAt(pausedUntil, this);
               } else {
                 task.run();
               }
@@ -110,87 +109,89 @@
 
     @Override
     public void entryApplied(long index, byte[] body, Proposal proposal, CommandResult answer) {
-      String before = log.putIfAbsent(index, proposal.id());
+      String before = appliedIds.putIfAbsent(index, proposal.id());
       if (before != null && !before.equals(proposal.id())) {
         throw new AssertionError(
             "entry " + index + " is " + before + " and, at " + name + ", " + proposal.id());
       }
-      if (index <= appliedTo) {
-        throw new AssertionError(name + " applies " + index + " after " + appliedTo);
+      if (index <= appliedIndex) {
+        throw new AssertionError(name + " applies " + index + " after " + appliedIndex);
       }
-      appliedTo = index;
+      appliedIndex = index;
     }
 
     @Override
-    public void snapshotInstalled(ReplicatedState.Snapshot image) {
-      appliedTo = image.index();
+    public void snapshotInstalled(ReplicatedState.Snapshot snapshot) {
+      appliedIndex = snapshot.index();
     }
 
     @Override
-    public void statusChanged(MemberStatus standing) {
-      if (standing.isLeader()) {
-        String before = leaders.putIfAbsent(standing.term(), name);
+    public void statusChanged(MemberStatus status) {
+      if (status.isLeader()) {
+        String before = leaderByTerm.putIfAbsent(status.term(), name);
         if (before != null && !before.equals(name)) {
-          throw new AssertionError(before + " and " + name + " both lead term " + standing.term());
+          throw new AssertionError(before + " and " + name + " both lead term " + status.term());
         }
       }
     }
   }
 
-  private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
-  private long number;
+  private final PriorityQueue<ScheduledTask> scheduledTasks =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledTask::atNanos)
+              .thenComparingLong(ScheduledTask::number));
+  private long taskCount;
   long now;
   final SplittableRandom random;
   final Map<String, Machine> machines = new LinkedHashMap<>();
-  final Map<Long, String> log = new HashMap<>();
-  final Map<Integer, String> leaders = new HashMap<>();
+  final Map<Long, String> appliedIds = new HashMap<>();
+  final Map<Integer, String> leaderByTerm = new HashMap<>();
   private final Set<String> cut = new HashSet<>();
-  double loss;
-  int snapshotEvery = 50;
+  double lossRatio;
+  int entriesBetweenSnapshots = 50;
 
-  /** What is put before each machine's disk. */
-  UnaryOperator<LogDirectory> wrap = disk -> disk;
+  /** Put in front of each machine's directory. */
+  UnaryOperator<LogDirectory> directoryWrapper = disk -> disk;
 
   VirtualGroup(long seed) {
     random = new SplittableRandom(seed);
   }
 
-  void at(long time, Runnable task) {
-    due.add(new Due(time, number++, task));
+  void scheduleAt(long time, Runnable task) {
+    scheduledTasks.add(new ScheduledTask(time, taskCount++, task));
   }
 
-  /** Lets so much time pass. */
-  void pass(long millis) {
+  /** Advances the time, and runs what is due. */
+  void advance(long millis) {
     long until = now + millis * MILLI;
-    while (!due.isEmpty() && due.peek().at() <= until) {
-      Due next = due.poll();
-      now = Math.max(now, next.at());
-      next.task().run();
+    while (!scheduledTasks.isEmpty() && scheduledTasks.peek().atNanos() <= until) {
+      ScheduledTask task = scheduledTasks.poll();
+      now = Math.max(now, task.atNanos());
+      task.task().run();
     }
     now = until;
   }
 
-  Machine add(String name, List<String> first) throws IOException {
-    Machine machine = new Machine(name, first);
+  Machine startMachine(String name, List<String> initialMembers) throws IOException {
+    Machine machine = new Machine(name, initialMembers);
     machines.put(name, machine);
     machine.start();
     return machine;
   }
 
-  /** So many machines that begin a group. */
-  VirtualGroup begin(int size) throws IOException {
+  /** Starts the machines with which the group begins. */
+  VirtualGroup startGroup(int size) throws IOException {
     List<String> names = new ArrayList<>();
     for (int i = 0; i < size; i++) {
       names.add("m" + i);
     }
     for (String name : names) {
-      add(name, names);
+      startMachine(name, names);
     }
     return this;
   }
 
-  /** Messages from one to the other are lost from now on, or come again. */
+  /** Whether messages in this direction are lost from now on. */
   void cut(String from, String to, boolean lost) {
     if (lost) {
       cut.add(from + ">" + to);
@@ -201,44 +202,44 @@
 
   void heal() {
     cut.clear();
-    loss = 0;
+    lossRatio = 0;
   }
 
-  private void carry(Machine from, String to, RaftMessage message) {
-    if (cut.contains(from.name + ">" + to) || random.nextDouble() < loss) {
+  private void transmit(Machine from, String to, RaftMessage message) {
+    if (cut.contains(from.name + ">" + to) || random.nextDouble() < lossRatio) {
       return;
     }
-    byte[] bytes = RaftMessageCodec.message(message);
-    int times = random.nextDouble() < loss / 4 ? 2 : 1;
+    byte[] bytes = RaftMessageCodec.encode(message);
+    int times = random.nextDouble() < lossRatio / 4 ? 2 : 1;
     for (int i = 0; i < times; i++) {
       long delay =
           MILLI / 10
               + random.nextLong(MILLI)
-              + (random.nextDouble() < loss ? random.nextLong(300 * MILLI) : 0);
-      at(now + delay, () -> arrive(to, bytes));
+              + (random.nextDouble() < lossRatio ? random.nextLong(300 * MILLI) : 0);
+      scheduleAt(now + delay, () -> deliver(to, bytes));
     }
   }
 
-  private void arrive(String to, byte[] bytes) {
+  private void deliver(String to, byte[] bytes) {
     Machine machine = machines.get(to);
-    if (machine == null || !machine.up()) {
+    if (machine == null || !machine.isUp()) {
       return;
     }
     machine.execute(
         () -> {
           try {
-            machine.agreement.handle(RaftMessageCodec.message(bytes));
+            machine.member.handle(RaftMessageCodec.decode(bytes));
           } catch (IOException e) {
             throw new AssertionError(e);
           }
         });
   }
 
-  /** Who leads, as the one of the highest term sees it; null for nobody. */
+  /** The leader of the highest term, null for none. */
   Machine leader() {
     return machines.values().stream()
-        .filter(machine -> machine.up() && machine.agreement.status().isLeader())
-        .max(Comparator.comparingInt(machine -> machine.agreement.status().term()))
+        .filter(machine -> machine.isUp() && machine.member.status().isLeader())
+        .max(Comparator.comparingInt(machine -> machine.member.status().term()))
         .orElse(null);
   }
 }
--- a/cluster/src/test/java/shalepaddle/storage/RaftLogFormatTest.java
+++ b/cluster/src/test/java/shalepaddle/storage/RaftLogFormatTest.java
@@ -55,7 +55,7 @@
   }
 
   private static Proposal proposal(LogEntry entry) throws IOException {
-    return ReplicatedStateCodec.proposal((byte[]) entry.getOperation());
+    return ReplicatedStateCodec.decodeProposal((byte[]) entry.getOperation());
   }
 
   @Test
@@ -129,7 +129,7 @@
                     "id-3", 1001, new CommandResult(CommandResult.Outcome.COMMITTED, 3)),
                 new ReplicatedState.RetainedResult(
                     "id-4", 1002, new CommandResult(CommandResult.Outcome.UNKNOWN_COMMAND, 4)))),
-        ReplicatedStateCodec.image(image.toByteArray()));
+        ReplicatedStateCodec.decodeSnapshot(image.toByteArray()));
   }
 
   /** An earlier version must be able to read what this one leaves behind. */
--- a/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
+++ b/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
@@ -84,13 +84,14 @@
 
   private PublisherMessage.Snapshot snapshot() {
     return new PublisherMessage.Snapshot(
-        state.index(), image == null ? ReplicatedStateCodec.image(state.snapshot()) : image);
+        state.index(),
+        image == null ? ReplicatedStateCodec.encodeSnapshot(state.snapshot()) : image);
   }
 
   /** The member applies an entry. */
   private void applies(ChangeFeedServer port, long index, StateCommand entry) throws Exception {
     Proposal proposal = new Proposal("id" + index, 1, entry);
-    byte[] body = ReplicatedStateCodec.proposal(proposal);
+    byte[] body = ReplicatedStateCodec.encodeProposal(proposal);
     thread
         .submit(
             () -> {
