--- a/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
@@ -48,6 +48,10 @@
     return CommandLine.ExitCode.USAGE;
   }
 
+  private static void log(String line) {
+    System.err.println(line);
+  }
+
   /** The group, as a caller knows it. */
   static final class Group {
     @Option(names = "--group", required = true, description = "The group's name.")
@@ -67,7 +71,7 @@
     Map<String, InetSocketAddress> addresses() throws FormatException {
       Map<String, InetSocketAddress> addresses = new TreeMap<>();
       for (var member : members.entrySet()) {
-        addresses.put(member.getKey(), MemberList.address(member.getValue()));
+        addresses.put(member.getKey(), MemberList.parseAddress(member.getValue()));
       }
       return addresses;
     }
@@ -103,8 +107,8 @@
           group.group,
           name,
           folder,
-          MemberList.address(listen),
-          advertise == null ? null : MemberList.address(advertise),
+          MemberList.parseAddress(listen),
+          advertise == null ? null : MemberList.parseAddress(advertise),
           new TreeMap<>(group.addresses()));
     }
   }
@@ -187,10 +191,10 @@
           "member",
           () -> {
             CountDownLatch end = new CountDownLatch(1);
-            try (GroupMember member = new GroupMember(own.place(group), System.err::println)) {
+            try (GroupMember member = new GroupMember(own.place(group), ClusterCommand::log)) {
               if (feed != null) {
                 System.err.println(
-                    "feeds on " + member.listenForSubscribers(MemberList.address(feed)));
+                    "feeds on " + member.listenForSubscribers(MemberList.parseAddress(feed)));
               }
               member.start(new Lines());
               System.err.println("listens on " + member.address());
--- a/cluster/src/main/java/shalepaddle/storage/RecordFormat.java
+++ b/cluster/src/main/java/shalepaddle/storage/RecordFormat.java
@@ -28,6 +28,8 @@
    *
    * @param kind a code of {@link RecordKind}, or of a later version's
    */
+  // Never compared; a copy would double what is read.
+  @SuppressWarnings("ArrayRecordComponent")
   record StoredRecord(int kind, byte[] body) {}
 
   /**
--- a/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
@@ -184,7 +184,7 @@
     @Override
     public void sync() throws IOException {
       countCall();
-      if (isFailing || firstFailingSync >= 0 && syncCount++ >= firstFailingSync) {
+      if (isFailing || (firstFailingSync >= 0 && syncCount++ >= firstFailingSync)) {
         content.hasDroppedWrites = true;
         throw new IOException("no space left on device");
       }
--- a/engine/src/main/java/shalepaddle/front/ClientHandler.java
+++ b/engine/src/main/java/shalepaddle/front/ClientHandler.java
@@ -132,7 +132,7 @@
   }
 
   /** The place of one answer in the order of a connection's answers. */
-  final class Slot implements ReplySink, ValueSource.Taker {
+  final class Slot implements ReplySink, ValueSource.Receiver {
     private Submission request;
     private String id;
     private long readAt;
@@ -152,22 +152,22 @@
     private ValueSource source;
 
     @Override
-    public boolean takesPieces() {
+    public boolean acceptsStream() {
       return true;
     }
 
     @Override
     public void reply(Reply reply) {
-      if (reply instanceof Reply.Pieces pieces) {
+      if (reply instanceof Reply.Streamed pieces) {
         pieces(pieces);
         return;
       }
       whole(codec.encode(channel.alloc(), id, reply));
     }
 
-    private void pieces(Reply.Pieces pieces) {
+    private void pieces(Reply.Streamed pieces) {
       if (closing || !channel.isActive()) {
-        pieces.source().drop();
+        pieces.source().cancel();
         return;
       }
       source = pieces.source();
@@ -186,26 +186,26 @@
     private void beginPieces() {
       channel.write(waiting, channel.voidPromise());
       waiting = null;
-      source.begin(this);
+      source.start(this);
     }
 
     @Override
-    public void piece(ByteBuf bytes) {
+    public void onChunk(ByteBuf bytes) {
       channel.writeAndFlush(bytes, channel.voidPromise());
       if (source != null) {
-        source.flow(channel.isWritable());
+        source.setReading(channel.isWritable());
       }
     }
 
     @Override
-    public void end() {
+    public void onComplete() {
       source = null;
-      whole(codec.endOfPieces());
+      whole(codec.encodeStreamEnd());
     }
 
     /** The client can tell by the length that this is not the end. */
     @Override
-    public void broken() {
+    public void onFailure() {
       source = null;
       abort(Event.CLOSE_VALUE_CUT_OFF);
     }
@@ -259,7 +259,7 @@
             ? leaving ? ClientConnections.Standing.LEAVING : ClientConnections.Standing.CLOSING
             : !slots.isEmpty()
                 ? ClientConnections.Standing.OWED
-                : decoder.midway()
+                : decoder.isMidCommand()
                     ? ClientConnections.Standing.MIDWAY
                     : used ? ClientConnections.Standing.IDLE : ClientConnections.Standing.UNUSED;
     if (now != standing && channel.isActive()) {
@@ -277,7 +277,8 @@
    */
   private void steer() {
     boolean owesTooMany = slots.size() >= turns.owed();
-    boolean takes = channel.isWritable() && !owesTooMany && !readPause.on() && !decoder.lost();
+    boolean takes =
+        channel.isWritable() && !owesTooMany && !readPause.on() && !decoder.isDesynchronized();
     recordSuspension(owesTooMany, !channel.isWritable());
     if (leaving || lastCall) {
       inbound.mode(crossing || !leaving ? InboundBuffer.Mode.SUSPEND : InboundBuffer.Mode.DELIVER);
@@ -303,11 +304,11 @@
   }
 
   /** For how long to read nothing, since requests in a row were refused. */
-  private long insists(ClientCommand.Refused refused) {
-    long advice = TimeUnit.MILLISECONDS.toNanos(refused.adviceMillis());
+  private long insists(ClientCommand.Rejections rejections) {
+    long advice = TimeUnit.MILLISECONDS.toNanos(rejections.adviceMillis());
     long pause = 0;
-    for (int i = 0; i < refused.count(); i++) {
-      pause = insistence.refused(i < refused.repeats(), advice, clock.now());
+    for (int i = 0; i < rejections.count(); i++) {
+      pause = insistence.refused(i < rejections.repeats(), advice, clock.now());
     }
     return pause;
   }
@@ -328,7 +329,7 @@
 
   /** Buffered commands want an answer by then: no pause lasts until that time. */
   private void due(long dueAt) {
-    long margin = DELIVERY_MARGIN_NANOS + dispatcher.stallAllowance();
+    long margin = DELIVERY_MARGIN_NANOS + dispatcher.stallAllowanceNanos();
     long latest = dueAt - margin;
     if (inbound.full() && clock.now() + UNSEEN_NANOS - latest < 0) {
       latest = clock.now() + UNSEEN_NANOS;
@@ -375,8 +376,8 @@
       return;
     }
     reading = true;
-    ClientCommand.Refused refused = command.refused();
-    int asks = command.answer() == null ? 1 : refused.count();
+    ClientCommand.Rejections rejections = command.rejections();
+    int asks = command.answer() == null ? 1 : rejections.count();
     used |= asks > 0;
     Slot slot = new Slot();
     slots.add(slot);
@@ -391,7 +392,7 @@
       slot.request =
           dispatcher.submit(new Call(command.request(), command.payload(), slot), slot.arrival);
       if (slot.request == null) {
-        answer = codec.idInUse(channel.alloc());
+        answer = codec.encodeDuplicateId(channel.alloc());
         error = true;
       }
     }
@@ -404,7 +405,7 @@
     }
     if (asks > 0) {
       pause(Event.READ_PAUSE_FAIR_SHARE, turns.pause(sent, asks, clock.now()));
-      pause(Event.READ_PAUSE_EARLY_RETRY, insists(refused));
+      pause(Event.READ_PAUSE_EARLY_RETRY, insists(rejections));
     }
     if (slots.size() >= turns.owed()) {
       steer();
@@ -413,7 +414,7 @@
 
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    heardAt = clock.listened();
+    heardAt = clock.activeNanos();
     reading = false;
     if (unflushed) {
       unflushed = false;
@@ -424,10 +425,10 @@
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    stalledSince = clock.listened();
+    stalledSince = clock.activeNanos();
     Slot first = slots.peek();
     if (first != null && first.flows()) {
-      first.source.flow(channel.isWritable());
+      first.source.setReading(channel.isWritable());
     }
     steer();
   }
@@ -444,11 +445,11 @@
       if (slot.source != null) {
         ValueSource dropped = slot.source;
         slot.source = null;
-        dropped.drop();
+        dropped.cancel();
       }
       if (slot.request != null) {
         reportUnanswered(slot);
-        dispatcher.clientGone(slot.request);
+        dispatcher.clientDisconnected(slot.request);
       }
     }
   }
@@ -477,7 +478,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      dispatcher.report("client connection", cause);
+      dispatcher.reportFailure("client connection", cause);
     }
     recorder.record(Event.CLOSE_FAILURE, name);
     ctx.close();
@@ -586,7 +587,7 @@
 
   /** Whether it sends the value of a command, and has gone on with that since the given time. */
   boolean sendsValue(long since) {
-    return decoder.inValue() && heardAt - since > 0;
+    return decoder.isReadingValue() && heardAt - since > 0;
   }
 
   /** When bytes came last. */
@@ -602,7 +603,7 @@
 
   /** Closes the connection of a client that has long read nothing of what waits for it. */
   void abortIfStalled() {
-    if (!channel.isWritable() && clock.listened() - stalledSince > MAX_STALL_NANOS) {
+    if (!channel.isWritable() && clock.activeNanos() - stalledSince > MAX_STALL_NANOS) {
       abort(Event.CLOSE_SLOW_READER);
     }
   }
--- a/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
@@ -24,7 +24,7 @@
  * </table>
  *
  * <p>The reading is taken on the registry's thread: it must be a published one, see {@link
- * LoadBalancer#overload}.
+ * LoadBalancer#overloadSnapshot}.
  */
 public final class OverloadMetrics implements MeterBinder {
   private static final String PREFIX = "shalepaddle.overload.";
@@ -46,9 +46,9 @@
   @Override
   public void bindTo(MeterRegistry registry) {
     SnapshotMeters<OverloadSnapshot> meters = new SnapshotMeters<>(registry, PREFIX, reading);
-    level(meters, "processor", r -> r.processorLevel().ordinal());
-    level(meters, "memory", r -> r.memoryLevel().ordinal());
-    level(meters, "descriptors", r -> r.descriptorLevel().ordinal());
+    level(meters, "processor", r -> r.processorLevel().severity());
+    level(meters, "memory", r -> r.memoryLevel().severity());
+    level(meters, "descriptors", r -> r.descriptorLevel().severity());
     use(meters, "processor", OverloadSnapshot::processor);
     use(meters, "memory", OverloadSnapshot::memory);
     use(meters, "descriptors", OverloadSnapshot::descriptors);
--- a/engine/src/test/java/shalepaddle/node/ClientReadingTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientReadingTest.java
@@ -34,13 +34,13 @@
       new VirtualEngine(
           new LoopClock.Listener() {
             @Override
-            public void paused(long nanos) {}
+            public void onStall(long nanos) {}
 
             @Override
-            public void turned(long begunAt, long now) {}
+            public void onTurnEnd(long begunAt, long now) {}
 
             @Override
-            public void failed(RuntimeException cause) {
+            public void onTaskFailure(RuntimeException cause) {
               throw cause;
             }
           });
@@ -127,13 +127,13 @@
     RequestAdmission refusing =
         new RequestAdmission() {
           @Override
-          public boolean shuts() {
+          public boolean mayReject() {
             return true;
           }
 
           @Override
-          public long ask(int serviceClass, int tenant, long subject, boolean repeat) {
-            return ADVICE_MILLIS + (repeat ? REPEAT : 0);
+          public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
+            return ADVICE_MILLIS + (repeat ? RETRY : 0);
           }
         };
     try (NodeFixture rig = new NodeFixture()) {
@@ -163,7 +163,7 @@
 
   private void pass(long millis) {
     engine.ticker.advance(millis, TimeUnit.MILLISECONDS);
-    engine.clock.look();
+    engine.clock.refresh();
     client.runScheduledPendingTasks();
   }
 
