--- a/daemon/src/test/java/shalepaddle/daemon/SourceSizeTest.java
+++ b/daemon/src/test/java/shalepaddle/daemon/SourceSizeTest.java
@@ -16,7 +16,9 @@
 class SourceSizeTest {
   private static final int MAX_LINES = 500;
 
-  /** Files that are still to be split, none of them in the deployed jar, with the lines they hold. */
+  /**
+   * Files that are still to be split, none of them in the deployed jar, with the lines they hold.
+   */
   private static final Map<String, Integer> TO_BE_SPLIT =
       Map.of(
           "HollowFeed.java", 666,
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -424,7 +424,8 @@
       sweepLater();
       front.closeExpired();
       // Who takes this process's place needs the servers' places.
-      pools.closeExpiredIdle(clock.refresh(), handedOver ? 0 : overload.degradationPolicy().maxIdleNanos());
+      pools.closeExpiredIdle(
+          clock.refresh(), handedOver ? 0 : overload.degradationPolicy().maxIdleNanos());
       pools.closeStalled();
     }
   }
--- a/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
@@ -83,10 +83,12 @@
             "NO_PLACE",
             "NOT_STORED",
             "SPOILT");
-    assertEquals(names.size(), Outcome.Result.values().length);
-    for (Outcome.Result result : Outcome.Result.values()) {
+    List<Outcome.Result> results = List.of(Outcome.Result.values());
+    assertEquals(names.size(), results.size());
+    for (int i = 0; i < results.size(); i++) {
+      Outcome.Result result = results.get(i);
       byte[] bytes = ObservationFormat.write(List.of(seen("k", result, null)));
-      String stored = "\"" + names.get(result.ordinal()) + "\",\"MISS\"";
+      String stored = "\"" + names.get(i) + "\",\"MISS\"";
       assertTrue(new String(bytes, StandardCharsets.UTF_8).contains(stored), stored);
       assertEquals(result, ObservationFormat.read(bytes).get(0).outcome().result());
     }
--- a/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
+++ b/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
@@ -172,7 +172,12 @@
 
   private static ServerReply served(Attempt attempt, ByteBuf value) {
     return new ServerReply(
-        Outcome.Result.OK, attempt.call().request().id(), null, value, Outcome.CacheStatus.HIT, null);
+        Outcome.Result.OK,
+        attempt.call().request().id(),
+        null,
+        value,
+        Outcome.CacheStatus.HIT,
+        null);
   }
 
   private ByteBuf serve(Attempt attempt, String text) {
