--- a/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
@@ -1,6 +1,7 @@
 package shalepaddle.hotrestart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,6 +10,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Iterator;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -70,28 +72,27 @@
 
   @Test
   void resultsKeepTheirStoredNames() throws Exception {
-    List<String> names =
+    Iterator<String> names =
         List.of(
-            "OK",
-            "ERROR",
-            "FULL",
-            "TIMEOUT",
-            "CONNECT_FAILED",
-            "RESET",
-            "CANCELLED",
-            "MOOT",
-            "NO_PLACE",
-            "NOT_STORED",
-            "SPOILT");
-    List<Outcome.Result> results = List.of(Outcome.Result.values());
-    assertEquals(names.size(), results.size());
-    for (int i = 0; i < results.size(); i++) {
-      Outcome.Result result = results.get(i);
+                "OK",
+                "ERROR",
+                "FULL",
+                "TIMEOUT",
+                "CONNECT_FAILED",
+                "RESET",
+                "CANCELLED",
+                "MOOT",
+                "NO_PLACE",
+                "NOT_STORED",
+                "SPOILT")
+            .iterator();
+    for (Outcome.Result result : Outcome.Result.values()) {
       byte[] bytes = ObservationFormat.write(List.of(seen("k", result, null)));
-      String stored = "\"" + names.get(i) + "\",\"MISS\"";
+      String stored = "\"" + names.next() + "\",\"MISS\"";
       assertTrue(new String(bytes, StandardCharsets.UTF_8).contains(stored), stored);
       assertEquals(result, ObservationFormat.read(bytes).get(0).outcome().result());
     }
+    assertFalse(names.hasNext());
   }
 
   @Test
