--- a/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
+++ b/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
@@ -4,21 +4,21 @@
 
 /** A value whose request ends with it: it is counted when it is whole, or never will be. */
 final class MeteredValueSource implements ValueSource, ValueSource.Receiver {
-  private final RequestMetrics figures;
+  private final RequestMetrics metrics;
   private final String service;
   private final ValueSource source;
-  private Receiver taker;
+  private Receiver receiver;
   private boolean over;
 
-  MeteredValueSource(RequestMetrics figures, String service, ValueSource source) {
-    this.figures = figures;
+  MeteredValueSource(RequestMetrics metrics, String service, ValueSource source) {
+    this.metrics = metrics;
     this.service = service;
     this.source = source;
   }
 
   @Override
-  public void start(Receiver taker) {
-    this.taker = taker;
+  public void start(Receiver receiver) {
+    this.receiver = receiver;
     source.start(this);
   }
 
@@ -31,27 +31,27 @@
   public void cancel() {
     if (!over) {
       over = true;
-      figures.gone();
+      metrics.clientDisconnected();
       source.cancel();
     }
   }
 
   @Override
   public void onChunk(ByteBuf bytes) {
-    taker.onChunk(bytes);
+    receiver.onChunk(bytes);
   }
 
   @Override
   public void onComplete() {
     over = true;
-    figures.served(service);
-    taker.onComplete();
+    metrics.streamed(service);
+    receiver.onComplete();
   }
 
   @Override
   public void onFailure() {
     over = true;
-    figures.answered(service, new Reply.Failed(true));
-    taker.onFailure();
+    metrics.answered(service, new Reply.Failed(true));
+    receiver.onFailure();
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/RequestMetrics.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestMetrics.java
@@ -32,7 +32,7 @@
   private long forwards;
 
   /** Names classes that there are: they are told with zeros from now on. */
-  public void name(List<String> services) {
+  public void registerServices(List<String> services) {
     services.forEach(this::of);
   }
 
@@ -46,7 +46,7 @@
   }
 
   /** A request has been read off its connection, whole. */
-  void taken() {
+  void requestReceived() {
     taken++;
   }
 
@@ -64,7 +64,7 @@
   }
 
   /** The last byte of a request's answer has come. */
-  void served(String service) {
+  void streamed(String service) {
     ended++;
     of(service).succeeded++;
   }
@@ -77,7 +77,7 @@
   }
 
   /** The client of a request that was taken has left before its answer. */
-  void gone() {
+  void clientDisconnected() {
     gone++;
   }
 
--- a/engine/src/main/java/shalepaddle/engine/ValueSource.java
+++ b/engine/src/main/java/shalepaddle/engine/ValueSource.java
@@ -8,7 +8,7 @@
 public interface ValueSource {
   /** Who takes the value as it comes. */
   interface Receiver {
-    /** The next piece, which belongs to the taker. */
+    /** The next piece, which belongs to the receiver. */
     void onChunk(ByteBuf bytes);
 
     /** It is whole. */
@@ -18,12 +18,12 @@
     void onFailure();
   }
 
-  /** Gives what has come, and from now on what comes, to the taker. Called once. */
-  void start(Receiver taker);
+  /** Gives what has come, and from now on what comes, to the receiver. Called once. */
+  void start(Receiver receiver);
 
-  /** Whether more may come: what the taker can not take stays with the server. */
+  /** Whether more may come: what the receiver can not take stays with the server. */
   void setReading(boolean on);
 
-  /** Nobody wants the rest; the taker hears nothing more. Does nothing once it is over. */
+  /** Nobody wants the rest; the receiver hears nothing more. Does nothing once it is over. */
   void cancel();
 }
