--- a/core/src/main/java/shalepaddle/coalescing/CoalescingConfig.java
+++ b/core/src/main/java/shalepaddle/coalescing/CoalescingConfig.java
@@ -41,9 +41,9 @@
    * @throws IllegalArgumentException if one is out of its range; the message names it and the range
    */
   public CoalescingConfig {
-    ProtocolLimits.within("callers", maxWaiters, 2, 100_000);
-    ProtocolLimits.within("age_ms", maxAgeSeconds * 1e3, 1, 60_000);
-    ProtocolLimits.within("flights", maxFlights, 1, 1_000_000);
-    ProtocolLimits.within("retries", retriesPerJoin, 0, 1);
+    ProtocolLimits.checkRange("callers", maxWaiters, 2, 100_000);
+    ProtocolLimits.checkRange("age_ms", maxAgeSeconds * 1e3, 1, 60_000);
+    ProtocolLimits.checkRange("flights", maxFlights, 1, 1_000_000);
+    ProtocolLimits.checkRange("retries", retriesPerJoin, 0, 1);
   }
 }
--- a/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
+++ b/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
@@ -31,7 +31,7 @@
   }
 
   /** Takes a reading; returns the level from now on. A figure that is no number changes nothing. */
-  public PressureLevel read(double figure) {
+  public PressureLevel update(double figure) {
     PressureLevel now =
         figure >= bounds.full()
             ? PressureLevel.FULL
@@ -43,7 +43,7 @@
       calm = 0;
     } else if (++calm >= bounds.calmReadings()) {
       // One step down at a time: what was shut off comes back in parts.
-      level = PressureLevel.values()[level.ordinal() - 1];
+      level = level == PressureLevel.FULL ? PressureLevel.BUSY : PressureLevel.CALM;
       calm = 0;
     }
     return level;
--- a/engine/src/main/java/shalepaddle/config/OperatorFile.java
+++ b/engine/src/main/java/shalepaddle/config/OperatorFile.java
@@ -21,12 +21,12 @@
  * the pen.
  *
  * @param overload the figures of shedding
- * @param joining whether and how like reads share an answer
+ * @param coalescing whether and how like reads share an answer
  */
-public record OperatorFile(OverloadConfig overload, CoalescingConfig joining) {
+public record OperatorFile(OverloadConfig overload, CoalescingConfig coalescing) {
   /** Without a file. */
-  public static final OperatorFile USUAL =
-      new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.OFF);
+  public static final OperatorFile DEFAULTS =
+      new OperatorFile(OverloadConfig.DEFAULT, CoalescingConfig.OFF);
 
   private static final List<String> TABLES = List.of("overload", "joining");
 
@@ -44,7 +44,7 @@
    */
   public static OperatorFile load(String file) throws FormatException {
     if (file == null) {
-      return USUAL;
+      return DEFAULTS;
     }
     String text;
     try {
@@ -71,24 +71,24 @@
     JsonNode overload = reader.table(root, "overload", OVERLOAD);
     JsonNode joining = reader.table(root, "joining", JOINING);
     try {
-      return new OperatorFile(overload(reader, overload), joining(reader, joining));
+      return new OperatorFile(overload(reader, overload), coalescing(reader, joining));
     } catch (IllegalArgumentException e) {
-      throw reader.wrong(e.getMessage().split(" ")[0], e.getMessage());
+      throw reader.wrong(e.getMessage().split(" ", 0)[0], e.getMessage());
     }
   }
 
   private static OverloadConfig overload(Reader reader, JsonNode table) throws FormatException {
-    OverloadConfig usual = OverloadConfig.USUAL;
+    OverloadConfig usual = OverloadConfig.DEFAULT;
     return new OverloadConfig(
-        reader.flag(table, "shed", usual.sheds()),
-        reader.number(table, "target_ms", usual.target() * 1e3) / 1e3,
-        reader.number(table, "learn", usual.learn()),
-        reader.number(table, "repeats", usual.repeats()),
-        reader.number(table, "waits_ms", usual.waits() * 1e3) / 1e3,
-        reader.number(table, "advice_ms", usual.advice() * 1e3) / 1e3);
+        reader.flag(table, "shed", usual.isSheddingEnabled()),
+        reader.number(table, "target_ms", usual.targetDelaySeconds() * 1e3) / 1e3,
+        reader.number(table, "learn", usual.minAdmittedRatio()),
+        reader.number(table, "repeats", usual.retryRatio()),
+        reader.number(table, "waits_ms", usual.maxQueueSeconds() * 1e3) / 1e3,
+        reader.number(table, "advice_ms", usual.minRetryAfterSeconds() * 1e3) / 1e3);
   }
 
-  private static CoalescingConfig joining(Reader reader, JsonNode table) throws FormatException {
+  private static CoalescingConfig coalescing(Reader reader, JsonNode table) throws FormatException {
     CoalescingConfig usual = CoalescingConfig.OFF;
     return new CoalescingConfig(
         reader.flag(table, "join", usual.enabled()),
--- a/engine/src/main/java/shalepaddle/engine/AttemptLifecycle.java
+++ b/engine/src/main/java/shalepaddle/engine/AttemptLifecycle.java
@@ -70,7 +70,7 @@
     boolean spent = !exchange.hasAttemptLeft();
     exchange.add(attempt);
     if (exchange.isEnded() || spent || deadlines.isTooLateToSend(deadline, now)) {
-      end(attempt, Outcome.Result.MOOT);
+      end(attempt, Outcome.Result.NOT_SENT);
       return;
     }
     deadlines.startResponseTimer(attempt, now);
@@ -152,7 +152,7 @@
    */
   void returnUnwritten(Attempt attempt) {
     if (!attempt.isWritten()) {
-      withdraw(attempt, Outcome.Result.MOOT);
+      withdraw(attempt, Outcome.Result.NOT_SENT);
     }
   }
 
@@ -176,10 +176,11 @@
 
   /** An attempt has ended without a response, or with one that answers nobody. */
   void end(Attempt attempt, Outcome.Result result) {
-    end(attempt, result, Outcome.Note.NONE, null);
+    end(attempt, result, Outcome.CacheStatus.NONE, null);
   }
 
-  private void end(Attempt attempt, Outcome.Result result, Outcome.Note note, LoadReport load) {
+  private void end(
+      Attempt attempt, Outcome.Result result, Outcome.CacheStatus note, LoadReport load) {
     if (attempt.isEnded()) {
       return;
     }
@@ -203,11 +204,11 @@
                   exchange.isEnded(),
                   note,
                   load);
-          if (warmStartLog != null && result != Outcome.Result.MOOT) {
+          if (warmStartLog != null && result != Outcome.Result.NOT_SENT) {
             warmStartLog.add(new Observation(now, attempt.call().request(), outcome));
           }
           try {
-            router.outcome(now, outcome);
+            router.onOutcome(now, outcome);
           } finally {
             exchanges.settle(exchange);
           }
--- a/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
+++ b/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
@@ -58,10 +58,11 @@
 
   /** Reads are coalesced by these settings from now on. */
   void retune(Settings settings) {
-    maxRetryAfterMillis = Math.round(settings.limits().maxRetryAfter() * 1e3);
+    maxRetryAfterMillis = Math.round(settings.limits().maxRetryAfterSeconds() * 1e3);
     safeClasses =
         settings.services().stream()
-            .filter(type -> type.effect() == Settings.Effect.SAFE && !type.streamed())
+            .filter(
+                type -> type.idempotency() == Settings.Idempotency.IDEMPOTENT && !type.streamed())
             .map(Settings.ServiceClass::name)
             .collect(Collectors.toUnmodifiableSet());
   }
--- a/engine/src/main/java/shalepaddle/engine/Dispatcher.java
+++ b/engine/src/main/java/shalepaddle/engine/Dispatcher.java
@@ -148,7 +148,7 @@
     if (reads != null) {
       reads.retune(next);
     }
-    policy.post((router, now) -> router.retune(next));
+    policy.post((router, now) -> router.updateSettings(next));
   }
 
   /**
@@ -266,18 +266,18 @@
 
   /** The server list or a change of it, which the upstream knows already. */
   public void membership(MembershipUpdate update) {
-    policy.post((router, now) -> router.membership(now, update));
+    policy.post((router, now) -> router.onMembershipUpdate(now, update));
   }
 
   /** An operator excludes a server, or includes it again. */
   public void exclude(long server, boolean excluded) {
-    policy.post((router, now) -> router.exclude(now, server, excluded));
+    policy.post((router, now) -> router.setExcluded(now, server, excluded));
   }
 
   /** The event loop has stalled for so long, until now. */
   public void onStall(long nanos) {
     recorder.record(Event.LOOP_STALLED, null, lengthOf(nanos));
-    policy.post((router, now) -> router.paused(nanos / 1e9));
+    policy.post((router, now) -> router.onEventLoopStall(nanos / 1e9));
   }
 
   /** A coarse length: details of events are constants, so that recording allocates nothing. */
--- a/engine/src/main/java/shalepaddle/engine/ExchangeLifecycle.java
+++ b/engine/src/main/java/shalepaddle/engine/ExchangeLifecycle.java
@@ -87,7 +87,7 @@
             deadlineNanos,
             clientDeadlineNanos,
             settings.maxAttempts(),
-            settings.effect(call.request().serviceClass()));
+            settings.idempotency(call.request().serviceClass()));
     open.put(exchange.id(), exchange);
     return exchange;
   }
@@ -108,11 +108,11 @@
     }
     exchange.route();
     double left = (exchange.deadlineNanos() - clock.now()) / 1e9;
-    Request routed = request.lasting(Math.max(0, left));
+    Request routed = request.withBudget(Math.max(0, left));
     policy.post(
         (router, now) -> {
           try {
-            router.request(now, routed);
+            router.onRequest(now, routed);
           } catch (RuntimeException | StackOverflowError e) {
             policy.logFailure(e);
             fail(exchange);
@@ -123,7 +123,7 @@
   /** Rejects what has waited for its turn too long: the policy does not know of it. */
   void rejectQueued(Exchange exchange) {
     recorder.record(Event.REJECTED_QUEUE, exchange.id());
-    end(exchange, new Reply.Rejected(overload.advice()));
+    end(exchange, new Reply.Rejected(overload.retryAfterMillis()));
   }
 
   /** Gives an exchange, and the attempts in flight for it, more time. */
@@ -135,7 +135,8 @@
     deadlines.extend(exchange, deadlineNanos, loopNow);
     if (exchange.isRouted()) {
       policy.post(
-          (router, now) -> router.extend(exchange.id(), now + (deadlineNanos - loopNow) / 1e9));
+          (router, now) ->
+              router.extendDeadline(exchange.id(), now + (deadlineNanos - loopNow) / 1e9));
     }
   }
 
@@ -143,7 +144,7 @@
   Reply expiredReply(Exchange exchange) {
     return exchange.hasAttemptsInFlight()
         ? new Reply.Failed(exchange.mayHaveRun())
-        : new Reply.Rejected(overload.advice());
+        : new Reply.Rejected(overload.retryAfterMillis());
   }
 
   /** The client has left, or all of them where several share the exchange. */
@@ -156,7 +157,7 @@
     answers.clientDisconnected(exchange.call());
     policy.post(
         (router, now) -> {
-          router.clientGone(now, exchange.id());
+          router.onClientDisconnected(now, exchange.id());
           settle(exchange);
         });
   }
@@ -207,7 +208,7 @@
     for (int i = 0; i < exchange.attempts().size(); i++) {
       Attempt attempt = exchange.attempts().get(i);
       if (attempt.carrier() == null) {
-        attempts.withdraw(attempt, Outcome.Result.MOOT);
+        attempts.withdraw(attempt, Outcome.Result.NOT_SENT);
       }
     }
     exchange.call().payload().release();
--- a/engine/src/main/java/shalepaddle/engine/PolicyActions.java
+++ b/engine/src/main/java/shalepaddle/engine/PolicyActions.java
@@ -79,7 +79,7 @@
   }
 
   @Override
-  public void refuse(String requestId, double retryAfter) {
+  public void reject(String requestId, double retryAfter) {
     long retryAfterMillis = Math.round(retryAfter * 1e3);
     recorder.record(Event.REJECTED_POLICY, requestId);
     Exchange exchange = exchanges.find(requestId);
@@ -97,12 +97,12 @@
   }
 
   @Override
-  public void wake(long token, double delay) {
+  public void scheduleTimer(long token, double delay) {
     if (drain.isClosed()) {
       return;
     }
     timers.runNoEarlierThan(
-        (long) (delay * 1e9), () -> policy.post((router, now) -> router.timer(now, token)));
+        (long) (delay * 1e9), () -> policy.post((router, now) -> router.onTimer(now, token)));
   }
 
   @Override
@@ -115,7 +115,7 @@
   }
 
   @Override
-  public void closeIdle(long server) {
+  public void closeIdleConnections(long server) {
     if (!replaying) {
       upstream.closeIdle(server);
     }
--- a/engine/src/main/java/shalepaddle/engine/PolicyEventLoop.java
+++ b/engine/src/main/java/shalepaddle/engine/PolicyEventLoop.java
@@ -92,6 +92,6 @@
 
   /** Servers in the list; only those that get no requests now where {@code avoidedOnly}. */
   int serverCount(boolean avoidedOnly) {
-    return router.listed(avoidedOnly);
+    return router.serverCount(avoidedOnly);
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/RequestIntake.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestIntake.java
@@ -52,7 +52,7 @@
    * @return null if another open request has its id
    */
   Submission submitRemote(Call call, long sentAt) {
-    long budget = RequestSettings.nanos(call.request().budget());
+    long budget = RequestSettings.nanos(call.request().budgetSeconds());
     return submit(call, sentAt, AnswerMargin.of(budget, clock.expectedStallNanos()));
   }
 
@@ -70,20 +70,20 @@
     Request request = call.request();
     String id = request.id();
     metrics.requestReceived();
-    if (exchanges.find(id) != null || reads != null && reads.hasId(id)) {
+    if (exchanges.find(id) != null || (reads != null && reads.hasId(id))) {
       metrics.answered(request.serviceClass(), new Reply.Failed(false));
       call.payload().release();
       return null;
     }
     long now = clock.refresh();
     recorder.record(Event.REQUEST_READ, id);
-    long clientDeadline = sentAt + RequestSettings.nanos(request.budget());
+    long clientDeadline = sentAt + RequestSettings.nanos(request.budgetSeconds());
     if (drain.isClosed()) {
       return reject(call, clientDeadline, Event.REJECTED_SHUTDOWN, 0);
     }
     long deadline = drain.limit(clientDeadline - margin);
     if (deadline - now <= AttemptDeadlines.ANSWER_MARGIN_NANOS) {
-      return reject(call, clientDeadline, Event.REJECTED_EXPIRED, overload.advice());
+      return reject(call, clientDeadline, Event.REJECTED_EXPIRED, overload.retryAfterMillis());
     }
     Submission waiter = reads == null ? null : reads.submit(call, request, deadline, now);
     return waiter != null ? waiter : open(call, sentAt, deadline, clientDeadline, now);
@@ -104,7 +104,8 @@
   /** Rejects a request that the policy never hears of, and that has not run. */
   private Exchange reject(Call call, long clientDeadline, Event reason, long retryAfterMillis) {
     recorder.record(reason, call.request().id());
-    Exchange rejected = new Exchange(call, clientDeadline, clientDeadline, 0, Settings.Effect.SAFE);
+    Exchange rejected =
+        new Exchange(call, clientDeadline, clientDeadline, 0, Settings.Idempotency.IDEMPOTENT);
     exchanges.end(rejected, new Reply.Rejected(retryAfterMillis));
     return rejected;
   }
--- a/engine/src/main/java/shalepaddle/engine/RequestSettings.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestSettings.java
@@ -29,13 +29,13 @@
   }
 
   /** What running a request of this class more than once does; of unknown classes the worst. */
-  Settings.Effect effect(String serviceClass) {
+  Settings.Idempotency idempotency(String serviceClass) {
     for (Settings.ServiceClass known : settings.services()) {
       if (known.name().equals(serviceClass)) {
-        return known.effect();
+        return known.idempotency();
       }
     }
-    return Settings.Effect.UNSAFE;
+    return Settings.Idempotency.NOT_IDEMPOTENT;
   }
 
   /** The names of the service classes. */
@@ -45,12 +45,15 @@
 
   /** How long after a server is known to be draining it may still be sent requests. */
   long drainGraceNanos() {
-    return nanos(settings.contract().drainGrace());
+    return nanos(settings.contract().drainGraceSeconds());
   }
 
   /** The settings' tick, within bounds that suit a real clock. */
   static long tickNanos(Settings settings) {
-    return (long) (1e9 * Math.max(MIN_TICK_SECONDS, Math.min(MAX_TICK_SECONDS, settings.tick())));
+    return (long)
+        (1e9
+            * Math.max(
+                MIN_TICK_SECONDS, Math.min(MAX_TICK_SECONDS, settings.timerResolutionSeconds())));
   }
 
   /** Seconds as nanoseconds. */
--- a/engine/src/main/java/shalepaddle/engine/SharedExchange.java
+++ b/engine/src/main/java/shalepaddle/engine/SharedExchange.java
@@ -124,7 +124,7 @@
 
   private void retry(CoalescedRead next, long now) {
     reads.promote(next);
-    begin(next, next.call().request().lasting((flight.deadline() - now) / 1e9), now);
+    begin(next, next.call().request().withBudget((flight.deadline() - now) / 1e9), now);
   }
 
   private void answer(List<FlightWaiter<CoalescedRead>> recipients, Reply reply) {
