--- a/core/src/main/java/shalepaddle/overload/MinimumOverInterval.java
+++ b/core/src/main/java/shalepaddle/overload/MinimumOverInterval.java
@@ -37,7 +37,7 @@
     least = seen++ == 0 ? value : Math.min(least, value);
   }
 
-  /** Whether an interval has ended by now, so that its {@link #take} is due. */
+  /** Whether an interval has ended by now, so that its {@link #takeMinimum} is due. */
   public boolean isIntervalOver(long now) {
     if (!begun) {
       begun = true;
