--- a/cli/src/main/java/shalepaddle/cli/Main.java
+++ b/cli/src/main/java/shalepaddle/cli/Main.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import shalepaddle.node.Node;
+import shalepaddle.node.NodeProcess;
 import shalepaddle.settings.FormatException;
 import shalepaddle.sim.SimHost;
 
@@ -75,7 +75,7 @@
 
     @Override
     public Integer call() throws InterruptedException {
-      return Node.serve(System.getenv("ROUTER_CONFIG"), operator);
+      return NodeProcess.serve(System.getenv("ROUTER_CONFIG"), operator);
     }
   }
 
@@ -105,7 +105,7 @@
   static final class Rehearse implements Callable<Integer> {
     @Override
     public Integer call() throws InterruptedException {
-      return Node.rehearse(null);
+      return NodeProcess.rehearse(null);
     }
   }
 }
--- a/daemon/src/main/java/shalepaddle/daemon/Main.java
+++ b/daemon/src/main/java/shalepaddle/daemon/Main.java
@@ -1,7 +1,7 @@
 package shalepaddle.daemon;
 
 import java.io.IOException;
-import shalepaddle.node.Node;
+import shalepaddle.node.NodeProcess;
 import shalepaddle.settings.FormatException;
 import shalepaddle.sim.SimHost;
 
@@ -26,8 +26,8 @@
     String operator = named ? args[2] : null;
     switch (args.length == 1 || named ? args[0] : "") {
       case "simhost" -> simhost();
-      case "serve" -> System.exit(Node.serve(System.getenv("ROUTER_CONFIG"), operator));
-      case "rehearse" -> System.exit(Node.rehearse(operator));
+      case "serve" -> System.exit(NodeProcess.serve(System.getenv("ROUTER_CONFIG"), operator));
+      case "rehearse" -> System.exit(NodeProcess.rehearse(operator));
       default -> {
         System.err.println(USAGE);
         System.exit(2);
--- a/engine/src/main/java/shalepaddle/node/CoalescingMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/CoalescingMetrics.java
@@ -7,37 +7,36 @@
 import shalepaddle.coalescing.CoalescingSnapshot;
 
 /**
- * The joining of like reads as Micrometer meters. Nothing is counted here: each meter reads what
- * {@link LoadBalancer#coalescingSnapshot} published last, from any thread.
+ * Request coalescing as Micrometer meters. Nothing is counted here: each meter reads what {@link
+ * LoadBalancer#coalescingSnapshot} published last, from any thread.
  *
  * <table>
  * <caption>Meters</caption>
- * <tr><td>{@code shalepaddle.coalescing.reads}</td><td>reads; tag {@code as}: {@code first} began a
- *     flight, {@code joined} joined one, {@code alone} found no room</td></tr>
- * <tr><td>{@code shalepaddle.coalescing.shared}</td><td>reads served by another's try</td></tr>
- * <tr><td>{@code shalepaddle.coalescing.left}</td><td>callers that left while others waited</td></tr>
- * <tr><td>{@code shalepaddle.coalescing.retried}</td><td>broken tries made again; {@code .spent} those
- *     that were not for want of earned tries</td></tr>
- * <tr><td>{@code shalepaddle.coalescing.open}, {@code .waiting}</td><td>flights, callers now</td></tr>
+ * <tr><td>{@code shalepaddle.joining.reads}</td><td>reads; tag {@code as}: {@code first} began a
+ *     flight, {@code joined} joined one, {@code alone} found no capacity</td></tr>
+ * <tr><td>{@code shalepaddle.joining.shared}</td><td>reads served by another's attempt</td></tr>
+ * <tr><td>{@code shalepaddle.joining.left}</td><td>callers that left while others waited</td></tr>
+ * <tr><td>{@code shalepaddle.joining.retried}</td><td>failed attempts that were retried; {@code .spent}
+ *     those that were not, for lack of retry budget</td></tr>
+ * <tr><td>{@code shalepaddle.joining.open}, {@code .waiting}</td><td>flights, callers now</td></tr>
  * </table>
  */
 public final class CoalescingMetrics implements MeterBinder {
   private static final String PREFIX = "shalepaddle.joining.";
-  private static final CoalescingSnapshot NOTHING =
-      new CoalescingSnapshot(0, 0, 0, 0, 0, 0, 0, 0, 0);
+  private static final CoalescingSnapshot NONE = new CoalescingSnapshot(0, 0, 0, 0, 0, 0, 0, 0, 0);
 
-  private final Supplier<CoalescingSnapshot> reading;
+  private final Supplier<CoalescingSnapshot> latest;
   private final Tags tags;
 
   /**
    * Meters of one load balancer.
    *
-   * @param reading the newest reading, from any thread; null where reads are not joined, which is
-   *     shown as nothing done
-   * @param tags tell this load balancer's meters from another's in the same registry
+   * @param latest the newest snapshot, from any thread; null where reads are not coalesced, which
+   *     is shown as zeros
+   * @param tags distinguish this load balancer's meters from another's in the same registry
    */
-  public CoalescingMetrics(Supplier<CoalescingSnapshot> reading, Tags tags) {
-    this.reading = reading;
+  public CoalescingMetrics(Supplier<CoalescingSnapshot> latest, Tags tags) {
+    this.latest = latest;
     this.tags = tags;
   }
 
@@ -56,7 +55,7 @@
   }
 
   private CoalescingSnapshot read() {
-    CoalescingSnapshot now = reading.get();
-    return now == null ? NOTHING : now;
+    CoalescingSnapshot snapshot = latest.get();
+    return snapshot == null ? NONE : snapshot;
   }
 }
--- /dev/null
+++ b/engine/src/main/java/shalepaddle/node/DescriptorBudget.java
@@ -0,0 +1,73 @@
+package shalepaddle.node;
+
+import shalepaddle.config.NodeConfig;
+import shalepaddle.model.Settings;
+import shalepaddle.upstream.ServerPool;
+
+/**
+ * How the process's file descriptors are divided between clients, cache servers and its own needs.
+ * All figures are numbers of descriptors. Prevents a node without a free descriptor, which can
+ * neither accept clients nor reach a server. Immutable.
+ *
+ * @param limit descriptors that the process may hold
+ * @param reserved those for its own files, pipes, selectors and admin callers
+ */
+record DescriptorBudget(int limit, int reserved) {
+  /**
+   * The part for client connections. The protocol's own clients hold a third at most, see {@link
+   * #REQUEST_RATIO}.
+   */
+  private static final double CLIENT_RATIO = 0.5;
+
+  /** The part that requests may take, by the protocol. */
+  private static final double REQUEST_RATIO = 1.0 / 3;
+
+  /** For files and pipes of the virtual machine, the selector and discovery. */
+  private static final int PROCESS_DESCRIPTORS = 32;
+
+  /** For callers of the admin server, and files that are read meanwhile. */
+  private static final int ADMIN_DESCRIPTORS = 8;
+
+  /** The budget of a node with this configuration. */
+  static DescriptorBudget of(NodeConfig config) {
+    int admin = config.adminAddress() == null ? 0 : ADMIN_DESCRIPTORS;
+    return new DescriptorBudget(config.maxDescriptors(), PROCESS_DESCRIPTORS + admin);
+  }
+
+  /** Client connections that all processes of this node may hold together. */
+  int maxClientConnections() {
+    return (int) (limit * CLIENT_RATIO);
+  }
+
+  /** Connections to cache servers that all processes of this node may hold together. */
+  private int maxServerConnections() {
+    return (int) (limit * (1 - CLIENT_RATIO)) - reserved;
+  }
+
+  /**
+   * The limits of each server's connection pool.
+   *
+   * @param connections the most that this node opens to one server
+   */
+  ServerPool.Limits serverLimits(Settings.Limits limits, int connections) {
+    return new ServerPool.Limits(
+        connections,
+        maxServerConnections(),
+        // Where a request may not have two attempts out, one that is given up must be off its
+        // connection before the next goes out: nothing may share it.
+        limits.parallelAttempts() ? Math.max(1, limits.perConnection()) : 1,
+        (long) (Math.max(1, limits.idleTimeout() / 2) * 1e9),
+        (long) (Math.max(0.001, limits.connectTimeout()) * 1e9));
+  }
+
+  /** The part of the request limit that so many open requests use; above 1 past the limit. */
+  double requestRatio(int openRequests) {
+    return openRequests / (limit * REQUEST_RATIO);
+  }
+
+  /** The part of all descriptors in use, with so many connections. */
+  double usedRatio(int clientConnections, int serverConnections) {
+    double used = reserved + clientConnections + serverConnections;
+    return used / limit;
+  }
+}
--- a/engine/src/main/java/shalepaddle/node/EventLoopThreads.java
+++ b/engine/src/main/java/shalepaddle/node/EventLoopThreads.java
@@ -5,31 +5,31 @@
 import shalepaddle.loop.Log;
 
 /**
- * Makes the thread of an event loop. A thread that ends though its loop was not told to end has
- * failed, and with it the process: whoever supervises it must start it anew, since a process that
- * lives on without its loop looks healthy and answers nobody.
+ * Creates the threads of event loops, and detects a loop that ends before {@link #allowShutdown}:
+ * its process has failed, since it looks healthy and answers nobody, and must be restarted.
+ * Thread-safe.
  */
 final class EventLoopThreads implements ThreadFactory {
   /** The exit code of a process whose event loop has failed. */
   static final int EXIT_CODE = 70;
 
   private final Log log;
-  private final Runnable failed;
-  private volatile boolean ending;
+  private final Runnable onFailure;
+  private volatile boolean shutdownAllowed;
 
   /**
    * For one group of loops.
    *
-   * @param failed run, on the thread that has failed, after the log was written
+   * @param onFailure runs on the thread that has failed, after the failure was logged
    */
-  EventLoopThreads(Log log, Runnable failed) {
+  EventLoopThreads(Log log, Runnable onFailure) {
     this.log = log;
-    this.failed = failed;
+    this.onFailure = onFailure;
   }
 
-  /** From now on loops may end. */
+  /** From now on a loop that ends has not failed. */
   void allowShutdown() {
-    ending = true;
+    shutdownAllowed = true;
   }
 
   @Override
@@ -44,11 +44,11 @@
     } catch (Throwable e) {
       cause = e;
     }
-    if (!ending) {
+    if (!shutdownAllowed) {
       try {
         log.line("event=event_loop_failed cause=" + cause);
       } finally {
-        failed.run();
+        onFailure.run();
       }
     }
   }
--- a/engine/src/main/java/shalepaddle/node/NettyLog.java
+++ b/engine/src/main/java/shalepaddle/node/NettyLog.java
@@ -1,18 +1,17 @@
 package shalepaddle.node;
 
-import io.netty.util.internal.logging.AbstractInternalLogger;
 import io.netty.util.internal.logging.InternalLogger;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import java.util.Arrays;
 import shalepaddle.loop.Log;
 
 /**
- * The transport's warnings and errors as lines of the node's log. The Java platform's logger, its
- * usual one, opens files as it writes its first line: while descriptors are short that fails with
- * an {@link Error}, which ends the event loop that wanted to log. This one needs nothing that a
- * failure may have taken.
+ * Writes the transport's warnings and errors as lines of the node's log. The transport's default,
+ * the Java platform's logger, opens files when it writes its first line. That fails while
+ * descriptors are short, with an {@link Error} that ends the event loop. This logger needs no
+ * descriptor. Thread-safe, as the node's log is.
  */
-final class NettyLog extends AbstractInternalLogger {
+final class NettyLog extends WarningsOnlyLogger {
   private static final long serialVersionUID = 1;
 
   private final transient Log log;
@@ -22,7 +21,7 @@
     this.log = log;
   }
 
-  /** From now on the transport logs there, whichever of its classes. */
+  /** From now on each class of the transport that is loaded logs there. */
   static void install(Log log) {
     InternalLoggerFactory.setDefaultFactory(
         new InternalLoggerFactory() {
@@ -34,80 +33,10 @@
   }
 
   private void write(String level, String message, Object... arguments) {
-    String more = arguments.length == 0 ? "" : " " + Arrays.toString(arguments);
-    log.line("event=transport level=" + level + " logger=" + name() + " " + message + more);
+    String values = arguments.length == 0 ? "" : " " + Arrays.toString(arguments);
+    log.line("event=transport level=" + level + " logger=" + name() + " " + message + values);
   }
 
-  @Override
-  public boolean isTraceEnabled() {
-    return false;
-  }
-
-  @Override
-  public boolean isDebugEnabled() {
-    return false;
-  }
-
-  @Override
-  public boolean isInfoEnabled() {
-    return false;
-  }
-
-  @Override
-  public boolean isWarnEnabled() {
-    return true;
-  }
-
-  @Override
-  public boolean isErrorEnabled() {
-    return true;
-  }
-
-  @Override
-  public void trace(String message) {}
-
-  @Override
-  public void trace(String format, Object argument) {}
-
-  @Override
-  public void trace(String format, Object first, Object second) {}
-
-  @Override
-  public void trace(String format, Object... arguments) {}
-
-  @Override
-  public void trace(String message, Throwable cause) {}
-
-  @Override
-  public void debug(String message) {}
-
-  @Override
-  public void debug(String format, Object argument) {}
-
-  @Override
-  public void debug(String format, Object first, Object second) {}
-
-  @Override
-  public void debug(String format, Object... arguments) {}
-
-  @Override
-  public void debug(String message, Throwable cause) {}
-
-  @Override
-  public void info(String message) {}
-
-  @Override
-  public void info(String format, Object argument) {}
-
-  @Override
-  public void info(String format, Object first, Object second) {}
-
-  @Override
-  public void info(String format, Object... arguments) {}
-
-  @Override
-  public void info(String message, Throwable cause) {}
-
   @Override
   public void warn(String message) {
     write("warn", message);
--- a/engine/src/main/java/shalepaddle/node/NodeAdminOperations.java
+++ b/engine/src/main/java/shalepaddle/node/NodeAdminOperations.java
@@ -8,21 +8,24 @@
 import shalepaddle.admin.AdminOperations;
 import shalepaddle.admin.Telemetry;
 
-/** What the operators' door leads to: published readings, and commands for the request loop. */
+/**
+ * Answers the admin server's calls from published snapshots, and runs its commands on the event
+ * loop. Thread-safe.
+ */
 final class NodeAdminOperations implements AdminOperations {
   private final EventLoop loop;
   private final LoadBalancer balancer;
-  private final BooleanSupplier ready;
+  private final BooleanSupplier readiness;
 
-  NodeAdminOperations(EventLoop loop, LoadBalancer balancer, BooleanSupplier ready) {
-    this.ready = ready;
+  NodeAdminOperations(EventLoop loop, LoadBalancer balancer, BooleanSupplier readiness) {
+    this.readiness = readiness;
     this.loop = loop;
     this.balancer = balancer;
   }
 
   @Override
   public boolean isReady() {
-    return ready.getAsBoolean();
+    return readiness.getAsBoolean();
   }
 
   @Override
@@ -31,16 +34,15 @@
   }
 
   @Override
-  public Revocable exclude(String member, boolean out, Consumer<Result> done) {
-    // Whoever sets it first has the command: the loop to carry it out, or the caller to call it
-    // off.
+  public Revocable exclude(String member, boolean excluded, Consumer<Result> done) {
+    // Set first by the loop, which then runs the command, or by the caller, who revokes it.
     AtomicBoolean claimed = new AtomicBoolean();
     try {
       loop.execute(
           () -> {
             if (claimed.compareAndSet(false, true)) {
               done.accept(
-                  balancer.exclusions().setExcluded(member, out)
+                  balancer.exclusions().setExcluded(member, excluded)
                       ? Result.DONE
                       : Result.UNKNOWN_MEMBER);
             }
--- a/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
+++ b/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
@@ -10,40 +10,44 @@
 import shalepaddle.upstream.ServerPools;
 
 /**
- * The one way in for operators' words on cache servers, whoever says them: the door, another
- * process of this node, or the group that all nodes are in. The last word on a server holds.
+ * Applies operators' exclusions of cache servers to the connections and the decisions, whether they
+ * come from this process's admin server or from another process of this node. The latest exclusion
+ * or inclusion of a server is in force.
  *
  * <p>On the event loop alone.
  */
 final class OperatorExclusions {
-  private final ServerExclusions words = new ServerExclusions();
+  private final ServerExclusions latest = new ServerExclusions();
   private final ServerPools pools;
   private final Dispatcher dispatcher;
   private final Clock time;
   private final Log log;
-  private final Runnable changed;
+  private final Runnable onChange;
 
   /**
-   * No word has been said.
+   * Nothing is excluded yet.
    *
-   * @param changed runs when a word has come into force
+   * @param onChange runs after each exclusion or inclusion that was applied
    */
   OperatorExclusions(
-      ServerPools pools, Dispatcher dispatcher, Clock time, Log log, Runnable changed) {
+      ServerPools pools, Dispatcher dispatcher, Clock time, Log log, Runnable onChange) {
     this.pools = pools;
     this.dispatcher = dispatcher;
     this.time = time;
     this.log = log;
-    this.changed = changed;
+    this.onChange = onChange;
   }
 
-  /** An operator says it at this node; false, and nothing is done, if no such server is known. */
-  boolean setExcluded(String member, boolean out) {
+  /**
+   * Excludes a server for an operator of this process, or includes it again. Returns false, and
+   * does nothing, if no such server is known.
+   */
+  boolean setExcluded(String member, boolean excluded) {
     if (!isKnown(member)) {
       return false;
     }
-    log.line(member + (out ? " left out" : " put back") + " by hand");
-    say(MemberList.serverNumber(member), out);
+    log.line("event=" + (excluded ? "server_excluded" : "server_included") + " member=" + member);
+    record(MemberList.serverNumber(member), excluded);
     return true;
   }
 
@@ -52,33 +56,33 @@
     return pools.knows(MemberList.serverNumber(member));
   }
 
-  /** Other processes of this node have heard these. */
+  /** Merges what other processes of this node know; the later one of each server wins. */
   void merge(List<ServerExclusion> theirs) {
-    words.merge(theirs).forEach(this::apply);
+    latest.merge(theirs).forEach(this::apply);
   }
 
-  private void say(long server, boolean out) {
-    // Behind what was heard before of this server, whatever the clock of another process says.
-    long latest =
-        words.all().stream()
-            .filter(word -> word.server() == server)
+  private void record(long server, boolean excluded) {
+    // Later than all that is known of this server, whatever the clock of another process was.
+    long knownMillis =
+        latest.all().stream()
+            .filter(known -> known.server() == server)
             .mapToLong(ServerExclusion::atMillis)
             .findAny()
             .orElse(0);
-    ServerExclusion word =
-        new ServerExclusion(server, out, Math.max((long) (time.now() * 1e3), latest + 1));
-    words.record(word);
-    apply(word);
+    long atMillis = Math.max((long) (time.now() * 1e3), knownMillis + 1);
+    ServerExclusion exclusion = new ServerExclusion(server, excluded, atMillis);
+    latest.record(exclusion);
+    apply(exclusion);
   }
 
-  private void apply(ServerExclusion word) {
-    pools.exclude(word.server(), word.excluded());
-    dispatcher.exclude(word.server(), word.excluded());
-    changed.run();
+  private void apply(ServerExclusion exclusion) {
+    pools.exclude(exclusion.server(), exclusion.excluded());
+    dispatcher.exclude(exclusion.server(), exclusion.excluded());
+    onChange.run();
   }
 
-  /** All that were said, oldest first. */
+  /** The latest of each server, those recorded first in front. */
   List<ServerExclusion> all() {
-    return words.all();
+    return latest.all();
   }
 }
--- a/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
@@ -8,59 +8,61 @@
 import shalepaddle.overload.OverloadSnapshot;
 
 /**
- * Meters of a load balancer's own overload, for a registry of whoever runs it. The deployed daemon
- * has none, and its jar does not hold Micrometer: its levels are told in its log.
+ * Meters of a load balancer's own overload, for the registry of a program that embeds it. The
+ * deployed daemon has no registry, and its jar no Micrometer: it logs its levels.
  *
  * <table>
  * <caption>What is bound</caption>
  * <tr><th>name</th><th>meaning</th></tr>
  * <tr><td>{@code shalepaddle.overload.level}</td><td>0 calm, 1 busy, 2 full; tag {@code resource}</td></tr>
- * <tr><td>{@code shalepaddle.overload.delay}</td><td>seconds that stand in the event loop</td></tr>
+ * <tr><td>{@code shalepaddle.overload.delay}</td><td>queueing delay in the event loop, in seconds</td></tr>
  * <tr><td>{@code shalepaddle.overload.use}</td><td>part of the limit in use; tag {@code resource}</td></tr>
  * <tr><td>{@code shalepaddle.overload.limit}</td><td>requests a second admitted, NaN for no limit</td></tr>
- * <tr><td>{@code shalepaddle.overload.passing}</td><td>part admitted; tag {@code tier}, 0 worth most</td></tr>
+ * <tr><td>{@code shalepaddle.overload.passing}</td><td>part admitted; tag {@code tier}, 0 has the highest priority</td></tr>
  * <tr><td>{@code shalepaddle.overload.offered}, {@code .refused}</td><td>requests; tag {@code tier}</td></tr>
- * <tr><td>{@code shalepaddle.overload.repeats.refused}</td><td>repeats refused for want of first tries</td></tr>
+ * <tr><td>{@code shalepaddle.overload.repeats.refused}</td><td>retries rejected for lack of first attempts</td></tr>
  * </table>
  *
- * <p>The reading is taken on the registry's thread: it must be a published one, see {@link
+ * <p>Snapshots are read on the registry's thread: they must be published ones, see {@link
  * LoadBalancer#overloadSnapshot}.
  */
 public final class OverloadMetrics implements MeterBinder {
   private static final String PREFIX = "shalepaddle.overload.";
 
-  private final Supplier<OverloadSnapshot> reading;
+  private final Supplier<OverloadSnapshot> latest;
   private final Tags tags;
 
   /**
    * Meters of one load balancer.
    *
-   * @param reading the newest reading, from any thread
-   * @param tags tell this load balancer's meters from another's in the same registry
+   * @param latest the newest snapshot, from any thread
+   * @param tags distinguish this load balancer's meters from another's in the same registry
    */
-  public OverloadMetrics(Supplier<OverloadSnapshot> reading, Tags tags) {
-    this.reading = reading;
+  public OverloadMetrics(Supplier<OverloadSnapshot> latest, Tags tags) {
+    this.latest = latest;
     this.tags = tags;
   }
 
   @Override
   public void bindTo(MeterRegistry registry) {
-    SnapshotMeters<OverloadSnapshot> meters = new SnapshotMeters<>(registry, PREFIX, reading);
-    level(meters, "processor", r -> r.processorLevel().ordinal());
-    level(meters, "memory", r -> r.memoryLevel().ordinal());
-    level(meters, "descriptors", r -> r.descriptorLevel().ordinal());
+    SnapshotMeters<OverloadSnapshot> meters = new SnapshotMeters<>(registry, PREFIX, latest);
+    level(meters, "processor", snapshot -> snapshot.processorLevel().ordinal());
+    level(meters, "memory", snapshot -> snapshot.memoryLevel().ordinal());
+    level(meters, "descriptors", snapshot -> snapshot.descriptorLevel().ordinal());
     use(meters, "processor", OverloadSnapshot::processor);
     use(meters, "memory", OverloadSnapshot::memory);
     use(meters, "descriptors", OverloadSnapshot::descriptors);
     meters.gauge("delay", "seconds", tags, OverloadSnapshot::stood);
-    meters.gauge("limit", "requests/second", tags, r -> finite(r.limit()));
+    meters.gauge("limit", "requests/second", tags, snapshot -> finite(snapshot.limit()));
     meters.counter("repeats.refused", "requests", tags, OverloadSnapshot::repeatsRefused);
-    for (int i = 0; i < reading.get().tiers().size(); i++) {
+    for (int i = 0; i < latest.get().tiers().size(); i++) {
       int tier = i;
       Tags tagged = tags.and("tier", Integer.toString(tier));
-      meters.gauge("passing", null, tagged, r -> r.tiers().get(tier).passing());
-      meters.counter("offered", "requests", tagged, r -> r.tiers().get(tier).offered());
-      meters.counter("refused", "requests", tagged, r -> r.tiers().get(tier).refused());
+      meters.gauge("passing", null, tagged, snapshot -> snapshot.tiers().get(tier).passing());
+      meters.counter(
+          "offered", "requests", tagged, snapshot -> snapshot.tiers().get(tier).offered());
+      meters.counter(
+          "refused", "requests", tagged, snapshot -> snapshot.tiers().get(tier).refused());
     }
   }
 
@@ -71,14 +73,14 @@
   private void level(
       SnapshotMeters<OverloadSnapshot> meters,
       String resource,
-      ToDoubleFunction<OverloadSnapshot> figure) {
-    meters.gauge("level", null, tags.and("resource", resource), figure);
+      ToDoubleFunction<OverloadSnapshot> value) {
+    meters.gauge("level", null, tags.and("resource", resource), value);
   }
 
   private void use(
       SnapshotMeters<OverloadSnapshot> meters,
       String resource,
-      ToDoubleFunction<OverloadSnapshot> figure) {
-    meters.gauge("use", null, tags.and("resource", resource), figure);
+      ToDoubleFunction<OverloadSnapshot> value) {
+    meters.gauge("use", null, tags.and("resource", resource), value);
   }
 }
--- a/engine/src/main/java/shalepaddle/node/ProcessorUse.java
+++ b/engine/src/main/java/shalepaddle/node/ProcessorUse.java
@@ -6,79 +6,83 @@
 import java.time.Duration;
 
 /**
- * The part in use of the cores that this process may use. Read from what the system tells of the
- * process, which needs no privilege and, other than the platform's management beans, no classes
- * that a start would have to load. On Linux from a file that stays open, by one system call: {@link
- * ProcessHandle#info} opens several, and asks for the user's name each time.
+ * Measures which part of its cores this process uses. On Linux it reads a file that stays open, by
+ * one system call; {@link ProcessHandle#info}, which is used elsewhere, opens several files each
+ * time. The Java platform's management beans would load more classes at a start.
  *
- * <p>Belongs to one event loop.
+ * <p>Owned by one event loop.
  */
 final class ProcessorUse {
-  /** Reading it is a system call or some: often enough to see a second's use. */
-  private static final long PERIOD_NANOS = 500_000_000L;
+  /** How often the use is read, which takes a system call. */
+  private static final long MIN_INTERVAL_NANOS = 500_000_000L;
 
-  /** What Linux tells of this process, with its times in hundredths of a second. */
-  private static final String STAT = "/proc/self/stat";
+  /** Linux's statistics of this process, with times in hundredths of a second. */
+  private static final String STAT_PATH = "/proc/self/stat";
 
-  /** That file, one for the process; null where the system has none. */
-  private static final RandomAccessFile FILE = open();
+  /** One for the process; null where the system has no such file. */
+  private static final RandomAccessFile STAT_FILE = open();
 
   private static final long TICK_NANOS = 10_000_000L;
 
-  /** The times in user and in system mode, counted from behind the name in parentheses. */
-  private static final int USER = 11;
+  /** Positions of the times in user and system mode, after the name in parentheses. */
+  private static final int USER_FIELD = 11;
 
-  private static final int SYSTEM = 12;
+  private static final int SYSTEM_FIELD = 12;
 
   private final double cores;
-  private final byte[] text = new byte[1024];
-  private long readAt;
-  private long used = -1;
-  private double share = Double.NaN;
+  private final byte[] buffer = new byte[1024];
+  private long readAtNanos;
+  private long usedNanos = -1;
+  private double usedRatio = Double.NaN;
 
-  /** That of a process which may use so many cores. */
+  /** The use of a process that may use so many cores. */
   ProcessorUse(double cores) {
     this.cores = Math.max(0.01, cores);
   }
 
   private static RandomAccessFile open() {
     try {
-      return new RandomAccessFile(STAT, "r");
+      return new RandomAccessFile(STAT_PATH, "r");
     } catch (IOException e) {
-      // Another system: asked by the platform's means.
+      // Another system than Linux: the Java platform is asked instead.
       return null;
     }
   }
 
-  /** Nanoseconds of processor time that this process has used, -1 if that is not known. */
+  /** Nanoseconds of processor time that this process has used, -1 if unknown. */
   long usedNanos() {
-    if (FILE == null) {
+    if (STAT_FILE == null) {
       return ProcessHandle.current().info().totalCpuDuration().map(Duration::toNanos).orElse(-1L);
     }
     try {
       int length;
-      synchronized (FILE) {
-        FILE.seek(0);
-        length = FILE.read(text);
+      synchronized (STAT_FILE) {
+        STAT_FILE.seek(0);
+        length = STAT_FILE.read(buffer);
       }
-      String line = new String(text, 0, Math.max(0, length), StandardCharsets.ISO_8859_1);
+      String line = new String(buffer, 0, Math.max(0, length), StandardCharsets.ISO_8859_1);
       String[] fields = line.substring(line.lastIndexOf(')') + 2).split(" ");
-      return (Long.parseLong(fields[USER]) + Long.parseLong(fields[SYSTEM])) * TICK_NANOS;
+      return (Long.parseLong(fields[USER_FIELD]) + Long.parseLong(fields[SYSTEM_FIELD]))
+          * TICK_NANOS;
     } catch (IOException | RuntimeException e) {
       return -1;
     }
   }
 
-  /** From 0 to about 1, over the last half second or more; NaN until it is known. */
-  double usedRatio(long now) {
-    if (used < 0 || now - readAt >= PERIOD_NANOS) {
+  /**
+   * From 0 to about 1, measured over the last half second or more; NaN before it is known.
+   *
+   * @param nowNanos the event loop's time
+   */
+  double usedRatio(long nowNanos) {
+    if (usedNanos < 0 || nowNanos - readAtNanos >= MIN_INTERVAL_NANOS) {
       long total = usedNanos();
-      if (used >= 0 && total >= 0) {
-        share = (total - used) / (cores * Math.max(1, now - readAt));
+      if (usedNanos >= 0 && total >= 0) {
+        usedRatio = (total - usedNanos) / (cores * Math.max(1, nowNanos - readAtNanos));
       }
-      used = total;
-      readAt = now;
+      usedNanos = total;
+      readAtNanos = nowNanos;
     }
-    return share;
+    return usedRatio;
   }
 }
--- a/engine/src/main/java/shalepaddle/node/SnapshotMeters.java
+++ b/engine/src/main/java/shalepaddle/node/SnapshotMeters.java
@@ -8,31 +8,32 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Registers meters that read a published reading. A registry holds what its meters look at by weak
- * references alone; here the functions hold it, so that a meter lives as long as its registry.
+ * Registers meters whose values come from a published snapshot. A registry references what its
+ * meters observe weakly; here the functions reference it, so that a meter lives as long as its
+ * registry.
  *
- * @param prefix begins each name
- * @param reading the newest reading, from any thread
- * @param <R> the reading
+ * @param prefix begins each meter's name
+ * @param latest the newest snapshot, from any thread
+ * @param <S> the snapshot
  */
-record SnapshotMeters<R>(MeterRegistry registry, String prefix, Supplier<R> reading) {
-  /** Something that only grows. */
-  void counter(String name, String unit, Tags tags, ToDoubleFunction<R> figure) {
-    FunctionCounter.builder(prefix + name, reading, any -> read(figure))
+record SnapshotMeters<S>(MeterRegistry registry, String prefix, Supplier<S> latest) {
+  /** A value that only grows. */
+  void counter(String name, String unit, Tags tags, ToDoubleFunction<S> value) {
+    FunctionCounter.builder(prefix + name, latest, ignored -> read(value))
         .baseUnit(unit)
         .tags(tags)
         .register(registry);
   }
 
-  /** Something that comes and goes; without a unit where that is null. */
-  void gauge(String name, String unit, Tags tags, ToDoubleFunction<R> figure) {
-    Gauge.builder(prefix + name, reading, any -> read(figure))
+  /** A value that may fall; without a unit where that is null. */
+  void gauge(String name, String unit, Tags tags, ToDoubleFunction<S> value) {
+    Gauge.builder(prefix + name, latest, ignored -> read(value))
         .baseUnit(unit)
         .tags(tags)
         .register(registry);
   }
 
-  private double read(ToDoubleFunction<R> figure) {
-    return figure.applyAsDouble(reading.get());
+  private double read(ToDoubleFunction<S> value) {
+    return value.applyAsDouble(latest.get());
   }
 }
--- /dev/null
+++ b/engine/src/main/java/shalepaddle/node/SnapshotPublisher.java
@@ -0,0 +1,109 @@
+package shalepaddle.node;
+
+import shalepaddle.admin.Telemetry;
+import shalepaddle.coalescing.CoalescingSnapshot;
+import shalepaddle.engine.Dispatcher;
+import shalepaddle.front.ClientFront;
+import shalepaddle.hotrestart.ProcessState;
+import shalepaddle.overload.OverloadControl;
+import shalepaddle.overload.OverloadSnapshot;
+import shalepaddle.upstream.ServerPools;
+
+/**
+ * Publishes the event loop's state to other threads as immutable snapshots: the admin server, the
+ * other processes of this node, and whoever registers meters. The event loop writes; the accessors
+ * may be called from any thread and return what was published last.
+ */
+final class SnapshotPublisher {
+  private final long pid = ProcessHandle.current().pid();
+  private final Dispatcher dispatcher;
+  private final OverloadControl overloadControl;
+  private final ClientFront front;
+  private final ServerPools pools;
+  private final OperatorExclusions exclusions;
+  private final MemberTracker members;
+
+  private long reloadsApplied;
+  private long reloadsRejected;
+
+  private volatile ProcessState.Stage stage = ProcessState.Stage.STARTING;
+  private volatile OverloadSnapshot overload;
+  private volatile CoalescingSnapshot coalescing;
+  private volatile Telemetry telemetry;
+  private volatile ProcessState processState;
+
+  SnapshotPublisher(
+      Dispatcher dispatcher,
+      OverloadControl overloadControl,
+      ClientFront front,
+      ServerPools pools,
+      OperatorExclusions exclusions,
+      MemberTracker members) {
+    this.dispatcher = dispatcher;
+    this.overloadControl = overloadControl;
+    this.front = front;
+    this.pools = pools;
+    this.exclusions = exclusions;
+    this.members = members;
+    publishMetrics();
+  }
+
+  /** Publishes everything. On the event loop. */
+  void publishMetrics() {
+    overload = overloadControl.reading();
+    coalescing = dispatcher.joining();
+    publishState();
+  }
+
+  /** Publishes telemetry and the process's state, not the metrics of admission. Event loop. */
+  void publishState() {
+    telemetry =
+        new Telemetry(
+            dispatcher.figures().reading(),
+            dispatcher.recorder().counts(),
+            dispatcher.listed(false),
+            dispatcher.listed(true),
+            reloadsApplied,
+            reloadsRejected);
+    processState =
+        new ProcessState(
+            pid, stage, front.size(), pools.connections(), exclusions.all(), members.current());
+  }
+
+  /** Enters a stage; other processes learn of it when the state is published next. Event loop. */
+  void enter(ProcessState.Stage next) {
+    stage = next;
+  }
+
+  /** Counts a configuration that was applied, and publishes it. On the event loop. */
+  void countReloadApplied() {
+    reloadsApplied++;
+    publishState();
+  }
+
+  /** Counts a configuration that was rejected, and publishes it. On the event loop. */
+  void countReloadRejected() {
+    reloadsRejected++;
+    publishState();
+  }
+
+  boolean isReady() {
+    return stage == ProcessState.Stage.READY;
+  }
+
+  OverloadSnapshot overload() {
+    return overload;
+  }
+
+  CoalescingSnapshot coalescing() {
+    return coalescing;
+  }
+
+  Telemetry telemetry() {
+    return telemetry;
+  }
+
+  ProcessState processState() {
+    return processState;
+  }
+}
--- /dev/null
+++ b/engine/src/main/java/shalepaddle/node/SocketTransport.java
@@ -0,0 +1,73 @@
+package shalepaddle.node;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.buffer.ByteBufAllocator;
+import io.netty.buffer.PooledByteBufAllocator;
+import io.netty.channel.AdaptiveRecvByteBufAllocator;
+import io.netty.channel.ChannelFactory;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.util.internal.PlatformDependent;
+import java.nio.channels.ServerSocketChannel;
+import shalepaddle.front.ClientListener;
+import shalepaddle.sockets.TcpConnection;
+
+/** TCP sockets by the Java platform's selector, with one pool of direct buffers. Thread-safe. */
+final class SocketTransport implements Transport {
+  private final PooledByteBufAllocator allocator =
+      new PooledByteBufAllocator(true, 0, 1, 8192, 6, 64, 16, true);
+
+  @Override
+  public ByteBufAllocator allocator() {
+    return allocator;
+  }
+
+  @Override
+  public double bufferMemoryRatio() {
+    return (double) allocator.pinnedDirectMemory() / PlatformDependent.maxDirectMemory();
+  }
+
+  @Override
+  public long maxBufferBytes() {
+    return PlatformDependent.maxDirectMemory();
+  }
+
+  @Override
+  public void releaseCachedBuffers() {
+    allocator.trimCurrentThreadCache();
+  }
+
+  @Override
+  public Bootstrap connector(EventLoop loop) {
+    return new Bootstrap()
+        .group(loop)
+        .channel(TcpConnection.class)
+        .option(ChannelOption.ALLOCATOR, allocator)
+        .option(ChannelOption.TCP_NODELAY, true)
+        .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(64, 2048, 32768))
+        // Timers.limit bounds the time to connect instead, and allows for stalls.
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0);
+  }
+
+  @Override
+  public ServerBootstrap acceptor(EventLoop loop) {
+    return acceptor(loop, ClientListener::new);
+  }
+
+  @Override
+  public ServerBootstrap acceptor(EventLoop loop, ServerSocketChannel listening) {
+    return acceptor(loop, () -> new ClientListener(listening));
+  }
+
+  private ServerBootstrap acceptor(EventLoop loop, ChannelFactory<ClientListener> listener) {
+    return new ServerBootstrap()
+        .group(loop)
+        .channelFactory(listener)
+        .option(ChannelOption.SO_BACKLOG, 1024)
+        .childOption(ChannelOption.ALLOCATOR, allocator)
+        .childOption(ChannelOption.TCP_NODELAY, true)
+        .childOption(
+            ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 2048, 16384));
+  }
+}
--- a/engine/src/main/java/shalepaddle/node/Warmup.java
+++ b/engine/src/main/java/shalepaddle/node/Warmup.java
@@ -2,26 +2,18 @@
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
-import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.local.LocalAddress;
 import io.netty.channel.local.LocalChannel;
 import io.netty.channel.local.LocalIoHandler;
 import io.netty.channel.local.LocalServerChannel;
 import io.netty.util.concurrent.Ticker;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import shalepaddle.coalescing.CoalescingConfig;
 import shalepaddle.codec.meta.MetaClientCodec;
@@ -29,7 +21,6 @@
 import shalepaddle.config.NodeConfig;
 import shalepaddle.engine.Dispatcher;
 import shalepaddle.engine.MemoryBudget;
-import shalepaddle.front.ClientCommand;
 import shalepaddle.front.ClientFront;
 import shalepaddle.front.RequestAdmission;
 import shalepaddle.loop.Clock;
@@ -48,137 +39,160 @@
 import shalepaddle.upstream.ServerPools;
 
 /**
- * Takes requests through the node's own code before clients come, within the process and on a loop
- * of its own: it needs no socket, file or port, so that no platform can withhold what it waits for.
- * Guards against a start in which a part of a core both compiles and serves: what clients sent then
- * timed out, and their new connections cost more than their requests. The system calls of sockets
- * stay unpractised.
+ * Sends requests through the node's own code before clients come, so that its classes are loaded
+ * and partly compiled. Without it the first clients' requests timed out, while a part of a core
+ * both compiled and served. Runs within the process, on an event loop of its own: it needs no
+ * socket, file or port for which it might have to wait. The system calls of sockets are not warmed
+ * up.
+ *
+ * <p>Called from the thread that starts the node, which it blocks for {@link #MAX_MILLIS} at most.
  */
 final class Warmup {
   /**
-   * Enough for classes to be loaded and for the compiler to take what each request runs often: it
-   * begins at 200 calls. More of them only keep a node that was restarted from its clients: where
-   * many were, those are waiting for anybody at all.
+   * Enough to load the classes, and for the compiler to begin, which it does at 200 calls of a
+   * method. More of them would delay a restarted node's service.
    */
   static final int REQUEST_COUNT = 150;
 
-  private static final int AT_ONCE = 4;
-  private static final int SERVERS = 4;
+  /** Requests that are open at the same time. */
+  static final int CONCURRENT_REQUESTS = 4;
 
-  /** A node must not be kept from serving, whatever happens here. */
-  private static final long MAX_MILLIS = 1500;
+  /** The node starts to serve after this time, whatever happens here. */
+  static final long MAX_MILLIS = 1500;
 
-  /**
-   * The time of each request, which outlasts the warm-up: where the first classes take over a
-   * second to load, requests that expire would stop it and be logged as a client's.
-   */
-  private static final long REQUEST_MILLIS = 40 * MAX_MILLIS;
+  private static final int SERVER_COUNT = 4;
+  private static final int VALUE_MEMORY_BYTES = 1 << 20;
+
+  private final NodeConfig config;
+  private final EventLoop loop;
+  private final LoopClock clock;
+  private final ByteBufAllocator allocator;
+  private final Log log;
 
-  private Warmup() {}
+  private Warmup(
+      NodeConfig config, EventLoop loop, LoopClock clock, ByteBufAllocator allocator, Log log) {
+    this.config = config;
+    this.loop = loop;
+    this.clock = clock;
+    this.allocator = allocator;
+    this.log = log;
+  }
 
   /** Returns how many requests were answered. */
   static int run(NodeConfig config, Transport transport, Log log) throws InterruptedException {
-    LoopClock clock = new LoopClock(Ticker.systemTicker(), new Unwatched(log));
+    LoopClock clock = new LoopClock(Ticker.systemTicker(), new StallsIgnored(log));
     var group =
         new MultiThreadIoEventLoopGroup(
             1, WatchedIoHandler.factory(LocalIoHandler.newFactory(), clock));
     try {
-      return run(config, group.next(), clock, transport.allocator(), log);
+      return new Warmup(config, group.next(), clock, transport.allocator(), log).run();
     } finally {
       // Its connections end with it; nobody waits for that.
       group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
   }
 
-  private static int run(
-      NodeConfig config, EventLoop loop, LoopClock clock, ByteBufAllocator allocator, Log log)
-      throws InterruptedException {
+  private int run() throws InterruptedException {
     // Unique in the process: several nodes may start in it at once.
-    var caches = new LocalAddress(Cache.class);
-    var front = new LocalAddress(ClientFront.class);
-    listen(loop, allocator, caches, new Cache(config));
+    LocalAddress servers = new LocalAddress(WarmupCacheServer.class);
+    LocalAddress clients = new LocalAddress(ClientFront.class);
+    listen(servers, new WarmupCacheServer(config.settings(), VALUE_MEMORY_BYTES));
     Clock time = new Clock(loop.ticker(), System.currentTimeMillis());
-    Dispatcher dispatcher =
-        new Dispatcher(
-            pushed(config.settings()),
-            config.seed(),
-            loop,
-            clock,
-            time,
-            log,
-            calm(config),
-            CoalescingConfig.OFF);
-    ServerPools pools = pools(dispatcher, loop, allocator);
+    Dispatcher dispatcher = dispatcher(time);
+    ServerPools pools = serverPools(dispatcher);
     loop.submit(() -> dispatcher.start(pools, MemberSource.FIXED)).await();
+    announce(serverList(servers), dispatcher, pools, time);
+    listen(clients, clientFront(dispatcher));
+    WarmupClient client = new WarmupClient(config.settings());
+    connect(client, clients);
+    if (!client.awaitAllAnswered(MAX_MILLIS)) {
+      log.line("event=warmup_cut_short answered=" + client.answered());
+    }
+    loop.submit(
+            () -> {
+              dispatcher.close();
+              pools.close();
+            })
+        .await();
+    return client.answered();
+  }
+
+  private Dispatcher dispatcher(Clock time) {
+    return new Dispatcher(
+        withPushedList(config.settings()),
+        config.seed(),
+        loop,
+        clock,
+        time,
+        log,
+        withoutLoadShedding(),
+        CoalescingConfig.OFF);
+  }
+
+  private ServerPools serverPools(Dispatcher dispatcher) {
+    Bootstrap connector =
+        new Bootstrap()
+            .group(loop)
+            .channel(LocalChannel.class)
+            .option(ChannelOption.ALLOCATOR, allocator);
+    ServerPool.Limits limits =
+        new ServerPool.Limits(
+            2, 2 * SERVER_COUNT, 2, TimeUnit.MINUTES.toNanos(1), TimeUnit.SECONDS.toNanos(1));
+    return new ServerPools(connector, new MetaServerCodec(), limits, dispatcher);
+  }
+
+  /** Several cache servers at one address. */
+  private MemberList serverList(LocalAddress address) {
     List<MemberList.Member> members = new ArrayList<>();
-    for (int i = 0; i < SERVERS; i++) {
+    for (int i = 0; i < SERVER_COUNT; i++) {
       members.add(
           new MemberList.Member(
               new ServerEntry(i, config.settings().zone(), "", 0, ServerEntry.State.READY, 1, 0),
-              caches));
+              address));
     }
+    return new MemberList(true, 1, members);
+  }
+
+  private void announce(MemberList list, Dispatcher dispatcher, ServerPools pools, Clock time)
+      throws InterruptedException {
     loop.submit(
             () -> {
-              MemberList list = new MemberList(true, 1, members);
               pools.update(list, time.now());
               dispatcher.membership(list.toUpdate(MembershipUpdate.Kind.FULL));
             })
         .await();
-    MemoryBudget values = new MemoryBudget(1 << 20);
+  }
+
+  private ClientFront clientFront(Dispatcher dispatcher) {
+    MemoryBudget values = new MemoryBudget(VALUE_MEMORY_BYTES);
     MetaClientCodec codec = new MetaClientCodec(values, config.settings(), RequestAdmission.OPEN);
-    listen(
-        loop,
-        allocator,
-        front,
-        new ClientFront(dispatcher, codec, AT_ONCE, () -> DegradationPolicy.CALM, values));
-    Client client = new Client(config.settings());
-    new Bootstrap()
-        .group(loop)
-        .channel(LocalChannel.class)
-        .option(ChannelOption.ALLOCATOR, allocator)
-        .handler(client)
-        .connect(front)
-        .await();
-    if (!client.done.await(MAX_MILLIS, TimeUnit.MILLISECONDS)) {
-      log.line("the warm-up was cut short");
-    }
-    // Its timers and buffers end with it.
-    loop.submit(
-            () -> {
-              dispatcher.close();
-              pools.close();
-            })
-        .await();
-    return client.answered;
+    return new ClientFront(
+        dispatcher, codec, CONCURRENT_REQUESTS, () -> DegradationPolicy.CALM, values);
   }
 
-  private static void listen(
-      EventLoop loop, ByteBufAllocator allocator, LocalAddress address, ChannelHandler setup)
+  private void listen(LocalAddress address, ChannelHandler connectionHandler)
       throws InterruptedException {
     new ServerBootstrap()
         .group(loop)
         .channel(LocalServerChannel.class)
         .childOption(ChannelOption.ALLOCATOR, allocator)
-        .childHandler(setup)
+        .childHandler(connectionHandler)
         .bind(address)
         .await();
   }
 
-  /** Pauses of a loop that compiles harm nobody. */
-  private record Unwatched(Log log) implements LoopClock.Listener {
-    @Override
-    public void paused(long nanos) {
-      // Nobody waits.
-    }
-
-    @Override
-    public void failed(RuntimeException cause) {
-      log.failure("warm-up", cause);
-    }
+  private void connect(ChannelHandler client, LocalAddress address) throws InterruptedException {
+    new Bootstrap()
+        .group(loop)
+        .channel(LocalChannel.class)
+        .option(ChannelOption.ALLOCATOR, allocator)
+        .handler(client)
+        .connect(address)
+        .await();
   }
 
-  /** Sheds nothing: a loop that compiles is late, and nobody is there to be refused. */
-  private static OverloadControl calm(NodeConfig config) {
+  /** Sheds nothing: an event loop whose code is being compiled is late, as is to be expected. */
+  private OverloadControl withoutLoadShedding() {
     return new OverloadControl(
         config.settings(),
         OverloadConfig.OFF,
@@ -186,122 +200,37 @@
         (resource, before, now, figure) -> {});
   }
 
-  /** The same settings, where nobody has to be asked for the list of servers. */
-  private static Settings pushed(Settings s) {
+  /** The same settings, with a list of servers that is not polled for. */
+  private static Settings withPushedList(Settings settings) {
     return new Settings(
-        s.zone(),
-        s.zones(),
-        s.kinds(),
-        s.number(),
-        s.instances(),
+        settings.zone(),
+        settings.zones(),
+        settings.kinds(),
+        settings.number(),
+        settings.instances(),
         false,
-        s.marksRepeats(),
-        s.weights(),
-        s.cache(),
-        s.limits(),
-        s.contract(),
-        s.prices(),
-        s.services(),
-        s.tenants(),
-        s.overShareWorth(),
-        s.tick());
+        settings.marksRepeats(),
+        settings.weights(),
+        settings.cache(),
+        settings.limits(),
+        settings.contract(),
+        settings.prices(),
+        settings.services(),
+        settings.tenants(),
+        settings.overShareWorth(),
+        settings.tick());
   }
 
-  private static ServerPools pools(
-      Dispatcher dispatcher, EventLoop loop, ByteBufAllocator allocator) {
-    Bootstrap bootstrap =
-        new Bootstrap()
-            .group(loop)
-            .channel(LocalChannel.class)
-            .option(ChannelOption.ALLOCATOR, allocator);
-    ServerPool.Limits limits =
-        new ServerPool.Limits(
-            2, 2 * SERVERS, 2, TimeUnit.MINUTES.toNanos(1), TimeUnit.SECONDS.toNanos(1));
-    return new ServerPools(bootstrap, new MetaServerCodec(), limits, dispatcher);
-  }
-
-  /**
-   * Sends what a client or server has to say, once the present call is over. Both ends of a
-   * connection are on one loop, where a write is read within it: the node would be called in the
-   * midst of a call of its own, as no socket calls it, and stalls.
-   */
-  private static void later(ChannelHandlerContext ctx, ByteBuf bytes) {
-    ctx.executor().execute(() -> ctx.writeAndFlush(bytes));
-  }
-
-  /** Answers every command, as a cache server that holds everything. */
-  private static final class Cache extends ChannelInitializer<Channel> {
-    private final MetaClientCodec codec;
-
-    Cache(NodeConfig config) {
-      codec =
-          new MetaClientCodec(new MemoryBudget(1 << 20), config.settings(), RequestAdmission.OPEN);
-    }
-
+  /** Stalls of a loop whose code is being compiled harm no client. */
+  private record StallsIgnored(Log log) implements LoopClock.Listener {
     @Override
-    protected void initChannel(Channel channel) {
-      channel
-          .pipeline()
-          .addLast(
-              codec.decoder(),
-              new SimpleChannelInboundHandler<ClientCommand>() {
-                @Override
-                protected void channelRead0(ChannelHandlerContext ctx, ClientCommand command) {
-                  String id = command.request().id();
-                  boolean write = command.request().write();
-                  ByteBuf reply = ctx.alloc().buffer();
-                  ByteBufUtil.writeAscii(
-                      reply,
-                      write ? "HD O" + id + " c1\r\n" : "VA 8 O" + id + " h1\r\nwarm-up!\r\n");
-                  command.release();
-                  later(ctx, reply);
-                }
-              });
-    }
-  }
-
-  /** Sends requests, a few at once, and counts the lines that come back. */
-  private static final class Client extends SimpleChannelInboundHandler<ByteBuf> {
-    private final CountDownLatch done = new CountDownLatch(1);
-    private final List<Settings.ServiceClass> services;
-    private int sent;
-    private volatile int answered;
-
-    Client(Settings settings) {
-      services = settings.services();
-    }
-
-    @Override
-    public void channelActive(ChannelHandlerContext ctx) {
-      for (int i = 0; i < AT_ONCE; i++) {
-        send(ctx);
-      }
-    }
-
-    private void send(ChannelHandlerContext ctx) {
-      Settings.ServiceClass service = services.get(sent % services.size());
-      boolean write = service.effect() == Settings.Effect.UNSAFE;
-      String flags = " Owarm" + sent + " Pc=" + service.name() + ",d=" + REQUEST_MILLIS + "\r\n";
-      String key = "warm" + sent % 100;
-      String command = write ? "ms " + key + " 1" + flags + "x\r\n" : "mg " + key + " v" + flags;
-      sent++;
-      later(ctx, ctx.alloc().buffer().writeBytes(command.getBytes(StandardCharsets.US_ASCII)));
+    public void paused(long nanos) {
+      // No client waits.
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
-      while (bytes.isReadable()) {
-        // An answer is the only line with this letter: values have none, and receipts neither.
-        if (bytes.readByte() == 'O') {
-          answered++;
-          if (sent < REQUEST_COUNT) {
-            send(ctx);
-          }
-        }
-      }
-      if (answered >= REQUEST_COUNT) {
-        done.countDown();
-      }
+    public void failed(RuntimeException cause) {
+      log.failure("warm-up", cause);
     }
   }
 }
