--- a/engine/src/main/java/shalepaddle/front/ClientConnections.java
+++ b/engine/src/main/java/shalepaddle/front/ClientConnections.java
@@ -106,16 +106,16 @@
   }
 
   /** Holds so many at most from now on; those that are there stay. */
-  public void limit(int connections) {
+  public void setMaxConnections(int connections) {
     limit = Math.max(1, connections);
   }
 
   /** Makes room for one more connection; false if no other can give way. */
   public boolean admit() {
-    if (size() < limit) {
+    if (connectionCount() < limit) {
       return true;
     }
-    long now = clock.listened();
+    long now = clock.activeNanos();
     boolean flood = open.get(Standing.UNUSED).size() > HESITANT * limit;
     return endLongest(Standing.LEAVING, now)
         || endLongest(Standing.UNUSED, flood ? now : now - HESITANT_NANOS)
@@ -159,7 +159,7 @@
    * No more connections come: those that are there may rest for as long as they like. Guards
    * against sending away clients that can not come back, to nodes that are crowded themselves.
    */
-  public void shut() {
+  public void listenerClosed() {
     shut = true;
   }
 
@@ -168,7 +168,7 @@
     if (from != null) {
       open.get(from).remove(client);
     }
-    open.get(to).put(client, clock.listened());
+    open.get(to).put(client, clock.activeNanos());
     if (to == Standing.OWED) {
       closeCrowding();
     }
@@ -182,7 +182,7 @@
    * what crosses their end.
    */
   private void tellIfEmpty() {
-    if (draining && whenEmpty != null && size() == 0) {
+    if (draining && whenEmpty != null && connectionCount() == 0) {
       Runnable step = whenEmpty;
       whenEmpty = null;
       step.run();
@@ -195,11 +195,11 @@
   }
 
   /** Connections on which an answer is owed. */
-  public int owed() {
+  public int connectionsAwaitingResponse() {
     return open.get(Standing.OWED).size();
   }
 
-  public int size() {
+  public int connectionCount() {
     int size = 0;
     for (var clients : open.values()) {
       size += clients.size();
@@ -208,8 +208,8 @@
   }
 
   /** Closes what has been of no use for too long. Not to be called while the loop is behind. */
-  public void sweep() {
-    long now = clock.listened();
+  public void closeExpired() {
+    long now = clock.activeNanos();
     endAll(Standing.UNUSED, Event.CLOSE_UNUSED, now - MAX_COMMAND_NANOS);
     for (ClientHandler client :
         expired(Standing.MIDWAY, now - MAX_COMMAND_NANOS, Integer.MAX_VALUE)) {
@@ -251,7 +251,7 @@
     if (shut) {
       return;
     }
-    long now = clock.listened();
+    long now = clock.activeNanos();
     closeIdle(now - HESITANT_NANOS, FULL * limit);
     closeIdle(now - PROMPT_NANOS, CROWDED * limit);
   }
@@ -294,10 +294,10 @@
     draining = true;
     whenEmpty = then;
     tellIfEmpty();
-    if (size() > 0) {
+    if (connectionCount() > 0) {
       loop.schedule(() -> closeNext(loop), restMillis, TimeUnit.MILLISECONDS);
       loop.schedule(
-          () -> clock.whenCaughtUp(this::lastCall),
+          () -> clock.whenBacklogRead(this::lastCall),
           restMillis + lastCallMillis,
           TimeUnit.MILLISECONDS);
     }
@@ -323,7 +323,7 @@
     int idle = open.get(Standing.IDLE).size();
     if (idle > 0) {
       for (ClientHandler client :
-          expired(Standing.IDLE, clock.listened(), 1 + idle / DRAIN_STEPS)) {
+          expired(Standing.IDLE, clock.activeNanos(), 1 + idle / DRAIN_STEPS)) {
         client.endQuietly(Event.CLOSE_DRAIN, false);
       }
       loop.schedule(() -> closeNext(loop), 1, TimeUnit.MILLISECONDS);
--- a/engine/src/main/java/shalepaddle/hotrestart/ServerExclusion.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ServerExclusion.java
@@ -14,6 +14,6 @@
   boolean supersedes(ServerExclusion other) {
     return other == null
         || atMillis > other.atMillis
-        || atMillis == other.atMillis && excluded && !other.excluded;
+        || (atMillis == other.atMillis && excluded && !other.excluded);
   }
 }
--- a/engine/src/main/java/shalepaddle/node/AdmissionFilter.java
+++ b/engine/src/main/java/shalepaddle/node/AdmissionFilter.java
@@ -43,24 +43,26 @@
   }
 
   @Override
-  public boolean shuts() {
-    overload.places(descriptors.requestRatio(openRequests.getAsInt()));
-    return overload.shedding();
+  public boolean mayReject() {
+    overload.onConnectionSlotUsage(descriptors.requestRatio(openRequests.getAsInt()));
+    return overload.isShedding();
   }
 
   @Override
-  public long ask(int serviceClass, int tenant, long subject, boolean repeat) {
-    long advice = overload.ask(serviceClass, tenant, subject, repeat, clock.now());
+  public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
+    long advice = overload.admit(serviceClass, tenant, subject, repeat, clock.now());
     if (advice != ADMITTED) {
       dispatcher.recorder().count(Event.REJECTED_ADMISSION, 1);
-      dispatcher.figures().declined(settings.get().services().get(serviceClass).name());
+      dispatcher
+          .metrics()
+          .rejectedBeforeParsing(settings.get().services().get(serviceClass).name());
     }
     return advice;
   }
 
   @Override
-  public void turnedAway(String serviceClass) {
+  public void rejectedAfterAdmission(String serviceClass) {
     dispatcher.recorder().count(Event.REJECTED_MEMORY, 1);
-    dispatcher.figures().declined(serviceClass);
+    dispatcher.metrics().rejectedBeforeParsing(serviceClass);
   }
 }
--- a/engine/src/main/java/shalepaddle/node/DescriptorBudget.java
+++ b/engine/src/main/java/shalepaddle/node/DescriptorBudget.java
@@ -55,9 +55,9 @@
         maxServerConnections(),
         // Where a request may not have two attempts out, one that is given up must be off its
         // connection before the next goes out: nothing may share it.
-        limits.parallelAttempts() ? Math.max(1, limits.perConnection()) : 1,
-        (long) (Math.max(1, limits.idleTimeout() / 2) * 1e9),
-        (long) (Math.max(0.001, limits.connectTimeout()) * 1e9));
+        limits.allowsParallelAttempts() ? Math.max(1, limits.maxAttemptsPerConnection()) : 1,
+        (long) (Math.max(1, limits.idleTimeoutSeconds() / 2) * 1e9),
+        (long) (Math.max(0.001, limits.connectTimeoutSeconds()) * 1e9));
   }
 
   /** The part of the request limit that so many open requests use; above 1 past the limit. */
--- a/engine/src/main/java/shalepaddle/node/GracefulShutdown.java
+++ b/engine/src/main/java/shalepaddle/node/GracefulShutdown.java
@@ -95,13 +95,15 @@
     long answeredMillis = begin();
     long releaseMillis = Math.max(ACCEPT_MILLIS, answeredMillis - RELEASE_MILLIS);
     // These timers wait until what came in a stall has been accepted and read.
-    dispatcher.timers().after(TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS), this::stopAccepting);
     dispatcher
         .timers()
-        .after(
+        .runNoEarlierThan(TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS), this::stopAccepting);
+    dispatcher
+        .timers()
+        .runNoEarlierThan(
             TimeUnit.MILLISECONDS.toNanos(releaseMillis),
             () -> {
-              log.line("draining " + front.size() + " client connections");
+              log.line("draining " + front.connectionCount() + " client connections");
               front.drain(loop, 0, lastReadMillis(answeredMillis - releaseMillis), onDrained);
             });
   }
@@ -110,7 +112,7 @@
   void handOver(Runnable onDrained) {
     long answeredMillis = begin();
     stopAccepting();
-    log.line("handing over " + front.size() + " client connections");
+    log.line("handing over " + front.connectionCount() + " client connections");
     // Where deadlines are short the process is killed before connections were idle for as long.
     long idleMillis = Math.min(IDLE_MILLIS, Math.max(0, answeredMillis - RELEASE_MILLIS));
     long releaseMillis = Math.min(answeredMillis - idleMillis, RELEASE_MILLIS);
@@ -129,13 +131,13 @@
     log.line("event=totals " + dispatcher.recorder().totals());
     long sinceSignalMillis = TimeUnit.NANOSECONDS.toMillis(clock.now() - clock.earliestArrival());
     long answeredMillis = Math.max(0, maxDrainMillis() - sinceSignalMillis);
-    dispatcher.answerBy(clock.now() + TimeUnit.MILLISECONDS.toNanos(answeredMillis));
+    dispatcher.drainBy(clock.now() + TimeUnit.MILLISECONDS.toNanos(answeredMillis));
     return answeredMillis;
   }
 
   /** Accepts no more clients; those that are connected are served on. */
   void stopAccepting() {
-    front.shut();
+    front.listenerClosed();
     if (listener instanceof ClientListener shared) {
       shared.stop();
     } else if (listener != null) {
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -131,7 +131,7 @@
             dispatcher,
             codec,
             descriptors.maxClientConnections(),
-            overload::posture,
+            overload::degradationPolicy,
             new MemoryBudget(((long) config.memoryMb() << 20) / READ_AHEAD_DIVISOR));
     snapshots = new SnapshotPublisher(dispatcher, overload, front, pools, exclusions, members);
     monitor =
@@ -148,7 +148,13 @@
             snapshots);
     shutdown =
         new GracefulShutdown(
-            loop, clock, dispatcher, front, snapshots, log, this::longestDeadlineSeconds);
+            loop,
+            clock,
+            dispatcher,
+            front,
+            snapshots,
+            log,
+            () -> this.config.longestDeadlineSeconds());
   }
 
   private DiscoveryClient discoveryClient() {
@@ -159,8 +165,8 @@
         dispatcher.timers(),
         clock,
         config.discovery(),
-        settings.asksForList(),
-        settings.contract().drainGrace(),
+        settings.pollsEndpointList(),
+        settings.contract().drainGraceSeconds(),
         config.knownMembers().version(),
         members);
   }
@@ -177,20 +183,17 @@
   }
 
   private int openOnConnections() {
-    return front.owed() + partnersClients;
-  }
-
-  private double longestDeadlineSeconds() {
-    return config.longestDeadlineSeconds();
+    return front.connectionsAwaitingResponse() + partnersClients;
   }
 
+  /** For {@link #exclusions}, which is constructed before {@link #snapshots}. */
   private void publishState() {
     snapshots.publishState();
   }
 
   /** From now on the outcomes of attempts are recorded there, for a process that takes over. */
   void recordObservations(WarmStartLog observations) {
-    dispatcher.recollect(observations);
+    dispatcher.recordObservationsIn(observations);
   }
 
   /** Begins with the list as it was last known, and follows it. */
@@ -201,11 +204,11 @@
   /** The same, after learning from what another process of this node has observed. */
   void startAfter(List<Observation> past) {
     if (!past.isEmpty()) {
-      dispatcher.relive(config.knownMembers().toUpdate(MembershipUpdate.Kind.REMEMBERED), past);
+      dispatcher.replay(config.knownMembers().toUpdate(MembershipUpdate.Kind.CACHED), past);
     }
     dispatcher.start(pools, discovery);
-    members.apply(config.knownMembers(), MembershipUpdate.Kind.REMEMBERED);
-    if (!config.settings().asksForList()) {
+    members.apply(config.knownMembers(), MembershipUpdate.Kind.CACHED);
+    if (!config.settings().pollsEndpointList()) {
       discovery.follow();
     }
   }
@@ -216,7 +219,7 @@
    * moment on. From any thread but the event loop.
    */
   void awaitPushedList(long millis) throws InterruptedException {
-    if (!config.settings().asksForList()) {
+    if (!config.settings().pollsEndpointList()) {
       members.awaitFirstList(millis);
     }
   }
@@ -274,7 +277,7 @@
 
   /** What became of requests and attempts, as of now. */
   public RequestMetricsSnapshot requestMetrics() {
-    return dispatcher.figures().reading();
+    return dispatcher.metrics().snapshot();
   }
 
   /**
@@ -290,8 +293,8 @@
       List<ServerExclusion> exclusions, int partners, int clients, int serverConnections) {
     this.exclusions.merge(exclusions);
     partnersClients = clients;
-    front.limit(descriptors.maxClientConnections() - clients);
-    pools.elsewhere(partners, serverConnections);
+    front.setMaxConnections(descriptors.maxClientConnections() - clients);
+    pools.setPeerProcessUsage(partners, serverConnections);
   }
 
   /** The cache servers that operators have excluded. */
@@ -308,8 +311,10 @@
     Settings settings = next.settings();
     dispatcher.retune(settings);
     long now = clock.now();
-    codec.retune(settings, now, now + REMOVED_CLASS_NANOS);
-    dispatcher.timers().after(REMOVED_CLASS_NANOS, () -> codec.forget(clock.now()));
+    codec.updateSettings(settings, now, now + REMOVED_CLASS_NANOS);
+    dispatcher
+        .timers()
+        .runNoEarlierThan(REMOVED_CLASS_NANOS, () -> codec.expireRemovedClasses(clock.now()));
     config = config.withSettings(settings);
     discovery.switchTo(next.discovery());
     snapshots.countReloadApplied();
@@ -321,18 +326,18 @@
     snapshots.countReloadRejected();
   }
 
-  /** A turn of the loop ends that began then, see {@link LoopClock.Listener#turned}. */
+  /** A turn of the loop ends that began then, see {@link LoopClock.Listener#onTurnEnd}. */
   public void recordLoopTurn(long begunAt, long now) {
     // Not while it starts: loading and compiling its classes is one long turn after the other.
     if (shutdown.isListening()) {
-      overload.turned(begunAt, now, dispatcher.oldestWaiting());
+      overload.onLoopTurnEnd(begunAt, now, dispatcher.oldestQueuedNanos());
     }
   }
 
   /** The loop has been stalled for so many nanoseconds until now. */
   public void recordStall(long nanos) {
-    overload.paused(nanos, clock.now());
-    dispatcher.paused(nanos);
+    overload.onEventLoopStall(nanos, clock.now());
+    dispatcher.onStall(nanos);
   }
 
   /** The longest that a {@link #drain} takes, but for clients that do not read their answers. */
@@ -384,7 +389,7 @@
 
   /** Client connections that are open. */
   public int clientConnections() {
-    return front.size();
+    return front.connectionCount();
   }
 
   /** Connections to cache servers that are open or being opened. */
--- a/engine/src/main/java/shalepaddle/node/MemberTracker.java
+++ b/engine/src/main/java/shalepaddle/node/MemberTracker.java
@@ -40,7 +40,7 @@
   @Override
   public void onList(MemberList list) {
     loggedFailure = null;
-    apply(list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.CHANGES);
+    apply(list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.DELTA);
     firstList.countDown();
   }
 
@@ -60,7 +60,7 @@
     current = list.appliedTo(current);
     pools.update(list, time.now());
     dispatcher.membership(list.toUpdate(kind));
-    pools.handBack();
+    pools.failUnroutable();
   }
 
   /** The complete list, null before the first one. */
--- a/engine/src/main/java/shalepaddle/node/Node.java
+++ b/engine/src/main/java/shalepaddle/node/Node.java
@@ -134,7 +134,7 @@
   /** Logs the event loop's stalls and passes them on. */
   private final class StallListener implements LoopClock.Listener {
     @Override
-    public void paused(long nanos) {
+    public void onStall(long nanos) {
       // Not while it starts: loading and compiling its classes is one long turn after the other.
       if (nanos > LOGGED_STALL_NANOS && listening) {
         log.line("stood still for " + nanos / 1_000_000 + " ms");
@@ -143,12 +143,12 @@
     }
 
     @Override
-    public void turned(long begunAt, long now) {
+    public void onTurnEnd(long begunAt, long now) {
       balancer.recordLoopTurn(begunAt, now);
     }
 
     @Override
-    public void failed(RuntimeException cause) {
+    public void onTaskFailure(RuntimeException cause) {
       log.failure("after an event-loop stall", cause);
     }
   }
--- a/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
+++ b/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
@@ -53,7 +53,7 @@
 
   /** Whether a server of this id is known. */
   boolean isKnown(String member) {
-    return pools.knows(MemberList.serverNumber(member));
+    return pools.isKnown(MemberList.serverNumber(member));
   }
 
   /** Merges what other processes of this node know; the later one of each server wins. */
@@ -76,7 +76,7 @@
   }
 
   private void apply(ServerExclusion exclusion) {
-    pools.exclude(exclusion.server(), exclusion.excluded());
+    pools.setExcluded(exclusion.server(), exclusion.excluded());
     dispatcher.exclude(exclusion.server(), exclusion.excluded());
     onChange.run();
   }
--- a/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
@@ -46,23 +46,23 @@
   @Override
   public void bindTo(MeterRegistry registry) {
     SnapshotMeters<OverloadSnapshot> meters = new SnapshotMeters<>(registry, PREFIX, latest);
-    level(meters, "processor", snapshot -> snapshot.processorLevel().ordinal());
-    level(meters, "memory", snapshot -> snapshot.memoryLevel().ordinal());
-    level(meters, "descriptors", snapshot -> snapshot.descriptorLevel().ordinal());
-    use(meters, "processor", OverloadSnapshot::processor);
-    use(meters, "memory", OverloadSnapshot::memory);
-    use(meters, "descriptors", OverloadSnapshot::descriptors);
-    meters.gauge("delay", "seconds", tags, OverloadSnapshot::stood);
-    meters.gauge("limit", "requests/second", tags, snapshot -> finite(snapshot.limit()));
-    meters.counter("repeats.refused", "requests", tags, OverloadSnapshot::repeatsRefused);
+    level(meters, "processor", snapshot -> snapshot.processorLevel().severity());
+    level(meters, "memory", snapshot -> snapshot.memoryLevel().severity());
+    level(meters, "descriptors", snapshot -> snapshot.descriptorLevel().severity());
+    use(meters, "processor", OverloadSnapshot::processorRatio);
+    use(meters, "memory", OverloadSnapshot::memoryRatio);
+    use(meters, "descriptors", OverloadSnapshot::descriptorRatio);
+    meters.gauge("delay", "seconds", tags, OverloadSnapshot::delaySeconds);
+    meters.gauge("limit", "requests/second", tags, snapshot -> finite(snapshot.limitPerSecond()));
+    meters.counter("repeats.refused", "requests", tags, OverloadSnapshot::rejectedRetryCount);
     for (int i = 0; i < latest.get().tiers().size(); i++) {
       int tier = i;
       Tags tagged = tags.and("tier", Integer.toString(tier));
-      meters.gauge("passing", null, tagged, snapshot -> snapshot.tiers().get(tier).passing());
+      meters.gauge("passing", null, tagged, snapshot -> snapshot.tiers().get(tier).admittedRatio());
       meters.counter(
-          "offered", "requests", tagged, snapshot -> snapshot.tiers().get(tier).offered());
+          "offered", "requests", tagged, snapshot -> snapshot.tiers().get(tier).offeredCount());
       meters.counter(
-          "refused", "requests", tagged, snapshot -> snapshot.tiers().get(tier).refused());
+          "refused", "requests", tagged, snapshot -> snapshot.tiers().get(tier).rejectedCount());
     }
   }
 
--- a/engine/src/main/java/shalepaddle/node/ProcessorUse.java
+++ b/engine/src/main/java/shalepaddle/node/ProcessorUse.java
@@ -61,7 +61,7 @@
         length = STAT_FILE.read(buffer);
       }
       String line = new String(buffer, 0, Math.max(0, length), StandardCharsets.ISO_8859_1);
-      String[] fields = line.substring(line.lastIndexOf(')') + 2).split(" ");
+      String[] fields = line.substring(line.lastIndexOf(')') + 2).split(" ", 0);
       return (Long.parseLong(fields[USER_FIELD]) + Long.parseLong(fields[SYSTEM_FIELD]))
           * TICK_NANOS;
     } catch (IOException | RuntimeException e) {
--- a/engine/src/main/java/shalepaddle/node/ResourceMonitor.java
+++ b/engine/src/main/java/shalepaddle/node/ResourceMonitor.java
@@ -95,24 +95,25 @@
     double heapRatio = (double) (heap.totalMemory() - heap.freeMemory()) / heap.maxMemory();
     double bufferRatio = transport.bufferMemoryRatio();
     long now = clock.now();
-    overload.uses(
+    overload.onResourceUsage(
         processor.usedRatio(now),
         Double.isNaN(bufferRatio) ? heapRatio : Math.max(heapRatio, bufferRatio),
-        descriptors.usedRatio(front.size(), pools.connections()),
+        descriptors.usedRatio(front.connectionCount(), pools.connections()),
         now);
     snapshots.publishMetrics();
-    if (overload.posture().trims() && now - releasedAt > MIN_RELEASE_INTERVAL_NANOS) {
+    if (overload.degradationPolicy().shrinksBuffers()
+        && now - releasedAt > MIN_RELEASE_INTERVAL_NANOS) {
       releasedAt = now;
       transport.releaseCachedBuffers();
     }
-    dispatcher.timers().after(MEASURE_INTERVAL_NANOS, this::measure);
+    dispatcher.timers().runNoEarlierThan(MEASURE_INTERVAL_NANOS, this::measure);
   }
 
   private void scheduleSweep() {
     loop.schedule(
         () -> {
-          clock.look();
-          clock.whenCaughtUp(this::sweep);
+          clock.refresh();
+          clock.whenBacklogRead(this::sweep);
         },
         SWEEP_INTERVAL_MILLIS,
         TimeUnit.MILLISECONDS);
@@ -123,9 +124,9 @@
       return;
     }
     scheduleSweep();
-    front.sweep();
-    long maxIdleNanos = idleConnectionsUnwanted ? 0 : overload.posture().idleNanos();
-    pools.closeStale(clock.look(), maxIdleNanos);
+    front.closeExpired();
+    long maxIdleNanos = idleConnectionsUnwanted ? 0 : overload.degradationPolicy().maxIdleNanos();
+    pools.closeExpiredIdle(clock.refresh(), maxIdleNanos);
     pools.closeStalled();
   }
 }
--- a/engine/src/main/java/shalepaddle/node/SnapshotPublisher.java
+++ b/engine/src/main/java/shalepaddle/node/SnapshotPublisher.java
@@ -50,8 +50,8 @@
 
   /** Publishes everything. On the event loop. */
   void publishMetrics() {
-    overload = overloadControl.reading();
-    coalescing = dispatcher.joining();
+    overload = overloadControl.snapshot();
+    coalescing = dispatcher.coalescingSnapshot();
     publishState();
   }
 
@@ -59,15 +59,20 @@
   void publishState() {
     telemetry =
         new Telemetry(
-            dispatcher.figures().reading(),
+            dispatcher.metrics().snapshot(),
             dispatcher.recorder().counts(),
-            dispatcher.listed(false),
-            dispatcher.listed(true),
+            dispatcher.serverCount(false),
+            dispatcher.serverCount(true),
             reloadsApplied,
             reloadsRejected);
     processState =
         new ProcessState(
-            pid, stage, front.size(), pools.connections(), exclusions.all(), members.current());
+            pid,
+            stage,
+            front.connectionCount(),
+            pools.connections(),
+            exclusions.all(),
+            members.current());
   }
 
   /** Enters a stage; other processes learn of it when the state is published next. Event loop. */
--- a/engine/src/main/java/shalepaddle/node/Warmup.java
+++ b/engine/src/main/java/shalepaddle/node/Warmup.java
@@ -165,7 +165,8 @@
 
   private ClientFront clientFront(Dispatcher dispatcher) {
     MemoryBudget values = new MemoryBudget(VALUE_MEMORY_BYTES);
-    MetaClientCodec codec = new MetaClientCodec(values, config.settings(), RequestAdmission.OPEN);
+    MetaClientCodec codec =
+        new MetaClientCodec(values, config.settings(), RequestAdmission.ADMIT_ALL);
     return new ClientFront(
         dispatcher, codec, CONCURRENT_REQUESTS, () -> DegradationPolicy.CALM, values);
   }
@@ -195,7 +196,7 @@
   private OverloadControl withoutLoadShedding() {
     return new OverloadControl(
         config.settings(),
-        OverloadConfig.OFF,
+        OverloadConfig.DISABLED,
         config.seed(),
         (resource, before, now, figure) -> {});
   }
@@ -206,10 +207,10 @@
         settings.zone(),
         settings.zones(),
         settings.kinds(),
-        settings.number(),
+        settings.instanceNumber(),
         settings.instances(),
         false,
-        settings.marksRepeats(),
+        settings.clientsMarkRetries(),
         settings.weights(),
         settings.cache(),
         settings.limits(),
@@ -217,19 +218,19 @@
         settings.prices(),
         settings.services(),
         settings.tenants(),
-        settings.overShareWorth(),
-        settings.tick());
+        settings.overQuotaWeightRatio(),
+        settings.timerResolutionSeconds());
   }
 
   /** Stalls of a loop whose code is being compiled harm no client. */
   private record StallsIgnored(Log log) implements LoopClock.Listener {
     @Override
-    public void paused(long nanos) {
+    public void onStall(long nanos) {
       // No client waits.
     }
 
     @Override
-    public void failed(RuntimeException cause) {
+    public void onTaskFailure(RuntimeException cause) {
       log.failure("warm-up", cause);
     }
   }
--- a/engine/src/main/java/shalepaddle/node/WarmupCacheServer.java
+++ b/engine/src/main/java/shalepaddle/node/WarmupCacheServer.java
@@ -18,7 +18,8 @@
 
   WarmupCacheServer(Settings settings, int valueMemoryBytes) {
     codec =
-        new MetaClientCodec(new MemoryBudget(valueMemoryBytes), settings, RequestAdmission.OPEN);
+        new MetaClientCodec(
+            new MemoryBudget(valueMemoryBytes), settings, RequestAdmission.ADMIT_ALL);
   }
 
   @Override
--- a/engine/src/main/java/shalepaddle/node/WarmupClient.java
+++ b/engine/src/main/java/shalepaddle/node/WarmupClient.java
@@ -61,7 +61,7 @@
 
   private void send(ChannelHandlerContext ctx) {
     Settings.ServiceClass service = services.get(sent % services.size());
-    boolean isWrite = service.effect() == Settings.Effect.UNSAFE;
+    boolean isWrite = service.idempotency() == Settings.Idempotency.NOT_IDEMPOTENT;
     String flags = " Owarm" + sent + " Pc=" + service.name() + ",d=" + DEADLINE_MILLIS + "\r\n";
     String key = "warm" + sent % DISTINCT_KEYS;
     String command = isWrite ? "ms " + key + " 1" + flags + "x\r\n" : "mg " + key + " v" + flags;
--- a/engine/src/main/java/shalepaddle/upstream/ServerPool.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPool.java
@@ -90,18 +90,20 @@
    */
   void listed(SocketAddress at, ServerEntry news, double now) {
     boolean moved = !at.equals(address);
-    regrouped |= entry != null && !Settings.Group.CELL.holds(entry, news);
+    regrouped |= entry != null && !Settings.DeduplicationScope.CELL.spans(entry, news);
     if (news.state() != ServerEntry.State.READY && !leaving()) {
       drainingSince = clock.now();
     }
     boolean restarted =
-        entry != null && news.startedAt() > 0 && news.startedAt() != entry.startedAt();
+        entry != null
+            && news.startedAtSeconds() > 0
+            && news.startedAtSeconds() != entry.startedAtSeconds();
     long started = restarted ? startOf(news, now) : 0;
     entry = news;
     address = at;
     listedAt = clock.now();
     for (ServerConnection connection : List.copyOf(connections)) {
-      if (moved || restarted && connection.openedAt() - started < 0) {
+      if (moved || (restarted && connection.openedAt() - started < 0)) {
         connection.retire();
       }
     }
@@ -112,8 +114,8 @@
    * the list's, but not before the list was heard last, nor later than now.
    */
   private long startOf(ServerEntry news, double now) {
-    long at = clock.look();
-    double age = Math.min((at - listedAt) / 1e9, Math.max(0, now - news.startedAt()));
+    long at = clock.refresh();
+    double age = Math.min((at - listedAt) / 1e9, Math.max(0, now - news.startedAtSeconds()));
     return at - (long) (age * 1e9);
   }
 
@@ -153,7 +155,7 @@
 
   private void handBack() {
     for (Attempt attempt = waiting.poll(); attempt != null; attempt = waiting.poll()) {
-      dispatcher.ended(attempt, Outcome.Result.CONNECT_FAILED);
+      dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
     }
   }
 
@@ -162,7 +164,7 @@
    * is none, opens one more; at the limit, writes it behind the fewest others.
    */
   void send(Attempt attempt) {
-    if (attempt.over) {
+    if (attempt.isEnded()) {
       return;
     }
     ServerConnection best = best();
@@ -189,7 +191,7 @@
   /** The connection that an attempt is best written to now; null if there is none for it. */
   private ServerConnection best() {
     ServerConnection best = null;
-    long now = clock.look();
+    long now = clock.refresh();
     for (ServerConnection connection : List.copyOf(connections)) {
       if (connection.load() == 0 && idleRisk.tooLong(now - connection.usedAt(), now)) {
         connection.retire();
@@ -209,7 +211,7 @@
    * is real, a connection is turned down every so often for nothing.
    */
   private int cap() {
-    while (cap < limits.connections() && clock.look() - cappedAt > cappedNanos) {
+    while (cap < limits.connections() && clock.refresh() - cappedAt > cappedNanos) {
       cap++;
       cappedAt += cappedNanos;
     }
@@ -218,7 +220,7 @@
 
   private void capped(int connections, long nanos) {
     cap = connections;
-    cappedAt = clock.look();
+    cappedAt = clock.refresh();
     cappedNanos = nanos;
   }
 
@@ -229,12 +231,12 @@
   private void connect() {
     connecting++;
     budget.take();
-    long began = clock.look();
+    long began = clock.refresh();
     int vacated = vacations;
     SocketAddress at = address;
     ServerConnection connection = new ServerConnection(this, codec, dispatcher);
     ChannelFuture future = connection.open(bootstrap, address);
-    dispatcher.timers().limit(future, limits.connectNanos());
+    dispatcher.timers().limitConnect(future, limits.connectNanos());
     ConnectCompletion.whenDone(
         future,
         dispatcher.loop(),
@@ -276,7 +278,7 @@
     waiting.clear();
     for (Attempt attempt : stranded) {
       ServerConnection best = best();
-      if (attempt.over) {
+      if (attempt.isEnded()) {
         // The end of one before it has ended it.
         continue;
       }
@@ -285,7 +287,7 @@
       } else if (usable) {
         send(attempt);
       } else {
-        dispatcher.ended(attempt, Outcome.Result.CONNECT_FAILED);
+        dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
       }
     }
   }
@@ -305,10 +307,10 @@
     capped(Math.max(1, Math.min(cap(), live())), TURNED_DOWN_NANOS);
     // Never on one that it would have to open: the server may be left out by now.
     ServerConnection best = leaving() ? null : best();
-    if (best != null && !attempt.over && dispatcher.again(attempt)) {
+    if (best != null && !attempt.isEnded() && dispatcher.mayRewrite(attempt)) {
       best.write(attempt);
     } else {
-      dispatcher.ended(attempt, Outcome.Result.NO_PLACE);
+      dispatcher.attemptEnded(attempt, Outcome.Result.CONNECTION_LIMIT_REACHED);
     }
   }
 
@@ -340,7 +342,7 @@
 
   /** A request was written after this pause, and its connection broke or brought an answer. */
   void rested(long pause, boolean broke) {
-    idleRisk.seen(pause, broke, clock.look());
+    idleRisk.seen(pause, broke, clock.refresh());
   }
 
   /** A connection is closed. */
--- a/engine/src/test/java/shalepaddle/engine/InvariantGuardTest.java
+++ b/engine/src/test/java/shalepaddle/engine/InvariantGuardTest.java
@@ -13,7 +13,7 @@
 import shalepaddle.diagnostics.FlightRecorder;
 import shalepaddle.loop.Log;
 import shalepaddle.model.Request;
-import shalepaddle.model.Settings.Effect;
+import shalepaddle.model.Settings.Idempotency;
 
 /** Each rule broken once, as a fault elsewhere would: it is counted, logged and not done. */
 class InvariantGuardTest {
@@ -25,15 +25,16 @@
   private final InvariantGuard guard =
       new InvariantGuard(recorder, new Log(Ticker.systemTicker(), lines::add), () -> 0);
 
-  private static Exchange exchange(Effect effect) {
+  private static Exchange exchange(Idempotency effect) {
     Request request = new Request("id1", "key", "put", null, 1, 0, 0, false, true);
-    return new Exchange(new Call(request, null, null), DEADLINE, 3, effect);
+    return new Exchange(new Call(request, null, null), DEADLINE, DEADLINE, 3, effect);
   }
 
   private static Attempt attempt(Exchange request) {
     Attempt attempt =
-        new Attempt(request, request.attempts.size(), 1, 0, DEADLINE, Double.POSITIVE_INFINITY, 0);
-    request.attempts.add(attempt);
+        new Attempt(
+            request, request.attempts().size(), 1, 0, DEADLINE, Double.POSITIVE_INFINITY, 0);
+    request.add(attempt);
     return attempt;
   }
 
@@ -45,44 +46,43 @@
 
   @Test
   void letsWhatIsInOrderPass() {
-    Exchange request = exchange(Effect.UNSAFE);
+    Exchange request = exchange(Idempotency.NOT_IDEMPOTENT);
     assertTrue(guard.mayBegin(request));
     assertTrue(guard.maySend(attempt(request), DEADLINE, false));
-    Reply reply = new Reply.Refused(0);
+    Reply reply = new Reply.Rejected(0);
     assertEquals(reply, guard.answer(request, reply, DEADLINE + SLACK));
     assertEquals(List.of(), lines);
   }
 
   @Test
   void anUnsafeRequestIsNotSentAgainWhereItMayHaveRun() {
-    Exchange request = exchange(Effect.UNSAFE);
-    attempt(request).written = true;
+    Exchange request = exchange(Idempotency.NOT_IDEMPOTENT);
+    attempt(request).markWritten();
     assertFalse(guard.maySend(attempt(request), 0, false));
     assertViolated(Event.VIOLATION_REPEATED);
   }
 
   @Test
   void itIsSentAgainWhereItProvablyHasNotRun() {
-    Exchange request = exchange(Effect.UNSAFE);
+    Exchange request = exchange(Idempotency.NOT_IDEMPOTENT);
     Attempt first = attempt(request);
-    first.written = true;
-    first.over = true;
-    first.provenNotRun = true;
+    first.markWritten();
+    first.end(true);
     assertTrue(guard.maySend(attempt(request), 0, false));
   }
 
   @Test
   void nothingIsSentAfterTheEndOfARequest() {
-    Exchange request = exchange(Effect.SAFE);
+    Exchange request = exchange(Idempotency.IDEMPOTENT);
     Attempt attempt = attempt(request);
-    request.ended = true;
+    request.answer();
     assertFalse(guard.maySend(attempt, 0, false));
     assertViolated(Event.VIOLATION_SENT_AFTER_END);
   }
 
   @Test
   void nothingIsSentAfterItsTime() {
-    assertFalse(guard.maySend(attempt(exchange(Effect.SAFE)), DEADLINE + 1, false));
+    assertFalse(guard.maySend(attempt(exchange(Idempotency.IDEMPOTENT)), DEADLINE + 1, false));
     assertViolated(Event.VIOLATION_SENT_AFTER_TIME);
   }
 
@@ -91,37 +91,38 @@
    */
   @Test
   void anAttemptMayNotBeWrittenOnceNobodyWaitsForItsAnswer() {
-    Attempt attempt = attempt(exchange(Effect.SAFE));
-    assertFalse(attempt.tooLate(DEADLINE - 1));
-    assertTrue(attempt.tooLate(DEADLINE));
+    Attempt attempt = attempt(exchange(Idempotency.IDEMPOTENT));
+    assertFalse(attempt.isTooLateToWrite(DEADLINE - 1));
+    assertTrue(attempt.isTooLateToWrite(DEADLINE));
     assertEquals(0, lines.size());
   }
 
   @Test
   void nothingIsSentToAServerThatDrainsPastItsGrace() {
-    assertFalse(guard.maySend(attempt(exchange(Effect.SAFE)), 0, true));
+    assertFalse(guard.maySend(attempt(exchange(Idempotency.IDEMPOTENT)), 0, true));
     assertViolated(Event.VIOLATION_SENT_TO_DRAINING);
   }
 
   @Test
   void aRejectionOfWhatMayHaveRunBecomesAFailure() {
-    Exchange request = exchange(Effect.UNSAFE);
-    attempt(request).written = true;
-    assertInstanceOf(Reply.Failed.class, guard.answer(request, new Reply.Refused(0), 0));
+    Exchange request = exchange(Idempotency.NOT_IDEMPOTENT);
+    attempt(request).markWritten();
+    assertInstanceOf(Reply.Failed.class, guard.answer(request, new Reply.Rejected(0), 0));
     assertViolated(Event.VIOLATION_REJECTED_AFTER_RUN);
   }
 
   @Test
   void aLateAnswerIsCountedAndGiven() {
     Reply reply = new Reply.Failed(false);
-    assertEquals(reply, guard.answer(exchange(Effect.SAFE), reply, DEADLINE + SLACK + 1));
+    assertEquals(
+        reply, guard.answer(exchange(Idempotency.IDEMPOTENT), reply, DEADLINE + SLACK + 1));
     assertViolated(Event.VIOLATION_ANSWERED_LATE);
   }
 
   @Test
   void countsAllAndLogsSomeASecond() {
     for (int i = 0; i < 100; i++) {
-      guard.answer(exchange(Effect.SAFE), new Reply.Failed(false), DEADLINE + SLACK + 1);
+      guard.answer(exchange(Idempotency.IDEMPOTENT), new Reply.Failed(false), DEADLINE + SLACK + 1);
     }
     assertEquals(100, recorder.count(Event.VIOLATION_ANSWERED_LATE));
     assertEquals(2, lines.size());
@@ -129,8 +130,8 @@
 
   @Test
   void aRequestIsBegunOnce() {
-    Exchange request = exchange(Effect.SAFE);
-    request.begun = true;
+    Exchange request = exchange(Idempotency.IDEMPOTENT);
+    request.route();
     assertFalse(guard.mayBegin(request));
     assertViolated(Event.VIOLATION_BEGUN_TWICE);
   }
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
@@ -235,7 +235,7 @@
         new LoadBalancer(
             NodeConfig.parse(JsonObject.parse(config(discovery))),
             plan.joining()
-                ? new OperatorFile(OverloadConfig.USUAL, CoalescingConfig.USUAL)
+                ? new OperatorFile(OverloadConfig.DEFAULT, CoalescingConfig.DEFAULTS)
                 : OperatorFile.DEFAULTS,
             loop,
             clock,
@@ -264,19 +264,19 @@
     private LoadBalancer balancer;
 
     @Override
-    public void paused(long nanos) {
+    public void onStall(long nanos) {
       if (balancer != null) {
         balancer.recordStall(nanos);
       }
     }
 
     @Override
-    public void turned(long begunAt, long now) {
+    public void onTurnEnd(long begunAt, long now) {
       balancer.recordLoopTurn(begunAt, now);
     }
 
     @Override
-    public void failed(RuntimeException cause) {
+    public void onTaskFailure(RuntimeException cause) {
       throw cause;
     }
   }
@@ -573,14 +573,14 @@
   /** Every request that was taken has ended under exactly one disposition, or its client left. */
   private void expectTrueFigures(Instance instance) {
     RequestMetricsSnapshot figures = instance.balancer().requestMetrics();
-    long ended = figures.gone();
+    long ended = figures.disconnected();
     for (RequestMetricsSnapshot.Results results : figures.results()) {
-      ended += results.succeeded() + results.declined() + results.aborted();
+      ended += results.succeeded() + results.rejected() + results.failed();
     }
-    if (ended != figures.taken() || figures.outstanding() != 0) {
+    if (ended != figures.received() || figures.outstanding() != 0) {
       breaches.add(
           "%s took %d requests, of which %d ended and %d are outstanding"
-              .formatted(instance.name(), figures.taken(), ended, figures.outstanding()));
+              .formatted(instance.name(), figures.received(), ended, figures.outstanding()));
     }
   }
 
