--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -491,7 +491,9 @@
     dispatcher.retune(settings);
     long now = clock.now();
     codec.updateSettings(settings, now, now + DROPPED_NANOS);
-    dispatcher.timers().runNoEarlierThan(DROPPED_NANOS, () -> codec.expireRemovedClasses(clock.now()));
+    dispatcher
+        .timers()
+        .runNoEarlierThan(DROPPED_NANOS, () -> codec.expireRemovedClasses(clock.now()));
     config = config.withSettings(settings);
     discovery.switchTo(next.discovery());
     hangupsApplied++;
--- a/engine/src/main/java/shalepaddle/upstream/ConnectionBudget.java
+++ b/engine/src/main/java/shalepaddle/upstream/ConnectionBudget.java
@@ -1,42 +1,47 @@
 package shalepaddle.upstream;
 
-/** Connections to cache servers that the node may hold at once, over all servers together. */
+/**
+ * How many connections to cache servers the node may have at once, over all servers and all of its
+ * processes. Owned by the event loop.
+ */
 final class ConnectionBudget {
-  private final int total;
+  private final int maxConnections;
   private int taken;
 
-  /** What other processes of this node hold of the total, and how many those are. */
-  private int elsewhere;
+  /** Connections of other processes of this node, and how many such processes there are. */
+  private int takenByPeers;
 
-  private int partners;
+  private int peerProcesses;
 
-  ConnectionBudget(int connections) {
-    this.total = connections;
+  ConnectionBudget(int maxConnections) {
+    this.maxConnections = maxConnections;
   }
 
-  /** Whether there is room for more than a server's first connection. */
-  boolean hasRoom() {
-    return taken + elsewhere < total;
+  /** Whether a server may have more than its first connection, which is always allowed. */
+  boolean hasCapacity() {
+    return taken + takenByPeers < maxConnections;
   }
 
+  /** Connections of this process that are open or being opened. */
   int taken() {
     return taken;
   }
 
-  void setPeerProcessUsage(int partners, int connections) {
-    this.partners = partners;
-    elsewhere = connections;
+  /** Other processes of this node have so many connections together. */
+  void setPeerProcessUsage(int processes, int connections) {
+    peerProcesses = processes;
+    takenByPeers = connections;
   }
 
   /**
-   * This process's even part of so many connections to one server, one at least: to the server all
-   * processes of the node are one.
+   * This process's even share of so many connections to one server, at least one: the server counts
+   * those of all processes of the node together.
    */
-  int part(int connections) {
-    return Math.max(1, connections / (1 + partners));
+  int share(int connections) {
+    return Math.max(1, connections / (1 + peerProcesses));
   }
 
-  /** One more is open, or on its way. */
+  /** A connection is being opened; {@link #release} is due once it is closed or has failed. */
   void take() {
     taken++;
   }
--- a/engine/src/main/java/shalepaddle/upstream/ServerCodec.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerCodec.java
@@ -6,22 +6,25 @@
 import shalepaddle.engine.Call;
 import shalepaddle.engine.ServerReply;
 
-/** One protocol that cache servers speak, in which replies come in the order of the requests. */
+/** A protocol that cache servers speak, in which replies come in the order of the requests. */
 public interface ServerCodec {
   /**
-   * The bytes of an attempt that is waited for so many milliseconds. The call keeps its payload:
-   * the bytes hold what they need of it themselves. What came in this same protocol goes on as it
-   * came.
+   * Encodes an attempt. The call keeps its payload: what the bytes need of it they retain
+   * themselves. The caller owns the bytes. A request that came in this same protocol goes on as it
+   * came, but for its time-out.
+   *
+   * @param timeoutMillis how long this node waits for the reply
    */
-  ByteBuf encode(ByteBufAllocator allocator, Call call, long millis);
+  ByteBuf encode(ByteBufAllocator allocator, Call call, long timeoutMillis);
 
-  /** Reads the replies of one new connection. */
+  /** A decoder of the replies on one new connection. */
   ReplyDecoder decoder();
 
   /**
-   * Reads {@link ServerReply}s off a connection, each whole and well formed. Throws a {@link
-   * io.netty.handler.codec.DecoderException} whose cause says what is wrong, once, for bytes that
-   * cannot be trusted, and reads nothing after them.
+   * Decodes complete and well-formed {@link ServerReply}s, and large values as {@link
+   * shalepaddle.engine.LargeReply}. The next handler owns the buffers in them. Throws a {@link
+   * io.netty.handler.codec.DecoderException} whose cause tells the fault, once, for bytes that
+   * can't be trusted, and drops all that follows.
    */
   abstract class ReplyDecoder extends ByteToMessageDecoder {
     /** Whether a reply has begun and not ended. */
--- a/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
@@ -9,87 +9,60 @@
 import io.netty.handler.codec.DecoderException;
 import java.io.IOException;
 import java.net.SocketAddress;
-import java.util.ArrayDeque;
 import shalepaddle.engine.Attempt;
 import shalepaddle.engine.Dispatcher;
 import shalepaddle.engine.LargeReply;
 import shalepaddle.engine.ServerReply;
-import shalepaddle.engine.ValueSource;
 import shalepaddle.loop.LoopClock;
 import shalepaddle.model.Outcome;
 
 /**
- * One connection to a cache server. Answers come in the order of the commands; each is matched with
- * the attempt that waits longest.
+ * One connection to a cache server. Replies come in the order of the requests, so each is matched
+ * with the oldest attempt in flight. All of it runs on the event loop.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter implements Attempt.Carrier {
-  /** How much of a large value is held back: so long its attempt can be made again. */
-  private static final int HELD_BACK = 16 << 10;
-
-  /** How long a server may pause within a large value, before and after that has been passed on. */
-  private static final long MAX_EARLY_PAUSE_NANOS = 1_000_000_000L;
-
-  private static final long MAX_PIECES_PAUSE_NANOS = 2_500_000_000L;
-
-  /** How long a reply that has begun may pause. */
-  private static final long MAX_PAUSE_NANOS = 250_000_000L;
-
   /**
-   * How long a first answer that turns its request away may be followed by the connection's end: it
-   * is then the connection that was turned away. A server that does so ends it in the same moment.
+   * A server with no capacity for a connection rejects the first request on it and closes it at
+   * once. A rejection that is not followed by the close within this time was meant for the request.
    */
-  private static final long PARTING_NANOS = 5_000_000L;
+  private static final long REJECTED_CONNECTION_CLOSE_NANOS = 5_000_000L;
+
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+
+  /** Whether what comes on the connection can be used. */
+  private enum State {
+    OPEN,
+    /** What came can't be trusted: this node closes it, and reads nothing more. */
+    CORRUPTED,
+    CLOSED
+  }
 
   private final ServerPool pool;
   private final Dispatcher dispatcher;
   private final ServerCodec codec;
   private final ServerCodec.ReplyDecoder decoder;
-  private final ArrayDeque<Attempt> underWay = new ArrayDeque<>();
   private final LoopClock clock;
-  private final long openedAt;
+  private final InFlightAttempts inFlight;
+  private final ReceiveActivity received;
+  private final long openedAtNanos;
   private Channel channel;
-  private long heardAt;
-
-  /** When it was heard from last, in time in which the event loop listened. */
-  private long listenedAt;
-
-  private long usedAt;
+  private State state = State.OPEN;
+  private ReplyPhase phase = ReplyPhase.AWAITING_REPLY;
 
-  /** Whether it gets nothing more and closes once nobody waits for what is under way. */
-  private boolean retiring;
+  /** Whether it gets no more requests, and closes once no reply on it is awaited. */
+  private boolean isDraining;
 
-  /** Attempts under way that somebody still waits for. */
-  private int awaited;
-
-  /** Whether bytes are being read, of which not all have been looked at. */
-  private boolean reading;
+  /** Whether bytes were read in this turn of which not all have been looked at. */
+  private boolean isReadInProgress;
 
   /**
-   * Whether the kernel has not taken all that was written. What would wait behind that waits in the
-   * pool instead, from where it can be taken back: its first byte would go out long after it was
-   * decided on, perhaps for a client that has left, or to a server that has been told to leave.
+   * Whether the kernel has not taken all that was written. Other attempts wait in the pool
+   * meanwhile, where they can be withdrawn.
    */
-  private boolean backedUp;
-
-  /** Whether this node closes it for what came on it. */
-  private boolean spoilt;
+  private boolean isWritePending;
 
-  private boolean closed;
-
-  /** The pause before the request that is under way, -1 if it was none or is over. */
-  private long pause = -1;
-
-  /** The large value that is under way, null if there is none. */
-  private Pieces pieces;
-
-  /** Whether it has borne a request: the server has a place for it. */
-  private boolean proven;
-
-  /** What was turned away by the first answer, while its reason is not known; else null. */
-  private Attempt turnedAway;
-
-  /** The id of the answer that came last, null if none did. */
-  private String lastId;
+  /** Whether a request got any other answer than a rejection: the server has accepted it. */
+  private boolean isAccepted;
 
   ServerConnection(ServerPool pool, ServerCodec codec, Dispatcher dispatcher) {
     this.pool = pool;
@@ -97,16 +70,12 @@
     decoder = codec.decoder();
     this.dispatcher = dispatcher;
     clock = dispatcher.clock();
-    openedAt = clock.refresh();
-    usedAt = openedAt;
-    heard();
-  }
-
-  private void heard() {
-    heardAt = clock.refresh();
-    listenedAt = clock.activeNanos();
+    openedAtNanos = clock.refresh();
+    inFlight = new InFlightAttempts(openedAtNanos);
+    received = new ReceiveActivity(clock);
   }
 
+  /** Begins to connect. The pool closes it, or gives it up, if that does not succeed. */
   ChannelFuture open(Bootstrap bootstrap, SocketAddress address) {
     ChannelFuture future = bootstrap.clone().handler(this).connect(address);
     channel = future.channel();
@@ -118,416 +87,332 @@
     ctx.pipeline().addBefore(ctx.name(), null, decoder);
   }
 
-  long openedAt() {
-    return openedAt;
+  /** When it began to connect, by the loop's clock. */
+  long openedAtNanos() {
+    return openedAtNanos;
   }
 
-  long heardAt() {
-    return heardAt;
+  /** When something was received last, by the loop's clock. */
+  long receivedAtNanos() {
+    return received.receivedAtNanos();
   }
 
-  long usedAt() {
-    return usedAt;
+  /** When it last got a request or completed a reply, by the loop's clock. */
+  long usedAtNanos() {
+    return inFlight.changedAtNanos();
   }
 
-  boolean retiring() {
-    return retiring;
+  boolean isDraining() {
+    return isDraining;
   }
 
-  /** Attempts under way; more than any limit where nothing may be written any more. */
+  /**
+   * Attempts in flight; {@code Integer.MAX_VALUE} while nothing may be written. Behind a large
+   * value a request would wait for the value's client.
+   */
   int load() {
-    // Whatever is written behind a large value would wait for its client.
-    boolean shut =
-        retiring || closed || reading || backedUp || pieces != null || turnedAway != null;
-    return shut ? Integer.MAX_VALUE : underWay.size();
+    boolean isUnavailable =
+        isDraining
+            || state == State.CLOSED
+            || isReadInProgress
+            || isWritePending
+            || phase != ReplyPhase.AWAITING_REPLY;
+    return isUnavailable ? Integer.MAX_VALUE : inFlight.size();
   }
 
   /**
-   * Whether an attempt is better written here: fewer to wait for, or more lately in use. Last where
-   * it would wait behind the first on a new connection: if that is turned away, the server ends it,
-   * and nobody can tell whether the second has run.
+   * Whether an attempt is better written here than there: fewer in flight, or used more recently.
+   * Connections whose first request is in flight come last: if the server rejects the connection,
+   * it is not known whether a second request ran.
    */
-  boolean preferredTo(ServerConnection other) {
-    if (other != null && untried() != other.untried()) {
-      return other.untried();
+  boolean isPreferredTo(ServerConnection other) {
+    if (other != null && isUnproven() != other.isUnproven()) {
+      return other.isUnproven();
     }
     return other == null
         || load() < other.load()
-        || (load() == other.load() && usedAt - other.usedAt > 0);
+        || (load() == other.load() && usedAtNanos() - other.usedAtNanos() > 0);
   }
 
-  private boolean untried() {
-    return !proven && !underWay.isEmpty();
+  private boolean isUnproven() {
+    return !isAccepted && !inFlight.isEmpty();
   }
 
-  /** Writes an attempt, or gives it back if it may not be written any more. */
+  /** Writes an attempt, or returns it to the dispatcher if it must not be written any more. */
   void write(Attempt attempt) {
     long now = clock.refresh();
     if (attempt.isTooLateToWrite(now)
-        || !dispatcher.guard().maySend(attempt, now, pool.drainingPastGrace(now))) {
+        || !dispatcher.guard().maySend(attempt, now, pool.isDrainingPastGrace(now))) {
       dispatcher.returnUnwritten(attempt);
       return;
     }
     attempt.assignTo(this);
-    pause = underWay.isEmpty() ? now - usedAt : pause;
-    underWay.add(attempt);
-    awaited++;
-    usedAt = now;
-    long millis = (attempt.deadlineNanos() - usedAt + 999_999) / 1_000_000;
+    inFlight.add(attempt, now);
+    long timeoutMillis = (attempt.deadlineNanos() - now + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI;
+    // The channel owns the encoded bytes from here on.
     ChannelFuture written =
-        channel.writeAndFlush(codec.encode(channel.alloc(), attempt.call(), millis));
+        channel.writeAndFlush(codec.encode(channel.alloc(), attempt.call(), timeoutMillis));
     if (written.isDone()) {
-      written(attempt, written.isSuccess());
+      attemptWritten(attempt, written.isSuccess());
     } else {
-      backedUp = true;
-      written.addListener(
-          done -> {
-            backedUp = false;
-            written(attempt, done.isSuccess());
-            if (done.isSuccess()) {
-              pool.free(this);
-            }
-          });
+      isWritePending = true;
+      written.addListener(done -> pendingWriteDone(attempt, done.isSuccess()));
     }
   }
 
-  private void written(Attempt attempt, boolean whole) {
-    if (whole) {
-      dispatcher.attemptWritten(attempt);
+  private void pendingWriteDone(Attempt attempt, boolean isSuccess) {
+    isWritePending = false;
+    attemptWritten(attempt, isSuccess);
+    if (isSuccess) {
+      pool.connectionAvailable(this);
     }
   }
 
-  /** Nothing more is written here; closes once nobody waits for what is under way. */
-  void retire() {
-    retiring = true;
-    if (awaited == 0) {
-      channel.close();
+  private void attemptWritten(Attempt attempt, boolean isSuccess) {
+    if (isSuccess) {
+      dispatcher.attemptWritten(attempt);
     }
   }
 
   /**
-   * Nobody waits for this attempt any more. Closing the connection gives it up, but would break the
-   * others on it: where there are any, its answer is read and dropped.
+   * Nobody waits for this attempt any more. Closing the connection cancels it at the server, but
+   * also breaks the other attempts: where there are any, its reply is read and dropped. Nothing
+   * more is written, since the reply may never come.
    */
   @Override
   public void abandon(Attempt attempt, boolean overdue) {
-    attempt.abandon();
-    awaited--;
-    // Guards against writing more behind an attempt that may never be answered.
-    retire();
+    inFlight.abandon(attempt);
+    drain();
     if (!attempt.isWritten() && attempt.isTooLateToWrite(clock.refresh())) {
-      // The rest of it would go out once the kernel takes more; the others are worth less than
-      // that.
+      // Otherwise the rest of it would go out once the kernel takes more.
       channel.close();
     }
-    if (overdue && heardAt - attempt.sentAtNanos() < 0) {
+    if (overdue && received.receivedAtNanos() - attempt.sentAtNanos() < 0) {
       pool.suspectSilence(attempt.sentAtNanos());
     }
   }
 
+  /** Takes what the decoder made; a buffer in it belongs to this handler. */
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
-    heard();
-    reading = true;
-    if (message instanceof ByteBuf piece) {
-      if (pieces == null || closed || spoilt) {
-        piece.release();
-      } else {
-        pieces.come(piece);
+    received.mark();
+    isReadInProgress = true;
+    if (message instanceof ByteBuf chunk) {
+      chunkReceived(chunk);
+    } else if (message == LargeReply.END) {
+      streamCompleted();
+    } else if (message instanceof LargeReply large) {
+      streamStarted(large);
+    } else {
+      ServerReply reply = (ServerReply) message;
+      try {
+        replyReceived(reply);
+      } finally {
+        if (reply.value() != null) {
+          reply.value().release();
+        }
       }
-      return;
     }
-    if (message == LargeReply.END) {
-      endOfPieces();
+  }
+
+  private void replyReceived(ServerReply reply) {
+    Attempt oldest = match(reply, false);
+    if (oldest == null) {
       return;
     }
-    if (message instanceof LargeReply large) {
-      begin(large);
+    boolean isFirstRejected =
+        reply.result() == Outcome.Result.FULL && !isAccepted && inFlight.size() == 1;
+    isAccepted |= !isFirstRejected;
+    if (isFirstRejected && !oldest.isEnded() && pool.hasOtherUsable(this)) {
+      completeOldest();
+      // It has provably not run, whatever becomes of it.
+      oldest.detach();
+      phase = new ReplyPhase.FirstRequestRejected(oldest);
+      dispatcher
+          .timers()
+          .runNoEarlierThan(REJECTED_CONNECTION_CLOSE_NANOS, () -> connectionStayedOpen(reply));
       return;
     }
-    ServerReply reply = (ServerReply) message;
-    try {
-      reply(reply);
-    } finally {
-      if (reply.value() != null) {
-        reply.value().release();
-      }
+    if (!oldest.isEnded()) {
+      dispatcher.responseReceived(oldest, reply);
     }
+    completeOldest();
   }
 
-  /** The attempt that a reply answers; null if it answers none, and that has been seen to. */
-  private Attempt answered(ServerReply reply, boolean large) {
-    if (closed || spoilt) {
-      return null;
-    }
-    Attempt head = underWay.peek();
-    if (reply.id() != null
-        && reply.id().equals(lastId)
-        && (head == null || !head.hasRequestId(lastId))) {
-      // A second copy of an answer. It harms nobody, but nothing new is written behind it.
-      retire();
-      return null;
-    }
-    if (head == null || !(large ? head.matchesValue(reply) : head.matches(reply))) {
-      spoil("a reply matches no request");
-      return null;
+  /** The connection has outlived its first answer: that rejected the request alone. */
+  private void connectionStayedOpen(ServerReply reply) {
+    if (phase instanceof ReplyPhase.FirstRequestRejected rejected) {
+      phase = ReplyPhase.AWAITING_REPLY;
+      isAccepted = true;
+      dispatcher.responseReceived(rejected.attempt(), reply);
+      pool.connectionAvailable(this);
     }
-    lastId = head.exchange().id();
-    rested(false);
-    return head;
   }
 
-  private void reply(ServerReply reply) {
-    Attempt head = answered(reply, false);
-    if (head == null) {
-      return;
-    }
-    boolean away = reply.result() == Outcome.Result.FULL && !proven && underWay.size() == 1;
-    proven |= !away;
-    if (away && !head.isEnded() && pool.holdsOthers(this)) {
-      over();
-      // Off this connection, whatever becomes of it: it has provably not run.
-      head.detach();
-      turnedAway = head;
-      dispatcher.timers().runNoEarlierThan(PARTING_NANOS, () -> stays(reply));
-      return;
+  /** The attempt that a reply answers; null if it answers none, which is then dealt with here. */
+  private Attempt match(ServerReply reply, boolean isLarge) {
+    if (state != State.OPEN) {
+      return null;
     }
-    if (!head.isEnded()) {
-      dispatcher.responseReceived(head, reply);
+    switch (inFlight.match(reply, isLarge)) {
+      case OLDEST -> {
+        reportIdlePeriod(false);
+        return inFlight.oldest();
+      }
+      case DUPLICATE -> drain();
+      case NONE -> corrupted("a reply matches no request");
     }
-    over();
+    return null;
   }
 
-  /** The connection has outlived its first answer: it was the request that was turned away. */
-  private void stays(ServerReply reply) {
-    if (turnedAway != null) {
-      Attempt head = turnedAway;
-      turnedAway = null;
-      proven = true;
-      dispatcher.responseReceived(head, reply);
-      pool.free(this);
+  /** The reply to the oldest attempt is complete. */
+  private void completeOldest() {
+    inFlight.completeOldest();
+    inFlight.markChanged(clock.refresh());
+    if (isDraining) {
+      drain();
     }
   }
 
-  /** The reply to the attempt that waits longest has come, whole. */
-  private void over() {
-    if (!underWay.poll().isAbandoned()) {
-      awaited--;
-    }
-    usedAt = clock.refresh();
-    if (retiring) {
-      retire();
+  private void streamStarted(LargeReply reply) {
+    Attempt oldest = match(reply.head(), true);
+    if (oldest != null) {
+      phase = new StreamedReply(this, dispatcher, oldest, reply);
     }
   }
 
-  private void begin(LargeReply reply) {
-    Attempt head = answered(reply.head(), true);
-    if (head != null) {
-      pieces = new Pieces(head, reply);
+  private void chunkReceived(ByteBuf chunk) {
+    if (state == State.OPEN && phase instanceof StreamedReply stream) {
+      stream.add(chunk);
+    } else {
+      chunk.release();
     }
   }
 
-  private void endOfPieces() {
-    if (pieces != null && !closed && !spoilt) {
-      Pieces whole = pieces;
-      pieces = null;
-      over();
-      whole.end();
+  private void streamCompleted() {
+    if (state == State.OPEN && phase instanceof StreamedReply stream) {
+      phase = ReplyPhase.AWAITING_REPLY;
+      completeOldest();
+      stream.complete();
     }
   }
 
   /**
-   * A large value on its way through: the first bytes are held back, then all goes on as it comes
-   * and as fast as its client takes it.
+   * Nobody wants the rest of a value. Closing is the cheapest end, unless others wait behind it:
+   * the rest is read and dropped then.
    */
-  private final class Pieces implements ValueSource {
-    private final Attempt attempt;
-    private final LargeReply reply;
-    private final ArrayDeque<ByteBuf> early = new ArrayDeque<>();
-    private int held;
-
-    /** Whether it has been offered to who waits for it. */
-    private boolean begun;
-
-    private boolean wanted = true;
-    private boolean whole;
-    private Receiver taker;
-
-    Pieces(Attempt attempt, LargeReply reply) {
-      this.attempt = attempt;
-      this.reply = reply;
-    }
-
-    void come(ByteBuf piece) {
-      if (!wanted) {
-        piece.release();
-        return;
-      }
-      if (taker != null) {
-        taker.onChunk(piece);
-        return;
-      }
-      early.add(piece);
-      held += piece.readableBytes();
-      if (!begun && held >= HELD_BACK) {
-        begun = true;
-        if (!dispatcher.responseReceived(attempt, reply, this)) {
-          wanted = false;
-          giveUp();
-        }
-      }
-      if (wanted && taker == null && begun) {
-        // Its turn at its client has not come: what has been read is held, and no more.
-        setReading(false);
-      }
-    }
-
-    @Override
-    public void start(Receiver taker) {
-      this.taker = taker;
+  void streamCancelled(StreamedReply reply) {
+    if (phase == reply && inFlight.size() <= 1) {
+      channel.close();
+    } else {
       setReading(true);
-      for (ByteBuf piece = early.poll(); piece != null; piece = early.poll()) {
-        taker.onChunk(piece);
-      }
-      if (whole) {
-        taker.onComplete();
-      }
-    }
-
-    @Override
-    public void setReading(boolean on) {
-      if (channel.config().isAutoRead() != on) {
-        heard();
-        channel.config().setAutoRead(on);
-      }
-    }
-
-    @Override
-    public void cancel() {
-      wanted = false;
-      taker = null;
-      giveUp();
-    }
-
-    /** Nobody wants the rest: unless others wait behind it, closing is the cheapest end. */
-    private void giveUp() {
-      release();
-      if (pieces == this && underWay.size() <= 1) {
-        channel.close();
-      } else {
-        setReading(true);
-      }
-    }
-
-    void end() {
-      whole = true;
-      if (taker != null) {
-        taker.onComplete();
-      }
-    }
-
-    void broken() {
-      release();
-      if (wanted && taker != null) {
-        taker.onFailure();
-      }
     }
+  }
 
-    private void release() {
-      early.forEach(ByteBuf::release);
-      early.clear();
+  /** Reads from the server or leaves what it sends in the socket. */
+  void setReading(boolean on) {
+    if (channel.config().isAutoRead() != on) {
+      received.mark();
+      channel.config().setAutoRead(on);
     }
   }
 
-  /** The first request after a pause is answered, or its connection broke. */
-  private void rested(boolean broke) {
-    if (pause >= 0) {
-      pool.rested(pause, broke);
-      pause = -1;
+  /** The first request after an idle period is answered, or its connection broke. */
+  private void reportIdlePeriod(boolean broke) {
+    long idleNanos = inFlight.takeIdlePeriodNanos();
+    if (idleNanos != InFlightAttempts.NO_IDLE_PERIOD) {
+      pool.idlePeriodEnded(idleNanos, broke);
     }
   }
 
   /**
-   * All that has come is looked at: the connection may be used again. Guards against bytes right
-   * behind an answer, which are nobody's and would be taken for the next request's: no request is
-   * written before they are seen.
+   * All that came is looked at, so the connection can be used again. No request is written earlier:
+   * bytes right behind a reply answer nobody, and would be taken for the next request's answer.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    heard();
-    reading = false;
-    if (underWay.isEmpty() && decoder.isMidReply()) {
-      spoil("bytes behind the last reply");
+    received.mark();
+    isReadInProgress = false;
+    if (inFlight.isEmpty() && decoder.isMidReply()) {
+      corrupted("bytes behind the last reply");
     }
-    if (!closed && !spoilt && !retiring) {
-      pool.free(this);
+    if (state == State.OPEN && !isDraining) {
+      pool.connectionAvailable(this);
     }
   }
 
   /**
-   * What came cannot be trusted, nor can anything after it. Guards against serving one request with
-   * another's answer. The attempts under way may have run; the server is not taken for broken,
-   * which could do harm only if it answered nobody well, and then it serves nothing and is seen to.
+   * Closes a connection on which a reply began and does not go on. Prevents a line without an end,
+   * or a length that is too great, from blocking all requests behind it until they time out. Cost:
+   * a server that pauses within a reply for longer loses the connection.
    */
-  private void spoil(String why) {
-    if (!spoilt && !closed) {
-      spoilt = true;
-      dispatcher.log(channel.remoteAddress() + ": " + why);
+  void closeIfStalled() {
+    StreamedReply stream = phase instanceof StreamedReply streamed ? streamed : null;
+    if (stream != null && !channel.config().isAutoRead()) {
+      // This node itself does not read; the client's stall has a limit of its own.
+      return;
+    }
+    if (decoder.isMidReply() && received.isStalled(stream)) {
+      corrupted("a reply that does not end");
+    }
+  }
+
+  /** Takes no more requests; closes once no reply is awaited. May be called more than once. */
+  void drain() {
+    isDraining = true;
+    if (!inFlight.isAnyAwaited()) {
       channel.close();
     }
   }
 
   /**
-   * Gives up a reply that began and does not go on. Guards against lines without an end and lengths
-   * that are too great, behind which all else on the connection would wait until its time is up.
-   * Harms a server that pauses within an answer for longer.
+   * What came can't be trusted, nor can anything after it: prevents serving one request with
+   * another's answer. The attempts in flight may have run. The server is not taken for faulty.
    */
-  void closeIfStalled() {
-    if (pieces != null && !channel.config().isAutoRead()) {
-      // It is this end that does not read; its client's own time is looked after there.
-      return;
-    }
-    long most =
-        pieces == null
-            ? MAX_PAUSE_NANOS
-            : pieces.begun ? MAX_PIECES_PAUSE_NANOS : MAX_EARLY_PAUSE_NANOS;
-    if (decoder.isMidReply() && clock.activeNanos() - listenedAt > most) {
-      spoil("a reply that does not end");
+  private void corrupted(String reason) {
+    if (state == State.OPEN) {
+      state = State.CORRUPTED;
+      dispatcher.log(channel.remoteAddress() + ": " + reason);
+      channel.close();
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    closed = true;
-    if (turnedAway != null) {
-      retiring = true;
-      Attempt head = turnedAway;
-      turnedAway = null;
-      pool.turnedDown(head);
-    }
-    if (!underWay.isEmpty() && !spoilt && !decoder.isMidReply()) {
-      rested(true);
-    }
-    if (pieces != null) {
-      Pieces cut = pieces;
-      pieces = null;
-      cut.broken();
-    }
-    for (Attempt attempt = underWay.poll(); attempt != null; attempt = underWay.poll()) {
-      // Only a command whose last byte was not handed to the socket has provably not run.
-      dispatcher.attemptEnded(
-          attempt,
-          !attempt.isWritten()
-              ? Outcome.Result.CONNECT_FAILED
-              : spoilt ? Outcome.Result.SPOILT : Outcome.Result.RESET);
+    boolean wasCorrupted = state == State.CORRUPTED;
+    state = State.CLOSED;
+    if (phase instanceof ReplyPhase.FirstRequestRejected rejected) {
+      isDraining = true;
+      phase = ReplyPhase.AWAITING_REPLY;
+      pool.connectionRejected(rejected.attempt());
+    }
+    if (!inFlight.isEmpty() && !wasCorrupted && !decoder.isMidReply()) {
+      reportIdlePeriod(true);
+    }
+    if (phase instanceof StreamedReply stream) {
+      phase = ReplyPhase.AWAITING_REPLY;
+      stream.fail();
+    }
+    for (Attempt attempt = inFlight.removeOldest();
+        attempt != null;
+        attempt = inFlight.removeOldest()) {
+      dispatcher.attemptEnded(attempt, resultOfClose(attempt, wasCorrupted));
+    }
+    pool.connectionClosed(this);
+  }
+
+  /** A request whose last byte was not handed to the socket has provably not run. */
+  private static Outcome.Result resultOfClose(Attempt attempt, boolean wasCorrupted) {
+    if (!attempt.isWritten()) {
+      return Outcome.Result.CONNECT_FAILED;
     }
-    pool.closed(this);
+    return wasCorrupted ? Outcome.Result.SPOILT : Outcome.Result.RESET;
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof DecoderException && cause.getCause() != null) {
-      spoil(cause.getCause().getMessage());
+      corrupted(cause.getCause().getMessage());
     } else if (!(cause instanceof IOException)) {
       dispatcher.reportFailure("server connection", cause);
     }
--- a/engine/src/main/java/shalepaddle/upstream/ServerPool.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPool.java
@@ -12,60 +12,49 @@
 import shalepaddle.loop.LoopClock;
 import shalepaddle.model.Outcome;
 import shalepaddle.model.ServerEntry;
-import shalepaddle.model.Settings;
 import shalepaddle.sockets.ConnectCompletion;
 
-/** This node's connections to one cache server. */
+/**
+ * This process's connections to one cache server, and the attempts that wait for one. All of it
+ * runs on the event loop; {@link Dispatcher} calls may lead back here before they return.
+ */
 public final class ServerPool {
-  /** How long after a server turned a connection down one more is tried again. */
-  private static final long CAPPED_NANOS = 2_000_000_000L;
-
-  /**
-   * The same where the server said so in words: nothing is lost by it, and its places may be held
-   * by a process that is about to end.
-   */
-  private static final long TURNED_DOWN_NANOS = 250_000_000L;
-
   /**
    * What bounds the connections to each server.
    *
-   * @param connections how many this node opens at most
-   * @param total how many it opens to all servers together, but for the first to each
-   * @param depth how many attempts may be under way on one
-   * @param idleNanos how long one is kept that is not in use
-   * @param connectNanos how long one may take to come up, while the event loop listens
+   * @param maxPerServer connections that the node opens to one server at most
+   * @param maxTotal connections to all servers together, except for the first to each
+   * @param maxInFlight attempts that may be in flight on one connection
+   * @param maxIdleNanos how long an unused connection is kept
+   * @param connectTimeoutNanos how long one may take to come up, in the event loop's active time
    */
-  public record Limits(int connections, int total, int depth, long idleNanos, long connectNanos) {}
+  public record Limits(
+      int maxPerServer,
+      int maxTotal,
+      int maxInFlight,
+      long maxIdleNanos,
+      long connectTimeoutNanos) {}
 
   private final Bootstrap bootstrap;
   private final ServerCodec codec;
   private final Limits limits;
   private final ConnectionBudget budget;
   private final Dispatcher dispatcher;
-  private final List<ServerConnection> connections = new ArrayList<>();
   private final LoopClock clock;
-  private final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
-  private final StaleConnectionEstimator idleRisk = new StaleConnectionEstimator();
-  private SocketAddress address;
-  private int connecting;
-  private int cap;
-  private long cappedAt;
-  private long cappedNanos = CAPPED_NANOS;
-
-  /** How often it was vacated: what was on its way then is not used. */
-  private int vacations;
+  private final ServerEndpoint endpoint;
+  private final ConnectionLimit connectionLimit;
+  private final StaleConnectionEstimator staleConnections = new StaleConnectionEstimator();
 
-  /** What the list said of the server last, null before that. */
-  private ServerEntry entry;
+  /** Connections that came up and have not closed, oldest first. */
+  private final List<ServerConnection> connections = new ArrayList<>();
 
-  /** When the list told of it last. */
-  private long listedAt;
+  /** Attempts without a connection, oldest first. */
+  private final ArrayDeque<Attempt> queue = new ArrayDeque<>();
 
-  /** Since when the list says that the server wants nothing new, where it does. */
-  private long drainingSince;
+  private int connecting;
 
-  /** Whether it has come into another group, and what was decided for the old one still waits. */
-  private boolean regrouped;
+  /** How often {@link #drain} was called: connections that were being opened then are not used. */
+  private int drains;
 
   ServerPool(
       Bootstrap bootstrap,
@@ -80,209 +69,187 @@
     this.budget = budget;
     this.dispatcher = dispatcher;
     this.clock = dispatcher.clock();
-    this.address = address;
-    this.cap = limits.connections();
+    this.endpoint = new ServerEndpoint(clock, address);
+    this.connectionLimit = new ConnectionLimit(clock, budget, limits.maxPerServer());
   }
 
-  /**
-   * The list has the server here. Connections to another address, or older than the process, lead
-   * nowhere: they are not used again.
-   */
-  void listed(SocketAddress at, ServerEntry news, double now) {
-    boolean moved = !at.equals(address);
-    regrouped |= entry != null && !Settings.Group.CELL.holds(entry, news);
-    if (news.state() != ServerEntry.State.READY && !leaving()) {
-      drainingSince = clock.now();
-    }
-    boolean restarted =
-        entry != null && news.startedAt() > 0 && news.startedAt() != entry.startedAt();
-    long started = restarted ? startOf(news, now) : 0;
-    entry = news;
-    address = at;
-    listedAt = clock.now();
+  /** Takes the server's latest entry; drains connections to an earlier address or process. */
+  void update(SocketAddress address, ServerEntry entry, double nowSeconds) {
+    ServerEndpoint.Obsolete obsolete = endpoint.update(address, entry, nowSeconds);
     for (ServerConnection connection : List.copyOf(connections)) {
-      if (moved || (restarted && connection.openedAt() - started < 0)) {
-        connection.retire();
+      if (obsolete.contains(connection.openedAtNanos())) {
+        connection.drain();
       }
     }
   }
 
   /**
-   * When a start was that the list has just told: by this machine's clock, which may be off from
-   * the list's, but not before the list was heard last, nor later than now.
-   */
-  private long startOf(ServerEntry news, double now) {
-    long at = clock.refresh();
-    double age = Math.min((at - listedAt) / 1e9, Math.max(0, now - news.startedAt()));
-    return at - (long) (age * 1e9);
-  }
-
-  /**
-   * The server has left, or is left out: what waits goes back, what is under way may end, and no
-   * connection that is there or on its way gets anything new.
+   * The server was removed or excluded: queued attempts fail, those in flight may end, and no
+   * connection that is open or being opened gets another.
    */
-  void vacate() {
-    vacations++;
-    handBack();
+  void drain() {
+    drains++;
+    failQueued();
     for (ServerConnection connection : List.copyOf(connections)) {
-      connection.retire();
+      connection.drain();
     }
   }
 
   /**
-   * What waits goes back if the server is to leave, or is in another group now. Guards against what
-   * was decided on before that was known, and would go out after the grace, or where its repeats
-   * are not dropped: a place may come free as late as its time is up.
+   * Fails the queued attempts if the server is draining, or has changed its cell since. They were
+   * decided on before that was known, and a connection may become available as late as their
+   * deadline: past the drain's grace, or in a cell that does not drop their duplicates.
    */
-  void handBackUnfit() {
-    if (leaving() || regrouped) {
-      regrouped = false;
-      handBack();
+  void failUnroutable() {
+    boolean hasChangedCell = endpoint.takeCellChange();
+    if (endpoint.isDraining() || hasChangedCell) {
+      failQueued();
     }
   }
 
-  /** Whether the list says that the server wants nothing new. */
-  private boolean leaving() {
-    return entry != null && entry.state() != ServerEntry.State.READY;
+  /** Whether the list has said for longer than the grace that the server is draining. */
+  boolean isDrainingPastGrace(long now) {
+    return endpoint.isDrainingPast(dispatcher.drainGraceNanos(), now);
   }
 
-  /** Whether the list has said for longer than the grace that the server wants nothing new. */
-  boolean drainingPastGrace(long now) {
-    return leaving() && now - drainingSince > dispatcher.drainGraceNanos();
-  }
-
-  private void handBack() {
-    for (Attempt attempt = waiting.poll(); attempt != null; attempt = waiting.poll()) {
+  private void failQueued() {
+    for (Attempt attempt = queue.poll(); attempt != null; attempt = queue.poll()) {
       dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
     }
   }
 
   /**
-   * Writes an attempt to a free connection, the one used last so that others fall idle; where there
-   * is none, opens one more; at the limit, writes it behind the fewest others.
+   * Writes an attempt to a free connection, the most recently used one so that others become idle;
+   * if none is free, opens one more; at the limit, writes it behind the fewest others.
    */
   void send(Attempt attempt) {
     if (attempt.isEnded()) {
       return;
     }
-    ServerConnection best = best();
+    ServerConnection best = bestConnection();
     if (best != null && best.load() == 0) {
       best.write(attempt);
       return;
     }
-    int held = live() + connecting;
-    if (held < cap() && (held == 0 || budget.hasRoom())) {
-      waiting.add(attempt);
-      if (connecting < waiting.size()) {
+    int usableOrConnecting = usableConnections() + connecting;
+    if (usableOrConnecting < connectionLimit.current()
+        && (usableOrConnecting == 0 || budget.hasCapacity())) {
+      queue.add(attempt);
+      if (connecting < queue.size()) {
         connect();
       }
     } else if (best != null) {
       best.write(attempt);
     } else {
-      waiting.add(attempt);
-      if (live() == 0 && connecting == 0) {
-        connect();
-      }
+      queue.add(attempt);
+      connectIfNoneIsUsable();
     }
   }
 
-  /** The connection that an attempt is best written to now; null if there is none for it. */
-  private ServerConnection best() {
+  /** An attempt that waits for a connection is withdrawn. */
+  void withdraw(Attempt attempt) {
+    queue.remove(attempt);
+  }
+
+  /** The connection that an attempt is best written to now, null if there is none for it. */
+  private ServerConnection bestConnection() {
     ServerConnection best = null;
     long now = clock.refresh();
     for (ServerConnection connection : List.copyOf(connections)) {
-      if (connection.load() == 0 && idleRisk.tooLong(now - connection.usedAt(), now)) {
-        connection.retire();
+      if (connection.load() == 0
+          && staleConnections.isLikelyStale(now - connection.usedAtNanos(), now)) {
+        connection.drain();
       }
-      if (connection.load() < limits.depth() && connection.preferredTo(best)) {
+      if (connection.load() < limits.maxInFlight() && connection.isPreferredTo(best)) {
         best = connection;
       }
     }
     return best;
   }
 
-  /**
-   * How many connections the server takes, as far as is known: one fewer for each that it turned
-   * down, and one more for a while without. Guards against a network that breaks new connections
-   * now and then: taken for the server's limit, a few of those would put all requests on one
-   * connection, where they wait for one another and a single reset ends them all. Where the limit
-   * is real, a connection is turned down every so often for nothing.
-   */
-  private int cap() {
-    while (cap < limits.connections() && clock.refresh() - cappedAt > cappedNanos) {
-      cap++;
-      cappedAt += cappedNanos;
+  /** Connections that are not draining. */
+  private int usableConnections() {
+    int usable = 0;
+    for (ServerConnection connection : connections) {
+      usable += connection.isDraining() ? 0 : 1;
     }
-    return Math.min(cap, budget.part(limits.connections()));
+    return usable;
   }
 
-  private void capped(int connections, long nanos) {
-    cap = connections;
-    cappedAt = clock.refresh();
-    cappedNanos = nanos;
+  /** Whether there is a usable connection other than this. */
+  boolean hasOtherUsable(ServerConnection connection) {
+    return usableConnections() > (connection.isDraining() ? 0 : 1);
   }
 
-  void forget(Attempt attempt) {
-    waiting.remove(attempt);
+  private void connectIfNoneIsUsable() {
+    if (usableConnections() == 0 && connecting == 0) {
+      connect();
+    }
   }
 
   private void connect() {
     connecting++;
     budget.take();
-    long began = clock.refresh();
-    int vacated = vacations;
-    SocketAddress at = address;
+    long startedAtNanos = clock.refresh();
+    int drainsBefore = drains;
+    SocketAddress address = endpoint.address();
     ServerConnection connection = new ServerConnection(this, codec, dispatcher);
     ChannelFuture future = connection.open(bootstrap, address);
-    dispatcher.timers().limitConnect(future, limits.connectNanos());
+    dispatcher.timers().limitConnect(future, limits.connectTimeoutNanos());
     ConnectCompletion.whenDone(
         future,
         dispatcher.loop(),
         done -> {
           connecting--;
           if (done.isSuccess()) {
-            connections.add(connection);
-            if (vacated != vacations || !at.equals(address)) {
-              // Guards against a connection that came up after the list had moved its server, or
-              // dropped it: nobody would ever close it.
-              connection.retire();
-            } else {
-              free(connection);
-            }
+            boolean isCurrent = drainsBefore == drains && address.equals(endpoint.address());
+            connected(connection, isCurrent);
           } else {
             budget.release();
-            // Nobody else closes a connection that has not come up.
-            connectFailed(began, done.cause() instanceof ClosedChannelException);
+            // A time-out closes the channel; nothing else closes one that has not come up.
+            connectFailed(startedAtNanos, done.cause() instanceof ClosedChannelException);
           }
         });
   }
 
   /**
-   * No connection came up. One that was turned down while others work shows the server's limit:
-   * what waited goes on those, since a failure would tell the module that the server is down. But a
-   * connection that times out beside silent ones shows a machine that has vanished.
+   * A connection came up.
+   *
+   * @param isCurrent whether the server has neither moved nor been removed meanwhile
    */
-  private void connectFailed(long began, boolean silent) {
-    if (silent) {
-      suspectSilence(began);
+  private void connected(ServerConnection connection, boolean isCurrent) {
+    connections.add(connection);
+    if (isCurrent) {
+      connectionAvailable(connection);
+    } else {
+      connection.drain();
     }
-    boolean usable = best() != null;
-    if (usable) {
-      capped(Math.max(Math.max(1, live()), cap() - 1), CAPPED_NANOS);
+  }
+
+  /**
+   * A connection did not come up. If others are usable, that shows the server's limit: queued
+   * attempts go on those, since a failure would tell the policy that the server is down. But a
+   * time-out beside silent connections shows a machine that has vanished.
+   */
+  private void connectFailed(long startedAtNanos, boolean hasTimedOut) {
+    if (hasTimedOut) {
+      suspectSilence(startedAtNanos);
+    }
+    boolean hasUsable = bestConnection() != null;
+    if (hasUsable) {
+      connectionLimit.connectFailed(usableConnections());
     } else if (connecting > 0) {
       return;
     }
-    List<Attempt> stranded = new ArrayList<>(waiting);
-    waiting.clear();
-    for (Attempt attempt : stranded) {
-      ServerConnection best = best();
+    for (Attempt attempt : takeQueue()) {
+      ServerConnection best = bestConnection();
       if (attempt.isEnded()) {
         // The end of one before it has ended it.
         continue;
       }
       if (best != null) {
         best.write(attempt);
-      } else if (usable) {
+      } else if (hasUsable) {
         send(attempt);
       } else {
         dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
@@ -290,21 +257,15 @@
     }
   }
 
-  /** Whether another connection than this may be used again. */
-  boolean holdsOthers(ServerConnection connection) {
-    return live() > (connection.retiring() ? 0 : 1);
-  }
-
   /**
-   * The server has no place for one more connection, and has ended a new one on which this attempt
-   * was first. It has not run; it goes on a connection that is there, as one more of those that the
-   * request may have, and no more are opened for a while. Guards against taking a server that has
-   * no place for one that is sick, or whose origin is.
+   * The server has no capacity for one more connection, and has closed a new one on which this
+   * attempt was first. The attempt has not run. It is written once more to a connection that is
+   * open, within the attempts that its request may have: the server is busy, not faulty.
    */
-  void turnedDown(Attempt attempt) {
-    capped(Math.max(1, Math.min(cap(), live())), TURNED_DOWN_NANOS);
-    // Never on one that it would have to open: the server may be left out by now.
-    ServerConnection best = leaving() ? null : best();
+  void connectionRejected(Attempt attempt) {
+    connectionLimit.connectionRejected(usableConnections());
+    // No connection is opened for it: the server may be excluded by now.
+    ServerConnection best = endpoint.isDraining() ? null : bestConnection();
     if (best != null && !attempt.isEnded() && dispatcher.mayRewrite(attempt)) {
       best.write(attempt);
     } else {
@@ -312,59 +273,50 @@
     }
   }
 
-  /** Connections that may be used again; the others only see out what is under way on them. */
-  private int live() {
-    int live = 0;
-    for (ServerConnection connection : connections) {
-      live += connection.retiring() ? 0 : 1;
-    }
-    return live;
-  }
-
-  /** A connection may be used again: what waits longest may have it. */
-  void free(ServerConnection connection) {
-    while (connection.load() == 0 && !waiting.isEmpty()) {
-      connection.write(waiting.poll());
+  /** A connection can be used: it gets the attempts that have waited longest. */
+  void connectionAvailable(ServerConnection connection) {
+    while (connection.load() == 0 && !queue.isEmpty()) {
+      connection.write(queue.poll());
     }
-    if (connecting == 0 && !waiting.isEmpty()) {
-      sendAgain();
+    if (connecting == 0 && !queue.isEmpty()) {
+      takeQueue().forEach(this::send);
     }
   }
 
-  /** Guards against an endless loop: what is sent may come to wait again. */
-  private void sendAgain() {
-    List<Attempt> stranded = new ArrayList<>(waiting);
-    waiting.clear();
-    stranded.forEach(this::send);
+  /** Empties the queue. Prevents an endless loop where an attempt is queued again. */
+  private List<Attempt> takeQueue() {
+    List<Attempt> taken = new ArrayList<>(queue);
+    queue.clear();
+    return taken;
   }
 
-  /** A request was written after this pause, and its connection broke or brought an answer. */
-  void rested(long pause, boolean broke) {
-    idleRisk.seen(pause, broke, clock.refresh());
+  /** A request was written after this idle period; its connection then broke or replied. */
+  void idlePeriodEnded(long idleNanos, boolean broke) {
+    staleConnections.record(idleNanos, broke, clock.refresh());
   }
 
-  /** A connection is closed. */
-  void closed(ServerConnection connection) {
+  /** A connection that had come up is closed. */
+  void connectionClosed(ServerConnection connection) {
     connections.remove(connection);
     budget.release();
-    if (live() == 0 && connecting == 0 && !waiting.isEmpty()) {
-      connect();
+    if (!queue.isEmpty()) {
+      connectIfNoneIsUsable();
     }
   }
 
   /**
-   * Nothing has come from this server since the given time, though an answer was due. Guards
-   * against a machine that vanished, whose connections stay open and silent: none of those is used
-   * again, so that the next attempt opens one and learns the truth within the connect time-out.
+   * Drains all connections if none has received anything since the given time, though a reply was
+   * due. The connections of a machine that vanished stay open and silent: the next attempt opens a
+   * new one and learns of it within the connect time-out.
    */
-  void suspectSilence(long since) {
+  void suspectSilence(long sinceNanos) {
     for (ServerConnection connection : connections) {
-      if (connection.heardAt() - since > 0) {
+      if (connection.receivedAtNanos() - sinceNanos > 0) {
         return;
       }
     }
     for (ServerConnection connection : List.copyOf(connections)) {
-      connection.retire();
+      connection.drain();
     }
   }
 
@@ -375,29 +327,43 @@
     }
   }
 
-  /** Closes idle connections past this process's part, those first that were used last long ago. */
+  /** Closes idle connections past this process's share, the least recently used first. */
   void closeSurplus() {
-    int surplus = live() - budget.part(limits.connections());
+    int surplus = usableConnections() - connectionLimit.share();
     while (surplus-- > 0) {
-      ServerConnection oldest = null;
-      for (ServerConnection connection : connections) {
-        if (connection.load() == 0
-            && (oldest == null || connection.usedAt() - oldest.usedAt() < 0)) {
-          oldest = connection;
-        }
-      }
+      ServerConnection oldest = leastRecentlyUsedIdle();
       if (oldest == null) {
         return;
       }
-      oldest.retire();
+      oldest.drain();
+    }
+  }
+
+  private ServerConnection leastRecentlyUsedIdle() {
+    ServerConnection oldest = null;
+    for (ServerConnection connection : connections) {
+      if (connection.load() == 0
+          && (oldest == null || connection.usedAtNanos() - oldest.usedAtNanos() < 0)) {
+        oldest = connection;
+      }
+    }
+    return oldest;
+  }
+
+  /** Closes all idle connections. */
+  void closeIdle() {
+    for (ServerConnection connection : List.copyOf(connections)) {
+      if (connection.load() == 0) {
+        connection.drain();
+      }
     }
   }
 
-  /** Closes connections not used since the given time, all idle ones for 0. */
-  void closeIdle(long before) {
+  /** Closes connections that were not used since the given time, by the loop's clock. */
+  void closeIdleSince(long nanos) {
     for (ServerConnection connection : List.copyOf(connections)) {
-      if (connection.load() == 0 && (before == 0 || connection.usedAt() - before < 0)) {
-        connection.retire();
+      if (connection.load() == 0 && connection.usedAtNanos() - nanos < 0) {
+        connection.drain();
       }
     }
   }
--- a/engine/src/main/java/shalepaddle/upstream/ServerPools.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPools.java
@@ -13,15 +13,18 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.ServerEntry;
 
-/** The connections to all cache servers, each known by the number that the module uses. */
+/**
+ * The connections to all cache servers, by the ids that the policy uses. All of it runs on the
+ * event loop.
+ */
 public final class ServerPools implements Upstream {
   private final Map<Long, ServerPool> pools = new HashMap<>();
 
-  /** Servers that an operator leaves out, also such as are not listed for now. */
+  /** Servers that an operator has excluded, also such as are not listed for now. */
   private final Set<Long> excluded = new HashSet<>();
 
   /** Servers that the list no longer has, until {@link #failUnroutable}. */
-  private final Set<Long> gone = new HashSet<>();
+  private final Set<Long> removed = new HashSet<>();
 
   private final Bootstrap bootstrap;
   private final ServerCodec codec;
@@ -32,9 +35,9 @@
   /**
    * No connections yet.
    *
-   * @param bootstrap opens connections on the dispatcher's thread
-   * @param codec what the servers speak
-   * @param dispatcher is told how attempts end
+   * @param bootstrap opens connections on the dispatcher's event loop
+   * @param codec the servers' protocol
+   * @param dispatcher is notified how attempts end
    */
   public ServerPools(
       Bootstrap bootstrap, ServerCodec codec, ServerPool.Limits limits, Dispatcher dispatcher) {
@@ -42,62 +45,65 @@
     this.codec = codec;
     this.limits = limits;
     this.dispatcher = dispatcher;
-    this.budget = new ConnectionBudget(limits.total());
+    this.budget = new ConnectionBudget(limits.maxTotal());
   }
 
   /**
-   * Takes in where the servers are now; what waits for those that leave or have left is handed back
-   * by {@link #failUnroutable}.
+   * Takes the servers' latest addresses and states. Attempts that are queued for servers that were
+   * removed or are draining fail in {@link #failUnroutable}.
+   *
+   * @param nowSeconds the time by the list's clock
    */
-  public void update(MemberList list, double now) {
+  public void update(MemberList list, double nowSeconds) {
     if (list.full()) {
-      gone.addAll(pools.keySet());
+      removed.addAll(pools.keySet());
     }
     for (MemberList.Member member : list.members()) {
       ServerEntry entry = member.entry();
       if (entry.state() == ServerEntry.State.GONE) {
-        gone.add(entry.id());
+        removed.add(entry.id());
         continue;
       }
-      gone.remove(entry.id());
+      removed.remove(entry.id());
       ServerPool pool =
           pools.computeIfAbsent(
               entry.id(),
               id -> new ServerPool(bootstrap, codec, limits, budget, dispatcher, member.address()));
-      pool.listed(member.address(), entry, now);
+      pool.update(member.address(), entry, nowSeconds);
     }
   }
 
   /**
-   * What waits for a server that leaves or has left goes back; to be called once the decisions know
-   * of that, so that it does not come again until it has used up its attempts.
+   * Fails what is queued for servers that were removed, are draining or have changed their cell. To
+   * be called once the policy knows of that: it would otherwise choose the same server again until
+   * the request has used up its attempts.
    */
   public void failUnroutable() {
-    List<Long> left = List.copyOf(gone);
-    gone.clear();
-    for (long id : left) {
+    List<Long> ids = List.copyOf(removed);
+    removed.clear();
+    for (long id : ids) {
       ServerPool pool = pools.remove(id);
       if (pool != null) {
-        pool.vacate();
+        pool.drain();
       }
     }
-    List.copyOf(pools.values()).forEach(ServerPool::handBackUnfit);
+    List.copyOf(pools.values()).forEach(ServerPool::failUnroutable);
   }
 
-  /** Whether the server is listed, or left out by an operator. */
+  /** Whether the server is listed, or excluded by an operator. */
   public boolean isKnown(long server) {
     return pools.containsKey(server) || excluded.contains(server);
   }
 
   /**
-   * An operator leaves a server out, or puts it back. What waits for a connection to it goes back,
-   * never sent; what is under way may end, and no connection is used again.
+   * An operator excludes a server, or includes it again. An exclusion fails what is queued for the
+   * server; what is in flight may end, and no connection is used again.
    */
-  public void setExcluded(long server, boolean out) {
-    if (!out) {
+  public void setExcluded(long server, boolean isExcluded) {
+    if (!isExcluded) {
       excluded.remove(server);
     } else if (excluded.add(server) && pools.containsKey(server)) {
-      pools.get(server).vacate();
+      pools.get(server).drain();
     }
   }
 
@@ -106,8 +112,7 @@
     if (attempt.isEnded()) {
       return;
     }
-    // It may have been decided before an operator's word, and waited since for the loop to catch
-    // up.
+    // The policy may have decided before the exclusion: sends wait while the loop has a backlog.
     ServerPool pool = excluded.contains(attempt.server()) ? null : pools.get(attempt.server());
     if (pool == null) {
       dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
@@ -123,7 +128,7 @@
     } else {
       ServerPool pool = pools.get(attempt.server());
       if (pool != null) {
-        pool.forget(attempt);
+        pool.withdraw(attempt);
       }
     }
   }
@@ -132,24 +137,24 @@
   public void closeIdle(long server) {
     ServerPool pool = pools.get(server);
     if (pool != null) {
-      pool.closeIdle(0);
+      pool.closeIdle();
     }
   }
 
-  /** Nothing goes to any server from now on; what is under way may end. */
+  /** Sends nothing to any server from now on; what is in flight may end. */
   public void close() {
-    pools.values().forEach(ServerPool::vacate);
+    pools.values().forEach(ServerPool::drain);
     pools.clear();
   }
 
-  /** Connections that are open or on their way, all servers together. */
+  /** Connections to all servers that are open or being opened. */
   public int connections() {
     return budget.taken();
   }
 
-  /** So many other processes of this node hold so many of those that all may have together. */
-  public void setPeerProcessUsage(int partners, int connections) {
-    budget.setPeerProcessUsage(partners, connections);
+  /** So many other processes of this node have so many connections together. */
+  public void setPeerProcessUsage(int processes, int connections) {
+    budget.setPeerProcessUsage(processes, connections);
   }
 
   /** Closes connections on which a reply began and does not go on. */
@@ -160,12 +165,14 @@
   }
 
   /**
-   * Closes connections that have been idle for so long that the server might, those idle for longer
-   * than what is short allows, and idle ones past this process's part.
+   * Closes idle connections past the configured time, after which a server may close them itself,
+   * or past the time given; and those past this process's share.
+   *
+   * @param now the time by the loop's clock
    */
-  public void closeExpiredIdle(long now, long mostNanos) {
+  public void closeExpiredIdle(long now, long maxIdleNanos) {
     for (ServerPool pool : pools.values()) {
-      pool.closeIdle(now - Math.min(mostNanos, limits.idleNanos()));
+      pool.closeIdleSince(now - Math.min(maxIdleNanos, limits.maxIdleNanos()));
       pool.closeSurplus();
     }
   }
--- a/engine/src/main/java/shalepaddle/upstream/StaleConnectionEstimator.java
+++ b/engine/src/main/java/shalepaddle/upstream/StaleConnectionEstimator.java
@@ -1,53 +1,57 @@
 package shalepaddle.upstream;
 
 /**
- * What becomes of requests that are written to a server's connections after a pause, by the length
- * of the pause: the share of those whose connection then broke with no answer.
+ * How often connections break when a request is written to them after an idle period, by the length
+ * of the period.
  *
- * <p>Guards against connections that somebody on the way, or the server, gives up sooner than the
- * settings say, and without a word: the request that finds out is lost if it may not be repeated.
- * It should also catch address translators with short memories. Could do harm where connections
- * break for other reasons after a pause: each request then pays for a new one.
+ * <p>Prevents losses where the server, or an address translator on the way, drops idle connections
+ * sooner than the settings say and without a message: a request that may not be retried is lost
+ * when it finds out. Cost: where connections break for other reasons, requests after an idle period
+ * wait for a new one.
+ *
+ * <p>Owned by the server's pool, on the event loop.
  */
 final class StaleConnectionEstimator {
-  /** Lengths of a pause are told apart by powers of two, from the shortest that is ever judged. */
-  private static final long SHORTEST_NANOS = 16_000_000L;
+  /** Shorter idle periods are not considered. */
+  private static final long MIN_IDLE_NANOS = 16_000_000L;
 
-  private static final int LENGTHS = 12;
+  /** Idle periods are told apart by powers of two of the shortest. */
+  private static final int BUCKETS = 12;
 
-  private static final double GAIN = 0.05;
+  /** The weight of one observation in the moving average. */
+  private static final double SMOOTHING = 0.05;
 
-  /** The share of broken connections from which a new one is the better choice. */
-  private static final double TOLERATED = 0.25;
+  /** Above this share of broken connections a new one is better. */
+  private static final double MAX_BROKEN_RATIO = 0.25;
 
-  /** What was seen so long ago is tried again. */
-  private static final long FORGOTTEN_NANOS = 10_000_000_000L;
+  /** After this time without observations the connections are used again. */
+  private static final long OBSERVATION_LIFETIME_NANOS = 10_000_000_000L;
 
-  private final double[] broken = new double[LENGTHS];
-  private final long[] seenAt = new long[LENGTHS];
+  private final double[] brokenRatio = new double[BUCKETS];
+  private final long[] observedAtNanos = new long[BUCKETS];
 
-  private static int length(long pause) {
-    int doublings = 63 - Long.numberOfLeadingZeros(Math.max(1, pause / SHORTEST_NANOS));
-    return Math.min(LENGTHS - 1, doublings);
+  private static int bucket(long idleNanos) {
+    int doublings = 63 - Long.numberOfLeadingZeros(Math.max(1, idleNanos / MIN_IDLE_NANOS));
+    return Math.min(BUCKETS - 1, doublings);
   }
 
-  /** A request was written after this pause, and its connection broke or brought an answer. */
-  void seen(long pause, boolean broke, long now) {
-    if (pause >= SHORTEST_NANOS) {
-      int length = length(pause);
-      broken[length] += GAIN * ((broke ? 1 : 0) - broken[length]);
-      seenAt[length] = now;
+  /** A request was written after this idle period; its connection then broke or replied. */
+  void record(long idleNanos, boolean broke, long now) {
+    if (idleNanos >= MIN_IDLE_NANOS) {
+      int bucket = bucket(idleNanos);
+      brokenRatio[bucket] += SMOOTHING * ((broke ? 1 : 0) - brokenRatio[bucket]);
+      observedAtNanos[bucket] = now;
     }
   }
 
-  /** Whether connections too often break after such a pause, or one that is shorter. */
-  boolean tooLong(long pause, long now) {
-    for (int i = 0; pause >= SHORTEST_NANOS && i <= length(pause); i++) {
-      if (broken[i] > TOLERATED) {
-        if (now - seenAt[i] < FORGOTTEN_NANOS) {
+  /** Whether too many connections break after such an idle period, or a shorter one. */
+  boolean isLikelyStale(long idleNanos, long now) {
+    for (int i = 0; idleNanos >= MIN_IDLE_NANOS && i <= bucket(idleNanos); i++) {
+      if (brokenRatio[i] > MAX_BROKEN_RATIO) {
+        if (now - observedAtNanos[i] < OBSERVATION_LIFETIME_NANOS) {
           return true;
         }
-        broken[i] = TOLERATED;
+        brokenRatio[i] = MAX_BROKEN_RATIO;
       }
     }
     return false;
