--- a/core/src/main/java/shalepaddle/policy/RequestRouter.java
+++ b/core/src/main/java/shalepaddle/policy/RequestRouter.java
@@ -345,7 +345,7 @@
     if (p.out == 0 && p.mayRefuse(now)) {
       double retryAfterSeconds =
           RetryAfterAdvice.seconds(
-              settings.limits(), pending.size(), rates.answerRate(), random::nextDouble);
+              settings.limits(), pending.size(), rates.answerRate(), () -> random.nextDouble());
       actions.reject(p.request.id(), retryAfterSeconds);
     } else {
       actions.fail(p.request.id());
