--- a/engine/src/main/java/shalepaddle/engine/Exchange.java
+++ b/engine/src/main/java/shalepaddle/engine/Exchange.java
@@ -29,7 +29,7 @@
   }
 
   private final Call call;
-  private final Settings.Idempotency effect;
+  private final Settings.Idempotency idempotency;
   private final int maxAttempts;
   private final List<Attempt> attempts = new ArrayList<>(1);
   private State state = State.ACCEPTED;
@@ -47,16 +47,16 @@
    * @param clientDeadlineNanos when its client stops waiting, counted from the earliest time at
    *     which it can have sent the request
    * @param maxAttempts how often it may be written to servers
-   * @param effect what running it more than once does
+   * @param idempotency what running it more than once does
    */
   Exchange(
       Call call,
       long deadlineNanos,
       long clientDeadlineNanos,
       int maxAttempts,
-      Settings.Idempotency effect) {
+      Settings.Idempotency idempotency) {
     this.call = call;
-    this.effect = effect;
+    this.idempotency = idempotency;
     this.clientDeadlineNanos = clientDeadlineNanos;
     this.maxAttempts = maxAttempts;
     this.upstreamCall = call;
@@ -74,8 +74,8 @@
   }
 
   /** What running it more than once does, by the settings under which it was accepted. */
-  Settings.Idempotency effect() {
-    return effect;
+  Settings.Idempotency idempotency() {
+    return idempotency;
   }
 
   /** When its client stops waiting, by the loop's clock. */
