--- a/core/src/main/java/shalepaddle/model/LoadReport.java
+++ b/core/src/main/java/shalepaddle/model/LoadReport.java
@@ -1,16 +1,16 @@
 package shalepaddle.model;
 
 /**
- * What a server says of its own load; a value it does not report is NaN.
+ * A server's own load report; a value that it does not report is NaN.
  *
- * @param inFlight requests being handled
- * @param queued requests waiting
- * @param utilization share of its cores in use
- * @param latencyMillis its recent service time
+ * @param inFlight requests in progress
+ * @param queued requests waiting in its queue
+ * @param utilization part of its cores in use, from 0 to 1
+ * @param latencyMillis its recent service time in milliseconds
  * @param requestRate requests served a second
  * @param errorRate errors a second
- * @param extra0 a value whose meaning the settings tell
- * @param extra1 a value whose meaning the settings tell
+ * @param extra0 a value whose meaning depends on the deployment
+ * @param extra1 a value whose meaning depends on the deployment
  */
 public record LoadReport(
     double inFlight,
--- a/core/src/main/java/shalepaddle/model/MembershipUpdate.java
+++ b/core/src/main/java/shalepaddle/model/MembershipUpdate.java
@@ -5,28 +5,28 @@
 import java.util.stream.Collectors;
 
 /**
- * News of the list of servers.
+ * An update of the endpoint list: a watch event, or the result of a poll.
  *
- * @param kind what the entries mean
- * @param version the list's version
- * @param entries the lines that came with it
+ * @param kind what the entries are
+ * @param version the list's version, which grows
+ * @param entries the lines that came with it, empty for a failure
  */
 public record MembershipUpdate(Kind kind, long version, List<ServerEntry> entries) {
 
-  /** The servers that it names. */
+  /** The ids of the servers that it names. */
   public Set<Long> serverIds() {
     return entries.stream().map(ServerEntry::id).collect(Collectors.toUnmodifiableSet());
   }
 
-  /** What an update holds. */
+  /** What the entries of an update are. */
   public enum Kind {
-    /** The entries that changed. */
+    /** The lines that changed. */
     DELTA,
-    /** The whole list. */
+    /** The complete list. */
     FULL,
-    /** The whole list as it was last known, perhaps old. */
+    /** The complete list from a cache of this node, perhaps old. */
     CACHED,
-    /** A call for the list failed, or the subscription broke. */
+    /** A poll for the list failed, or the watch was interrupted. */
     FAILED
   }
 }
--- a/core/src/main/java/shalepaddle/model/Outcome.java
+++ b/core/src/main/java/shalepaddle/model/Outcome.java
@@ -3,15 +3,15 @@
 /**
  * How one attempt ended.
  *
- * @param requestId the request it belonged to
+ * @param requestId the request that it was sent for
  * @param attempt its number, counted from 0 in the order of sending
- * @param server where it was sent
+ * @param server the id of the server that it was sent to
  * @param result how it ended
- * @param elapsedSeconds seconds since it was sent
- * @param stalledSeconds how many of those this node stood still, and could hear of nothing
- * @param completesRequest whether the request is over
- * @param cacheStatus what the server says about its cache
- * @param load the server's load report, null if none came along
+ * @param elapsedSeconds time since it was sent
+ * @param stalledSeconds how much of that this node's event loop was stalled
+ * @param completesRequest whether the request is complete with it, and gets no further attempt
+ * @param cacheStatus what the server reported about its cache
+ * @param load the server's load report, null if there is none
  */
 public record Outcome(
     String requestId,
@@ -24,7 +24,7 @@
     CacheStatus cacheStatus,
     LoadReport load) {
 
-  /** How an attempt ended of which this node heard all the time. */
+  /** The outcome of an attempt during which the event loop was never stalled. */
   public Outcome(
       String requestId,
       int attempt,
@@ -38,14 +38,14 @@
         requestId, attempt, server, result, elapsedSeconds, 0, completesRequest, cacheStatus, load);
   }
 
-  /** Seconds for which this node waited and listened: the rest was its own doing. */
+  /** Time for which the event loop was active: the rest is not the server's fault. */
   public double activeSeconds() {
     return Math.max(0, elapsedSeconds - stalledSeconds);
   }
 
   /**
-   * The part of the time since it was sent for which this node listened, from 0 to 1: what the
-   * server may be blamed for. 1 where the server itself answered.
+   * The part of the elapsed time for which the event loop was active, from 0 to 1, which is what
+   * the server may be blamed for; 1 if the server responded.
    */
   public double activeRatio() {
     return result.isServerResponse() || elapsedSeconds <= 0
@@ -53,32 +53,35 @@
         : Math.min(1, activeSeconds() / elapsedSeconds);
   }
 
-  /** Whether this node listened for most of that time: if not, silence says little of a server. */
+  /** Whether the event loop was active for most of that time: if not, a timeout says little. */
   public boolean isMostlyActive() {
     return activeRatio() >= 0.5;
   }
 
-  /** Whether nothing came in time, while this node listened. */
+  /** Whether the attempt timed out while the event loop was mostly active. */
   public boolean isObservedTimeout() {
     return result == Result.TIMEOUT && isMostlyActive();
   }
 
-  /** How an attempt, or a probe, can end. */
+  /** How an attempt can end. */
   public enum Result {
     OK(false, true),
+    /** The server responded with an error. */
     ERROR(false, true),
+    /** The server rejected the attempt since it is overloaded. */
     SERVER_BUSY(true, true),
     TIMEOUT(false, false),
     CONNECT_FAILED(true, false),
+    /** The connection was lost while the attempt was in flight. */
     RESET(false, false),
     CANCELLED(false, false),
+    /** It was withdrawn before any byte of it was written. */
     NOT_SENT(true, false),
-    /** The server holds no more connections and said so on a new one, others to it being open. */
+    /** The server rejected a new connection for its limit, while others to it were open. */
     CONNECTION_LIMIT_REACHED(true, false),
+    /** A look-aside cache does not have the value; the origin may. */
     CACHE_MISS(true, true),
-    /**
-     * What came back could not be read or trusted; the server runs, and may have run the attempt.
-     */
+    /** The response could not be parsed; the server runs, and may have run the attempt. */
     MALFORMED_RESPONSE(false, true);
 
     private final boolean provesNotRun;
@@ -89,35 +92,39 @@
       this.isServerResponse = fromServer;
     }
 
-    /** Whether the server itself answered so. */
+    /** Whether the server itself responded. */
     public boolean isServerResponse() {
       return isServerResponse;
     }
 
-    /** Whether there was no connection, or it broke. */
+    /** Whether there was no connection, or it was lost. */
     public boolean isConnectionFailure() {
       return this == CONNECT_FAILED || this == RESET;
     }
 
-    /** Whether it found no connection that bore it, which says nothing against another try. */
+    /** Whether no connection could carry the attempt, which says nothing against a retry. */
     public boolean isConnectionUnavailable() {
       return isConnectionFailure() || this == CONNECTION_LIMIT_REACHED;
     }
 
-    /** Whether this ending proves that the attempt was never carried out. */
+    /** Whether this proves that the server never ran the attempt. */
     public boolean provesNotRun() {
       return provesNotRun;
     }
   }
 
-  /** What a server says about its cache. */
+  /** What a server reports about its cache. */
   public enum CacheStatus {
+    /** Nothing. */
     NONE,
+    /** The value was cached. */
     HIT,
+    /** The server fetched the value from the origin. */
     MISS,
+    /** The server waited for a fetch of the value that was in flight. */
     MISS_PENDING;
 
-    /** Whether the server did not hold what it was asked for. */
+    /** Whether the server did not have the value cached. */
     public boolean isMiss() {
       return this == MISS || this == MISS_PENDING;
     }
--- a/core/src/main/java/shalepaddle/model/ProtocolLimits.java
+++ b/core/src/main/java/shalepaddle/model/ProtocolLimits.java
@@ -1,20 +1,20 @@
 package shalepaddle.model;
 
-/** Checks of figures that somebody sets. */
+/** Checks of values that an operator sets. */
 public final class ProtocolLimits {
   private ProtocolLimits() {}
 
   /**
-   * Checks that a figure lies in its range, the ends included.
+   * Checks that a value is in its range, bounds included.
    *
-   * @param name as it is known to whoever set it
-   * @throws IllegalArgumentException if it does not, or is no number; the message names it and the
+   * @param name the setting's name as the operator knows it
+   * @throws IllegalArgumentException if it is not, or is NaN; the message gives the name and the
    *     range
    */
-  public static void checkRange(String name, double value, double least, double most) {
-    if (!(value >= least && value <= most)) {
+  public static void checkRange(String name, double value, double min, double max) {
+    if (!(value >= min && value <= max)) {
       throw new IllegalArgumentException(
-          "%s is %s, and must be from %s to %s".formatted(name, value, least, most));
+          "%s is %s, and must be from %s to %s".formatted(name, value, min, max));
     }
   }
 }
--- a/core/src/main/java/shalepaddle/model/ServerEntry.java
+++ b/core/src/main/java/shalepaddle/model/ServerEntry.java
@@ -1,16 +1,16 @@
 package shalepaddle.model;
 
 /**
- * One line of the list of cache servers.
+ * One line of the endpoint list.
  *
- * @param id the server's id, the same at every balancer
- * @param zone where it stands; empty if the list does not say
+ * @param id the server's id, the same at every load balancer
+ * @param zone its zone; empty if unknown
  * @param kind the machine kind
  * @param cell the cell it belongs to
- * @param state what the list says of it
- * @param weight a number to set against those of other servers
- * @param startedAtSeconds its last start by the wall clock of whoever writes the list, to be
- *     compared with stamps of that list alone; 0 for long ago
+ * @param state its state in the list
+ * @param weight its weight relative to other servers
+ * @param startedAtSeconds its last start by the wall clock of whoever writes the list, comparable
+ *     with stamps of that list alone; 0 if long ago
  */
 public record ServerEntry(
     long id,
@@ -21,10 +21,13 @@
     double weight,
     double startedAtSeconds) {
 
-  /** What the list says of a server. */
+  /** The state of a server in the endpoint list. */
   public enum State {
+    /** It takes requests. */
     READY,
+    /** It finishes what it has and takes no new requests. */
     DRAINING,
-    GONE
+    /** It is no longer listed. */
+    REMOVED
   }
 }
--- a/core/src/main/java/shalepaddle/model/Settings.java
+++ b/core/src/main/java/shalepaddle/model/Settings.java
@@ -3,25 +3,27 @@
 import java.util.List;
 
 /**
- * What an instance is told when it starts.
+ * What a load balancer instance is configured with, in the simulator and in a real node alike. The
+ * names that these have in configuration files and on the simulator's wire are mapped in {@code
+ * SettingsFormat}.
  *
  * @param zone the instance's own zone
  * @param zones all zones
  * @param kinds the machine kinds
- * @param instanceNumber the instance's number
- * @param instances how many instances the tier has
- * @param pollsEndpointList whether the list comes only when asked for
- * @param clientsMarkRetries whether clients mark their repeats
- * @param weights what the weights in the list mean
+ * @param instanceNumber the instance's number, from 0 on
+ * @param instances how many load balancer instances there are
+ * @param pollsEndpointList whether the endpoint list must be polled, rather than watched
+ * @param clientsMarkRetries whether clients mark their retries
+ * @param weights what the weights in the endpoint list mean
  * @param cache how the caches work
  * @param limits what the deployment permits
- * @param contract the figures of the four rules
- * @param prices what comes off the result
- * @param services the request classes
+ * @param contract the figures of the contract with clients, servers and discovery
+ * @param prices the costs by which a deployment is measured
+ * @param services the service classes
  * @param tenants the tenants, empty where there are none
- * @param overQuotaWeightRatio worth of a request past its tenant's share, as a part of its class's
- *     worth
- * @param timerResolutionSeconds the shortest time between two batches of events, in seconds
+ * @param overQuotaWeightRatio priority of a request over its tenant's quota, as a part of its
+ *     class's
+ * @param timerResolutionSeconds the shortest time between two batches of events
  */
 public record Settings(
     String zone,
@@ -41,33 +43,36 @@
     double overQuotaWeightRatio,
     double timerResolutionSeconds) {
 
-  /** What the weights in the list mean. */
+  /** What the weights in the endpoint list mean. */
   public enum Weights {
     NONE,
     NOMINAL,
     ROUGH,
     LIVE;
 
-    /** Whether they tell sizes that last: live ones follow the load. */
+    /** Whether they stand for sizes of machines; live ones follow the load. */
     public boolean isStable() {
       return this == NOMINAL || this == ROUGH;
     }
   }
 
-  /** What repeating a request does. */
+  /** What more than one run of a request does. */
   public enum Idempotency {
+    /** Nothing. */
     IDEMPOTENT,
+    /** Nothing, as servers drop a repeated idempotency key, for some time and in some scope. */
     IDEMPOTENT_WITH_KEY,
+    /** It takes effect more than once. */
     NOT_IDEMPOTENT
   }
 
-  /** Which servers drop the repeats of a keyed request. */
+  /** Which servers together drop a repeated idempotency key. */
   public enum DeduplicationScope {
     ALL,
     ZONE,
     CELL;
 
-    /** Whether two servers belong to the same one. */
+    /** Whether both servers are in the same scope. */
     public boolean spans(ServerEntry a, ServerEntry b) {
       return switch (this) {
         case ALL -> true;
@@ -80,10 +85,10 @@
   /**
    * How the caches work.
    *
-   * @param lookAside whether the instance itself fetches from the origin what a cache lacks
-   * @param originKind the machine kind of the origin in the list, null if it is not listed
+   * @param lookAside whether the instance itself fetches from the origin what a cache does not have
+   * @param originKind the origin's machine kind in the endpoint list, null if it is not listed
    * @param originOverloadRatio the multiple of its capacity at which the origin halts, 0 for none
-   * @param originOverloadSeconds how long that takes
+   * @param originOverloadSeconds how long such load lasts until the origin halts
    */
   public record CacheMode(
       boolean lookAside,
@@ -94,16 +99,16 @@
   /**
    * What the deployment permits.
    *
-   * @param maxAttempts attempts a request may have
-   * @param allowsParallelAttempts whether two may be out together
-   * @param allowsCancellation whether attempts may be called off
-   * @param allowsHealthChecks whether servers may be probed
+   * @param maxAttempts attempts of one request
+   * @param allowsParallelAttempts whether hedged requests are permitted
+   * @param allowsCancellation whether attempts may be cancelled
+   * @param allowsHealthChecks whether servers may be sent health checks
    * @param allowsGossip whether instances may send each other messages
-   * @param sendsRetryAfter whether clients are given a time to stay away
-   * @param maxRetryAfterSeconds the longest time that clients follow
-   * @param connectTimeoutSeconds seconds after which a connection attempt fails
-   * @param idleTimeoutSeconds seconds after which an idle connection is closed
-   * @param maxAttemptsPerConnection attempts that share a connection
+   * @param sendsRetryAfter whether rejected clients are given a Retry-After
+   * @param maxRetryAfterSeconds the longest Retry-After that clients follow
+   * @param connectTimeoutSeconds after which a connection attempt fails
+   * @param idleTimeoutSeconds after which an idle connection is closed
+   * @param maxAttemptsPerConnection attempts in flight that share a connection
    */
   public record Limits(
       int maxAttempts,
@@ -118,15 +123,15 @@
       int maxAttemptsPerConnection) {}
 
   /**
-   * The figures of the four rules.
+   * The figures of the contract with clients, servers and discovery.
    *
-   * @param responseGraceSeconds how long past the client's deadline a final answer still counts
-   * @param maxPollIntervalSeconds how long an instance without a subscription may go without asking
-   * @param drainGraceSeconds how long sends to a draining server may go on
-   * @param slowStartMinRatio the share of its capacity that a started server has at least
-   * @param slowStartSeconds the time after which it is warm at the latest
-   * @param overloadRatio the multiple of its capacity that pushes a cold server over
-   * @param overloadSeconds how long that takes
+   * @param responseGraceSeconds how long after the client's deadline a final answer still counts
+   * @param maxPollIntervalSeconds the longest time between polls of the endpoint list
+   * @param drainGraceSeconds how long requests may still be sent to a draining server
+   * @param slowStartMinRatio the part of its capacity that a started server has at least
+   * @param slowStartSeconds the time after its start at which a server is warm
+   * @param overloadRatio the multiple of its present capacity that overloads a server in slow start
+   * @param overloadSeconds how long such load lasts until the server fails
    */
   public record Contract(
       double responseGraceSeconds,
@@ -138,17 +143,17 @@
       double overloadSeconds) {}
 
   /**
-   * What comes off the result, each times its share or rate.
+   * The costs by which a deployment is measured, each for a fraction or a rate.
    *
    * @param crossZone attempts that cross zones
    * @param wastedWork work that served no answer
-   * @param lateFailure worth that ended unserved after its aim
+   * @param lateFailure priority weight that failed after its latency objective
    * @param originFetch fetches from the origin
-   * @param healthCheck probes
+   * @param healthCheck health checks
    * @param handshake new connections
    * @param connection open connections
    * @param gossip bytes between instances
-   * @param discovery list lines
+   * @param discovery lines of the endpoint list
    */
   public record Prices(
       double crossZone,
@@ -165,14 +170,14 @@
    * A class of requests.
    *
    * @param name its name
-   * @param latencyObjectiveSeconds an answer inside this time has the full worth
-   * @param objectivePerWorkSecond multiple of the request's own work by which the aim grows
-   * @param deadlineSeconds how long the client waits over all its tries
-   * @param priorityWeight what a request is worth
-   * @param lateWeightRatio the part of the worth that an answer past the aim still has
-   * @param idempotency what repeating it does
-   * @param deduplicationScope which servers drop its repeats
-   * @param idempotencyWindowSeconds how long they do so, from the first send that may have run
+   * @param latencyObjectiveSeconds an answer within this time has the full priority weight
+   * @param objectivePerWorkSecond how much the objective grows with a request's own work
+   * @param deadlineSeconds how long the client waits over all of its own attempts
+   * @param priorityWeight how important a request is, relative to other classes
+   * @param lateWeightRatio the part of the weight that an answer after the objective still has
+   * @param idempotency what more than one run of a request does
+   * @param deduplicationScope which servers drop a repeated idempotency key
+   * @param idempotencyWindowSeconds how long they do, from the first attempt that may have run
    * @param streamed whether answers are streamed
    */
   public record ServiceClass(
@@ -188,8 +193,7 @@
       boolean streamed) {
 
     /**
-     * The class if there is one, else one for this request, that the settings do not name: nothing
-     * is known of what repeating it does.
+     * The class if it is known, else one for this request alone, which counts as not idempotent.
      */
     public static ServiceClass orUnknown(ServiceClass known, Request request) {
       double budget = request.budgetSeconds();
@@ -213,8 +217,8 @@
    * A tenant.
    *
    * @param name its name
-   * @param capacityRatio its part of the service
-   * @param quotaPerSecond requests a second within its share, over all instances
+   * @param capacityRatio its part of the service's capacity
+   * @param quotaPerSecond requests a second within its quota, over all instances
    */
   public record Tenant(String name, double capacityRatio, double quotaPerSecond) {}
 }
--- a/core/src/main/java/shalepaddle/policy/RoutingActions.java
+++ b/core/src/main/java/shalepaddle/policy/RoutingActions.java
@@ -1,23 +1,34 @@
 package shalepaddle.policy;
 
-/** What a {@link RequestRouter} can do; the shell around it carries these out, in order. */
+/**
+ * What a {@link RequestRouter} can have done. Its owner carries the calls out in their order, on
+ * the router's own thread; it must not call the router from within.
+ */
 public interface RoutingActions {
-  /** Sends the next attempt; its last byte must go out within so many seconds, or never. */
-  void send(String requestId, long server, double within);
+  /**
+   * Sends the next attempt of a request.
+   *
+   * @param withinSeconds its last byte must go out within this time, or never; may be infinite
+   */
+  void send(String requestId, long server, double withinSeconds);
 
-  /** Stops waiting for one attempt. */
+  /** Stops waiting for one attempt, by its number. */
   void cancel(String requestId, int attempt);
 
-  /** Final answer: not done, trying again does no harm; {@code retryAfter} of 0 is no advice. */
-  void reject(String requestId, double retryAfter);
+  /**
+   * Gives the final answer: not run, and a retry does not take effect twice.
+   *
+   * @param retryAfterSeconds how long the client should stay away, 0 for no advice
+   */
+  void reject(String requestId, double retryAfterSeconds);
 
-  /** Final answer: failed, perhaps with effect. */
+  /** Gives the final answer: failed, perhaps with effect. */
   void fail(String requestId);
 
-  /** Asks for a timer event with this token. */
-  void scheduleTimer(long token, double delay);
+  /** Schedules a call of {@link RequestRouter#onTimer} with this token. */
+  void scheduleTimer(long token, double delaySeconds);
 
-  /** Subscribes to changes of the server list, or stops. */
+  /** Subscribes to watch events of the endpoint list, or ends the subscription. */
   void subscribe(boolean on);
 
   /** Closes the idle connections to a server. */
--- a/core/src/main/java/shalepaddle/policy/health/OutlierDetector.java
+++ b/core/src/main/java/shalepaddle/policy/health/OutlierDetector.java
@@ -122,14 +122,7 @@
         refusedConnections++;
       }
     } else if (result.isServerResponse()) {
-      if (refusedConnections >= MAX_REFUSED_CONNECTIONS
-          && wasConnected
-          && sentAtSeconds > firstRefusedAtSeconds) {
-        finding = Finding.RESTARTED;
-      }
-      connectionUsedAtSeconds = nowSeconds;
-      refusedConnections = 0;
-      isFailing = false;
+      finding = onResponse(nowSeconds, sentAtSeconds, wasConnected);
     }
     if (isNewEvidence && result.isConnectionFailure()) {
       connectionFailedAtSeconds = nowSeconds;
@@ -145,6 +138,17 @@
     return finding;
   }
 
+  private Finding onResponse(double nowSeconds, double sentAtSeconds, boolean wasConnected) {
+    boolean hasRestarted =
+        refusedConnections >= MAX_REFUSED_CONNECTIONS
+            && wasConnected
+            && sentAtSeconds > firstRefusedAtSeconds;
+    connectionUsedAtSeconds = nowSeconds;
+    refusedConnections = 0;
+    isFailing = false;
+    return hasRestarted ? Finding.RESTARTED : Finding.NONE;
+  }
+
   /** Whether the server failed the attempt; an error that names a cache miss is the origin's. */
   private static boolean isFailure(Outcome outcome) {
     return switch (outcome.result()) {
--- a/core/src/main/java/shalepaddle/policy/membership/ServerRegistry.java
+++ b/core/src/main/java/shalepaddle/policy/membership/ServerRegistry.java
@@ -141,7 +141,7 @@
   }
 
   private void put(double nowSeconds, ServerEntry entry) {
-    if (entry.state() == ServerEntry.State.GONE) {
+    if (entry.state() == ServerEntry.State.REMOVED) {
       servers.remove(entry.id());
     } else {
       servers
--- a/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
+++ b/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
@@ -18,7 +18,7 @@
   DeadlineExtensionTest() {
     router.onMembershipUpdate(100, PolicyFixture.fleet(3));
     router.onRequest(100, PolicyFixture.request("a", "key", "safe", 0.3));
-    token = actions.of("wake").get(0).number();
+    token = actions.of("scheduleTimer").get(0).number();
   }
 
   @Test
@@ -26,7 +26,7 @@
     router.extendDeadline("a", 101.5);
     router.onTimer(100.3, token);
     assertEquals(List.of(), actions.of("fail"));
-    PolicyFixture.Act again = actions.of("wake").get(1);
+    PolicyFixture.Act again = actions.of("scheduleTimer").get(1);
     assertEquals(token, again.number());
     assertEquals(1.2, again.value(), 1e-9);
     router.onTimer(101.5, token);
--- a/core/src/test/java/shalepaddle/policy/EventLoopStallDecisionTest.java
+++ b/core/src/test/java/shalepaddle/policy/EventLoopStallDecisionTest.java
@@ -68,7 +68,7 @@
         router.onRequest(now, PolicyFixture.request("p" + next++, "key" + i, "unsafe", 9));
       }
     }
-    return actions.of("refuse").size();
+    return actions.of("reject").size();
   }
 
   @Test
--- a/core/src/test/java/shalepaddle/policy/ExclusionTest.java
+++ b/core/src/test/java/shalepaddle/policy/ExclusionTest.java
@@ -12,7 +12,7 @@
 import shalepaddle.model.ServerEntry;
 import shalepaddle.model.Settings;
 
-/** Servers that an operator leaves out, and settings that change, as the module takes them. */
+/** Servers that an operator excludes, and settings that change. */
 class ExclusionTest {
   private static final Settings SETTINGS = PolicyFixture.settings(false, 4, true);
 
@@ -39,7 +39,7 @@
     for (int i = 0; i < 3000; i++) {
       double now = 100 + i * 0.01;
       if (i % 50 == 0) {
-        // It leaves, vanishes, comes back under its id, and starts anew.
+        // It drains, is removed, comes back under its id, and restarts.
         ServerEntry.State state = List.of(ServerEntry.State.values()).get(random.nextInt(3));
         ServerEntry entry = PolicyFixture.server(3, state, random.nextBoolean() ? now - 1 : 0);
         router.onMembershipUpdate(
@@ -64,7 +64,7 @@
     router.setExcluded(100, 1, true);
     router.setExcluded(100, 2, true);
     assertFalse(sends(100.1, "r1", "k"));
-    assertEquals(1, actions.of("refuse").size());
+    assertEquals(1, actions.of("reject").size());
     assertEquals(2, router.serverCount(false));
     assertEquals(2, router.serverCount(true));
     router.setExcluded(101, 1, false);
@@ -76,7 +76,7 @@
     router.onMembershipUpdate(100, PolicyFixture.fleet(2));
     router.setExcluded(100, 1, true);
     router.setExcluded(100, 2, true);
-    // The second has started anew long enough ago to be warm, and the list has told so.
+    // The second restarted long enough ago to be warm, and its start was listed.
     router.onMembershipUpdate(
         105,
         PolicyFixture.list(
@@ -95,7 +95,7 @@
       }
     }
     assertTrue(warm > 150, warm + " to the warm one");
-    assertTrue(cold < 0.25 * warm, cold + " to the cold one, " + warm + " to the warm one");
+    assertTrue(cold < 0.25 * warm, cold + " to the warming one, " + warm + " to the warm one");
   }
 
   @Test
@@ -111,15 +111,15 @@
                         type.name(), Settings.Idempotency.IDEMPOTENT, type.deduplicationScope()))
             .toList();
     router.updateSettings(PolicyFixture.settings(0, 4, false, 1, true, repeatable));
-    // It may have run, and was taken as one that must not run twice.
+    // It may have run, and was accepted as not idempotent.
     router.onOutcome(100.1, PolicyFixture.outcome("old", 0, 0, Outcome.Result.ERROR));
     assertEquals(List.of("old"), actions.of("fail").stream().map(PolicyFixture.Act::id).toList());
     long before = actions.of("send").size();
     router.onOutcome(100.1, PolicyFixture.outcome("many", 0, 0, Outcome.Result.RESET));
-    assertEquals(before + 1, actions.of("send").size(), "four attempts were its due");
-    // What comes now has one attempt, and the class may be repeated.
+    assertEquals(before + 1, actions.of("send").size(), "it was accepted with four attempts");
+    // What comes now has one attempt, and its class is idempotent.
     router.onRequest(100.2, PolicyFixture.request("new", "k", "unsafe", 1));
     router.onOutcome(100.3, PolicyFixture.outcome("new", 0, 0, Outcome.Result.ERROR));
-    assertEquals(List.of("new"), actions.of("refuse").stream().map(PolicyFixture.Act::id).toList());
+    assertEquals(List.of("new"), actions.of("reject").stream().map(PolicyFixture.Act::id).toList());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/FleetTest.java
+++ b/core/src/test/java/shalepaddle/policy/FleetTest.java
@@ -16,7 +16,7 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.ServerEntry;
 
-/** Many balancers before many servers, none of which sees much: counts over all of them. */
+/** Many load balancers before many servers, each with little traffic: counts over all. */
 class FleetTest {
   private static final int NODES = 14;
   private static final int SERVERS = 60;
@@ -72,7 +72,7 @@
     }
   }
 
-  /** These servers have just started anew, and all nodes are told. */
+  /** These servers have just restarted, and all load balancers are notified. */
   private void restart(List<ServerEntry> started) {
     nodes.forEach(
         node ->
@@ -116,15 +116,15 @@
     restart(List.of(PolicyFixture.server(5, ServerEntry.State.READY, 110)));
     play(110, 116);
 
-    Set<Integer> atHome = new HashSet<>();
+    Set<Integer> atOwner = new HashSet<>();
     homes.forEach(
         (key, servers) -> {
           if (servers.contains(5L)) {
-            atHome.add(key);
+            atOwner.add(key);
           }
         });
-    assertTrue(atHome.size() > 10, "keys at the cold server: " + atHome.size());
+    assertTrue(atOwner.size() > 10, "keys at the warming server: " + atOwner.size());
     // One other at most: the one where a key stays until the server is warm enough for it.
-    assertEquals(List.of(), atHome.stream().filter(key -> homes.get(key).size() > 2).toList());
+    assertEquals(List.of(), atOwner.stream().filter(key -> homes.get(key).size() > 2).toList());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
+++ b/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
@@ -45,12 +45,12 @@
     for (int i = 0; i < KEYS; i++) {
       observe("k" + i, 1 + i % 6, i % 7 == 0 ? Result.TIMEOUT : Result.OK);
     }
-    assertEquals(0, actions.of("refuse").size() + actions.of("fail").size(), "answers");
-    assertEquals(0, actions.of("wake").size(), "timers");
-    // A late end of such an attempt, or one told twice, changes nothing.
+    assertEquals(0, actions.of("reject").size() + actions.of("fail").size(), "answers");
+    assertEquals(0, actions.of("scheduleTimer").size(), "timers");
+    // A late or repeated end of such an attempt changes nothing.
     router.onOutcome(now, PolicyFixture.outcome("~0", 0, 1, Result.ERROR));
     router.onTimer(now, 2);
-    assertEquals(0, actions.of("refuse").size() + actions.of("fail").size(), "answers");
+    assertEquals(0, actions.of("reject").size() + actions.of("fail").size(), "answers");
   }
 
   @Test
@@ -67,12 +67,13 @@
       router.onOutcome(
           now, PolicyFixture.outcome(id, 0, server, server == 3 ? Result.ERROR : Result.OK));
     }
-    // Half a second of requests holds one trial.
-    assertTrue(tried <= 1, tried + " of " + KEYS + " went to the server that errs");
+    // There is one trial in half a second.
+    assertTrue(tried <= 1, tried + " of " + KEYS + " went to the failing server");
   }
 
   /**
-   * Asks the one before, whose origin gives nothing out, and tells the next one of each attempt.
+   * Sends to the first router, whose origin serves nothing, and lets the second observe each
+   * attempt.
    */
   private void playOnBoth(
       RequestRouter before, PolicyFixture.Recorder its, String key, boolean held) {
@@ -101,7 +102,7 @@
     RequestRouter before = new RequestRouter(PolicyFixture.settings(false, 4, true), 1, its);
     before.onMembershipUpdate(now, PolicyFixture.fleet(6));
     for (int i = 0; i < KEYS; i++) {
-      playOnBoth(before, its, "held" + i, true);
+      playOnBoth(before, its, "cached" + i, true);
     }
     for (int i = 0; i < 200; i++) {
       playOnBoth(before, its, "new" + i, false);
@@ -109,12 +110,12 @@
     int hits = 0;
     int fetches = 0;
     for (int i = 0; i < KEYS; i++) {
-      long server = sent("h" + i, "held" + i);
+      long server = sent("h" + i, "cached" + i);
       hits += server == 0 ? 0 : 1;
       router.onOutcome(now, PolicyFixture.outcome("h" + i, 0, server, Result.OK));
       fetches += sent("n" + i, "other" + i) == 0 ? 0 : 1;
     }
-    assertTrue(hits > KEYS * 0.9, hits + " of " + KEYS + " reads of what is held were sent");
+    assertTrue(hits > KEYS * 0.9, hits + " of " + KEYS + " reads of cached keys were sent");
     assertTrue(fetches < KEYS / 4, fetches + " of " + KEYS + " fetches were sent");
   }
 
--- a/core/src/test/java/shalepaddle/policy/OriginFetchTest.java
+++ b/core/src/test/java/shalepaddle/policy/OriginFetchTest.java
@@ -10,7 +10,7 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.Outcome.Result;
 
-/** Servers that lack room for fetches, and the queue of what waits for the origin. */
+/** Servers that lack capacity for fetches, and the queue of requests that are held. */
 class OriginFetchTest {
   private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
   private final RequestRouter router =
@@ -24,10 +24,10 @@
   }
 
   /**
-   * Asks for a key; servers that have no room for fetches turn away what they do not hold, after a
-   * while. Returns where it was served, 0 if nowhere.
+   * Requests a key; servers without capacity for fetches reject what is not cached, after a while.
+   * Returns where it was served, 0 if nowhere.
    */
-  private long ask(String id, String key, boolean held, LongPredicate noRoom) {
+  private long serve(String id, String key, boolean held, LongPredicate noRoom) {
     int seen = actions.acts.size();
     router.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
     int attempt = 0;
@@ -53,34 +53,37 @@
 
   @Test
   void sendsFewFetchesToFetchLimitedServer() {
-    long[] homes = new long[200];
-    for (int i = 0; i < homes.length; i++) {
-      homes[i] = ask("w" + i, "held" + i, true, server -> false);
+    long[] owners = new long[200];
+    for (int i = 0; i < owners.length; i++) {
+      owners[i] = serve("w" + i, "cached" + i, true, server -> false);
     }
     served = 0;
     for (int i = 0; i < 400; i++) {
-      ask("n" + i, "new" + i, false, server -> server <= 5);
-      ask("h" + i, "held" + i % homes.length, true, server -> server <= 5);
+      serve("n" + i, "new" + i, false, server -> server <= 5);
+      serve("h" + i, "cached" + i % owners.length, true, server -> server <= 5);
     }
     busy = 0;
     int at = 0;
     for (int i = 0; i < 400; i++) {
-      assertTrue(ask("m" + i, "more" + i, false, server -> server <= 5) > 5, "served elsewhere");
-      at += ask("g" + i, "held" + i % homes.length, true, s -> s <= 5) == homes[i % 200] ? 1 : 0;
+      assertTrue(serve("m" + i, "more" + i, false, server -> server <= 5) > 5, "served elsewhere");
+      at +=
+          serve("g" + i, "cached" + i % owners.length, true, s -> s <= 5) == owners[i % 200]
+              ? 1
+              : 0;
     }
-    assertTrue(busy < 60, busy + " of 400 fetches turned away; five of nine would be 220");
-    assertTrue(at > 360, at + " of 400 at the server that holds them");
-    assertEquals(0, actions.of("refuse").size());
+    assertTrue(busy < 60, busy + " of 400 fetches rejected; five of nine would be 220");
+    assertTrue(at > 360, at + " of 400 at the server that has them cached");
+    assertEquals(0, actions.of("reject").size());
   }
 
   @Test
   void shrinksWindowWhenAllServersAreBusy() {
     for (int i = 0; i < 400; i++) {
-      ask("n" + i, "new" + i, false, server -> true);
+      serve("n" + i, "new" + i, false, server -> true);
     }
     assertEquals(0, served);
     assertTrue(busy < 400 * 1.6, busy + " attempts of 400 requests");
-    assertEquals(400, actions.of("refuse").size(), "each is refused, and none twice");
+    assertEquals(400, actions.of("reject").size(), "each is rejected, and none twice");
   }
 
   @Test
@@ -109,19 +112,19 @@
       List<PolicyFixture.Act> sent = actions.of("send");
       if (!sent.isEmpty() && sent.get(sent.size() - 1).id().equals(id)) {
         long server = sent.get(sent.size() - 1).number();
-        // An error that names a miss: it is the origin's.
+        // An error that names a miss is the origin's.
         once.onOutcome(
             now,
             new Outcome(id, 0, server, Result.ERROR, 0.05, false, Outcome.CacheStatus.MISS, null));
       }
     }
-    int before = actions.of("refuse").size() + actions.of("fail").size();
+    int before = actions.of("reject").size() + actions.of("fail").size();
     now += 0.001;
     for (int i = 0; i < 100; i++) {
       once.onRequest(now, PolicyFixture.request("q" + i, "queued" + i, "safe", 1));
     }
-    int refused = actions.of("refuse").size() + actions.of("fail").size() - before;
-    assertTrue(refused >= 90, refused + " of 100 refused at once");
-    assertFalse(refused == 100, "some wait for room");
+    int rejected = actions.of("reject").size() + actions.of("fail").size() - before;
+    assertTrue(rejected >= 90, rejected + " of 100 rejected at once");
+    assertFalse(rejected == 100, "some are held");
   }
 }
--- a/core/src/test/java/shalepaddle/policy/PolicyFixture.java
+++ b/core/src/test/java/shalepaddle/policy/PolicyFixture.java
@@ -29,7 +29,7 @@
 
     @Override
     public void reject(String requestId, double retryAfter) {
-      acts.add(new Act("refuse", requestId, 0, retryAfter));
+      acts.add(new Act("reject", requestId, 0, retryAfter));
     }
 
     @Override
@@ -39,7 +39,7 @@
 
     @Override
     public void scheduleTimer(long token, double delay) {
-      acts.add(new Act("wake", "", token, delay));
+      acts.add(new Act("scheduleTimer", "", token, delay));
     }
 
     @Override
--- a/core/src/test/java/shalepaddle/policy/RequestRouterFailureTest.java
+++ b/core/src/test/java/shalepaddle/policy/RequestRouterFailureTest.java
@@ -64,7 +64,7 @@
       }
     }
     assertTrue(actions.of("send").size() <= 211, "sends: " + actions.of("send").size());
-    assertEquals(200, actions.of("refuse").size());
+    assertEquals(200, actions.of("reject").size());
   }
 
   /** One attempt at this server, for a key of its own. */
@@ -187,13 +187,13 @@
       router.onRequest(now, PolicyFixture.request("a" + i, "k", "unsafe", 1));
       router.onOutcome(now + 0.05, PolicyFixture.outcome("a" + i, 0, 1, Outcome.Result.OK));
     }
-    assertEquals(0, actions.of("refuse").size());
+    assertEquals(0, actions.of("reject").size());
     // Ten a second are answered and the aim is half a second: of a hundred at once few can be.
     for (int i = 0; i < 100; i++) {
       router.onRequest(103.1, PolicyFixture.request("b" + i, "k", "unsafe", 1));
     }
-    int refused = actions.of("refuse").size();
-    assertTrue(refused > 85 && refused < 100, refused + " refused");
+    int refused = actions.of("reject").size();
+    assertTrue(refused > 85 && refused < 100, refused + " rejected");
   }
 
   /** Settings with a price of crossing zones. */
@@ -376,8 +376,8 @@
     router.onRequest(100, PolicyFixture.request("gone", "k", "safe", 1));
     router.onClientDisconnected(100.1, "gone");
     assertEquals(1, actions.of("cancel").size());
-    long token = actions.of("wake").get(0).number();
+    long token = actions.of("scheduleTimer").get(0).number();
     router.onTimer(101, token);
-    assertTrue(actions.of("fail").isEmpty() && actions.of("refuse").isEmpty());
+    assertTrue(actions.of("fail").isEmpty() && actions.of("reject").isEmpty());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/RingProbingTest.java
+++ b/core/src/test/java/shalepaddle/policy/RingProbingTest.java
@@ -80,7 +80,7 @@
           100,
           PolicyFixture.list(
               MembershipUpdate.Kind.DELTA,
-              List.of(PolicyFixture.server(id, ServerEntry.State.GONE, 0))));
+              List.of(PolicyFixture.server(id, ServerEntry.State.REMOVED, 0))));
     }
     for (int i = 0; i < 20; i++) {
       whole.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
--- a/core/src/test/java/shalepaddle/policy/RuleChecker.java
+++ b/core/src/test/java/shalepaddle/policy/RuleChecker.java
@@ -10,9 +10,9 @@
 import shalepaddle.model.ServerEntry;
 import shalepaddle.model.Settings;
 
-/** Watches a balancer's actions and notes every breach of the four rules. */
+/** Checks a router's actions against the four rules and records every violation. */
 final class RuleChecker extends PolicyFixture.Recorder {
-  /** An attempt as the world knows it. */
+  /** An attempt as the simulated fleet knows it. */
   static final class Attempt {
     final long server;
     final double sentAt;
@@ -25,7 +25,7 @@
     }
   }
 
-  /** A request as the world knows it. */
+  /** A request as the simulated fleet knows it. */
   static final class Tracked {
     final Request request;
     final Settings.ServiceClass type;
@@ -43,7 +43,7 @@
   final Settings settings;
   final Map<String, Tracked> requests = new LinkedHashMap<>();
   final Map<Long, ServerEntry> servers = new HashMap<>();
-  final List<String> breaches = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
   final Map<Long, List<Double>> coldSends = new HashMap<>();
   double now;
 
@@ -72,15 +72,15 @@
     }
   }
 
-  void gone(String id) {
+  void disconnects(String id) {
     requests.get(id).over = true;
   }
 
-  /** Notes requests that had no answer in time. */
+  /** Records requests without an answer in time. */
   void checkDeadlines() {
     for (Tracked t : requests.values()) {
       if (!t.over && now > t.deadline + settings.contract().responseGraceSeconds()) {
-        breaches.add("rule 1: no answer for " + t.request.id());
+        violations.add("rule 1: no answer for " + t.request.id());
         t.over = true;
       }
     }
@@ -92,18 +92,18 @@
     Tracked t = requests.get(requestId);
     ServerEntry to = servers.get(server);
     if (t.over) {
-      breaches.add("rule 1: sent after its end " + requestId);
+      violations.add("rule 1: sent after its end " + requestId);
     }
     if (to == null || to.state() != ServerEntry.State.READY) {
-      breaches.add("rule 3: sent to a server that is not ready");
+      violations.add("rule 3: sent to a server that is not ready");
     }
     if (t.attempts.size() >= settings.limits().maxAttempts()) {
-      breaches.add("rule 2: too many attempts");
+      violations.add("rule 2: too many attempts");
     }
     Attempt first = null;
     for (Attempt a : t.attempts) {
       if (a.out && !settings.limits().allowsParallelAttempts()) {
-        breaches.add("rule 2: two attempts out together");
+        violations.add("rule 2: two attempts out together");
       }
       if (first == null && (a.out || a.mayHaveRun)) {
         first = a;
@@ -111,7 +111,7 @@
     }
     if (first != null && to != null) {
       if (t.type.idempotency() == Settings.Idempotency.NOT_IDEMPOTENT) {
-        breaches.add("rule 2: unsafe request sent again");
+        violations.add("rule 2: unsafe request sent again");
       } else if (t.type.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY) {
         ServerEntry was = servers.get(first.server);
         boolean same =
@@ -121,24 +121,24 @@
               case CELL -> was != null && was.cell() == to.cell();
             };
         if (!same || now > first.sentAt + t.type.idempotencyWindowSeconds()) {
-          breaches.add("rule 2: keyed request sent where or when repeats are not dropped");
+          violations.add("rule 2: keyed request sent where or when repeats are not dropped");
         }
         if (now + within > first.sentAt + t.type.idempotencyWindowSeconds()) {
-          breaches.add("rule 2: keyed request that may wait until repeats are not dropped");
+          violations.add("rule 2: keyed request that may wait until repeats are not dropped");
         }
       }
     }
     t.attempts.add(new Attempt(server, now));
-    double warmWithin = settings.contract().slowStartSeconds();
-    if (to != null && to.startedAtSeconds() > 0 && now - to.startedAtSeconds() < warmWithin) {
+    double slowStartSeconds = settings.contract().slowStartSeconds();
+    if (to != null && to.startedAtSeconds() > 0 && now - to.startedAtSeconds() < slowStartSeconds) {
       List<Double> sends = coldSends.computeIfAbsent(server, s -> new ArrayList<>());
       sends.add(now);
       double window = settings.contract().overloadSeconds();
       double from = settings.contract().slowStartMinRatio();
-      double warmth = from + (1 - from) * (now - to.startedAtSeconds()) / warmWithin;
+      double warmth = from + (1 - from) * (now - to.startedAtSeconds()) / slowStartSeconds;
       long recent = sends.stream().filter(at -> at > now - window).count();
       if (recent > settings.contract().overloadRatio() * warmth * warmRate * window + 2) {
-        breaches.add("rule 4: cold server pushed over");
+        violations.add("rule 4: server overloaded in slow start");
       }
     }
   }
@@ -155,7 +155,7 @@
                 && t.type.deduplicationScope() == Settings.DeduplicationScope.ALL
                 && now < first.sentAt + t.type.idempotencyWindowSeconds());
     if (!harmless) {
-      breaches.add("rule 2: refused what may have run");
+      violations.add("rule 2: rejected what may have run");
     }
   }
 
@@ -168,7 +168,7 @@
   private Tracked answered(String requestId) {
     Tracked t = requests.get(requestId);
     if (t.over) {
-      breaches.add("rule 1: answered twice " + requestId);
+      violations.add("rule 1: answered twice " + requestId);
     }
     t.over = true;
     return t;
--- a/core/src/test/java/shalepaddle/policy/RulesTest.java
+++ b/core/src/test/java/shalepaddle/policy/RulesTest.java
@@ -15,7 +15,7 @@
 import shalepaddle.model.ServerEntry;
 import shalepaddle.model.Settings;
 
-/** The four rules under seeded events in odd but legal orders. */
+/** The four rules of the contract under random legal events, by seed. */
 class RulesTest {
   private static final String[] TYPES = {"safe", "all", "zone", "cell", "unsafe"};
 
@@ -30,7 +30,7 @@
     router.onMembershipUpdate(world.now, PolicyFixture.list(kind, lines));
   }
 
-  private static String play(long seed, boolean parallel, List<String> breaches) {
+  private static String play(long seed, boolean parallel, List<String> violations) {
     Random random = new Random(seed);
     Settings settings =
         PolicyFixture.settings(random.nextBoolean(), 2 + random.nextInt(4), parallel);
@@ -75,7 +75,7 @@
       }
       for (; seen < world.acts.size(); seen++) {
         PolicyFixture.Act act = world.acts.get(seen);
-        if (act.what().equals("wake")) {
+        if (act.what().equals("scheduleTimer")) {
           timers
               .computeIfAbsent(world.now + Math.max(1e-6, act.value()), t -> new ArrayList<>())
               .add(act.number());
@@ -83,11 +83,11 @@
       }
       world.checkDeadlines();
     }
-    breaches.addAll(world.breaches);
+    violations.addAll(world.violations);
     return world.acts.toString();
   }
 
-  /** Ends an attempt, or lets a client go. */
+  /** Ends an attempt, or disconnects a client. */
   private static void step(RuleChecker world, RequestRouter router, Random random) {
     for (RuleChecker.Tracked t : new ArrayList<>(world.requests.values())) {
       for (int i = 0; i < t.attempts.size(); i++) {
@@ -112,7 +112,7 @@
         }
       }
       if (!t.over && random.nextInt(300) == 0) {
-        world.gone(t.request.id());
+        world.disconnects(t.request.id());
         router.onClientDisconnected(world.now, t.request.id());
       }
     }
@@ -122,9 +122,9 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void keepsRulesUnderRandomEvents(long seed) {
-    List<String> breaches = new ArrayList<>();
-    play(seed, seed % 2 == 0, breaches);
-    assertEquals(List.of(), breaches);
+    List<String> violations = new ArrayList<>();
+    play(seed, seed % 2 == 0, violations);
+    assertEquals(List.of(), violations);
   }
 
   @Test
@@ -145,7 +145,7 @@
     membership(world, router, MembershipUpdate.Kind.CACHED, fleet);
     Random random = new Random(4);
     world.warmRate = 200.0 / 8;
-    int coldSends = 0;
+    int warmingSends = 0;
     for (int i = 0; i < 6000; i++) {
       world.now += 0.005;
       if (i == 2000) {
@@ -162,7 +162,7 @@
         for (int a = 0; a < t.attempts.size(); a++) {
           if (t.attempts.get(a).out) {
             long server = t.attempts.get(a).server;
-            coldSends += i > 2000 && i < 4000 && server == 3 ? 1 : 0;
+            warmingSends += i > 2000 && i < 4000 && server == 3 ? 1 : 0;
             world.ends(t.request.id(), a, Outcome.Result.OK);
             router.onOutcome(
                 world.now, PolicyFixture.outcome(t.request.id(), a, server, Outcome.Result.OK));
@@ -171,8 +171,8 @@
       }
       world.requests.values().removeIf(t -> t.over);
     }
-    assertEquals(List.of(), world.breaches);
-    assertTrue(coldSends > 20, "a cold server is warmed by some of its keys: " + coldSends);
+    assertEquals(List.of(), world.violations);
+    assertTrue(warmingSends > 20, "a warming server gets some of its keys: " + warmingSends);
   }
 
   private static RuleChecker planted() {
@@ -191,8 +191,8 @@
     world.now += 2;
     world.checkDeadlines();
     world.fail("x");
-    assertEquals(2, world.breaches.size());
-    assertTrue(world.breaches.stream().allMatch(b -> b.startsWith("rule 1")));
+    assertEquals(2, world.violations.size());
+    assertTrue(world.violations.stream().allMatch(b -> b.startsWith("rule 1")));
   }
 
   @Test
@@ -204,8 +204,8 @@
     world.send("x", 1, 0);
     world.reject("x", 0);
     assertEquals(
-        List.of("rule 2: unsafe request sent again", "rule 2: refused what may have run"),
-        world.breaches);
+        List.of("rule 2: unsafe request sent again", "rule 2: rejected what may have run"),
+        world.violations);
   }
 
   @Test
@@ -222,8 +222,8 @@
     assertEquals(
         List.of(
             "rule 2: keyed request that may wait until repeats are not dropped",
-            "rule 2: refused what may have run"),
-        world.breaches);
+            "rule 2: rejected what may have run"),
+        world.violations);
   }
 
   @Test
@@ -231,7 +231,7 @@
     RuleChecker world = planted();
     world.arrives(PolicyFixture.request("x", "k", "safe", 1));
     world.send("x", 2, 0);
-    assertEquals(List.of("rule 3: sent to a server that is not ready"), world.breaches);
+    assertEquals(List.of("rule 3: sent to a server that is not ready"), world.violations);
   }
 
   @Test
@@ -242,6 +242,6 @@
       world.arrives(PolicyFixture.request("x" + i, "k", "safe", 1));
       world.send("x" + i, 3, 0);
     }
-    assertTrue(world.breaches.contains("rule 4: cold server pushed over"));
+    assertTrue(world.violations.contains("rule 4: server overloaded in slow start"));
   }
 }
--- a/core/src/test/java/shalepaddle/policy/SlowStartTest.java
+++ b/core/src/test/java/shalepaddle/policy/SlowStartTest.java
@@ -20,17 +20,17 @@
 
 /**
  * What all nodes together send to a server in slow start, for fleets of any size: within the window
- * that the contract names never more than the contract allows it then, with room for chance.
+ * that the contract names never more than the contract permits then, within a tolerance for chance.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class SlowStartTest {
   private static final int SERVERS = 20;
   private static final int KEYS = 5000;
 
-  /** What part of its capacity a warm server's usual load takes, which nobody tells the nodes. */
+  /** The usual load of a warm server, as a part of its capacity; the routers do not know it. */
   private static final double USUAL_LOAD = 0.75;
 
-  /** A key whose home is one of the servers that start. */
+  /** A key whose owner is one of the servers that start. */
   private static final int HOT_KEY = 7;
 
   private static final double START = 110;
@@ -162,7 +162,7 @@
           contract.slowStartMinRatio()
               + (1 - contract.slowStartMinRatio()) * age / contract.slowStartSeconds();
       double allowed = contract.overloadRatio() * warmth * rate / USUAL_LOAD * window;
-      double room = allowed < 30 ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
+      double tolerance = allowed < 30 ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
       double excess = sends.size() - allowed - room;
       if (excess > worstExcess) {
         worstExcess = excess;
--- a/engine/src/main/java/shalepaddle/membership/MemberList.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberList.java
@@ -107,7 +107,7 @@
       ServerEntry.State state =
           switch (line.requiredText("state")) {
             case "active" -> ServerEntry.State.READY;
-            case "left" -> ServerEntry.State.GONE;
+            case "left" -> ServerEntry.State.REMOVED;
             default -> ServerEntry.State.DRAINING;
           };
       members.add(
@@ -120,7 +120,7 @@
                   state,
                   line.number("weight", 1),
                   line.number("started_ms", 0) / 1e3),
-              state == ServerEntry.State.GONE ? null : parseAddress(line.requiredText("addr"))));
+              state == ServerEntry.State.REMOVED ? null : parseAddress(line.requiredText("addr"))));
     }
     return new MemberList(list.flag("full"), (long) list.requiredNumber("version"), members);
   }
--- a/engine/src/main/java/shalepaddle/upstream/ServerPools.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPools.java
@@ -60,7 +60,7 @@
     }
     for (MemberList.Member member : list.members()) {
       ServerEntry entry = member.entry();
-      if (entry.state() == ServerEntry.State.GONE) {
+      if (entry.state() == ServerEntry.State.REMOVED) {
         removed.add(entry.id());
         continue;
       }
--- a/simhost/src/main/java/shalepaddle/sim/Dialect.java
+++ b/simhost/src/main/java/shalepaddle/sim/Dialect.java
@@ -25,7 +25,7 @@
               (int) line.number("unit-group", 0),
               switch (line.text("health", "ready")) {
                 case "ready" -> ServerEntry.State.READY;
-                case "gone" -> ServerEntry.State.GONE;
+                case "gone" -> ServerEntry.State.REMOVED;
                 default -> ServerEntry.State.DRAINING;
               },
               line.number("heft", 1),
