--- a/core/src/test/java/shalepaddle/policy/SlowStartTest.java
+++ b/core/src/test/java/shalepaddle/policy/SlowStartTest.java
@@ -163,12 +163,12 @@
               + (1 - contract.slowStartMinRatio()) * age / contract.slowStartSeconds();
       double allowed = contract.overloadRatio() * warmth * rate / USUAL_LOAD * window;
       double tolerance = allowed < 30 ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
-      double excess = sends.size() - allowed - room;
+      double excess = sends.size() - allowed - tolerance;
       if (excess > worstExcess) {
         worstExcess = excess;
         worst =
             "server %d at %.2f s after its start: %d in %.1f s, allowed are %.1f and %.1f"
-                .formatted(server, age, sends.size(), window, allowed, room);
+                .formatted(server, age, sends.size(), window, allowed, tolerance);
       }
     }
   }
