--- a/engine/src/main/java/shalepaddle/config/NodeConfig.java
+++ b/engine/src/main/java/shalepaddle/config/NodeConfig.java
@@ -9,8 +9,8 @@
 import shalepaddle.model.Settings;
 import shalepaddle.settings.FormatException;
 import shalepaddle.settings.JsonObject;
-import shalepaddle.settings.Retuning;
 import shalepaddle.settings.SettingsFormat;
+import shalepaddle.settings.SettingsUpdateValidator;
 
 /**
  * What the platform tells a node.
@@ -58,7 +58,7 @@
   public static NodeConfig reload(String file, JsonObject shape) throws FormatException {
     JsonObject next = readJson(file);
     try {
-      Retuning.check(shape, next);
+      SettingsUpdateValidator.check(shape, next);
     } catch (FormatException e) {
       throw in(file, e);
     }
--- a/settings/src/main/java/shalepaddle/settings/FormatException.java
+++ b/settings/src/main/java/shalepaddle/settings/FormatException.java
@@ -1,10 +1,10 @@
 package shalepaddle.settings;
 
-/** What was read broke the rules of its format; the message tells where, and what is wrong. */
+/** The input violates its format; the message says where and how. */
 public final class FormatException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Says what is wrong with the input. */
+  /** An exception with a message for whoever wrote the input. */
   public FormatException(String message) {
     super(message);
   }
--- a/settings/src/main/java/shalepaddle/settings/JsonObject.java
+++ b/settings/src/main/java/shalepaddle/settings/JsonObject.java
@@ -11,7 +11,7 @@
 
 /**
  * One JSON object, with typed access to its fields: a message of the simulator's wire, a node's
- * configuration, or a list of servers. Unknown fields are left alone.
+ * configuration, or an endpoint list. Unknown fields are ignored. Immutable.
  */
 public final class JsonObject {
   private static final JsonFactory FACTORY = new JsonFactory();
@@ -67,7 +67,7 @@
     return list;
   }
 
-  private FormatException wrong(String name) {
+  private FormatException invalid(String name) {
     String type = fields.get("type") instanceof String text ? text + " " : "";
     String what = fields.get(name) == null ? "without" : "with a wrong value of";
     return new FormatException(type + "message " + what + " field '" + name + "'");
@@ -78,7 +78,7 @@
     if (fields.get(name) instanceof String text) {
       return text;
     }
-    throw wrong(name);
+    throw invalid(name);
   }
 
   /** A number that must be there. */
@@ -86,15 +86,15 @@
     if (fields.get(name) instanceof Number number) {
       return number.doubleValue();
     }
-    throw wrong(name);
+    throw invalid(name);
   }
 
-  /** A whole number that must be there. */
+  /** An integer that must be there. */
   public long requiredInteger(String name) throws FormatException {
     if (fields.get(name) instanceof Number number) {
       return number.longValue();
     }
-    throw wrong(name);
+    throw invalid(name);
   }
 
   /** A text, or a number as text. */
@@ -126,7 +126,7 @@
     if (fields.get(name) instanceof JsonObject object) {
       return object;
     }
-    throw wrong(name);
+    throw invalid(name);
   }
 
   /** Whether the field is there, and not null. */
--- a/settings/src/test/java/shalepaddle/settings/RetuningTest.java
+++ b/settings/src/test/java/shalepaddle/settings/SettingsUpdateValidatorTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which files may take the place of the one that a node was started with. */
-class RetuningTest {
+/** Which configurations may replace the one that a node was started with. */
+class SettingsUpdateValidatorTest {
   private static final String FILE =
       """
       {"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
@@ -21,7 +21,7 @@
       """;
 
   private static void check(String next) throws FormatException {
-    Retuning.check(JsonObject.parse(FILE), JsonObject.parse(next));
+    SettingsUpdateValidator.check(JsonObject.parse(FILE), JsonObject.parse(next));
   }
 
   private static String with(String part, String other) {
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void takesOtherClassesLimitsListsAndPrices() {
+  void acceptsOtherClassesLimitsListsAndPrices() {
     String added =
         "\"services\":[{\"name\":\"new\",\"effect\":\"dedup\",\"group\":\"cell\",\"slo\":1,\"give-up\":2},";
     assertDoesNotThrow(() -> check(FILE));
@@ -63,14 +63,14 @@
         "\"name\":\"put\"|\"name\":\"read\"|settings.services",
         "\"name\":\"put\"|\"name\":\"\"|settings.services",
       })
-  void turnsDownWhatIsDamagedAndNamesTheKey(String part, String other, String key) {
+  void rejectsInvalidFileAndNamesTheKey(String part, String other, String key) {
     String next = with(part, other == null ? "" : other);
     FormatException e = assertThrows(FormatException.class, () -> check(next));
     assertTrue(e.getMessage().contains(key), e.getMessage());
   }
 
   @Test
-  void turnsDownEveryFileThatIsCutShort() {
+  void rejectsEveryTruncatedFile() {
     String whole = FILE.strip();
     for (int length = 0; length < whole.length(); length++) {
       String cut = whole.substring(0, length);
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void turnsDownAFileWithoutClasses() {
+  void rejectsFileWithoutServiceClasses() {
     String none = FILE.substring(0, FILE.indexOf("\"services\":[") + 12) + "]}}";
     assertThrows(FormatException.class, () -> check(none));
     assertThrows(FormatException.class, () -> check(none.replace("[]", "[7]")));
--- a/simhost/src/main/java/shalepaddle/sim/ActionWriter.java
+++ b/simhost/src/main/java/shalepaddle/sim/ActionWriter.java
@@ -5,7 +5,7 @@
 import java.io.UncheckedIOException;
 import shalepaddle.policy.RoutingActions;
 
-/** Writes the actions of one instance in the wire's words. */
+/** Writes the actions of one instance as messages of the simulator's wire. */
 final class ActionWriter implements RoutingActions {
   private final JsonGenerator out;
   private final long instance;
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public void send(String requestId, long server, double within) {
+  public void send(String requestId, long server, double withinSeconds) {
     // The simulator sends at once.
     action(
         "PASS_ON",
@@ -55,13 +55,13 @@
   }
 
   @Override
-  public void reject(String requestId, double retryAfter) {
+  public void reject(String requestId, double retryAfterSeconds) {
     action(
         "BUSY",
         () -> {
           out.writeStringField("handle", requestId);
-          if (retryAfter > 0) {
-            out.writeNumberField("cool-down", retryAfter);
+          if (retryAfterSeconds > 0) {
+            out.writeNumberField("cool-down", retryAfterSeconds);
           }
         });
   }
@@ -72,12 +72,12 @@
   }
 
   @Override
-  public void scheduleTimer(long token, double delay) {
+  public void scheduleTimer(long token, double delaySeconds) {
     action(
         "WAKE_ME",
         () -> {
           out.writeNumberField("key-back", token);
-          out.writeNumberField("wait", delay);
+          out.writeNumberField("wait", delaySeconds);
         });
   }
 
@@ -91,7 +91,7 @@
     action("SHUT_IDLE", () -> out.writeNumberField("server", server));
   }
 
-  /** Declares the decision code broken. */
+  /** Reports that the policy threw an exception. */
   void exception(String text) {
     action("EXCEPTION", () -> out.writeStringField("text", text));
   }
--- a/simhost/src/main/java/shalepaddle/sim/Dialect.java
+++ b/simhost/src/main/java/shalepaddle/sim/Dialect.java
@@ -10,7 +10,10 @@
 import shalepaddle.settings.FormatException;
 import shalepaddle.settings.JsonObject;
 
-/** Turns the words of the wire's events into values of the model. */
+/**
+ * Reads events of the simulator's wire as values of the model; the names are listed in the
+ * package's description. Stateless.
+ */
 final class Dialect {
   private Dialect() {}
 
@@ -75,8 +78,8 @@
   }
 
   static Outcome.Result result(JsonObject event) throws FormatException {
-    String ending = event.requiredText("ending");
-    return switch (ending) {
+    String result = event.requiredText("ending");
+    return switch (result) {
       case "completed" -> Outcome.Result.OK;
       case "errored" -> Outcome.Result.ERROR;
       case "saturated" -> Outcome.Result.SERVER_BUSY;
@@ -86,7 +89,7 @@
       case "recalled" -> Outcome.Result.CANCELLED;
       case "superseded" -> Outcome.Result.NOT_SENT;
       case "lookup_miss" -> Outcome.Result.CACHE_MISS;
-      default -> throw new FormatException("unknown ending '" + ending + "'");
+      default -> throw new FormatException("unknown ending '" + result + "'");
     };
   }
 
@@ -94,15 +97,15 @@
     if (!event.has("pressure")) {
       return null;
     }
-    JsonObject pressure = event.nested("pressure");
+    JsonObject report = event.nested("pressure");
     return new LoadReport(
-        pressure.number("active", Double.NaN),
-        pressure.number("waiting", Double.NaN),
-        pressure.number("cpu", Double.NaN),
-        pressure.number("avg_ms", Double.NaN),
-        pressure.number("rps", Double.NaN),
-        pressure.number("err_rps", Double.NaN),
-        pressure.number("x0", Double.NaN),
-        pressure.number("x1", Double.NaN));
+        report.number("active", Double.NaN),
+        report.number("waiting", Double.NaN),
+        report.number("cpu", Double.NaN),
+        report.number("avg_ms", Double.NaN),
+        report.number("rps", Double.NaN),
+        report.number("err_rps", Double.NaN),
+        report.number("x0", Double.NaN),
+        report.number("x1", Double.NaN));
   }
 }
--- a/simhost/src/main/java/shalepaddle/sim/SimHost.java
+++ b/simhost/src/main/java/shalepaddle/sim/SimHost.java
@@ -17,10 +17,13 @@
 import shalepaddle.settings.JsonObject;
 import shalepaddle.settings.SettingsFormat;
 
-/** Hosts many balancers on the simulator's wire; they share nothing. */
+/**
+ * Hosts many request routers on the simulator's wire; they share nothing. One thread reads, decides
+ * and writes.
+ */
 public final class SimHost {
-  /** A balancer and the writer that carries its actions out. */
-  private record Instance(RequestRouter balancer, ActionWriter actions) {}
+  /** A router and the writer of its actions. */
+  private record Instance(RequestRouter router, ActionWriter actions) {}
 
   private final BufferedReader in;
   private final JsonGenerator out;
@@ -96,62 +99,72 @@
   private void event(String type, JsonObject message) throws FormatException {
     long number = message.requiredInteger("i");
     if (type.equals("LAUNCH")) {
-      long seed = message.requiredInteger("nonce64");
-      ActionWriter actions = new ActionWriter(out, number);
-      var settings = SettingsFormat.read(message.requiredNested("conf"));
-      guarded(
-          actions,
-          () ->
-              instances.put(
-                  number, new Instance(new RequestRouter(settings, seed, actions), actions)));
+      launch(number, message);
       return;
     }
     Instance instance = instances.get(number);
     if (instance == null) {
       throw new FormatException(type + " message for unknown instance " + number);
     }
-    RequestRouter balancer = instance.balancer();
-    ActionWriter actions = instance.actions();
+    if (type.equals("DETACH")) {
+      instances.remove(number);
+    } else {
+      event(type, message, instance.router(), instance.actions());
+    }
+  }
+
+  private void launch(long number, JsonObject message) throws FormatException {
+    long seed = message.requiredInteger("nonce64");
+    ActionWriter actions = new ActionWriter(out, number);
+    var settings = SettingsFormat.read(message.requiredNested("conf"));
+    guarded(
+        actions,
+        () ->
+            instances.put(
+                number, new Instance(new RequestRouter(settings, seed, actions), actions)));
+  }
+
+  private void event(String type, JsonObject message, RequestRouter router, ActionWriter actions)
+      throws FormatException {
     switch (type) {
-      case "DETACH" -> instances.remove(number);
       case "SYNC" -> {
         var update = Dialect.membership(message);
-        guarded(actions, () -> balancer.onMembershipUpdate(now, update));
+        guarded(actions, () -> router.onMembershipUpdate(now, update));
       }
       case "REQUEST" -> {
         var request = Dialect.request(message);
-        guarded(actions, () -> balancer.onRequest(now, request));
+        guarded(actions, () -> router.onRequest(now, request));
       }
       case "FLOWING" -> {
         String id = message.requiredText("handle");
         int attempt = (int) message.number("trial", 0);
-        guarded(actions, () -> balancer.onStreamStarted(now, id, attempt));
+        guarded(actions, () -> router.onStreamStarted(now, id, attempt));
       }
       case "FINISHED" -> {
         var outcome = Dialect.outcome(message);
-        guarded(actions, () -> balancer.onOutcome(now, outcome));
+        guarded(actions, () -> router.onOutcome(now, outcome));
       }
       case "DROPPED" -> {
         String id = message.requiredText("handle");
-        guarded(actions, () -> balancer.onClientDisconnected(now, id));
+        guarded(actions, () -> router.onClientDisconnected(now, id));
       }
       case "DEADLINE_HIT" -> {
         long token = message.requiredInteger("key-back");
-        guarded(actions, () -> balancer.onTimer(now, token));
+        guarded(actions, () -> router.onTimer(now, token));
       }
       case "HEALTH_RESULT" -> {
-        // The module sends no probes: requests themselves are the trials.
+        // The policy sends no health checks: trial requests take their place.
         message.requiredInteger("server");
         Dialect.result(message);
       }
       case "WHISPER" ->
-          // Nothing is said among balancers: each decides by what it sees.
+          // Routers exchange no gossip: each decides by its own observations.
           message.requiredInteger("by");
       default -> throw new FormatException("unknown message type '" + type + "'");
     }
   }
 
-  /** Reports an exception inside the decision code as the wire provides. */
+  /** Reports an exception of the policy as the wire provides. */
   private static void guarded(ActionWriter actions, Runnable step) {
     try {
       step.run();
--- a/simhost/src/test/java/shalepaddle/sim/SimHostTest.java
+++ b/simhost/src/test/java/shalepaddle/sim/SimHostTest.java
@@ -45,12 +45,12 @@
   }
 
   @Test
-  void answersAnEmptyBatch() throws Exception {
+  void answersEmptyBatch() throws Exception {
     assertEquals(List.of("{\"type\":\"DONE\",\"seq\":1}"), run(batch(1, 8.4)));
   }
 
   @Test
-  void sendsARequestToTheOnlyServer() throws Exception {
+  void sendsRequestToOnlyServer() throws Exception {
     List<String> lines =
         run(batch(1, 8.4, LAUNCH.formatted("push"), LIST) + batch(2, 8.5, REQUEST));
     assertEquals("{\"type\":\"DONE\",\"seq\":1}", lines.get(0));
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void refusesWhenThereIsNoServer() throws Exception {
+  void rejectsRequestWithoutServers() throws Exception {
     String empty = "{\"type\":\"SYNC\",\"i\":3,\"form\":\"cached\",\"rev\":1,\"lines\":[]}";
     List<String> lines =
         run(batch(1, 8.4, LAUNCH.formatted("push"), empty) + batch(2, 8.5, REQUEST));
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void subscribesWhereTheListMustBeAsked() throws Exception {
+  void subscribesWhereEndpointListIsPolled() throws Exception {
     List<String> lines =
         run(
             batch(1, 8.4, LAUNCH.formatted("ask"), LIST)
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void ignoresEventsOnWhatItDoesNotKnow() throws Exception {
+  void ignoresEventsOfUnknownRequests() throws Exception {
     List<String> lines =
         run(
             batch(1, 8.4, LAUNCH.formatted("push"), LIST)
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void namesTheLineOfBadInput() {
+  void namesLineOfInvalidInput() {
     assertEquals("line 1: not JSON", error("{nonsense\n"));
     assertEquals("line 1: REQUEST message outside a batch", error(REQUEST + "\n"));
     assertEquals("line 3: BATCH message out of order", error(batch(2, 1) + batch(1, 2)));
