--- a/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
@@ -17,6 +17,7 @@
 import shalepaddle.cluster.GroupClient;
 import shalepaddle.cluster.GroupMember;
 import shalepaddle.cluster.MemberConfig;
+import shalepaddle.cluster.MemberFolder;
 import shalepaddle.membership.MemberList;
 import shalepaddle.raft.MemberStatus;
 import shalepaddle.raft.RaftMember;
@@ -144,7 +145,7 @@
       return told(
           "init",
           () -> {
-            GroupMember.init(own.place(group));
+            MemberFolder.initialize(own.place(group));
             return 0;
           });
     }
@@ -164,7 +165,7 @@
       return told(
           "join",
           () -> {
-            GroupMember.join(own.place(group));
+            MemberFolder.prepareJoin(own.place(group));
             return 0;
           });
     }
--- a/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
@@ -21,137 +21,171 @@
 import shalepaddle.transport.MemberTransport;
 
 /**
- * Somebody outside of a group who asks its members: a command line, a test. Each call waits on the
- * caller's thread and asks one member after the other until one answers or the time is up.
+ * A client of a group that is no member: a command, a test. Each call blocks the caller's thread
+ * and asks one member after the other until one answers or the time is up.
  *
  * <p>Thread-safe.
  */
 public final class GroupClient implements AutoCloseable {
-  private static final long ONE_MILLIS = 700;
+  private static final long ATTEMPT_TIMEOUT_MILLIS = 700;
 
-  /** Before the members are asked once more. */
-  private static final long AGAIN_MILLIS = 30;
+  /** Between two rounds over all members. */
+  private static final long ROUND_DELAY_MILLIS = 30;
 
-  private final MemberTransport links;
+  /** Beyond a request's timeout, after which the transport itself is considered stuck. */
+  private static final long TRANSPORT_GRACE_MILLIS = 1000;
+
+  private final MemberTransport transport;
   private final Map<String, InetSocketAddress> members = new LinkedHashMap<>();
 
-  /** A caller of these members. */
+  /**
+   * A client of these members.
+   *
+   * @param members their names and addresses
+   * @param log takes lines for operators, from any thread
+   */
   public GroupClient(String group, Map<String, InetSocketAddress> members, Consumer<String> log)
       throws IOException {
-    links =
-        new MemberTransport(
-            group,
-            "",
-            null,
-            "",
-            new MemberTransport.Listener() {
-              @Override
-              public void raftMessage(byte[] message) {}
-
-              @Override
-              public CompletionStage<byte[]> request(String what, byte[] body) {
-                return CompletableFuture.failedFuture(new IOException("never: nobody is here"));
-              }
-
-              @Override
-              public void diagnostic(String text) {
-                log.accept(text);
-              }
-            });
+    transport = new MemberTransport(group, "", null, "", new ClientListener(log));
     members.forEach(this::setAddress);
   }
 
-  /** A member is to be found there. */
+  /** Nobody connects to a client, so it rejects everything. */
+  private record ClientListener(Consumer<String> log) implements MemberTransport.Listener {
+    @Override
+    public void raftMessageReceived(byte[] message) {}
+
+    @Override
+    public CompletionStage<byte[]> requestReceived(String method, byte[] body) {
+      return CompletableFuture.failedFuture(RequestFailure.rejected("nobody is here"));
+    }
+
+    @Override
+    public void diagnostic(String line) {
+      log.accept(line);
+    }
+  }
+
+  /** A member is at this address from now on. */
   public synchronized void setAddress(String member, InetSocketAddress address) {
     members.put(member, address);
-    links.setAddress(member, address);
+    transport.setAddress(member, address);
   }
 
-  /** A member is asked no more. */
+  /** A member is not asked any more. */
   public synchronized void removeAddress(String member) {
     members.remove(member);
   }
 
-  private synchronized List<String> all(String first) {
-    List<String> all = new ArrayList<>(members.keySet());
-    if (all.remove(first)) {
-      all.add(0, first);
+  /** All members, the preferred one first. */
+  private synchronized List<String> membersInOrder(String preferred) {
+    List<String> ordered = new ArrayList<>(members.keySet());
+    if (ordered.remove(preferred)) {
+      ordered.add(0, preferred);
     }
-    return all;
+    return ordered;
   }
 
   /**
-   * Asks the group to hold this.
+   * Proposes a command.
    *
-   * @param first who is asked before all others, null for any
-   * @throws IOException if nobody has answered by then: it may be held, ask again under the same id
+   * @param preferred the member to ask first, null for any
+   * @throws IOException if nobody answers in time; the proposal may be committed all the same, and
+   *     is to be repeated under the same id
    */
-  public CommandResult propose(Proposal proposal, String first, long millis)
+  public CommandResult propose(Proposal proposal, String preferred, long timeoutMillis)
       throws IOException, InterruptedException {
     return ReplicatedStateCodec.decodeResult(
-        ask(GroupMember.HOLD, ReplicatedStateCodec.encodeProposal(proposal), first, millis));
+        requestOfAny(
+            GroupRequest.PROPOSE,
+            ReplicatedStateCodec.encodeProposal(proposal),
+            preferred,
+            timeoutMillis));
   }
 
-  /** What is held now. */
-  public ReplicatedState.Snapshot read(String first, long millis)
+  /**
+   * Reads the committed state.
+   *
+   * @param preferred the member to ask first, null for any
+   * @throws IOException if nobody answers in time
+   */
+  public ReplicatedState.Snapshot read(String preferred, long timeoutMillis)
       throws IOException, InterruptedException {
-    return ReplicatedStateCodec.decodeSnapshot(ask(GroupMember.READ, new byte[0], first, millis));
+    return ReplicatedStateCodec.decodeSnapshot(
+        requestOfAny(GroupRequest.READ, new byte[0], preferred, timeoutMillis));
   }
 
-  /** Takes a member out of the group for good. */
-  public void removeMember(String member, long millis) throws IOException, InterruptedException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-    IOException last = new IOException("nobody leads");
-    while (System.nanoTime() - until < 0) {
-      for (String one : all(null)) {
+  /**
+   * Removes a member from the group for good.
+   *
+   * @throws IOException if it is still a member when the time is up; with the last failure
+   */
+  public void removeMember(String member, long timeoutMillis)
+      throws IOException, InterruptedException {
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+    IOException lastFailure = new IOException("nobody leads");
+    while (System.nanoTime() - deadline < 0) {
+      for (String candidate : membersInOrder(null)) {
         try {
-          MemberStatus standing = status(one);
-          if (!standing.isLeader()) {
+          MemberStatus status = status(candidate);
+          if (!status.isLeader()) {
             continue;
           }
-          if (!standing.members().contains(member)) {
+          if (!status.members().contains(member)) {
             return;
           }
-          once(one, GroupMember.REMOVE, member.getBytes(StandardCharsets.UTF_8), ONE_MILLIS);
+          request(
+              candidate,
+              GroupRequest.REMOVE,
+              member.getBytes(StandardCharsets.UTF_8),
+              ATTEMPT_TIMEOUT_MILLIS);
         } catch (IOException e) {
-          last = e;
+          lastFailure = e;
         }
       }
-      TimeUnit.MILLISECONDS.sleep(AGAIN_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(ROUND_DELAY_MILLIS);
     }
-    throw last;
+    throw lastFailure;
   }
 
-  /** How a member sees the group. */
+  /**
+   * A member's view of its group.
+   *
+   * @throws IOException if it does not answer
+   */
   public MemberStatus status(String member) throws IOException, InterruptedException {
-    return MemberStatusCodec.decode(once(member, GroupMember.STANDING, new byte[0], ONE_MILLIS));
+    return MemberStatusCodec.decode(
+        request(member, GroupRequest.STATUS, new byte[0], ATTEMPT_TIMEOUT_MILLIS));
   }
 
-  private byte[] ask(String what, byte[] body, String first, long millis)
+  private byte[] requestOfAny(
+      GroupRequest request, byte[] body, String preferred, long timeoutMillis)
       throws IOException, InterruptedException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-    IOException last = new IOException("no member is known");
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+    IOException lastFailure = new IOException("no member is known");
     do {
-      for (String member : all(first)) {
-        long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
-        if (left <= 0) {
+      for (String member : membersInOrder(preferred)) {
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+        if (remainingMillis <= 0) {
           break;
         }
         try {
-          return once(member, what, body, Math.min(left, ONE_MILLIS));
+          return request(member, request, body, Math.min(remainingMillis, ATTEMPT_TIMEOUT_MILLIS));
         } catch (IOException e) {
-          last = e;
+          lastFailure = e;
         }
       }
-      TimeUnit.MILLISECONDS.sleep(AGAIN_MILLIS);
-    } while (System.nanoTime() - until < 0);
-    throw last;
+      TimeUnit.MILLISECONDS.sleep(ROUND_DELAY_MILLIS);
+    } while (System.nanoTime() - deadline < 0);
+    throw lastFailure;
   }
 
-  private byte[] once(String member, String what, byte[] body, long millis)
+  private byte[] request(String member, GroupRequest request, byte[] body, long timeoutMillis)
       throws IOException, InterruptedException {
     try {
-      return links.request(member, what, body, millis).get(millis + 1000, TimeUnit.MILLISECONDS);
+      return transport
+          .request(member, request.wireName(), body, timeoutMillis)
+          .get(timeoutMillis + TRANSPORT_GRACE_MILLIS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException e) {
       throw e.getCause() instanceof IOException cause ? cause : new IOException(e.getCause());
     } catch (TimeoutException e) {
@@ -161,6 +195,6 @@
 
   @Override
   public void close() {
-    links.close();
+    transport.close();
   }
 }
--- a/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
@@ -1,492 +1,238 @@
 package shalepaddle.cluster;
 
-import io.microraft.model.message.RaftMessage;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.Collection;
-import java.util.List;
-import java.util.Optional;
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.CompletionException;
 import java.util.concurrent.CompletionStage;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import java.util.function.Supplier;
 import shalepaddle.changefeed.PublisherMessage;
 import shalepaddle.encoding.RaftMessageCodec;
 import shalepaddle.encoding.ReplicatedStateCodec;
 import shalepaddle.raft.MemberRole;
 import shalepaddle.raft.MemberStatus;
 import shalepaddle.raft.NotCommittedException;
-import shalepaddle.raft.NotCommittedException.Outcome;
 import shalepaddle.raft.RaftMember;
 import shalepaddle.replicatedstate.CommandResult;
 import shalepaddle.replicatedstate.Proposal;
 import shalepaddle.replicatedstate.ReplicatedState;
-import shalepaddle.storage.FileLogDirectory;
-import shalepaddle.storage.LogOwner;
 import shalepaddle.storage.RaftLogStore;
 import shalepaddle.transport.ChangeFeedServer;
-import shalepaddle.transport.HandshakeRejectedException;
 import shalepaddle.transport.MemberTransport;
 
 /**
- * One member of a group, as a process has it. What is asked of it goes to whoever leads, again and
- * under the same id for as long as the caller waits; so an answer that was lost on the way comes
- * the second time.
+ * A member of a group, as a process has it. Requests go to the leader and are repeated under the
+ * same id for as long as the caller waits, so that a lost answer comes the second time.
  *
- * <p>A member begins in one of two ways, each once: {@link #init} for those with whom the group
- * begins, {@link #join} for all others. A folder that is empty is neither: a machine that lost its
- * disk must not vote under its old name, since it may have voted before.
- *
- * <p>Thread-safe.
+ * <p>Thread-safe. Owns its log, thread and connections until {@link #close}.
  */
 public final class GroupMember implements AutoCloseable {
-  /** What may be asked of a member over its links. */
-  static final String HOLD = "hold";
-
-  static final String READ = "read";
-  static final String STANDING = "standing";
-  static final String JOIN = "join";
-  static final String VOTE = "vote";
-  static final String REMOVE = "remove";
-
-  /** Before the same is asked again, where nobody could answer. */
-  private static final long AGAIN_MILLIS = 40;
-
-  /** How long another member may take with an answer, before it is asked again. */
-  private static final long ASK_MILLIS = 500;
-
-  /** Entries between two snapshots. */
-  private static final int SNAPSHOT_EVERY = 10_000;
+  private static final int ENTRIES_BETWEEN_SNAPSHOTS = 10_000;
 
-  private final MemberConfig place;
+  private final MemberConfig config;
   private final Consumer<String> log;
-  private final MemberThread turns;
-  private final RaftLogStore journal;
-  private final MemberTransport links;
-  private volatile RaftMember agreement;
+  private final MemberThread thread;
+  private final RaftLogStore logStore;
+  private final MemberTransport transport;
 
-  /** Null where no node follows this member. */
-  private ChangeFeedServer listenForSubscribers;
+  /** Null until the member is part of the group. */
+  private volatile RaftMember raftMember;
+
+  /** Null where there are no subscribers. */
+  private ChangeFeedServer feedServer;
 
   /**
    * Opens the member's folder and listens; {@link #start} takes part.
    *
-   * @throws IOException if the folder can't be had or believed, or is none that was begun, or the
-   *     address is taken; with the remedy
+   * @param log takes lines for operators, from any thread
+   * @throws MemberFolderException if no member was created in the folder
+   * @throws IOException if the log can't be opened or the address is taken; with the remedy
    */
-  public GroupMember(MemberConfig place, Consumer<String> log) throws IOException {
-    this.place = place;
+  public GroupMember(MemberConfig config, Consumer<String> log) throws IOException {
+    this.config = config;
     this.log = log;
-    FileLogDirectory disk = new FileLogDirectory(place.folder());
-    RaftLogStore opened = null;
+    logStore = MemberFolder.open(config);
+    logStore.recoveryWarnings().forEach(log);
+    thread = new MemberThread(log);
     try {
-      if (RaftLogStore.readOwner(disk).isEmpty()) {
-        throw new IOException(
-            place.folder()
-                + " holds no member: begin it with init where the group begins, and with join, under a"
-                + " name that was never used, where a machine is new or has lost its disk");
-      }
-      opened = new RaftLogStore(disk, place.group(), place.name());
-      journal = opened;
-      opened.recoveryWarnings().forEach(log);
-      turns = new MemberThread(log);
-      links =
+      transport =
           new MemberTransport(
-              place.group(), place.name(), place.listen(), advertised(place), new Incoming());
+              config.group(),
+              config.name(),
+              config.listenAddress(),
+              advertisedAddress(config),
+              new MemberRequestHandler(this, log));
     } catch (IOException e) {
-      disk.close();
+      logStore.close();
       throw e;
     }
-    place.others().forEach(links::setAddress);
-  }
-
-  private static String advertised(MemberConfig place) {
-    InetSocketAddress found = place.advertised() == null ? place.listen() : place.advertised();
-    return found.getPort() == 0 ? "" : text(found);
+    config.otherMembers().forEach(transport::setAddress);
   }
 
-  private static String text(InetSocketAddress address) {
-    return address.getAddress().getHostAddress() + ":" + address.getPort();
+  /** Where the others find a member, as IP:PORT; empty if it listens on any port. */
+  private static String advertisedAddress(MemberConfig config) {
+    InetSocketAddress address =
+        config.advertisedAddress() == null ? config.listenAddress() : config.advertisedAddress();
+    return address.getPort() == 0
+        ? ""
+        : address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
   /**
-   * Makes the folder of a member with whom a group begins.
+   * Listens for subscribers of the change feed; to be called before {@link #start}.
    *
-   * @throws IOException if there is a member in it already
+   * @return where it listens
+   * @throws IOException if it can't listen at the address
    */
-  public static void init(MemberConfig place) throws IOException {
-    begin(place.beginning(), true);
+  public InetSocketAddress listenForSubscribers(InetSocketAddress listenAddress)
+      throws IOException {
+    feedServer =
+        new ChangeFeedServer(config.group(), listenAddress, thread, this::feedSnapshot, log);
+    return feedServer.address();
   }
 
-  /** Makes the folder of a member that joins a group that is there. */
-  public static void join(MemberConfig place) throws IOException {
-    if (place.members().containsKey(place.name())) {
-      throw new IOException(
-          "'%s' is one of those with whom the group began, and may have voted: join under a new name"
-              .formatted(place.name()));
-    }
-    begin(place, false);
+  private PublisherMessage.Snapshot feedSnapshot() {
+    ReplicatedState.Snapshot snapshot = raftMember.appliedState();
+    return new PublisherMessage.Snapshot(
+        snapshot.index(), ReplicatedStateCodec.encodeSnapshot(snapshot));
   }
 
-  private static void begin(MemberConfig place, boolean first) throws IOException {
-    FileLogDirectory disk = new FileLogDirectory(place.folder());
-    try {
-      Optional<LogOwner> owner = RaftLogStore.readOwner(disk);
-      if (owner.isPresent()) {
-        throw new IOException(
-            "%s holds member '%s' of group '%s' already: nothing was changed"
-                .formatted(place.folder(), owner.get().member(), owner.get().group()));
-      }
-      RaftLogStore journal = new RaftLogStore(disk, place.group(), place.name());
-      if (first) {
-        journal.initializeGroup(place.members().keySet());
-      }
-    } finally {
-      disk.close();
+  /** Notifies a listener, then the subscribers of the change feed, on the member's thread. */
+  private final class PublishingListener implements RaftMember.Listener {
+    private final RaftMember.Listener listener;
+
+    PublishingListener(RaftMember.Listener listener) {
+      this.listener = listener;
     }
-  }
 
-  /**
-   * Lets nodes follow this member; to be called before {@link #start}.
-   *
-   * @return where it listens for them
-   * @throws IOException if it can not listen there
-   */
-  public InetSocketAddress listenForSubscribers(InetSocketAddress listen) throws IOException {
-    listenForSubscribers = new ChangeFeedServer(place.group(), listen, turns, this::state, log);
-    return listenForSubscribers.address();
-  }
+    @Override
+    public void entryApplied(long index, byte[] body, Proposal proposal, CommandResult result) {
+      listener.entryApplied(index, body, proposal, result);
+      feedServer.entryApplied(index, body);
+    }
 
-  private PublisherMessage.Snapshot state() {
-    ReplicatedState.Snapshot image = agreement.appliedState();
-    return new PublisherMessage.Snapshot(image.index(), ReplicatedStateCodec.encodeSnapshot(image));
-  }
+    @Override
+    public void snapshotInstalled(ReplicatedState.Snapshot snapshot) {
+      listener.snapshotInstalled(snapshot);
+      feedServer.snapshotInstalled(snapshot.index());
+    }
 
-  private RaftMember.Listener fed(RaftMember.Listener listener) {
-    if (listenForSubscribers == null) {
-      return listener;
+    @Override
+    public void statusChanged(MemberStatus status) {
+      listener.statusChanged(status);
+      feedServer.setLeaderKnown(status.leader() != null && status.isActive());
     }
-    return new RaftMember.Listener() {
-      @Override
-      public void entryApplied(long index, byte[] body, Proposal proposal, CommandResult answer) {
-        listener.entryApplied(index, body, proposal, answer);
-        listenForSubscribers.entryApplied(index, body);
-      }
+  }
 
-      @Override
-      public void snapshotInstalled(ReplicatedState.Snapshot image) {
-        listener.snapshotInstalled(image);
-        listenForSubscribers.snapshotInstalled(image.index());
-      }
+  /** Where it listens for the others. */
+  public InetSocketAddress address() {
+    return transport.address();
+  }
 
-      @Override
-      public void statusChanged(MemberStatus now) {
-        listener.statusChanged(now);
-        listenForSubscribers.setLeaderKnown(now.leader() != null && now.inactiveReason() == null);
-      }
-    };
+  String name() {
+    return config.name();
   }
 
-  /** Where it listens. */
-  public InetSocketAddress address() {
-    return links.address();
+  /** Its part in Raft, null while it is joining. */
+  RaftMember raftMember() {
+    return raftMember;
   }
 
   /**
-   * Takes part from now on. A member that joins first asks the others, until one of them answers.
+   * Starts to take part. A new member first asks to join, until the leader answers.
    *
-   * @param listener is told on the member's thread
+   * @param listener is notified on the member's thread
    */
   public void start(RaftMember.Listener listener) {
-    if (journal.restoredState() != null) {
-      agree(place.members().keySet(), listener);
-      log.accept("member " + place.name() + " of " + place.group() + " goes on");
+    if (logStore.restoredState() != null) {
+      startRaft(config.initialMembers().keySet(), listener);
+      log.accept("member " + config.name() + " of " + config.group() + " goes on");
       return;
     }
-    log.accept("member " + place.name() + " asks to join " + place.group());
-    askToJoin(listener);
-  }
-
-  private void agree(Collection<String> began, RaftMember.Listener listener) {
-    agreement =
+    log.accept("member " + config.name() + " asks to join " + config.group());
+    new JoinProcedure(
+            config,
+            thread,
+            transport,
+            this::status,
+            initialMembers -> {
+              log.accept("member " + config.name() + " has joined");
+              startRaft(initialMembers, listener);
+            })
+        .start();
+  }
+
+  private void startRaft(Collection<String> initialMembers, RaftMember.Listener listener) {
+    raftMember =
         new RaftMember(
-            place.group(),
-            place.name(),
-            began,
-            SNAPSHOT_EVERY,
-            journal,
-            turns,
-            (to, message) -> links.send(to, RaftMessageCodec.encode(message)),
+            config.group(),
+            config.name(),
+            initialMembers,
+            ENTRIES_BETWEEN_SNAPSHOTS,
+            logStore,
+            thread,
+            (target, message) -> transport.send(target, RaftMessageCodec.encode(message)),
             System.nanoTime(),
-            fed(listener));
-    agreement.start();
+            feedServer == null ? listener : new PublishingListener(listener));
+    raftMember.start();
   }
 
-  private void askToJoin(RaftMember.Listener listener) {
-    CompletableFuture<byte[]> first = new CompletableFuture<>();
-    for (String other : place.others().keySet()) {
-      links
-          .request(other, JOIN, place.name().getBytes(StandardCharsets.UTF_8), 4 * ASK_MILLIS)
-          .thenAccept(first::complete);
-    }
-    turns.schedule(
-        TimeUnit.MILLISECONDS.toNanos(4 * ASK_MILLIS),
-        () -> first.completeExceptionally(new IOException("nobody answers")));
-    first.whenComplete(
-        (began, cause) ->
-            turns.execute(
-                () -> {
-                  if (cause != null) {
-                    askToJoin(listener);
-                    return;
-                  }
-                  log.accept("member " + place.name() + " has joined");
-                  agree(List.of(new String(began, StandardCharsets.UTF_8).split(" ")), listener);
-                  askForVote();
-                }));
-  }
-
-  /** A member that has joined hears all; it asks for its vote until it has one. */
-  private void askForVote() {
-    MemberStatus standing = status();
-    if (standing.votingMembers().contains(place.name())) {
-      return;
-    }
-    if (standing.leader() != null) {
-      links.request(
-          standing.leader(), VOTE, place.name().getBytes(StandardCharsets.UTF_8), ASK_MILLIS);
-    }
-    turns.schedule(TimeUnit.MILLISECONDS.toNanos(ASK_MILLIS), this::askForVote);
-  }
-
-  /** How the group stands, as this member sees it. */
+  /** This member's view of its group. */
   public MemberStatus status() {
-    RaftMember now = agreement;
-    return now == null ? MemberStatus.initial(place.name(), MemberRole.JOINING) : now.status();
+    RaftMember current = raftMember;
+    return current == null
+        ? MemberStatus.initial(config.name(), MemberRole.JOINING)
+        : current.status();
   }
 
   /**
-   * Asks the group to hold this, whoever leads.
+   * Proposes a command to the leader, whichever member that is.
    *
-   * @param millis how long the caller waits
-   * @return the answer, once a majority has it on disk; else fails with {@link
+   * @param timeoutMillis for the result
+   * @return the result, once a majority has the entry on disk; otherwise fails with {@link
    *     NotCommittedException}
    */
-  public CompletionStage<CommandResult> propose(Proposal proposal, long millis) {
-    return new Asking<CommandResult>(
-            HOLD,
+  public CompletionStage<CommandResult> propose(Proposal proposal, long timeoutMillis) {
+    return new LeaderRequest<>(
+            GroupRequest.PROPOSE,
             ReplicatedStateCodec.encodeProposal(proposal),
             ReplicatedStateCodec::decodeResult,
-            () -> agreement.propose(proposal),
-            millis)
-        .begin();
-  }
-
-  /** What is held at this moment: whoever was answered before this call finds it here. */
-  public CompletionStage<ReplicatedState.Snapshot> read(long millis) {
-    return new Asking<ReplicatedState.Snapshot>(
-            READ, new byte[0], ReplicatedStateCodec::decodeSnapshot, () -> agreement.read(), millis)
-        .begin();
+            () -> raftMember.propose(proposal),
+            this::status,
+            thread,
+            transport)
+        .send(timeoutMillis);
   }
 
-  private interface Parse<T> {
-    T read(byte[] bytes) throws IOException;
-  }
-
-  /** One question, asked here or of whoever leads until it is answered or its time is up. */
-  private final class Asking<T> {
-    private final String what;
-    private final byte[] body;
-    private final Parse<T> parse;
-    private final Supplier<CompletionStage<T>> here;
-    private final long until;
-    private final CompletableFuture<T> answer = new CompletableFuture<>();
-
-    /** Whether it may have been held by somebody whose answer did not come. */
-    private boolean maybe;
-
-    Asking(
-        String what, byte[] body, Parse<T> parse, Supplier<CompletionStage<T>> here, long millis) {
-      this.what = what;
-      this.body = body;
-      this.parse = parse;
-      this.here = here;
-      until = turns.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-    }
-
-    CompletionStage<T> begin() {
-      turns.execute(this::ask);
-      return answer;
-    }
-
-    private void ask() {
-      long left = TimeUnit.NANOSECONDS.toMillis(until - turns.nanoTime());
-      if (left <= 0) {
-        answer.completeExceptionally(
-            new NotCommittedException(
-                maybe ? Outcome.INDETERMINATE : Outcome.REJECTED,
-                "the group has no majority in contact"));
-        return;
-      }
-      MemberStatus standing = status();
-      if (standing.isLeader()) {
-        here.get().whenComplete(this::came);
-      } else if (standing.leader() != null) {
-        links
-            .request(standing.leader(), what, body, Math.min(left, ASK_MILLIS))
-            .thenApply(this::parsed)
-            .whenComplete(this::came);
-      } else {
-        later();
-      }
-    }
-
-    private T parsed(byte[] bytes) {
-      try {
-        return parse.read(bytes);
-      } catch (IOException e) {
-        throw new CompletionException(e);
-      }
-    }
-
-    private void came(T value, Throwable cause) {
-      if (cause == null) {
-        answer.complete(value);
-        return;
-      }
-      Throwable root = cause instanceof CompletionException ? cause.getCause() : cause;
-      boolean never =
-          root instanceof NotCommittedException held
-              ? held.outcome() == Outcome.REJECTED
-              : root instanceof HandshakeRejectedException down
-                  && down.getMessage().startsWith("never");
-      turns.execute(
-          () -> {
-            maybe |= !never;
-            later();
-          });
-    }
-
-    private void later() {
-      turns.schedule(TimeUnit.MILLISECONDS.toNanos(AGAIN_MILLIS), this::ask);
-    }
-  }
-
-  /** What comes from others. */
-  private final class Incoming implements MemberTransport.Listener {
-    @Override
-    public void raftMessage(byte[] message) {
-      RaftMember now = agreement;
-      if (now == null) {
-        return;
-      }
-      RaftMessage read;
-      try {
-        read = RaftMessageCodec.decode(message);
-      } catch (IOException e) {
-        log.accept("a message is passed over: " + e.getMessage());
-        return;
-      }
-      now.handle(read);
-    }
-
-    @Override
-    public CompletionStage<byte[]> request(String what, byte[] body) {
-      RaftMember now = agreement;
-      if (what.equals(STANDING)) {
-        return CompletableFuture.completedFuture(MemberStatusCodec.encode(status()));
-      }
-      if (now == null) {
-        return CompletableFuture.failedFuture(
-            new IOException("never: " + place.name() + " is still joining"));
-      }
-      try {
-        return switch (what) {
-          case HOLD ->
-              told(
-                  here(ReplicatedStateCodec.decodeProposal(body), now)
-                      .thenApply(ReplicatedStateCodec::encodeResult));
-          case READ -> told(read(now).thenApply(ReplicatedStateCodec::encodeSnapshot));
-          case JOIN -> joins(now, new String(body, StandardCharsets.UTF_8));
-          case VOTE ->
-              told(
-                  now.changeMembership(
-                          new String(body, StandardCharsets.UTF_8),
-                          RaftMember.MembershipChange.PROMOTE_TO_VOTER)
-                      .thenApply(done -> new byte[0]));
-          case REMOVE ->
-              told(
-                  now.changeMembership(
-                          new String(body, StandardCharsets.UTF_8),
-                          RaftMember.MembershipChange.REMOVE)
-                      .thenApply(done -> new byte[0]));
-          default ->
-              CompletableFuture.failedFuture(
-                  new IOException("never: no question is '" + what + "'"));
-        };
-      } catch (IOException | IllegalArgumentException e) {
-        return CompletableFuture.failedFuture(new IOException("never: " + e.getMessage()));
-      }
-    }
-
-    /** Whoever does not lead passes on what a caller from outside asks; members ask the leader. */
-    private CompletionStage<CommandResult> here(Proposal proposal, RaftMember now) {
-      return now.status().isLeader() ? now.propose(proposal) : propose(proposal, ASK_MILLIS);
-    }
-
-    private CompletionStage<ReplicatedState.Snapshot> read(RaftMember now) {
-      return now.status().isLeader() ? now.read() : GroupMember.this.read(ASK_MILLIS);
-    }
-
-    private CompletionStage<byte[]> joins(RaftMember now, String name) {
-      byte[] began = String.join(" ", now.initialMembers()).getBytes(StandardCharsets.UTF_8);
-      if (now.status().members().contains(name)) {
-        return CompletableFuture.completedFuture(began);
-      }
-      if (!now.status().isLeader()) {
-        return CompletableFuture.failedFuture(
-            new IOException("never: " + place.name() + " does not lead"));
-      }
-      return told(
-          now.changeMembership(name, RaftMember.MembershipChange.ADD_LEARNER)
-              .thenApply(done -> began));
-    }
-
-    /** A failure tells at its begin whether it can have been held. */
-    private static <T> CompletionStage<T> told(CompletionStage<T> answer) {
-      return answer.handle(
-          (value, cause) -> {
-            if (cause == null) {
-              return value;
-            }
-            Throwable root = cause instanceof CompletionException ? cause.getCause() : cause;
-            boolean never =
-                root instanceof NotCommittedException held && held.outcome() == Outcome.REJECTED;
-            throw new CompletionException(
-                new IOException((never ? "never: " : "maybe: ") + root.getMessage()));
-          });
-    }
-
-    @Override
-    public void diagnostic(String text) {
-      log.accept(text);
-    }
-  }
-
-  /** Takes no part any more. */
+  /**
+   * Reads the committed state, linearizably: it has every entry that was acknowledged before this
+   * call.
+   *
+   * @param timeoutMillis for the state
+   * @return the state; fails with {@link NotCommittedException}
+   */
+  public CompletionStage<ReplicatedState.Snapshot> read(long timeoutMillis) {
+    return new LeaderRequest<>(
+            GroupRequest.READ,
+            new byte[0],
+            ReplicatedStateCodec::decodeSnapshot,
+            () -> raftMember.read(),
+            this::status,
+            thread,
+            transport)
+        .send(timeoutMillis);
+  }
+
+  /** Takes no part any more. Blocks until its threads have ended, 1 s each at most. */
   @Override
   public void close() throws IOException {
-    if (listenForSubscribers != null) {
-      listenForSubscribers.close();
+    if (feedServer != null) {
+      feedServer.close();
     }
-    links.close();
-    if (agreement != null) {
-      agreement.close();
+    transport.close();
+    if (raftMember != null) {
+      raftMember.close();
     }
-    turns.close();
-    journal.close();
+    thread.close();
+    logStore.close();
   }
 }
--- a/cluster/src/main/java/shalepaddle/cluster/MemberConfig.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberConfig.java
@@ -7,67 +7,71 @@
 import java.util.TreeMap;
 
 /**
- * Where a member lives, and where it finds the others.
+ * The configuration of a member. Immutable.
  *
  * @param group the group's name
- * @param name the member's own, never used again once its folder is lost
- * @param folder what it must still know after a stop; its own alone
- * @param listen where it listens for the others, with port 0 for any
- * @param advertised where the others find it, null for where it listens
- * @param members those with whom the group began, and where this member finds them; a member that
- *     joins need not know all
+ * @param name the member's own; must not be used again once its folder is lost
+ * @param folder the directory of its log, for it alone
+ * @param listenAddress where it listens for the others, with port 0 for any
+ * @param advertisedAddress where the others find it, null for the listen address
+ * @param initialMembers those with whom the group began, and where this member finds them; one that
+ *     joins need not know all of them
  */
 public record MemberConfig(
     String group,
     String name,
     Path folder,
-    InetSocketAddress listen,
-    InetSocketAddress advertised,
-    SortedMap<String, InetSocketAddress> members) {
-  private static final int MOST_NAME = 64;
+    InetSocketAddress listenAddress,
+    InetSocketAddress advertisedAddress,
+    SortedMap<String, InetSocketAddress> initialMembers) {
+  private static final int MAX_NAME_LENGTH = 64;
+  private static final int MAX_INITIAL_MEMBERS = 7;
 
   /**
-   * Checks what can be checked without the others.
+   * Checks the names.
    *
    * @throws IllegalArgumentException says what is wrong, and what would be right
    */
   public MemberConfig {
-    named("group", group);
-    named("name", name);
-    if (members.isEmpty()) {
+    checkName("group", group);
+    checkName("name", name);
+    if (initialMembers.isEmpty()) {
       throw new IllegalArgumentException("no member is named: name those the group begins with");
     }
-    members.keySet().forEach(member -> named("a member", member));
-    members = new TreeMap<>(members);
+    initialMembers.keySet().forEach(member -> checkName("a member", member));
+    initialMembers = new TreeMap<>(initialMembers);
   }
 
-  private static void named(String what, String name) {
-    if (!name.matches("[A-Za-z0-9._-]{1," + MOST_NAME + "}")) {
+  private static void checkName(String what, String name) {
+    if (!name.matches("[A-Za-z0-9._-]{1," + MAX_NAME_LENGTH + "}")) {
       throw new IllegalArgumentException(
           "%s '%s' must have 1 to %d letters, digits, dots, dashes"
-              .formatted(what, name, MOST_NAME));
+              .formatted(what, name, MAX_NAME_LENGTH));
     }
   }
 
-  /** For the members that begin a group, which are 1, 3, 5 or 7: an even one more helps nobody. */
-  MemberConfig beginning() {
-    if (members.size() % 2 == 0 || members.size() > 7) {
+  /**
+   * Checks that a group may begin with these members, and that this is one of them.
+   *
+   * @throws IllegalArgumentException says what is wrong, and what would be right
+   */
+  void checkInitialMembers() {
+    if (initialMembers.size() % 2 == 0 || initialMembers.size() > MAX_INITIAL_MEMBERS) {
       throw new IllegalArgumentException(
-          members.size()
+          initialMembers.size()
               + " members begin a group: make it 3, 5 or 7, since one more than an odd"
               + " number survives no more losses");
     }
-    if (!members.containsKey(name)) {
+    if (!initialMembers.containsKey(name)) {
       throw new IllegalArgumentException(
           "'%s' is not among the members that begin the group (%s): init is for those, join for others"
-              .formatted(name, String.join(", ", members.keySet())));
+              .formatted(name, String.join(", ", initialMembers.keySet())));
     }
-    return this;
   }
 
-  /** Where it finds the others with whom the group began. */
-  Map<String, InetSocketAddress> others() {
-    Map<String, InetSocketAddress> others = new TreeMap<>(members);
+  /** Where it finds the other initial members. */
+  Map<String, InetSocketAddress> otherMembers() {
+    Map<String, InetSocketAddress> others = new TreeMap<>(initialMembers);
     others.remove(name);
     return others;
   }
--- /dev/null
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberFolder.java
@@ -0,0 +1,76 @@
+package shalepaddle.cluster;
+
+import java.io.IOException;
+import java.util.Optional;
+import shalepaddle.storage.FileLogDirectory;
+import shalepaddle.storage.LogOwner;
+import shalepaddle.storage.RaftLogStore;
+
+/**
+ * Creates and opens the directory of a member's log. A member is created once, by {@link
+ * #initialize} if the group begins with it and by {@link #prepareJoin} otherwise. An empty
+ * directory is never opened: a machine that lost its disk must not vote again under its old name,
+ * since it may have voted before.
+ */
+public final class MemberFolder {
+  private MemberFolder() {}
+
+  /**
+   * Creates the directory of a member with whom a group begins.
+   *
+   * @throws IllegalArgumentException if the group can't begin with these members
+   * @throws MemberFolderException if a member is in it already
+   * @throws IOException if the disk fails
+   */
+  public static void initialize(MemberConfig config) throws IOException {
+    config.checkInitialMembers();
+    create(config, true);
+  }
+
+  /**
+   * Creates the directory of a member that joins an existing group.
+   *
+   * @throws MemberFolderException if a member is in it already, or the group began with one of the
+   *     same name
+   * @throws IOException if the disk fails
+   */
+  public static void prepareJoin(MemberConfig config) throws IOException {
+    if (config.initialMembers().containsKey(config.name())) {
+      throw MemberFolderException.initialMember(config.name());
+    }
+    create(config, false);
+  }
+
+  private static void create(MemberConfig config, boolean isInitialMember) throws IOException {
+    try (FileLogDirectory directory = new FileLogDirectory(config.folder())) {
+      Optional<LogOwner> owner = RaftLogStore.readOwner(directory);
+      if (owner.isPresent()) {
+        throw MemberFolderException.occupied(config.folder(), owner.get());
+      }
+      RaftLogStore logStore = new RaftLogStore(directory, config.group(), config.name());
+      if (isInitialMember) {
+        logStore.initializeGroup(config.initialMembers().keySet());
+      }
+    }
+  }
+
+  /**
+   * Opens a member's log.
+   *
+   * @return the log, which owns the directory's lock until it is closed
+   * @throws MemberFolderException if no member was created in the directory
+   * @throws IOException as {@link RaftLogStore} does
+   */
+  static RaftLogStore open(MemberConfig config) throws IOException {
+    FileLogDirectory directory = new FileLogDirectory(config.folder());
+    try {
+      if (RaftLogStore.readOwner(directory).isEmpty()) {
+        throw MemberFolderException.empty(config.folder());
+      }
+      return new RaftLogStore(directory, config.group(), config.name());
+    } catch (IOException e) {
+      directory.close();
+      throw e;
+    }
+  }
+}
--- a/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
@@ -6,26 +6,34 @@
 import java.util.function.Consumer;
 import shalepaddle.raft.MemberExecutor;
 
-/** The one thread of a member that runs as a process. */
+/** The thread of a member that runs as a process. Thread-safe. */
 final class MemberThread implements MemberExecutor, AutoCloseable {
-  private final ScheduledThreadPoolExecutor thread;
+  private static final long CLOSE_TIMEOUT_SECONDS = 1;
+
+  private final ScheduledThreadPoolExecutor executor;
   private final Consumer<String> log;
 
+  /**
+   * Starts the thread.
+   *
+   * @param log takes a line for each task that fails
+   */
   MemberThread(Consumer<String> log) {
     this.log = log;
-    thread =
+    executor =
         new ScheduledThreadPoolExecutor(
             1,
             task -> {
-              Thread made = new Thread(task, "member");
-              made.setDaemon(true);
-              return made;
+              Thread thread = new Thread(task, "member");
+              thread.setDaemon(true);
+              return thread;
             });
-    thread.setRemoveOnCancelPolicy(true);
-    thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+    executor.setRemoveOnCancelPolicy(true);
+    executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
   }
 
-  private Runnable guarded(Runnable task) {
+  /** The task, whose failure is logged and does not stop the thread. */
+  private Runnable logFailure(Runnable task) {
     return () -> {
       try {
         task.run();
@@ -43,9 +51,9 @@
   @Override
   public void schedule(long nanos, Runnable task) {
     try {
-      thread.schedule(guarded(task), nanos, TimeUnit.NANOSECONDS);
+      executor.schedule(logFailure(task), nanos, TimeUnit.NANOSECONDS);
     } catch (RejectedExecutionException e) {
-      // It has ended, and what it would have done is of no matter.
+      // After close: the task has no effect any more.
     }
   }
 
@@ -54,12 +62,12 @@
     return System.nanoTime();
   }
 
-  /** Runs what it has begun to its end, and nothing more. */
+  /** Completes the running task and drops the others. Blocks for 1 s at most. */
   @Override
   public void close() {
-    thread.shutdown();
+    executor.shutdown();
     try {
-      thread.awaitTermination(1, TimeUnit.SECONDS);
+      executor.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/cluster/src/main/java/shalepaddle/transport/BoundedListener.java
+++ b/cluster/src/main/java/shalepaddle/transport/BoundedListener.java
@@ -13,32 +13,34 @@
 import java.util.function.Consumer;
 
 /**
- * What comes to an address, so many connections at once; of those that come then, none is taken.
+ * Accepts a bounded number of connections at an address, and closes those beyond it. Its state is
+ * owned by the event loop.
  */
 final class BoundedListener extends ChannelInitializer<Channel> {
-  private final int most;
-  private final Consumer<Channel> taken;
-  private int open;
+  private final int maxConnections;
+  private final Consumer<Channel> onAccepted;
+  private int connections;
 
-  private BoundedListener(int most, Consumer<Channel> taken) {
-    this.most = most;
-    this.taken = taken;
+  private BoundedListener(int maxConnections, Consumer<Channel> onAccepted) {
+    this.maxConnections = maxConnections;
+    this.onAccepted = onAccepted;
   }
 
   /**
-   * Listens.
+   * Listens. Blocks until it does.
    *
-   * @param loops of one thread, which is ended where this fails
-   * @param whom it listens for, in words
-   * @param taken is given each connection that is taken, on that thread
-   * @throws IOException if it can not listen there
+   * @param loops of one thread; shut down if this fails
+   * @param purpose for whom it listens, for messages
+   * @param onAccepted is given each connection, on that thread
+   * @return the listening channel
+   * @throws IOException if it can't listen at the address
    */
-  static Channel at(
+  static Channel listen(
       MultiThreadIoEventLoopGroup loops,
       InetSocketAddress address,
-      String whom,
-      int most,
-      Consumer<Channel> taken)
+      String purpose,
+      int maxConnections,
+      Consumer<Channel> onAccepted)
       throws IOException {
     ChannelFuture bound =
         new ServerBootstrap()
@@ -46,25 +48,26 @@
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new BoundedListener(most, taken))
+            .childHandler(new BoundedListener(maxConnections, onAccepted))
             .bind(address)
             .awaitUninterruptibly();
     if (!bound.isSuccess()) {
       loops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
       throw new IOException(
-          "cannot listen on " + address + " for " + whom + ": " + bound.cause().getMessage());
+          "cannot listen on %s for %s: %s".formatted(address, purpose, bound.cause().getMessage()),
+          bound.cause());
     }
     return bound.channel();
   }
 
   @Override
-  protected void initChannel(Channel made) {
-    if (open >= most) {
-      made.close();
+  protected void initChannel(Channel accepted) {
+    if (connections >= maxConnections) {
+      accepted.close();
       return;
     }
-    open++;
-    made.closeFuture().addListener(gone -> open--);
-    taken.accept(made);
+    connections++;
+    accepted.closeFuture().addListener(closed -> connections--);
+    onAccepted.accept(accepted);
   }
 }
--- a/cluster/src/main/java/shalepaddle/transport/ChangeFeedClient.java
+++ b/cluster/src/main/java/shalepaddle/transport/ChangeFeedClient.java
@@ -23,40 +23,52 @@
 import shalepaddle.replicatedstate.Proposal;
 import shalepaddle.replicatedstate.ReplicatedState;
 
-/** A node that follows the members of a group, and holds what they hold. All on one event loop. */
+/**
+ * A node's subscription to the change feed, over TCP: it keeps a copy of the replicated state. What
+ * to connect to and when is decided by {@link ChangeFeedSubscriber}.
+ *
+ * <p>Its state is owned by the event loop; {@link #close} may be called from any thread.
+ */
 public final class ChangeFeedClient implements AutoCloseable {
-  /** Is told of what happens, on the event loop. */
+  /** Is notified on the event loop. */
   public interface Listener {
-    /** An entry is in force, in the order of the log. */
-    void entryApplied(long index, Proposal proposal, CommandResult answer);
+    /** A committed entry was applied here. Called in the order of the log. */
+    void entryApplied(long index, Proposal proposal, CommandResult result);
 
-    /** A state took the place of all that was in force. */
-    void snapshotInstalled(ReplicatedState.Snapshot image);
+    /** A snapshot replaced the state of all entries that were applied. */
+    void snapshotInstalled(ReplicatedState.Snapshot snapshot);
 
-    /** Whether the node is in contact has changed. */
-    void contactChanged(boolean in);
+    /** Whether the node is in contact with the group has changed. */
+    void contactChanged(boolean isInContact);
 
     /** A line for operators. */
-    void diagnostic(String text);
+    void diagnostic(String line);
   }
 
+  private static final ChangeFeedSubscriber.Timeouts TIMEOUTS =
+      ChangeFeedSubscriber.Timeouts.DEFAULT;
+
   private final EventLoop loop;
   private final List<InetSocketAddress> members;
   private final Listener listener;
-  private final ReplicatedState snapshot = new ReplicatedState();
-  private final ChangeFeedSubscriber follower;
+  private final ReplicatedState state = new ReplicatedState();
+  private final ChangeFeedSubscriber subscriber;
+
+  /** The current connection, which may not be established yet; null for none. */
   private Channel channel;
-  private boolean closed;
 
-  /** The tick that is due, by number: those before it are of no matter. */
-  private long ticks;
+  private boolean isClosed;
+
+  /** The number of the scheduled tick; ticks with lower ones are superseded. */
+  private long currentTick;
 
   /**
-   * Begins to follow.
+   * Starts to subscribe.
    *
-   * @param name its own, in the members' eyes
-   * @param members where they listen for followers
-   * @param seed another one at each node
+   * @param group the name of the group
+   * @param name the node's own, for the members' logs
+   * @param members where they listen for subscribers
+   * @param seed for the choice of members and backoff; a different one at each node
    */
   public ChangeFeedClient(
       EventLoop loop,
@@ -68,105 +80,106 @@
     this.loop = loop;
     this.members = List.copyOf(members);
     this.listener = listener;
-    this.follower =
+    this.subscriber =
         new ChangeFeedSubscriber(
-            group,
-            name,
-            members.size(),
-            seed,
-            System.nanoTime(),
-            ChangeFeedSubscriber.Timeouts.DEFAULT,
-            new Doing());
-    loop.execute(this::arm);
+            group, name, members.size(), seed, System.nanoTime(), TIMEOUTS, new NetworkOutput());
+    loop.execute(this::scheduleTick);
   }
 
-  private void arm() {
-    if (closed) {
+  /** Schedules the subscriber's next tick in place of the one that is scheduled. */
+  private void scheduleTick() {
+    if (isClosed) {
       return;
     }
-    long own = ++ticks;
+    long tick = ++currentTick;
     loop.schedule(
         () -> {
-          if (own == ticks && !closed) {
-            follower.tick(System.nanoTime());
-            arm();
+          if (tick == currentTick && !isClosed) {
+            subscriber.tick(System.nanoTime());
+            scheduleTick();
           }
         },
-        Math.max(0, follower.nextTickNanos() - System.nanoTime()),
+        Math.max(0, subscriber.nextTickNanos() - System.nanoTime()),
         TimeUnit.NANOSECONDS);
   }
 
-  /** What is in force here, up to which place; on the event loop. */
+  /** The state as far as it is applied here; on the event loop. */
   public ReplicatedState.Snapshot snapshot() {
-    return snapshot.snapshot();
+    return state.snapshot();
   }
 
-  /** Whether it is in contact; on the event loop. */
+  /** Whether the node is in contact with the group; on the event loop. */
   public boolean isInContact() {
-    return follower.isInContact();
+    return subscriber.isInContact();
   }
 
-  /** Up to which place it knows all; on the event loop. */
+  /** The last log index that is applied here; on the event loop. */
   public long lastIndex() {
-    return follower.lastIndex();
+    return subscriber.lastIndex();
   }
 
-  /** Carries out what the follower decides. */
-  private final class Doing implements ChangeFeedSubscriber.Output {
+  /** Carries out what the subscriber decides, on the event loop. */
+  private final class NetworkOutput implements ChangeFeedSubscriber.Output {
     @Override
     public void connect(int member) {
-      ChannelFuture opened =
-          new Bootstrap()
-              .group(loop)
-              .channel(NioSocketChannel.class)
-              .option(ChannelOption.TCP_NODELAY, true)
-              .option(
-                  ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                  (int) (ChangeFeedSubscriber.Timeouts.DEFAULT.connectTimeoutNanos() / 1_000_000))
-              .handler(
-                  new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel made) {
-                      made.pipeline().addLast(new Frame.Decoder(), new Incoming());
-                    }
-                  })
-              .connect(members.get(member));
-      Channel made = opened.channel();
-      channel = made;
-      opened.addListener(
+      ChannelFuture connecting = openChannel(members.get(member));
+      Channel created = connecting.channel();
+      channel = created;
+      connecting.addListener(
           done -> {
-            if (channel != made) {
-              made.close();
+            if (channel != created) {
+              // The subscriber gave it up meanwhile.
+              created.close();
             } else if (done.isSuccess()) {
-              follower.connected(System.nanoTime());
-              arm();
+              subscriber.connected(System.nanoTime());
+              scheduleTick();
             }
           });
-      made.closeFuture()
+      created
+          .closeFuture()
           .addListener(
-              gone -> {
-                if (channel == made) {
+              closed -> {
+                if (channel == created) {
                   channel = null;
-                  follower.disconnected(System.nanoTime());
-                  arm();
+                  subscriber.disconnected(System.nanoTime());
+                  scheduleTick();
                 }
               });
     }
 
+    private ChannelFuture openChannel(InetSocketAddress address) {
+      return new Bootstrap()
+          .group(loop)
+          .channel(NioSocketChannel.class)
+          .option(ChannelOption.TCP_NODELAY, true)
+          .option(
+              ChannelOption.CONNECT_TIMEOUT_MILLIS,
+              (int) TimeUnit.NANOSECONDS.toMillis(TIMEOUTS.connectTimeoutNanos()))
+          .handler(
+              new ChannelInitializer<>() {
+                @Override
+                protected void initChannel(Channel created) {
+                  created.pipeline().addLast(new FrameDecoder(), new InboundHandler());
+                }
+              })
+          .connect(address);
+    }
+
     @Override
     public void close() {
-      Channel left = channel;
+      Channel current = channel;
       channel = null;
-      if (left != null) {
-        left.close();
+      if (current != null) {
+        current.close();
       }
     }
 
     @Override
-    public void send(SubscriberMessage said) {
+    public void send(SubscriberMessage message) {
       if (channel != null) {
         channel.writeAndFlush(
-            new Frame(Frame.Kind.FOLLOW, ChangeFeedCodec.encode(said)).write(channel.alloc()),
+            new Frame(Frame.Kind.SUBSCRIBER, ChangeFeedCodec.encode(message))
+                .encode(channel.alloc()),
             channel.voidPromise());
       }
     }
@@ -177,49 +190,49 @@
       try {
         proposal = ReplicatedStateCodec.decodeProposal(entry.body());
       } catch (IOException | IllegalArgumentException e) {
-        // The members passed it over as well; what was in force holds.
+        // The members skip it as well, so the state is still theirs.
         listener.diagnostic("entry " + entry.index() + " can't be read: " + e.getMessage());
-        follower.rejectEntry(entry.index(), String.valueOf(e.getMessage()));
+        subscriber.rejectEntry(entry.index(), String.valueOf(e.getMessage()));
         return;
       }
-      listener.entryApplied(entry.index(), proposal, snapshot.apply(entry.index(), proposal));
+      listener.entryApplied(entry.index(), proposal, state.apply(entry.index(), proposal));
     }
 
     @Override
-    public boolean installSnapshot(long index, byte[] image) {
-      ReplicatedState.Snapshot read;
+    public boolean installSnapshot(long index, byte[] encodedState) {
+      ReplicatedState.Snapshot snapshot;
       try {
-        read = ReplicatedStateCodec.decodeSnapshot(image);
+        snapshot = ReplicatedStateCodec.decodeSnapshot(encodedState);
       } catch (IOException | IllegalArgumentException e) {
         listener.diagnostic("the state up to " + index + " can't be read: " + e.getMessage());
         return false;
       }
-      snapshot.restore(read);
-      listener.snapshotInstalled(read);
+      state.restore(snapshot);
+      listener.snapshotInstalled(snapshot);
       return true;
     }
 
     @Override
-    public void contactChanged(boolean in) {
-      listener.contactChanged(in);
+    public void contactChanged(boolean isInContact) {
+      listener.contactChanged(isInContact);
     }
 
     @Override
-    public void rejected(int member, String why) {
-      listener.diagnostic("the member at " + members.get(member) + " can't be followed: " + why);
+    public void rejected(int member, String reason) {
+      listener.diagnostic("the member at " + members.get(member) + " can't be followed: " + reason);
     }
   }
 
-  private final class Incoming extends SimpleChannelInboundHandler<Frame> {
+  private final class InboundHandler extends SimpleChannelInboundHandler<Frame> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Frame frame) throws IOException {
-      if (frame.kind() != Frame.Kind.FEED) {
-        throw new IOException("a frame of kind " + frame.kind() + " out of place");
+      if (frame.kind() != Frame.Kind.PUBLISHER) {
+        throw new UnexpectedMessageException(frame.kind(), Frame.Kind.PUBLISHER);
       }
-      PublisherMessage told = ChangeFeedCodec.decodePublisherMessage(frame.body());
+      PublisherMessage message = ChangeFeedCodec.decodePublisherMessage(frame.body());
       if (ctx.channel() == channel) {
-        follower.received(System.nanoTime(), told);
-        arm();
+        subscriber.received(System.nanoTime(), message);
+        scheduleTick();
       }
     }
 
@@ -233,12 +246,12 @@
     }
   }
 
-  /** Follows nobody any more. */
+  /** Ends the subscription. */
   @Override
   public void close() {
     loop.execute(
         () -> {
-          closed = true;
+          isClosed = true;
           if (channel != null) {
             channel.close();
           }
--- a/cluster/src/main/java/shalepaddle/transport/ChangeFeedServer.java
+++ b/cluster/src/main/java/shalepaddle/transport/ChangeFeedServer.java
@@ -23,122 +23,128 @@
 import shalepaddle.raft.MemberExecutor;
 
 /**
- * Where nodes follow a member. What is sent whom is decided on the member's thread ({@link
- * ChangeFeedPublisher}), which {@link #entryApplied}, {@link #snapshotInstalled} and {@link
- * #setLeaderKnown} are called on; the bytes go on an event loop and a thread of their own.
+ * Publishes a member's applied entries to subscribers, over TCP. What is sent to whom is decided by
+ * {@link ChangeFeedPublisher} on the member's thread, where {@link #entryApplied}, {@link
+ * #snapshotInstalled} and {@link #setLeaderKnown} must be called; connections are served by an
+ * event loop and a thread of its own.
  */
 public final class ChangeFeedServer implements AutoCloseable {
-  /** A follower that has not said who it is by then is closed. */
-  private static final long HELLO_MILLIS = 2000;
+  /** A connection without a hello is closed after so long. */
+  private static final long HELLO_TIMEOUT_MILLIS = 2000;
+
+  private static final ChangeFeedPublisher.Limits LIMITS = ChangeFeedPublisher.Limits.DEFAULT;
+
+  /** Accepted connections at once; those beyond the subscribers' limit are told so. */
+  private static final int MAX_CONNECTIONS = 2 * LIMITS.maxSubscribers();
+
+  private static final long TICK_NANOS = LIMITS.heartbeatNanos() / 4;
 
   private final MultiThreadIoEventLoopGroup loops;
-  private final Channel listening;
-  private final MemberExecutor turns;
+  private final Channel listeningChannel;
+  private final MemberExecutor executor;
   private final Consumer<String> log;
   private final ChangeFeedPublisher publisher;
 
-  /** By number; on the member's thread alone. */
-  private final Map<Long, Channel> followers = new HashMap<>();
+  /** By connection number; owned by the member's thread. */
+  private final Map<Long, Channel> channels = new HashMap<>();
 
-  /** On the event loop alone. */
-  private long connections;
+  /** Owned by the event loop. */
+  private long lastConnectionNumber;
 
-  private volatile boolean closed;
+  private volatile boolean isClosed;
 
   /**
-   * Listens for followers.
+   * Listens for subscribers.
    *
-   * @param group whose log it is
-   * @param snapshot the member's state, on its thread
-   * @throws IOException if it can not listen there
+   * @param group the name of the member's group
+   * @param executor the member's thread
+   * @param snapshot gives the member's state, on its thread
+   * @param log takes lines for operators, on the event loop
+   * @throws IOException if it can't listen at the address
    */
   public ChangeFeedServer(
       String group,
-      InetSocketAddress listen,
-      MemberExecutor turns,
+      InetSocketAddress listenAddress,
+      MemberExecutor executor,
       Supplier<PublisherMessage.Snapshot> snapshot,
       Consumer<String> log)
       throws IOException {
-    this.turns = turns;
+    this.executor = executor;
     this.log = log;
     this.publisher =
-        new ChangeFeedPublisher(
-            group, turns.nanoTime(), ChangeFeedPublisher.Limits.DEFAULT, new Telling(snapshot));
+        new ChangeFeedPublisher(group, executor.nanoTime(), LIMITS, new NetworkOutput(snapshot));
     this.loops =
         new MultiThreadIoEventLoopGroup(
             1, new DefaultThreadFactory("feed", true), NioIoHandler.newFactory());
-    this.listening =
-        BoundedListener.at(
-            loops,
-            listen,
-            "followers",
-            2 * ChangeFeedPublisher.Limits.DEFAULT.maxSubscribers(),
-            this::accept);
-    turns.execute(this::tick);
+    this.listeningChannel =
+        BoundedListener.listen(loops, listenAddress, "followers", MAX_CONNECTIONS, this::accept);
+    executor.execute(this::tick);
   }
 
   /** Where it listens. */
   public InetSocketAddress address() {
-    return (InetSocketAddress) listening.localAddress();
+    return (InetSocketAddress) listeningChannel.localAddress();
   }
 
-  private void accept(Channel made) {
-    long number = ++connections;
-    made.closeFuture()
+  private void accept(Channel accepted) {
+    long number = ++lastConnectionNumber;
+    accepted
+        .closeFuture()
         .addListener(
-            gone ->
-                turns.execute(
+            closed ->
+                executor.execute(
                     () -> {
-                      followers.remove(number);
+                      channels.remove(number);
                       publisher.disconnected(number);
                     }));
-    turns.execute(() -> followers.put(number, made));
-    made.pipeline().addLast(new Frame.Decoder(), new Incoming(number));
+    executor.execute(() -> channels.put(number, accepted));
+    accepted.pipeline().addLast(new FrameDecoder(), new InboundHandler(number));
   }
 
   private void tick() {
-    if (!closed) {
-      publisher.tick(turns.nanoTime());
-      turns.schedule(ChangeFeedPublisher.Limits.DEFAULT.heartbeatNanos() / 4, this::tick);
+    if (!isClosed) {
+      publisher.tick(executor.nanoTime());
+      executor.schedule(TICK_NANOS, this::tick);
     }
   }
 
-  /** An entry was applied at this member. */
+  /** A committed entry was applied at this member. */
   public void entryApplied(long index, byte[] body) {
-    publisher.entryApplied(turns.nanoTime(), new ChangeEntry(index, body));
+    publisher.entryApplied(executor.nanoTime(), new ChangeEntry(index, body));
   }
 
-  /** A snapshot took the place of all that was applied at this member. */
+  /** A snapshot replaced the state of all entries that were applied at this member. */
   public void snapshotInstalled(long index) {
-    publisher.snapshotInstalled(turns.nanoTime(), index);
+    publisher.snapshotInstalled(executor.nanoTime(), index);
   }
 
-  /** Whether this member knows who leads its group. */
-  public void setLeaderKnown(boolean known) {
-    publisher.setLeaderKnown(turns.nanoTime(), known);
+  /** Whether this member knows the leader of its group. */
+  public void setLeaderKnown(boolean isKnown) {
+    publisher.setLeaderKnown(executor.nanoTime(), isKnown);
   }
 
   /** Carries out what the publisher decides, on the member's thread. */
-  private final class Telling implements ChangeFeedPublisher.Output {
+  private final class NetworkOutput implements ChangeFeedPublisher.Output {
     private final Supplier<PublisherMessage.Snapshot> snapshot;
 
-    Telling(Supplier<PublisherMessage.Snapshot> snapshot) {
+    NetworkOutput(Supplier<PublisherMessage.Snapshot> snapshot) {
       this.snapshot = snapshot;
     }
 
     @Override
-    public void send(long connection, PublisherMessage told) {
-      Channel channel = followers.get(connection);
+    public void send(long connection, PublisherMessage message) {
+      Channel channel = channels.get(connection);
       if (channel != null) {
         channel.writeAndFlush(
-            new Frame(Frame.Kind.FEED, ChangeFeedCodec.encode(told)).write(channel.alloc()),
+            new Frame(Frame.Kind.PUBLISHER, ChangeFeedCodec.encode(message))
+                .encode(channel.alloc()),
             channel.voidPromise());
       }
     }
 
     @Override
     public void close(long connection) {
-      Channel channel = followers.remove(connection);
+      Channel channel = channels.remove(connection);
       if (channel != null) {
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
       }
@@ -150,12 +156,12 @@
     }
   }
 
-  /** One follower's bytes, on the event loop. */
-  private final class Incoming extends SimpleChannelInboundHandler<Frame> {
+  /** Reads one connection, on the event loop. */
+  private final class InboundHandler extends SimpleChannelInboundHandler<Frame> {
     private final long number;
-    private boolean known;
+    private boolean hasSentMessage;
 
-    Incoming(long number) {
+    InboundHandler(long number) {
       this.number = number;
     }
 
@@ -164,22 +170,22 @@
       ctx.executor()
           .schedule(
               () -> {
-                if (!known) {
+                if (!hasSentMessage) {
                   ctx.close();
                 }
               },
-              HELLO_MILLIS,
+              HELLO_TIMEOUT_MILLIS,
               TimeUnit.MILLISECONDS);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Frame frame) throws IOException {
-      if (frame.kind() != Frame.Kind.FOLLOW) {
-        throw new IOException("a frame of kind " + frame.kind() + " out of place");
+      if (frame.kind() != Frame.Kind.SUBSCRIBER) {
+        throw new UnexpectedMessageException(frame.kind(), Frame.Kind.SUBSCRIBER);
       }
-      SubscriberMessage said = ChangeFeedCodec.decodeSubscriberMessage(frame.body());
-      known = true;
-      turns.execute(() -> publisher.received(turns.nanoTime(), number, said));
+      SubscriberMessage message = ChangeFeedCodec.decodeSubscriberMessage(frame.body());
+      hasSentMessage = true;
+      executor.execute(() -> publisher.received(executor.nanoTime(), number, message));
     }
 
     @Override
@@ -193,9 +199,10 @@
     }
   }
 
+  /** Closes all connections. Blocks until the event loop has ended, 1 s at most. */
   @Override
   public void close() {
-    closed = true;
+    isClosed = true;
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 }
--- a/cluster/src/main/java/shalepaddle/transport/ControlMessages.java
+++ b/cluster/src/main/java/shalepaddle/transport/ControlMessages.java
@@ -3,46 +3,71 @@
 import java.io.IOException;
 import shalepaddle.encoding.CborValues;
 
-/** What frames other than those of the agreement carry. */
+/** The formats of handshakes, requests and responses between members. Stateless. */
 final class ControlMessages {
   private ControlMessages() {}
 
   /**
-   * Who speaks.
+   * The handshake of the side that opened the connection.
    *
-   * @param group the group's name
-   * @param name the speaker's, empty for one that only asks
+   * @param group the name of its group
+   * @param name its own, empty for a client that is no member
    * @param address where it listens, empty for nowhere
    */
   record Hello(String group, String name, String address) {
-    byte[] bytes() {
+    byte[] encode() {
       return CborValues.encode(
           this, (hello, out) -> out.put(hello.group).put(hello.name).put(hello.address));
     }
 
-    static Hello of(byte[] bytes) throws IOException {
+    static Hello decode(byte[] bytes) throws IOException {
       return CborValues.decode(bytes, in -> new Hello(in.readText(), in.readText(), in.readText()));
     }
   }
 
   /**
-   * A question or an answer.
+   * A request.
    *
-   * @param number the asker's own, the same in the answer
-   * @param what what is asked for; in an answer, empty for one that was given, else why there is
-   *     none
-   * @param body whatever belongs to it
+   * @param id given by the sender, and repeated in the response
+   * @param method what is requested
    */
   // Never compared; owned by whoever reads it.
   @SuppressWarnings("ArrayRecordComponent")
-  record Said(long number, String what, byte[] body) {
-    byte[] bytes() {
-      return CborValues.encode(
-          this, (said, out) -> out.put(said.number).put(said.what).put(said.body));
+  record Request(long id, String method, byte[] body) {
+    byte[] encode() {
+      return ControlMessages.encode(id, method, body);
     }
 
-    static Said of(byte[] bytes) throws IOException {
-      return CborValues.decode(bytes, in -> new Said(in.readLong(), in.readText(), in.readBytes()));
+    static Request decode(byte[] bytes) throws IOException {
+      return CborValues.decode(
+          bytes, in -> new Request(in.readLong(), in.readText(), in.readBytes()));
     }
   }
+
+  /**
+   * The response to a request.
+   *
+   * @param id that of the request
+   * @param error why it failed, empty if it succeeded
+   */
+  // Never compared; owned by whoever reads it.
+  @SuppressWarnings("ArrayRecordComponent")
+  record Response(long id, String error, byte[] body) {
+    byte[] encode() {
+      return ControlMessages.encode(id, error, body);
+    }
+
+    static Response decode(byte[] bytes) throws IOException {
+      return CborValues.decode(
+          bytes, in -> new Response(in.readLong(), in.readText(), in.readBytes()));
+    }
+
+    boolean isError() {
+      return !error.isEmpty();
+    }
+  }
+
+  private static byte[] encode(long id, String text, byte[] body) {
+    return CborValues.encode(id, (value, out) -> out.put(value).put(text).put(body));
+  }
 }
--- a/cluster/src/main/java/shalepaddle/transport/Frame.java
+++ b/cluster/src/main/java/shalepaddle/transport/Frame.java
@@ -2,37 +2,35 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.handler.codec.ByteToMessageDecoder;
-import io.netty.handler.codec.CorruptedFrameException;
 import java.util.List;
 import java.util.zip.CRC32;
 
 /**
- * One message between members: magic, format version, kind, length and CRC-32 of the body, then the
- * body.
+ * One message on a connection: magic (2 bytes), version (1), kind (1), length of the body (4),
+ * CRC-32 of the body (4), body. {@link FrameDecoder} reads it.
  *
  * @param kind what the body is
- * @param body at most {@value #MOST_BYTES} bytes
+ * @param body at most {@value #MAX_BODY_BYTES} bytes
  */
 // Never compared; owned by whoever reads it.
 @SuppressWarnings("ArrayRecordComponent")
 record Frame(Kind kind, byte[] body) {
-  /** What a body is. */
+  /** What a body is. The codes go over the wire and never change. */
   enum Kind {
-    /** Who speaks, first on each connection. */
+    /** {@link ControlMessages.Hello}, first on each connection between members. */
     HELLO(0),
-    /** A message by which members agree. */
-    AGREE(1),
-    /** A question that wants an answer on the same connection. */
-    ASK(2),
-    /** The answer to one. */
-    ANSWER(3),
-    /** What a follower of the feed says. */
-    FOLLOW(4),
-    /** What a member tells its followers. */
-    FEED(5);
+    /** A Raft message. */
+    RAFT(1),
+    /** {@link ControlMessages.Request}, answered on the same connection. */
+    REQUEST(2),
+    /** {@link ControlMessages.Response}. */
+    RESPONSE(3),
+    /** A message of a subscriber of the change feed. */
+    SUBSCRIBER(4),
+    /** A message of a publisher of the change feed. */
+    PUBLISHER(5);
 
+    /** All kinds; each is at the index of its code. */
     private static final List<Kind> BY_CODE = List.of(values());
 
     private final int code;
@@ -40,22 +38,28 @@
     Kind(int code) {
       this.code = code;
     }
+
+    /** The kind of a code, null if this version does not know it. */
+    static Kind ofCode(int code) {
+      return code < 0 || code >= BY_CODE.size() ? null : BY_CODE.get(code);
+    }
   }
 
-  static final int MOST_BYTES = 4 << 20;
+  static final int MAX_BODY_BYTES = 4 << 20;
+  static final int HEADER_BYTES = 12;
+  static final short MAGIC = 0x5350;
   static final byte VERSION = 1;
-  private static final short MAGIC = 0x5350;
-  private static final int HEAD = 12;
 
-  private static int checksum(byte[] body) {
+  static int checksum(byte[] body) {
     CRC32 crc = new CRC32();
     crc.update(body);
     return (int) crc.getValue();
   }
 
-  ByteBuf write(ByteBufAllocator allocator) {
+  /** The frame's bytes, in a buffer that the caller releases. */
+  ByteBuf encode(ByteBufAllocator allocator) {
     return allocator
-        .buffer(HEAD + body.length)
+        .buffer(HEADER_BYTES + body.length)
         .writeShort(MAGIC)
         .writeByte(VERSION)
         .writeByte(kind.code)
@@ -63,37 +67,4 @@
         .writeInt(checksum(body))
         .writeBytes(body);
   }
-
-  /** Reads frames however they are cut; fails at the first byte that can't be one. */
-  static final class Decoder extends ByteToMessageDecoder {
-    @Override
-    protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-      if (in.readableBytes() < HEAD) {
-        return;
-      }
-      int at = in.readerIndex();
-      int kind = in.getByte(at + 3);
-      int length = in.getInt(at + 4);
-      if (in.getShort(at) != MAGIC) {
-        throw new CorruptedFrameException("these are no members' bytes");
-      }
-      if (in.getByte(at + 2) != VERSION) {
-        throw new CorruptedFrameException(
-            "version " + in.getByte(at + 2) + ", and this is " + VERSION);
-      }
-      if (kind < 0 || kind >= Kind.values().length || length < 0 || length > MOST_BYTES) {
-        throw new CorruptedFrameException("kind " + kind + " of " + length + " bytes");
-      }
-      if (in.readableBytes() < HEAD + length) {
-        return;
-      }
-      int sum = in.getInt(at + 8);
-      byte[] body = new byte[length];
-      in.skipBytes(HEAD).readBytes(body);
-      if (sum != checksum(body)) {
-        throw new CorruptedFrameException("damaged on the way");
-      }
-      out.add(new Frame(Kind.BY_CODE.get(kind), body));
-    }
-  }
 }
--- a/cluster/src/main/java/shalepaddle/transport/MemberTransport.java
+++ b/cluster/src/main/java/shalepaddle/transport/MemberTransport.java
@@ -19,191 +19,217 @@
 import shalepaddle.settings.FormatException;
 
 /**
- * This member's links to all others: listens, speaks, asks and is asked. On an event loop and a
- * thread of its own; all methods may be called from any thread.
+ * The connections of a member, or of a client, with the members of a group: Raft messages, which
+ * may be lost, and requests with responses. Listens for those that others open.
+ *
+ * <p>Thread-safe; its state is owned by an event loop and a thread of its own.
  */
 public final class MemberTransport implements AutoCloseable {
-  /** Connections at once; of those that come then, none is taken. */
-  private static final int MOST_CONNECTIONS = 256;
+  /** Accepted connections at once. */
+  private static final int MAX_CONNECTIONS = 256;
 
-  /** Whoever has not said who it is by then is turned down. */
-  private static final long HELLO_MILLIS = 2000;
+  /** A connection without a handshake is closed after so long. */
+  private static final long HANDSHAKE_TIMEOUT_MILLIS = 2000;
 
-  /** What comes from others, on the links' thread. */
+  /** Is called on the transport's thread. */
   public interface Listener {
-    /** A message by which members agree. */
-    void raftMessage(byte[] message);
+    /** A Raft message came. */
+    void raftMessageReceived(byte[] message);
 
-    /** A question; a failed answer tells why, in words for people. */
-    CompletionStage<byte[]> request(String what, byte[] body);
+    /**
+     * A request came.
+     *
+     * @return the response's body; the message of a failure is sent as the error
+     */
+    CompletionStage<byte[]> requestReceived(String method, byte[] body);
 
     /** A line for operators. */
-    void diagnostic(String text);
+    void diagnostic(String line);
   }
 
-  private final MultiThreadIoEventLoopGroup group;
+  private final MultiThreadIoEventLoopGroup loops;
   private final EventLoop loop;
   private final Map<String, PeerConnection> peers = new HashMap<>();
-  private final Map<String, String> told = new HashMap<>();
+
+  /** The last rejection that was reported, by the peer's IP address. */
+  private final Map<String, String> reportedRejections = new HashMap<>();
+
   private final Listener listener;
-  private final String ofGroup;
   private final ControlMessages.Hello hello;
-  private final Channel listening;
+  private final Channel listeningChannel;
 
   /**
-   * Links of a member.
+   * Listens, if an address is given.
    *
-   * @param name its own, empty for one that only asks
-   * @param listen where it listens, null for nowhere
-   * @param advertised where others find it, as text; empty for nowhere
-   * @throws IOException if it can not listen there
+   * @param group the name of the group
+   * @param name the member's own, empty for a client
+   * @param listenAddress null for a client
+   * @param advertisedAddress where others find it, as IP:PORT; empty for nowhere
+   * @throws IOException if it can't listen at the address
    */
   public MemberTransport(
-      String ofGroup, String name, InetSocketAddress listen, String advertised, Listener listener)
+      String group,
+      String name,
+      InetSocketAddress listenAddress,
+      String advertisedAddress,
+      Listener listener)
       throws IOException {
-    this.ofGroup = ofGroup;
     this.listener = listener;
-    hello = new ControlMessages.Hello(ofGroup, name, advertised);
-    group =
+    hello = new ControlMessages.Hello(group, name, advertisedAddress);
+    loops =
         new MultiThreadIoEventLoopGroup(
-            1, new DefaultThreadFactory("links", true), NioIoHandler.newFactory());
-    loop = group.next();
-    listening =
-        listen == null
+            1, new DefaultThreadFactory("member-transport", true), NioIoHandler.newFactory());
+    loop = loops.next();
+    listeningChannel =
+        listenAddress == null
             ? null
-            : BoundedListener.at(
-                group,
-                listen,
+            : BoundedListener.listen(
+                loops,
+                listenAddress,
                 "the group",
-                MOST_CONNECTIONS,
-                made -> made.pipeline().addLast(new Frame.Decoder(), new Incoming()));
+                MAX_CONNECTIONS,
+                accepted -> accepted.pipeline().addLast(new FrameDecoder(), new InboundHandler()));
   }
 
-  /** Where it listens, null for nowhere. */
+  /** Where it listens, null for a client. */
   public InetSocketAddress address() {
-    return listening == null ? null : (InetSocketAddress) listening.localAddress();
+    return listeningChannel == null ? null : (InetSocketAddress) listeningChannel.localAddress();
   }
 
-  /** That member is to be found there, from now on. */
+  /** A member is at this address from now on. */
   public void setAddress(String member, InetSocketAddress address) {
-    loop.execute(() -> peer(member, address));
+    loop.execute(() -> setPeerAddress(member, address));
   }
 
-  private void peer(String member, InetSocketAddress address) {
+  private void setPeerAddress(String member, InetSocketAddress address) {
     if (!member.isEmpty() && !member.equals(hello.name())) {
-      peers.computeIfAbsent(member, name -> new PeerConnection(loop, address, hello)).at(address);
+      peers
+          .computeIfAbsent(member, name -> new PeerConnection(loop, address, hello))
+          .setAddress(address);
     }
   }
 
-  /** Sends a message to a member; it may be lost. */
+  /** Sends a Raft message; it may be lost. */
   public void send(String member, byte[] message) {
     loop.execute(
         () -> {
           PeerConnection peer = peers.get(member);
           if (peer != null) {
-            peer.send(new Frame(Frame.Kind.AGREE, message));
+            peer.send(new Frame(Frame.Kind.RAFT, message));
           }
         });
   }
 
-  /** Asks a member; fails where it can't be asked, or does not answer in that time. */
-  public CompletableFuture<byte[]> request(String member, String what, byte[] body, long millis) {
-    CompletableFuture<byte[]> answer = new CompletableFuture<>();
+  /**
+   * Sends a request.
+   *
+   * @param timeoutMillis for the response
+   * @return the response's body; fails with {@link RequestRejectedException} or {@link
+   *     PeerUnavailableException}
+   */
+  public CompletableFuture<byte[]> request(
+      String member, String method, byte[] body, long timeoutMillis) {
+    CompletableFuture<byte[]> response = new CompletableFuture<>();
     loop.execute(
         () -> {
           PeerConnection peer = peers.get(member);
           if (peer == null) {
-            answer.completeExceptionally(new IOException("nobody knows where " + member + " is"));
+            response.completeExceptionally(
+                new PeerUnavailableException("nobody knows where " + member + " is"));
             return;
           }
-          peer.ask(what, body, millis)
+          peer.request(method, body, timeoutMillis)
               .whenComplete(
-                  (done, cause) -> {
-                    if (cause == null) {
-                      answer.complete(done);
+                  (result, failure) -> {
+                    if (failure == null) {
+                      response.complete(result);
                     } else {
-                      answer.completeExceptionally(cause);
+                      response.completeExceptionally(failure);
                     }
                   });
         });
-    return answer;
+    return response;
   }
 
-  /** Tells of the same trouble of the same peer once, until it is another. */
-  private void complain(String peer, String what) {
-    if (told.size() < MOST_CONNECTIONS && !what.equals(told.put(peer, what))) {
-      listener.diagnostic("a peer at " + peer + " is turned down: " + what);
+  /** Reports a rejected peer, unless the same was reported of it last. */
+  private void reportRejection(String peer, String reason) {
+    if (reportedRejections.size() < MAX_CONNECTIONS
+        && !reason.equals(reportedRejections.put(peer, reason))) {
+      listener.diagnostic("a peer at " + peer + " is turned down: " + reason);
     }
   }
 
-  /** One that speaks to this member. */
-  private final class Incoming extends SimpleChannelInboundHandler<Frame> {
-    private boolean known;
+  /** One accepted connection. */
+  private final class InboundHandler extends SimpleChannelInboundHandler<Frame> {
+    private boolean hasShakenHands;
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       ctx.executor()
           .schedule(
               () -> {
-                if (!known) {
+                if (!hasShakenHands) {
                   ctx.close();
                 }
               },
-              HELLO_MILLIS,
+              HANDSHAKE_TIMEOUT_MILLIS,
               TimeUnit.MILLISECONDS);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Frame frame) throws IOException {
-      if (!known) {
-        greet(frame);
+      if (!hasShakenHands) {
+        shakeHands(frame);
         return;
       }
       switch (frame.kind()) {
-        case AGREE -> listener.raftMessage(frame.body());
-        case ASK -> answer(ctx, ControlMessages.Said.of(frame.body()));
-        default -> throw new IOException("a frame of kind " + frame.kind() + " out of place");
+        case RAFT -> listener.raftMessageReceived(frame.body());
+        case REQUEST -> respond(ctx, ControlMessages.Request.decode(frame.body()));
+        default ->
+            throw new UnexpectedMessageException(frame.kind(), Frame.Kind.RAFT, Frame.Kind.REQUEST);
       }
     }
 
-    private void greet(Frame frame) throws IOException {
+    private void shakeHands(Frame frame) throws IOException {
       if (frame.kind() != Frame.Kind.HELLO) {
-        throw new IOException("speaks before it says who it is");
+        throw new UnexpectedMessageException(frame.kind(), Frame.Kind.HELLO);
       }
-      ControlMessages.Hello theirs = ControlMessages.Hello.of(frame.body());
-      if (!theirs.group().equals(ofGroup)) {
-        throw new IOException(
-            "it is of group '%s', and this is '%s'".formatted(theirs.group(), ofGroup));
+      ControlMessages.Hello theirs = ControlMessages.Hello.decode(frame.body());
+      if (!theirs.group().equals(hello.group())) {
+        throw new HandshakeRejectedException(
+            "it is of group '%s', and this is '%s'".formatted(theirs.group(), hello.group()));
       }
-      known = true;
+      hasShakenHands = true;
       if (!theirs.address().isEmpty()) {
         try {
-          peer(theirs.name(), MemberList.parseAddress(theirs.address()));
+          setPeerAddress(theirs.name(), MemberList.parseAddress(theirs.address()));
         } catch (FormatException e) {
-          throw new IOException(e.getMessage());
+          throw new HandshakeRejectedException(e.getMessage());
         }
       }
     }
 
-    private void answer(ChannelHandlerContext ctx, ControlMessages.Said question) {
+    private void respond(ChannelHandlerContext ctx, ControlMessages.Request request) {
       listener
-          .request(question.what(), question.body())
+          .requestReceived(request.method(), request.body())
           .whenComplete(
-              (body, cause) -> {
-                ControlMessages.Said said =
-                    cause == null
-                        ? new ControlMessages.Said(question.number(), "", body)
-                        : new ControlMessages.Said(question.number(), why(cause), new byte[0]);
+              (body, failure) -> {
+                ControlMessages.Response response =
+                    failure == null
+                        ? new ControlMessages.Response(request.id(), "", body)
+                        : new ControlMessages.Response(request.id(), errorOf(failure), new byte[0]);
                 ctx.executor()
                     .execute(
                         () ->
                             ctx.writeAndFlush(
-                                new Frame(Frame.Kind.ANSWER, said.bytes()).write(ctx.alloc())));
+                                new Frame(Frame.Kind.RESPONSE, response.encode())
+                                    .encode(ctx.alloc())));
               });
     }
 
-    private static String why(Throwable cause) {
-      Throwable root = cause instanceof CompletionException ? cause.getCause() : cause;
+    /** What is sent for a failure; never empty, which would be a success. */
+    private static String errorOf(Throwable failure) {
+      Throwable root = failure instanceof CompletionException ? failure.getCause() : failure;
       String message = root.getMessage();
       return message == null || message.isEmpty() ? root.getClass().getSimpleName() : message;
     }
@@ -211,16 +237,17 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       Throwable root = cause.getCause() == null ? cause : cause.getCause();
-      complain(
+      reportRejection(
           ((InetSocketAddress) ctx.channel().remoteAddress()).getAddress().getHostAddress(),
           String.valueOf(root.getMessage()));
       ctx.close();
     }
   }
 
+  /** Closes all connections. Blocks until the event loop has ended, 1 s at most. */
   @Override
   public void close() {
     loop.execute(() -> peers.values().forEach(PeerConnection::close));
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+    loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 }
--- a/cluster/src/main/java/shalepaddle/transport/PeerConnection.java
+++ b/cluster/src/main/java/shalepaddle/transport/PeerConnection.java
@@ -18,35 +18,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one connection to another member on which this one speaks. It is opened when there is
- * something to say, and again, later each time, where it broke; what is said meanwhile is lost, as
- * any message may be. All on one event loop.
+ * The connection on which a member sends to one other member. It is opened when there is something
+ * to send, and after a failure again with exponential backoff; what is sent meanwhile is lost, as
+ * any message may be. Owned by one event loop.
  */
 final class PeerConnection {
-  private static final int CONNECT_MILLIS = 1000;
-  private static final long FIRST_WAIT_MILLIS = 20;
-  private static final long MOST_WAIT_MILLIS = 500;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+  private static final long INITIAL_BACKOFF_MILLIS = 20;
+  private static final long MAX_BACKOFF_MILLIS = 500;
 
-  /** Bytes that wait to go out; what comes beyond is lost. */
-  private static final int MOST_WAITING = 8 << 20;
+  /** Bytes that wait to be sent at most; messages beyond them are lost. */
+  private static final int MAX_PENDING_BYTES = 8 << 20;
 
-  /** A connection that takes nothing for so long is given up. */
-  private static final long STALLED_NANOS = 2_000_000_000L;
+  /** A connection that accepts no bytes for so long is closed. */
+  private static final long STALL_TIMEOUT_NANOS = 2_000_000_000L;
 
-  /** Questions that wait for their answer at most. */
-  private static final int MOST_ASKED = 1024;
+  /** Requests without a response at most. */
+  private static final int MAX_PENDING_REQUESTS = 1024;
+
+  private static final long UNBLOCKED = 0;
+  private static final long NO_BACKOFF = 0;
+
+  private enum State {
+    DISCONNECTED,
+    CONNECTING,
+    CONNECTED,
+    CLOSED
+  }
 
   private final EventLoop loop;
   private final ControlMessages.Hello hello;
-  private final Map<Long, CompletableFuture<byte[]>> asked = new HashMap<>();
+  private final Map<Long, CompletableFuture<byte[]>> pendingRequests = new HashMap<>();
   private InetSocketAddress address;
+  private State state = State.DISCONNECTED;
+
+  /** The connection, null unless {@link State#CONNECTED} or closed from there. */
   private Channel channel;
-  private boolean connecting;
-  private long wait = FIRST_WAIT_MILLIS;
-  private long notBefore;
-  private long blockedSince;
-  private long number;
-  private boolean closed;
+
+  private long backoffMillis = INITIAL_BACKOFF_MILLIS;
+  private long notBeforeNanos = NO_BACKOFF;
+  private long blockedSinceNanos = UNBLOCKED;
+  private long lastRequestId;
 
   PeerConnection(EventLoop loop, InetSocketAddress address, ControlMessages.Hello hello) {
     this.loop = loop;
@@ -54,135 +66,164 @@
     this.hello = hello;
   }
 
-  /** It is to be found there from now on. */
-  void at(InetSocketAddress now) {
-    if (!now.equals(address)) {
-      address = now;
-      notBefore = 0;
+  /** The peer is at this address from now on. */
+  void setAddress(InetSocketAddress newAddress) {
+    if (!newAddress.equals(address)) {
+      address = newAddress;
+      notBeforeNanos = NO_BACKOFF;
       if (channel != null) {
         channel.close();
       }
     }
   }
 
-  /** Sends a message if that can be done at once, and else tries to come to where it can. */
+  /** Sends a frame if the connection accepts it now; otherwise the frame is lost. */
   void send(Frame frame) {
-    if (up()) {
-      channel.writeAndFlush(frame.write(channel.alloc()), channel.voidPromise());
+    if (ensureReady()) {
+      channel.writeAndFlush(frame.encode(channel.alloc()), channel.voidPromise());
     }
   }
 
-  /** Asks, and fails at once where nobody can be asked. */
-  CompletableFuture<byte[]> ask(String what, byte[] body, long millis) {
-    CompletableFuture<byte[]> answer = new CompletableFuture<>();
-    if (!up() || asked.size() >= MOST_ASKED) {
-      answer.completeExceptionally(new IOException("no connection to " + address));
-      return answer;
+  /**
+   * Sends a request.
+   *
+   * @param timeoutMillis for the response
+   * @return the response's body; fails with {@link RequestRejectedException} or {@link
+   *     PeerUnavailableException}
+   */
+  CompletableFuture<byte[]> request(String method, byte[] body, long timeoutMillis) {
+    CompletableFuture<byte[]> response = new CompletableFuture<>();
+    if (!ensureReady() || pendingRequests.size() >= MAX_PENDING_REQUESTS) {
+      response.completeExceptionally(new PeerUnavailableException("no connection to " + address));
+      return response;
     }
-    long own = ++number;
-    asked.put(own, answer);
-    answer.whenComplete((done, cause) -> loop.execute(() -> asked.remove(own)));
+    long id = ++lastRequestId;
+    pendingRequests.put(id, response);
+    response.whenComplete((result, failure) -> loop.execute(() -> pendingRequests.remove(id)));
     loop.schedule(
-        () -> answer.completeExceptionally(new IOException("no answer from " + address)),
-        millis,
+        () ->
+            response.completeExceptionally(
+                new PeerUnavailableException("no answer from " + address)),
+        timeoutMillis,
         TimeUnit.MILLISECONDS);
-    send(new Frame(Frame.Kind.ASK, new ControlMessages.Said(own, what, body).bytes()));
-    return answer;
+    send(new Frame(Frame.Kind.REQUEST, new ControlMessages.Request(id, method, body).encode()));
+    return response;
   }
 
-  private boolean up() {
-    if (closed) {
-      return false;
-    }
+  /** Whether a frame can be sent now; starts to connect where that is due. */
+  private boolean ensureReady() {
     long now = System.nanoTime();
-    if (channel != null && channel.isActive()) {
-      if (channel.isWritable()) {
-        blockedSince = 0;
-        return true;
+    switch (state) {
+      case CONNECTED -> {
+        return channel.isActive() && hasBufferSpace(now);
       }
-      // Nothing is read at the other end, or nothing comes through.
-      blockedSince = blockedSince == 0 ? now : blockedSince;
-      if (now - blockedSince > STALLED_NANOS) {
-        channel.close();
+      case DISCONNECTED -> {
+        if (notBeforeNanos == NO_BACKOFF || now - notBeforeNanos >= 0) {
+          connect();
+        }
+        return false;
+      }
+      default -> {
+        return false;
       }
-      return false;
     }
-    if (!connecting && (notBefore == 0 || now - notBefore >= 0)) {
-      connect();
+  }
+
+  /** Whether the connection accepts bytes; closes one that has not for long. */
+  private boolean hasBufferSpace(long now) {
+    if (channel.isWritable()) {
+      blockedSinceNanos = UNBLOCKED;
+      return true;
+    }
+    if (blockedSinceNanos == UNBLOCKED) {
+      blockedSinceNanos = now;
+    }
+    if (now - blockedSinceNanos > STALL_TIMEOUT_NANOS) {
+      channel.close();
     }
-    return channel != null && channel.isActive();
+    return false;
   }
 
   private void connect() {
-    connecting = true;
-    ChannelFuture opened =
+    state = State.CONNECTING;
+    ChannelFuture connecting =
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .option(
                 ChannelOption.WRITE_BUFFER_WATER_MARK,
-                new WriteBufferWaterMark(MOST_WAITING / 2, MOST_WAITING))
+                new WriteBufferWaterMark(MAX_PENDING_BYTES / 2, MAX_PENDING_BYTES))
             .handler(
                 new ChannelInitializer<>() {
                   @Override
-                  protected void initChannel(Channel made) {
-                    made.pipeline().addLast(new Frame.Decoder(), new Answers());
+                  protected void initChannel(Channel created) {
+                    created.pipeline().addLast(new FrameDecoder(), new ResponseHandler());
                   }
                 })
             .connect(address);
-    opened.addListener(
+    connecting.addListener(
         done -> {
-          connecting = false;
-          if (!done.isSuccess() || closed) {
-            opened.channel().close();
-            later();
-            return;
+          if (!done.isSuccess() || state == State.CLOSED) {
+            connecting.channel().close();
+            disconnected();
+          } else {
+            connected(connecting.channel());
           }
-          channel = opened.channel();
-          blockedSince = 0;
-          wait = FIRST_WAIT_MILLIS;
-          channel.closeFuture().addListener(gone -> lost());
-          channel.writeAndFlush(new Frame(Frame.Kind.HELLO, hello.bytes()).write(channel.alloc()));
         });
   }
 
-  private void later() {
-    notBefore = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(wait);
-    wait = Math.min(MOST_WAIT_MILLIS, 2 * wait);
+  private void connected(Channel connected) {
+    state = State.CONNECTED;
+    channel = connected;
+    blockedSinceNanos = UNBLOCKED;
+    backoffMillis = INITIAL_BACKOFF_MILLIS;
+    connected.closeFuture().addListener(closed -> connectionLost());
+    connected.writeAndFlush(new Frame(Frame.Kind.HELLO, hello.encode()).encode(connected.alloc()));
   }
 
-  private void lost() {
+  private void connectionLost() {
     channel = null;
-    later();
-    for (CompletableFuture<byte[]> answer : Map.copyOf(asked).values()) {
-      answer.completeExceptionally(new IOException("the connection to " + address + " broke"));
+    disconnected();
+    for (CompletableFuture<byte[]> response : Map.copyOf(pendingRequests).values()) {
+      response.completeExceptionally(
+          new PeerUnavailableException("the connection to " + address + " broke"));
+    }
+  }
+
+  private void disconnected() {
+    if (state != State.CLOSED) {
+      state = State.DISCONNECTED;
     }
+    notBeforeNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(backoffMillis);
+    backoffMillis = Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
   }
 
+  /** Closes the connection for good. */
   void close() {
-    closed = true;
+    state = State.CLOSED;
     if (channel != null) {
       channel.close();
     }
   }
 
-  private final class Answers extends SimpleChannelInboundHandler<Frame> {
+  private final class ResponseHandler extends SimpleChannelInboundHandler<Frame> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Frame frame) throws IOException {
-      if (frame.kind() != Frame.Kind.ANSWER) {
-        throw new IOException("only answers come back");
+      if (frame.kind() != Frame.Kind.RESPONSE) {
+        throw new UnexpectedMessageException(frame.kind(), Frame.Kind.RESPONSE);
       }
-      ControlMessages.Said said = ControlMessages.Said.of(frame.body());
-      CompletableFuture<byte[]> answer = asked.get(said.number());
-      if (answer == null) {
+      ControlMessages.Response response = ControlMessages.Response.decode(frame.body());
+      CompletableFuture<byte[]> pending = pendingRequests.get(response.id());
+      if (pending == null) {
+        // It came after its timeout.
         return;
       }
-      if (said.what().isEmpty()) {
-        answer.complete(said.body());
+      if (response.isError()) {
+        pending.completeExceptionally(new RequestRejectedException(response.error()));
       } else {
-        answer.completeExceptionally(new HandshakeRejectedException(said.what()));
+        pending.complete(response.body());
       }
     }
 
--- a/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
+++ b/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
@@ -29,24 +29,25 @@
 import shalepaddle.replicatedstate.ReplicatedState;
 import shalepaddle.replicatedstate.StateCommand;
 
-/** A port of the feed and those who follow it, over loopback. */
+/** A server of the change feed and its clients, over loopback. */
 @Timeout(30)
 class ChangeFeedClientTest {
-  private static final InetSocketAddress ANY =
+  private static final InetSocketAddress ANY_PORT =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
-  private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor();
+  private final ScheduledExecutorService memberThread =
+      Executors.newSingleThreadScheduledExecutor();
   private final MultiThreadIoEventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = loops.next();
-  private final List<AutoCloseable> open = new ArrayList<>();
-  private final LinkedBlockingQueue<String> portLines = new LinkedBlockingQueue<>();
+  private final List<AutoCloseable> closeables = new ArrayList<>();
+  private final LinkedBlockingQueue<String> serverLog = new LinkedBlockingQueue<>();
   private final ReplicatedState state = new ReplicatedState();
 
-  /** What the member's snapshot has in it, null for its state. */
-  private byte[] image;
+  /** The bytes of the member's snapshots, null for those of its state. */
+  private byte[] snapshotOverride;
 
-  private final MemberExecutor turns =
+  private final MemberExecutor executor =
       new MemberExecutor() {
         @Override
         public void execute(Runnable task) {
@@ -55,8 +56,8 @@
 
         @Override
         public void schedule(long nanos, Runnable task) {
-          if (!thread.isShutdown()) {
-            thread.schedule(task, nanos, TimeUnit.NANOSECONDS);
+          if (!memberThread.isShutdown()) {
+            memberThread.schedule(task, nanos, TimeUnit.NANOSECONDS);
           }
         }
 
@@ -67,141 +68,147 @@
       };
 
   @AfterEach
-  void end() throws Exception {
-    for (AutoCloseable one : open) {
+  void closeAll() throws Exception {
+    for (AutoCloseable one : closeables) {
       one.close();
     }
-    thread.shutdownNow();
+    memberThread.shutdownNow();
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private ChangeFeedServer port() throws Exception {
-    ChangeFeedServer port =
-        new ChangeFeedServer("birds", ANY, turns, this::snapshot, portLines::add);
-    open.add(port);
-    thread.submit(() -> port.setLeaderKnown(true)).get();
-    return port;
+  private ChangeFeedServer startServer() throws Exception {
+    ChangeFeedServer server =
+        new ChangeFeedServer("birds", ANY_PORT, executor, this::snapshot, serverLog::add);
+    closeables.add(server);
+    memberThread.submit(() -> server.setLeaderKnown(true)).get();
+    return server;
   }
 
   private PublisherMessage.Snapshot snapshot() {
     return new PublisherMessage.Snapshot(
         state.index(),
-        image == null ? ReplicatedStateCodec.encodeSnapshot(state.snapshot()) : image);
+        snapshotOverride == null
+            ? ReplicatedStateCodec.encodeSnapshot(state.snapshot())
+            : snapshotOverride);
   }
 
-  /** The member applies an entry. */
-  private void applies(ChangeFeedServer port, long index, StateCommand entry) throws Exception {
-    Proposal proposal = new Proposal("id" + index, 1, entry);
+  /** The member applies an entry, on its thread. */
+  private void applyEntry(ChangeFeedServer server, long index, StateCommand command)
+      throws Exception {
+    Proposal proposal = new Proposal("id" + index, 1, command);
     byte[] body = ReplicatedStateCodec.encodeProposal(proposal);
-    thread
+    memberThread
         .submit(
             () -> {
               state.apply(index, proposal);
-              port.entryApplied(index, body);
+              server.entryApplied(index, body);
             })
         .get();
   }
 
-  /** What a follower tells, in order. */
-  private LinkedBlockingQueue<String> follow(String group, ChangeFeedServer port) {
-    LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
+  /** What a client notifies its listener of, in order. */
+  private LinkedBlockingQueue<String> subscribe(String group, ChangeFeedServer server) {
+    LinkedBlockingQueue<String> notifications = new LinkedBlockingQueue<>();
     ChangeFeedClient.Listener listener =
         new ChangeFeedClient.Listener() {
           @Override
-          public void entryApplied(long index, Proposal proposal, CommandResult answer) {
-            told.add(index + " " + answer.outcome().wireName());
+          public void entryApplied(long index, Proposal proposal, CommandResult result) {
+            notifications.add(index + " " + result.outcome().wireName());
           }
 
           @Override
-          public void snapshotInstalled(ReplicatedState.Snapshot read) {
-            told.add("restored to " + read.index() + " " + read.excludedServers());
+          public void snapshotInstalled(ReplicatedState.Snapshot snapshot) {
+            notifications.add("restored to " + snapshot.index() + " " + snapshot.excludedServers());
           }
 
           @Override
-          public void contactChanged(boolean in) {
-            told.add(in ? "in contact" : "out of contact");
+          public void contactChanged(boolean isInContact) {
+            notifications.add(isInContact ? "in contact" : "out of contact");
           }
 
           @Override
-          public void diagnostic(String text) {
-            told.add(text);
+          public void diagnostic(String line) {
+            notifications.add(line);
           }
         };
-    open.add(new ChangeFeedClient(loop, group, "n1", List.of(port.address()), 1, listener));
-    return told;
+    closeables.add(new ChangeFeedClient(loop, group, "n1", List.of(server.address()), 1, listener));
+    return notifications;
   }
 
-  private static String next(LinkedBlockingQueue<String> told) throws InterruptedException {
-    String line = told.poll(20, TimeUnit.SECONDS);
-    assertNotNull(line, "nothing more is told");
+  private static String nextNotification(LinkedBlockingQueue<String> notifications)
+      throws InterruptedException {
+    String line = notifications.poll(20, TimeUnit.SECONDS);
+    assertNotNull(line, "no further notification");
     return line;
   }
 
   @Test
-  void entriesComeInOrderAlsoOnesOfAKindThatIsNotKnown() throws Exception {
-    ChangeFeedServer port = port();
-    applies(port, 3, new StateCommand.SetExclusion("s-1", true));
-    LinkedBlockingQueue<String> told = follow("birds", port);
-    assertEquals("3 HELD", next(told));
-    assertEquals("in contact", next(told));
-    applies(port, 5, new StateCommand.Unknown(77));
-    applies(port, 6, new StateCommand.SetExclusion("s-2", true));
-    assertEquals("5 NOT_KNOWN", next(told));
-    assertEquals("6 HELD", next(told));
+  void appliesEntriesInOrderWithUnknownCommands() throws Exception {
+    ChangeFeedServer server = startServer();
+    applyEntry(server, 3, new StateCommand.SetExclusion("s-1", true));
+    LinkedBlockingQueue<String> notifications = subscribe("birds", server);
+    assertEquals("3 HELD", nextNotification(notifications));
+    assertEquals("in contact", nextNotification(notifications));
+    applyEntry(server, 5, new StateCommand.Unknown(77));
+    applyEntry(server, 6, new StateCommand.SetExclusion("s-2", true));
+    assertEquals("5 NOT_KNOWN", nextNotification(notifications));
+    assertEquals("6 HELD", nextNotification(notifications));
   }
 
   @Test
-  void anotherGroupIsTurnedDownInWordsAndChangesNothing() throws Exception {
-    ChangeFeedServer port = port();
-    applies(port, 3, new StateCommand.SetExclusion("s-1", true));
-    LinkedBlockingQueue<String> told = follow("fish", port);
-    assertTrue(next(told).endsWith("it follows group 'fish', and this is 'birds'"));
-    assertTrue(next(told).endsWith("it follows group 'fish', and this is 'birds'"));
+  void rejectsSubscriberOfAnotherGroup() throws Exception {
+    ChangeFeedServer server = startServer();
+    applyEntry(server, 3, new StateCommand.SetExclusion("s-1", true));
+    LinkedBlockingQueue<String> notifications = subscribe("fish", server);
+    assertTrue(
+        nextNotification(notifications).endsWith("it follows group 'fish', and this is 'birds'"));
+    assertTrue(
+        nextNotification(notifications).endsWith("it follows group 'fish', and this is 'birds'"));
   }
 
   @Test
-  void whoComesAfterASnapshotIsGivenTheState() throws Exception {
-    ChangeFeedServer port = port();
+  void sendsSnapshotToSubscriberThatLacksEntries() throws Exception {
+    ChangeFeedServer server = startServer();
     state.apply(9, new Proposal("id9", 1, new StateCommand.SetExclusion("s-9", true)));
-    thread.submit(() -> port.snapshotInstalled(9)).get();
-    assertEquals("restored to 9 [s-9]", next(follow("birds", port)));
+    memberThread.submit(() -> server.snapshotInstalled(9)).get();
+    assertEquals("restored to 9 [s-9]", nextNotification(subscribe("birds", server)));
   }
 
   @Test
-  void aStateThatCanNotBeReadIsNotTaken() throws Exception {
-    ChangeFeedServer port = port();
+  void ignoresUnreadableSnapshot() throws Exception {
+    ChangeFeedServer server = startServer();
     state.apply(9, new Proposal("id9", 1, new StateCommand.SetExclusion("s-9", true)));
-    image = new byte[] {1, 2, 3};
-    thread.submit(() -> port.snapshotInstalled(9)).get();
-    LinkedBlockingQueue<String> told = follow("birds", port);
-    assertTrue(next(told).startsWith("the state up to 9 can't be read"));
-    image = null;
-    String line = next(told);
+    snapshotOverride = new byte[] {1, 2, 3};
+    memberThread.submit(() -> server.snapshotInstalled(9)).get();
+    LinkedBlockingQueue<String> notifications = subscribe("birds", server);
+    assertTrue(nextNotification(notifications).startsWith("the state up to 9 can't be read"));
+    snapshotOverride = null;
+    String line = nextNotification(notifications);
     while (line.startsWith("the state up to 9")) {
-      line = next(told);
+      line = nextNotification(notifications);
     }
     assertEquals("restored to 9 [s-9]", line);
   }
 
   @Test
-  void bytesThatAreNoFollowersAreClosedAndHarmNobody() throws Exception {
-    ChangeFeedServer port = port();
-    LinkedBlockingQueue<String> told = follow("birds", port);
-    assertEquals("in contact", next(told));
+  void closesConnectionWithForeignBytes() throws Exception {
+    ChangeFeedServer server = startServer();
+    LinkedBlockingQueue<String> notifications = subscribe("birds", server);
+    assertEquals("in contact", nextNotification(notifications));
     try (Socket stranger = new Socket()) {
-      stranger.connect(port.address());
+      stranger.connect(server.address());
       stranger.setSoTimeout(20_000);
       stranger
           .getOutputStream()
           .write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-      assertEquals(-1, readOrEnd(stranger));
+      assertEquals(-1, readOrEndOfStream(stranger));
     }
-    assertTrue(next(portLines).contains("these are no members' bytes"));
-    applies(port, 3, new StateCommand.SetExclusion("s-1", true));
-    assertEquals("3 HELD", next(told));
+    assertTrue(nextNotification(serverLog).contains("these are no members' bytes"));
+    applyEntry(server, 3, new StateCommand.SetExclusion("s-1", true));
+    assertEquals("3 HELD", nextNotification(notifications));
   }
 
-  private static int readOrEnd(Socket socket) {
+  private static int readOrEndOfStream(Socket socket) {
     try {
       return socket.getInputStream().read();
     } catch (IOException e) {
@@ -210,16 +217,17 @@
   }
 
   @Test
-  void aMemberThatKnowsNobodyThatLeadsServesNobody() throws Exception {
-    ChangeFeedServer port =
-        new ChangeFeedServer("birds", ANY, turns, this::snapshot, portLines::add);
-    open.add(port);
-    LinkedBlockingQueue<String> told = follow("birds", port);
-    assertTrue(next(told).endsWith("this member knows nobody who leads its group"));
-    thread.submit(() -> port.setLeaderKnown(true)).get();
-    String line = next(told);
+  void rejectsSubscribersWithoutKnownLeader() throws Exception {
+    ChangeFeedServer server =
+        new ChangeFeedServer("birds", ANY_PORT, executor, this::snapshot, serverLog::add);
+    closeables.add(server);
+    LinkedBlockingQueue<String> notifications = subscribe("birds", server);
+    assertTrue(
+        nextNotification(notifications).endsWith("this member knows nobody who leads its group"));
+    memberThread.submit(() -> server.setLeaderKnown(true)).get();
+    String line = nextNotification(notifications);
     while (line.endsWith("this member knows nobody who leads its group")) {
-      line = next(told);
+      line = nextNotification(notifications);
     }
     assertEquals("in contact", line);
   }
