--- a/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
@@ -1,6 +1,7 @@
 package shalepaddle.hotrestart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,6 +10,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Iterator;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -26,7 +28,8 @@
     return new Observation(
         1_764_000_000.125,
         new Request("", key, "read", null, 1.5, 0.002, 100, true, false),
-        new Outcome("", 0, Long.MIN_VALUE, result, 0.25, 0.01, true, Outcome.Note.MISS, load));
+        new Outcome(
+            "", 0, Long.MIN_VALUE, result, 0.25, 0.01, true, Outcome.CacheStatus.MISS, load));
   }
 
   private static List<Observation> some() {
@@ -67,6 +70,31 @@
         some().subList(1, 2), ObservationFormat.read(golden.getBytes(StandardCharsets.UTF_8)));
   }
 
+  @Test
+  void resultsKeepTheirStoredNames() throws Exception {
+    Iterator<String> names =
+        List.of(
+                "OK",
+                "ERROR",
+                "FULL",
+                "TIMEOUT",
+                "CONNECT_FAILED",
+                "RESET",
+                "CANCELLED",
+                "MOOT",
+                "NO_PLACE",
+                "NOT_STORED",
+                "SPOILT")
+            .iterator();
+    for (Outcome.Result result : Outcome.Result.values()) {
+      byte[] bytes = ObservationFormat.write(List.of(seen("k", result, null)));
+      String stored = "\"" + names.next() + "\",\"MISS\"";
+      assertTrue(new String(bytes, StandardCharsets.UTF_8).contains(stored), stored);
+      assertEquals(result, ObservationFormat.read(bytes).get(0).outcome().result());
+    }
+    assertFalse(names.hasNext());
+  }
+
   @Test
   void whatALaterVersionAddsAtTheEndIsPassedOver() throws Exception {
     byte[] more =
