--- a/core/src/main/java/shalepaddle/changefeed/ChangeEntry.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeEntry.java
@@ -1,11 +1,11 @@
 package shalepaddle.changefeed;
 
 /**
- * An entry of the agreed log, as it goes to the nodes. What is in it is not looked at here, so that
- * one of a kind that a later version made goes its way like any other.
+ * A committed entry of the log, as it is sent to nodes. Its body is opaque here, so that commands
+ * of later versions are passed on like any other.
  *
- * @param index its place in the log; not every place has an entry
- * @param body what it says
+ * @param index its index in the log; some indexes have no entry for nodes
+ * @param body its bytes
  */
 // Never compared; a copy for each subscriber would cost more.
 @SuppressWarnings("ArrayRecordComponent")
--- a/core/src/main/java/shalepaddle/changefeed/ChangeFeedPublisher.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedPublisher.java
@@ -1,42 +1,39 @@
 package shalepaddle.changefeed;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 
 /**
- * What one member sends to the nodes that follow it.
+ * Decides what a member sends to the subscribers of the change feed.
  *
- * <p>A follower is a place in the log, and what is on its way to it: nothing is stored for it. One
- * that is slow or has stopped is sent no more than {@link Limits#windowBytes} ahead of what it has
- * taken, holds up nobody, and gets a snapshot once the entries that it lacks are not kept any more.
+ * <p>A subscriber is an index in the log and what is in flight to it; nothing is stored for it. One
+ * that is slow or has stopped is sent at most {@link Limits#windowBytes} without an
+ * acknowledgement, delays nobody, and gets a snapshot once the entries that it lacks are not
+ * retained any more.
  *
- * <p>Not thread-safe: it belongs to whoever applies the log.
+ * <p>Not thread-safe: owned by the thread that applies the log. Times are monotonic nanoseconds.
  */
 public final class ChangeFeedPublisher {
-  /** Bytes of entries that go in one message, but for a single larger one. */
-  private static final int BATCH_BYTES = 16 << 10;
+  /** Bytes of entries in one message, unless a single entry is larger. */
+  private static final int MAX_BATCH_BYTES = 16 << 10;
 
-  /** Bytes that an entry takes beside its body, in memory and on its way. */
-  private static final int ENTRY_BYTES = 16;
+  /** Subscribers of which the last rejected entry is remembered. */
+  private static final int MAX_REJECTIONS = 1024;
 
-  /** Followers that are kept in mind for what they found wrong. */
-  private static final int MOST_WRONG = 1024;
+  private static final String NO_LEADER = "this member knows nobody who leads its group";
 
   /**
-   * What bounds a publisher.
+   * The limits and timeouts of a publisher.
    *
-   * @param maxSubscribers connections that are served
-   * @param maxRetainedBytes of entries that are kept for those that come back
-   * @param windowBytes that may be on their way to one follower
-   * @param heartbeatNanos after which a follower that was told nothing is told so
-   * @param ackTimeoutNanos after which one that has not taken what it was sent is dropped
-   * @param leaderLossTimeoutNanos without a leader in sight, after which nobody is told that
-   *     nothing is new
+   * @param maxSubscribers that are served at once
+   * @param maxRetainedBytes of entries for subscribers that reconnect
+   * @param windowBytes in flight to one subscriber, beyond which nothing more is sent to it
+   * @param heartbeatNanos after which a subscriber that was sent nothing gets a heartbeat
+   * @param ackTimeoutNanos after which a subscriber that does not acknowledge is disconnected
+   * @param leaderLossTimeoutNanos without a known leader, after which subscribers are rejected; an
+   *     election takes less
    */
   public record Limits(
       int maxSubscribers,
@@ -45,231 +42,183 @@
       long heartbeatNanos,
       long ackTimeoutNanos,
       long leaderLossTimeoutNanos) {
-    /** Those for a fleet of the size that is coming, and twice that. */
+    /** For twice the nodes that docs/CAPACITY.md plans for. */
     public static final Limits DEFAULT =
         new Limits(1024, 8L << 20, 256 << 10, 250_000_000L, 5_000_000_000L, 2_500_000_000L);
   }
 
-  /** Carries out what is decided. */
+  /** Carries out what a publisher decides. */
   public interface Output {
-    /** Tells a follower; in the order of the calls, or not at all once it is dropped. */
-    void send(long connection, PublisherMessage told);
+    /** Sends a message to a subscriber, in the order of the calls. */
+    void send(long connection, PublisherMessage message);
 
-    /** Closes a follower's connection, once what it was told has gone out. */
+    /** Closes a subscriber's connection once everything was sent. */
     void close(long connection);
 
-    /** The whole state, as of the last entry that is in it. */
+    /** The member's state, with the last log index that is applied in it. */
     PublisherMessage.Snapshot snapshot();
   }
 
-  /** What has been sent and is not known to be taken. */
-  private record OnItsWay(long index, int bytes) {}
-
-  private static final class Session {
-    private final String name;
-    private final ArrayDeque<OnItsWay> out = new ArrayDeque<>();
-    private long sent;
-    private int outBytes;
-    private long toldAt;
-    private long takenAt;
-
-    Session(String name, long index, long now) {
-      this.name = name;
-      this.sent = index;
-      this.toldAt = now;
-      this.takenAt = now;
-    }
-  }
-
   private final String group;
   private final Limits limits;
   private final Output output;
-  private final TreeMap<Long, ChangeEntry> kept = new TreeMap<>();
-  private final Map<Long, Session> sessions = new LinkedHashMap<>();
-  private final Map<String, SubscriberMessage.EntryRejected> lastRejections = new HashMap<>();
-  private long retainedBytes;
+  private final RetainedEntries retained;
 
-  /** All entries behind this place are kept. */
-  private long base;
+  /** By connection, in the order in which they began. */
+  private final Map<Long, SubscriberSession> sessions = new LinkedHashMap<>();
 
-  private long lastIndex;
+  private final Map<String, SubscriberMessage.EntryRejected> lastRejections = new HashMap<>();
 
-  /** Whether this member knows who leads, and since when it has not. */
-  private boolean setLeaderKnown;
+  private boolean isLeaderKnown;
 
-  private long aloneSince;
+  /** Since when no leader is known, if none is. */
+  private long leaderLostNanos;
 
-  /** A publisher of a log of which nothing is known yet; it serves once it knows who leads. */
-  public ChangeFeedPublisher(String group, long now, Limits limits, Output carrier) {
+  /**
+   * A publisher of an empty log, which rejects subscribers until it knows a leader: a member that
+   * has just started does not know what it lacks.
+   */
+  public ChangeFeedPublisher(String group, long now, Limits limits, Output output) {
     this.group = group;
-    // Whoever has just started does not know yet what it lacks.
-    this.aloneSince = now - limits.leaderLossTimeoutNanos();
+    this.leaderLostNanos = now - limits.leaderLossTimeoutNanos();
     this.limits = limits;
-    this.output = carrier;
+    this.output = output;
+    this.retained = new RetainedEntries(limits.maxRetainedBytes());
   }
 
   /**
-   * Whether this member knows who leads its group. Guards against followers of a member that is cut
-   * off from the others, which would hear that nothing is new while much is: after a while, in
-   * which an election may come to its end, they are sent on.
+   * Whether this member knows the leader of its group. A member that is cut off from the others
+   * would tell its subscribers that nothing is new, so after a time that an election may take they
+   * are rejected and go to another one.
    */
-  public void setLeaderKnown(long now, boolean known) {
-    if (setLeaderKnown && !known) {
-      aloneSince = now;
+  public void setLeaderKnown(long now, boolean isKnown) {
+    if (isLeaderKnown && !isKnown) {
+      leaderLostNanos = now;
     }
-    setLeaderKnown = known;
+    isLeaderKnown = isKnown;
   }
 
-  private boolean alone(long now) {
-    return !setLeaderKnown && now - aloneSince >= limits.leaderLossTimeoutNanos();
+  private boolean isLeaderLost(long now) {
+    return !isLeaderKnown && now - leaderLostNanos >= limits.leaderLossTimeoutNanos();
   }
 
   /**
-   * An entry was applied here.
+   * A committed entry was applied at this member.
    *
-   * @throws IllegalStateException if it is not behind the last one
+   * @throws IllegalStateException if its index is not after the last one
    */
   public void entryApplied(long now, ChangeEntry entry) {
-    if (entry.index() <= lastIndex) {
-      throw new IllegalStateException("entry " + entry.index() + " after " + lastIndex);
-    }
-    lastIndex = entry.index();
-    kept.put(lastIndex, entry);
-    retainedBytes += size(entry);
-    while (retainedBytes > limits.maxRetainedBytes()) {
-      ChangeEntry oldest = kept.pollFirstEntry().getValue();
-      retainedBytes -= size(oldest);
-      base = oldest.index();
-    }
-    // A copy: what is told may end in a follower's being dropped.
-    List.copyOf(sessions.keySet()).forEach(connection -> feed(now, connection));
+    retained.add(entry);
+    sendToAll(now);
   }
 
-  /** A snapshot took the place of all that was applied here. */
-  public void snapshotInstalled(long now, long at) {
-    if (at <= lastIndex) {
+  /** A snapshot replaced the state of all entries that were applied at this member. */
+  public void snapshotInstalled(long now, long snapshotIndex) {
+    if (snapshotIndex <= retained.lastIndex()) {
       return;
     }
-    kept.clear();
-    retainedBytes = 0;
-    base = at;
-    lastIndex = at;
-    List.copyOf(sessions.keySet()).forEach(connection -> feed(now, connection));
+    retained.reset(snapshotIndex);
+    sendToAll(now);
+  }
+
+  private void sendToAll(long now) {
+    // A copy, since sending may end with a subscriber's removal.
+    List.copyOf(sessions.keySet()).forEach(connection -> sendMissing(now, connection));
   }
 
-  /** A follower has said something on this connection. */
-  public void received(long now, long connection, SubscriberMessage said) {
-    Session session = sessions.get(connection);
-    if (said instanceof SubscriberMessage.Hello hello) {
+  /** A message came from a subscriber. */
+  public void received(long now, long connection, SubscriberMessage message) {
+    SubscriberSession session = sessions.get(connection);
+    if (message instanceof SubscriberMessage.Hello hello) {
       if (session != null) {
-        turnDown(connection, "a second hello");
+        reject(connection, "a second hello");
       } else {
-        hello(now, connection, hello);
+        greeted(now, connection, hello);
       }
     } else if (session == null) {
-      turnDown(connection, "speaks before it says who it is");
-    } else if (said instanceof SubscriberMessage.Acknowledgement taken) {
-      taken(now, connection, session, taken.index());
-    } else if (said instanceof SubscriberMessage.EntryRejected found
-        && (lastRejections.size() < MOST_WRONG || lastRejections.containsKey(session.name))) {
-      lastRejections.put(session.name, found);
+      reject(connection, "speaks before it says who it is");
+    } else if (message instanceof SubscriberMessage.Acknowledgement acknowledgement) {
+      session.acknowledged(now, acknowledgement.index());
+      sendMissing(now, connection);
+    } else if (message instanceof SubscriberMessage.EntryRejected rejected
+        && (lastRejections.size() < MAX_REJECTIONS || lastRejections.containsKey(session.name()))) {
+      lastRejections.put(session.name(), rejected);
     }
   }
 
-  private void hello(long now, long connection, SubscriberMessage.Hello hello) {
+  private void greeted(long now, long connection, SubscriberMessage.Hello hello) {
+    long lastIndex = retained.lastIndex();
     if (!hello.group().equals(group)) {
-      turnDown(
-          connection, "it follows group '%s', and this is '%s'".formatted(hello.group(), group));
+      reject(connection, "it follows group '%s', and this is '%s'".formatted(hello.group(), group));
     } else if (sessions.size() >= limits.maxSubscribers()) {
-      turnDown(connection, "as many follow this member as may");
-    } else if (alone(now)) {
-      turnDown(connection, "this member knows nobody who leads its group");
+      reject(connection, "as many follow this member as may");
+    } else if (isLeaderLost(now)) {
+      reject(connection, NO_LEADER);
     } else if (hello.index() > lastIndex) {
-      // It knows more than this member, which lags or has gone back in time: nothing older.
-      turnDown(
+      // This member lags or was restored from a backup: the subscriber must not go back.
+      reject(
           connection,
           "this member knows up to %d, less than %d".formatted(lastIndex, hello.index()));
     } else {
-      sessions.put(connection, new Session(hello.name(), hello.index(), now));
-      feed(now, connection);
+      SubscriberSession session = new SubscriberSession(hello.name(), hello.index(), now);
+      sessions.put(connection, session);
+      sendMissing(now, connection);
       if (hello.index() == lastIndex) {
-        // That it lacks nothing is news to it.
-        tell(
-            now,
-            connection,
-            sessions.get(connection),
-            new PublisherMessage.Heartbeat(lastIndex),
-            0);
+        sendHeartbeat(now, connection, session);
       }
     }
   }
 
-  private void turnDown(long connection, String why) {
-    output.send(connection, new PublisherMessage.Rejected(why));
-    drop(connection);
+  private void reject(long connection, String reason) {
+    output.send(connection, new PublisherMessage.Rejected(reason));
+    close(connection);
   }
 
-  private void drop(long connection) {
+  private void close(long connection) {
     sessions.remove(connection);
     output.close(connection);
   }
 
-  private void taken(long now, long connection, Session session, long upTo) {
-    session.takenAt = now;
-    while (!session.out.isEmpty() && session.out.peek().index <= upTo) {
-      session.outBytes -= session.out.poll().bytes;
+  /** Sends what a subscriber lacks, as far as its window allows. */
+  private void sendMissing(long now, long connection) {
+    SubscriberSession session = sessions.get(connection);
+    while (session != null
+        && session.sentIndex() < retained.lastIndex()
+        && session.inFlightBytes() < limits.windowBytes()) {
+      if (session.sentIndex() >= retained.baseIndex()) {
+        sendBatch(now, connection, session);
+      } else if (!sendSnapshot(now, connection, session)) {
+        return;
+      }
     }
-    feed(now, connection);
   }
 
-  /** Sends what a follower lacks, as far as its window allows. */
-  private void feed(long now, long connection) {
-    Session session = sessions.get(connection);
-    while (session != null && session.sent < lastIndex && session.outBytes < limits.windowBytes()) {
-      if (session.sent < base) {
-        PublisherMessage.Snapshot snapshot = output.snapshot();
-        if (snapshot.index() < base || snapshot.index() <= session.sent) {
-          // It is applying its log anew: what is behind its state is not kept either.
-          turnDown(connection, "this member is catching up");
-          return;
-        }
-        session.sent = snapshot.index();
-        tell(now, connection, session, snapshot, snapshot.state().length);
-      } else {
-        long after = session.sent;
-        List<ChangeEntry> batch = new ArrayList<>();
-        int bytes = 0;
-        for (ChangeEntry entry : kept.tailMap(after, false).values()) {
-          if (!batch.isEmpty() && bytes + size(entry) > BATCH_BYTES) {
-            break;
-          }
-          batch.add(entry);
-          bytes += size(entry);
-        }
-        session.sent = batch.get(batch.size() - 1).index();
-        tell(now, connection, session, new PublisherMessage.Entries(after, batch), bytes);
-      }
-    }
+  private void sendBatch(long now, long connection, SubscriberSession session) {
+    long previousIndex = session.sentIndex();
+    RetainedEntries.Batch batch = retained.batchAfter(previousIndex, MAX_BATCH_BYTES);
+    session.stateSent(now, batch.lastIndex(), batch.bytes());
+    output.send(connection, new PublisherMessage.Entries(previousIndex, batch.entries()));
   }
 
-  private void tell(long now, long connection, Session session, PublisherMessage told, int bytes) {
-    if (session.out.isEmpty()) {
-      // Until now it owed nothing.
-      session.takenAt = now;
-    }
-    if (bytes > 0) {
-      session.out.add(new OnItsWay(session.sent, bytes));
-      session.outBytes += bytes;
+  /** Sends the member's state; rejects the subscriber and returns false if that is too old. */
+  private boolean sendSnapshot(long now, long connection, SubscriberSession session) {
+    PublisherMessage.Snapshot snapshot = output.snapshot();
+    if (snapshot.index() < retained.baseIndex() || snapshot.index() <= session.sentIndex()) {
+      // The member is applying its log again, so that entries after its state are not retained.
+      reject(connection, "this member is catching up");
+      return false;
     }
-    session.toldAt = now;
-    output.send(connection, told);
+    session.stateSent(now, snapshot.index(), snapshot.state().length);
+    output.send(connection, snapshot);
+    return true;
   }
 
-  private static int size(ChangeEntry entry) {
-    return ENTRY_BYTES + entry.body().length;
+  private void sendHeartbeat(long now, long connection, SubscriberSession session) {
+    session.heartbeatSent(now);
+    output.send(connection, new PublisherMessage.Heartbeat(session.sentIndex()));
   }
 
-  /** A connection has ended. */
+  /** A subscriber's connection has ended. */
   public void disconnected(long connection) {
     sessions.remove(connection);
   }
@@ -277,41 +226,41 @@
   /** To be called several times in {@link Limits#heartbeatNanos}. */
   public void tick(long now) {
     for (long connection : List.copyOf(sessions.keySet())) {
-      Session session = sessions.get(connection);
+      SubscriberSession session = sessions.get(connection);
       if (session == null) {
         continue;
       }
-      if (alone(now)) {
-        turnDown(connection, "this member knows nobody who leads its group");
-      } else if (!session.out.isEmpty() && now - session.takenAt >= limits.ackTimeoutNanos()) {
-        drop(connection);
-      } else if (now - session.toldAt >= limits.heartbeatNanos()) {
-        tell(now, connection, session, new PublisherMessage.Heartbeat(session.sent), 0);
+      if (isLeaderLost(now)) {
+        reject(connection, NO_LEADER);
+      } else if (session.isAckOverdue(now, limits.ackTimeoutNanos())) {
+        close(connection);
+      } else if (session.isHeartbeatDue(now, limits.heartbeatNanos())) {
+        sendHeartbeat(now, connection, session);
       }
     }
   }
 
-  /** The last entry that was applied here. */
+  /** The last log index that was applied at this member, 0 for none. */
   public long lastIndex() {
-    return lastIndex;
+    return retained.lastIndex();
   }
 
-  /** How many follow this member. */
+  /** How many subscribers are served. */
   public int subscriberCount() {
     return sessions.size();
   }
 
-  /** Bytes of entries that are kept. */
+  /** Bytes of entries that are retained. */
   public long retainedBytes() {
-    return retainedBytes;
+    return retained.bytes();
   }
 
-  /** Bytes that are on their way to all followers. */
+  /** Bytes that are in flight to all subscribers. */
   public long inFlightBytes() {
-    return sessions.values().stream().mapToLong(session -> session.outBytes).sum();
+    return sessions.values().stream().mapToLong(SubscriberSession::inFlightBytes).sum();
   }
 
-  /** What followers found wrong last, by their names. */
+  /** The last entry that each subscriber rejected, by the subscriber's name. */
   public Map<String, SubscriberMessage.EntryRejected> lastRejections() {
     return Map.copyOf(lastRejections);
   }
--- a/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
@@ -3,26 +3,27 @@
 import java.util.SplittableRandom;
 
 /**
- * One node's part in the feed: whom it follows, what it takes, and whether it is in contact.
+ * Decides which member a node subscribes to, what it accepts, and whether it is in contact with the
+ * group.
  *
- * <p>It takes entries in the order of the log, each once, and never goes back: what it knows
- * already is passed over, and where something would be missing it asks anew from its own place. It
- * follows one member at a time; where that one breaks, falls silent or lags, the next, at a time of
- * its own, so that the many that lost the same member do not come to the next together.
+ * <p>It applies entries in the order of the log, each once, and never goes back: what it knows is
+ * skipped, and where something is missing it subscribes again from its own index. When its member's
+ * connection ends, falls silent or lacks entries, it goes to a random other one after a random
+ * backoff, so that the many nodes that lose a member are spread over the others and over time.
  *
- * <p>Not thread-safe.
+ * <p>Not thread-safe: owned by one thread. Times are monotonic nanoseconds.
  */
 public final class ChangeFeedSubscriber {
   /**
-   * How long things may take.
+   * The timeouts of a subscriber, in nanoseconds.
    *
-   * @param silenceTimeoutNanos without a word, after which the next member is tried
-   * @param connectTimeoutNanos for a connection to come up and be answered
-   * @param initialBackoffNanos before the next try at most, doubled with each that fails
-   * @param maxBackoffNanos the same at the most
-   * @param ackIntervalNanos between two words on what was taken
-   * @param contactTimeoutNanos without a word, after which the node is out of contact; longer than
-   *     all others
+   * @param silenceTimeoutNanos without a message, after which another member is tried
+   * @param connectTimeoutNanos for a connection to be established and answered
+   * @param initialBackoffNanos before the next attempt at most; doubled with each that fails
+   * @param maxBackoffNanos the upper limit of that
+   * @param ackIntervalNanos between two acknowledgements
+   * @param contactTimeoutNanos without a message, after which the node is out of contact; longer
+   *     than all others
    */
   public record Timeouts(
       long silenceTimeoutNanos,
@@ -31,7 +32,7 @@
       long maxBackoffNanos,
       long ackIntervalNanos,
       long contactTimeoutNanos) {
-    /** For entries that are to be everywhere within 1.1 s, also where a member vanishes. */
+    /** For entries that reach all nodes within 1.1 s, also when a member is lost. */
     public static final Timeouts DEFAULT =
         new Timeouts(
             600_000_000L,
@@ -42,253 +43,293 @@
             2_000_000_000L);
   }
 
-  /** Carries out what is decided. */
+  /** Carries out what a subscriber decides. */
   public interface Output {
-    /** Opens a connection to the member of this number; any older one is closed. */
+    /** Opens a connection to the member of this number, and closes an older one. */
     void connect(int member);
 
-    /** Closes the connection, whatever its state. */
+    /** Closes the connection, if there is one, in any state. */
     void close();
 
-    /** Says something on the connection. */
-    void send(SubscriberMessage said);
+    /** Sends a message on the connection. */
+    void send(SubscriberMessage message);
 
-    /** An entry is in force from now on. */
+    /** Applies an entry. */
     void apply(ChangeEntry entry);
 
     /**
-     * This state takes the place of all that was in force.
+     * Replaces the state.
      *
      * @return false if it can't be read, and nothing has changed
      */
-    boolean installSnapshot(long index, byte[] image);
+    boolean installSnapshot(long index, byte[] state);
 
-    /** Whether the node is in contact has changed. */
-    void contactChanged(boolean in);
+    /** Whether the node is in contact with the group has changed. */
+    void contactChanged(boolean isInContact);
 
-    /** A member can't be followed. */
-    void rejected(int member, String why);
+    /** A member rejected the subscription. */
+    void rejected(int member, String reason);
   }
 
   private enum State {
-    /** Not connected, until {@link #due}. */
-    WAITING,
+    /** Not connected, until the deadline. */
+    BACKING_OFF,
+    /** Connecting, until the deadline. */
     CONNECTING,
-    /** Connected and greeted; nothing has come yet. */
+    /** Connected, and the hello is sent; nothing has come yet. */
     GREETED,
-    FOLLOWING
+    /** Receives messages; the deadline is that of the next one. */
+    SUBSCRIBED
   }
 
   private final String group;
   private final String name;
-  private final int members;
+  private final int memberCount;
   private final Timeouts timeouts;
   private final Output output;
   private final SplittableRandom random;
-  private State state = State.WAITING;
+  private State state = State.BACKING_OFF;
   private int member;
-  private long due;
-  private long wait;
+
+  /** When the state ends by itself. */
+  private long deadlineNanos;
+
+  private long maxNextBackoffNanos;
   private long lastIndex;
   private boolean isInContact;
-  private long heardAt;
+  private long lastMessageNanos;
 
-  /** The place up to which the member knows that all is taken, and when it is told next. */
-  private long toldTaken;
+  /** The last index that the member knows to be received. */
+  private long acknowledgedIndex;
 
-  private long takenDue;
+  private long nextAckNanos;
 
-  /** When it was last called: it asks to be, more often than the node is out of contact. */
-  private long calledAt;
+  /** When any method was last called with a time. */
+  private long lastCallNanos;
 
   /**
-   * A follower that knows nothing.
+   * A subscriber that knows nothing of the log.
    *
-   * @param name its own
-   * @param members how many can be followed
-   * @param seed for whom it follows first, and its times; another one at each node
+   * @param name the node's own
+   * @param memberCount how many members can be subscribed to
+   * @param seed for the choice of members and backoff; a different one at each node
    */
   public ChangeFeedSubscriber(
-      String group, String name, int members, long seed, long now, Timeouts pace, Output carrier) {
+      String group,
+      String name,
+      int memberCount,
+      long seed,
+      long now,
+      Timeouts timeouts,
+      Output output) {
     this.group = group;
     this.name = name;
-    this.members = members;
-    this.timeouts = pace;
-    this.output = carrier;
+    this.memberCount = memberCount;
+    this.timeouts = timeouts;
+    this.output = output;
     this.random = new SplittableRandom(seed);
-    this.member = random.nextInt(members);
-    this.wait = pace.initialBackoffNanos;
-    this.heardAt = now;
-    this.calledAt = now;
-    pause(now);
+    this.member = random.nextInt(memberCount);
+    this.maxNextBackoffNanos = timeouts.initialBackoffNanos;
+    this.lastMessageNanos = now;
+    this.lastCallNanos = now;
+    backOff(now);
   }
 
   /**
-   * Whether the node has stood still until now. Guards against what has come meanwhile and is read
-   * only now: it may be as old as that, and nothing tells. Who stood still for long asks anew, and
-   * is out of contact until it is answered.
+   * Whether the node was stalled until now. Messages that came meanwhile may be as old as the
+   * stall, and nothing shows it; so a node that was stalled for long closes its connection, and is
+   * out of contact until it is answered on a new one.
    */
-  private boolean stoodStill(long now) {
-    boolean still = now - calledAt >= timeouts.contactTimeoutNanos;
-    calledAt = now;
-    if (still && state != State.WAITING) {
-      out();
+  private boolean wasStalled(long now) {
+    boolean stalled = now - lastCallNanos >= timeouts.contactTimeoutNanos;
+    lastCallNanos = now;
+    if (stalled && state != State.BACKING_OFF) {
+      loseContact();
       output.close();
-      pause(now);
+      backOff(now);
     }
-    return still;
+    return stalled;
   }
 
-  private void out() {
+  private void loseContact() {
     if (isInContact) {
       isInContact = false;
       output.contactChanged(false);
     }
   }
 
-  private void pause(long now) {
-    state = State.WAITING;
-    due = now + random.nextLong(wait + 1);
+  private void backOff(long now) {
+    state = State.BACKING_OFF;
+    deadlineNanos = now + random.nextLong(maxNextBackoffNanos + 1);
   }
 
   /** When {@link #tick} is to be called at the latest. */
   public long nextTickNanos() {
-    long next = due;
+    long next = deadlineNanos;
     if (isInContact) {
-      next = Math.min(next, heardAt + timeouts.contactTimeoutNanos);
+      next = Math.min(next, lastMessageNanos + timeouts.contactTimeoutNanos);
     }
-    return lastIndex > toldTaken && state == State.FOLLOWING ? Math.min(next, takenDue) : next;
+    return hasUnacknowledged() ? Math.min(next, nextAckNanos) : next;
+  }
+
+  private boolean hasUnacknowledged() {
+    return state == State.SUBSCRIBED && lastIndex > acknowledgedIndex;
   }
 
   /** Time has passed. */
   public void tick(long now) {
-    stoodStill(now);
-    if (now - heardAt >= timeouts.contactTimeoutNanos) {
-      out();
+    // A stall needs nothing more here: the state is that of a new backoff.
+    wasStalled(now);
+    if (now - lastMessageNanos >= timeouts.contactTimeoutNanos) {
+      loseContact();
     }
-    if (state == State.FOLLOWING && lastIndex > toldTaken && now - takenDue >= 0) {
-      sayTaken(now);
+    if (hasUnacknowledged() && now - nextAckNanos >= 0) {
+      acknowledge(now);
     }
-    if (now - due < 0) {
+    if (now - deadlineNanos < 0) {
       return;
     }
-    if (state == State.WAITING) {
+    if (state == State.BACKING_OFF) {
       state = State.CONNECTING;
-      due = now + timeouts.connectTimeoutNanos;
+      deadlineNanos = now + timeouts.connectTimeoutNanos;
       output.connect(member);
     } else {
       output.close();
-      next(now);
+      switchMember(now);
     }
   }
 
-  /** Tries another member, after a while of its own: of those that lost one, as many each. */
-  private void next(long now) {
-    member = members == 1 ? 0 : (member + 1 + random.nextInt(members - 1)) % members;
-    pause(now);
-    wait = Math.min(timeouts.maxBackoffNanos, 2 * wait);
+  /** Goes to a random other member, after a backoff that grows until a message is accepted. */
+  private void switchMember(long now) {
+    if (memberCount == 1) {
+      member = 0;
+    } else {
+      member = (member + 1 + random.nextInt(memberCount - 1)) % memberCount;
+    }
+    backOff(now);
+    maxNextBackoffNanos = Math.min(timeouts.maxBackoffNanos, 2 * maxNextBackoffNanos);
   }
 
-  /** The connection has come up. */
+  /** The connection is established. */
   public void connected(long now) {
-    if (!stoodStill(now) && state == State.CONNECTING) {
+    if (!wasStalled(now) && state == State.CONNECTING) {
       state = State.GREETED;
-      toldTaken = lastIndex;
+      acknowledgedIndex = lastIndex;
       output.send(new SubscriberMessage.Hello(group, name, lastIndex));
     }
   }
 
-  /** The connection did not come up, or has ended. */
+  /** The connection could not be established, or has ended. */
   public void disconnected(long now) {
-    if (!stoodStill(now) && state != State.WAITING) {
-      next(now);
+    if (!wasStalled(now) && state != State.BACKING_OFF) {
+      switchMember(now);
     }
   }
 
-  /** The member that is followed has told something. */
-  public void received(long now, PublisherMessage told) {
-    if (stoodStill(now) || (state != State.GREETED && state != State.FOLLOWING)) {
+  /** A message came from the member. */
+  public void received(long now, PublisherMessage message) {
+    if (wasStalled(now) || !isConnected()) {
       return;
     }
-    if (told instanceof PublisherMessage.Rejected down) {
-      output.rejected(member, down.reason());
+    if (message instanceof PublisherMessage.Rejected rejected) {
+      output.rejected(member, rejected.reason());
       output.close();
-      next(now);
+      switchMember(now);
       return;
     }
-    state = State.FOLLOWING;
-    heardAt = now;
-    due = now + timeouts.silenceTimeoutNanos;
-    if (takes(now, told)) {
-      wait = timeouts.initialBackoffNanos;
+    state = State.SUBSCRIBED;
+    lastMessageNanos = now;
+    deadlineNanos = now + timeouts.silenceTimeoutNanos;
+    if (accept(now, message)) {
+      maxNextBackoffNanos = timeouts.initialBackoffNanos;
       if (!isInContact) {
         isInContact = true;
         output.contactChanged(true);
       }
     } else {
-      // A hole: it asks again from its own place, of whoever is next.
       output.close();
-      next(now);
+      switchMember(now);
     }
   }
 
-  /** Takes what is new; false if something between it and what is known is missing. */
-  private boolean takes(long now, PublisherMessage told) {
+  private boolean isConnected() {
+    return state == State.GREETED || state == State.SUBSCRIBED;
+  }
+
+  /**
+   * Applies what is new; false if the message shows that something is missing, or is unreadable.
+   */
+  private boolean accept(long now, PublisherMessage message) {
     long before = lastIndex;
-    if (told instanceof PublisherMessage.Snapshot snapshot) {
-      if (snapshot.index() > lastIndex) {
-        if (!output.installSnapshot(snapshot.index(), snapshot.state())) {
-          return false;
-        }
-        lastIndex = snapshot.index();
-      }
-    } else if (told instanceof PublisherMessage.Entries entries) {
-      if (entries.previousIndex() > lastIndex) {
-        return false;
-      }
-      for (ChangeEntry entry : entries.entries()) {
-        if (entry.index() > lastIndex) {
-          lastIndex = entry.index();
-          output.apply(entry);
-        }
-      }
-    } else if (told instanceof PublisherMessage.Heartbeat alive && alive.index() > lastIndex) {
+    boolean isAccepted;
+    if (message instanceof PublisherMessage.Snapshot snapshot) {
+      isAccepted = acceptSnapshot(snapshot);
+    } else if (message instanceof PublisherMessage.Entries entries) {
+      isAccepted = acceptEntries(entries);
+    } else {
+      isAccepted =
+          !(message instanceof PublisherMessage.Heartbeat heartbeat)
+              || heartbeat.index() <= lastIndex;
+    }
+    if (lastIndex > before && before == acknowledgedIndex) {
+      nextAckNanos = now + timeouts.ackIntervalNanos;
+    }
+    return isAccepted;
+  }
+
+  private boolean acceptSnapshot(PublisherMessage.Snapshot snapshot) {
+    if (snapshot.index() <= lastIndex) {
+      return true;
+    }
+    if (!output.installSnapshot(snapshot.index(), snapshot.state())) {
+      return false;
+    }
+    lastIndex = snapshot.index();
+    return true;
+  }
+
+  private boolean acceptEntries(PublisherMessage.Entries entries) {
+    if (entries.previousIndex() > lastIndex) {
       return false;
     }
-    if (lastIndex > before && before == toldTaken) {
-      takenDue = now + timeouts.ackIntervalNanos;
+    for (ChangeEntry entry : entries.entries()) {
+      if (entry.index() > lastIndex) {
+        lastIndex = entry.index();
+        output.apply(entry);
+      }
     }
     return true;
   }
 
-  private void sayTaken(long now) {
-    toldTaken = lastIndex;
-    takenDue = now + timeouts.ackIntervalNanos;
+  private void acknowledge(long now) {
+    acknowledgedIndex = lastIndex;
+    nextAckNanos = now + timeouts.ackIntervalNanos;
     output.send(new SubscriberMessage.Acknowledgement(lastIndex));
   }
 
-  /** What an entry says can't be done here: what was in force before holds. */
-  public void rejectEntry(long at, String what) {
-    if (state == State.FOLLOWING) {
-      String told =
-          what.length() > SubscriberMessage.MAX_TEXT_LENGTH
-              ? what.substring(0, SubscriberMessage.MAX_TEXT_LENGTH)
-              : what;
-      output.send(new SubscriberMessage.EntryRejected(at, told));
+  /**
+   * Reports to the member that an entry can't be applied here.
+   *
+   * @param reason for operators; cut to {@link SubscriberMessage#MAX_TEXT_LENGTH}
+   */
+  public void rejectEntry(long index, String reason) {
+    if (state == State.SUBSCRIBED) {
+      int length = Math.min(reason.length(), SubscriberMessage.MAX_TEXT_LENGTH);
+      output.send(new SubscriberMessage.EntryRejected(index, reason.substring(0, length)));
     }
   }
 
-  /** The place up to which it knows all. */
+  /** The last log index that it knows, 0 for none. */
   public long lastIndex() {
     return lastIndex;
   }
 
-  /** Whether it has heard from a member lately, and lacked nothing of what that one told. */
+  /** Whether a message came lately, and nothing was missing before it. */
   public boolean isInContact() {
     return isInContact;
   }
 
-  /** The number of the member that it follows, or tries to. */
+  /** The number of the member that it subscribes to, or will. */
   public int member() {
     return member;
   }
--- /dev/null
+++ b/core/src/main/java/shalepaddle/changefeed/RetainedEntries.java
@@ -0,0 +1,98 @@
+package shalepaddle.changefeed;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.TreeMap;
+
+/**
+ * The last entries of the log, retained for subscribers that reconnect; the oldest are evicted
+ * beyond a number of bytes. Owned by its publisher.
+ */
+final class RetainedEntries {
+  /** Bytes of an entry in addition to its body, in memory and on the wire. */
+  private static final int ENTRY_OVERHEAD_BYTES = 16;
+
+  private final long maxBytes;
+  private final TreeMap<Long, ChangeEntry> entries = new TreeMap<>();
+  private long bytes;
+  private long baseIndex;
+  private long lastIndex;
+
+  RetainedEntries(long maxBytes) {
+    this.maxBytes = maxBytes;
+  }
+
+  /**
+   * Some entries that follow each other.
+   *
+   * @param bytes with their overhead
+   */
+  record Batch(List<ChangeEntry> entries, int bytes) {
+    long lastIndex() {
+      return entries.get(entries.size() - 1).index();
+    }
+  }
+
+  /** All entries after this index are retained. */
+  long baseIndex() {
+    return baseIndex;
+  }
+
+  /** The last index of an entry or a snapshot, 0 for none. */
+  long lastIndex() {
+    return lastIndex;
+  }
+
+  /** Bytes of all retained entries, with their overhead. */
+  long bytes() {
+    return bytes;
+  }
+
+  /**
+   * Adds an entry.
+   *
+   * @throws IllegalStateException if its index is not after the last one
+   */
+  void add(ChangeEntry entry) {
+    if (entry.index() <= lastIndex) {
+      throw new IllegalStateException("entry " + entry.index() + " after " + lastIndex);
+    }
+    lastIndex = entry.index();
+    entries.put(lastIndex, entry);
+    bytes += sizeOf(entry);
+    while (bytes > maxBytes) {
+      ChangeEntry oldest = entries.pollFirstEntry().getValue();
+      bytes -= sizeOf(oldest);
+      baseIndex = oldest.index();
+    }
+  }
+
+  /** Drops all entries, for a snapshot up to this index. */
+  void reset(long snapshotIndex) {
+    entries.clear();
+    bytes = 0;
+    baseIndex = snapshotIndex;
+    lastIndex = snapshotIndex;
+  }
+
+  /**
+   * The entries after an index, of which at least one must be retained: one, and more up to a
+   * number of bytes.
+   */
+  Batch batchAfter(long index, int maxBatchBytes) {
+    List<ChangeEntry> batch = new ArrayList<>();
+    int batchBytes = 0;
+    for (ChangeEntry entry : entries.tailMap(index, false).values()) {
+      if (!batch.isEmpty() && batchBytes + sizeOf(entry) > maxBatchBytes) {
+        break;
+      }
+      batch.add(entry);
+      batchBytes += sizeOf(entry);
+    }
+    return new Batch(batch, batchBytes);
+  }
+
+  private static int sizeOf(ChangeEntry entry) {
+    return ENTRY_OVERHEAD_BYTES + entry.body().length;
+  }
+}
--- a/core/src/main/java/shalepaddle/changefeed/SubscriberMessage.java
+++ b/core/src/main/java/shalepaddle/changefeed/SubscriberMessage.java
@@ -1,31 +1,31 @@
 package shalepaddle.changefeed;
 
-/** What a follower says to the member that it follows. */
+/** A message of a subscriber to a publisher. */
 public sealed interface SubscriberMessage {
-  /** Characters of a name, and of what is wrong, at most. */
+  /** Characters of a name, or of a reason, at most. */
   int MAX_TEXT_LENGTH = 256;
 
   /**
-   * The first words on a connection.
+   * The first message on a connection.
    *
-   * @param group whose feed it wants
-   * @param name the follower's own
-   * @param index the place up to which it knows all, 0 for nothing
+   * @param group the group that it subscribes to
+   * @param name the subscriber's own
+   * @param index the last log index that it knows, 0 for none
    */
   record Hello(String group, String name, long index) implements SubscriberMessage {}
 
   /**
-   * It has taken all up to there.
+   * It has received everything up to an index.
    *
-   * @param index a place in the log
+   * @param index a log index
    */
   record Acknowledgement(long index) implements SubscriberMessage {}
 
   /**
-   * It has taken an entry and can't do what it says; what was in force before holds.
+   * It has received an entry that it can't apply, and keeps its state.
    *
-   * @param index the entry's place
-   * @param reason is wrong with it, in words
+   * @param index the entry's log index
+   * @param reason for operators
    */
   record EntryRejected(long index, String reason) implements SubscriberMessage {}
 }
--- a/core/src/main/java/shalepaddle/replicatedstate/Proposal.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/Proposal.java
@@ -1,11 +1,12 @@
 package shalepaddle.replicatedstate;
 
 /**
- * An entry, and who asks for it.
+ * A command and its idempotency key. Immutable.
  *
- * @param id the caller's own; the same id asked again gets the same answer, and no second effect
+ * @param id chosen by the caller; a repeat under the same id gets the first result and has no
+ *     second effect
  * @param proposedAtMillis when it was proposed, in milliseconds since 1970
- * @param command what is to be held
+ * @param command the change
  */
 public record Proposal(String id, long proposedAtMillis, StateCommand command) {
   /** Characters of an id at most. */
@@ -15,7 +16,7 @@
   public static final int MAX_SERVER_ID_LENGTH = 256;
 
   /**
-   * Checks what would be held for good.
+   * Checks the lengths, since a committed entry stays in the log.
    *
    * @throws IllegalArgumentException says what is wrong
    */
@@ -23,10 +24,12 @@
     if (id.isEmpty() || id.length() > MAX_ID_LENGTH) {
       throw new IllegalArgumentException("an id has 1 to " + MAX_ID_LENGTH + " characters");
     }
-    if (command instanceof StateCommand.SetExclusion say
-        && (say.serverId().isEmpty() || say.serverId().length() > MAX_SERVER_ID_LENGTH)) {
-      throw new IllegalArgumentException(
-          "a member has 1 to " + MAX_SERVER_ID_LENGTH + " characters");
+    if (command instanceof StateCommand.SetExclusion exclusion) {
+      int length = exclusion.serverId().length();
+      if (length == 0 || length > MAX_SERVER_ID_LENGTH) {
+        throw new IllegalArgumentException(
+            "a member has 1 to " + MAX_SERVER_ID_LENGTH + " characters");
+      }
     }
   }
 }
--- a/core/src/main/java/shalepaddle/replicatedstate/ReplicatedState.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/ReplicatedState.java
@@ -1,6 +1,5 @@
 package shalepaddle.replicatedstate;
 
-import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -9,50 +8,53 @@
 import java.util.TreeSet;
 
 /**
- * All that is held, after so many entries of the agreed log.
+ * The state after the applied entries of the replicated log.
  *
- * <p>The idea is that of a replicated state machine (Schneider, "Implementing Fault-Tolerant
- * Services Using the State Machine Approach", 1990) whose answers are part of the state: a caller
- * that does not know what became of its proposal asks again under the same id, at any node, and
- * gets the answer of the first time (Ongaro, "Consensus: Bridging Theory and Practice", 2014, 6.3).
- * Answers are kept for {@value #RESULT_RETENTION_MILLIS} ms of the log's own time and {@value
- * #MAX_RETAINED_RESULTS} at most, the oldest give way. The log's time is the latest that any entry
- * has brought: it never runs backwards, whatever a proposer's clock does. A clock that is hours
- * ahead makes answers give way early; a repeat is then an entry of its own, and words are
- * idempotent.
+ * <p>A replicated state machine (Schneider, "Implementing Fault-Tolerant Services Using the State
+ * Machine Approach", 1990) whose results are part of the state: a caller that does not know what
+ * became of its proposal repeats it under the same id, at any member, and gets the first result
+ * (Ongaro, "Consensus: Bridging Theory and Practice", 2014, 6.3). Results are retained for {@value
+ * #RESULT_RETENTION_MILLIS} ms of log time, {@value #MAX_RETAINED_RESULTS} at most; the oldest are
+ * evicted.
  *
- * <p>Not thread-safe: it belongs to whoever applies the log.
+ * <p>Log time is the latest time that any applied proposal brought, so it never runs backwards. A
+ * proposer whose clock is far ahead causes early eviction; a repeat is then a second entry, which
+ * for an exclusion changes nothing.
+ *
+ * <p>Not thread-safe: owned by the thread that applies the log.
  */
 public final class ReplicatedState {
-  /** Cache servers that may be left out at once. */
+  /** Cache servers that may be excluded at once. */
   public static final int MAX_EXCLUDED_SERVERS = 1024;
 
-  /** Answers that are kept. */
+  /** Results that are retained at most. */
   public static final int MAX_RETAINED_RESULTS = 20_000;
 
-  /** How long an answer is kept, in the log's time. */
+  /** How long a result is retained, in log time. */
   public static final long RESULT_RETENTION_MILLIS = 600_000;
 
   private final SortedSet<String> excludedServers = new TreeSet<>();
+
+  /** By the id of the proposal, oldest first. */
   private final Map<String, RetainedResult> retainedResults = new LinkedHashMap<>();
+
   private long index;
   private long logTimeMillis;
 
   /**
-   * An answer that was given.
+   * The result of an earlier proposal. Immutable.
    *
-   * @param id whose proposal it was
-   * @param logTimeMillis when, in the log's time
+   * @param id the proposal's
+   * @param logTimeMillis the log time when it was applied
    */
   public record RetainedResult(String id, long logTimeMillis, CommandResult result) {}
 
   /**
-   * The whole state, for a snapshot. Immutable.
+   * The whole state. Immutable.
    *
-   * @param index the last entry that it has in it
-   * @param logTimeMillis the log's time
-   * @param excludedServers cache servers that are left out, in order
-   * @param retainedResults those that are kept, oldest first
+   * @param index the last log index that is applied in it
+   * @param excludedServers ids of cache servers, sorted
+   * @param retainedResults oldest first
    */
   public record Snapshot(
       long index,
@@ -61,86 +63,84 @@
       List<RetainedResult> retainedResults) {}
 
   /**
-   * Applies the entry at this place of the log.
+   * Applies an entry of the log.
    *
-   * @throws IllegalStateException if it is not behind the last one: the log would have lost its
-   *     order
+   * @param entryIndex the entry's log index
+   * @return the result, that of the first time if the proposal was repeated
+   * @throws IllegalStateException if the index is not after the last one
    */
-  public CommandResult apply(long place, Proposal proposal) {
-    if (place <= index) {
-      throw new IllegalStateException("entry " + place + " after " + index);
+  public CommandResult apply(long entryIndex, Proposal proposal) {
+    if (entryIndex <= index) {
+      throw new IllegalStateException("entry " + entryIndex + " after " + index);
     }
-    index = place;
+    index = entryIndex;
     logTimeMillis = Math.max(logTimeMillis, proposal.proposedAtMillis());
-    RetainedResult before = retainedResults.get(proposal.id());
-    if (before != null) {
-      return before.result();
+    RetainedResult earlier = retainedResults.get(proposal.id());
+    if (earlier != null) {
+      return earlier.result();
     }
-    CommandResult answer = new CommandResult(effect(proposal.command()), place);
-    retainedResults.put(proposal.id(), new RetainedResult(proposal.id(), logTimeMillis, answer));
-    forget();
-    return answer;
+    CommandResult result = new CommandResult(execute(proposal.command()), entryIndex);
+    retainedResults.put(proposal.id(), new RetainedResult(proposal.id(), logTimeMillis, result));
+    evictResults();
+    return result;
   }
 
-  private CommandResult.Outcome effect(StateCommand entry) {
-    if (!(entry instanceof StateCommand.SetExclusion say)) {
+  private CommandResult.Outcome execute(StateCommand command) {
+    if (!(command instanceof StateCommand.SetExclusion exclusion)) {
       return CommandResult.Outcome.UNKNOWN_COMMAND;
     }
-    if (!say.excluded()) {
-      excludedServers.remove(say.serverId());
-    } else if (!excludedServers.contains(say.serverId())) {
+    if (!exclusion.excluded()) {
+      excludedServers.remove(exclusion.serverId());
+    } else if (!excludedServers.contains(exclusion.serverId())) {
       if (excludedServers.size() >= MAX_EXCLUDED_SERVERS) {
         return CommandResult.Outcome.CAPACITY_EXCEEDED;
       }
-      excludedServers.add(say.serverId());
+      excludedServers.add(exclusion.serverId());
     }
     return CommandResult.Outcome.COMMITTED;
   }
 
-  private void forget() {
-    Iterator<RetainedResult> oldest = retainedResults.values().iterator();
-    while (oldest.hasNext()) {
-      RetainedResult given = oldest.next();
+  private void evictResults() {
+    Iterator<RetainedResult> oldestFirst = retainedResults.values().iterator();
+    while (oldestFirst.hasNext()) {
+      RetainedResult oldest = oldestFirst.next();
       if (retainedResults.size() <= MAX_RETAINED_RESULTS
-          && given.logTimeMillis() + RESULT_RETENTION_MILLIS >= logTimeMillis) {
+          && oldest.logTimeMillis() + RESULT_RETENTION_MILLIS >= logTimeMillis) {
         return;
       }
-      oldest.remove();
+      oldestFirst.remove();
     }
   }
 
-  /** The answer that a proposal of this id got, null if it is not known or not kept any more. */
+  /** The result of a proposal of this id, null if there was none or it is not retained. */
   public CommandResult retainedResult(String id) {
-    RetainedResult given = retainedResults.get(id);
-    return given == null ? null : given.result();
+    RetainedResult retained = retainedResults.get(id);
+    return retained == null ? null : retained.result();
   }
 
-  /** The last entry that was applied, 0 for none. */
+  /** The last log index that was applied, 0 for none. */
   public long index() {
     return index;
   }
 
-  /** Cache servers that are left out. */
+  /** Ids of the excluded cache servers, sorted. */
   public List<String> excludedServers() {
     return List.copyOf(excludedServers);
   }
 
-  /** All of it, as it stands. */
+  /** The whole state. */
   public Snapshot snapshot() {
     return new Snapshot(
-        index,
-        logTimeMillis,
-        excludedServers(),
-        List.copyOf(new ArrayList<>(retainedResults.values())));
+        index, logTimeMillis, excludedServers(), List.copyOf(retainedResults.values()));
   }
 
-  /** Takes the state of a snapshot in the place of all that was known. */
-  public void restore(Snapshot image) {
-    index = image.index();
-    logTimeMillis = image.logTimeMillis();
+  /** Replaces the state by that of a snapshot. */
+  public void restore(Snapshot snapshot) {
+    index = snapshot.index();
+    logTimeMillis = snapshot.logTimeMillis();
     excludedServers.clear();
-    excludedServers.addAll(image.excludedServers());
+    excludedServers.addAll(snapshot.excludedServers());
     retainedResults.clear();
-    image.retainedResults().forEach(given -> retainedResults.put(given.id(), given));
+    snapshot.retainedResults().forEach(retained -> retainedResults.put(retained.id(), retained));
   }
 }
--- a/core/src/main/java/shalepaddle/replicatedstate/StateCommand.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/StateCommand.java
@@ -1,19 +1,19 @@
 package shalepaddle.replicatedstate;
 
-/** What is asked to be held. A kind that is not known here is passed over, and changes nothing. */
+/** A change of the replicated state. Immutable. */
 public sealed interface StateCommand {
   /**
-   * An operator's word on a cache server, for all nodes.
+   * Excludes a cache server from routing on all nodes, or includes it again.
    *
-   * @param serverId its id, as discovery has it
-   * @param excluded whether it is left out, or put back
+   * @param serverId the server's id, as discovery has it
+   * @param excluded whether it is excluded
    */
   record SetExclusion(String serverId, boolean excluded) implements StateCommand {}
 
   /**
-   * An entry of a kind that a later version made.
+   * A command that only a later version knows; it changes nothing here.
    *
-   * @param kind its number
+   * @param kind its number in the log
    */
   record Unknown(int kind) implements StateCommand {}
 }
--- a/core/src/test/java/shalepaddle/changefeed/ChangeFeedPublisherTest.java
+++ b/core/src/test/java/shalepaddle/changefeed/ChangeFeedPublisherTest.java
@@ -8,19 +8,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a member sends whom. */
+/** What a publisher sends to which subscriber. */
 class ChangeFeedPublisherTest {
   private static final long MILLI = 1_000_000L;
 
-  /** Two followers, 100 bytes that are kept, 50 on their way. */
+  /** Two subscribers, 100 retained bytes, 50 bytes in flight. */
   private static final ChangeFeedPublisher.Limits LIMITS =
       new ChangeFeedPublisher.Limits(2, 100, 50, 250 * MILLI, 5000 * MILLI, 2500 * MILLI);
 
-  private final List<String> told = new ArrayList<>();
+  private final List<String> sent = new ArrayList<>();
   private long now;
 
-  /** Up to where the member's state goes. */
-  private long state;
+  /** The last log index that is applied in the state of the member. */
+  private long stateIndex;
 
   private final ChangeFeedPublisher publisher =
       new ChangeFeedPublisher(
@@ -29,38 +29,38 @@
           LIMITS,
           new ChangeFeedPublisher.Output() {
             @Override
-            public void send(long connection, PublisherMessage what) {
-              told.add(connection + " " + text(what));
+            public void send(long connection, PublisherMessage message) {
+              sent.add(connection + " " + describe(message));
             }
 
             @Override
             public void close(long connection) {
-              told.add(connection + " dropped");
+              sent.add(connection + " closed");
             }
 
             @Override
             public PublisherMessage.Snapshot snapshot() {
-              return new PublisherMessage.Snapshot(state, new byte[10]);
+              return new PublisherMessage.Snapshot(stateIndex, new byte[10]);
             }
           });
 
-  private static String text(PublisherMessage told) {
-    if (told instanceof PublisherMessage.Entries entries) {
+  private static String describe(PublisherMessage message) {
+    if (message instanceof PublisherMessage.Entries entries) {
       return entries.previousIndex()
           + " then "
           + entries.entries().stream().map(ChangeEntry::index).toList();
     }
-    if (told instanceof PublisherMessage.Snapshot snapshot) {
+    if (message instanceof PublisherMessage.Snapshot snapshot) {
       return "snapshot " + snapshot.index();
     }
-    return told instanceof PublisherMessage.Heartbeat alive
-        ? "alive " + alive.index()
-        : "turned down: " + ((PublisherMessage.Rejected) told).reason();
+    return message instanceof PublisherMessage.Heartbeat heartbeat
+        ? "heartbeat " + heartbeat.index()
+        : "rejected: " + ((PublisherMessage.Rejected) message).reason();
   }
 
-  private List<String> told() {
-    List<String> all = List.copyOf(told);
-    told.clear();
+  private List<String> sent() {
+    List<String> all = List.copyOf(sent);
+    sent.clear();
     return all;
   }
 
@@ -70,156 +70,155 @@
         now, connection, new SubscriberMessage.Hello("birds", "n" + connection, index));
   }
 
-  /** Entries of 4 bytes, which take 20 each. */
-  private void applied(long... indexes) {
+  /** Applies entries of 4 bytes, 20 with their overhead. */
+  private void applyEntries(long... indexes) {
     for (long index : indexes) {
-      state = index;
+      stateIndex = index;
       publisher.entryApplied(now, new ChangeEntry(index, new byte[4]));
     }
   }
 
   @Test
-  void sendsWhatIsLackingAndThenEachEntryAsItComes() {
-    applied(3, 5);
+  void sendsMissingEntriesThenEachNewOne() {
+    applyEntries(3, 5);
     hello(1, 3);
-    applied(8);
-    assertEquals(List.of("1 3 then [5]", "1 5 then [8]"), told());
+    applyEntries(8);
+    assertEquals(List.of("1 3 then [5]", "1 5 then [8]"), sent());
   }
 
   @Test
-  void whoLacksNothingHearsThatItIsInContact() {
-    applied(3);
+  void sendsHeartbeatToSubscriberThatLacksNothing() {
+    applyEntries(3);
     hello(1, 3);
-    assertEquals(List.of("1 alive 3"), told());
+    assertEquals(List.of("1 heartbeat 3"), sent());
     now += 250 * MILLI;
     publisher.tick(now);
-    assertEquals(List.of("1 alive 3"), told());
+    assertEquals(List.of("1 heartbeat 3"), sent());
   }
 
   @Test
-  void whoLacksWhatIsNotKeptGetsASnapshot() {
-    applied(1, 2, 3, 4, 5, 6, 7);
+  void sendsSnapshotForEntriesThatAreNotRetained() {
+    applyEntries(1, 2, 3, 4, 5, 6, 7);
     assertEquals(100, publisher.retainedBytes());
     hello(1, 1);
     hello(2, 5);
-    assertEquals(List.of("1 snapshot 7", "2 5 then [6, 7]"), told());
+    assertEquals(List.of("1 snapshot 7", "2 5 then [6, 7]"), sent());
   }
 
   @Test
-  void aStateThatIsBeingMadeAnewIsNoSnapshot() {
-    applied(1, 2, 3, 4, 5, 6, 7);
-    state = 1;
+  void rejectsSubscriberWhileStateIsRebuilt() {
+    applyEntries(1, 2, 3, 4, 5, 6, 7);
+    stateIndex = 1;
     hello(1, 0);
-    assertEquals(List.of("1 turned down: this member is catching up", "1 dropped"), told());
-    state = 6;
+    assertEquals(List.of("1 rejected: this member is catching up", "1 closed"), sent());
+    stateIndex = 6;
     hello(2, 0);
-    assertEquals(List.of("2 snapshot 6", "2 6 then [7]"), told());
+    assertEquals(List.of("2 snapshot 6", "2 6 then [7]"), sent());
   }
 
   @Test
-  void aSlowFollowerHoldsUpNobodyAndNoMemory() {
+  void boundsBytesInFlightToSlowSubscriber() {
     hello(1, 0);
     hello(2, 0);
-    told();
+    sent();
     for (long index = 1; index <= 40; index++) {
-      applied(index);
+      applyEntries(index);
       publisher.received(now, 2, new SubscriberMessage.Acknowledgement(index));
     }
-    List<String> all = told();
+    List<String> all = sent();
     assertEquals(40, all.stream().filter(line -> line.startsWith("2 ")).count());
     assertEquals(3, all.stream().filter(line -> line.startsWith("1 ")).count(), all.toString());
-    assertTrue(publisher.inFlightBytes() <= 50 + 20, "on their way: " + publisher.inFlightBytes());
+    assertTrue(publisher.inFlightBytes() <= 50 + 20, "in flight: " + publisher.inFlightBytes());
     assertEquals(100, publisher.retainedBytes());
-    // It goes on with a snapshot, since what it lacks is not kept any more.
+    // It gets a snapshot, since the entries that it lacks are not retained any more.
     publisher.received(now, 1, new SubscriberMessage.Acknowledgement(3));
-    assertEquals(List.of("1 snapshot 40"), told());
+    assertEquals(List.of("1 snapshot 40"), sent());
   }
 
   @Test
-  void oneThatTakesNothingIsDropped() {
+  void disconnectsSubscriberThatDoesNotAcknowledge() {
     hello(1, 0);
-    applied(1);
-    told();
+    applyEntries(1);
+    sent();
     now += 4999 * MILLI;
     publisher.tick(now);
-    assertEquals(List.of("1 alive 1"), told());
+    assertEquals(List.of("1 heartbeat 1"), sent());
     now += MILLI;
     publisher.tick(now);
-    assertEquals(List.of("1 dropped"), told());
+    assertEquals(List.of("1 closed"), sent());
     assertEquals(0, publisher.subscriberCount());
   }
 
   @Test
-  void turnsDownWhomItCanNotServe() {
-    applied(3);
+  void rejectsSubscribersThatItCannotServe() {
+    applyEntries(3);
     publisher.setLeaderKnown(now, true);
     publisher.received(now, 7, new SubscriberMessage.Acknowledgement(3));
     publisher.received(now, 8, new SubscriberMessage.Hello("fish", "n8", 0));
     hello(9, 4);
     assertEquals(
         List.of(
-            "7 turned down: speaks before it says who it is",
-            "7 dropped",
-            "8 turned down: it follows group 'fish', and this is 'birds'",
-            "8 dropped",
-            "9 turned down: this member knows up to 3, less than 4",
-            "9 dropped"),
-        told());
+            "7 rejected: speaks before it says who it is",
+            "7 closed",
+            "8 rejected: it follows group 'fish', and this is 'birds'",
+            "8 closed",
+            "9 rejected: this member knows up to 3, less than 4",
+            "9 closed"),
+        sent());
     hello(1, 3);
     hello(2, 3);
-    told();
+    sent();
     hello(3, 3);
     hello(1, 3);
     assertEquals(
         List.of(
-            "3 turned down: as many follow this member as may",
-            "3 dropped",
-            "1 turned down: a second hello",
-            "1 dropped"),
-        told());
+            "3 rejected: as many follow this member as may",
+            "3 closed",
+            "1 rejected: a second hello",
+            "1 closed"),
+        sent());
   }
 
   @Test
-  void oneThatHasJustStartedServesNobody() {
+  void rejectsSubscribersAfterStart() {
     publisher.received(now, 1, new SubscriberMessage.Hello("birds", "n1", 0));
-    assertTrue(told().get(0).startsWith("1 turned down: this member knows nobody who leads"));
+    assertTrue(sent().get(0).startsWith("1 rejected: this member knows nobody who leads"));
   }
 
   @Test
-  void whoKnowsNobodyThatLeadsSendsFollowersOnAfterAWhile() {
+  void rejectsSubscribersAfterLeaderLossTimeout() {
     hello(1, 0);
     publisher.setLeaderKnown(now, false);
-    told();
+    sent();
     now += 2400 * MILLI;
     publisher.tick(now);
-    assertEquals(List.of("1 alive 0"), told());
+    assertEquals(List.of("1 heartbeat 0"), sent());
     now += 200 * MILLI;
     publisher.tick(now);
     assertEquals(
-        List.of("1 turned down: this member knows nobody who leads its group", "1 dropped"),
-        told());
+        List.of("1 rejected: this member knows nobody who leads its group", "1 closed"), sent());
     publisher.received(now, 2, new SubscriberMessage.Hello("birds", "n2", 0));
-    assertTrue(told().get(0).startsWith("2 turned down"));
+    assertTrue(sent().get(0).startsWith("2 rejected"));
     hello(2, 0);
-    assertEquals(List.of("2 alive 0"), told());
+    assertEquals(List.of("2 heartbeat 0"), sent());
   }
 
   @Test
-  void aSnapshotOfTheGroupTakesThePlaceOfWhatWasKept() {
-    applied(1, 2);
+  void dropsRetainedEntriesForInstalledSnapshot() {
+    applyEntries(1, 2);
     hello(1, 2);
-    told();
-    state = 50;
+    sent();
+    stateIndex = 50;
     publisher.snapshotInstalled(now, 50);
     publisher.snapshotInstalled(now, 40);
-    assertEquals(List.of("1 snapshot 50"), told());
+    assertEquals(List.of("1 snapshot 50"), sent());
     assertEquals(50, publisher.lastIndex());
-    assertThrows(IllegalStateException.class, () -> applied(50));
+    assertThrows(IllegalStateException.class, () -> applyEntries(50));
   }
 
   @Test
-  void whatFollowersFindWrongIsKnownByName() {
-    applied(3);
+  void remembersLastRejectionBySubscriberName() {
+    applyEntries(3);
     hello(1, 3);
     publisher.received(
         now, 1, new SubscriberMessage.EntryRejected(3, "settings: 'classes' is missing"));
--- a/core/src/test/java/shalepaddle/changefeed/ChangeFeedSubscriberTest.java
+++ b/core/src/test/java/shalepaddle/changefeed/ChangeFeedSubscriberTest.java
@@ -9,195 +9,196 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** What a node takes, and when it goes on to another member. */
+/** What a subscriber accepts, and when it switches to another member. */
 class ChangeFeedSubscriberTest {
   private static final long MILLI = 1_000_000L;
-  private static final ChangeFeedSubscriber.Timeouts PACE = ChangeFeedSubscriber.Timeouts.DEFAULT;
+  private static final ChangeFeedSubscriber.Timeouts TIMEOUTS =
+      ChangeFeedSubscriber.Timeouts.DEFAULT;
 
-  private final List<String> acts = new ArrayList<>();
+  private final List<String> actions = new ArrayList<>();
   private long now = 1_000_000 * MILLI;
-  private final ChangeFeedSubscriber follower =
+  private final ChangeFeedSubscriber subscriber =
       new ChangeFeedSubscriber(
           "birds",
           "n1",
           3,
           1,
           now,
-          PACE,
+          TIMEOUTS,
           new ChangeFeedSubscriber.Output() {
             @Override
             public void connect(int member) {
-              acts.add("connect");
+              actions.add("connect");
             }
 
             @Override
             public void close() {
-              acts.add("close");
+              actions.add("close");
             }
 
             @Override
-            public void send(SubscriberMessage said) {
-              acts.add(said.toString());
+            public void send(SubscriberMessage message) {
+              actions.add(message.toString());
             }
 
             @Override
             public void apply(ChangeEntry entry) {
-              acts.add("apply " + entry.index());
+              actions.add("apply " + entry.index());
             }
 
             @Override
             public boolean installSnapshot(long index, byte[] image) {
-              acts.add("load " + index);
+              actions.add("load " + index);
               return image.length > 0;
             }
 
             @Override
-            public void contactChanged(boolean in) {
-              acts.add(in ? "in contact" : "out of contact");
+            public void contactChanged(boolean isInContact) {
+              actions.add(isInContact ? "in contact" : "out of contact");
             }
 
             @Override
-            public void rejected(int member, String why) {
-              acts.add("turned down: " + why);
+            public void rejected(int member, String reason) {
+              actions.add("rejected: " + reason);
             }
           });
 
-  private static PublisherMessage entries(long after, long... indexes) {
+  private static PublisherMessage entries(long previousIndex, long... indexes) {
     return new PublisherMessage.Entries(
-        after,
+        previousIndex,
         LongStream.of(indexes).mapToObj(index -> new ChangeEntry(index, new byte[1])).toList());
   }
 
-  /** What it has done since the last call of this. */
-  private List<String> acts() {
-    List<String> done = List.copyOf(acts);
-    acts.clear();
+  /** The actions since the last call of this. */
+  private List<String> actions() {
+    List<String> done = List.copyOf(actions);
+    actions.clear();
     return done;
   }
 
-  /** Lets so much time pass, in which it is called when it asks to be. */
-  private void pass(long millis) {
+  /** Advances the time; ticks when the subscriber wants it. */
+  private void advance(long millis) {
     for (long end = now + millis * MILLI; now < end; now += MILLI) {
-      if (follower.nextTickNanos() <= now) {
-        follower.tick(now);
+      if (subscriber.nextTickNanos() <= now) {
+        subscriber.tick(now);
       }
     }
   }
 
-  private void followFrom(long index) {
-    pass(200);
-    follower.connected(now);
-    follower.received(now, new PublisherMessage.Snapshot(index, new byte[1]));
-    acts();
+  private void subscribeFrom(long index) {
+    advance(200);
+    subscriber.connected(now);
+    subscriber.received(now, new PublisherMessage.Snapshot(index, new byte[1]));
+    actions();
   }
 
   @Test
-  void saysHelloFromItsOwnPlace() {
-    pass(200);
-    follower.connected(now);
-    assertEquals(List.of("connect", "Hello[group=birds, name=n1, index=0]"), acts());
-    follower.received(now, entries(0, 3, 5));
-    assertEquals(List.of("apply 3", "apply 5", "in contact"), acts());
-    pass(600);
-    assertEquals("Acknowledgement[index=5]", acts().get(0));
+  void sendsHelloWithItsOwnIndex() {
+    advance(200);
+    subscriber.connected(now);
+    assertEquals(List.of("connect", "Hello[group=birds, name=n1, index=0]"), actions());
+    subscriber.received(now, entries(0, 3, 5));
+    assertEquals(List.of("apply 3", "apply 5", "in contact"), actions());
+    advance(600);
+    assertEquals("Acknowledgement[index=5]", actions().get(0));
   }
 
   @Test
-  void takesAnEntryOnceAndNeverGoesBack() {
-    followFrom(5);
-    follower.received(now, entries(3, 4, 5, 7));
-    follower.received(now, entries(3, 4, 5, 7));
-    follower.received(now, new PublisherMessage.Snapshot(6, new byte[1]));
-    assertEquals(List.of("apply 7"), acts());
-    assertEquals(7, follower.lastIndex());
+  void appliesEachEntryOnceAndNeverGoesBack() {
+    subscribeFrom(5);
+    subscriber.received(now, entries(3, 4, 5, 7));
+    subscriber.received(now, entries(3, 4, 5, 7));
+    subscriber.received(now, new PublisherMessage.Snapshot(6, new byte[1]));
+    assertEquals(List.of("apply 7"), actions());
+    assertEquals(7, subscriber.lastIndex());
   }
 
   @Test
-  void aHoleIsNotTakenAndAskedForAnew() {
-    followFrom(5);
-    follower.received(now, entries(7, 9));
-    assertEquals(List.of("close"), acts());
-    follower.received(now, entries(5, 7));
-    assertEquals(List.of(), acts(), "of the connection that it has left");
-    pass(200);
-    follower.connected(now);
-    assertEquals(List.of("connect", "Hello[group=birds, name=n1, index=5]"), acts());
+  void subscribesAgainWhenEntriesAreMissing() {
+    subscribeFrom(5);
+    subscriber.received(now, entries(7, 9));
+    assertEquals(List.of("close"), actions());
+    subscriber.received(now, entries(5, 7));
+    assertEquals(List.of(), actions(), "of the connection that it has left");
+    advance(200);
+    subscriber.connected(now);
+    assertEquals(List.of("connect", "Hello[group=birds, name=n1, index=5]"), actions());
   }
 
   @Test
-  void aWordThatAllIsToldWhileSomethingLacksIsAHole() {
-    followFrom(5);
-    follower.received(now, new PublisherMessage.Heartbeat(6));
-    assertEquals(List.of("close"), acts());
+  void detectsMissingEntriesByHeartbeat() {
+    subscribeFrom(5);
+    subscriber.received(now, new PublisherMessage.Heartbeat(6));
+    assertEquals(List.of("close"), actions());
   }
 
   @Test
-  void aStateThatCanNotBeReadChangesNothing() {
-    followFrom(5);
-    follower.received(now, new PublisherMessage.Snapshot(9, new byte[0]));
-    assertEquals(List.of("load 9", "close"), acts());
-    assertEquals(5, follower.lastIndex());
+  void ignoresUnreadableSnapshot() {
+    subscribeFrom(5);
+    subscriber.received(now, new PublisherMessage.Snapshot(9, new byte[0]));
+    assertEquals(List.of("load 9", "close"), actions());
+    assertEquals(5, subscriber.lastIndex());
   }
 
   @Test
-  void goesToAnotherMemberAfterSilenceAndSaysWhenItIsOutOfContact() {
-    followFrom(5);
-    final int first = follower.member();
-    pass(PACE.silenceTimeoutNanos() / MILLI + 1);
-    assertTrue(acts().contains("close"));
-    assertTrue(follower.member() != first);
-    pass(PACE.contactTimeoutNanos() / MILLI);
-    assertTrue(acts().contains("out of contact"));
-    assertFalse(follower.isInContact());
-    follower.connected(now);
-    follower.received(now, new PublisherMessage.Heartbeat(5));
-    assertTrue(follower.isInContact());
+  void switchesMemberAfterSilenceAndReportsLostContact() {
+    subscribeFrom(5);
+    final int first = subscriber.member();
+    advance(TIMEOUTS.silenceTimeoutNanos() / MILLI + 1);
+    assertTrue(actions().contains("close"));
+    assertTrue(subscriber.member() != first);
+    advance(TIMEOUTS.contactTimeoutNanos() / MILLI);
+    assertTrue(actions().contains("out of contact"));
+    assertFalse(subscriber.isInContact());
+    subscriber.connected(now);
+    subscriber.received(now, new PublisherMessage.Heartbeat(5));
+    assertTrue(subscriber.isInContact());
   }
 
   @Test
-  void oneThatIsTurnedDownSaysWhyAndGoesOn() {
-    pass(200);
-    follower.connected(now);
-    acts();
-    follower.received(
+  void reportsRejectionAndSwitchesMember() {
+    advance(200);
+    subscriber.connected(now);
+    actions();
+    subscriber.received(
         now, new PublisherMessage.Rejected("it follows group 'fish', and this is 'birds'"));
     assertEquals(
-        List.of("turned down: it follows group 'fish', and this is 'birds'", "close"), acts());
-    assertEquals(0, follower.lastIndex());
+        List.of("rejected: it follows group 'fish', and this is 'birds'", "close"), actions());
+    assertEquals(0, subscriber.lastIndex());
   }
 
-  /** What is read after the node stood still may be as old as that. */
+  /** Messages that are read after a stall may be as old as the stall. */
   @Test
-  void oneThatStoodStillBelievesNothingThatWaited() {
-    followFrom(5);
+  void ignoresMessagesReceivedDuringStall() {
+    subscribeFrom(5);
     now += 3000 * MILLI;
-    follower.received(now, entries(5, 7));
-    assertEquals(List.of("out of contact", "close"), acts());
-    assertEquals(5, follower.lastIndex());
+    subscriber.received(now, entries(5, 7));
+    assertEquals(List.of("out of contact", "close"), actions());
+    assertEquals(5, subscriber.lastIndex());
   }
 
   @Test
-  void triesFarApartWhereNobodyAnswers() {
-    int tries = 0;
+  void backsOffWhileNobodyAnswers() {
+    int attempts = 0;
     for (int i = 0; i < 100; i++) {
-      pass(100);
-      if (acts().contains("connect")) {
-        tries++;
-        follower.disconnected(now);
-        acts();
+      advance(100);
+      if (actions().contains("connect")) {
+        attempts++;
+        subscriber.disconnected(now);
+        actions();
       }
     }
-    // A second at the most between two, half of it in the mean.
-    assertTrue(tries > 8 && tries < 40, "tries within 10 s: " + tries);
+    // A backoff of one second at most, of half a second on average.
+    assertTrue(attempts > 8 && attempts < 40, "tries within 10 s: " + attempts);
   }
 
   @Test
-  void tellsWhatIsWrongShortly() {
-    followFrom(5);
-    follower.rejectEntry(5, "x".repeat(1000));
+  void truncatesReasonOfRejectedEntry() {
+    subscribeFrom(5);
+    subscriber.rejectEntry(5, "x".repeat(1000));
     assertEquals(
         List.of(
             "EntryRejected[index=5, reason=" + "x".repeat(SubscriberMessage.MAX_TEXT_LENGTH) + "]"),
-        acts());
+        actions());
   }
 }
