--- a/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
@@ -221,7 +221,7 @@
       return;
     }
     boolean isFirstRejected =
-        reply.result() == Outcome.Result.FULL && !isAccepted && inFlight.size() == 1;
+        reply.result() == Outcome.Result.SERVER_BUSY && !isAccepted && inFlight.size() == 1;
     isAccepted |= !isFirstRejected;
     if (isFirstRejected && !oldest.isEnded() && pool.hasOtherUsable(this)) {
       completeOldest();
@@ -406,7 +406,7 @@
     if (!attempt.isWritten()) {
       return Outcome.Result.CONNECT_FAILED;
     }
-    return wasCorrupted ? Outcome.Result.SPOILT : Outcome.Result.RESET;
+    return wasCorrupted ? Outcome.Result.MALFORMED_RESPONSE : Outcome.Result.RESET;
   }
 
   @Override
--- a/engine/src/main/java/shalepaddle/upstream/ServerEndpoint.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerEndpoint.java
@@ -37,12 +37,14 @@
    */
   Obsolete update(SocketAddress newAddress, ServerEntry update, double nowSeconds) {
     boolean hasMoved = !newAddress.equals(address);
-    hasChangedCell |= entry != null && !Settings.Group.CELL.holds(entry, update);
+    hasChangedCell |= entry != null && !Settings.DeduplicationScope.CELL.spans(entry, update);
     if (update.state() != ServerEntry.State.READY && !isDraining()) {
       drainingSinceNanos = clock.now();
     }
     boolean hasRestarted =
-        entry != null && update.startedAt() > 0 && update.startedAt() != entry.startedAt();
+        entry != null
+            && update.startedAtSeconds() > 0
+            && update.startedAtSeconds() != entry.startedAtSeconds();
     long startedAtNanos = hasRestarted ? startedAtNanos(update, nowSeconds) : 0;
     entry = update;
     address = newAddress;
@@ -70,7 +72,7 @@
   private long startedAtNanos(ServerEntry update, double nowSeconds) {
     long now = clock.refresh();
     double ageSeconds =
-        Math.min((now - updatedAtNanos) / 1e9, Math.max(0, nowSeconds - update.startedAt()));
+        Math.min((now - updatedAtNanos) / 1e9, Math.max(0, nowSeconds - update.startedAtSeconds()));
     return now - (long) (ageSeconds * 1e9);
   }
 
--- a/engine/src/main/java/shalepaddle/upstream/ServerPool.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPool.java
@@ -269,7 +269,7 @@
     if (best != null && !attempt.isEnded() && dispatcher.mayRewrite(attempt)) {
       best.write(attempt);
     } else {
-      dispatcher.attemptEnded(attempt, Outcome.Result.NO_PLACE);
+      dispatcher.attemptEnded(attempt, Outcome.Result.CONNECTION_LIMIT_REACHED);
     }
   }
 
