--- a/engine/src/main/java/shalepaddle/codec/meta/MetaCommandDecoder.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaCommandDecoder.java
@@ -131,7 +131,7 @@
       if (glance.length < 0) {
         answers = answers == null ? allocator.buffer(MetaReplies.BUSY_LENGTH) : answers;
         MetaReplies.busy(answers, advice);
-        refused = new Rejections(refused.count() + 1, refused.repeats() + repeat, advice);
+        refused = new Rejections(refused.count() + 1, refused.retries() + repeat, advice);
       } else {
         ByteBuf answer = allocator.buffer(MetaReplies.BUSY_LENGTH);
         write =
--- a/engine/src/main/java/shalepaddle/front/ArrivalTracker.java
+++ b/engine/src/main/java/shalepaddle/front/ArrivalTracker.java
@@ -3,66 +3,66 @@
 import shalepaddle.loop.LoopClock;
 
 /**
- * When the bytes that are read from one connection can have arrived at the earliest.
+ * The earliest time at which the bytes that are read from one connection can have arrived.
  *
  * <p>A request's time counts from when its client sends it, and a node may read it later: its event
- * loop was busy or stalled, or it did not read from the connection for a reason of its own. When
- * bytes arrived is not told by the socket. What is known is the latest time at which the socket
- * held nothing: it was read until empty, or a poll did not report it while it was being watched.
+ * loop was busy or stalled, or isReading was suspended. The socket does not say when bytes arrived.
+ * What is known is the latest time at which it was empty: it was read until then, or a poll did not
+ * report it while it was being polled.
  *
- * <p>Belongs to the connection's event loop.
+ * <p>Owned by its connection, on the event loop; all times are by the loop's clock.
  */
 final class ArrivalTracker {
   private final LoopClock clock;
 
-  /** The latest time at which the socket is known to have held nothing that was not read. */
-  private long emptyAt;
+  /** The latest time at which the socket is known to have been empty. */
+  private long emptyAtNanos;
 
   /** Whether the socket is polled, and since when without a break. */
-  private boolean watched;
+  private boolean isPolled;
 
-  private long watchedSince;
+  private long polledSinceNanos;
 
-  private boolean reading;
-  private long readingSince;
-  private long arrival;
+  private boolean isReading;
+  private long readingSinceNanos;
+  private long arrivalNanos;
 
   /**
    * Of a connection that has just been accepted: what waits on it can be as old as the connection.
    */
-  ArrivalTracker(LoopClock clock, long connectedSince) {
+  ArrivalTracker(LoopClock clock, long connectedSinceNanos) {
     this.clock = clock;
-    this.emptyAt = connectedSince;
-    this.arrival = emptyAt;
+    this.emptyAtNanos = connectedSinceNanos;
+    this.arrivalNanos = emptyAtNanos;
   }
 
   /** From now on the socket is polled, or not. */
-  void watch(boolean on) {
-    if (on && !watched) {
-      watchedSince = clock.now();
+  void setPolled(boolean on) {
+    if (on && !isPolled) {
+      polledSinceNanos = clock.now();
     }
-    watched = on;
+    isPolled = on;
   }
 
   /** Bytes have been read; returns the earliest time at which they can have arrived. */
-  long read() {
-    if (!reading) {
-      reading = true;
-      readingSince = clock.refresh();
-      boolean polledBefore = watched && watchedSince - clock.previousPollAt() <= 0;
-      arrival = polledBefore ? later(emptyAt, clock.earliestArrival()) : emptyAt;
+  long bytesRead() {
+    if (!isReading) {
+      isReading = true;
+      readingSinceNanos = clock.refresh();
+      boolean wasPolledBefore = isPolled && polledSinceNanos - clock.previousPollAt() <= 0;
+      arrivalNanos = wasPolledBefore ? later(emptyAtNanos, clock.earliestArrival()) : emptyAtNanos;
     }
-    return arrival;
+    return arrivalNanos;
   }
 
   /** Reading ends for this turn; the socket was empty then, or more may wait on it. */
-  void readComplete(boolean empty) {
-    if (reading && empty) {
-      emptyAt = readingSince;
-    } else if (reading) {
-      emptyAt = arrival;
+  void readComplete(boolean isEmpty) {
+    if (isReading && isEmpty) {
+      emptyAtNanos = readingSinceNanos;
+    } else if (isReading) {
+      emptyAtNanos = arrivalNanos;
     }
-    reading = false;
+    isReading = false;
   }
 
   private static long later(long one, long other) {
--- a/engine/src/main/java/shalepaddle/front/ClientCodec.java
+++ b/engine/src/main/java/shalepaddle/front/ClientCodec.java
@@ -5,32 +5,35 @@
 import io.netty.handler.codec.ByteToMessageDecoder;
 import shalepaddle.engine.Reply;
 
-/** One protocol that clients speak, in which answers come in the order of the commands. */
+/**
+ * A protocol that clients speak, in which responses come in the order of the commands. Used on the
+ * event loop alone; the caller owns the bytes that are returned.
+ */
 public interface ClientCodec {
-  /** Reads the commands of one new connection. */
+  /** A decoder of the commands on one new connection. */
   CommandDecoder decoder();
 
   /**
-   * The bytes of the answer to the request of this id. A value in the reply is used up, also where
-   * this throws.
+   * The bytes of the response to the request with this id; of a streamed value the head alone. A
+   * value in the reply belongs to this, also where this throws.
    */
   ByteBuf encode(ByteBufAllocator allocator, String id, Reply reply);
 
-  /** The bytes behind the last piece of a value, of which {@link #encode} made the head alone. */
+  /** The bytes behind the last chunk of a streamed value. */
   ByteBuf encodeStreamEnd();
 
-  /** The bytes of the answer to a request whose id belongs to another that is open. */
+  /** The bytes of the response to a request whose id belongs to another that is open. */
   ByteBuf encodeDuplicateId(ByteBufAllocator allocator);
 
-  /** Reads {@link ClientCommand}s off a connection, however its bytes are cut. */
+  /** Decodes {@link ClientCommand}s, however their bytes are cut. */
   abstract class CommandDecoder extends ByteToMessageDecoder {
     /** Whether a command has begun and not ended. */
     public abstract boolean isMidCommand();
 
-    /** Whether the value of a command is being read, whose head is whole. */
+    /** Whether the value of a command is being read, whose line is complete. */
     public abstract boolean isReadingValue();
 
-    /** Whether nothing more is taken: what comes can no longer be told apart. */
+    /** Whether nothing more is taken: it is not known where the next command begins. */
     public abstract boolean isDesynchronized();
   }
 }
--- a/engine/src/main/java/shalepaddle/front/ClientConnections.java
+++ b/engine/src/main/java/shalepaddle/front/ClientConnections.java
@@ -11,144 +11,155 @@
 import shalepaddle.loop.LoopClock;
 
 /**
- * All connections of clients, by what is due on each: how many there may be, which are closed in
- * time, and which give way to new ones.
+ * All connections of clients by their status: how many there may be, which are closed after a time
+ * without use, and which are closed to make room for new ones.
  *
- * <p>Guards against every kind of client that takes a connection and makes no use of it: silent
- * ones, halves of commands, connections kept for good. It also bounds what a flood of connections
- * costs. It could do harm where clients connect long before they ask, which the protocol's clients
- * do not.
+ * <p>Bounds what clients can take that connect and make no use of it: silent ones, incomplete
+ * commands, connections kept open for good, floods of connections. Cost: a client that connects
+ * long before its first request has to connect again.
  *
- * <p>How long a connection has stood so is measured in time in which the event loop listened, and
- * none is ended between two requests while the kernel holds bytes of it: what a client sent while
- * the node stood still is a request, however long ago the node heard of it last.
+ * <p>Time in a status is measured in the event loop's active time, and no connection is ended
+ * between two requests while the kernel has unread bytes of it: what a client sent while the event
+ * loop was stalled is a request. All of it runs on the event loop.
  */
 public final class ClientConnections {
-  /** What is due on a connection. */
-  enum Standing {
-    /** It has not asked for anything: its first request has not begun. */
+  /** What a connection waits for. */
+  enum Status {
+    /** Its first request, which has not begun. */
     UNUSED,
-    /** A command has begun, and no answer is owed. */
-    MIDWAY,
-    /** Nothing, between two requests. */
+    /** The rest of a command; no response is pending. */
+    MID_COMMAND,
+    /** The next request. */
     IDLE,
-    /** An answer is owed. */
-    OWED,
-    /** Nothing more is taken from it; the last answers are on their way. */
+    /** A pending response. */
+    AWAITING_RESPONSE,
+    /** The last bytes to go out; nothing more is taken from it. */
     CLOSING,
-    /** All is answered, and its client has been told to leave: its own end closes it. */
-    LEAVING
+    /** The client's close; this node has closed its own end of the stream. */
+    HALF_CLOSED
   }
 
-  /** How long a client may take for its first command, or over any command: it is owed 2 s. */
+  /** How long a client may take for its first command, or for any command. */
   private static final long MAX_COMMAND_NANOS = 2_100_000_000L;
 
-  /** How long it may take over a command with a large value, as long as it goes on sending. */
+  /** How long it may take for a command with a large value, while it goes on sending. */
   private static final long MAX_VALUE_NANOS = 30_000_000_000L;
 
-  /** How long a connection is kept between requests; a client may be made to open another. */
+  /** How long a connection is kept between requests. */
   private static final long MAX_IDLE_NANOS = 4_000_000_000L;
 
-  /** How long the last answers on a connection may take to go out. */
+  /** How long the last responses on a connection may take to go out. */
   private static final long MAX_CLOSING_NANOS = 1_000_000_000L;
 
-  /** How long a client may take to leave once it is told to. */
-  private static final long MAX_LEAVING_NANOS = 250_000_000L;
+  /** How long a client may take to close its end once this node has closed its own. */
+  private static final long MAX_HALF_CLOSED_NANOS = 250_000_000L;
 
-  /** Steps, a millisecond each, in which a drain lets its idle clients go, about. */
+  /** Steps, of a millisecond each, in which a drain ends the idle connections, about. */
   private static final int DRAIN_STEPS = 64;
 
-  /** A connection between requests gives way where others crowd in, from then. */
-  private static final long PROMPT_NANOS = 300_000_000L;
+  private static final long DRAIN_STEP_MILLIS = 1;
 
-  /** One that is halfway through a command gives way once it has said nothing for so long. */
-  private static final long SILENT_NANOS = 600_000_000L;
+  /** An idle connection may be closed after this time while many are in use. */
+  private static final long MIN_IDLE_WHEN_CROWDED_NANOS = 300_000_000L;
+
+  /** A connection within a command may be closed for a new one after this time of silence. */
+  private static final long MIN_COMMAND_SILENCE_NANOS = 600_000_000L;
 
   /**
-   * One that has asked for nothing does so from then, since who connects to ask does so sooner; any
-   * other where nearly all places are taken.
+   * An unused connection may be closed for a new one after this time: a client that connects to
+   * send a request does so sooner. The same holds for any other where nearly all capacity is in
+   * use.
    */
-  private static final long HESITANT_NANOS = 50_000_000L;
+  private static final long MIN_UNUSED_NANOS = 50_000_000L;
 
-  /** The part of all places for those; past it they give way first, in the order they came. */
-  private static final double HESITANT = 0.25;
+  /** Unused connections past this part of the limit are closed first, the oldest first. */
+  private static final double MAX_UNUSED_RATIO = 0.25;
 
-  /** The part of all places from which connections in use are so many that idle ones give way. */
-  private static final double CROWDED = 0.5;
+  /** The part of the limit from which on idle connections are closed early. */
+  private static final double CROWDED_RATIO = 0.5;
 
-  /** The part from which they do so at once: clients may hold not many more. */
-  private static final double FULL = 0.6;
+  /** The part from which on they are closed after {@link #MIN_UNUSED_NANOS}. */
+  private static final double NEARLY_FULL_RATIO = 0.6;
 
-  /** Connections looked at for one that can give way; those with bytes to read can not. */
-  private static final int MAX_LOOKED_AT = 16;
+  /** Connections looked at for one that can be closed; those with unread bytes can not. */
+  private static final int MAX_CANDIDATES = 16;
 
-  private int limit;
+  private int maxConnections;
   private final LoopClock clock;
-  private final Map<Standing, LinkedHashMap<ClientHandler, Long>> open =
-      new EnumMap<>(Standing.class);
-  private boolean shut;
-  private boolean draining;
-  private Runnable whenEmpty;
-  private long named;
-
-  /** At most so many connections at once. */
-  public ClientConnections(int limit, LoopClock clock) {
-    this.limit = limit;
+
+  /** By status, those that entered it first at the front; with the time of that. */
+  private final Map<Status, LinkedHashMap<ClientHandler, Long>> open = new EnumMap<>(Status.class);
+
+  private boolean isListenerClosed;
+  private boolean isDraining;
+
+  /** Run once a drain has ended all connections; null if none is to be run. */
+  private Runnable whenDrained;
+
+  private long namesGiven;
+
+  /** No connections yet. */
+  public ClientConnections(int maxConnections, LoopClock clock) {
+    this.maxConnections = maxConnections;
     this.clock = clock;
-    for (Standing standing : Standing.values()) {
-      open.put(standing, new LinkedHashMap<>());
+    for (Status status : Status.values()) {
+      open.put(status, new LinkedHashMap<>());
     }
   }
 
   /** A name for one more connection, new in this process. */
   String nextName() {
-    return "c" + named++;
+    return "c" + namesGiven++;
   }
 
-  /** Holds so many at most from now on; those that are there stay. */
+  /** Changes the limit; connections past it stay open. */
   public void setMaxConnections(int connections) {
-    limit = Math.max(1, connections);
+    maxConnections = Math.max(1, connections);
   }
 
-  /** Makes room for one more connection; false if no other can give way. */
+  /**
+   * Makes room for one more connection.
+   *
+   * @return false if the limit is reached and no other can be closed
+   */
   public boolean admit() {
-    if (connectionCount() < limit) {
+    if (connectionCount() < maxConnections) {
       return true;
     }
     long now = clock.activeNanos();
-    boolean flood = open.get(Standing.UNUSED).size() > HESITANT * limit;
-    return endLongest(Standing.LEAVING, now)
-        || endLongest(Standing.UNUSED, flood ? now : now - HESITANT_NANOS)
-        || endLongest(Standing.IDLE, now - HESITANT_NANOS)
-        || endSilent(now - SILENT_NANOS)
-        || endLongest(Standing.UNUSED, now)
-        || endSilent(now - HESITANT_NANOS);
+    boolean isFlooded = open.get(Status.UNUSED).size() > MAX_UNUSED_RATIO * maxConnections;
+    return endOldest(Status.HALF_CLOSED, now)
+        || endOldest(Status.UNUSED, isFlooded ? now : now - MIN_UNUSED_NANOS)
+        || endOldest(Status.IDLE, now - MIN_UNUSED_NANOS)
+        || endSilent(now - MIN_COMMAND_SILENCE_NANOS)
+        || endOldest(Status.UNUSED, now)
+        || endSilent(now - MIN_UNUSED_NANOS);
   }
 
   /**
-   * Ends the connection that has been silent for longest within a command, since the given time. A
-   * client that takes its time over a command goes on sending; one that never ends it does not.
+   * Ends the connection that has been silent for longest within a command, at least since the given
+   * time. A slow client goes on sending; one that never completes its command does not.
    */
   private boolean endSilent(long before) {
     ClientHandler silent = null;
-    for (ClientHandler client : open.get(Standing.MIDWAY).keySet()) {
-      if (silent == null || client.heardAt() - silent.heardAt() < 0) {
+    for (ClientHandler client : open.get(Status.MID_COMMAND).keySet()) {
+      if (silent == null || client.receivedAtActiveNanos() - silent.receivedAtActiveNanos() < 0) {
         silent = client;
       }
     }
     return silent != null
-        && silent.heardAt() - before <= 0
-        && silent.endQuietly(Event.CLOSE_CROWDED, true);
+        && silent.receivedAtActiveNanos() - before <= 0
+        && silent.endIfNothingUnread(Event.CLOSE_CROWDED, true);
   }
 
-  /** Ends the connection that has stood so for longest, since the given time; false if none can. */
-  private boolean endLongest(Standing standing, long before) {
-    for (ClientHandler client : expired(standing, before, MAX_LOOKED_AT)) {
-      if (standing == Standing.LEAVING) {
+  /** Ends one connection that has had this status since the given time; false if none can be. */
+  private boolean endOldest(Status status, long before) {
+    for (ClientHandler client : expired(status, before, MAX_CANDIDATES)) {
+      if (status == Status.HALF_CLOSED) {
         client.abort(Event.CLOSE_CROWDED);
         return true;
       }
-      if (client.endQuietly(Event.CLOSE_CROWDED, true)) {
+      if (client.endIfNothingUnread(Event.CLOSE_CROWDED, true)) {
         return true;
       }
     }
@@ -156,49 +167,51 @@
   }
 
   /**
-   * No more connections come: those that are there may rest for as long as they like. Guards
-   * against sending away clients that can not come back, to nodes that are crowded themselves.
+   * No more connections come, so idle ones are kept: their clients could not come back, and would
+   * crowd other nodes.
    */
   public void listenerClosed() {
-    shut = true;
+    isListenerClosed = true;
   }
 
-  /** A connection is open, or what is due on it has changed. */
-  void moved(ClientHandler client, Standing from, Standing to) {
+  /** A connection has opened, where {@code from} is null, or changed its status. */
+  void statusChanged(ClientHandler client, Status from, Status to) {
     if (from != null) {
       open.get(from).remove(client);
     }
     open.get(to).put(client, clock.activeNanos());
-    if (to == Standing.OWED) {
+    if (to == Status.AWAITING_RESPONSE) {
       closeCrowding();
     }
-    if (draining && to == Standing.IDLE) {
-      client.endQuietly(Event.CLOSE_DRAIN, false);
+    if (isDraining && to == Status.IDLE) {
+      client.endIfNothingUnread(Event.CLOSE_DRAIN, false);
     }
   }
 
   /**
-   * Also those that have been told to leave are waited for: a process that ends before them resets
-   * what crosses their end.
+   * Half-closed connections are waited for as well: a process that ends before them resets what
+   * their clients are sending.
    */
-  private void tellIfEmpty() {
-    if (draining && whenEmpty != null && connectionCount() == 0) {
-      Runnable step = whenEmpty;
-      whenEmpty = null;
+  private void notifyIfDrained() {
+    if (isDraining && whenDrained != null && connectionCount() == 0) {
+      Runnable step = whenDrained;
+      whenDrained = null;
       step.run();
     }
   }
 
-  void closed(ClientHandler client, Standing from) {
+  /** A connection with this status is closed. */
+  void closed(ClientHandler client, Status from) {
     open.get(from).remove(client);
-    tellIfEmpty();
+    notifyIfDrained();
   }
 
-  /** Connections on which an answer is owed. */
+  /** Connections with a pending response. */
   public int connectionsAwaitingResponse() {
-    return open.get(Standing.OWED).size();
+    return open.get(Status.AWAITING_RESPONSE).size();
   }
 
+  /** Connections that are open. */
   public int connectionCount() {
     int size = 0;
     for (var clients : open.values()) {
@@ -207,74 +220,75 @@
     return size;
   }
 
-  /** Closes what has been of no use for too long. Not to be called while the loop is behind. */
+  /** Closes connections that were of no use for too long. Not to be called during a backlog. */
   public void closeExpired() {
     long now = clock.activeNanos();
-    endAll(Standing.UNUSED, Event.CLOSE_UNUSED, now - MAX_COMMAND_NANOS);
+    endAll(Status.UNUSED, Event.CLOSE_UNUSED, now - MAX_COMMAND_NANOS);
     for (ClientHandler client :
-        expired(Standing.MIDWAY, now - MAX_COMMAND_NANOS, Integer.MAX_VALUE)) {
-      boolean longest = open.get(Standing.MIDWAY).get(client) - (now - MAX_VALUE_NANOS) <= 0;
-      if (longest || !client.sendsValue(now - MAX_COMMAND_NANOS)) {
-        client.endQuietly(Event.CLOSE_PARTIAL_COMMAND, false);
+        expired(Status.MID_COMMAND, now - MAX_COMMAND_NANOS, Integer.MAX_VALUE)) {
+      boolean isPastMaxValueTime =
+          open.get(Status.MID_COMMAND).get(client) - (now - MAX_VALUE_NANOS) <= 0;
+      if (isPastMaxValueTime || !client.hasSentValueSince(now - MAX_COMMAND_NANOS)) {
+        client.endIfNothingUnread(Event.CLOSE_PARTIAL_COMMAND, false);
       }
     }
-    if (!shut) {
-      endAll(Standing.IDLE, Event.CLOSE_IDLE, now - MAX_IDLE_NANOS);
+    if (!isListenerClosed) {
+      endAll(Status.IDLE, Event.CLOSE_IDLE, now - MAX_IDLE_NANOS);
     }
     closeCrowding();
-    abortAll(Standing.LEAVING, now - MAX_LEAVING_NANOS);
-    abortAll(Standing.CLOSING, now - MAX_CLOSING_NANOS);
-    for (ClientHandler client : expired(Standing.OWED, now, Integer.MAX_VALUE)) {
-      client.abortIfStalled();
+    abortAll(Status.HALF_CLOSED, now - MAX_HALF_CLOSED_NANOS);
+    abortAll(Status.CLOSING, now - MAX_CLOSING_NANOS);
+    for (ClientHandler client : expired(Status.AWAITING_RESPONSE, now, Integer.MAX_VALUE)) {
+      client.abortIfWriteStalled();
     }
   }
 
-  private void endAll(Standing standing, Event reason, long before) {
-    for (ClientHandler client : expired(standing, before, Integer.MAX_VALUE)) {
-      client.endQuietly(reason, false);
+  private void endAll(Status status, Event reason, long before) {
+    for (ClientHandler client : expired(status, before, Integer.MAX_VALUE)) {
+      client.endIfNothingUnread(reason, false);
     }
   }
 
-  private void abortAll(Standing standing, long before) {
-    for (ClientHandler client : expired(standing, before, Integer.MAX_VALUE)) {
+  private void abortAll(Status status, long before) {
+    for (ClientHandler client : expired(status, before, Integer.MAX_VALUE)) {
       client.abort(Event.CLOSE_TIMEOUT);
     }
   }
 
   /**
-   * Closes those idle longest while very many are in use, and sooner the more there are. Guards
-   * against clients that ask once and keep the connection: where all may hold but so many, the
-   * others find none to ask on. It also keeps places free for a rush. Does harm to clients that
-   * come back after a pause: they have to connect anew.
+   * Closes the connections that have been idle for longest while many are in use, sooner the more
+   * there are. Prevents clients that send one request and keep the connection from using up the
+   * limit, and keeps capacity for a burst. Cost: clients that come back after a pause have to
+   * connect again.
    */
   private void closeCrowding() {
-    if (shut) {
+    if (isListenerClosed) {
       return;
     }
     long now = clock.activeNanos();
-    closeIdle(now - HESITANT_NANOS, FULL * limit);
-    closeIdle(now - PROMPT_NANOS, CROWDED * limit);
+    closeIdle(now - MIN_UNUSED_NANOS, NEARLY_FULL_RATIO * maxConnections);
+    closeIdle(now - MIN_IDLE_WHEN_CROWDED_NANOS, CROWDED_RATIO * maxConnections);
   }
 
   /**
-   * Closes those idle since then until no more than that are in use. One whose client has just gone
-   * still stands among them: each is closed once, and not looked at again.
+   * Closes connections idle since then until no more than that many are left. One whose client has
+   * just disconnected is still among them: each is closed once, and not looked at again.
    */
-  private void closeIdle(long before, double most) {
-    int used = open.get(Standing.MIDWAY).size() + open.get(Standing.OWED).size();
-    double excess = open.get(Standing.IDLE).size() + used - most;
+  private void closeIdle(long before, double maxOpen) {
+    int used = open.get(Status.MID_COMMAND).size() + open.get(Status.AWAITING_RESPONSE).size();
+    double excess = open.get(Status.IDLE).size() + used - maxOpen;
     if (excess > 0) {
-      for (ClientHandler client : expired(Standing.IDLE, before, (int) Math.ceil(excess))) {
-        client.endQuietly(Event.CLOSE_CROWDED, true);
+      for (ClientHandler client : expired(Status.IDLE, before, (int) Math.ceil(excess))) {
+        client.endIfNothingUnread(Event.CLOSE_CROWDED, true);
       }
     }
   }
 
-  /** Those that have stood so since the given time, at most so many, longest first. */
-  private List<ClientHandler> expired(Standing standing, long before, int most) {
+  /** Those that have had this status since the given time, at most so many, oldest first. */
+  private List<ClientHandler> expired(Status status, long before, int max) {
     List<ClientHandler> expired = new ArrayList<>();
-    for (var entry : open.get(standing).entrySet()) {
-      if (entry.getValue() - before > 0 || expired.size() == most) {
+    for (var entry : open.get(status).entrySet()) {
+      if (entry.getValue() - before > 0 || expired.size() == max) {
         break;
       }
       expired.add(entry.getKey());
@@ -283,17 +297,18 @@
   }
 
   /**
-   * From now on closes each connection as it falls idle, right behind its last answer, and in so
-   * many milliseconds those that rest; runs the step when none is left. A client that asks
-   * meanwhile never meets the end of its connection; the longer one has rested, the less likely it
-   * asks in the very moment in which it is closed.
+   * From now on closes each connection as it becomes idle, right behind its last response, and
+   * after a time those that are idle already, the longest idle first: they are the least likely to
+   * send a request in the very moment in which they are closed.
    *
-   * @param lastCallMillis how long after that those are ended, too, that have not fallen idle
+   * @param restMillis after how long the closing of idle connections begins
+   * @param lastCallMillis how long after that those are ended, too, that have not become idle
+   * @param then run once when no connection is left
    */
   public void drain(EventLoop loop, long restMillis, long lastCallMillis, Runnable then) {
-    draining = true;
-    whenEmpty = then;
-    tellIfEmpty();
+    isDraining = true;
+    whenDrained = then;
+    notifyIfDrained();
     if (connectionCount() > 0) {
       loop.schedule(() -> closeNext(loop), restMillis, TimeUnit.MILLISECONDS);
       loop.schedule(
@@ -304,29 +319,28 @@
   }
 
   /**
-   * Nothing more is read on any connection; each ends behind what it is owed. Guards against what
-   * clients send up to the moment in which the process is killed.
+   * Nothing more is read on any connection; each ends behind its pending responses. What clients
+   * send until the process is killed is not lost with it then.
    */
   private void lastCall() {
-    for (Standing standing : Standing.values()) {
-      List.copyOf(open.get(standing).keySet()).forEach(ClientHandler::lastCall);
+    for (Status status : Status.values()) {
+      List.copyOf(open.get(status).keySet()).forEach(ClientHandler::lastCall);
     }
   }
 
   /**
-   * Ends idle connections one by one; one with bytes that wait to be read is ended after its
-   * answer. Guards against requests that come while others are being closed: between two closes the
-   * event loop reads what has come. The step grows with the number left, so that all are let go in
-   * time also where a pause has eaten into it.
+   * Ends idle connections in steps; one with unread bytes is ended after its response. Between two
+   * steps the event loop reads what has come. The step grows with the number left, so that all are
+   * ended in time also after a stall.
    */
   private void closeNext(EventLoop loop) {
-    int idle = open.get(Standing.IDLE).size();
+    int idle = open.get(Status.IDLE).size();
     if (idle > 0) {
       for (ClientHandler client :
-          expired(Standing.IDLE, clock.activeNanos(), 1 + idle / DRAIN_STEPS)) {
-        client.endQuietly(Event.CLOSE_DRAIN, false);
+          expired(Status.IDLE, clock.activeNanos(), 1 + idle / DRAIN_STEPS)) {
+        client.endIfNothingUnread(Event.CLOSE_DRAIN, false);
       }
-      loop.schedule(() -> closeNext(loop), 1, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> closeNext(loop), DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/front/ClientFront.java
+++ b/engine/src/main/java/shalepaddle/front/ClientFront.java
@@ -11,34 +11,34 @@
 import shalepaddle.overload.DegradationPolicy;
 
 /**
- * The front of one client protocol: what is done with each connection that a listener accepts. All
- * of it runs on the dispatcher's thread.
+ * The front of one client protocol: sets up each connection that a listener accepts, or closes it
+ * where the limit is reached. All of it runs on the dispatcher's event loop.
  */
 public final class ClientFront extends ChannelInitializer<Channel> {
   private final Dispatcher dispatcher;
   private final ClientCodec codec;
   private final ClientConnections clients;
-  private final FairReadScheduler turns;
-  private final MemoryBudget aheadOfTurn;
+  private final FairReadScheduler fairness;
+  private final MemoryBudget inboundBudget;
 
   /**
    * A front without connections.
    *
-   * @param limit connections that it holds at most
-   * @param posture what to do without now
-   * @param aheadOfTurn for what is read from clients whose commands are not taken yet
+   * @param maxConnections connections that may be open at once
+   * @param degradation the limits under the present load
+   * @param inboundBudget bounds what is buffered of commands that are not taken yet
    */
   public ClientFront(
       Dispatcher dispatcher,
       ClientCodec codec,
-      int limit,
-      Supplier<DegradationPolicy> posture,
-      MemoryBudget aheadOfTurn) {
-    this.aheadOfTurn = aheadOfTurn;
+      int maxConnections,
+      Supplier<DegradationPolicy> degradation,
+      MemoryBudget inboundBudget) {
+    this.inboundBudget = inboundBudget;
     this.dispatcher = dispatcher;
     this.codec = codec;
-    this.turns = new FairReadScheduler(posture);
-    this.clients = new ClientConnections(limit, dispatcher.clock());
+    this.fairness = new FairReadScheduler(degradation);
+    this.clients = new ClientConnections(maxConnections, dispatcher.clock());
   }
 
   @Override
@@ -50,28 +50,28 @@
       channel.close();
       return;
     }
-    long connectedSince = ClientListener.waitingSince(channel, clock);
-    InboundBuffer inbound = new InboundBuffer(aheadOfTurn, clock, connectedSince);
+    long connectedSinceNanos = ClientListener.waitingSince(channel, clock);
+    InboundBuffer inbound = new InboundBuffer(inboundBudget, clock, connectedSinceNanos);
     ClientCodec.CommandDecoder decoder = codec.decoder();
     channel
         .pipeline()
         .addLast(
             inbound,
             decoder,
-            new ClientHandler(dispatcher, clients, codec, inbound, decoder, turns));
+            new ClientHandler(dispatcher, clients, codec, inbound, decoder, fairness));
   }
 
-  /** Closes what has been of no use for too long. Not to be called while the loop is behind. */
+  /** Closes connections that were of no use for too long. Not to be called during a backlog. */
   public void closeExpired() {
     clients.closeExpired();
   }
 
-  /** No more connections come. */
+  /** No more connections come: idle ones are kept open from now on. */
   public void listenerClosed() {
     clients.listenerClosed();
   }
 
-  /** Connections on which an answer is owed. */
+  /** Connections with a pending response. */
   public int connectionsAwaitingResponse() {
     return clients.connectionsAwaitingResponse();
   }
@@ -82,15 +82,15 @@
   }
 
   /**
-   * From now on closes each connection as it falls idle, in so many milliseconds those that rest by
-   * then, and in so many more all others, behind what they are owed; runs the step when none is
-   * left.
+   * Ends all connections, each behind its pending responses; see {@link ClientConnections#drain}.
+   *
+   * @param then run once when no connection is left
    */
   public void drain(EventLoop loop, long restMillis, long lastCallMillis, Runnable then) {
     clients.drain(loop, restMillis, lastCallMillis, then);
   }
 
-  /** Holds so many connections at most from now on; those that are there stay. */
+  /** Changes the limit; connections past it stay open. */
   public void setMaxConnections(int connections) {
     clients.setMaxConnections(connections);
   }
--- a/engine/src/main/java/shalepaddle/front/ClientListener.java
+++ b/engine/src/main/java/shalepaddle/front/ClientListener.java
@@ -10,31 +10,33 @@
 import shalepaddle.sockets.TcpConnection;
 import shalepaddle.sockets.TcpListener;
 
-/** Accepts clients on connections that can tell whether bytes wait on them. */
+/**
+ * Accepts clients' connections, and knows since when each may have waited for that. Owned by its
+ * event loop.
+ */
 public final class ClientListener extends TcpListener {
-  private final boolean inherited;
+  private final boolean isInherited;
 
-  /** The connections that are accepted without a look at an empty backlog between them. */
+  /** Of the connections that are accepted without an empty backlog seen between them. */
   private Backlog backlog = new Backlog();
 
   /** One that is to be bound. */
   public ClientListener() {
-    inherited = false;
+    isInherited = false;
   }
 
-  /** One that listens already, which is shared with other processes and so never closed. */
+  /** One that listens already; it is shared with other processes and so never closed. */
   public ClientListener(ServerSocketChannel listening) {
     super(listening);
-    inherited = true;
+    isInherited = true;
   }
 
   /**
-   * Looks for new connections no more. An inherited one is taken off the event loop and not closed:
-   * closed here while its socket lives on, it lost 7 of 5,570 requests on new connections in twenty
-   * upgrades.
+   * Accepts no more connections. An inherited listener is taken off the event loop and not closed:
+   * its socket lives on in another process, and closing it here loses requests on new connections.
    */
   public void stop() {
-    if (inherited) {
+    if (isInherited) {
       deregister();
     } else {
       acceptAll();
@@ -42,10 +44,7 @@
     }
   }
 
-  /**
-   * Takes what has come and was not accepted yet: closing would reset it, with the request that may
-   * wait on it.
-   */
+  /** Accepts the whole backlog: closing would reset it, with the requests that may wait on it. */
   private void acceptAll() {
     List<Object> waiting = new ArrayList<>();
     // Where accepting fails the rest is reset.
@@ -58,7 +57,7 @@
 
   @Override
   protected void doClose() throws Exception {
-    if (!inherited) {
+    if (!isInherited) {
       super.doClose();
     }
   }
@@ -79,36 +78,36 @@
   }
 
   /**
-   * Connections that may all have waited since the same time: a turn accepts some of many, and none
-   * while accepting fails, so that the last of them can be as old as the first.
+   * Connections that may all have waited since the same time. A turn accepts a part of many, and
+   * none while accepting fails, so the last of them can be as old as the first.
    */
   private static final class Backlog {
-    private boolean known;
-    private long since;
+    private boolean isKnown;
+    private long sinceNanos;
     private long lastTurn;
 
-    /** Whether the listener has not been polled since the last accept, as one had failed. */
-    private boolean unpolled;
+    /** Whether accepting has failed, and the listener has not been polled since. */
+    private boolean isUnpolled;
 
     /** The earliest time at which the connection that is accepted in this turn can have come. */
-    long since(long polled, long turn) {
+    long since(long polledNanos, long turn) {
       // A poll in between that reported nothing has seen it empty.
-      boolean seenEmpty = !unpolled && turn - lastTurn > 1;
-      if (!known || seenEmpty || polled - since < 0) {
-        since = polled;
+      boolean wasSeenEmpty = !isUnpolled && turn - lastTurn > 1;
+      if (!isKnown || wasSeenEmpty || polledNanos - sinceNanos < 0) {
+        sinceNanos = polledNanos;
       }
-      known = true;
-      unpolled = false;
+      isKnown = true;
+      isUnpolled = false;
       lastTurn = turn;
-      return since;
+      return sinceNanos;
     }
 
     void failed(long now) {
-      if (!known) {
-        since = now;
+      if (!isKnown) {
+        sinceNanos = now;
       }
-      known = true;
-      unpolled = true;
+      isKnown = true;
+      isUnpolled = true;
     }
   }
 
@@ -121,28 +120,30 @@
       backlog = parent.backlog;
     }
 
-    private int unread() throws IOException {
+    private int unreadBytes() throws IOException {
       return javaChannel().socket().getInputStream().available();
     }
   }
 
-  /** Since when a connection that has been accepted in this turn may have waited for that. */
+  /**
+   * Since when a connection that was accepted in this turn may have waited, by the loop's clock.
+   */
   static long waitingSince(Channel channel, LoopClock clock) {
-    long polled = clock.earliestArrival();
+    long polledNanos = clock.earliestArrival();
     return channel instanceof Connection connection
-        ? connection.backlog.since(polled, clock.turn())
-        : polled;
+        ? connection.backlog.since(polledNanos, clock.turn())
+        : polledNanos;
   }
 
   /**
-   * Whether the kernel holds bytes of this connection that have not been read: asked of the kernel
-   * itself, so that it holds at this very moment, whatever the event loop has or has not done.
+   * Whether the kernel has unread bytes of this connection. Asks the kernel itself, since the event
+   * loop may not have polled for a while.
    */
   static boolean hasUnread(Channel channel) {
     try {
       return channel instanceof Connection connection
           && connection.isActive()
-          && connection.unread() > 0;
+          && connection.unreadBytes() > 0;
     } catch (IOException e) {
       return false;
     }
--- a/engine/src/main/java/shalepaddle/front/DeadlineScanner.java
+++ b/engine/src/main/java/shalepaddle/front/DeadlineScanner.java
@@ -4,13 +4,13 @@
 import java.util.function.IntConsumer;
 
 /**
- * Finds the deadlines, in milliseconds, that commands name in bytes which have not been decoded: a
- * number after {@code d=} at the beginning of a property. However the bytes are cut. What looks
- * like one within a value is reported too.
+ * Finds the deadlines, in milliseconds, that commands name in bytes which have not been decoded,
+ * however the bytes are cut: a number after {@code d=} at the beginning of a property. Reports also
+ * what looks like one within a value. Owned by its connection, on the event loop.
  */
 final class DeadlineScanner {
-  /** Numbers are not read beyond this: no deadline is believed that is longer. */
-  private static final int MOST = 1_000_000;
+  /** Larger numbers count as this; the decoder rejects such deadlines. */
+  private static final int MAX_DEADLINE_MILLIS = 1_000_000;
 
   private enum State {
     NONE,
@@ -22,7 +22,7 @@
   private State state = State.NONE;
   private int number;
 
-  /** Looks through the readable bytes, which stay unread, and reports each deadline. */
+  /** Looks through the readable bytes, whose reader index stays, and reports each deadline. */
   void scan(ByteBuf bytes, IntConsumer found) {
     for (int i = bytes.readerIndex(); i < bytes.writerIndex(); i++) {
       next(bytes.getByte(i), found);
@@ -33,7 +33,7 @@
     switch (state) {
       case NUMBER -> {
         if (b >= '0' && b <= '9') {
-          number = Math.min(MOST, number * 10 + b - '0');
+          number = Math.min(MAX_DEADLINE_MILLIS, number * 10 + b - '0');
           return;
         }
         found.accept(number);
--- a/engine/src/main/java/shalepaddle/front/FairReadScheduler.java
+++ b/engine/src/main/java/shalepaddle/front/FairReadScheduler.java
@@ -4,57 +4,68 @@
 import shalepaddle.overload.DegradationPolicy;
 
 /**
- * Who may go on being read from while the processor is short: a connection that has sent more than
- * its part of all requests waits for the next interval. Guards against one client that takes the
- * event loop from all others; what it sent waits in its own socket, where it slows itself down.
- * Nothing is refused or closed for it.
+ * Shares reading between connections while the processor is overloaded: one that has sent more than
+ * its quota of all requests in an interval is not read from until the next. Prevents one client
+ * from using up the event loop. What it sent waits in its own socket, so that TCP slows it down;
+ * nothing is rejected or closed.
+ *
+ * <p>One for all connections of a front, owned by the event loop.
  */
 final class FairReadScheduler {
   static final long INTERVAL_NANOS = 100_000_000L;
 
-  /** Requests in an interval that are never too many. */
-  private static final int FEW = 8;
+  /** Requests of one connection in an interval that never exceed its quota. */
+  private static final int MIN_QUOTA_REQUESTS = 8;
 
-  private final Supplier<DegradationPolicy> posture;
+  private final Supplier<DegradationPolicy> policy;
   private long interval;
-  private int all;
-  private int allBefore;
+  private int requests;
+  private int requestsInPreviousInterval;
 
-  FairReadScheduler(Supplier<DegradationPolicy> posture) {
-    this.posture = posture;
+  FairReadScheduler(Supplier<DegradationPolicy> policy) {
+    this.policy = policy;
   }
 
-  /** Answers that one connection may be owed before no more is read from it. */
-  int owed() {
-    return posture.get().maxPendingResponses();
+  /** Responses that may be pending on one connection before no more is read from it. */
+  int maxPendingResponses() {
+    return policy.get().maxPendingResponses();
   }
 
-  /** What one connection has sent. */
-  static final class Count {
+  /** The requests that one connection has sent in the present interval. */
+  static final class RequestCount {
     private long interval;
     private int requests;
+
+    /** Adds requests that came in this interval; returns all of them. */
+    private int add(long currentInterval, int more) {
+      if (interval != currentInterval) {
+        interval = currentInterval;
+        requests = 0;
+      }
+      requests += more;
+      return requests;
+    }
   }
 
   /**
-   * A connection has sent so many more requests; returns for how many nanoseconds to read no more
-   * from it, 0 to go on.
+   * A connection has sent more requests.
+   *
+   * @return for how long to read no more from it, 0 to go on
    */
-  long pause(Count count, int more, long now) {
+  long pauseNanos(RequestCount connection, int more, long now) {
     long current = now / INTERVAL_NANOS;
     if (current != interval) {
-      allBefore = current == interval + 1 ? all : 0;
-      all = 0;
+      requestsInPreviousInterval = current == interval + 1 ? requests : 0;
+      requests = 0;
       interval = current;
     }
-    all += more;
-    if (count.interval != current) {
-      count.interval = current;
-      count.requests = 0;
-    }
-    count.requests += more;
-    double heavy = posture.get().heavyReaderRatio();
-    boolean most =
-        heavy < 1 && count.requests > FEW && count.requests > heavy * Math.max(all, allBefore);
-    return most ? (current + 1) * INTERVAL_NANOS - now : 0;
+    requests += more;
+    int sent = connection.add(current, more);
+    double quotaRatio = policy.get().heavyReaderRatio();
+    boolean exceedsQuota =
+        quotaRatio < 1
+            && sent > MIN_QUOTA_REQUESTS
+            && sent > quotaRatio * Math.max(requests, requestsInPreviousInterval);
+    return exceedsQuota ? (current + 1) * INTERVAL_NANOS - now : 0;
   }
 }
--- a/engine/src/main/java/shalepaddle/front/InboundBuffer.java
+++ b/engine/src/main/java/shalepaddle/front/InboundBuffer.java
@@ -1,6 +1,7 @@
 package shalepaddle.front;
 
 import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelDuplexHandler;
 import io.netty.channel.ChannelHandlerContext;
@@ -11,55 +12,59 @@
 import shalepaddle.loop.LoopClock;
 
 /**
- * Stands before the decoder of a client's connection: says how much is read from it, and when what
- * is delivered can have arrived at the earliest.
+ * The first handler of a client's connection: decides how much is read from it, and knows the
+ * earliest time at which the bytes that it delivers can have arrived.
  *
- * <p>While commands are not taken a little is read all the same and buffered as it came, for two
- * reasons. A socket from which nothing is read shows no end, so that a client that has left would
- * go on being worked for. And a request's time counts from when its client sends it: what is
- * buffered tells by when it has to be delivered for its answer to be in time.
+ * <p>While commands are not taken, up to {@value #MAX_BUFFERED_BYTES} bytes are read all the same
+ * and buffered undecoded, for two reasons. A socket that is not read shows no disconnect, so that
+ * the node would go on working for a client that has left. And a request's time counts from when
+ * its client sends it: the buffered deadlines tell by when to deliver. A memory budget bounds all
+ * buffers together; a single read may exceed either limit. The rest waits in the socket.
  *
- * <p>Bounded by {@value #MOST} bytes a connection and by a budget over all, past either by what a
- * single read brings. What is beyond that waits in the socket.
+ * <p>All of it runs on the connection's event loop. It owns what it has read until it passes it on.
  */
 final class InboundBuffer extends ChannelDuplexHandler {
-  /** Bytes that are buffered of one connection, about. */
-  static final int MOST = 16 << 10;
+  /** No more is read from a connection while so much of it is buffered. */
+  static final int MAX_BUFFERED_BYTES = 16 << 10;
 
-  /** How many bytes are delivered before anybody can object: some tens of commands. */
-  private static final int PIECE = 4 << 10;
+  /** How much is delivered between two looks at the mode: some tens of commands. */
+  private static final int MAX_DELIVERY_BYTES = 4 << 10;
 
   /** Reads after which a connection's turn ends whether or not its socket is empty. */
-  private static final int READS_A_TURN = 16;
+  private static final int MAX_READS_PER_TURN = 16;
 
-  /** Bytes that arrived within this time of one another are kept as one, as old as the older. */
-  private static final long MERGED_NANOS = 5_000_000;
+  /** Bytes that arrived within this time of one another are buffered together. */
+  private static final long MERGE_NANOS = 5_000_000;
 
   /** What is done with what comes. */
   enum Mode {
-    /** It is delivered. */
+    /** It is read and delivered. */
     DELIVER,
     /** It is read and buffered. */
     BUFFER,
-    /** It is not read. What had been read before that is delivered: who reads has taken it. */
+    /** It is not read. What was buffered before is delivered. */
     SUSPEND
   }
 
-  /** Is told by when what is buffered has to be delivered. */
+  /** Is notified by when what is buffered has to be delivered. */
   @FunctionalInterface
-  interface DueListener {
-    /** Buffered commands want their answers by then, the first of them; see {@link #dueAt}. */
-    void due(long dueAt);
+  interface DeadlineListener {
+    /** The earliest deadline among the buffered commands, by the loop's clock. */
+    void deadlineFound(long deadlineNanos);
   }
 
   /** Bytes, and the earliest time at which any of them can have arrived. */
   private static final class Segment {
     private ByteBuf bytes;
-    private final long arrival;
+    private final long arrivalNanos;
 
-    Segment(ByteBuf bytes, long arrival) {
+    Segment(ByteBuf bytes, long arrivalNanos) {
       this.bytes = bytes;
-      this.arrival = arrival;
+      this.arrivalNanos = arrivalNanos;
+    }
+
+    void append(ByteBufAllocator allocator, ByteBuf more) {
+      bytes = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(allocator, bytes, more);
     }
   }
 
@@ -67,83 +72,84 @@
   private final ArrivalTracker arrivals;
   private final ArrayDeque<Segment> segments = new ArrayDeque<>();
   private DeadlineScanner deadlines = new DeadlineScanner();
-  private DueListener listener = dueAt -> {};
+  private DeadlineListener listener = deadlineNanos -> {};
   private ChannelHandlerContext ctx;
   private Mode mode = Mode.DELIVER;
-  private int buffered;
-  private int reserved;
+  private int bufferedBytes;
+  private int reservedBytes;
 
-  /** Whether the budget did not cover all that was read. */
-  private boolean overdrawn;
+  /** Whether the budget did not cover all that is buffered. */
+  private boolean exceedsBudget;
 
-  private boolean delivering;
+  private boolean isDelivering;
 
-  /** Since which arrival what is delivered now is counted. */
-  private long arrival;
+  /** See {@link #arrivalNanos()}. */
+  private long arrivalNanos;
 
   private int readsInTurn;
 
-  private boolean hasDue;
-  private long dueAt;
+  private boolean hasDeadline;
+  private long deadlineNanos;
 
   /**
    * Nothing has been read.
    *
    * @param budget over all connections
-   * @param connectedSince since when the client may have sent something
+   * @param connectedSinceNanos since when the client may have sent something
    */
-  InboundBuffer(MemoryBudget budget, LoopClock clock, long connectedSince) {
+  InboundBuffer(MemoryBudget budget, LoopClock clock, long connectedSinceNanos) {
     this.budget = budget;
-    this.arrivals = new ArrivalTracker(clock, connectedSince);
+    this.arrivals = new ArrivalTracker(clock, connectedSinceNanos);
   }
 
-  void listener(DueListener listener) {
+  void setListener(DeadlineListener listener) {
     this.listener = listener;
   }
 
   @Override
   public void handlerAdded(ChannelHandlerContext ctx) {
     this.ctx = ctx;
-    arrivals.watch(true);
+    arrivals.setPolled(true);
   }
 
-  /** Whether something was read and has not been delivered. */
-  boolean holdsBytes() {
+  /** Whether something is buffered. */
+  boolean hasBytes() {
     return !segments.isEmpty();
   }
 
-  /** Whether more may wait in the socket than is known here: nothing more is read. */
-  boolean full() {
-    return holdsBytes() && (buffered >= MOST || overdrawn);
+  /** Whether so much is buffered that nothing more is read: more may wait in the socket. */
+  boolean isFull() {
+    return hasBytes() && (bufferedBytes >= MAX_BUFFERED_BYTES || exceedsBudget);
   }
 
   /** The earliest time at which the bytes that are being delivered can have arrived. */
-  long arrival() {
-    return arrival;
+  long arrivalNanos() {
+    return arrivalNanos;
   }
 
   /**
-   * From now on does that with what comes. What was buffered is delivered later, not within this.
+   * Changes what is done with what comes. What was buffered is delivered by a task of its own, not
+   * within this call.
    */
-  void mode(Mode next) {
+  void setMode(Mode next) {
     if (next == mode) {
       return;
     }
     mode = next;
-    steer();
-    if (holdsBytes() && mode != Mode.BUFFER) {
+    updateReading();
+    if (hasBytes() && mode != Mode.BUFFER) {
       ctx.executor().execute(this::deliverBuffered);
     }
   }
 
-  private void steer() {
+  private void updateReading() {
     Channel channel = ctx.channel();
-    boolean reads = mode != Mode.SUSPEND && !full();
-    arrivals.watch(reads);
+    boolean reads = mode != Mode.SUSPEND && !isFull();
+    arrivals.setPolled(reads);
     channel.config().setAutoRead(reads);
   }
 
-  /** Prevents a decoder from reading on by itself where a command is not whole. */
+  /** Prevents a decoder with an incomplete command from reading on by itself. */
   @Override
   public void read(ChannelHandlerContext ctx) {
     if (mode != Mode.SUSPEND) {
@@ -155,127 +161,129 @@
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     ByteBuf bytes = (ByteBuf) message;
     readsInTurn++;
-    long arrived = arrivals.read();
-    if (!holdsBytes() && mode != Mode.BUFFER) {
-      arrival = arrived;
+    long readArrivalNanos = arrivals.bytesRead();
+    if (!hasBytes() && mode != Mode.BUFFER) {
+      arrivalNanos = readArrivalNanos;
       ctx.fireChannelRead(bytes);
       return;
     }
-    buffer(ctx, bytes, arrived);
-    steer();
+    buffer(ctx, bytes, readArrivalNanos);
+    updateReading();
   }
 
-  private void buffer(ChannelHandlerContext ctx, ByteBuf bytes, long arrived) {
+  private void buffer(ChannelHandlerContext ctx, ByteBuf bytes, long bytesArrivalNanos) {
     int more = bytes.readableBytes();
     if (budget.reserve(more)) {
-      reserved += more;
+      reservedBytes += more;
     } else {
-      overdrawn = true;
+      exceedsBudget = true;
     }
-    buffered += more;
-    scan(bytes, arrived);
+    bufferedBytes += more;
+    scan(bytes, bytesArrivalNanos);
     Segment last = segments.peekLast();
-    if (last != null && arrived - last.arrival < MERGED_NANOS) {
-      last.bytes = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(ctx.alloc(), last.bytes, bytes);
+    if (last != null && bytesArrivalNanos - last.arrivalNanos < MERGE_NANOS) {
+      last.append(ctx.alloc(), bytes);
     } else {
-      segments.add(new Segment(bytes, arrived));
+      segments.add(new Segment(bytes, bytesArrivalNanos));
     }
-    if (hasDue) {
-      listener.due(dueAt);
+    if (hasDeadline) {
+      listener.deadlineFound(deadlineNanos);
     }
   }
 
-  private void scan(ByteBuf bytes, long arrived) {
-    deadlines.scan(bytes, millis -> due(arrived + TimeUnit.MILLISECONDS.toNanos(millis)));
+  private void scan(ByteBuf bytes, long bytesArrivalNanos) {
+    deadlines.scan(
+        bytes, millis -> addDeadline(bytesArrivalNanos + TimeUnit.MILLISECONDS.toNanos(millis)));
   }
 
-  /** Tells the listener by when what is buffered now has to be delivered, if it says so. */
-  void reportDue() {
-    hasDue = false;
+  /** Notifies the listener of the earliest deadline among what is buffered, if there is one. */
+  void reportDeadline() {
+    hasDeadline = false;
     deadlines = new DeadlineScanner();
-    segments.forEach(segment -> scan(segment.bytes, segment.arrival));
-    if (hasDue) {
-      listener.due(dueAt);
+    segments.forEach(segment -> scan(segment.bytes, segment.arrivalNanos));
+    if (hasDeadline) {
+      listener.deadlineFound(deadlineNanos);
     }
   }
 
-  private void due(long at) {
-    if (!hasDue || at - dueAt < 0) {
-      hasDue = true;
-      dueAt = at;
+  private void addDeadline(long nanos) {
+    if (!hasDeadline || nanos - deadlineNanos < 0) {
+      hasDeadline = true;
+      deadlineNanos = nanos;
     }
   }
 
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     boolean reads = ctx.channel().config().isAutoRead();
-    arrivals.readComplete(reads && readsInTurn < READS_A_TURN);
+    arrivals.readComplete(reads && readsInTurn < MAX_READS_PER_TURN);
     readsInTurn = 0;
-    if (!holdsBytes()) {
+    if (!hasBytes()) {
       ctx.fireChannelReadComplete();
     }
   }
 
-  /** Delivers what was buffered, until somebody objects. */
+  /** Delivers what was buffered, until the mode forbids it. */
   private void deliverBuffered() {
-    if (delivering || !holdsBytes()) {
+    if (isDelivering || !hasBytes()) {
       return;
     }
-    delivering = true;
+    isDelivering = true;
     try {
-      while (holdsBytes() && mode != Mode.BUFFER) {
+      while (hasBytes() && mode != Mode.BUFFER) {
         Segment first = segments.peek();
-        arrival = first.arrival;
-        ctx.fireChannelRead(takePiece(first));
+        arrivalNanos = first.arrivalNanos;
+        ctx.fireChannelRead(takeDelivery(first));
       }
     } finally {
-      delivering = false;
+      isDelivering = false;
     }
     ctx.fireChannelReadComplete();
     if (ctx.channel().isActive()) {
-      steer();
+      updateReading();
     }
   }
 
-  private ByteBuf takePiece(Segment first) {
-    if (first.bytes.readableBytes() > PIECE) {
-      buffered -= PIECE;
-      return first.bytes.readRetainedSlice(PIECE);
+  /** The next bytes to deliver, which belong to the next handler. */
+  private ByteBuf takeDelivery(Segment first) {
+    if (first.bytes.readableBytes() > MAX_DELIVERY_BYTES) {
+      bufferedBytes -= MAX_DELIVERY_BYTES;
+      return first.bytes.readRetainedSlice(MAX_DELIVERY_BYTES);
     }
-    buffered -= first.bytes.readableBytes();
+    bufferedBytes -= first.bytes.readableBytes();
     segments.poll();
     if (segments.isEmpty()) {
-      forget();
+      reset();
     }
     return first.bytes;
   }
 
   /** Nothing is buffered any more. */
-  private void forget() {
-    overdrawn = false;
-    budget.release(reserved);
-    reserved = 0;
-    buffered = 0;
-    hasDue = false;
+  private void reset() {
+    exceedsBudget = false;
+    budget.release(reservedBytes);
+    reservedBytes = 0;
+    bufferedBytes = 0;
+    hasDeadline = false;
     deadlines = new DeadlineScanner();
   }
 
-  private void drop() {
-    if (holdsBytes()) {
+  private void releaseAll() {
+    if (hasBytes()) {
       segments.forEach(segment -> segment.bytes.release());
       segments.clear();
-      forget();
+      reset();
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    drop();
+    releaseAll();
     ctx.fireChannelInactive();
   }
 
   @Override
   public void handlerRemoved(ChannelHandlerContext ctx) {
-    drop();
+    releaseAll();
   }
 }
--- a/engine/src/main/java/shalepaddle/front/ReadPause.java
+++ b/engine/src/main/java/shalepaddle/front/ReadPause.java
@@ -1,47 +1,49 @@
 package shalepaddle.front;
 
 /**
- * For how long nothing is read from a connection. Of several reasons the one that lasts longest
- * holds: a penalty for an error is not cut short by a pause that had begun before it.
+ * Until when nothing is read from a connection. Of several reasons the one that lasts longest
+ * holds: a penalty for an error is not shortened by a pause that had begun before it. Owned by its
+ * connection, on the event loop; times are by the loop's clock.
  */
 final class ReadPause {
-  private boolean on;
-  private long until;
+  private boolean isActive;
+  private long untilNanos;
 
   /** Whether nothing is read now. */
-  boolean on() {
-    return on;
+  boolean isActive() {
+    return isActive;
   }
 
   /**
    * There is a reason to read nothing for so long.
    *
-   * @return whether the pause begins with it, so that somebody must ask {@link #left} when it ends
+   * @return whether the pause begins with it: the caller must then ask {@link #remainingNanos} when
+   *     it ends
    */
-  boolean atLeast(long now, long nanos) {
-    until = on ? Math.max(until, now + nanos) : now + nanos;
-    boolean begins = !on;
-    on = true;
+  boolean extend(long now, long nanos) {
+    untilNanos = isActive ? Math.max(untilNanos, now + nanos) : now + nanos;
+    boolean begins = !isActive;
+    isActive = true;
     return begins;
   }
 
   /**
-   * It ends by then at the latest, since an answer is due.
+   * Ends it by then at the latest, since an answer is due.
    *
    * @return whether that is sooner than it would have ended
    */
-  boolean endBy(long latest) {
-    if (!on || until - latest <= 0) {
+  boolean endBy(long latestNanos) {
+    if (!isActive || untilNanos - latestNanos <= 0) {
       return false;
     }
-    until = latest;
+    untilNanos = latestNanos;
     return true;
   }
 
-  /** Nanoseconds that are left; with none the pause is over. */
-  long left(long now) {
-    long left = Math.max(0, until - now);
-    on = left > 0;
-    return left;
+  /** What is left of it; at 0 it has ended. */
+  long remainingNanos(long now) {
+    long remaining = Math.max(0, untilNanos - now);
+    isActive = remaining > 0;
+    return remaining;
   }
 }
--- a/engine/src/main/java/shalepaddle/front/RequestAdmission.java
+++ b/engine/src/main/java/shalepaddle/front/RequestAdmission.java
@@ -3,16 +3,16 @@
 import shalepaddle.overload.OverloadControl;
 
 /**
- * Asked about each request before more of it is read than names its class, tenant, key and repeat,
- * and before anything is allocated that a refused one does not need.
+ * Admits or rejects each request before more of it is read than its class, tenant, key and whether
+ * it is a retry, and before anything is allocated that a rejected request does not need.
  *
  * <p>Called on the event loop alone.
  */
 public interface RequestAdmission {
-  /** The answer for a request that is admitted. */
+  /** What {@link #admit} returns for a request that is admitted. */
   long ADMITTED = OverloadControl.ADMITTED;
 
-  /** Added to the advice of a refusal whose client has tried before, as far as is known. */
+  /** Added to the Retry-After of a rejected request that is a retry, as far as is known. */
   long RETRY = OverloadControl.RETRY_FLAG;
 
   /** Admits all and counts nothing. */
@@ -24,26 +24,26 @@
         }
 
         @Override
-        public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
+        public long admit(int serviceClass, int tenant, long keyHash, boolean isRetry) {
           return ADMITTED;
         }
       };
 
-  /** Whether any request may be refused now: while not, none needs to be looked at early. */
+  /** Whether any request may be rejected now: while not, none needs to be looked at early. */
   boolean mayReject();
 
   /**
-   * A request has come.
+   * A request has come. Called once for each, also while none may be rejected.
    *
-   * @param serviceClass the place of its class in the settings
-   * @param tenant the place of its tenant there, -1 for none that is known
-   * @param subject a hash of its key
-   * @param repeat whether its client marked it as a repeat
-   * @return {@link #ADMITTED}, or in how many milliseconds its client should come again, 0 for no
-   *     advice, with {@link #RETRY} added where it has come again
+   * @param serviceClass the index of its class in the settings
+   * @param tenant the index of its tenant there, -1 for none that is known
+   * @param keyHash a hash of its key, 0 where it is admitted in any case
+   * @param isRetry whether its client marked it as a retry
+   * @return {@link #ADMITTED}, or the Retry-After in milliseconds, 0 for none, with {@link #RETRY}
+   *     added where it is a retry
    */
-  long admit(int serviceClass, int tenant, long subject, boolean repeat);
+  long admit(int serviceClass, int tenant, long keyHash, boolean isRetry);
 
-  /** An admitted request of this class was refused all the same, since there is no room for it. */
+  /** An admitted request of this class was rejected all the same, for lack of memory. */
   default void rejectedAfterAdmission(String serviceClass) {}
 }
--- a/engine/src/test/java/shalepaddle/front/DeadlineScannerTest.java
+++ b/engine/src/test/java/shalepaddle/front/DeadlineScannerTest.java
@@ -27,14 +27,14 @@
   }
 
   @Test
-  void findsDeadlinesHoweverTheBytesAreCut() {
+  void findsDeadlinesAtEveryCut() {
     for (int cut = 0; cut <= COMMANDS.length(); cut++) {
       assertEquals(List.of(480, 70), found(COMMANDS, cut), "cut at " + cut);
     }
   }
 
   @Test
-  void boundsNumbersThatAreOutOfRange() {
+  void limitsNumbersThatAreOutOfRange() {
     assertEquals(List.of(1_000_000), found("mg k v Pd=99999999999999999999 x", 0));
   }
 }
--- a/engine/src/test/java/shalepaddle/front/ReadPauseTest.java
+++ b/engine/src/test/java/shalepaddle/front/ReadPauseTest.java
@@ -10,27 +10,27 @@
   private final ReadPause readPause = new ReadPause();
 
   @Test
-  void anErrorWithinAPauseBeginsItsOwnTime() {
-    assertTrue(readPause.atLeast(1000, 100), "a heavy sender's turn");
-    assertFalse(readPause.atLeast(1090, 250), "an error: somebody watches already");
-    assertEquals(240, readPause.left(1100));
-    assertTrue(readPause.on());
-    assertEquals(0, readPause.left(1340));
-    assertFalse(readPause.on());
+  void extendsActivePauseByLongerReason() {
+    assertTrue(readPause.extend(1000, 100), "a quota was exceeded");
+    assertFalse(readPause.extend(1090, 250), "an error: the end is scheduled already");
+    assertEquals(240, readPause.remainingNanos(1100));
+    assertTrue(readPause.isActive());
+    assertEquals(0, readPause.remainingNanos(1340));
+    assertFalse(readPause.isActive());
   }
 
   @Test
-  void aShorterReasonEndsNoLongerOne() {
-    readPause.atLeast(0, 250);
-    readPause.atLeast(10, 20);
-    assertEquals(200, readPause.left(50));
+  void keepsLongerPauseWhenShorterReasonFollows() {
+    readPause.extend(0, 250);
+    readPause.extend(10, 20);
+    assertEquals(200, readPause.remainingNanos(50));
   }
 
   @Test
-  void oneThatIsOverSaysNothingOfTheNext() {
-    readPause.atLeast(0, 250);
-    assertEquals(0, readPause.left(300));
-    assertTrue(readPause.atLeast(301, 5));
-    assertEquals(3, readPause.left(303));
+  void beginsAnewAfterPauseHasEnded() {
+    readPause.extend(0, 250);
+    assertEquals(0, readPause.remainingNanos(300));
+    assertTrue(readPause.extend(301, 5));
+    assertEquals(3, readPause.remainingNanos(303));
   }
 }
--- a/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
@@ -83,7 +83,7 @@
       channel.writeInbound(bytes(write.substring(cut) + NodeFixture.get("a" + cut, 500)));
       ClientCommand refused = channel.readInbound();
       assertEquals(1, refused.rejections().count());
-      assertEquals(40, refused.rejections().adviceMillis());
+      assertEquals(40, refused.rejections().retryAfterMillis());
       assertEquals("SERVER_ERROR busy 40\r\n", answer(refused));
       assertTrue(budget.reserve(1000), "nothing of the value is held");
       budget.release(1000);
