--- a/engine/src/main/java/shalepaddle/diagnostics/Event.java
+++ b/engine/src/main/java/shalepaddle/diagnostics/Event.java
@@ -5,8 +5,9 @@
 import java.util.Locale;
 
 /**
- * Something that happens to a request or to a client's connection. Events of one metric are told
- * apart by their reason; an event without a metric is recorded in the history alone.
+ * An event of a request or of a client's connection. Events of one metric differ by their {@link
+ * #reason}; an event without a metric is recorded in histories alone. Names and order are part of
+ * logs and metrics.
  */
 public enum Event {
   REQUEST_READ(null),
@@ -19,7 +20,7 @@
   CLIENT_DISCONNECTED(null),
   LOOP_STALLED(null),
 
-  /** Nothing is read, or delivered, from a connection for a time. */
+  /** Reading from a connection is suspended, or delivery of what was read. */
   READ_PAUSE_CLIENT_ERROR("read_pauses"),
   READ_PAUSE_EARLY_RETRY("read_pauses"),
   READ_PAUSE_FAIR_SHARE("read_pauses"),
@@ -27,7 +28,7 @@
   READ_PAUSE_ANSWERS_NOT_READ("read_pauses"),
   READ_RESUMED(null),
 
-  /** A request is rejected with the promise that it has not run. */
+  /** A request that has not run is rejected. */
   REJECTED_ADMISSION("rejections"),
   REJECTED_MEMORY("rejections"),
   REJECTED_QUEUE("rejections"),
@@ -35,7 +36,7 @@
   REJECTED_EXPIRED("rejections"),
   REJECTED_SHUTDOWN("rejections"),
 
-  /** A client's connection is ended by this node. */
+  /** This node closes a client's connection. */
   CLOSE_UNUSED("client_closes"),
   CLOSE_IDLE("client_closes"),
   CLOSE_PARTIAL_COMMAND("client_closes"),
@@ -48,7 +49,7 @@
   CLOSE_TIMEOUT("client_closes"),
   CLOSE_FAILURE("client_closes"),
 
-  /** A rule that must hold was about to be broken, or has been. */
+  /** An invariant of requests was violated, or would have been. */
   VIOLATION_BEGUN_TWICE("violations"),
   VIOLATION_SENT_AFTER_END("violations"),
   VIOLATION_SENT_AFTER_TIME("violations"),
@@ -60,12 +61,11 @@
   VIOLATION_UNANSWERED("violations"),
   VIOLATION_CLOSED_UNANSWERED("violations");
 
-  /** The prefixes that a metric's name already says. */
+  /** Prefixes that repeat the metric's name. */
   private static final String[] PREFIXES = {
     "ATTEMPT_", "READ_PAUSE_", "REJECTED_", "CLOSE_", "VIOLATION_",
   };
 
-  /** The events that a metric counts; those of one metric stand together. */
   private static final List<Event> COUNTED =
       Arrays.stream(values()).filter(event -> event.metric != null).toList();
 
@@ -77,12 +77,12 @@
     this.label = name().toLowerCase(Locale.ROOT);
   }
 
-  /** The events that a metric counts; those of one metric stand together. */
+  /** The events that a metric counts, grouped by metric. */
   public static List<Event> counted() {
     return COUNTED;
   }
 
-  /** Its name in logs. */
+  /** Its name in histories. */
   public String label() {
     return label;
   }
@@ -92,7 +92,7 @@
     return metric;
   }
 
-  /** Its reason as a label of its metric. */
+  /** Its reason, as a label of its metric and in logs. */
   public String reason() {
     String name = name();
     for (String prefix : PREFIXES) {
--- a/engine/src/main/java/shalepaddle/diagnostics/EventCounts.java
+++ b/engine/src/main/java/shalepaddle/diagnostics/EventCounts.java
@@ -1,6 +1,6 @@
 package shalepaddle.diagnostics;
 
-/** How often each event had happened at one moment. Immutable, and cheap to take. */
+/** The number of times each event had occurred at one moment. Immutable. */
 public final class EventCounts {
   private final long[] counts;
 
@@ -8,7 +8,7 @@
     this.counts = counts.clone();
   }
 
-  /** How often this event had happened. */
+  /** The number of times this event had occurred. */
   // An array by ordinal: counting is on the request path and must not allocate.
   @SuppressWarnings("EnumOrdinal")
   public long of(Event event) {
--- a/engine/src/main/java/shalepaddle/diagnostics/FlightRecorder.java
+++ b/engine/src/main/java/shalepaddle/diagnostics/FlightRecorder.java
@@ -3,24 +3,22 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counts events by reason and keeps the latest of them, so that the history of one request can be
- * written once something has gone wrong with it.
+ * Counts events and records the latest {@value #CAPACITY} of them, from which the history of one
+ * request is logged when an invariant is violated.
  *
- * <p>The history is a ring of {@value #CAPACITY} entries that are overwritten in order; recording
- * an event allocates nothing. A history that has been overwritten is told in part.
+ * <p>A ring buffer: the oldest events are overwritten, so that a history may be incomplete.
+ * Recording allocates nothing.
  *
- * <p>Not thread-safe: it belongs to one event loop.
+ * <p>Owned by one event loop's thread.
  */
 public final class FlightRecorder {
   private static final int CAPACITY = 4096;
 
-  /** Events that one history tells at most, the latest. */
-  private static final int HISTORY_EVENTS = 24;
+  private static final int MAX_HISTORY_EVENTS = 24;
 
   private static final long NANOS_PER_TENTH = 100_000;
 
-  /** What an entry of a history takes, about. */
-  private static final int ENTRY_CHARS = 32;
+  private static final int TYPICAL_ENTRY_CHARS = 32;
 
   private final LongSupplier clock;
   private final long[] times = new long[CAPACITY];
@@ -56,14 +54,14 @@
   @SuppressWarnings("EnumOrdinal")
   public void record(Event event, String subject, String detail) {
     counts[event.ordinal()]++;
-    int place = (int) (recorded++ % CAPACITY);
-    times[place] = clock.getAsLong();
-    events[place] = event;
-    subjects[place] = subject;
-    details[place] = detail;
+    int slot = (int) (recorded++ % CAPACITY);
+    times[slot] = clock.getAsLong();
+    events[slot] = event;
+    subjects[slot] = subject;
+    details[slot] = detail;
   }
 
-  /** Counts an event of which there may be too many to keep. */
+  /** Counts an event that occurs too often to be recorded. */
   // An array by ordinal: counting is on the request path and must not allocate.
   @SuppressWarnings("EnumOrdinal")
   public void count(Event event, int times) {
@@ -71,35 +69,35 @@
   }
 
   /**
-   * The latest events of a request, of its connection and of the process, with the milliseconds
-   * from each to now, such as {@code -103.2:request_read -0.4:answered(busy)}.
+   * The latest events of a request, of its connection and of the process, with the time of each
+   * before now in milliseconds, such as {@code -103.2:request_read -0.4:answered(busy)}.
    */
   public String history(String requestId, String connection) {
     long now = clock.getAsLong();
-    int[] found = new int[HISTORY_EVENTS];
+    int[] found = new int[MAX_HISTORY_EVENTS];
     int count = 0;
     long oldest = Math.max(0, recorded - CAPACITY);
-    for (long i = recorded - 1; i >= oldest && count < HISTORY_EVENTS; i--) {
-      int place = (int) (i % CAPACITY);
-      String subject = subjects[place];
+    for (long i = recorded - 1; i >= oldest && count < MAX_HISTORY_EVENTS; i--) {
+      int slot = (int) (i % CAPACITY);
+      String subject = subjects[slot];
       if (subject == null || subject.equals(requestId) || subject.equals(connection)) {
-        found[count++] = place;
+        found[count++] = slot;
       }
     }
-    StringBuilder text = new StringBuilder(count * ENTRY_CHARS);
+    StringBuilder text = new StringBuilder(count * TYPICAL_ENTRY_CHARS);
     while (count > 0) {
       append(text, found[--count], now);
     }
     return text.toString();
   }
 
-  /** Without the platform's formatter, which costs milliseconds a line on a small machine. */
-  private void append(StringBuilder text, int place, long now) {
-    long tenths = (now - times[place]) / NANOS_PER_TENTH;
+  /** Not by {@link String#format}, which is slow on the node's smallest machines. */
+  private void append(StringBuilder text, int slot, long now) {
+    long tenths = (now - times[slot]) / NANOS_PER_TENTH;
     text.append(text.isEmpty() ? "-" : " -").append(tenths / 10).append('.').append(tenths % 10);
-    text.append(':').append(events[place].label());
-    if (details[place] != null) {
-      text.append('(').append(details[place]).append(')');
+    text.append(':').append(events[slot].label());
+    if (details[slot] != null) {
+      text.append('(').append(details[slot]).append(')');
     }
   }
 
@@ -116,14 +114,14 @@
     return text.toString();
   }
 
-  /** How often an event has happened. */
+  /** The number of times an event has occurred. */
   // An array by ordinal: counting is on the request path and must not allocate.
   @SuppressWarnings("EnumOrdinal")
   public long count(Event event) {
     return counts[event.ordinal()];
   }
 
-  /** How often each event has happened until now. */
+  /** The number of times each event has occurred. */
   public EventCounts counts() {
     return new EventCounts(counts);
   }
--- a/engine/src/main/java/shalepaddle/diagnostics/package-info.java
+++ b/engine/src/main/java/shalepaddle/diagnostics/package-info.java
@@ -1,6 +1,8 @@
 /**
- * What the node records of its own work, for operators: counters of events by reason, the recent
- * history of each request, and checks of the rules that must hold at run time. Knows no sockets and
- * decides nothing.
+ * What the node records of its own work for operators: counters of events by reason and the recent
+ * history of each request. It knows no sockets, decides nothing and calls no other package.
+ *
+ * <p>A {@link shalepaddle.diagnostics.FlightRecorder} is owned by one event loop's thread; an
+ * {@link shalepaddle.diagnostics.EventCounts} is immutable and may go to any thread.
  */
 package shalepaddle.diagnostics;
--- a/engine/src/main/java/shalepaddle/engine/AnswerMargin.java
+++ b/engine/src/main/java/shalepaddle/engine/AnswerMargin.java
@@ -1,38 +1,39 @@
 package shalepaddle.engine;
 
 /**
- * How long before its client's time is up a request has to be answered, since the event loop may
- * stall at just that moment.
+ * How long before a client's deadline its request has to be answered, since the event loop may
+ * stall at just that time.
  *
- * <p>A part of every request's time is kept for the stall that any process has to expect, and more
- * where the loop has stalled again and again. Harms what would be served in that part of its time.
+ * <p>A part of each request's time is reserved for the stall that any process has to expect, and
+ * more where the loop has stalled repeatedly. Cost: requests that would be served in that part of
+ * their time are rejected or time out.
  *
- * <p>Pure: what is known of stalls is an argument, all in nanoseconds.
+ * <p>Pure functions; all times are nanoseconds.
  */
 final class AnswerMargin {
-  /** The stall that has to be expected of any process at any moment. */
+  /** The stall that has to be expected of any process. */
   private static final long USUAL_STALL_NANOS = 100_000_000;
 
-  /** The part of a request's time that is given up for it at most. */
-  private static final long USUAL_STALL_PART = 8;
+  /** At most one part in so many of a request's time is reserved for it. */
+  private static final long USUAL_STALL_DIVISOR = 8;
 
-  /** The longest repeated stall that answers are given early for. */
+  /** The longest repeated stall that time is reserved for. */
   private static final long MAX_ALLOWANCE_NANOS = 150_000_000;
 
-  /** The part of a request's time that is given up at most where stalls repeat. */
-  private static final long ALLOWANCE_PART = 4;
+  /** At most one part in so many of a request's time is reserved where stalls repeat. */
+  private static final long ALLOWANCE_DIVISOR = 4;
 
   private AnswerMargin() {}
 
-  /** What is kept for stalls of a loop of which so long ones are to be expected. */
-  static long allowance(long expectedStall) {
-    return Math.min(MAX_ALLOWANCE_NANOS, expectedStall);
+  /** What is reserved for stalls where stalls of this length are to be expected. */
+  static long allowance(long expectedStallNanos) {
+    return Math.min(MAX_ALLOWANCE_NANOS, expectedStallNanos);
   }
 
-  /** The margin of a request with so much time. */
-  static long of(long budget, long expectedStall) {
-    long usual = Math.min(USUAL_STALL_NANOS, budget / USUAL_STALL_PART);
-    long repeated = Math.min(allowance(expectedStall), budget / ALLOWANCE_PART);
+  /** The margin of a request with this time budget. */
+  static long of(long budgetNanos, long expectedStallNanos) {
+    long usual = Math.min(USUAL_STALL_NANOS, budgetNanos / USUAL_STALL_DIVISOR);
+    long repeated = Math.min(allowance(expectedStallNanos), budgetNanos / ALLOWANCE_DIVISOR);
     return Math.max(usual, repeated);
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/Attempt.java
+++ b/engine/src/main/java/shalepaddle/engine/Attempt.java
@@ -127,7 +127,7 @@
     carrier = connection;
   }
 
-  /** Takes it off its connection, whose server was too busy for it: it has provably not run. */
+  /** Detaches it from its connection, whose server was too busy for it: it has provably not run. */
   public void detach() {
     carrier = null;
   }
--- a/engine/src/main/java/shalepaddle/engine/Dispatcher.java
+++ b/engine/src/main/java/shalepaddle/engine/Dispatcher.java
@@ -98,17 +98,23 @@
             overload,
             requestSettings);
     queue = new RequestQueue(loop, loopClock, overload, exchanges::route, exchanges::rejectQueued);
-    reads =
-        coalescing.enabled()
-            ? new CoalescedReads(exchanges, answers, drain, loopClock, timers, settings, coalescing)
-            : null;
+    reads = coalescing.enabled() ? newCoalescedReads(settings, coalescing) : null;
     intake =
         new RequestIntake(loop, loopClock, drain, exchanges, reads, overload, recorder, metrics);
+    connect(deadlines);
+    metrics.registerServices(requestSettings.serviceNames());
+  }
+
+  private CoalescedReads newCoalescedReads(Settings settings, CoalescingConfig coalescing) {
+    return new CoalescedReads(exchanges, answers, drain, loopClock, timers, settings, coalescing);
+  }
+
+  /** Joins those parts that call each other in both directions. */
+  private void connect(AttemptDeadlines deadlines) {
     attempts.connect(deadlines, exchanges);
     exchanges.connect(queue, reads);
     actions.connect(policy, exchanges, attempts);
     policy.onFailure(new FailedDecisionRecovery(loop, loopClock, exchanges)::start);
-    metrics.registerServices(requestSettings.serviceNames());
   }
 
   /**
--- a/engine/src/main/java/shalepaddle/engine/Engine.java
+++ b/engine/src/main/java/shalepaddle/engine/Engine.java
@@ -5,19 +5,19 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The edge at which any thread hands calls to an engine. All else of an engine belongs to its event
- * loop; a front that runs there uses the {@link Dispatcher} itself.
+ * Submits calls from any thread. All else of an engine is owned by its event loop; connections that
+ * run there use the {@link Dispatcher} itself.
  *
- * <p>Each call that is submitted and not cancelled gets exactly one answer, whatever happens to the
- * engine: also one that races its {@link #close}, or comes after it. Calls that wait for the event
- * loop are bounded; those past the bound are refused at once.
+ * <p>Each call that is submitted and not cancelled gets exactly one answer, also one that races
+ * {@link #close} or comes after it. Calls that wait for the event loop are bounded; those past the
+ * bound are rejected at once. Thread-safe.
  */
 public final class Engine implements AutoCloseable {
   /** A call that was submitted. */
   public interface Ticket {
     /**
-     * Nobody wants the answer any more. From any thread; the sink may still be called until the
-     * engine's thread has heard of it, and never after that. Does nothing once the answer is given.
+     * The answer is not wanted any more. From any thread. The sink may still be called until the
+     * event loop has run this, and never after that. No effect once the answer is given.
      */
     void cancel();
   }
@@ -27,7 +27,12 @@
   private final int maxSubmitted;
   private final AtomicInteger submitted = new AtomicInteger();
 
-  /** The edge of this dispatcher, where so many calls at most wait for its loop. */
+  /**
+   * An engine in front of a dispatcher.
+   *
+   * @param loop the event loop that owns the dispatcher
+   * @param maxSubmitted calls that may wait for that loop
+   */
   public Engine(EventLoop loop, Dispatcher dispatcher, int maxSubmitted) {
     this.loop = loop;
     this.dispatcher = dispatcher;
@@ -35,58 +40,58 @@
   }
 
   /**
-   * Hands in a call. Its payload belongs to the engine from here on; its sink is called on the
-   * engine's thread, or on this one where the engine has ended or is too far behind. A call whose
-   * id belongs to one that is open has failed, and did not run.
+   * Submits a call. The engine owns its payload from now on. Its sink is called on the event loop's
+   * thread, or on this one where the engine is closed or too many calls wait. A call fails, without
+   * having run, where another open call has its id.
    */
   public Ticket submit(Call call) {
     Submitted ticket = new Submitted(call);
     if (loop.inEventLoop()) {
-      ticket.begin();
+      ticket.start();
       return ticket;
     }
     if (submitted.incrementAndGet() > maxSubmitted) {
       submitted.decrementAndGet();
-      ticket.turnAway();
+      ticket.reject();
       return ticket;
     }
     try {
       loop.execute(
           () -> {
             submitted.decrementAndGet();
-            ticket.begin();
+            ticket.start();
           });
     } catch (RejectedExecutionException e) {
       submitted.decrementAndGet();
-      ticket.turnAway();
+      ticket.reject();
     }
     return ticket;
   }
 
-  /** A call on its way to the dispatcher, or there. Its fields belong to the event loop. */
+  /** A call on its way to the dispatcher, or there. Its state is owned by the event loop. */
   private final class Submitted implements Ticket {
     private final Call call;
-    private final long submittedAt = loop.ticker().nanoTime();
-    private Submission taken;
+    private final long submittedAtNanos = loop.ticker().nanoTime();
+    private Submission submission;
     private boolean cancelled;
 
     Submitted(Call call) {
       this.call = call;
     }
 
-    void begin() {
+    void start() {
       if (cancelled) {
         call.payload().release();
         return;
       }
-      taken = dispatcher.submitLocal(call, submittedAt);
-      if (taken == null) {
+      submission = dispatcher.submitLocal(call, submittedAtNanos);
+      if (submission == null) {
         dispatcher.deliver(call, new Reply.Failed(false));
       }
     }
 
-    /** The loop will never see it. */
-    void turnAway() {
+    /** Answers a call that the event loop will never run. */
+    void reject() {
       call.payload().release();
       dispatcher.deliver(call, new Reply.Rejected(0));
     }
@@ -100,21 +105,21 @@
       try {
         loop.execute(this::withdraw);
       } catch (RejectedExecutionException e) {
-        // The engine has ended, and with it every call: there is nothing left to call off.
+        // The engine is closed and every call answered: there is nothing left to cancel.
       }
     }
 
     private void withdraw() {
       cancelled = true;
-      if (taken != null) {
-        dispatcher.clientDisconnected(taken);
+      if (submission != null) {
+        dispatcher.clientDisconnected(submission);
       }
     }
   }
 
   /**
-   * Ends: every call that is open gets its one answer, a refusal where it can not have run, and
-   * every one that comes after it is refused. From any thread; does nothing the second time.
+   * Closes the engine: every open call gets its one answer, a rejection where it can not have run,
+   * and calls that are submitted later are rejected. From any thread; idempotent.
    */
   @Override
   public void close() {
@@ -125,7 +130,7 @@
     try {
       loop.submit(dispatcher::close).syncUninterruptibly();
     } catch (RejectedExecutionException e) {
-      // The loop has ended, which Node does only after the dispatcher.
+      // The loop is shut down, which the node does only after it has closed the dispatcher.
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/Exchange.java
+++ b/engine/src/main/java/shalepaddle/engine/Exchange.java
@@ -18,7 +18,7 @@
     /** Handed to the policy, which answers it or forwards it. */
     ROUTED,
 
-    /** A server's value is being collected for a client that takes it complete only. */
+    /** A server's value is being collected for a client that accepts complete values only. */
     COLLECTING,
 
     /** Its final answer is given. */
@@ -94,7 +94,7 @@
     clientDeadlineNanos = Math.max(clientDeadlineNanos, nanos);
   }
 
-  /** The policy is told of it now. */
+  /** The policy is notified of it now. */
   void route() {
     state = State.ROUTED;
   }
@@ -114,7 +114,7 @@
     state = State.DISCONNECTED;
   }
 
-  /** Whether the policy has been told of it and it has not ended. */
+  /** Whether the policy was notified of it and it has not ended. */
   boolean isRouted() {
     return state == State.ROUTED;
   }
@@ -135,12 +135,12 @@
     attemptsInFlight++;
   }
 
-  /** The policy has been told of one attempt's outcome. */
+  /** The policy was notified of one attempt's outcome. */
   void outcomeReported() {
     attemptsInFlight--;
   }
 
-  /** Whether there are attempts whose outcome the policy has not been told. */
+  /** Whether there are attempts of whose outcome the policy was not notified. */
   boolean hasAttemptsInFlight() {
     return attemptsInFlight > 0;
   }
--- a/engine/src/main/java/shalepaddle/engine/ExchangeLifecycle.java
+++ b/engine/src/main/java/shalepaddle/engine/ExchangeLifecycle.java
@@ -103,7 +103,7 @@
 
   /** Hands an exchange to the policy. */
   void route(Exchange exchange, Request request) {
-    if (!guard.mayBegin(exchange)) {
+    if (!guard.mayRoute(exchange)) {
       return;
     }
     exchange.route();
--- a/engine/src/main/java/shalepaddle/engine/InvariantGuard.java
+++ b/engine/src/main/java/shalepaddle/engine/InvariantGuard.java
@@ -8,22 +8,22 @@
 import shalepaddle.model.Settings.Idempotency;
 
 /**
- * The rules that hold for every request, checked at run time in the one place that each path
- * passes: before a request is begun, before an attempt is written, before an answer is given and
- * before a client's connection is ended.
+ * Checks the invariants of every request at run time, in the places that each path passes: before a
+ * request is routed, before an attempt is written, before an answer is given and before a client's
+ * connection is closed.
  *
- * <p>These are invariants, not decisions: the policy and the dispatcher see to it that they hold by
- * other means, and a check that fails here is a fault of theirs. It is counted by kind, logged with
- * the request's history, and what would break the rule is not done.
+ * <p>A failed check is a fault of the policy or of the engine, which see to it by other means that
+ * the invariants hold. It is counted by kind and logged with the request's history, and what would
+ * violate the invariant is not done.
  *
- * <p>Not thread-safe: it belongs to the engine's event loop.
+ * <p>Owned by the event loop's thread.
  */
 public final class InvariantGuard {
-  /** The protocol's slack on a request's time. */
+  /** How late the protocol lets an answer be. */
   private static final long ANSWER_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** Histories that are logged a second: where many requests suffer alike, some tell of all. */
-  private static final int HISTORIES_A_SECOND = 2;
+  /** Bounds the log where many requests are affected alike. */
+  private static final int MAX_HISTORIES_PER_SECOND = 2;
 
   private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
 
@@ -39,38 +39,38 @@
     this.clock = clock;
   }
 
-  /** Whether a request may be begun: once, and not after its answer. */
-  boolean mayBegin(Exchange request) {
-    if (request.isEnded()) {
+  /** Whether a request may be handed to the policy: once, and not after its answer. */
+  boolean mayRoute(Exchange exchange) {
+    if (exchange.isEnded()) {
       return false;
     }
-    if (request.isRouted()) {
-      violated(Event.VIOLATION_BEGUN_TWICE, request.id(), null);
+    if (exchange.isRouted()) {
+      violated(Event.VIOLATION_BEGUN_TWICE, exchange.id(), null);
       return false;
     }
     return true;
   }
 
   /**
-   * Whether an attempt may be written now: its request is open and has time left, where the request
-   * may take effect no other attempt of it may have run, and its server wants it.
+   * Whether an attempt may be written now: its request is open and has time left, no other attempt
+   * of a request that is not idempotent may have run, and its server accepts requests.
    *
    * @param drainingPastGrace whether its server has been draining for longer than the grace
    */
   public boolean maySend(Attempt attempt, long now, boolean drainingPastGrace) {
-    Exchange request = attempt.exchange();
+    Exchange exchange = attempt.exchange();
     Event violation = null;
-    if (request.isEnded() || attempt.isEnded()) {
+    if (exchange.isEnded() || attempt.isEnded()) {
       violation = Event.VIOLATION_SENT_AFTER_END;
-    } else if (now - request.deadlineNanos() > 0) {
+    } else if (now - exchange.deadlineNanos() > 0) {
       violation = Event.VIOLATION_SENT_AFTER_TIME;
-    } else if (request.idempotency() == Idempotency.NOT_IDEMPOTENT && anotherMayHaveRun(attempt)) {
+    } else if (exchange.idempotency() == Idempotency.NOT_IDEMPOTENT && anotherMayHaveRun(attempt)) {
       violation = Event.VIOLATION_REPEATED;
     } else if (drainingPastGrace) {
       violation = Event.VIOLATION_SENT_TO_DRAINING;
     }
     if (violation != null) {
-      violated(violation, request.id(), null);
+      violated(violation, exchange.id(), null);
     }
     return violation == null;
   }
@@ -85,32 +85,32 @@
   }
 
   /**
-   * The answer that a request may be given: a rejection promises that it has not run, which is not
-   * said of one that may have.
+   * The answer that a request may be given. A rejection promises that the request has not run;
+   * where one that is not idempotent may have, it becomes a failure.
    */
-  Reply answer(Exchange request, Reply reply, long now) {
-    if (now - request.clientDeadlineNanos() > ANSWER_SLACK_NANOS) {
-      violated(Event.VIOLATION_ANSWERED_LATE, request.id(), null);
+  Reply answer(Exchange exchange, Reply reply, long now) {
+    if (now - exchange.clientDeadlineNanos() > ANSWER_SLACK_NANOS) {
+      violated(Event.VIOLATION_ANSWERED_LATE, exchange.id(), null);
     }
     boolean rejected = reply instanceof Reply.Rejected;
-    if (rejected && request.idempotency() == Idempotency.NOT_IDEMPOTENT && request.mayHaveRun()) {
-      violated(Event.VIOLATION_REJECTED_AFTER_RUN, request.id(), null);
+    if (rejected && exchange.idempotency() == Idempotency.NOT_IDEMPOTENT && exchange.mayHaveRun()) {
+      violated(Event.VIOLATION_REJECTED_AFTER_RUN, exchange.id(), null);
       return new Reply.Failed(true);
     }
     return reply;
   }
 
-  /** A request that has its answer is given a second one, which is dropped. */
+  /** A second answer was given to a request; it is dropped. */
   public void answeredTwice(String requestId, String connection) {
     violated(Event.VIOLATION_ANSWERED_TWICE, requestId, connection);
   }
 
-  /** A client has waited for its whole time and leaves without an answer. */
+  /** A client leaves without an answer after its complete time budget. */
   public void unanswered(String requestId, String connection) {
     violated(Event.VIOLATION_UNANSWERED, requestId, connection);
   }
 
-  /** This node ends a connection on which a request that was read has no answer. */
+  /** This node closes a connection on which a request that was read has no answer. */
   public void closedUnanswered(String requestId, String connection) {
     violated(Event.VIOLATION_CLOSED_UNANSWERED, requestId, connection);
   }
@@ -121,7 +121,7 @@
       second = now;
       histories = 0;
     }
-    return histories++ < HISTORIES_A_SECOND;
+    return histories++ < MAX_HISTORIES_PER_SECOND;
   }
 
   private void violated(Event kind, String requestId, String connection) {
--- a/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
+++ b/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
@@ -2,13 +2,16 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** A value whose request ends with it: it is counted when it is whole, or never will be. */
+/**
+ * Counts the request of a streamed value when the value is complete, has failed or is cancelled.
+ * Owned by the event loop's thread.
+ */
 final class MeteredValueSource implements ValueSource, ValueSource.Receiver {
   private final RequestMetrics metrics;
   private final String service;
   private final ValueSource source;
   private Receiver receiver;
-  private boolean over;
+  private boolean ended;
 
   MeteredValueSource(RequestMetrics metrics, String service, ValueSource source) {
     this.metrics = metrics;
@@ -29,8 +32,8 @@
 
   @Override
   public void cancel() {
-    if (!over) {
-      over = true;
+    if (!ended) {
+      ended = true;
       metrics.clientDisconnected();
       source.cancel();
     }
@@ -43,14 +46,14 @@
 
   @Override
   public void onComplete() {
-    over = true;
+    ended = true;
     metrics.streamed(service);
     receiver.onComplete();
   }
 
   @Override
   public void onFailure() {
-    over = true;
+    ended = true;
     metrics.answered(service, new Reply.Failed(true));
     receiver.onFailure();
   }
--- a/engine/src/main/java/shalepaddle/engine/Payload.java
+++ b/engine/src/main/java/shalepaddle/engine/Payload.java
@@ -4,14 +4,14 @@
 
 /**
  * What a request carries beside its {@link shalepaddle.model.Request}: a write's value, and the
- * client's own words for it. A codec of the same protocol may know the class of a payload and pass
- * its bytes on as they came; any other uses the value.
+ * bytes that the client sent. A codec of the same protocol may know the class of a payload and
+ * forward its bytes unchanged; any other uses the value.
  *
- * <p>Belongs to the engine from the submit on. It is released once, when no further attempt can
- * follow; attempts that are being written keep holds of their own.
+ * <p>Owned by the engine once it is submitted. It is released once, when no further attempt can
+ * follow; attempts that are being written retain what they need.
  */
 public interface Payload {
-  /** A payload of a request that carries nothing. */
+  /** The payload of a request without one. */
   Payload NONE =
       new Payload() {
         @Override
@@ -25,14 +25,14 @@
         }
       };
 
-  /** The value of a write, null for a read. It is not to be moved or released. */
+  /** The value of a write, null for a read. Callers leave its indices and its count as they are. */
   ByteBuf value();
 
-  /** The key by which servers know a repeated write again, null where it has none. */
+  /** The idempotency key by which servers recognise a repeated write, null for none. */
   default String idempotencyKey() {
     return null;
   }
 
-  /** Lets all that is held go. Does nothing the second time. */
+  /** Releases all buffers. Idempotent. */
   void release();
 }
--- a/engine/src/main/java/shalepaddle/engine/Reply.java
+++ b/engine/src/main/java/shalepaddle/engine/Reply.java
@@ -2,21 +2,21 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** The one final answer of a request, in no protocol's words. */
+/** The one final answer to a request, independent of any protocol. */
 public sealed interface Reply {
   /**
    * A read was served.
    *
-   * @param value as a cache server gave it for this request; whoever takes the reply releases it
+   * @param value as a cache server gave it for this request; released by whoever receives the reply
    */
   record Value(ByteBuf value) implements Reply {}
 
   /**
-   * A read is being served with a large value, of which the first bytes have come. Given only to a
-   * sink that {@linkplain ReplySink#acceptsStream takes pieces}.
+   * A read is being served with a large value, whose head has come. Given only to a sink that
+   * {@linkplain ReplySink#acceptsStream accepts streams}.
    *
    * @param length the value's bytes
-   * @param source gives them as they come; whoever takes the reply begins or drops it
+   * @param source gives them as they come; whoever receives the reply starts or cancels it
    */
   record Streamed(int length, ValueSource source) implements Reply {}
 
@@ -28,16 +28,16 @@
   record Receipt(String receipt) implements Reply {}
 
   /**
-   * The request was turned away: trying again does no harm.
+   * The request was rejected and has not run: a retry is safe.
    *
-   * @param retryAfterMillis when to come again, 0 where no advice is given
+   * @param retryAfterMillis the earliest time of a retry, 0 for no advice
    */
   record Rejected(long retryAfterMillis) implements Reply {}
 
   /**
    * The request failed.
    *
-   * @param mayHaveRun whether it may have been carried out all the same, or may yet be
+   * @param mayHaveRun whether it may have run all the same, or may yet
    */
   record Failed(boolean mayHaveRun) implements Reply {}
 }
--- a/engine/src/main/java/shalepaddle/engine/ReplySink.java
+++ b/engine/src/main/java/shalepaddle/engine/ReplySink.java
@@ -1,18 +1,16 @@
 package shalepaddle.engine;
 
-/** Where the one final answer of a request goes. */
+/** Receives the one final answer to a request. */
 @FunctionalInterface
 public interface ReplySink {
   /**
-   * Takes the answer, on the engine's thread: exactly once for each request that was taken and not
-   * cancelled. A value in it belongs to the sink from here on, also if this throws; an exception is
-   * logged and changes nothing else.
+   * Receives the answer, on the event loop's thread: exactly once for each request that was
+   * accepted and not cancelled. The sink owns a value in it from now on, also if this throws; an
+   * exception is logged and has no other effect.
    */
   void reply(Reply reply);
 
-  /**
-   * Whether it takes large values in pieces, {@link Reply.Streamed}; if not, it gets them whole.
-   */
+  /** Whether it accepts a large value as {@link Reply.Streamed}; if not, it gets it complete. */
   default boolean acceptsStream() {
     return false;
   }
--- a/engine/src/main/java/shalepaddle/engine/RequestMetrics.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestMetrics.java
@@ -6,79 +6,79 @@
 import java.util.Map;
 
 /**
- * What has become of requests and attempts since the start, counted once, where it happens. Always:
- * taken = succeeded + declined + aborted + gone + {@link #outstanding}.
+ * Counters of requests and attempts since the start. At any time received = succeeded + rejected +
+ * failed + disconnected + {@link #outstanding}.
  *
- * <p>A class that is dropped keeps its counters, and goes on from there if it comes back. Classes
- * past the bound share the counters of one without a name: a file that names ever new classes must
- * not fill the memory.
+ * <p>A service class that is removed from the settings keeps its counters, and continues with them
+ * if it returns. Classes past {@value #MAX_CLASSES} share the counters of one without a name, so
+ * that settings with ever new classes do not fill the memory.
  *
- * <p>Belongs to the engine's thread.
+ * <p>Owned by the event loop's thread.
  */
 public final class RequestMetrics {
-  private static final int MOST_CLASSES = 256;
-  private static final String REST = "";
+  private static final int MAX_CLASSES = 256;
+  private static final String OTHER_CLASSES = "";
 
   private static final class Counts {
     private long succeeded;
-    private long declined;
-    private long aborted;
+    private long rejected;
+    private long failed;
   }
 
   private final Map<String, Counts> classes = new LinkedHashMap<>();
-  private long taken;
-  private long gone;
-  private long ended;
+  private long received;
+  private long disconnected;
+  private long answered;
   private long forwards;
 
-  /** Names classes that there are: they are told with zeros from now on. */
+  /** Registers service classes, which are reported from now on, with zeros at first. */
   public void registerServices(List<String> services) {
-    services.forEach(this::of);
+    services.forEach(this::countsOf);
   }
 
-  private Counts of(String service) {
+  private Counts countsOf(String service) {
     Counts known = classes.get(service);
     if (known == null) {
-      String name = classes.size() < MOST_CLASSES ? service : REST;
+      String name = classes.size() < MAX_CLASSES ? service : OTHER_CLASSES;
       known = classes.computeIfAbsent(name, any -> new Counts());
     }
     return known;
   }
 
-  /** A request has been read off its connection, whole. */
+  /** A complete request was read from its connection. */
   void requestReceived() {
-    taken++;
+    received++;
   }
 
-  /** A request that was taken has its final answer. */
+  /** A request that was received has its final answer. */
   void answered(String service, Reply reply) {
-    ended++;
-    Counts counts = of(service);
+    answered++;
+    Counts counts = countsOf(service);
     if (reply instanceof Reply.Rejected) {
-      counts.declined++;
+      counts.rejected++;
     } else if (reply instanceof Reply.Failed) {
-      counts.aborted++;
+      counts.failed++;
     } else {
       counts.succeeded++;
     }
   }
 
-  /** The last byte of a request's answer has come. */
+  /** The last byte of a streamed answer has come. */
   void streamed(String service) {
-    ended++;
-    of(service).succeeded++;
+    answered++;
+    countsOf(service).succeeded++;
   }
 
-  /** A request was turned away before it was taken apart: taken and refused at once. */
+  /** A request was rejected before it was parsed: received and answered at once. */
   public void rejectedBeforeParsing(String service) {
-    taken++;
-    ended++;
-    of(service).declined++;
+    received++;
+    answered++;
+    countsOf(service).rejected++;
   }
 
-  /** The client of a request that was taken has left before its answer. */
+  /** The client of a request that was received has left before its answer. */
   void clientDisconnected() {
-    gone++;
+    disconnected++;
   }
 
   /** An attempt's last byte was handed to the socket. */
@@ -86,19 +86,20 @@
     forwards++;
   }
 
-  /** Requests taken and not ended. */
+  /** Requests received and not ended. */
   public long outstanding() {
-    return taken - ended - gone;
+    return received - answered - disconnected;
   }
 
-  /** All of it, as it stands now. */
+  /** All counters as they are now. */
   public RequestMetricsSnapshot snapshot() {
     List<RequestMetricsSnapshot.Results> results = new ArrayList<>(classes.size());
     classes.forEach(
         (name, counts) ->
             results.add(
                 new RequestMetricsSnapshot.Results(
-                    name, counts.succeeded, counts.declined, counts.aborted)));
-    return new RequestMetricsSnapshot(taken, gone, outstanding(), forwards, List.copyOf(results));
+                    name, counts.succeeded, counts.rejected, counts.failed)));
+    return new RequestMetricsSnapshot(
+        received, disconnected, outstanding(), forwards, List.copyOf(results));
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/RequestMetricsSnapshot.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestMetricsSnapshot.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * What became of requests and attempts since the start, at one moment.
+ * {@link RequestMetrics} at one moment. Immutable.
  *
- * @param received requests that were read whole
- * @param disconnected those of them whose clients left before the answer
+ * @param received requests that were read completely
+ * @param disconnected those whose clients left before the answer
  * @param outstanding those that have not ended
- * @param forwards attempts written whole to cache servers
- * @param results what the others came to, by class
+ * @param forwards attempts written completely to cache servers
+ * @param results the answers, by service class
  */
 public record RequestMetricsSnapshot(
     long received, long disconnected, long outstanding, long forwards, List<Results> results) {
   /**
-   * What the requests of one class came to.
+   * The answers to the requests of one service class.
    *
    * @param service the class
    * @param succeeded served
-   * @param rejected refused: a new try does no harm
+   * @param rejected rejected: a retry is safe
    * @param failed failed
    */
   public record Results(String service, long succeeded, long rejected, long failed) {}
--- a/engine/src/main/java/shalepaddle/engine/RequestQueue.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestQueue.java
@@ -11,124 +11,123 @@
 import shalepaddle.overload.OverloadControl;
 
 /**
- * Where requests wait for a turn of the event loop in which they are begun. All of it runs on that
- * loop.
+ * Requests that wait for a turn of the event loop in which they are handed to the policy. Owned by
+ * the event loop's thread.
  */
 final class RequestQueue {
   /**
-   * How long one turn of the event loop begins requests, before those that it has read wait for the
-   * next. Guards against turns so long that no answer, timer or new request is looked at meanwhile.
+   * For how long one turn of the event loop routes requests; the rest waits for the next turn.
+   * Keeps responses, timers and new requests from waiting longer for theirs.
    */
-  private static final long TURN_NANOS = 3_000_000;
+  private static final long MAX_ROUTING_NANOS = 3_000_000;
 
-  /** Requests that wait for a turn at most. */
-  private static final int MAX_WAITING = 1024;
+  private static final int MAX_QUEUED = 1024;
 
-  /** A request that waits for its turn. */
-  private record Waiting(Exchange exchange, Request taken) {}
+  /** A request in the queue. */
+  private record Queued(Exchange exchange, Request request) {}
 
   private final EventLoop loop;
   private final LoopClock clock;
   private final OverloadControl overload;
-  private final BiConsumer<Exchange, Request> begin;
-  private final Consumer<Exchange> turnAway;
-  private AdmissionQueue<Waiting> intake;
+  private final BiConsumer<Exchange, Request> route;
+  private final Consumer<Exchange> reject;
+  private AdmissionQueue<Queued> queue;
 
-  /** The turn in which requests were begun last, and since when. */
+  /** The turn in which requests were routed last, and since when. */
   private long turn = -1;
 
-  private long turnSince;
+  private long turnSinceNanos;
 
   /**
-   * Nobody waits.
+   * An empty queue.
    *
-   * @param begin begins a request
-   * @param turnAway refuses one that has waited too long
+   * @param route hands a request to the policy
+   * @param reject rejects one that has waited too long
    */
   RequestQueue(
       EventLoop loop,
       LoopClock clock,
       OverloadControl overload,
-      BiConsumer<Exchange, Request> begin,
-      Consumer<Exchange> turnAway) {
+      BiConsumer<Exchange, Request> route,
+      Consumer<Exchange> reject) {
     this.loop = loop;
     this.clock = clock;
     this.overload = overload;
-    this.begin = begin;
-    this.turnAway = turnAway;
-    this.intake = emptyIntake();
+    this.route = route;
+    this.reject = reject;
+    this.queue = newQueue();
   }
 
-  private AdmissionQueue<Waiting> emptyIntake() {
-    return overload.newAdmissionQueue(MAX_WAITING, waiting -> turnAway.accept(waiting.exchange()));
+  private AdmissionQueue<Queued> newQueue() {
+    return overload.newAdmissionQueue(MAX_QUEUED, queued -> reject.accept(queued.exchange()));
   }
 
-  /** What waits is begun first, since it lies by the old tiers; the next by these settings. */
+  /** Routes what is queued by the old tiers; what comes next is queued by these settings. */
   void retune(Settings next) {
     long now = clock.now();
-    for (Waiting waiting = intake.poll(now); waiting != null; waiting = intake.poll(now)) {
-      begin(waiting, now);
+    for (Queued queued = queue.poll(now); queued != null; queued = queue.poll(now)) {
+      route(queued, now);
     }
     overload.updateSettings(next);
-    intake = emptyIntake();
+    queue = newQueue();
   }
 
-  /** Begins a request now, or lets it wait where this turn has begun as many as it should. */
-  void enter(Exchange request, Request taken) {
+  /** Routes a request now, or queues it where this turn has routed for long enough. */
+  void enter(Exchange exchange, Request request) {
     long now = clock.now();
-    if (intake.size() == 0 && !turnSpent(now)) {
-      begin.accept(request, taken);
+    if (queue.size() == 0 && !isTurnSpent(now)) {
+      route.accept(exchange, request);
       return;
     }
-    if (intake.size() == 0) {
-      beginLater();
+    if (queue.size() == 0) {
+      scheduleRouting();
     }
-    intake.offer(
-        new Waiting(request, taken), overload.tier(taken.serviceClass(), taken.retry()), now);
+    queue.offer(
+        new Queued(exchange, request), overload.tier(request.serviceClass(), request.retry()), now);
   }
 
-  /** Nanoseconds for which a request has waited for its turn, 0 if none waits. */
+  /** Nanoseconds for which the oldest request has waited, 0 if there is none. */
   long oldestQueuedNanos() {
-    return intake.oldestWaitNanos(clock.now());
+    return queue.oldestWaitNanos(clock.now());
   }
 
-  /** Forgets what waits. */
+  /** Empties the queue; each request in it is rejected. */
   void close() {
-    intake.rejectAll();
+    queue.rejectAll();
   }
 
-  private boolean turnSpent(long now) {
+  private boolean isTurnSpent(long now) {
     if (turn != clock.turn()) {
       turn = clock.turn();
-      turnSince = now;
+      turnSinceNanos = now;
     }
-    return now - turnSince > TURN_NANOS;
+    return now - turnSinceNanos > MAX_ROUTING_NANOS;
   }
 
-  /** Begins what waits, for as long as one turn may; the event loop then reads before the rest. */
-  private void beginWaiting() {
+  /** Routes what is queued, for as long as one turn may. */
+  private void routeQueued() {
     long since = clock.now();
     long now = since;
-    while (now - since <= TURN_NANOS) {
-      Waiting next = intake.poll(now);
+    while (now - since <= MAX_ROUTING_NANOS) {
+      Queued next = queue.poll(now);
       if (next == null) {
         return;
       }
-      begin(next, now);
+      route(next, now);
       now = clock.now();
     }
-    if (intake.size() > 0) {
-      beginLater();
+    if (queue.size() > 0) {
+      scheduleRouting();
     }
   }
 
-  private void begin(Waiting next, long now) {
+  private void route(Queued next, long now) {
     double left = (next.exchange().deadlineNanos() - now) / 1e9;
-    begin.accept(next.exchange(), next.taken().withBudgetAtMost(Math.max(0, left)));
+    route.accept(next.exchange(), next.request().withBudgetAtMost(Math.max(0, left)));
   }
 
-  /** In the next turn: what is executed at once runs in this one, before anything more is read. */
-  private void beginLater() {
-    loop.schedule(this::beginWaiting, 1, TimeUnit.NANOSECONDS);
+  /** Scheduled, not executed: a task that is executed runs in this turn, before the next poll. */
+  private void scheduleRouting() {
+    loop.schedule(this::routeQueued, 1, TimeUnit.NANOSECONDS);
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/RequestSettings.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestSettings.java
@@ -18,7 +18,7 @@
     this.settings = settings;
   }
 
-  /** From now on these settings hold. */
+  /** From now on these settings apply. */
   void replace(Settings next) {
     settings = next;
   }
--- a/engine/src/main/java/shalepaddle/engine/ServerReply.java
+++ b/engine/src/main/java/shalepaddle/engine/ServerReply.java
@@ -5,12 +5,12 @@
 import shalepaddle.model.Outcome;
 
 /**
- * A cache server's reply to an attempt, in no protocol's words.
+ * A cache server's response to an attempt, independent of any protocol.
  *
  * @param result the outcome that it stands for
  * @param id the request's id as the server repeats it, null where it does not
  * @param receipt a write's receipt, null for another reply
- * @param value a read's value, null for another reply; released by whoever read it off
+ * @param value a read's value, null for another reply; released by the connection that read it
  * @param note what it says of the server's cache
  * @param load the server's load report, null if none came along
  */
--- a/engine/src/main/java/shalepaddle/engine/Submission.java
+++ b/engine/src/main/java/shalepaddle/engine/Submission.java
@@ -1,7 +1,7 @@
 package shalepaddle.engine;
 
 /**
- * A call that the engine has taken, for {@link Dispatcher#clientDisconnected}: either one with an
- * exchange of its own, or one that waits for an exchange that it shares with like ones.
+ * A call that the engine has accepted, for {@link Dispatcher#clientDisconnected}: one with an
+ * exchange of its own, or a read that waits for a shared one.
  */
 public sealed interface Submission permits Exchange, CoalescedRead {}
--- a/engine/src/main/java/shalepaddle/engine/ValueAggregator.java
+++ b/engine/src/main/java/shalepaddle/engine/ValueAggregator.java
@@ -4,13 +4,16 @@
 import io.netty.buffer.Unpooled;
 import java.util.function.Consumer;
 
-/** Gathers a large value for who takes it whole only. Bounded by the longest value there is. */
+/**
+ * Collects a large value for a sink that does not accept streams. Bounded by the value's length,
+ * which the protocol limits.
+ */
 final class ValueAggregator implements ValueSource.Receiver {
-  private final Consumer<Reply> done;
+  private final Consumer<Reply> onAnswer;
   private final ByteBuf value;
 
-  ValueAggregator(int length, Consumer<Reply> done) {
-    this.done = done;
+  ValueAggregator(int length, Consumer<Reply> onAnswer) {
+    this.onAnswer = onAnswer;
     this.value = Unpooled.buffer(length, length);
   }
 
@@ -22,12 +25,12 @@
 
   @Override
   public void onComplete() {
-    done.accept(new Reply.Value(value));
+    onAnswer.accept(new Reply.Value(value));
   }
 
   @Override
   public void onFailure() {
     value.release();
-    done.accept(new Reply.Failed(true));
+    onAnswer.accept(new Reply.Failed(true));
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/ValueSource.java
+++ b/engine/src/main/java/shalepaddle/engine/ValueSource.java
@@ -3,27 +3,28 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A large value that is still coming from a cache server. All of it runs on the engine's thread.
+ * A large value that is still arriving from a cache server. All methods are called on the event
+ * loop's thread.
  */
 public interface ValueSource {
-  /** Who takes the value as it comes. */
+  /** Receives the value as it arrives. */
   interface Receiver {
-    /** The next piece, which belongs to the receiver. */
+    /** The next chunk, which the receiver owns. */
     void onChunk(ByteBuf bytes);
 
-    /** It is whole. */
+    /** The value is complete. */
     void onComplete();
 
-    /** It will never be whole: the server broke off. */
+    /** The server broke off: the value will never be complete. */
     void onFailure();
   }
 
-  /** Gives what has come, and from now on what comes, to the receiver. Called once. */
+  /** Gives what has arrived, and from now on what arrives, to the receiver. Called once. */
   void start(Receiver receiver);
 
-  /** Whether more may come: what the receiver can not take stays with the server. */
-  void setReading(boolean on);
+  /** Whether to read on: what the receiver can not take stays with the server. */
+  void setReading(boolean enabled);
 
-  /** Nobody wants the rest; the receiver hears nothing more. Does nothing once it is over. */
+  /** The rest is not wanted; the receiver is not called any more. No effect once it is over. */
   void cancel();
 }
--- a/engine/src/main/java/shalepaddle/engine/WarmStartLog.java
+++ b/engine/src/main/java/shalepaddle/engine/WarmStartLog.java
@@ -12,89 +12,95 @@
 import shalepaddle.policy.RequestRouter;
 
 /**
- * The last attempts of this process, for one that takes its place; and the way in which that one
- * learns from them.
+ * The outcomes of this process's latest attempts, for a process that takes its place, and their
+ * replay there.
  *
- * <p>The idea is event sourcing: what is passed on is what was observed, and the decision module
- * that comes to it lives through it again, with the times at which it happened, before its first
- * request. It then knows what the one before knew of servers, the origin and the caches, as far
- * back as this reaches, by its own way of judging. Not taken: passing on what the module has
- * concluded, which ties two versions of the program to the same inner figures.
+ * <p>The design is event sourcing: observations are handed over, not the policy's conclusions. The
+ * new process's policy is notified of them, with the times at which they were made, before its
+ * first request, and draws its own conclusions about servers, the origin and cached keys. So two
+ * versions of the program need not agree on internal figures.
  *
- * <p>Bounded to {@value #MOST} attempts no older than {@value #SECONDS} seconds. Safe for use by
- * many threads.
+ * <p>Bounded to {@value #MAX_OBSERVATIONS} observations no older than {@value #MAX_AGE_SECONDS}
+ * seconds. Thread-safe.
  */
 public final class WarmStartLog {
-  /** Attempts kept: some seconds of a busy node. */
-  public static final int MOST = 2048;
+  /** Observations that are retained. */
+  public static final int MAX_OBSERVATIONS = 2048;
 
-  /** Older ones say nothing of how things stand; keys in caches are told from no older ones. */
-  static final double SECONDS = 10;
+  /** Older observations say nothing of the present state of servers and caches. */
+  static final double MAX_AGE_SECONDS = 10;
 
-  private final ArrayDeque<Observation> last = new ArrayDeque<>();
+  private final ArrayDeque<Observation> latest = new ArrayDeque<>();
 
   /** One more attempt has ended. */
-  synchronized void add(Observation seen) {
-    last.addLast(seen);
-    while (last.size() > MOST || seen.endedAt() - last.peekFirst().endedAt() > SECONDS) {
-      last.removeFirst();
+  synchronized void add(Observation observation) {
+    latest.addLast(observation);
+    while (latest.size() > MAX_OBSERVATIONS
+        || observation.endedAt() - latest.peekFirst().endedAt() > MAX_AGE_SECONDS) {
+      latest.removeFirst();
     }
   }
 
-  /** What is recollected now, in the order in which it ended. */
+  /** All that is retained now, in the order in which the attempts ended. */
   public synchronized List<Observation> all() {
-    return List.copyOf(last);
+    return List.copyOf(latest);
   }
 
   /**
-   * What another process saw, in this one's time. Each process sets its clock by the wall clock as
-   * it starts, and that may have been stepped since: what is told as of the future, or as of long
-   * ago, ended just now.
+   * Observations of another process, in this one's time. Each process sets its clock by the wall
+   * clock as it starts, and that may have been stepped since: observations from the future, or from
+   * long ago, are moved so that the last ended just now.
+   *
+   * @param nowSeconds this process's time, in seconds since 1970
    */
-  static List<Observation> inTime(double now, List<Observation> seen) {
-    double last = seen.stream().mapToDouble(Observation::endedAt).max().orElse(now);
-    double late = now - last;
-    if (late >= 0 && late <= SECONDS) {
-      return seen;
+  static List<Observation> inTime(double nowSeconds, List<Observation> observations) {
+    double lastEnd =
+        observations.stream().mapToDouble(Observation::endedAt).max().orElse(nowSeconds);
+    double age = nowSeconds - lastEnd;
+    if (age >= 0 && age <= MAX_AGE_SECONDS) {
+      return observations;
     }
-    return seen.stream()
-        .map(each -> new Observation(each.endedAt() + late, each.request(), each.outcome()))
+    return observations.stream()
+        .map(each -> new Observation(each.endedAt() + age, each.request(), each.outcome()))
         .toList();
   }
 
   /**
-   * Lets a decision module that has seen nothing yet live through what another process saw.
+   * Notifies a policy that has observed nothing yet of what another process observed.
    *
-   * @param known the list of servers
-   * @param seen in the order in which it ended
+   * @param known the server list
+   * @param observations in the order in which they ended
    */
-  static void replay(RequestRouter balancer, MembershipUpdate known, List<Observation> seen) {
-    List<Observation> sent = new ArrayList<>(seen);
-    sent.sort(Comparator.comparingDouble(Observation::sentAt));
-    balancer.onMembershipUpdate(sent.get(0).sentAt(), known);
-    // What ends in the moment in which another is sent ends first.
-    PriorityQueue<Out> out = new PriorityQueue<>(Comparator.comparingDouble(Out::endedAt));
+  static void replay(RequestRouter router, MembershipUpdate known, List<Observation> observations) {
+    List<Observation> bySendTime = new ArrayList<>(observations);
+    bySendTime.sort(Comparator.comparingDouble(Observation::sentAt));
+    router.onMembershipUpdate(bySendTime.get(0).sentAt(), known);
+    PriorityQueue<InFlight> inFlight =
+        new PriorityQueue<>(Comparator.comparingDouble(InFlight::endedAt));
     long number = 0;
-    for (Observation next : sent) {
-      end(balancer, out, next.sentAt());
-      Request request = named(next.request(), "~" + number++);
-      balancer.observeAttempt(next.sentAt(), request, next.outcome().server());
-      out.add(new Out(next.endedAt(), named(next.outcome(), request.id())));
+    for (Observation next : bySendTime) {
+      // An attempt that ends at the time at which another is sent ends first.
+      endUntil(router, inFlight, next.sentAt());
+      Request request = withId(next.request(), "~" + number++);
+      router.observeAttempt(next.sentAt(), request, next.outcome().server());
+      inFlight.add(new InFlight(next.endedAt(), withId(next.outcome(), request.id())));
     }
-    end(balancer, out, Double.POSITIVE_INFINITY);
+    endUntil(router, inFlight, Double.POSITIVE_INFINITY);
   }
 
-  private record Out(double endedAt, Outcome outcome) {}
+  /** An attempt that the policy knows of, and how it will end. */
+  private record InFlight(double endedAt, Outcome outcome) {}
 
-  private static void end(RequestRouter balancer, PriorityQueue<Out> out, double until) {
-    while (!out.isEmpty() && out.peek().endedAt() <= until) {
-      Out ended = out.poll();
-      balancer.onOutcome(ended.endedAt(), ended.outcome());
+  private static void endUntil(
+      RequestRouter router, PriorityQueue<InFlight> inFlight, double until) {
+    while (!inFlight.isEmpty() && inFlight.peek().endedAt() <= until) {
+      InFlight ended = inFlight.poll();
+      router.onOutcome(ended.endedAt(), ended.outcome());
     }
   }
 
-  /** Under an id of its own; all of them have ended before any client's request comes. */
-  private static Request named(Request request, String id) {
+  /** With an id of its own; all of them have ended before the first request of a client. */
+  private static Request withId(Request request, String id) {
     return new Request(
         id,
         request.key(),
@@ -107,7 +113,7 @@
         request.write());
   }
 
-  private static Outcome named(Outcome outcome, String id) {
+  private static Outcome withId(Outcome outcome, String id) {
     return new Outcome(
         id,
         0,
--- a/engine/src/main/java/shalepaddle/loop/Clock.java
+++ b/engine/src/main/java/shalepaddle/loop/Clock.java
@@ -3,23 +3,23 @@
 import io.netty.util.concurrent.Ticker;
 
 /**
- * The node's time: seconds that never run backwards, set once by the system's clock so that the
- * start times in the list of servers can be compared with it.
+ * The node's time in seconds since 1970, which never runs backwards. It is set by the system's
+ * clock once, so that it is comparable with the start times in the server list. Thread-safe.
  */
 public final class Clock {
   private final Ticker ticker;
-  private final double anchor;
-  private final long anchorNanos;
+  private final double startSeconds;
+  private final long startNanos;
 
-  /** A clock that stands now at so many milliseconds since 1970. */
+  /** A clock whose present time is so many milliseconds since 1970. */
   public Clock(Ticker ticker, long epochMillis) {
     this.ticker = ticker;
-    this.anchor = epochMillis / 1e3;
-    this.anchorNanos = ticker.nanoTime();
+    this.startSeconds = epochMillis / 1e3;
+    this.startNanos = ticker.nanoTime();
   }
 
   /** Seconds since 1970. */
   public double now() {
-    return anchor + (ticker.nanoTime() - anchorNanos) / 1e9;
+    return startSeconds + (ticker.nanoTime() - startNanos) / 1e9;
   }
 }
--- a/engine/src/main/java/shalepaddle/loop/StallHistory.java
+++ b/engine/src/main/java/shalepaddle/loop/StallHistory.java
@@ -1,11 +1,10 @@
 package shalepaddle.loop;
 
 /**
- * How long an event loop stalls that stalls again and again: the second longest stall of the last
- * {@value #WINDOW_NANOS} ns or more. A single one, such as a collection of garbage, tells of
- * nothing to come.
+ * Predicts an event loop's stalls: the second longest stall of the last {@value #WINDOW_NANOS} ns
+ * or more. A single stall, such as a garbage collection, predicts nothing.
  *
- * <p>Time is an argument, in nanoseconds. Not thread-safe.
+ * <p>All times are nanoseconds of one clock. Not thread-safe.
  */
 final class StallHistory {
   /** Two windows are kept: the present one and the one before. */
@@ -26,7 +25,7 @@
     }
   }
 
-  /** For how long it has to be expected to stall, 0 for not at all. */
+  /** The length of a stall that is to be expected, 0 for none. */
   long expected(long now) {
     advance(now);
     long shorterOfLongest = Math.min(longest[0], longest[1]);
--- a/engine/src/main/java/shalepaddle/loop/Timers.java
+++ b/engine/src/main/java/shalepaddle/loop/Timers.java
@@ -10,9 +10,11 @@
 import shalepaddle.sockets.ConnectCompletion;
 
 /**
- * Timers that come due in ticks, the grain in which the module takes events. Guards against an
- * event loop that never sleeps: with some timers for each request one is always about to come due,
- * and the loop would poll its sockets over and over until it does.
+ * Timers that run in ticks. Prevents an event loop that never sleeps: with several timers for each
+ * request one is always about to run, and the loop would poll its sockets until it does. Cost: a
+ * timer runs up to one tick early or late, by its method.
+ *
+ * <p>Owned by the event loop's thread. An exception of a task is logged.
  */
 public final class Timers {
   private final EventLoop loop;
@@ -24,6 +26,11 @@
   private long armedFor = Long.MAX_VALUE;
   private Future<?> armed;
 
+  /**
+   * No timers.
+   *
+   * @param tickNanos the grain, above 0
+   */
   public Timers(EventLoop loop, LoopClock clock, Log log, long tickNanos) {
     this.loop = loop;
     this.clock = clock;
@@ -32,7 +39,7 @@
     this.start = clock.now();
   }
 
-  /** Something to be done at a time, unless it is called off before. */
+  /** A task that runs once, unless it is cancelled before. */
   public static final class Timer {
     private Runnable task;
 
@@ -40,43 +47,44 @@
       this.task = task;
     }
 
+    /** The task does not run any more. Idempotent; no effect once it has run. */
     public void cancel() {
       task = null;
     }
   }
 
-  /** Runs the task in the last tick that is not after the delay; at once if that has passed. */
+  /** Runs a task in the last tick that is not after the delay; soon if that has passed. */
   public Timer runNoLaterThan(long delayNanos, Runnable task) {
-    return at(Math.floorDiv(clock.now() - start + delayNanos, tickNanos), task);
+    return schedule(Math.floorDiv(clock.now() - start + delayNanos, tickNanos), task);
   }
 
-  /** Runs the task in the first tick that is not before the delay. */
+  /** Runs a task in the first tick that is not before the delay. */
   public Timer runNoEarlierThan(long delayNanos, Runnable task) {
-    return at(-Math.floorDiv(-(clock.now() - start + delayNanos), tickNanos), task);
+    return schedule(-Math.floorDiv(-(clock.now() - start + delayNanos), tickNanos), task);
   }
 
   /**
-   * Runs the task once the event loop has been there to listen for so long: for what says of a peer
-   * that it has been silent.
+   * Runs a task once the event loop was {@linkplain LoopClock#activeNanos active} for so long: for
+   * timers that judge a peer's silence.
    */
   public Timer afterActiveTime(long nanos, Runnable task) {
     Timer timer = new Timer(task);
-    listen(clock.activeNanos() + nanos, timer);
+    runAfterActive(clock.activeNanos() + nanos, timer);
     return timer;
   }
 
   /**
-   * Gives a connection up that has not come up while the event loop listened for so long; its
-   * future then fails with a {@link java.nio.channels.ClosedChannelException}. Not by the
-   * bootstrap's own time-out: after a pause that may come before what has come up is looked at, and
-   * a peer that runs would be taken for one that has vanished.
+   * Closes a connection that is not established after so much active time; its future then fails
+   * with a {@link java.nio.channels.ClosedChannelException}. The bootstrap's own time-out is not
+   * used: after a stall it may run before an established connection is noticed, and a peer that is
+   * up would be taken for one that is down.
    */
   public void limitConnect(ChannelFuture connecting, long nanos) {
-    Timer patience = afterActiveTime(nanos, () -> ConnectCompletion.close(connecting.channel()));
-    ConnectCompletion.whenDone(connecting, loop, done -> patience.cancel());
+    Timer timeout = afterActiveTime(nanos, () -> ConnectCompletion.close(connecting.channel()));
+    ConnectCompletion.whenDone(connecting, loop, done -> timeout.cancel());
   }
 
-  private void listen(long until, Timer timer) {
+  private void runAfterActive(long until, Timer timer) {
     runNoEarlierThan(
         until - clock.activeNanos(),
         () -> {
@@ -84,14 +92,14 @@
             return;
           }
           if (clock.activeNanos() - until < 0) {
-            listen(until, timer);
+            runAfterActive(until, timer);
           } else {
             timer.task.run();
           }
         });
   }
 
-  /** How many are due that have not been called off. */
+  /** Timers that are set and not cancelled. */
   public int size() {
     int size = 0;
     for (List<Timer> tick : due.values()) {
@@ -102,7 +110,7 @@
     return size;
   }
 
-  /** Calls all off. What is set after this comes due as ever. */
+  /** Cancels all timers. Those that are set later run as usual. */
   public void close() {
     due.clear();
     armedFor = Long.MAX_VALUE;
@@ -111,7 +119,7 @@
     }
   }
 
-  private Timer at(long tick, Runnable task) {
+  private Timer schedule(long tick, Runnable task) {
     Timer timer = new Timer(task);
     due.computeIfAbsent(tick, t -> new ArrayList<>()).add(timer);
     arm(tick);
@@ -122,8 +130,8 @@
     if (tick < armedFor) {
       armedFor = tick;
       long delay = start + tick * tickNanos - clock.now();
-      // Guards against alarms that add up: each would set a further one for as long as any timer is
-      // due, which under load is always.
+      // Or alarms would accumulate: each sets a further one while there are timers, as there are at
+      // all times under load.
       if (armed != null) {
         armed.cancel(false);
       }
@@ -131,16 +139,13 @@
     }
   }
 
-  /**
-   * Something is due. Guards against deciding that time is up, after a pause, on what came in time
-   * and has not been read: that is read first.
-   */
+  /** A timer is due. After a stall, what came in time and is not read yet is read first. */
   private void alarm() {
     clock.refresh();
-    clock.whenBacklogRead(this::run);
+    clock.whenBacklogRead(this::runDue);
   }
 
-  private void run() {
+  private void runDue() {
     long now = (clock.now() - start) / tickNanos;
     armedFor = Long.MAX_VALUE;
     while (!due.isEmpty() && due.firstKey() <= now) {
--- a/engine/src/main/java/shalepaddle/loop/WatchedIoHandler.java
+++ b/engine/src/main/java/shalepaddle/loop/WatchedIoHandler.java
@@ -7,9 +7,9 @@
 import io.netty.channel.IoRegistration;
 
 /**
- * Any transport's I/O, with a {@link LoopClock} told of each turn: how much was read, and when. It
- * also keeps the loop from sleeping longer than a beat, without a timer for that, and from sleeping
- * at all while it is behind or something waits for the poll.
+ * Wraps a transport's I/O handler, and notifies a {@link LoopClock} of each turn and its poll. It
+ * bounds the loop's sleep to {@link LoopClock#MAX_SLEEP_NANOS}, and prevents it while there is a
+ * backlog or a task that waits for the poll. Owned by the event loop's thread.
  */
 public final class WatchedIoHandler implements IoHandler {
   private final IoHandler handler;
@@ -20,7 +20,7 @@
     this.clock = clock;
   }
 
-  /** Makes handlers for one event loop, which the clock belongs to. */
+  /** A factory of handlers for the one event loop whose clock this is. */
   public static IoHandlerFactory factory(IoHandlerFactory transport, LoopClock clock) {
     return executor -> new WatchedIoHandler(transport.newHandler(executor), clock);
   }
@@ -28,13 +28,14 @@
   @Override
   public int run(IoHandlerContext context) {
     clock.turnBegins(clock.now());
-    int handled = handler.run(new Beating(context, clock));
+    int handled = handler.run(new BoundedSleep(context, clock));
     clock.turnEnds(clock.now(), handled);
     return handled;
   }
 
-  /** A turn that does not sleep for longer than a beat. */
-  private record Beating(IoHandlerContext context, LoopClock clock) implements IoHandlerContext {
+  /** A turn whose sleep is bounded. */
+  private record BoundedSleep(IoHandlerContext context, LoopClock clock)
+      implements IoHandlerContext {
     @Override
     public boolean canBlock() {
       boolean canBlock = !clock.pollsAtOnce() && context.canBlock();
@@ -59,7 +60,7 @@
       context.reportActiveIoTime(nanos);
     }
 
-    /** Asked by the transport between its poll and the handling of what that has found. */
+    /** Called by the transport between its poll and the handling of events. */
     @Override
     public boolean shouldReportActiveIoTime() {
       clock.pollEnds(clock.now());
--- a/engine/src/test/java/shalepaddle/diagnostics/FlightRecorderTest.java
+++ b/engine/src/test/java/shalepaddle/diagnostics/FlightRecorderTest.java
@@ -11,7 +11,7 @@
   private final FlightRecorder recorder = new FlightRecorder(() -> now);
 
   @Test
-  void tellsWhatHappenedToARequestItsConnectionAndTheProcess() {
+  void historyHasEventsOfRequestItsConnectionAndProcess() {
     recorder.record(Event.READ_PAUSE_EARLY_RETRY, "c1");
     recorder.record(Event.READ_PAUSE_EARLY_RETRY, "c2");
     now = 100_000_000;
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void keepsTheLatestEventsAndCountsAll() {
+  void retainsLatestEventsAndCountsAll() {
     for (int i = 0; i < 10_000; i++) {
       recorder.record(Event.ATTEMPT_RETRY, i == 0 ? "first" : "later");
     }
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void totalsNameWhatHasHappened() {
+  void totalsListCountsAboveZero() {
     recorder.record(Event.REJECTED_POLICY, "a");
     recorder.count(Event.REJECTED_ADMISSION, 3);
     recorder.record(Event.REQUEST_READ, "a");
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void everyCountedEventHasAReason() {
+  void everyCountedEventHasReason() {
     Event.counted()
         .forEach(
             event -> {
--- a/engine/src/test/java/shalepaddle/engine/AnswerMarginTest.java
+++ b/engine/src/test/java/shalepaddle/engine/AnswerMarginTest.java
@@ -20,7 +20,7 @@
     "400, 900, 100",
     "400, 30, 50",
   })
-  void keepsAPartOfARequestsTime(long budget, long expectedStall, long margin) {
+  void reservesPartOfTheTimeBudgetForStalls(long budget, long expectedStall, long margin) {
     assertEquals(margin * MILLI, AnswerMargin.of(budget * MILLI, expectedStall * MILLI));
   }
 }
--- a/engine/src/test/java/shalepaddle/engine/InvariantGuardTest.java
+++ b/engine/src/test/java/shalepaddle/engine/InvariantGuardTest.java
@@ -15,7 +15,9 @@
 import shalepaddle.model.Request;
 import shalepaddle.model.Settings.Idempotency;
 
-/** Each rule broken once, as a fault elsewhere would: it is counted, logged and not done. */
+/**
+ * Violates each invariant once, as a fault elsewhere would: it is counted, logged and prevented.
+ */
 class InvariantGuardTest {
   private static final long DEADLINE = 1_000_000_000L;
   private static final long SLACK = 50_000_000L;
@@ -30,11 +32,11 @@
     return new Exchange(new Call(request, null, null), DEADLINE, DEADLINE, 3, effect);
   }
 
-  private static Attempt attempt(Exchange request) {
+  private static Attempt attempt(Exchange exchange) {
     Attempt attempt =
         new Attempt(
-            request, request.attempts().size(), 1, 0, DEADLINE, Double.POSITIVE_INFINITY, 0);
-    request.add(attempt);
+            exchange, exchange.attempts().size(), 1, 0, DEADLINE, Double.POSITIVE_INFINITY, 0);
+    exchange.add(attempt);
     return attempt;
   }
 
@@ -45,52 +47,52 @@
   }
 
   @Test
-  void letsWhatIsInOrderPass() {
-    Exchange request = exchange(Idempotency.NOT_IDEMPOTENT);
-    assertTrue(guard.mayBegin(request));
-    assertTrue(guard.maySend(attempt(request), DEADLINE, false));
+  void permitsWhatViolatesNoInvariant() {
+    Exchange exchange = exchange(Idempotency.NOT_IDEMPOTENT);
+    assertTrue(guard.mayRoute(exchange));
+    assertTrue(guard.maySend(attempt(exchange), DEADLINE, false));
     Reply reply = new Reply.Rejected(0);
-    assertEquals(reply, guard.answer(request, reply, DEADLINE + SLACK));
+    assertEquals(reply, guard.answer(exchange, reply, DEADLINE + SLACK));
     assertEquals(List.of(), lines);
   }
 
   @Test
-  void anUnsafeRequestIsNotSentAgainWhereItMayHaveRun() {
-    Exchange request = exchange(Idempotency.NOT_IDEMPOTENT);
-    attempt(request).markWritten();
-    assertFalse(guard.maySend(attempt(request), 0, false));
+  void withholdsSecondAttemptOfNonIdempotentRequestThatMayHaveRun() {
+    Exchange exchange = exchange(Idempotency.NOT_IDEMPOTENT);
+    attempt(exchange).markWritten();
+    assertFalse(guard.maySend(attempt(exchange), 0, false));
     assertViolated(Event.VIOLATION_REPEATED);
   }
 
   @Test
-  void itIsSentAgainWhereItProvablyHasNotRun() {
-    Exchange request = exchange(Idempotency.NOT_IDEMPOTENT);
-    Attempt first = attempt(request);
+  void permitsSecondAttemptWhenFirstHasProvablyNotRun() {
+    Exchange exchange = exchange(Idempotency.NOT_IDEMPOTENT);
+    Attempt first = attempt(exchange);
     first.markWritten();
     first.end(true);
-    assertTrue(guard.maySend(attempt(request), 0, false));
+    assertTrue(guard.maySend(attempt(exchange), 0, false));
   }
 
   @Test
-  void nothingIsSentAfterTheEndOfARequest() {
-    Exchange request = exchange(Idempotency.IDEMPOTENT);
-    Attempt attempt = attempt(request);
-    request.answer();
+  void withholdsAttemptAfterAnswer() {
+    Exchange exchange = exchange(Idempotency.IDEMPOTENT);
+    Attempt attempt = attempt(exchange);
+    exchange.answer();
     assertFalse(guard.maySend(attempt, 0, false));
     assertViolated(Event.VIOLATION_SENT_AFTER_END);
   }
 
   @Test
-  void nothingIsSentAfterItsTime() {
+  void withholdsAttemptAfterDeadline() {
     assertFalse(guard.maySend(attempt(exchange(Idempotency.IDEMPOTENT)), DEADLINE + 1, false));
     assertViolated(Event.VIOLATION_SENT_AFTER_TIME);
   }
 
   /**
-   * So that an attempt whose time ran out while it waited is given back, not asked of the guard.
+   * So that an attempt whose time ran out while it waited is returned before the guard is asked.
    */
   @Test
-  void anAttemptMayNotBeWrittenOnceNobodyWaitsForItsAnswer() {
+  void attemptIsTooLateToWriteAtItsDeadline() {
     Attempt attempt = attempt(exchange(Idempotency.IDEMPOTENT));
     assertFalse(attempt.isTooLateToWrite(DEADLINE - 1));
     assertTrue(attempt.isTooLateToWrite(DEADLINE));
@@ -98,21 +100,21 @@
   }
 
   @Test
-  void nothingIsSentToAServerThatDrainsPastItsGrace() {
+  void withholdsAttemptFromServerDrainingPastItsGrace() {
     assertFalse(guard.maySend(attempt(exchange(Idempotency.IDEMPOTENT)), 0, true));
     assertViolated(Event.VIOLATION_SENT_TO_DRAINING);
   }
 
   @Test
-  void aRejectionOfWhatMayHaveRunBecomesAFailure() {
-    Exchange request = exchange(Idempotency.NOT_IDEMPOTENT);
-    attempt(request).markWritten();
-    assertInstanceOf(Reply.Failed.class, guard.answer(request, new Reply.Rejected(0), 0));
+  void turnsRejectionIntoFailureWhenRequestMayHaveRun() {
+    Exchange exchange = exchange(Idempotency.NOT_IDEMPOTENT);
+    attempt(exchange).markWritten();
+    assertInstanceOf(Reply.Failed.class, guard.answer(exchange, new Reply.Rejected(0), 0));
     assertViolated(Event.VIOLATION_REJECTED_AFTER_RUN);
   }
 
   @Test
-  void aLateAnswerIsCountedAndGiven() {
+  void countsLateAnswerAndGivesIt() {
     Reply reply = new Reply.Failed(false);
     assertEquals(
         reply, guard.answer(exchange(Idempotency.IDEMPOTENT), reply, DEADLINE + SLACK + 1));
@@ -120,7 +122,7 @@
   }
 
   @Test
-  void countsAllAndLogsSomeASecond() {
+  void countsAllViolationsAndLogsTwoHistoriesPerSecond() {
     for (int i = 0; i < 100; i++) {
       guard.answer(exchange(Idempotency.IDEMPOTENT), new Reply.Failed(false), DEADLINE + SLACK + 1);
     }
@@ -129,10 +131,10 @@
   }
 
   @Test
-  void aRequestIsBegunOnce() {
-    Exchange request = exchange(Idempotency.IDEMPOTENT);
-    request.route();
-    assertFalse(guard.mayBegin(request));
+  void routesRequestOnce() {
+    Exchange exchange = exchange(Idempotency.IDEMPOTENT);
+    exchange.route();
+    assertFalse(guard.mayRoute(exchange));
     assertViolated(Event.VIOLATION_BEGUN_TWICE);
   }
 }
--- a/engine/src/test/java/shalepaddle/engine/WarmStartLogTest.java
+++ b/engine/src/test/java/shalepaddle/engine/WarmStartLogTest.java
@@ -11,7 +11,7 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.Request;
 
-/** What one process passes on is taken in the time of the next, whatever their wall clocks say. */
+/** Observations of one process in the time of the next, whose wall clock may differ. */
 class WarmStartLogTest {
   private static final double NOW = 10_000;
 
@@ -22,20 +22,21 @@
     return new Observation(time, request, outcome);
   }
 
-  private static List<Double> taken(double... times) {
-    List<Observation> seen = Arrays.stream(times).mapToObj(WarmStartLogTest::endedAt).toList();
-    return WarmStartLog.inTime(NOW, seen).stream().map(Observation::endedAt).toList();
+  private static List<Double> endsInTime(double... times) {
+    List<Observation> observations =
+        Arrays.stream(times).mapToObj(WarmStartLogTest::endedAt).toList();
+    return WarmStartLog.inTime(NOW, observations).stream().map(Observation::endedAt).toList();
   }
 
   @Test
-  void whatEndedLatelyKeepsItsTimes() {
-    assertEquals(List.of(NOW - 9, NOW - 3), taken(NOW - 9, NOW - 3));
-    assertEquals(List.of(), taken());
+  void keepsTimesOfRecentObservations() {
+    assertEquals(List.of(NOW - 9, NOW - 3), endsInTime(NOW - 9, NOW - 3));
+    assertEquals(List.of(), endsInTime());
   }
 
   @ParameterizedTest
   @ValueSource(doubles = {3600, -3600, 5, -30})
-  void whatAnotherClockTellsEndedJustNow(double offset) {
-    assertEquals(List.of(NOW - 6, NOW), taken(NOW - 6 + offset, NOW + offset));
+  void movesObservationsOfADifferentClockToNow(double offset) {
+    assertEquals(List.of(NOW - 6, NOW), endsInTime(NOW - 6 + offset, NOW + offset));
   }
 }
--- a/engine/src/test/java/shalepaddle/loop/LoopClockTest.java
+++ b/engine/src/test/java/shalepaddle/loop/LoopClockTest.java
@@ -11,18 +11,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The loop's pauses, in virtual time. */
+/** Stalls of the event loop, in virtual time. */
 class LoopClockTest {
   private static final long MILLI = 1_000_000;
 
-  /** Writes down what it is told. */
+  /** Records its notifications. */
   static final class Recorder implements LoopClock.Listener {
-    final List<Long> pauses = new ArrayList<>();
+    final List<Long> stalls = new ArrayList<>();
     final List<RuntimeException> failures = new ArrayList<>();
 
     @Override
     public void onStall(long nanos) {
-      pauses.add(nanos);
+      stalls.add(nanos);
     }
 
     @Override
@@ -46,7 +46,7 @@
 
   /** What a turn reads came after the poll before it, or as the loop woke up from a sleep. */
   @Test
-  void bytesCanNotBeOlderThanThePollThatDidNotReportThem() {
+  void bytesAreNoOlderThanThePollThatDidNotReportThem() {
     turn(0, 1, 0);
     now = 7 * MILLI;
     turn(0, 1, 20 * MILLI);
@@ -71,7 +71,7 @@
 
   /** Accepting many connections takes longer than a short sleep. */
   @Test
-  void workBeforeTheFirstLookIsNotTakenForASleep() {
+  void workBeforeFirstRefreshIsNoSleep() {
     turn(0, 1, 0);
     long before = now;
     now += 20 * MILLI;
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void bytesThatAreReadAfterAStallMayBeAsOldAsIt() {
+  void bytesReadAfterStallMayBeAsOldAsIt() {
     turn(0, 0, 0);
     long before = now;
     clock.turnBegins(now);
@@ -98,7 +98,7 @@
 
   /** The end of a connection is read in a turn of its own, after what came before it. */
   @Test
-  void whatWaitsForTheNextPollRunsAtTheEndOfTheNextTurn() {
+  void taskAfterNextPollRunsAtEndOfNextTurn() {
     List<String> ran = new ArrayList<>();
     clock.turnBegins(now);
     clock.afterNextPoll(() -> ran.add("late request"));
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void lastingOverloadPutsJudgingOffForABoundedTime() {
+  void delaysTasksForBoundedTimeUnderLastingOverload() {
     turn(0, 1, 0);
     List<Long> ran = new ArrayList<>();
     long longest = 0;
@@ -133,30 +133,30 @@
   }
 
   @Test
-  void aLoopThatSleepsForABeatHasNotPaused() {
+  void longestSleepIsNoStall() {
     for (int i = 0; i < 1000; i++) {
       turn(LoopClock.MAX_SLEEP_NANOS, i % 3, MILLI);
     }
-    assertEquals(0, recorder.pauses.size());
+    assertEquals(0, recorder.stalls.size());
     assertEquals(now, clock.activeNanos());
     assertFalse(clock.hasBacklog());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {50, 300, 1000, 3000})
-  void timeStandsStillInAPause(int millis) {
+  void activeTimeDoesNotAdvanceInStall(int millis) {
     turn(MILLI, 1, MILLI);
     long before = clock.activeNanos();
     now += millis * MILLI;
     turn(0, 5, MILLI);
-    assertEquals(1, recorder.pauses.size());
-    assertEquals(List.of(millis * MILLI - LoopClock.MAX_SLEEP_NANOS), recorder.pauses);
+    assertEquals(1, recorder.stalls.size());
+    assertEquals(List.of(millis * MILLI - LoopClock.MAX_SLEEP_NANOS), recorder.stalls);
     assertEquals(millis * MILLI - LoopClock.MAX_SLEEP_NANOS, clock.stalledNanos());
     assertTrue(clock.activeNanos() - before <= LoopClock.MAX_SLEEP_NANOS + MILLI);
   }
 
   @Test
-  void judgesOnceATurnHasFoundNothingMoreToRead() {
+  void runsTasksOnceTurnFindsNothingMoreToRead() {
     List<String> done = new ArrayList<>();
     now += 300 * MILLI;
     clock.turnBegins(now);
@@ -174,25 +174,25 @@
   }
 
   @Test
-  void aPauseWithinATurnIsNoticedBeforeAnythingIsJudged() {
+  void noticesStallWithinTurnBeforeTasksRun() {
     List<String> done = new ArrayList<>();
     // Stopped after it looked for what had come: nothing found then says nothing of the pause.
     clock.turnBegins(now);
     now += 500 * MILLI;
     clock.turnEnds(now, 0);
-    clock.whenBacklogRead(() -> done.add("judged"));
+    clock.whenBacklogRead(() -> done.add("ran"));
     assertTrue(clock.hasBacklog());
     turn(0, 0, MILLI);
-    assertEquals(List.of("judged"), done);
+    assertEquals(List.of("ran"), done);
   }
 
   @Test
-  void isNotPutOffForGoodWhereThePausesNeverEnd() {
+  void runsTasksThoughStallsNeverEnd() {
     SplittableRandom random = new SplittableRandom(7);
-    int[] judged = {0};
+    int[] runs = {0};
     int turns = 2000;
     for (int i = 0; i < turns; i++) {
-      clock.whenBacklogRead(() -> judged[0]++);
+      clock.whenBacklogRead(() -> runs[0]++);
       // Run for 10 ms, stopped for 90, wherever that falls.
       if (random.nextBoolean()) {
         now += 90 * MILLI;
@@ -201,12 +201,12 @@
         turn(90 * MILLI, 1 + random.nextInt(50), 10 * MILLI);
       }
     }
-    assertTrue(judged[0] > turns - 10, judged[0] + " of " + turns);
+    assertTrue(runs[0] > turns - 10, runs[0] + " of " + turns);
     assertTrue(clock.stalledNanos() > 0.7 * now, clock.stalledNanos() + " of " + now);
   }
 
   @Test
-  void aTaskThatFailsKeepsNoOtherFromRunning() {
+  void failingTaskKeepsNoOtherFromRunning() {
     List<String> done = new ArrayList<>();
     now += 300 * MILLI;
     clock.refresh(now);
--- a/engine/src/test/java/shalepaddle/loop/StallHistoryTest.java
+++ b/engine/src/test/java/shalepaddle/loop/StallHistoryTest.java
@@ -11,13 +11,13 @@
   private final StallHistory history = new StallHistory();
 
   @Test
-  void oneStallTellsOfNothingToCome() {
+  void expectsNothingAfterSingleStall() {
     history.add(400 * MILLI, SECOND);
     assertEquals(0, history.expected(2 * SECOND));
   }
 
   @Test
-  void expectsTheSecondLongest() {
+  void expectsSecondLongestStall() {
     history.add(400 * MILLI, SECOND);
     history.add(50 * MILLI, 2 * SECOND);
     history.add(120 * MILLI, 3 * SECOND);
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void remembersAcrossItsWindowsAndForgets() {
+  void retainsStallsAcrossWindowsAndForgetsThem() {
     history.add(400 * MILLI, 14 * SECOND);
     history.add(70 * MILLI, 16 * SECOND);
     assertEquals(70 * MILLI, history.expected(29 * SECOND));
--- a/engine/src/test/java/shalepaddle/loop/TimersTest.java
+++ b/engine/src/test/java/shalepaddle/loop/TimersTest.java
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void wakesTheLoopOnceATickHoweverManyTimersThereAre() throws Exception {
+  void wakesLoopOncePerTickWithManyTimers() throws Exception {
     try (Group group = new Group()) {
       var loop = group.loop;
       List<Long> early = new ArrayList<>();
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void runsWhatMustBeByATimeBeforeWhatMustBeAfterIt() throws Exception {
+  void runsTimersDueByTimeBeforeTimersDueAfterIt() throws Exception {
     try (Group group = new Group()) {
       var loop = group.loop;
       List<String> order = new ArrayList<>();
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void setsNoMoreAlarmsThanThereAreTimers() throws Exception {
+  void schedulesNoMoreAlarmsThanTimers() throws Exception {
     try (Group group = new Group()) {
       AtomicInteger alarms = new AtomicInteger();
       EventLoop counted =
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void silenceIsMeasuredInTimeInWhichTheLoopListened() throws Exception {
+  void measuresSilenceInActiveTime() throws Exception {
     try (Group group = new Group()) {
       CountDownLatch silent = new CountDownLatch(1);
       CountDownLatch over = new CountDownLatch(1);
@@ -145,8 +145,8 @@
                 pause(400);
               })
           .sync();
-      assertTrue(over.await(100, TimeUnit.MILLISECONDS), "a deadline was put off");
-      assertEquals(1, silent.getCount(), "silence was held against a peer nobody listened to");
+      assertTrue(over.await(100, TimeUnit.MILLISECONDS), "a deadline was delayed");
+      assertEquals(1, silent.getCount(), "a stall of the loop was counted as a peer's silence");
       assertTrue(silent.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
