--- a/core/src/main/java/shalepaddle/coalescing/CoalescingKey.java
+++ b/core/src/main/java/shalepaddle/coalescing/CoalescingKey.java
@@ -3,14 +3,15 @@
 import java.util.Objects;
 
 /**
- * What makes two reads alike beside their key: both must see the same value, and be passed on in
- * the same words.
+ * What two reads of one key must have in common to share a flight: they see the same value and are
+ * forwarded in the same form.
  *
- * @param serviceClass the class, which servers are told and decisions are made by
- * @param tenant whose values are seen, null where all see the same
+ * @param serviceClass the service class, which is forwarded to servers
+ * @param tenant whose values are visible, null where tenants see the same
  */
 public record CoalescingKey(String serviceClass, String tenant) {
-  boolean like(String otherClass, String otherTenant) {
+  /** Whether it is the key of this class and tenant; does not allocate. */
+  boolean matches(String otherClass, String otherTenant) {
     return serviceClass.equals(otherClass) && Objects.equals(tenant, otherTenant);
   }
 }
--- a/core/src/main/java/shalepaddle/coalescing/CoalescingSnapshot.java
+++ b/core/src/main/java/shalepaddle/coalescing/CoalescingSnapshot.java
@@ -1,17 +1,18 @@
 package shalepaddle.coalescing;
 
 /**
- * What joining has done so far, as it stood at one moment.
+ * Counters of request coalescing at one moment. Immutable.
  *
  * @param flights reads that began a flight
  * @param joined reads that joined one
- * @param uncoalesced reads that could have begun one, and went alone for want of room
- * @param shared reads served with a value that another's try brought
- * @param retried tries made in the next caller's name after one that broke
- * @param retriesDenied broken flights that were not tried again since too few had joined for that
- * @param left callers that left a flight while others stayed
- * @param openFlights flights open now
- * @param waiters callers that wait now
+ * @param uncoalesced reads that were not coalesced since too many flights were open
+ * @param shared reads served with a value that was read for another
+ * @param retried retries of flights whose connection broke
+ * @param retriesDenied flights with a broken connection that were not retried for want of retry
+ *     tokens
+ * @param left waiters that left or expired while others stayed
+ * @param openFlights flights that are open now
+ * @param waiters reads that wait now
  */
 public record CoalescingSnapshot(
     long flights,
--- a/core/src/main/java/shalepaddle/coalescing/Flight.java
+++ b/core/src/main/java/shalepaddle/coalescing/Flight.java
@@ -6,161 +6,211 @@
 import java.util.PriorityQueue;
 
 /**
- * One try at a read, and all who wait for its answer, in the order of their arrival.
+ * One attempt at a read, and all that wait for its answer, in the order of their arrival.
  *
- * <p>Most flights have one caller for all their life; what only several need is made when the
- * second joins.
+ * <p>Most flights have a single caller, so that what only several need is allocated when the second
+ * one joins. Not thread-safe: owned by the {@link RequestCoalescer}. All times are nanoseconds.
  *
- * @param <C> what stands for a caller outside of these decisions
+ * @param <C> the caller's representation outside this package
  */
 public final class Flight<C> {
-  /** What it is about, and the next one about the same key that may be joined. */
-  final String key;
+  private final String key;
+  private final CoalescingKey coalescingKey;
+  private final long beganAt;
 
-  final CoalescingKey likeness;
-  final long begun;
-  Flight<C> next;
+  /** All that joined, some of them ended; the first of those that wait is the leader. */
+  private final ArrayDeque<FlightWaiter<C>> waiters = new ArrayDeque<>(2);
 
-  /** Whether it may be found by newcomers. */
-  boolean listed;
-
-  /** When the last of its callers' time is up. */
-  long deadline;
-
-  /** Callers that came, and those that still wait. */
-  private int came;
-
-  int waiting;
-
-  boolean over;
+  /** The same by their deadlines, null while there was only one. */
+  private PriorityQueue<FlightWaiter<C>> byDeadline;
 
-  /** Tries after the first. */
-  int retries;
+  private long deadline;
+  private int joined;
+  private int waiting;
+  private int retries;
+  private boolean closed;
 
-  /** All that came, some of them over; the first of those that wait carries the try. */
-  private final ArrayDeque<FlightWaiter<C>> callers = new ArrayDeque<>(2);
+  /** Whether it is in a {@link FlightIndex}, and the next flight there of the same key. */
+  private boolean indexed;
 
-  /** The same by their deadlines, null while there was but one. */
-  private PriorityQueue<FlightWaiter<C>> byDeadline;
+  private Flight<C> nextOfKey;
 
-  Flight(String key, CoalescingKey likeness, long begun) {
+  Flight(String key, CoalescingKey coalescingKey, long beganAt) {
     this.key = key;
-    this.likeness = likeness;
-    this.begun = begun;
+    this.coalescingKey = coalescingKey;
+    this.beganAt = beganAt;
   }
 
-  private static int sooner(FlightWaiter<?> a, FlightWaiter<?> b) {
-    return a.deadline != b.deadline ? Long.signum(a.deadline - b.deadline) : a.place - b.place;
+  private static int compareDeadlines(FlightWaiter<?> a, FlightWaiter<?> b) {
+    return a.deadlineNanos() != b.deadlineNanos()
+        ? Long.signum(a.deadlineNanos() - b.deadlineNanos())
+        : a.position() - b.position();
   }
 
-  /** One more waits, behind all others. */
-  FlightWaiter<C> add(C who, long until) {
-    FlightWaiter<C> caller = new FlightWaiter<>(this, who, until, came++);
-    if (callers.isEmpty()) {
-      deadline = caller.deadline;
+  /** Adds a caller behind all others. */
+  FlightWaiter<C> add(C caller, long deadlineNanos) {
+    FlightWaiter<C> waiter = new FlightWaiter<>(this, caller, deadlineNanos, joined++);
+    if (waiters.isEmpty()) {
+      deadline = deadlineNanos;
     } else {
       if (byDeadline == null) {
-        byDeadline = new PriorityQueue<>(Flight::sooner);
-        byDeadline.addAll(callers);
+        byDeadline = new PriorityQueue<>(Flight::compareDeadlines);
+        byDeadline.addAll(waiters);
       }
-      byDeadline.add(caller);
-      deadline = Math.max(deadline, caller.deadline);
+      byDeadline.add(waiter);
+      deadline = Math.max(deadline, deadlineNanos);
     }
-    callers.add(caller);
+    waiters.add(waiter);
     waiting++;
-    return caller;
+    return waiter;
   }
 
-  /** The caller is answered, or has gone. */
-  void drop(FlightWaiter<C> caller) {
-    caller.over = true;
+  /** A waiter is answered, or its client has left. */
+  void end(FlightWaiter<C> waiter) {
+    waiter.end();
     waiting--;
   }
 
-  /** Callers that came, whether or not they still wait. */
-  int came() {
-    return came;
+  /** The key that is read. */
+  String key() {
+    return key;
   }
 
-  /** The one in whose name it is tried now: of those that wait the first. Null if nobody does. */
-  public FlightWaiter<C> leader() {
-    while (!callers.isEmpty() && callers.peek().over) {
-      callers.poll();
-    }
-    return callers.peek();
+  /** What else reads must have in common to share it. */
+  CoalescingKey coalescingKey() {
+    return coalescingKey;
+  }
+
+  long beganAt() {
+    return beganAt;
+  }
+
+  /** Callers that joined, whether or not they still wait. */
+  int joined() {
+    return joined;
+  }
+
+  /** Callers that wait. */
+  int waiting() {
+    return waiting;
+  }
+
+  /** Attempts after the first. */
+  int retries() {
+    return retries;
   }
 
-  /** Whether nobody waits any more: it is answered, or all have left. */
-  public boolean isOver() {
-    return over;
+  void countRetry() {
+    retries++;
+  }
+
+  /** It is answered, or nobody waits any more. */
+  void close() {
+    closed = true;
+  }
+
+  /** Whether it is answered, or nobody waits any more. */
+  public boolean isClosed() {
+    return closed;
+  }
+
+  /** Whether reads can join it by its index. */
+  boolean isIndexed() {
+    return indexed;
+  }
+
+  /** It is in the index, before that other flight of its key, null for none. */
+  void setIndexedBefore(Flight<C> next) {
+    indexed = true;
+    nextOfKey = next;
+  }
+
+  /** It is not in the index any more. */
+  void setUnindexed() {
+    indexed = false;
+    nextOfKey = null;
+  }
+
+  /** The flight behind it in the index, null for none. */
+  Flight<C> nextOfKey() {
+    return nextOfKey;
+  }
+
+  /** The first caller that waits, under whose id the read is attempted. Null if nobody waits. */
+  public FlightWaiter<C> leader() {
+    while (!waiters.isEmpty() && waiters.peek().isEnded()) {
+      waiters.poll();
+    }
+    return waiters.peek();
   }
 
-  /** When the last of its callers' time is up, in nanoseconds. */
+  /** The latest deadline of those that wait, or waited when it was determined last. */
   public long deadline() {
     return deadline;
   }
 
-  /**
-   * When the next caller's time is up that comes before the flight's own end; {@code
-   * Long.MAX_VALUE} if there is none.
-   */
+  /** The next deadline of a waiter before the flight's own; {@code Long.MAX_VALUE} for none. */
   public long nextDue() {
     if (byDeadline == null) {
       return Long.MAX_VALUE;
     }
-    while (!byDeadline.isEmpty() && byDeadline.peek().over) {
+    while (!byDeadline.isEmpty() && byDeadline.peek().isEnded()) {
       byDeadline.poll();
     }
     FlightWaiter<C> first = byDeadline.peek();
-    return first == null || first.deadline == deadline ? Long.MAX_VALUE : first.deadline;
+    return first == null || first.deadlineNanos() == deadline
+        ? Long.MAX_VALUE
+        : first.deadlineNanos();
   }
 
-  /** Those whose time is up, in the order of their deadlines; none of them waits any more. */
-  List<FlightWaiter<C>> due(long now) {
-    List<FlightWaiter<C>> due = new ArrayList<>();
-    while (byDeadline != null && !byDeadline.isEmpty() && byDeadline.peek().deadline - now <= 0) {
-      FlightWaiter<C> caller = byDeadline.poll();
-      if (!caller.over) {
-        drop(caller);
-        due.add(caller);
+  /** Ends the waiters whose deadline has passed, and returns them in the order of deadlines. */
+  List<FlightWaiter<C>> expire(long now) {
+    List<FlightWaiter<C>> expired = new ArrayList<>();
+    while (byDeadline != null
+        && !byDeadline.isEmpty()
+        && byDeadline.peek().deadlineNanos() - now <= 0) {
+      FlightWaiter<C> waiter = byDeadline.poll();
+      if (!waiter.isEnded()) {
+        end(waiter);
+        expired.add(waiter);
       }
     }
-    return due;
+    return expired;
   }
 
-  /** All who wait, in the order of their arrival; none of them does any more. */
-  List<FlightWaiter<C>> dismiss() {
+  /** Ends all waiters, and returns them in the order of their arrival. */
+  List<FlightWaiter<C>> endAll() {
     List<FlightWaiter<C>> all = new ArrayList<>(waiting);
-    for (FlightWaiter<C> caller : callers) {
-      if (!caller.over) {
-        drop(caller);
-        all.add(caller);
+    for (FlightWaiter<C> waiter : waiters) {
+      if (!waiter.isEnded()) {
+        end(waiter);
+        all.add(waiter);
       }
     }
-    callers.clear();
+    waiters.clear();
     byDeadline = null;
     return all;
   }
 
-  /** Whether anybody but the leader still has time. */
+  /** Whether any waiter but the leader has time left. */
   boolean outlastsLeader(long now) {
     FlightWaiter<C> leader = leader();
-    for (FlightWaiter<C> caller : callers) {
-      if (caller != leader && !caller.over && caller.deadline - now > 0) {
+    for (FlightWaiter<C> waiter : waiters) {
+      if (waiter != leader && !waiter.isEnded() && waiter.deadlineNanos() - now > 0) {
         return true;
       }
     }
     return false;
   }
 
-  /** Drops the leader, and lasts for as long as those who still wait; returns who it was. */
-  FlightWaiter<C> dropLeader() {
+  /** Ends the leader and returns it; the deadline is then that of those who still wait. */
+  FlightWaiter<C> endLeader() {
     FlightWaiter<C> leader = leader();
-    drop(leader);
+    end(leader);
     deadline = Long.MIN_VALUE;
-    for (FlightWaiter<C> caller : callers) {
-      if (!caller.over) {
-        deadline = Math.max(deadline, caller.deadline);
+    for (FlightWaiter<C> waiter : waiters) {
+      if (!waiter.isEnded()) {
+        deadline = Math.max(deadline, waiter.deadlineNanos());
       }
     }
     return leader;
--- a/core/src/main/java/shalepaddle/coalescing/FlightDecision.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightDecision.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What follows from the end of a flight's try.
+ * What follows from the end of a flight's attempt.
  *
  * @param recipients who gets the answer, in this order
- * @param retries whether it is tried again, in the name of the flight's new {@link Flight#leader}
- * @param <C> what stands for a caller
+ * @param retries whether the flight retries, with a new {@link Flight#leader}
+ * @param <C> the caller's representation outside this package
  */
 public record FlightDecision<C>(List<FlightWaiter<C>> recipients, boolean retries) {}
--- a/core/src/main/java/shalepaddle/coalescing/FlightResult.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightResult.java
@@ -2,27 +2,27 @@
 
 import shalepaddle.model.Outcome;
 
-/** How a flight's try has ended, as far as it matters to those who wait for it. */
+/** How a flight's attempt has ended, as far as its waiters are concerned. */
 public enum FlightResult {
-  /** With the value: everybody gets it. */
+  /** With the value, which all waiters get. */
   SERVED,
 
   /**
-   * It was turned away, by servers or by a decision, or an origin failed it: whoever asked next
-   * would be told the same, and only add to the load.
+   * It was rejected, by servers or by the policy, or failed at the origin: another attempt would
+   * end alike and add to the load.
    */
   REJECTED,
 
-  /** Its connections broke, or what came could not be used: bad luck of one try. */
+  /** Its connection broke, or its response was malformed: another attempt may succeed. */
   BROKEN,
 
-  /** Its time is up, or the load balancer ends: there is nothing left to try. */
+  /** Its deadline has passed, or the load balancer shuts down: it is not retried. */
   FINAL;
 
   /**
-   * How a try has ended that was refused in the end.
+   * The result of an exchange that was rejected.
    *
-   * @param last the outcome of its last attempt, null if it had none
+   * @param last the result of its last attempt, null if it had none
    */
   public static FlightResult ofRejection(Outcome.Result last) {
     return last != null && (last.isConnectionFailure() || last == Outcome.Result.MALFORMED_RESPONSE)
--- a/core/src/main/java/shalepaddle/coalescing/FlightWaiter.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightWaiter.java
@@ -1,38 +1,51 @@
 package shalepaddle.coalescing;
 
 /**
- * One read that waits for a flight.
+ * One read that waits for a flight. Not thread-safe: owned by the {@link RequestCoalescer}.
  *
- * @param <C> what stands for it outside of these decisions
+ * @param <C> the caller's representation outside this package
  */
 public final class FlightWaiter<C> {
-  final C who;
-
-  /** When its time is up, in nanoseconds. */
-  final long deadline;
-
-  /** How many came to the flight before it. */
-  final int place;
-
   private final Flight<C> flight;
+  private final C caller;
+  private final long deadlineNanos;
+  private final int position;
+  private boolean ended;
 
-  /** Whether it has been answered, or has gone. */
-  boolean over;
-
-  FlightWaiter(Flight<C> flight, C who, long deadline, int place) {
+  FlightWaiter(Flight<C> flight, C caller, long deadlineNanos, int position) {
     this.flight = flight;
-    this.who = who;
-    this.deadline = deadline;
-    this.place = place;
+    this.caller = caller;
+    this.deadlineNanos = deadlineNanos;
+    this.position = position;
   }
 
-  /** Who waits. */
+  /** The caller that waits. */
   public C caller() {
-    return who;
+    return caller;
   }
 
-  /** What it waits for. */
+  /** The flight that it waits for. */
   public Flight<C> flight() {
     return flight;
   }
+
+  /** When its client stops waiting. */
+  long deadlineNanos() {
+    return deadlineNanos;
+  }
+
+  /** The number of callers that joined the flight before it. */
+  int position() {
+    return position;
+  }
+
+  /** It is answered, or its client has left. */
+  void end() {
+    ended = true;
+  }
+
+  /** Whether it is answered, or its client has left. */
+  boolean isEnded() {
+    return ended;
+  }
 }
--- a/core/src/main/java/shalepaddle/coalescing/RequestCoalescer.java
+++ b/core/src/main/java/shalepaddle/coalescing/RequestCoalescer.java
@@ -1,160 +1,127 @@
 package shalepaddle.coalescing;
 
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 
 /**
- * Lets like reads share one try: the first begins a <em>flight</em>, and those that come while it
- * is out wait for its answer, each for as long as its own client does. What is known as single
- * flight (Go's {@code golang.org/x/sync/singleflight}), request collapsing (nginx's {@code
- * proxy_cache_lock}, Varnish's waiting list), with three differences: nobody waits for more than
- * one try that fares well, nobody is served in turns, and a flight is never joined once anything
- * about its key has ended since it began.
+ * Request coalescing: the first read of a key begins a <em>flight</em>, and equal reads that arrive
+ * while it is out wait for its answer, each until its own client's deadline. Known as single flight
+ * (Go's {@code golang.org/x/sync/singleflight}) and request collapsing (nginx's {@code
+ * proxy_cache_lock}, Varnish's waiting list). It differs from these in three points: nobody waits
+ * for more than one attempt that succeeds, waiters are not served in turns, and a flight is not
+ * joined any more once an operation on its key has ended since it began.
  *
- * <p>The last is what keeps reads linearizable, as far as clients of this load balancer can tell. A
- * value that was read at some time p is given to a caller that came at r &gt; p only if no
+ * <p>The last point keeps reads linearizable, as far as clients of this load balancer can tell. A
+ * value that was read at some time p is given to a caller that arrived at r &gt; p only if no
  * operation on its key ended here between the flight's beginning and r. Then every write that took
  * effect between p and r had not ended by r, and neither had a read that saw it: all of them may be
- * taken to have happened after r, and the caller's read at r. A write also keeps newcomers from
- * older flights from when it is taken.
+ * taken to have happened after r, and the caller's read at r. A write also keeps later reads from
+ * older flights from the time at which it is accepted.
  *
- * <p>Time is an argument, in nanoseconds of a clock that only goes on. All methods are for one
- * thread. Sizes are bounded: {@link CoalescingConfig#maxFlights} times {@link
- * CoalescingConfig#maxWaiters}.
+ * <p>All times are nanoseconds of one monotonic clock. Not thread-safe. Its size is bounded by
+ * {@link CoalescingConfig#maxFlights} times {@link CoalescingConfig#maxWaiters}.
  *
- * @param <C> what stands for a caller
+ * @param <C> the caller's representation outside this package
  */
 public final class RequestCoalescer<C> {
-  /** New tries that a flight makes at most: whoever waits has waited for each. */
+  /** Retries of one flight, each of which its waiters wait for. */
   private static final int MAX_RETRIES = 3;
 
-  /** New tries saved up at most, and at the beginning. */
-  private static final double BURST = 10;
+  /** The capacity of the bucket of retry tokens, which is full at first. */
+  private static final double MAX_RETRY_TOKENS = 10;
 
-  private final CoalescingConfig tuning;
-  private final long ageNanos;
+  private static final double MIN_SPREAD_RATIO = 0.75;
+  private static final double SPREAD_RANGE_RATIO = 0.5;
 
-  /** The newest flight of each key that may be joined, and behind it others of other likeness. */
-  private final Map<String, Flight<C>> byKey = new HashMap<>();
-
-  private double tokens = BURST;
-  private int open;
-  private int waiting;
+  private final CoalescingConfig config;
+  private final long maxAgeNanos;
+  private final FlightIndex<C> index = new FlightIndex<>();
+  private double retryTokens = MAX_RETRY_TOKENS;
+  private int openFlights;
+  private int waiters;
   private long flights;
   private long joined;
-  private long alone;
+  private long uncoalesced;
   private long shared;
   private long retried;
-  private long spent;
+  private long retriesDenied;
   private long left;
 
-  /** Nobody waits yet. */
-  public RequestCoalescer(CoalescingConfig tuning) {
-    this.tuning = tuning;
-    this.ageNanos = (long) (tuning.maxAgeSeconds() * 1e9);
+  /** A coalescer without flights. */
+  public RequestCoalescer(CoalescingConfig config) {
+    this.config = config;
+    this.maxAgeNanos = (long) (config.maxAgeSeconds() * 1e9);
   }
 
   /**
-   * A read arrives that does no harm if it is repeated. It is {@linkplain Flight#leader the leader}
-   * of its flight if it began one, which is to be tried then; if it made {@link Flight#deadline}
-   * later, the try has that much longer.
+   * A read arrives that may be repeated. If it begins a flight, it is the flight's {@linkplain
+   * Flight#leader leader} and is to be attempted now. If it moves {@link Flight#deadline}, the
+   * attempt has that much longer.
    *
    * @param key what it reads
-   * @param serviceClass its class
-   * @param tenant whose it is, null where there are none
-   * @param who what stands for it
-   * @param deadline when its client stops waiting
-   * @return null if it goes alone, since too many flights are open
+   * @param serviceClass its service class
+   * @param tenant its tenant, null for none
+   * @param caller its representation
+   * @param deadlineNanos when its client stops waiting
+   * @return null if too many flights are open, and it needs an attempt of its own
    */
   public FlightWaiter<C> join(
-      String key, String serviceClass, String tenant, C who, long deadline, long now) {
-    String visible = tuning.acrossTenants() ? null : tenant;
-    Flight<C> flight = byKey.get(key);
-    while (flight != null && !flight.likeness.like(serviceClass, visible)) {
-      flight = flight.next;
-    }
-    if (flight != null && (now - flight.begun > ageNanos || flight.came() >= tuning.maxWaiters())) {
-      unlist(flight);
+      String key, String serviceClass, String tenant, C caller, long deadlineNanos, long now) {
+    String visibleTo = config.acrossTenants() ? null : tenant;
+    Flight<C> flight = index.find(key, serviceClass, visibleTo);
+    if (flight != null && !isJoinable(flight, now)) {
+      index.remove(flight);
       flight = null;
     }
     if (flight == null) {
-      if (open >= tuning.maxFlights()) {
-        alone++;
+      if (openFlights >= config.maxFlights()) {
+        uncoalesced++;
         return null;
       }
-      flight = new Flight<>(key, new CoalescingKey(serviceClass, visible), now);
-      list(flight);
-      open++;
+      flight = new Flight<>(key, new CoalescingKey(serviceClass, visibleTo), now);
+      index.add(flight);
+      openFlights++;
       flights++;
     } else {
       joined++;
-      tokens = Math.min(BURST, tokens + tuning.retriesPerJoin());
+      retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + config.retriesPerJoin());
     }
-    waiting++;
-    return flight.add(who, deadline);
-  }
-
-  private void list(Flight<C> flight) {
-    flight.listed = true;
-    flight.next = byKey.put(flight.key, flight);
+    waiters++;
+    return flight.add(caller, deadlineNanos);
   }
 
-  private void unlist(Flight<C> flight) {
-    if (!flight.listed) {
-      return;
-    }
-    flight.listed = false;
-    Flight<C> head = byKey.get(flight.key);
-    if (head != flight) {
-      Flight<C> before = head;
-      while (before.next != flight) {
-        before = before.next;
-      }
-      before.next = flight.next;
-    } else if (flight.next == null) {
-      byKey.remove(flight.key);
-    } else {
-      byKey.put(flight.key, flight.next);
-    }
-    flight.next = null;
+  private boolean isJoinable(Flight<C> flight, long now) {
+    return now - flight.beganAt() <= maxAgeNanos && flight.joined() < config.maxWaiters();
   }
 
   /**
-   * A write of this key is taken, or anything about it has ended, whether or not by a flight: from
-   * now on nobody joins a flight that began before.
+   * A write of this key is accepted, or an operation on it has ended, whether or not it was a
+   * flight: from now on no read joins a flight that began before.
    */
   public void invalidate(String key) {
-    Flight<C> flight = byKey.remove(key);
-    while (flight != null) {
-      Flight<C> next = flight.next;
-      flight.listed = false;
-      flight.next = null;
-      flight = next;
-    }
+    index.removeAll(key);
   }
 
   /**
-   * A caller no longer wants its answer.
+   * The client of a waiter has left.
    *
-   * @return whether nobody is left, so that the try is to be given up
+   * @return whether nobody waits any more, so that the attempt is to be abandoned
    */
-  public boolean leave(FlightWaiter<C> caller) {
-    if (caller.over) {
+  public boolean leave(FlightWaiter<C> waiter) {
+    if (waiter.isEnded()) {
       return false;
     }
-    Flight<C> flight = caller.flight();
-    flight.drop(caller);
-    waiting--;
-    return abandoned(flight, 1);
+    Flight<C> flight = waiter.flight();
+    flight.end(waiter);
+    waiters--;
+    return closeIfAbandoned(flight, 1);
   }
 
-  private boolean abandoned(Flight<C> flight, int gone) {
-    if (flight.over) {
+  private boolean closeIfAbandoned(Flight<C> flight, int departures) {
+    if (flight.isClosed()) {
       return false;
     }
-    if (flight.waiting > 0) {
-      left += gone;
+    if (flight.waiting() > 0) {
+      left += departures;
       return false;
     }
     close(flight);
@@ -162,82 +129,90 @@
   }
 
   private void close(Flight<C> flight) {
-    flight.over = true;
-    unlist(flight);
-    open--;
+    flight.close();
+    index.remove(flight);
+    openFlights--;
   }
 
   /**
-   * Those of a flight whose time is up, in the order of their deadlines: each is to be told so. If
-   * the flight {@link Flight#isOver} then, nobody waits any more, and its try is to be given up.
+   * Ends the waiters of a flight whose deadline has passed, and returns them in the order of their
+   * deadlines. If the flight {@link Flight#isClosed} then, its attempt is to be abandoned.
    */
   public List<FlightWaiter<C>> expire(Flight<C> flight, long now) {
-    List<FlightWaiter<C>> due = flight.due(now);
-    waiting -= due.size();
-    abandoned(flight, due.size());
-    return due;
+    List<FlightWaiter<C>> expired = flight.expire(now);
+    waiters -= expired.size();
+    closeIfAbandoned(flight, expired.size());
+    return expired;
   }
 
   /**
-   * A flight's try has ended.
+   * A flight's attempt has ended.
    *
-   * <p>One that broke is the bad luck of whoever it was made for: it is told so at once, and the
-   * next one tries, as long as reads that joined have earned it. So one failure becomes neither a
-   * hundred failures nor a hundred tries.
+   * <p>The failure of a connection is given to the leader alone, and the next waiter becomes the
+   * leader and retries, as long as there are retry tokens. So one failure becomes neither a failure
+   * of all waiters nor an attempt for each.
    */
-  public FlightDecision<C> complete(Flight<C> flight, FlightResult ending, long now) {
-    if (flight.over) {
+  public FlightDecision<C> complete(Flight<C> flight, FlightResult result, long now) {
+    if (flight.isClosed()) {
       return new FlightDecision<>(List.of(), false);
     }
-    if (ending == FlightResult.BROKEN && flight.waiting > 1 && flight.retries < MAX_RETRIES) {
-      if (tokens < 1) {
-        spent++;
-      } else if (flight.outlastsLeader(now)) {
-        tokens--;
-        retried++;
-        flight.retries++;
-        waiting--;
-        return new FlightDecision<>(List.of(flight.dropLeader()), true);
-      }
+    if (result == FlightResult.BROKEN && mayRetry(flight, now)) {
+      retryTokens--;
+      retried++;
+      flight.countRetry();
+      waiters--;
+      return new FlightDecision<>(List.of(flight.endLeader()), true);
     }
-    // Nobody may join an older flight of this key: it could hold an older value.
-    if (ending == FlightResult.SERVED) {
-      invalidate(flight.key);
+    // Nobody may join an older flight of this key, which could bring an older value.
+    if (result == FlightResult.SERVED) {
+      invalidate(flight.key());
     }
-    List<FlightWaiter<C>> all = flight.dismiss();
+    List<FlightWaiter<C>> all = flight.endAll();
     close(flight);
-    waiting -= all.size();
-    if (ending == FlightResult.SERVED) {
+    waiters -= all.size();
+    if (result == FlightResult.SERVED) {
       shared += all.size() - 1;
     }
     return new FlightDecision<>(all, false);
   }
 
+  private boolean mayRetry(Flight<C> flight, long now) {
+    if (flight.waiting() <= 1 || flight.retries() >= MAX_RETRIES) {
+      return false;
+    }
+    if (retryTokens < 1) {
+      retriesDenied++;
+      return false;
+    }
+    return flight.outlastsLeader(now);
+  }
+
   /**
-   * Advice for one of several who are refused together, so that they do not come back together: as
-   * it was given, less or more by up to a quarter.
+   * Retry-After for one of several callers that are rejected together, spread so that they do not
+   * retry together: the given one, less or more by up to a quarter.
    *
-   * @param millis for how long to stay away, 0 for no advice
-   * @param most the longest that clients follow
-   * @param place which of them it is, from 0
-   * @param of how many there are
+   * @param retryAfterMillis 0 for no advice
+   * @param maxMillis the longest that clients follow
+   * @param position of the caller among them, from 0
+   * @param count of callers
    */
-  public static long spreadRetryAfter(long millis, long most, int place, int of) {
-    if (millis <= 0 || of < 2) {
-      return millis;
+  public static long spreadRetryAfter(
+      long retryAfterMillis, long maxMillis, int position, int count) {
+    if (retryAfterMillis <= 0 || count < 2) {
+      return retryAfterMillis;
     }
-    double factor = 0.75 + 0.5 * place / (of - 1);
-    return Math.max(1, Math.min(most, Math.round(millis * factor)));
+    double factor = MIN_SPREAD_RATIO + SPREAD_RANGE_RATIO * position / (count - 1);
+    return Math.max(1, Math.min(maxMillis, Math.round(retryAfterMillis * factor)));
   }
 
-  /** What has been done so far. */
+  /** All counters as they are now. */
   public CoalescingSnapshot snapshot() {
     return new CoalescingSnapshot(
-        flights, joined, alone, shared, retried, spent, left, open, waiting);
+        flights, joined, uncoalesced, shared, retried, retriesDenied, left, openFlights, waiters);
   }
 
-  /** Keys of which a flight may be joined. */
+  /** Keys with a flight that reads may join. */
   int keys() {
-    return byKey.size();
+    return index.keys();
   }
 }
--- a/core/src/test/java/shalepaddle/coalescing/RequestCoalescerModelTest.java
+++ b/core/src/test/java/shalepaddle/coalescing/RequestCoalescerModelTest.java
@@ -21,22 +21,22 @@
 import net.jqwik.api.state.Transformer;
 
 /**
- * {@link RequestCoalescer} beside a naive model of it that keeps everything in lists and looks all
- * of it through each time: 200 chains of 500 steps.
+ * {@link RequestCoalescer} against a naive model that keeps everything in lists: 200 chains of 500
+ * steps.
  */
 class RequestCoalescerModelTest {
-  private static final CoalescingConfig TUNING =
+  private static final CoalescingConfig CONFIG =
       new CoalescingConfig(true, false, 5, 0.02, 6, 0.02);
   private static final long MILLI = 1_000_000;
 
   /** A caller of the model. */
-  private static final class Waits {
+  private static final class ModelWaiter {
     final int id;
     final long deadline;
     final FlightWaiter<Integer> real;
     boolean over;
 
-    Waits(int id, long deadline, FlightWaiter<Integer> real) {
+    ModelWaiter(int id, long deadline, FlightWaiter<Integer> real) {
       this.id = id;
       this.deadline = deadline;
       this.real = real;
@@ -44,198 +44,200 @@
   }
 
   /** A flight of the model. */
-  private static final class Out {
-    final String likeness;
+  private static final class ModelFlight {
+    final String coalescingKey;
     final String key;
     final long begun;
 
-    /** How many operations on its key had ended or been taken when it began. */
-    final int touchedBefore;
+    /** Operations on its key that had ended, or writes accepted, when it began. */
+    final int invalidationsBefore;
 
-    final List<Waits> callers = new ArrayList<>();
+    final List<ModelWaiter> callers = new ArrayList<>();
     boolean over;
     int retries;
 
-    Out(String likeness, String key, long begun, int touchedBefore) {
-      this.likeness = likeness;
+    ModelFlight(String coalescingKey, String key, long begun, int invalidationsBefore) {
+      this.coalescingKey = coalescingKey;
       this.key = key;
       this.begun = begun;
-      this.touchedBefore = touchedBefore;
+      this.invalidationsBefore = invalidationsBefore;
     }
 
-    List<Waits> waiting() {
+    List<ModelWaiter> waiting() {
       return callers.stream().filter(each -> !each.over).toList();
     }
   }
 
-  /** Both of them, and all that they have said. */
-  private static final class Both {
-    final RequestCoalescer<Integer> real = new RequestCoalescer<>(TUNING);
-    final List<Out> outs = new ArrayList<>();
-    final Map<String, Integer> touched = new HashMap<>();
+  /** Comparison of them, and all that they have expired. */
+  private static final class Comparison {
+    final RequestCoalescer<Integer> real = new RequestCoalescer<>(CONFIG);
+    final List<ModelFlight> flights = new ArrayList<>();
+    final Map<String, Integer> invalidations = new HashMap<>();
     final int[] answers = new int[20_000];
     double tokens = 10;
     long now;
     int next;
     long joined;
-    long alone;
+    long uncoalesced;
     long retried;
-    long spent;
+    long retriesDenied;
 
-    List<Out> open() {
-      return outs.stream().filter(each -> !each.over).toList();
+    List<ModelFlight> open() {
+      return flights.stream().filter(each -> !each.over).toList();
     }
 
     void pass(int millis) {
       now += millis * MILLI;
     }
 
-    void read(String key, String tenant, int patience) {
+    void read(String key, String tenant, int timeoutMillis) {
       int id = next++;
-      long deadline = now + patience * MILLI;
+      long deadline = now + timeoutMillis * MILLI;
       FlightWaiter<Integer> caller = real.join(key, "read", tenant, id, deadline, now);
-      String likeness = key + "/" + tenant;
-      int count = touched.getOrDefault(key, 0);
-      Out found = null;
-      for (Out out : open()) {
-        if (out.likeness.equals(likeness)
-            && out.touchedBefore == count
-            && now - out.begun <= 20 * MILLI
-            && out.callers.size() < 5) {
-          found = out;
+      String coalescingKey = key + "/" + tenant;
+      int count = invalidations.getOrDefault(key, 0);
+      ModelFlight found = null;
+      for (ModelFlight modelFlight : open()) {
+        if (modelFlight.coalescingKey.equals(coalescingKey)
+            && modelFlight.invalidationsBefore == count
+            && now - modelFlight.begun <= 20 * MILLI
+            && modelFlight.callers.size() < 5) {
+          found = modelFlight;
         }
       }
       if (found == null) {
         if (open().size() >= 6) {
           assertNull(caller);
-          alone++;
+          uncoalesced++;
           answers[id]++;
           return;
         }
-        found = new Out(likeness, key, now, count);
-        outs.add(found);
+        found = new ModelFlight(coalescingKey, key, now, count);
+        flights.add(found);
         assertEquals(caller, caller.flight().leader(), "it begins a flight");
       } else {
         joined++;
         tokens = Math.min(10, tokens + 0.02);
         assertEquals(found.callers.get(0).real.flight(), caller.flight(), "it joins that one");
       }
-      found.callers.add(new Waits(id, deadline, caller));
+      found.callers.add(new ModelWaiter(id, deadline, caller));
       long latest = found.waiting().stream().mapToLong(each -> each.deadline).max().getAsLong();
       assertTrue(caller.flight().deadline() >= latest);
     }
 
-    void touch(String key) {
+    void invalidate(String key) {
       real.invalidate(key);
-      touched.merge(key, 1, Integer::sum);
+      invalidations.merge(key, 1, Integer::sum);
     }
 
     void leave(int which) {
-      List<Out> open = open();
+      List<ModelFlight> open = open();
       if (open.isEmpty()) {
         return;
       }
-      Out out = open.get(which % open.size());
-      Waits gone = out.waiting().get(which / 7 % out.waiting().size());
-      gone.over = true;
-      answers[gone.id]++;
-      out.over = out.waiting().isEmpty();
-      assertEquals(out.over, real.leave(gone.real));
+      ModelFlight modelFlight = open.get(which % open.size());
+      ModelWaiter leaving = modelFlight.waiting().get(which / 7 % modelFlight.waiting().size());
+      leaving.over = true;
+      answers[leaving.id]++;
+      modelFlight.over = modelFlight.waiting().isEmpty();
+      assertEquals(modelFlight.over, real.leave(leaving.real));
     }
 
-    void due(int which) {
-      List<Out> open = open();
+    void expire(int which) {
+      List<ModelFlight> open = open();
       if (open.isEmpty()) {
         return;
       }
-      Out out = open.get(which % open.size());
-      if (out.callers.size() < 2) {
+      ModelFlight modelFlight = open.get(which % open.size());
+      if (modelFlight.callers.size() < 2) {
         return;
       }
-      Flight<Integer> flight = out.callers.get(0).real.flight();
+      Flight<Integer> flight = modelFlight.callers.get(0).real.flight();
       List<Integer> due =
-          out.waiting().stream()
+          modelFlight.waiting().stream()
               .filter(each -> each.deadline <= now)
               .sorted((a, b) -> Long.compare(a.deadline, b.deadline))
               .peek(each -> each.over = true)
               .map(each -> each.id)
               .toList();
-      List<Integer> said = real.expire(flight, now).stream().map(FlightWaiter::caller).toList();
-      assertEquals(due, said);
-      said.forEach(id -> answers[id]++);
-      out.over = out.waiting().isEmpty();
-      assertEquals(out.over, flight.isOver());
-      long least = out.waiting().stream().mapToLong(w -> w.deadline).min().orElse(Long.MAX_VALUE);
-      assertTrue(flight.nextDue() == least || flight.deadline() == least || out.over);
+      List<Integer> expired = real.expire(flight, now).stream().map(FlightWaiter::caller).toList();
+      assertEquals(due, expired);
+      expired.forEach(id -> answers[id]++);
+      modelFlight.over = modelFlight.waiting().isEmpty();
+      assertEquals(modelFlight.over, flight.isClosed());
+      long least =
+          modelFlight.waiting().stream().mapToLong(w -> w.deadline).min().orElse(Long.MAX_VALUE);
+      assertTrue(flight.nextDue() == least || flight.deadline() == least || modelFlight.over);
     }
 
-    void ends(int which, FlightResult ending) {
-      List<Out> open = open();
+    void complete(int which, FlightResult result) {
+      List<ModelFlight> open = open();
       if (open.isEmpty()) {
         return;
       }
-      Out out = open.get(which % open.size());
-      FlightDecision<Integer> verdict =
-          real.complete(out.callers.get(0).real.flight(), ending, now);
-      List<Waits> waiting = out.waiting();
-      boolean again = false;
-      if (ending == FlightResult.BROKEN && waiting.size() > 1 && out.retries < 3) {
+      ModelFlight modelFlight = open.get(which % open.size());
+      FlightDecision<Integer> decision =
+          real.complete(modelFlight.callers.get(0).real.flight(), result, now);
+      List<ModelWaiter> waiting = modelFlight.waiting();
+      boolean retries = false;
+      if (result == FlightResult.BROKEN && waiting.size() > 1 && modelFlight.retries < 3) {
         if (tokens < 1) {
-          spent++;
+          retriesDenied++;
         } else {
-          again = waiting.stream().skip(1).anyMatch(each -> each.deadline > now);
+          retries = waiting.stream().skip(1).anyMatch(each -> each.deadline > now);
         }
       }
-      List<Waits> told = again ? waiting.subList(0, 1) : waiting;
-      assertEquals(again, verdict.retries());
+      List<ModelWaiter> recipients = retries ? waiting.subList(0, 1) : waiting;
+      assertEquals(retries, decision.retries());
       assertEquals(
-          told.stream().map(each -> each.id).toList(),
-          verdict.recipients().stream().map(FlightWaiter::caller).toList());
-      told.forEach(
+          recipients.stream().map(each -> each.id).toList(),
+          decision.recipients().stream().map(FlightWaiter::caller).toList());
+      recipients.forEach(
           each -> {
             each.over = true;
             answers[each.id]++;
           });
-      if (again) {
+      if (retries) {
         tokens--;
         retried++;
-        out.retries++;
-        assertEquals(out.waiting().get(0).id, waiting.get(1).real.flight().leader().caller());
+        modelFlight.retries++;
+        assertEquals(
+            modelFlight.waiting().get(0).id, waiting.get(1).real.flight().leader().caller());
       } else {
-        out.over = true;
+        modelFlight.over = true;
       }
-      if (ending == FlightResult.SERVED) {
-        touched.merge(out.key, 1, Integer::sum);
+      if (result == FlightResult.SERVED) {
+        invalidations.merge(modelFlight.key, 1, Integer::sum);
       }
     }
 
     void check() {
-      CoalescingSnapshot reading = real.snapshot();
+      CoalescingSnapshot snapshot = real.snapshot();
       int waiting = 0;
-      for (Out out : open()) {
-        waiting += out.waiting().size();
-        for (Waits each : out.waiting()) {
-          assertEquals(0, answers[each.id], "one that waits has no answer");
+      for (ModelFlight modelFlight : open()) {
+        waiting += modelFlight.waiting().size();
+        for (ModelWaiter each : modelFlight.waiting()) {
+          assertEquals(0, answers[each.id], "a waiter has no answer");
         }
       }
-      assertEquals(open().size(), reading.openFlights());
-      assertEquals(waiting, reading.waiters());
-      assertEquals(outs.size(), reading.flights());
-      assertEquals(joined, reading.joined());
-      assertEquals(alone, reading.uncoalesced());
-      assertEquals(retried, reading.retried());
-      assertEquals(spent, reading.retriesDenied());
+      assertEquals(open().size(), snapshot.openFlights());
+      assertEquals(waiting, snapshot.waiters());
+      assertEquals(flights.size(), snapshot.flights());
+      assertEquals(joined, snapshot.joined());
+      assertEquals(uncoalesced, snapshot.uncoalesced());
+      assertEquals(retried, snapshot.retried());
+      assertEquals(retriesDenied, snapshot.retriesDenied());
       assertTrue(real.keys() <= open().size());
     }
 
-    /** Ends all that is open: then each caller has had exactly one end. */
+    /** Completes all open flights: then each caller has exactly one answer. */
     void end() {
       while (!open().isEmpty()) {
-        ends(0, FlightResult.FINAL);
+        complete(0, FlightResult.FINAL);
       }
       check();
       for (int id = 0; id < next; id++) {
-        assertEquals(1, answers[id], "ends of caller " + id);
+        assertEquals(1, answers[id], "answers of caller " + id);
       }
       assertEquals(0, real.keys());
     }
@@ -249,7 +251,7 @@
   private static final Arbitrary<String> KEYS = Arbitraries.of("a", "b", "c");
   private static final Arbitrary<Integer> ANY = Arbitraries.integers().between(0, 10_000);
 
-  private static final Arbitrary<FlightResult> ENDINGS =
+  private static final Arbitrary<FlightResult> RESULTS =
       Arbitraries.of(
           FlightResult.SERVED,
           FlightResult.REJECTED,
@@ -258,46 +260,54 @@
           FlightResult.BROKEN,
           FlightResult.BROKEN);
 
-  private static Action.Independent<Both> action(Arbitrary<Transformer<Both>> steps) {
+  private static Action.Independent<Comparison> action(Arbitrary<Transformer<Comparison>> steps) {
     return () -> steps;
   }
 
-  private static Transformer<Both> step(String what, java.util.function.Consumer<Both> step) {
+  private static Transformer<Comparison> step(
+      String what, java.util.function.Consumer<Comparison> step) {
     return Transformer.mutate(
         what,
-        both -> {
-          step.accept(both);
-          both.check();
+        comparison -> {
+          step.accept(comparison);
+          comparison.check();
         });
   }
 
   @Provide
-  Arbitrary<ActionChain<Both>> chains() {
-    return ActionChain.startWith(Both::new)
+  Arbitrary<ActionChain<Comparison>> chains() {
+    return ActionChain.startWith(Comparison::new)
         .withAction(
             6,
             action(
                 Combinators.combine(
                         KEYS, Arbitraries.of("x", "y", "z"), Arbitraries.integers().between(1, 60))
                     .as(
-                        (key, tenant, patience) ->
+                        (key, tenant, timeoutMillis) ->
                             step(
-                                "read " + key + " of " + tenant + " for " + patience,
-                                both -> both.read(key, tenant, patience)))))
+                                "read " + key + " of " + tenant + " for " + timeoutMillis,
+                                comparison -> comparison.read(key, tenant, timeoutMillis)))))
         .withAction(
             2,
             action(
                 Arbitraries.integers()
                     .between(0, 15)
-                    .map(millis -> step(millis + " ms", both -> both.pass(millis)))))
-        .withAction(1, action(KEYS.map(key -> step("touch " + key, both -> both.touch(key)))))
-        .withAction(2, action(ANY.map(i -> step("leave " + i, both -> both.leave(i)))))
-        .withAction(2, action(ANY.map(i -> step("due " + i, both -> both.due(i)))))
+                    .map(millis -> step(millis + " ms", comparison -> comparison.pass(millis)))))
+        .withAction(
+            1,
+            action(
+                KEYS.map(
+                    key -> step("invalidate " + key, comparison -> comparison.invalidate(key)))))
+        .withAction(2, action(ANY.map(i -> step("leave " + i, comparison -> comparison.leave(i)))))
+        .withAction(
+            2, action(ANY.map(i -> step("expire " + i, comparison -> comparison.expire(i)))))
         .withAction(
             2,
             action(
-                Combinators.combine(ANY, ENDINGS)
-                    .as((i, how) -> step(how + " " + i, both -> both.ends(i, how)))))
+                Combinators.combine(ANY, RESULTS)
+                    .as(
+                        (i, how) ->
+                            step(how + " " + i, comparison -> comparison.complete(i, how)))))
         .withMaxTransformations(500);
   }
 
@@ -306,7 +316,7 @@
       seed = "12",
       edgeCases = EdgeCasesMode.NONE,
       afterFailure = AfterFailureMode.PREVIOUS_SEED)
-  void itDoesWhatTheNaiveModelDoes(@ForAll("chains") ActionChain<Both> chain) {
+  void behavesAsNaiveModel(@ForAll("chains") ActionChain<Comparison> chain) {
     chain.run().end();
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/SharedExchange.java
+++ b/engine/src/main/java/shalepaddle/engine/SharedExchange.java
@@ -102,7 +102,7 @@
         reads.answer(waiter.caller(), exchanges.expiredReply(exchange));
       }
     }
-    if (flight.isOver()) {
+    if (flight.isClosed()) {
       abandon();
     } else {
       updateLeader();
@@ -117,7 +117,7 @@
     FlightDecision<CoalescedRead> decision = reads.complete(flight, exchange, reply, now);
     answer(decision.recipients(), reply);
     // A sink that was called may have cancelled the others.
-    if (decision.retries() && !flight.isOver()) {
+    if (decision.retries() && !flight.isClosed()) {
       retry(flight.leader().caller(), now);
     }
   }
