--- a/cli/src/main/java/shalepaddle/cli/CapacityCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/CapacityCommand.java
@@ -22,7 +22,7 @@
 
 /** Measures what each role costs in steps up to a size, and one step beyond. */
 @Command(
-    name = "scale",
+    name = "capacity",
     description = "Measures what each role costs as the fleet grows, with hollow nodes.",
     mixinStandardHelpOptions = true)
 final class CapacityCommand implements Callable<Integer> {
--- a/cli/src/main/java/shalepaddle/cli/Main.java
+++ b/cli/src/main/java/shalepaddle/cli/Main.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.io.InputStream;
+import java.util.Map;
 import java.util.Properties;
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
@@ -36,11 +37,25 @@
       Main.Rehearse.class
     })
 public final class Main implements Callable<Integer> {
+  /** Former names of commands, which still work and which the help does not show. */
+  private static final Map<String, String> PRESENT_NAMES =
+      Map.of("day", "simulate", "scale", "capacity");
+
   @Spec private CommandSpec spec;
 
   /** Runs the command that the arguments name. */
   public static void main(String[] args) {
-    System.exit(new CommandLine(new Main()).execute(args));
+    System.exit(new CommandLine(new Main()).execute(withPresentName(args)));
+  }
+
+  /** The same arguments, with the command by its present name where a former one is given. */
+  private static String[] withPresentName(String[] args) {
+    if (args.length == 0 || !PRESENT_NAMES.containsKey(args[0])) {
+      return args;
+    }
+    String[] renamed = args.clone();
+    renamed[0] = PRESENT_NAMES.get(args[0]);
+    return renamed;
   }
 
   @Override
--- a/cli/src/main/java/shalepaddle/cli/SimulateCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/SimulateCommand.java
@@ -15,16 +15,17 @@
 import shalepaddle.simulation.ScenarioReport;
 import shalepaddle.simulation.ScenarioSimulation;
 
-/** Plays simulated days and prints those on which a rule broke or something leaked. */
+/** Plays simulated scenarios and prints those in which a rule was violated or something leaked. */
 @Command(
-    name = "day",
-    description = "Plays simulated days in virtual time, and prints the seeds of those that fail.",
+    name = "simulate",
+    description =
+        "Plays simulated scenarios in virtual time, and prints the seeds of those that fail.",
     mixinStandardHelpOptions = true)
 final class SimulateCommand implements Callable<Integer> {
   @Option(
       names = "--seeds",
       paramLabel = "FROM..TO",
-      description = "Which days (default: ${DEFAULT-VALUE}).",
+      description = "Which scenarios (default: ${DEFAULT-VALUE}).",
       defaultValue = "1..100",
       converter = Range.Converter.class)
   private Range seeds;
@@ -37,20 +38,20 @@
 
   @Option(
       names = "--threads",
-      description = "Days played at once (default: one less than there are processors).")
+      description = "Scenarios played at once (default: one less than there are processors).")
   private int threads = Math.max(1, Runtime.getRuntime().availableProcessors() - 1);
 
-  @Option(
-      names = "--join",
-      description = "Let like reads share an answer; few keys are asked for then.")
+  @Option(names = "--join", description = "Coalesce equal reads; few keys are requested then.")
   private boolean joining;
 
   @Option(
       names = "--crossing",
-      description = "Several things go wrong at almost the same moment, in ever other deployments.")
+      description = "Several faults at almost the same moment, in ever other deployments.")
   private boolean crossing;
 
-  @Option(names = "--all", description = "Print a line for each day, also for those that are good.")
+  @Option(
+      names = "--all",
+      description = "Print a line for each scenario, also for those that pass.")
   private boolean all;
 
   private final PrintStream out;
--- a/cli/src/test/java/shalepaddle/cli/CommandLineIT.java
+++ b/cli/src/test/java/shalepaddle/cli/CommandLineIT.java
@@ -52,7 +52,7 @@
     Ended help = run("--help");
     assertEquals(0, help.code());
     for (String command :
-        List.of("try", "day", "cluster", "scale", "serve", "simhost", "rehearse")) {
+        List.of("try", "simulate", "cluster", "capacity", "serve", "simhost", "rehearse")) {
       assertTrue(help.output().contains("\n  " + command + " "), help.output());
       assertEquals(0, run(command, "--help").code());
     }
@@ -60,7 +60,7 @@
 
   @Test
   void aSizeThatDoesNotFitIsRefusedBeforeTheRunWithItsFigure() throws Exception {
-    Ended ended = run("scale", "--nodes", "1000000");
+    Ended ended = run("capacity", "--nodes", "1000000");
     assertEquals(2, ended.code(), ended.output());
     assertTrue(ended.output().matches("(?s)scale: 1000000 nodes .* would take up to \\d+ MB.*"));
     assertEquals(1, ended.output().lines().count(), ended.output());
@@ -102,7 +102,9 @@
           {"try", "--rate", "fast"},
           {"try", "--servers", "0"},
           {"day", "--seeds", "9..1"},
+          {"simulate", "--seeds", "9..1"},
           {"scale", "--nodes", "0"},
+          {"capacity", "--nodes", "0"},
           {"scale", "--rate", "NaN"},
           {"scale", "--role", "weather"},
           {"serve", "now"}
