--- a/engine/src/main/java/shalepaddle/admin/AdminOperations.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminOperations.java
@@ -2,36 +2,36 @@
 
 import java.util.function.Consumer;
 
-/** What a door leads to. All methods may be called from any thread, and return at once. */
+/** What the admin server calls. All methods may be called from any thread, and return at once. */
 public interface AdminOperations {
-  /** What became of a command. */
+  /** The result of a command. */
   enum Result {
-    /** It holds from now on. */
+    /** It is in force from now on. */
     DONE,
     /** No such cache server is known. */
     UNKNOWN_MEMBER,
-    /** The process ends, or can not carry it out. */
+    /** The process ends, or cannot run the command. */
     UNAVAILABLE
   }
 
-  /** Whether a request that came now would be taken and served. */
+  /** Whether a request that came now would be accepted and served. */
   boolean isReady();
 
-  /** The newest figures. */
+  /** The metrics that were published last. */
   Telemetry telemetry();
 
   /**
-   * Leaves a cache server out, or puts it back.
+   * Excludes a cache server, or includes it again.
    *
-   * @param member its id, as discovery has it
-   * @param done is told once, from any thread, unless the command is called off first
-   * @return calls it off: true if it has not been carried out, and then it never is
+   * @param member its id in discovery's list
+   * @param done receives the result once, on any thread, unless the command is revoked first
+   * @return a handle to revoke the command
    */
-  Revocable exclude(String member, boolean out, Consumer<Result> done);
+  Revocable exclude(String member, boolean excluded, Consumer<Result> done);
 
-  /** A command that may not have been carried out. */
+  /** A command that may not have run yet. */
   interface Revocable {
-    /** Whether it was called off: if not, its result has come or is on its way. */
+    /** Revokes it: true if it has not run, and never will; false if its result is delivered. */
     boolean revoke();
   }
 }
--- a/engine/src/main/java/shalepaddle/admin/AdminRequestHandler.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminRequestHandler.java
@@ -19,48 +19,48 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One caller's one call, and its answer. Runs on the door's thread. */
+/** One HTTP request and its response. On the admin server's event loop alone. */
 final class AdminRequestHandler extends SimpleChannelInboundHandler<HttpObject> {
-  /** No call needs a body; one that is longer is turned down before it has come. */
-  private static final int MAX_BODY = 4096;
+  /** No request needs a body; a longer one is rejected before it is complete. */
+  private static final int MAX_BODY_BYTES = 4096;
 
-  private static final int MAX_MEMBER = 256;
+  private static final int MAX_MEMBER_LENGTH = 256;
 
-  private final AdminServer door;
-  private final AdminOperations operated;
+  private final AdminServer server;
+  private final AdminOperations operations;
   private HttpRequest request;
-  private int body;
-  private boolean answered;
+  private int bodyBytes;
+  private boolean responded;
 
-  AdminRequestHandler(AdminServer door, AdminOperations operated) {
-    this.door = door;
-    this.operated = operated;
+  AdminRequestHandler(AdminServer server, AdminOperations operations) {
+    this.server = server;
+    this.operations = operations;
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-    if (answered) {
+    if (responded) {
       return;
     }
     if (message.decoderResult().isFailure()) {
-      answer(ctx, HttpResponseStatus.BAD_REQUEST, "not an HTTP/1.1 call that can be read\n");
+      respond(ctx, HttpResponseStatus.BAD_REQUEST, "not an HTTP/1.1 call that can be read\n");
       return;
     }
     if (message instanceof HttpRequest head) {
       request = head;
     }
     if (message instanceof HttpContent content) {
-      body += content.content().readableBytes();
-      if (body > MAX_BODY) {
-        answer(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "no call has a body\n");
+      bodyBytes += content.content().readableBytes();
+      if (bodyBytes > MAX_BODY_BYTES) {
+        respond(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "no call has a body\n");
       } else if (message instanceof LastHttpContent) {
-        door.requestComplete(ctx.channel());
-        call(ctx);
+        server.requestComplete(ctx.channel());
+        handle(ctx);
       }
     }
   }
 
-  private void call(ChannelHandlerContext ctx) {
+  private void handle(ChannelHandlerContext ctx) {
     QueryStringDecoder target = new QueryStringDecoder(request.uri());
     String path;
     List<String> members;
@@ -68,80 +68,85 @@
       path = target.path();
       members = target.parameters().getOrDefault("member", List.of());
     } catch (IllegalArgumentException e) {
-      answer(ctx, HttpResponseStatus.BAD_REQUEST, "the path can not be read\n");
+      respond(ctx, HttpResponseStatus.BAD_REQUEST, "the path can not be read\n");
       return;
     }
     switch (path) {
       case "/api/ready" -> {
-        if (takes(ctx, HttpMethod.GET)) {
-          boolean ready = operated.isReady();
-          answer(
+        if (hasMethod(ctx, HttpMethod.GET)) {
+          boolean ready = operations.isReady();
+          respond(
               ctx,
               ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
               ready ? "ready\n" : "not ready\n");
         }
       }
       case "/api/telemetry" -> {
-        if (takes(ctx, HttpMethod.GET)) {
-          answer(ctx, HttpResponseStatus.OK, PrometheusExposition.of(operated.telemetry()));
+        if (hasMethod(ctx, HttpMethod.GET)) {
+          respond(ctx, HttpResponseStatus.OK, PrometheusExposition.of(operations.telemetry()));
         }
       }
       case "/api/exclude" -> exclude(ctx, members, true);
       case "/api/include" -> exclude(ctx, members, false);
-      default -> answer(ctx, HttpResponseStatus.NOT_FOUND, "no such call\n");
+      default -> respond(ctx, HttpResponseStatus.NOT_FOUND, "no such call\n");
     }
   }
 
-  private boolean takes(ChannelHandlerContext ctx, HttpMethod method) {
+  private boolean hasMethod(ChannelHandlerContext ctx, HttpMethod method) {
     if (request.method().equals(method)) {
       return true;
     }
-    answer(
+    respond(
         ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "to be called with " + method + "\n", method);
     return false;
   }
 
-  private void exclude(ChannelHandlerContext ctx, List<String> members, boolean out) {
-    if (!takes(ctx, HttpMethod.PUT)) {
+  private void exclude(ChannelHandlerContext ctx, List<String> members, boolean excluded) {
+    if (!hasMethod(ctx, HttpMethod.PUT)) {
       return;
     }
-    if (members.size() != 1 || members.get(0).isEmpty() || members.get(0).length() > MAX_MEMBER) {
-      answer(ctx, HttpResponseStatus.BAD_REQUEST, "one member=ID is needed\n");
+    if (members.size() != 1
+        || members.get(0).isEmpty()
+        || members.get(0).length() > MAX_MEMBER_LENGTH) {
+      respond(ctx, HttpResponseStatus.BAD_REQUEST, "one member=ID is needed\n");
       return;
     }
     String member = members.get(0);
     AdminOperations.Revocable command =
-        operated.exclude(member, out, result -> ctx.executor().execute(() -> tell(ctx, result)));
+        operations.exclude(
+            member, excluded, result -> ctx.executor().execute(() -> respondWith(ctx, result)));
     ctx.executor()
         .schedule(
             () -> {
-              if (!answered && command.revoke()) {
-                answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "too busy: nothing was done\n");
+              if (!responded && command.revoke()) {
+                respond(
+                    ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "too busy: nothing was done\n");
               }
             },
             AdminServer.COMMAND_MILLIS,
             TimeUnit.MILLISECONDS);
   }
 
-  private void tell(ChannelHandlerContext ctx, AdminOperations.Result result) {
+  private void respondWith(ChannelHandlerContext ctx, AdminOperations.Result result) {
     switch (result) {
-      case DONE -> answer(ctx, HttpResponseStatus.OK, "done\n");
-      case UNKNOWN_MEMBER -> answer(ctx, HttpResponseStatus.NOT_FOUND, "no such member\n");
-      case UNAVAILABLE -> answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "nothing was done\n");
+      case DONE -> respond(ctx, HttpResponseStatus.OK, "done\n");
+      case UNKNOWN_MEMBER -> respond(ctx, HttpResponseStatus.NOT_FOUND, "no such member\n");
+      case UNAVAILABLE ->
+          respond(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "nothing was done\n");
     }
   }
 
-  private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
-    answer(ctx, status, text, null);
+  private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
+    respond(ctx, status, text, null);
   }
 
-  private void answer(
+  private void respond(
       ChannelHandlerContext ctx, HttpResponseStatus status, String text, HttpMethod allowed) {
-    if (answered) {
+    if (responded) {
       return;
     }
-    answered = true;
-    door.requestComplete(ctx.channel());
+    responded = true;
+    server.requestComplete(ctx.channel());
     var response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, status, ByteBufUtil.writeUtf8(ctx.alloc(), text));
@@ -161,7 +166,7 @@
     if (cause instanceof IOException) {
       ctx.close();
     } else {
-      answer(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed\n");
+      respond(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed\n");
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/admin/AdminServer.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminServer.java
@@ -18,48 +18,50 @@
 import shalepaddle.sockets.TcpListener;
 
 /**
- * The operators' door: HTTP/1.1, one call to a connection, on an event loop and a thread of its
- * own, so that a flood of requests never delays an answer.
+ * The admin server: HTTP/1.1, one request to a connection, on an event loop and a thread of its
+ * own, so that a flood of client requests never delays a response.
  *
- * <p>Bounded in callers, in what each may send, and in the time that each has for it. Guards
- * against callers that hold a connection and say nothing: the one that has stood longest with no
- * whole call gives way to a new one. Could do harm where more than {@link #MOST_CALLERS} honest
- * callers are halfway through a call at once.
+ * <p>Bounded in connections, in the bytes of a request, and in its time. Past {@link
+ * #MAX_CONNECTIONS} the connection that has waited longest for its complete request is closed, so
+ * that silent callers cannot block others. Cost: with more callers than that in the middle of a
+ * request, one of them is closed.
  */
 public final class AdminServer implements AutoCloseable {
-  static final int MOST_CALLERS = 16;
+  static final int MAX_CONNECTIONS = 16;
 
-  /** How long a caller has for its whole call, and then for reading the answer. */
-  static final long CALL_MILLIS = 5000;
+  /** How long a connection lasts, from its begin to the end of the response. */
+  static final long CONNECTION_MILLIS = 5000;
 
-  /** How long the request loop has for a command; an answer is owed within a second. */
+  /** How long the node's event loop has for a command; a response is due within a second. */
   static final long COMMAND_MILLIS = 800;
 
-  private static final int MAX_LINE = 1024;
-  private static final int MAX_HEAD = 4096;
-  private static final int MAX_CHUNK = 4096;
+  private static final int MAX_LINE_BYTES = 1024;
+  private static final int MAX_HEADER_BYTES = 4096;
+  private static final int MAX_CHUNK_BYTES = 4096;
 
   private final MultiThreadIoEventLoopGroup group;
-  private final AdminOperations operated;
+  private final AdminOperations operations;
   private final Channel listener;
 
-  /** Callers with no whole call, longest first, and those that get their answer. */
+  /** Connections without a complete request, the oldest first. */
   private final Set<Channel> incomplete = new LinkedHashSet<>();
 
-  private final Set<Channel> answered = new LinkedHashSet<>();
+  /** Connections with a complete request, the oldest first. */
+  private final Set<Channel> complete = new LinkedHashSet<>();
 
   /**
-   * Opens.
+   * Opens the server.
    *
-   * @throws IOException if it can not listen there, with the address
+   * @param operations what its requests call
+   * @throws IOException if it cannot listen there, with the address
    */
   public AdminServer(
-      InetSocketAddress address, ByteBufAllocator allocator, AdminOperations operated)
+      InetSocketAddress address, ByteBufAllocator allocator, AdminOperations operations)
       throws IOException, InterruptedException {
-    this.operated = operated;
+    this.operations = operations;
     group =
         new MultiThreadIoEventLoopGroup(
-            1, new DefaultThreadFactory("management", true), NioIoHandler.newFactory());
+            1, new DefaultThreadFactory("admin-server", true), NioIoHandler.newFactory());
     ChannelFuture bound =
         new ServerBootstrap()
             .group(group)
@@ -72,7 +74,7 @@
                 new ChannelInitializer<>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    admit(channel);
+                    accept(channel);
                   }
                 })
             .bind(address)
@@ -90,12 +92,12 @@
     return (InetSocketAddress) listener.localAddress();
   }
 
-  private void admit(Channel caller) {
-    if (incomplete.size() + answered.size() >= MOST_CALLERS) {
-      Set<Channel> longest = incomplete.isEmpty() ? answered : incomplete;
-      Channel first = longest.iterator().next();
-      longest.remove(first);
-      first.close();
+  private void accept(Channel caller) {
+    if (incomplete.size() + complete.size() >= MAX_CONNECTIONS) {
+      Set<Channel> evictable = incomplete.isEmpty() ? complete : incomplete;
+      Channel oldest = evictable.iterator().next();
+      evictable.remove(oldest);
+      oldest.close();
     }
     incomplete.add(caller);
     caller
@@ -103,24 +105,24 @@
         .addListener(
             closed -> {
               incomplete.remove(caller);
-              answered.remove(caller);
+              complete.remove(caller);
             });
     caller
         .pipeline()
         .addLast(
-            new HttpServerCodec(MAX_LINE, MAX_HEAD, MAX_CHUNK),
-            new AdminRequestHandler(this, operated));
-    caller.eventLoop().schedule(() -> caller.close(), CALL_MILLIS, TimeUnit.MILLISECONDS);
+            new HttpServerCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES),
+            new AdminRequestHandler(this, operations));
+    caller.eventLoop().schedule(() -> caller.close(), CONNECTION_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** A whole call has come from there. */
+  /** The request of this connection is complete. */
   void requestComplete(Channel caller) {
     if (incomplete.remove(caller)) {
-      answered.add(caller);
+      complete.add(caller);
     }
   }
 
-  /** Closes it, with all callers. */
+  /** Closes it with all connections; waits for its thread. */
   @Override
   public void close() {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
--- a/engine/src/main/java/shalepaddle/admin/PrometheusExposition.java
+++ b/engine/src/main/java/shalepaddle/admin/PrometheusExposition.java
@@ -4,7 +4,7 @@
 import shalepaddle.diagnostics.EventCounts;
 import shalepaddle.engine.RequestMetricsSnapshot;
 
-/** Writes figures in Prometheus' text format, version 0.0.4. */
+/** Writes metrics in Prometheus' text format, version 0.0.4. One thread for each instance. */
 final class PrometheusExposition {
   static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
@@ -15,28 +15,29 @@
   private PrometheusExposition() {}
 
   static String of(Telemetry telemetry) {
-    PrometheusExposition page = new PrometheusExposition();
-    RequestMetricsSnapshot figures = telemetry.requestMetrics();
-    page.type("results", "counter", "Requests ended, by class and disposition.");
-    for (RequestMetricsSnapshot.Results results : figures.results()) {
-      page.result(results.service(), "succeeded", results.succeeded());
-      page.result(results.service(), "declined", results.rejected());
-      page.result(results.service(), "aborted", results.failed());
+    PrometheusExposition exposition = new PrometheusExposition();
+    RequestMetricsSnapshot metrics = telemetry.requestMetrics();
+    exposition.type("results", "counter", "Requests ended, by class and disposition.");
+    for (RequestMetricsSnapshot.Results results : metrics.results()) {
+      exposition.result(results.service(), "succeeded", results.succeeded());
+      exposition.result(results.service(), "declined", results.rejected());
+      exposition.result(results.service(), "aborted", results.failed());
     }
-    page.one("forwards", "counter", "Attempts written whole to cache servers.", figures.forwards());
-    page.one("outstanding", "gauge", "Requests taken and not ended.", figures.outstanding());
-    page.one("discovered", "gauge", "Cache servers in the list.", telemetry.discovered());
-    page.one(
+    exposition.one(
+        "forwards", "counter", "Attempts written whole to cache servers.", metrics.forwards());
+    exposition.one("outstanding", "gauge", "Requests taken and not ended.", metrics.outstanding());
+    exposition.one("discovered", "gauge", "Cache servers in the list.", telemetry.discovered());
+    exposition.one(
         "ejected", "gauge", "Listed cache servers that get nothing new now.", telemetry.ejected());
-    page.one(
+    exposition.one(
         "sighup_applied", "counter", "Configurations taken at SIGHUP.", telemetry.reloadsApplied());
-    page.one(
+    exposition.one(
         "sighup_rejected",
         "counter",
         "Configurations turned down at SIGHUP.",
         telemetry.reloadsRejected());
-    page.events(telemetry.events());
-    return page.text.toString();
+    exposition.events(telemetry.events());
+    return exposition.text.toString();
   }
 
   private void type(String name, String type, String help) {
@@ -49,7 +50,7 @@
     text.append(PREFIX).append(name).append(' ').append(value).append('\n');
   }
 
-  /** One metric for each that events name, with their reasons as its labels. */
+  /** One metric for each kind of event, with the reasons as its labels. */
   private void events(EventCounts counts) {
     String metric = null;
     for (Event event : Event.counted()) {
@@ -68,7 +69,7 @@
     text.append("\",disposition=\"").append(disposition).append("\"} ").append(value).append('\n');
   }
 
-  /** A label's value: three characters have to be told in another way. */
+  /** Writes a label's value, in which three characters are escaped. */
   private void escape(String value) {
     for (int i = 0; i < value.length(); i++) {
       char c = value.charAt(i);
--- a/engine/src/main/java/shalepaddle/admin/Telemetry.java
+++ b/engine/src/main/java/shalepaddle/admin/Telemetry.java
@@ -4,14 +4,14 @@
 import shalepaddle.engine.RequestMetricsSnapshot;
 
 /**
- * What operators see of one process, at one moment.
+ * The metrics of one process at one moment. Immutable.
  *
  * @param requestMetrics what became of requests and attempts
- * @param events how often what is counted by reason has happened
+ * @param events how often each event was counted
  * @param discovered cache servers in the list
- * @param ejected those of them that get nothing new now, by hand or by choice
- * @param reloadsApplied configurations that were taken at SIGHUP
- * @param reloadsRejected those that were turned down
+ * @param ejected those of them that receive no new requests now, ejected or excluded
+ * @param reloadsApplied configurations that were applied at SIGHUP
+ * @param reloadsRejected those that were rejected
  */
 public record Telemetry(
     RequestMetricsSnapshot requestMetrics,
--- a/engine/src/main/java/shalepaddle/config/NodeConfig.java
+++ b/engine/src/main/java/shalepaddle/config/NodeConfig.java
@@ -13,17 +13,18 @@
 import shalepaddle.settings.SettingsFormat;
 
 /**
- * What the platform tells a node.
+ * The platform's configuration of a node, from the file that {@code ROUTER_CONFIG} names.
+ * Immutable.
  *
- * @param listen where clients connect
- * @param adminAddress where operators call, null for nowhere
- * @param discovery where the list of servers is
+ * @param listen the address for clients
+ * @param adminAddress the address for the admin server, null for none
+ * @param discovery the address of the discovery service
  * @param seed for random numbers
  * @param maxDescriptors file descriptors that the process may hold
- * @param memoryMb memory that the process may hold
+ * @param memoryMb memory that the process may hold, in MiB
  * @param cores processor time that the process may use, in cores
- * @param knownMembers the list of servers as this node last had it
- * @param settings the object that an instance in the simulator is told
+ * @param knownMembers the list of servers that this node knew last
+ * @param settings the settings of the decisions, in the form that the simulator has as well
  */
 public record NodeConfig(
     InetSocketAddress listen,
@@ -36,36 +37,49 @@
     MemberList knownMembers,
     Settings settings) {
 
-  /** Reads the file of this name, usually from {@code ROUTER_CONFIG}. */
+  /**
+   * Reads and checks the file of this name.
+   *
+   * @throws FormatException names the file, and what is wrong with it
+   */
   public static NodeConfig load(String file) throws FormatException {
     return read(file, readJson(file));
   }
 
-  /** Reads what the file of this name says, as {@link #readJson} has it. */
-  public static NodeConfig read(String file, JsonObject text) throws FormatException {
+  /**
+   * Checks the content of the file of this name, as {@link #readJson} returned it.
+   *
+   * @throws FormatException names the file, and what is wrong with it
+   */
+  public static NodeConfig read(String file, JsonObject content) throws FormatException {
     try {
-      return parse(text);
+      return parse(content);
     } catch (FormatException e) {
-      throw in(file, e);
+      throw inFile(file, e);
     }
   }
 
   /**
-   * Reads the file as it is now, for a node that runs: whole, or not at all.
+   * Reads and checks the file as it is now, for a node that runs.
    *
-   * @param shape what the file said when the node started: each of its keys is still needed
+   * @param startupContent what the file contained when the node started: each of its keys is needed
+   * @throws FormatException names the file, and what is wrong with it
    */
-  public static NodeConfig reload(String file, JsonObject shape) throws FormatException {
+  public static NodeConfig reload(String file, JsonObject startupContent) throws FormatException {
     JsonObject next = readJson(file);
     try {
-      Retuning.check(shape, next);
+      Retuning.check(startupContent, next);
     } catch (FormatException e) {
-      throw in(file, e);
+      throw inFile(file, e);
     }
     return read(file, next);
   }
 
-  /** What the file of this name says, as far as it is JSON. */
+  /**
+   * Reads the file of this name, and checks only that it is JSON.
+   *
+   * @throws FormatException names the file, and what is wrong with it
+   */
   public static JsonObject readJson(String file) throws FormatException {
     if (file == null || file.isEmpty()) {
       throw new FormatException("ROUTER_CONFIG does not name a file");
@@ -75,15 +89,15 @@
     } catch (IOException | InvalidPathException e) {
       throw new FormatException("cannot read " + file);
     } catch (FormatException e) {
-      throw in(file, e);
+      throw inFile(file, e);
     }
   }
 
-  private static FormatException in(String file, FormatException e) {
+  private static FormatException inFile(String file, FormatException e) {
     return new FormatException(file + ": " + e.getMessage());
   }
 
-  /** A configuration that keeps to this machine, and names a discovery that nobody runs. */
+  /** A configuration for a start without a platform: local addresses, and no discovery service. */
   public static NodeConfig rehearsal() throws FormatException {
     return parse(
         JsonObject.parse(
@@ -100,7 +114,11 @@
             """));
   }
 
-  /** Reads a configuration in the form that the platform gives it. */
+  /**
+   * Checks a configuration's content.
+   *
+   * @throws FormatException if a key is missing or has a wrong value
+   */
   public static NodeConfig parse(JsonObject config) throws FormatException {
     JsonObject limits = config.requiredNested("limits");
     Settings settings = SettingsFormat.read(config.requiredNested("settings"));
@@ -125,21 +143,23 @@
         : null;
   }
 
-  /** The same, where this is known of the list of servers. */
+  /** The same with this list of servers as the known one. */
   public NodeConfig withKnownMembers(MemberList list) {
     return new NodeConfig(
         listen, adminAddress, discovery, seed, maxDescriptors, memoryMb, cores, list, settings);
   }
 
-  /** The same, with other settings. */
+  /** The same with other settings. */
   public NodeConfig withSettings(Settings next) {
     return new NodeConfig(
         listen, adminAddress, discovery, seed, maxDescriptors, memoryMb, cores, knownMembers, next);
   }
 
   /**
-   * The same, where operators call at the address that the environment names for this one process:
-   * it goes before what the file says of the node. Null or empty leaves all as it is.
+   * The same with this address for the admin server, which the environment gives one process: it
+   * takes precedence over the file's, which is for the node. Null or empty changes nothing.
+   *
+   * @throws FormatException if that is not an IP address and port
    */
   public NodeConfig withAdminAddress(String address) throws FormatException {
     if (address == null || address.isEmpty()) {
@@ -165,7 +185,7 @@
     }
   }
 
-  /** The longest time that a client may wait, in seconds. */
+  /** The longest deadline of the service classes, in seconds. */
   public double longestDeadlineSeconds() {
     return settings.services().stream()
         .mapToDouble(Settings.ServiceClass::deadlineSeconds)
--- a/engine/src/main/java/shalepaddle/hotrestart/HotRestart.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/HotRestart.java
@@ -9,100 +9,109 @@
 import shalepaddle.model.Observation;
 
 /**
- * Keeps the processes of one node told of each other, on a thread of its own: looks for news every
- * {@link #POLL_MILLIS}, and tells of this process when it has changed or some time has passed.
+ * Exchanges state between the processes of one node while one replaces the other: reads the others'
+ * files every {@link #POLL_MILLIS}, and publishes this process's state when it has changed or some
+ * time has passed. Thread-safe; polls on a thread of its own from {@link #start} until {@link
+ * #close}.
  */
 public final class HotRestart implements AutoCloseable {
   static final long POLL_MILLIS = 50;
 
-  /** Looks after which this process is told of anew though nothing has changed. */
-  private static final int BEAT = 10;
+  /** Polls after which an unchanged state is published again, as a heartbeat. */
+  private static final int HEARTBEAT_POLLS = 10;
 
-  /** Looks between two times at which a process that starts is told what was seen here. */
-  private static final int SEEN_EVERY = 5;
+  /** Polls from one publication of observations for a starting process to the next. */
+  private static final int OBSERVATIONS_POLLS = 5;
 
-  /** Takes news of other processes in, on the handover's thread. */
+  /** Receives the state of the other processes, on the thread that polls. */
   public interface Listener {
-    /** What the others have told by now; the same may come again. */
+    /**
+     * After each poll, also where nothing has changed.
+     *
+     * @param exclusions those that the others know
+     * @param partners how many other processes live
+     * @param clients client connections that they hold
+     * @param serverConnections connections to cache servers that they hold
+     */
     void onPartnersChanged(
-        List<ServerExclusion> words, int partners, int clients, int serverConnections);
+        List<ServerExclusion> exclusions, int partners, int clients, int serverConnections);
   }
 
   private final ProcessFiles files;
   private final Supplier<ProcessState> self;
-  private final Supplier<List<Observation>> seen;
+  private final Supplier<List<Observation>> observations;
   private final Listener listener;
-  private final ScheduledExecutorService thread =
+  private final ScheduledExecutorService poller =
       Executors.newSingleThreadScheduledExecutor(
           task -> {
-            Thread made = new Thread(task, "handover");
-            made.setDaemon(true);
-            return made;
+            Thread thread = new Thread(task, "hot-restart");
+            thread.setDaemon(true);
+            return thread;
           });
-  private ProcessState lastTold;
-  private int looks;
-  private int seenTold;
+  private ProcessState lastPublished;
+  private int pollsSincePublished;
+  private int pollsWithStartingPartner;
 
   /**
-   * Not begun.
+   * Polls nothing yet.
    *
    * @param self the newest state of this process, from any thread
-   * @param seen what this process has seen lately, from any thread
+   * @param observations what this process has observed lately, from any thread
    */
   public HotRestart(
       ProcessFiles files,
       Supplier<ProcessState> self,
-      Supplier<List<Observation>> seen,
+      Supplier<List<Observation>> observations,
       Listener listener) {
-    this.seen = seen;
+    this.observations = observations;
     this.files = files;
     this.self = self;
     this.listener = listener;
   }
 
-  /** Begins to look and to tell. */
+  /** Begins to poll and to publish. */
   public void start() {
-    thread.scheduleWithFixedDelay(this::poll, 0, POLL_MILLIS, TimeUnit.MILLISECONDS);
+    poller.scheduleWithFixedDelay(this::poll, 0, POLL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Tells of this process, and the listener of the others, as of now. From any thread. */
+  /** Publishes this process's state and passes that of the others to the listener, as of now. */
   public synchronized void poll() {
     try {
       publish();
       Others others = files.readOthers();
       int clients = 0;
       int connections = 0;
-      boolean starting = false;
+      boolean hasStartingPartner = false;
       for (ProcessState partner : others.partners()) {
         clients += partner.clients();
         connections += partner.serverConnections();
-        starting |= partner.stage() == ProcessState.Stage.STARTING;
+        hasStartingPartner |= partner.stage() == ProcessState.Stage.STARTING;
       }
       listener.onPartnersChanged(
           others.exclusions(), others.partners().size(), clients, connections);
-      if (starting && self.get().stage() == ProcessState.Stage.READY) {
-        if (seenTold++ % SEEN_EVERY == 0) {
-          files.publishObservations(seen.get());
+      if (hasStartingPartner && self.get().stage() == ProcessState.Stage.READY) {
+        if (pollsWithStartingPartner++ % OBSERVATIONS_POLLS == 0) {
+          files.publishObservations(observations.get());
         }
       } else {
-        seenTold = 0;
+        pollsWithStartingPartner = 0;
       }
     } catch (RuntimeException e) {
-      // Whatever fails here must not end the looking; the files complain for themselves.
+      // A failure must not end the polling; the files log their own.
     }
   }
 
-  /** Tells of this process now, where it has changed; returns when it is told or has failed. */
+  /** Publishes this process's state if it has changed; returns when it is published or failed. */
   public synchronized void publish() {
     ProcessState state = self.get();
-    if (!state.equals(lastTold) || ++looks >= BEAT) {
-      looks = 0;
-      lastTold = state;
+    if (!state.equals(lastPublished) || ++pollsSincePublished >= HEARTBEAT_POLLS) {
+      pollsSincePublished = 0;
+      lastPublished = state;
       files.publish(state);
     }
   }
 
-  /** Whether another process of this node is there for clients, as of now. */
+  /** Whether another process of this node is ready for clients, as of now. */
   public boolean isSuccessorReady() {
     return files.readOthers().partners().stream()
         .anyMatch(partner -> partner.stage() == ProcessState.Stage.READY);
@@ -110,6 +119,6 @@
 
   @Override
   public void close() {
-    thread.shutdownNow();
+    poller.shutdownNow();
   }
 }
--- a/engine/src/main/java/shalepaddle/hotrestart/InheritedListener.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/InheritedListener.java
@@ -5,19 +5,19 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * The clients' listening socket as the platform hands it down, in the place of one of our own.
+ * The clients' listening socket that the platform opened and this process inherited.
  *
- * <p>It is shared with other processes and never to be closed: the virtual machine would redirect
- * the standard streams as well, and with them the last lines of the log would be gone.
+ * <p>It is shared with other processes and must never be closed: the virtual machine would redirect
+ * the standard streams as well, and the last lines of the log would be lost.
  */
 public final class InheritedListener {
   private InheritedListener() {}
 
   /**
-   * The socket that the environment names.
+   * The socket of a descriptor.
    *
-   * @param descriptor as {@code ROUTER_LISTEN_FD} names it; null or empty for none
-   * @return null where none is named
+   * @param descriptor the value of {@code ROUTER_LISTEN_FD}; null or empty for none
+   * @return the socket, null for no descriptor
    * @throws IOException if that is no listening socket, or not descriptor 0, the only one that a
    *     Java program can take
    */
--- a/engine/src/main/java/shalepaddle/hotrestart/ObservationFormat.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ObservationFormat.java
@@ -15,8 +15,8 @@
 import shalepaddle.settings.FormatException;
 
 /**
- * The form of {@link Observation}s in a file: a {@link Frame} around a JSON array with an array for
- * each. Ids of requests are not told. What a later version adds at an array's end is passed over.
+ * The file format of {@link Observation}s: a JSON array of arrays in a {@link Frame}. Request ids
+ * are not stored. Elements that a later version adds at the end of an array are skipped.
  */
 final class ObservationFormat {
   private static final String VERSION = "shalepaddle-seen-1";
@@ -24,23 +24,23 @@
 
   private ObservationFormat() {}
 
-  static byte[] write(List<Observation> seen) throws IOException {
+  static byte[] write(List<Observation> observations) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator json = FACTORY.createGenerator(text)) {
       json.writeStartArray();
-      for (Observation each : seen) {
-        write(json, each);
+      for (Observation observation : observations) {
+        write(json, observation);
       }
       json.writeEndArray();
     }
     return Frame.wrap(VERSION, text.toString());
   }
 
-  private static void write(JsonGenerator json, Observation seen) throws IOException {
-    Request request = seen.request();
-    Outcome outcome = seen.outcome();
+  private static void write(JsonGenerator json, Observation observation) throws IOException {
+    Request request = observation.request();
+    Outcome outcome = observation.outcome();
     json.writeStartArray();
-    json.writeNumber(seen.endedAt());
+    json.writeNumber(observation.endedAt());
     json.writeNumber(outcome.server());
     json.writeString(storedName(outcome.result()));
     json.writeString(outcome.cacheStatus().name());
@@ -56,7 +56,7 @@
     json.writeBoolean(request.write());
     if (outcome.load() != null) {
       LoadReport load = outcome.load();
-      for (double figure :
+      for (double value :
           new double[] {
             load.inFlight(),
             load.queued(),
@@ -67,20 +67,20 @@
             load.extra0(),
             load.extra1()
           }) {
-        json.writeNumber(figure); // As text where it is no number.
+        json.writeNumber(value); // As text where it is not finite.
       }
     }
     json.writeEndArray();
   }
 
-  static List<Observation> read(byte[] whole) throws FormatException {
-    try (JsonParser json = FACTORY.createParser(Frame.unwrap(VERSION, whole))) {
+  static List<Observation> read(byte[] file) throws FormatException {
+    try (JsonParser json = FACTORY.createParser(Frame.unwrap(VERSION, file))) {
       expect(json, JsonToken.START_ARRAY);
-      List<Observation> seen = new ArrayList<>();
+      List<Observation> observations = new ArrayList<>();
       while (json.nextToken() != JsonToken.END_ARRAY) {
-        seen.add(observation(json));
+        observations.add(observation(json));
       }
-      return seen;
+      return observations;
     } catch (IOException | IllegalArgumentException e) {
       throw new FormatException("not what it should be: " + e.getMessage());
     }
@@ -93,7 +93,7 @@
     Outcome.Result result = resultOf(json.nextTextValue());
     Outcome.CacheStatus cacheStatus = Outcome.CacheStatus.valueOf(json.nextTextValue());
     double elapsed = number(json);
-    double unheard = number(json);
+    double stalled = number(json);
     String key = json.nextTextValue();
     String service = json.nextTextValue();
     String tenant = json.nextTextValue();
@@ -106,7 +106,7 @@
     if (json.nextToken() != JsonToken.END_ARRAY) {
       load =
           new LoadReport(
-              figure(json),
+              currentNumber(json),
               number(json),
               number(json),
               number(json),
@@ -121,7 +121,7 @@
     return new Observation(
         endedAt,
         new Request("", key, service, tenant, budget, work, size, repeat, write),
-        new Outcome("", 0, server, result, elapsed, unheard, true, cacheStatus, load));
+        new Outcome("", 0, server, result, elapsed, stalled, true, cacheStatus, load));
   }
 
   /** The name of a result in the file, the same in all versions of the program. */
@@ -158,10 +158,10 @@
 
   private static double number(JsonParser json) throws IOException {
     json.nextToken();
-    return figure(json);
+    return currentNumber(json);
   }
 
-  private static double figure(JsonParser json) throws IOException {
+  private static double currentNumber(JsonParser json) throws IOException {
     return json.currentToken() == JsonToken.VALUE_STRING
         ? Double.parseDouble(json.getText())
         : json.getDoubleValue();
--- a/engine/src/main/java/shalepaddle/hotrestart/ProcessFiles.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ProcessFiles.java
@@ -17,112 +17,114 @@
 import shalepaddle.settings.FormatException;
 
 /**
- * The files by which the processes of one node tell each other of themselves, in a folder that they
- * have in common. Each writes its own and reads the others'; a file is replaced whole, by a rename.
+ * The files by which the processes of one node publish their state to each other, in a folder that
+ * they share. Each process writes its own files and reads the others'; a file is replaced
+ * atomically, by a rename.
  *
- * <p>Nothing here waits for another process. A file that can not be read is passed over; one whose
- * process has gone, or has been silent for {@link #SILENT_MILLIS}, still tells of operators' words,
- * and of nothing else. Bounded to {@link #MAX_FILES} files of {@link #MAX_FILE_BYTES}. All methods
- * are for one thread at a time.
+ * <p>No process waits for another. A file that cannot be read is skipped. Of a process that has
+ * ended, or was silent for {@link #SILENT_MILLIS}, only the operators' exclusions count. Reads at
+ * most {@link #MAX_FILES} files of {@link #MAX_FILE_BYTES} each. Thread-safe; all methods block for
+ * the file system.
  */
 public final class ProcessFiles {
-  /** A living process writes its file several times in this. */
+  /** A process that lives writes its file several times in this. */
   static final long SILENT_MILLIS = 2000;
 
   private static final int MAX_FILES = 16;
   private static final long MAX_FILE_BYTES = 1 << 20;
   private static final String PREFIX = "shalepaddle-";
   private static final String SUFFIX = ".process";
-  private static final String SEEN_SUFFIX = ".seen";
+  private static final String OBSERVATIONS_SUFFIX = ".seen";
 
   private final Path folder;
   private final long pid;
-  private final LongSupplier millis;
-  private final LongPredicate alive;
+  private final LongSupplier wallMillis;
+  private final LongPredicate isAlive;
   private final Consumer<String> log;
-  private final List<String> complained = new ArrayList<>();
+  private final List<String> loggedFailures = new ArrayList<>();
 
   /**
    * The files of one process.
    *
    * @param pid its own process id
-   * @param millis the time since 1970, as files are stamped
-   * @param alive whether there is a process of that id
+   * @param wallMillis the time since 1970, as in the modification times of files
+   * @param isAlive whether there is a process of that id
+   * @param log receives one line for each new failure
    */
   public ProcessFiles(
-      Path folder, long pid, LongSupplier millis, LongPredicate alive, Consumer<String> log) {
+      Path folder, long pid, LongSupplier wallMillis, LongPredicate isAlive, Consumer<String> log) {
     this.folder = folder;
     this.pid = pid;
-    this.millis = millis;
-    this.alive = alive;
+    this.wallMillis = wallMillis;
+    this.isAlive = isAlive;
     this.log = log;
   }
 
-  private Path file(long process) {
+  private Path stateFile(long process) {
     return folder.resolve(PREFIX + process + SUFFIX);
   }
 
-  private Path seen(long process) {
-    return folder.resolve(PREFIX + process + SEEN_SUFFIX);
+  private Path observationsFile(long process) {
+    return folder.resolve(PREFIX + process + OBSERVATIONS_SUFFIX);
   }
 
-  /** Tells the others; false, with a line in the log, if that fails. */
+  /** Publishes the state of this process; false, with a line in the log, if that fails. */
   public synchronized boolean publish(ProcessState state) {
-    return replace(file(pid), () -> StateFormat.write(state));
+    return replace(stateFile(pid), () -> StateFormat.write(state));
   }
 
-  /** Tells a process that starts what this one has seen; false if that fails. */
-  public synchronized boolean publishObservations(List<Observation> seen) {
-    return replace(seen(pid), () -> ObservationFormat.write(seen));
+  /** Publishes observations for a process that starts; false if that fails. */
+  public synchronized boolean publishObservations(List<Observation> observations) {
+    return replace(observationsFile(pid), () -> ObservationFormat.write(observations));
   }
 
-  private interface Form {
-    byte[] write() throws IOException;
+  private interface Content {
+    byte[] bytes() throws IOException;
   }
 
-  private boolean replace(Path own, Form form) {
+  private boolean replace(Path file, Content content) {
     Path next = folder.resolve(PREFIX + pid + ".next");
     try {
-      byte[] bytes = form.write();
+      byte[] bytes = content.bytes();
       if (bytes.length > MAX_FILE_BYTES) {
         throw new IOException(bytes.length + " bytes are too many");
       }
       Files.write(next, bytes);
-      Files.move(next, own, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+      Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
       return true;
     } catch (IOException e) {
-      complain("cannot tell other processes of this node: " + e);
+      logOnce("cannot tell other processes of this node: " + e);
       return false;
     }
   }
 
   /**
-   * What living processes have seen, and removes what they have told of it: it is for one start.
-   * Empty where nothing can be read; nobody waits for it.
+   * Reads and removes the observations that living processes have published: they are for one
+   * start. Empty where none can be read.
    */
   public synchronized List<Observation> takeObservations() {
     List<Observation> all = new ArrayList<>();
     for (ProcessState partner : readOthers().partners()) {
-      Path file = seen(partner.pid());
+      Path file = observationsFile(partner.pid());
       try {
         if (Files.exists(file) && Files.size(file) <= MAX_FILE_BYTES) {
           all.addAll(ObservationFormat.read(Files.readAllBytes(file)));
           Files.deleteIfExists(file);
         }
       } catch (FormatException e) {
-        complain(file.getFileName() + ": " + e.getMessage());
+        logOnce(file.getFileName() + ": " + e.getMessage());
       } catch (IOException e) {
-        complain(file.getFileName() + ": " + e);
+        logOnce(file.getFileName() + ": " + e);
       }
     }
     return all;
   }
 
   /**
-   * What the others have told.
+   * What the other processes have published.
    *
-   * @param partners those that live
-   * @param exclusions operators' words, also of those that have gone
+   * @param partners the state of those that live
+   * @param exclusions operators' exclusions, also from processes that have ended
    */
   public record Others(List<ProcessState> partners, List<ServerExclusion> exclusions) {
     /** The newest list that a living process has, null if there is none. */
@@ -135,52 +137,60 @@
     }
   }
 
-  /** Reads what the others have told; files of processes that have gone are removed. */
+  /** Reads what the others have published; removes files of processes that have ended. */
   public synchronized Others readOthers() {
     List<ProcessState> partners = new ArrayList<>();
-    List<ServerExclusion> words = new ArrayList<>();
+    List<ServerExclusion> exclusions = new ArrayList<>();
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*" + SUFFIX)) {
       int count = 0;
       for (Path file : files) {
-        if (file.equals(file(pid)) || ++count > MAX_FILES) {
-          continue;
-        }
-        try {
-          if (Files.size(file) > MAX_FILE_BYTES) {
-            throw new FormatException("too long");
-          }
-          long silent = millis.getAsLong() - Files.getLastModifiedTime(file).toMillis();
-          ProcessState state = StateFormat.read(Files.readAllBytes(file));
-          words.addAll(state.exclusions());
-          if (!alive.test(state.pid())) {
-            gone(file, state, silent);
-          } else if (silent < SILENT_MILLIS) {
-            partners.add(state);
-          }
-        } catch (FormatException e) {
-          complain(file.getFileName() + ": " + e.getMessage());
-        } catch (IOException e) {
-          // Replaced or removed in this very moment: it is read next time.
+        if (!file.equals(stateFile(pid)) && ++count <= MAX_FILES) {
+          readOther(file, partners, exclusions);
         }
       }
     } catch (IOException e) {
-      complain("cannot look for other processes of this node: " + e);
+      logOnce("cannot look for other processes of this node: " + e);
+    }
+    return new Others(partners, exclusions);
+  }
+
+  /** Reads one file, and adds to the lists what it contains. */
+  private void readOther(Path file, List<ProcessState> partners, List<ServerExclusion> exclusions) {
+    try {
+      if (Files.size(file) > MAX_FILE_BYTES) {
+        throw new FormatException("too long");
+      }
+      long silentMillis = wallMillis.getAsLong() - Files.getLastModifiedTime(file).toMillis();
+      ProcessState state = StateFormat.read(Files.readAllBytes(file));
+      exclusions.addAll(state.exclusions());
+      if (!isAlive.test(state.pid())) {
+        removeFilesOfEnded(file, state, silentMillis);
+      } else if (silentMillis < SILENT_MILLIS) {
+        partners.add(state);
+      }
+    } catch (FormatException e) {
+      logOnce(file.getFileName() + ": " + e.getMessage());
+    } catch (IOException e) {
+      // Replaced or removed at this moment: it is read at the next poll.
     }
-    return new Others(partners, words);
   }
 
-  /** Its words are known here from now on, and told on. */
-  private void gone(Path file, ProcessState state, long silent) throws IOException {
-    Files.deleteIfExists(seen(state.pid()));
-    if (state.exclusions().isEmpty() || silent > 2 * SILENT_MILLIS) {
+  /**
+   * Removes the files of a process that has ended; one with exclusions only when the other
+   * processes have had time to read and publish them.
+   */
+  private void removeFilesOfEnded(Path file, ProcessState state, long silentMillis)
+      throws IOException {
+    Files.deleteIfExists(observationsFile(state.pid()));
+    if (state.exclusions().isEmpty() || silentMillis > 2 * SILENT_MILLIS) {
       Files.deleteIfExists(file);
     }
   }
 
-  /** Once for each complaint: what can't be read now can't be read 50 ms later. */
-  private void complain(String text) {
-    if (complained.size() < MAX_FILES && !complained.contains(text)) {
-      complained.add(text);
+  /** Logs each failure once: a file that is unreadable now is unreadable at the next poll. */
+  private void logOnce(String text) {
+    if (loggedFailures.size() < MAX_FILES && !loggedFailures.contains(text)) {
+      loggedFailures.add(text);
       log.accept(text);
     }
   }
--- a/engine/src/main/java/shalepaddle/hotrestart/ProcessState.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ProcessState.java
@@ -4,14 +4,14 @@
 import shalepaddle.membership.MemberList;
 
 /**
- * What one process of a node tells the others of itself. Immutable.
+ * What one process of a node publishes to the others about itself. Immutable.
  *
  * @param pid its process id
  * @param stage what it does for clients now
- * @param clients connections of clients that it holds
- * @param serverConnections connections to cache servers that it holds
- * @param exclusions operators' words on servers
- * @param list the list of servers as it has it, null if it has none yet
+ * @param clients its open client connections
+ * @param serverConnections its open connections to cache servers
+ * @param exclusions operators' exclusions and inclusions that it knows
+ * @param list the complete list of servers that it knows, null if it has none yet
  */
 public record ProcessState(
     long pid,
--- a/engine/src/main/java/shalepaddle/hotrestart/ServerExclusion.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ServerExclusion.java
@@ -1,15 +1,16 @@
 package shalepaddle.hotrestart;
 
 /**
- * An operator's last word on a cache server.
+ * An operator's exclusion of a cache server, or its inclusion again. Immutable.
  *
- * @param server its number
- * @param excluded whether it is left out, or put back
- * @param atMillis when that was said, in milliseconds since 1970
+ * @param server the server's number
+ * @param excluded whether it is excluded, or included again
+ * @param atMillis when the operator did so, in milliseconds since 1970
  */
 public record ServerExclusion(long server, boolean excluded, long atMillis) {
   /**
-   * Whether this word goes before another on the same server; of two at once, the one that bars.
+   * Whether this one is in force instead of another on the same server: the later one, or the
+   * exclusion where both have the same time.
    */
   boolean supersedes(ServerExclusion other) {
     return other == null
--- a/engine/src/main/java/shalepaddle/hotrestart/ServerExclusions.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ServerExclusions.java
@@ -7,48 +7,48 @@
 import java.util.Map;
 
 /**
- * The last word on each server, whichever process of the node heard it. Merging is commutative,
- * associative and idempotent (a map of last-writer-wins registers), so that two processes that read
- * each other's words in any order, once or often, come to hold the same.
+ * The latest exclusion or inclusion of each server, whichever process of the node received it.
+ * Merging is commutative, associative and idempotent (a map of last-writer-wins registers): two
+ * processes that read each other's records in any order, once or often, have the same in the end.
  *
- * <p>Bounded: past the bound the oldest word that puts a server back is forgotten, which changes
- * nothing but for a partner that has not heard it yet. Not thread-safe.
+ * <p>Bounded: past {@link #MAX_EXCLUSIONS} the oldest inclusion is removed, which only matters for
+ * a process that has not read it yet. Not thread-safe.
  */
 public final class ServerExclusions {
   private static final int MAX_EXCLUSIONS = 4096;
 
-  private final Map<Long, ServerExclusion> last = new LinkedHashMap<>();
+  private final Map<Long, ServerExclusion> latest = new LinkedHashMap<>();
 
-  /** Takes a word; true if it is news. */
-  public boolean record(ServerExclusion word) {
-    ServerExclusion before = last.get(word.server());
-    if (!word.supersedes(before)) {
+  /** Records one; returns whether it changes what is in force. */
+  public boolean record(ServerExclusion exclusion) {
+    ServerExclusion before = latest.get(exclusion.server());
+    if (!exclusion.supersedes(before)) {
       return false;
     }
-    last.remove(word.server());
-    last.put(word.server(), word);
-    if (last.size() > MAX_EXCLUSIONS) {
-      last.values().stream()
+    latest.remove(exclusion.server());
+    latest.put(exclusion.server(), exclusion);
+    if (latest.size() > MAX_EXCLUSIONS) {
+      latest.values().stream()
           .filter(old -> !old.excluded())
           .findFirst()
-          .ifPresent(old -> last.remove(old.server()));
+          .ifPresent(old -> latest.remove(old.server()));
     }
-    return before == null ? word.excluded() : before.excluded() != word.excluded();
+    return before == null ? exclusion.excluded() : before.excluded() != exclusion.excluded();
   }
 
-  /** Takes another process's words; returns those that change what holds. */
+  /** Records those of another process; returns those that change what is in force. */
   public List<ServerExclusion> merge(Collection<ServerExclusion> others) {
-    List<ServerExclusion> news = new ArrayList<>();
-    for (ServerExclusion word : others) {
-      if (record(word)) {
-        news.add(word);
+    List<ServerExclusion> changes = new ArrayList<>();
+    for (ServerExclusion exclusion : others) {
+      if (record(exclusion)) {
+        changes.add(exclusion);
       }
     }
-    return news;
+    return changes;
   }
 
-  /** All of them, oldest first. */
+  /** The latest of each server, those recorded first in front. */
   public List<ServerExclusion> all() {
-    return List.copyOf(last.values());
+    return List.copyOf(latest.values());
   }
 }
--- a/engine/src/main/java/shalepaddle/hotrestart/StateFormat.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/StateFormat.java
@@ -12,7 +12,7 @@
 import shalepaddle.settings.FormatException;
 import shalepaddle.settings.JsonObject;
 
-/** The form of a {@link ProcessState} in a file: a {@link Frame} around JSON. */
+/** The file format of a {@link ProcessState}: JSON in a {@link Frame}. */
 final class StateFormat {
   private static final String VERSION = "shalepaddle-process-1";
   private static final JsonFactory FACTORY = new JsonFactory();
@@ -28,11 +28,11 @@
       json.writeNumberField("clients", state.clients());
       json.writeNumberField("connections", state.serverConnections());
       json.writeArrayFieldStart("words");
-      for (ServerExclusion word : state.exclusions()) {
+      for (ServerExclusion exclusion : state.exclusions()) {
         json.writeStartObject();
-        json.writeNumberField("server", word.server());
-        json.writeBooleanField("out", word.excluded());
-        json.writeNumberField("at", word.atMillis());
+        json.writeNumberField("server", exclusion.server());
+        json.writeBooleanField("out", exclusion.excluded());
+        json.writeNumberField("at", exclusion.atMillis());
         json.writeEndObject();
       }
       json.writeEndArray();
@@ -64,13 +64,15 @@
     json.writeEndObject();
   }
 
-  static ProcessState read(byte[] whole) throws FormatException {
-    JsonObject json = JsonObject.parse(Frame.unwrap(VERSION, whole));
-    List<ServerExclusion> words = new ArrayList<>();
-    for (JsonObject word : json.objects("words")) {
-      words.add(
+  static ProcessState read(byte[] file) throws FormatException {
+    JsonObject json = JsonObject.parse(Frame.unwrap(VERSION, file));
+    List<ServerExclusion> exclusions = new ArrayList<>();
+    for (JsonObject exclusion : json.objects("words")) {
+      exclusions.add(
           new ServerExclusion(
-              word.requiredInteger("server"), word.flag("out"), word.requiredInteger("at")));
+              exclusion.requiredInteger("server"),
+              exclusion.flag("out"),
+              exclusion.requiredInteger("at")));
     }
     try {
       return new ProcessState(
@@ -78,7 +80,7 @@
           ProcessState.Stage.valueOf(json.requiredText("stage")),
           (int) json.requiredInteger("clients"),
           (int) json.requiredInteger("connections"),
-          List.copyOf(words),
+          List.copyOf(exclusions),
           json.has("servers") ? list(json) : null);
     } catch (IllegalArgumentException e) {
       throw new FormatException(e.getMessage());
--- a/engine/src/main/java/shalepaddle/membership/MemberList.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberList.java
@@ -20,43 +20,47 @@
 import shalepaddle.settings.JsonObject;
 
 /**
- * The list of cache servers, or a change of it, in discovery's form.
+ * The list of cache servers, or a change of it, as discovery sends it. Immutable.
  *
- * @param full whether it is the whole list
+ * @param full whether it is the complete list
  * @param version its version
- * @param members its lines
+ * @param members its entries
  */
 public record MemberList(boolean full, long version, List<Member> members) {
 
   /**
    * One cache server.
    *
-   * @param entry what the decision module is told of it
-   * @param address where this node reaches it; null for one that has left
+   * @param entry its entry for the decisions
+   * @param address where this node connects to it; null for one that was removed
    */
   public record Member(ServerEntry entry, SocketAddress address) {}
 
   /**
-   * The whole list, once this news of it has been taken in.
+   * The complete list after this list or change of it.
    *
-   * @param before the whole list until then, null for none
+   * @param known the complete list before, null for none
    */
-  public MemberList appliedTo(MemberList before) {
-    Map<Long, Member> whole = new TreeMap<>();
-    if (before != null && !full) {
-      before.members.forEach(member -> whole.put(member.entry().id(), member));
+  public MemberList appliedTo(MemberList known) {
+    Map<Long, Member> complete = new TreeMap<>();
+    if (known != null && !full) {
+      known.members.forEach(member -> complete.put(member.entry().id(), member));
     }
     for (Member member : members) {
       if (member.address() == null) {
-        whole.remove(member.entry().id());
+        complete.remove(member.entry().id());
       } else {
-        whole.put(member.entry().id(), member);
+        complete.put(member.entry().id(), member);
       }
     }
-    return new MemberList(true, version, List.copyOf(whole.values()));
+    return new MemberList(true, version, List.copyOf(complete.values()));
   }
 
-  /** Rejects a list that says two things of one server. */
+  /**
+   * Checks that no server has two entries.
+   *
+   * @throws FormatException if one has
+   */
   public void requireDistinct() throws FormatException {
     Set<Long> seen = new HashSet<>();
     for (Member member : members) {
@@ -67,40 +71,44 @@
   }
 
   /**
-   * This list, whose version may be older than that of what is known: then nobody comes back who is
-   * known to leave, unless started anew. An older list is taken otherwise, since discovery may have
-   * been put back to an older state; from a replica that lags it may do no harm.
+   * This list, without servers that a list of an older version brings back from draining. Another
+   * older list is applied as it is: discovery may have been restored to an older state, while a
+   * replica that lags must do no harm.
    *
-   * @param known the whole list as it is known, null for none
+   * @param known the complete list as it is known, null for none
    */
   public MemberList withKnownDrains(MemberList known) {
     if (known == null || version >= known.version) {
       return this;
     }
-    Map<Long, Member> leaving = new HashMap<>();
+    Map<Long, Member> draining = new HashMap<>();
     for (Member member : known.members) {
       if (member.entry().state() == ServerEntry.State.DRAINING) {
-        leaving.put(member.entry().id(), member);
+        draining.put(member.entry().id(), member);
       }
     }
-    List<Member> kept = new ArrayList<>();
+    List<Member> result = new ArrayList<>();
     for (Member member : members) {
-      Member gone = leaving.get(member.entry().id());
-      boolean again =
-          gone != null
+      Member drained = draining.get(member.entry().id());
+      boolean revived =
+          drained != null
               && member.entry().state() == ServerEntry.State.READY
-              && member.entry().startedAtSeconds() <= gone.entry().startedAtSeconds();
-      kept.add(again ? gone : member);
+              && member.entry().startedAtSeconds() <= drained.entry().startedAtSeconds();
+      result.add(revived ? drained : member);
     }
-    return new MemberList(full, version, List.copyOf(kept));
+    return new MemberList(full, version, List.copyOf(result));
   }
 
-  /** What the decision module is told of it. */
+  /** The same for the decisions. */
   public MembershipUpdate toUpdate(MembershipUpdate.Kind kind) {
     return new MembershipUpdate(kind, version, members.stream().map(Member::entry).toList());
   }
 
-  /** Reads a list in discovery's form. */
+  /**
+   * Reads a list as discovery sends it.
+   *
+   * @throws FormatException if a key is missing or has another type
+   */
   public static MemberList parse(JsonObject list) throws FormatException {
     List<Member> members = new ArrayList<>();
     for (JsonObject line : list.objects("servers")) {
@@ -126,14 +134,18 @@
   }
 
   /**
-   * The number by which the module knows a server: made from the id alone, so that all nodes agree
-   * on a key's home, and wide enough that no two ids of a fleet meet.
+   * The number by which the decisions know a server: a hash of the id alone, so that all nodes
+   * agree on a key's ring owner, and wide enough that no two ids of a fleet collide.
    */
   public static long serverNumber(String id) {
     return UUID.nameUUIDFromBytes(id.getBytes(StandardCharsets.UTF_8)).getMostSignificantBits();
   }
 
-  /** An address and port written in figures: there is no DNS. */
+  /**
+   * Parses an IP address and a port. Names are not resolved: there is no DNS.
+   *
+   * @throws FormatException if the text is anything else
+   */
   public static InetSocketAddress parseAddress(String text) throws FormatException {
     int colon = text.lastIndexOf(':');
     byte[] ip =
@@ -144,7 +156,7 @@
         return new InetSocketAddress(InetAddress.getByAddress(ip), port);
       }
     } catch (NumberFormatException | UnknownHostException e) {
-      // Told below.
+      // Rejected below.
     }
     throw new FormatException("'" + text + "' is not an IP address and port");
   }
--- a/engine/src/main/java/shalepaddle/membership/MemberListener.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberListener.java
@@ -1,10 +1,14 @@
 package shalepaddle.membership;
 
-/** Is told what a {@link MemberSource} learns, in the order in which it does. */
+/** Receives what a {@link MemberSource} learns, in order, on the event loop. */
 public interface MemberListener {
-  /** The list, or a change of it. */
+  /** A complete list, or a change of it. */
   void onList(MemberList list);
 
-  /** The list could not be had, or is no longer followed. */
-  void onFailure(String why);
+  /**
+   * The list could not be read, or is no longer followed.
+   *
+   * @param reason for the log
+   */
+  void onFailure(String reason);
 }
--- a/engine/src/main/java/shalepaddle/membership/MemberSource.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberSource.java
@@ -1,8 +1,8 @@
 package shalepaddle.membership;
 
 /**
- * Where the list of cache servers comes from. What it learns is told to a {@link MemberListener},
- * on the same thread that this is called on.
+ * A source of the list of cache servers. It passes what it learns to a {@link MemberListener}, on
+ * the event loop, where its methods are called as well.
  */
 public interface MemberSource {
   /** A list that never changes. */
@@ -19,9 +19,9 @@
         }
       };
 
-  /** Follows the changes from the version last seen on; anew if it does so already. */
+  /** Follows the changes from the version known last; without effect while it does so already. */
   void follow();
 
-  /** Stops following. Nothing is told after it. */
+  /** Stops following: the listener is not called again. */
   void stop();
 }
--- a/engine/src/main/java/shalepaddle/node/AdmissionFilter.java
+++ b/engine/src/main/java/shalepaddle/node/AdmissionFilter.java
@@ -25,7 +25,7 @@
    * For one node.
    *
    * @param settings those in force now
-   * @param openRequests requests that hold a client connection now, in all processes of this node
+   * @param openRequests client connections with an open request now, in all processes of this node
    */
   AdmissionFilter(
       OverloadControl overload,
--- a/engine/src/main/java/shalepaddle/node/DescriptorBudget.java
+++ b/engine/src/main/java/shalepaddle/node/DescriptorBudget.java
@@ -9,12 +9,12 @@
  * All figures are numbers of descriptors. Prevents a node without a free descriptor, which can
  * neither accept clients nor reach a server. Immutable.
  *
- * @param limit descriptors that the process may hold
+ * @param limit descriptors that the process may open
  * @param reserved those for its own files, pipes, selectors and admin callers
  */
 record DescriptorBudget(int limit, int reserved) {
   /**
-   * The part for client connections. The protocol's own clients hold a third at most, see {@link
+   * The part for client connections. The protocol's own clients open a third at most, see {@link
    * #REQUEST_RATIO}.
    */
   private static final double CLIENT_RATIO = 0.5;
@@ -28,18 +28,26 @@
   /** For callers of the admin server, and files that are read meanwhile. */
   private static final int ADMIN_DESCRIPTORS = 8;
 
+  /** Connections to one server that all nodes of this tier open together. */
+  private static final int TIER_CONNECTIONS = 28;
+
+  /** How many connections to each server are this node's part of the tier's. */
+  static int connectionsPerServer(NodeConfig config) {
+    return Math.max(1, TIER_CONNECTIONS / config.settings().instances());
+  }
+
   /** The budget of a node with this configuration. */
   static DescriptorBudget of(NodeConfig config) {
     int admin = config.adminAddress() == null ? 0 : ADMIN_DESCRIPTORS;
     return new DescriptorBudget(config.maxDescriptors(), PROCESS_DESCRIPTORS + admin);
   }
 
-  /** Client connections that all processes of this node may hold together. */
+  /** Client connections that all processes of this node may open together. */
   int maxClientConnections() {
     return (int) (limit * CLIENT_RATIO);
   }
 
-  /** Connections to cache servers that all processes of this node may hold together. */
+  /** Connections to cache servers that all processes of this node may open together. */
   private int maxServerConnections() {
     return (int) (limit * (1 - CLIENT_RATIO)) - reserved;
   }
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -42,10 +42,7 @@
   /** How long a removed service class is still accepted: its clients may not have heard of it. */
   private static final long REMOVED_CLASS_NANOS = 1_200_000_000L;
 
-  /** Connections to one server that all nodes of this tier open together. */
-  private static final int TIER_CONNECTIONS = 28;
-
-  /** The part of all memory for what was read from clients whose commands are not taken yet. */
+  /** All memory divided by this may be used for what clients sent ahead of its turn. */
   private static final int READ_AHEAD_DIVISOR = 64;
 
   /** Calls from other threads that may wait for the event loop. */
@@ -72,7 +69,7 @@
   /** The configuration that the node was started with, with the settings in force. */
   private NodeConfig config;
 
-  /** Connections of clients that other processes of this node hold. */
+  /** Client connections of this node's other processes. */
   private int partnersClients;
 
   /** One that opens as many connections to each server as its part of the tier allows. */
@@ -84,12 +81,15 @@
       Clock time,
       Transport transport,
       Log log) {
-    this(config, operator, defaultConnectionsPerServer(config), loop, clock, time, transport, log);
-  }
-
-  /** How many connections to each server are this node's part of the tier's. */
-  static int defaultConnectionsPerServer(NodeConfig config) {
-    return Math.max(1, TIER_CONNECTIONS / config.settings().instances());
+    this(
+        config,
+        operator,
+        DescriptorBudget.connectionsPerServer(config),
+        loop,
+        clock,
+        time,
+        transport,
+        log);
   }
 
   /** One that opens so many connections to each server at most. */
@@ -186,7 +186,6 @@
     return front.connectionsAwaitingResponse() + partnersClients;
   }
 
-  /** For {@link #exclusions}, which is constructed before {@link #snapshots}. */
   private void publishState() {
     snapshots.publishState();
   }
@@ -214,9 +213,8 @@
   }
 
   /**
-   * Where lists are pushed, waits until the first has come, for so many milliseconds at most: the
-   * list that the node was started with may be old, and the agent's is binding from the first
-   * moment on. From any thread but the event loop.
+   * Where lists are pushed, waits for the first one, for so many milliseconds at most: the agent's
+   * list is binding from the first moment on. From any thread but the event loop.
    */
   void awaitPushedList(long millis) throws InterruptedException {
     if (!config.settings().pollsEndpointList()) {
@@ -224,7 +222,7 @@
     }
   }
 
-  /** Listens for clients there; the future tells of the bound channel. */
+  /** Listens for clients at the address; the future completes with the bound channel. */
   public ChannelFuture listen(SocketAddress address) {
     return serveWhenBound(transport.acceptor(loop).childHandler(front).bind(address));
   }
@@ -281,13 +279,11 @@
   }
 
   /**
-   * Takes in what other processes of this node have published. All limits hold for the processes of
-   * a node together.
+   * Applies what other processes of this node have published. All limits are for the processes of a
+   * node together.
    *
-   * @param exclusions operators' exclusions that they know of
    * @param partners how many processes there are besides this one
-   * @param clients client connections that they hold
-   * @param serverConnections connections to cache servers that they hold
+   * @param clients their open client connections
    */
   public void updatePartners(
       List<ServerExclusion> exclusions, int partners, int clients, int serverConnections) {
@@ -304,7 +300,7 @@
 
   /**
    * Applies new settings to all requests to come, and follows discovery at the address that they
-   * give. Limits, addresses to listen on and the seed hold from the next start on.
+   * give. Limits, addresses to listen on and the seed change at the next start.
    */
   public void applyConfiguration(NodeConfig next) {
     log.line("configuration taken, discovery at " + next.discovery());
@@ -346,13 +342,12 @@
   }
 
   /**
-   * A planned restart: goes on accepting for as long as connections may come, and serving until the
-   * end is near; then closes each connection as it becomes idle, and runs the step when all
-   * requests are answered.
+   * A planned restart: accepts connections for as long as they may come, and serves until the end
+   * is near; then closes each connection as it becomes idle, and runs the step when all requests
+   * are answered. New requests get no more time than is left.
    *
-   * <p>Prevents sending clients away early: where the other nodes are restarting too, nobody else
-   * serves them yet. Requests that come meanwhile get no more time than is left. Cost: a restart
-   * takes its whole time, also where it could have been quicker.
+   * <p>Prevents that clients are sent away while other nodes restart too and nobody serves them.
+   * Cost: a restart takes its full time, also where it could have been quicker.
    */
   public void drain(Runnable onDrained) {
     shutdown.drain(onDrained);
@@ -361,7 +356,7 @@
   /**
    * Another process of this node has taken over: accepts no more from now on, closes each
    * connection right after its next answer and idle ones after a while, and runs the step when all
-   * requests are answered. Takes no longer than needed: meanwhile both processes hold memory and
+   * requests are answered. Takes no longer than needed: meanwhile both processes use memory and
    * connections.
    */
   public void handOver(Runnable onDrained) {
@@ -369,7 +364,7 @@
     shutdown.handOver(onDrained);
   }
 
-  /** Ends at once: every open request gets its one answer, and nothing new is taken or sent. */
+  /** Ends at once: every open request gets its one answer, and nothing new is accepted or sent. */
   public void close() {
     monitor.stop();
     snapshots.enter(ProcessState.Stage.DRAINING);
@@ -397,7 +392,7 @@
     return pools.connections();
   }
 
-  /** Requests that are not over, or of which an attempt is out. */
+  /** Requests that are not complete, or of which an attempt is open. */
   public int openRequests() {
     return dispatcher.openRequests();
   }
--- a/engine/src/main/java/shalepaddle/node/MemberTracker.java
+++ b/engine/src/main/java/shalepaddle/node/MemberTracker.java
@@ -73,7 +73,7 @@
    * the event loop.
    */
   void awaitFirstList(long millis) throws InterruptedException {
-    // Going on without it is correct: the list from the configuration holds then.
+    // Going on without it is correct: the list of the configuration is used then.
     boolean ignored = firstList.await(millis, TimeUnit.MILLISECONDS);
   }
 }
--- a/engine/src/main/java/shalepaddle/node/Node.java
+++ b/engine/src/main/java/shalepaddle/node/Node.java
@@ -62,7 +62,7 @@
   private final LoadBalancer balancer;
   private final CountDownLatch drained = new CountDownLatch(1);
 
-  /** The clients' listener that the platform holds, null where the node opens its own. */
+  /** The clients' listener that the platform opened, null where the node opens its own. */
   private final ServerSocketChannel inherited;
 
   /** Shared with other processes of this node, null where there can be none. */
@@ -79,7 +79,7 @@
 
   /** A node that is not listening yet. */
   public Node(NodeConfig config, OperatorFile operator) {
-    this(config, operator, LoadBalancer.defaultConnectionsPerServer(config));
+    this(config, operator, DescriptorBudget.connectionsPerServer(config));
   }
 
   /** A node that opens so many connections to each server. */
@@ -233,7 +233,7 @@
     if (!past.isEmpty()) {
       log.line("learned from " + past.size() + " attempts of the process before");
     }
-    // Before the first request: exclusions hold for every process of the node.
+    // Before the first request: exclusions are in force in every process of the node.
     hotRestart.poll();
     loop.submit(() -> {}).await();
   }
--- a/engine/src/main/java/shalepaddle/node/NodeProcess.java
+++ b/engine/src/main/java/shalepaddle/node/NodeProcess.java
@@ -80,7 +80,7 @@
   }
 
   /**
-   * Runs a node until it is told to end; returns the exit code.
+   * Runs a node until a signal ends it; returns the exit code.
    *
    * @param configFile the platform's configuration, null where the environment names none
    * @param operatorFile the operator's settings, null for the defaults
@@ -96,7 +96,7 @@
         new Node(
             startup.config(),
             startup.operator(),
-            LoadBalancer.defaultConnectionsPerServer(startup.config()),
+            DescriptorBudget.connectionsPerServer(startup.config()),
             startup.inherited(),
             startup.files());
     try {
--- a/engine/src/main/java/shalepaddle/node/package-info.java
+++ b/engine/src/main/java/shalepaddle/node/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A whole node around one event loop, and its life from warm-up to drain. {@link
+ * A complete node around one event loop, and its life from warm-up to drain. {@link
  * shalepaddle.node.LoadBalancer} wires front, engine, servers and discovery on any transport;
  * {@link shalepaddle.node.Node} gives it an event loop thread, {@link shalepaddle.node.NodeProcess}
  * a process with signals, files and exit codes.
--- a/engine/src/main/java/shalepaddle/sockets/AcceptBackoff.java
+++ b/engine/src/main/java/shalepaddle/sockets/AcceptBackoff.java
@@ -1,25 +1,26 @@
 package shalepaddle.sockets;
 
 /**
- * When to accept again after accepting has failed: soon, since what the kernel has accepted waits
- * and the time of its requests runs, and ever later while it goes on failing, since a listener with
- * connections waiting is always ready and would keep the event loop busy.
+ * The delay before accepting again after a failure. Short at first: connections wait in the
+ * kernel's queue, and the deadlines of their requests run. It doubles with each further failure: a
+ * listener with queued connections is always ready and would keep the event loop busy. Not
+ * thread-safe.
  */
 final class AcceptBackoff {
   static final long INITIAL_MILLIS = 2;
   static final long MAX_MILLIS = 50;
 
-  private long next = INITIAL_MILLIS;
+  private long nextMillis = INITIAL_MILLIS;
 
-  /** An accept has failed; returns in how many milliseconds to try again. */
+  /** Accepting has failed; returns the milliseconds until the next attempt. */
   long nextDelayMillis() {
-    long delay = next;
-    next = Math.min(MAX_MILLIS, 2 * next);
-    return delay;
+    long delayMillis = nextMillis;
+    nextMillis = Math.min(MAX_MILLIS, 2 * nextMillis);
+    return delayMillis;
   }
 
-  /** An accept has succeeded. */
+  /** Accepting has succeeded. */
   void reset() {
-    next = INITIAL_MILLIS;
+    nextMillis = INITIAL_MILLIS;
   }
 }
--- a/engine/src/main/java/shalepaddle/sockets/ConnectCompletion.java
+++ b/engine/src/main/java/shalepaddle/sockets/ConnectCompletion.java
@@ -6,14 +6,14 @@
 import java.util.function.Consumer;
 
 /**
- * What a connection that is on its way comes to. Where the socket itself could not be had, the
- * transport tells that on a thread of its own, perhaps before the call that connects has returned,
- * and of a channel that has no event loop and can't be closed.
+ * The completion of a connection attempt. Where no socket could be opened, the transport completes
+ * it on a thread of its own, perhaps before the call that connects has returned, and its channel
+ * has no event loop and cannot be closed.
  */
 public final class ConnectCompletion {
   private ConnectCompletion() {}
 
-  /** Runs the step on the event loop once the connection has come up or failed. */
+  /** Runs the step on the event loop once the connection is open or has failed. */
   public static void whenDone(
       ChannelFuture connecting, EventLoop loop, Consumer<ChannelFuture> step) {
     connecting.addListener(
@@ -26,7 +26,7 @@
         });
   }
 
-  /** Closes a channel, or nothing if its socket could not be had. */
+  /** Closes a channel; without effect if its socket could not be opened. */
   public static void close(Channel channel) {
     if (channel.isRegistered()) {
       channel.close();
--- a/engine/src/main/java/shalepaddle/sockets/TcpListener.java
+++ b/engine/src/main/java/shalepaddle/sockets/TcpListener.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accepts connections, and tries again soon after a failure. A failure is not handed to the
- * transport, which would accept nothing for a second whatever had failed.
+ * Accepts connections, and retries soon after a failure. A failure is not passed to the transport,
+ * which would then accept nothing for a second. On its event loop alone.
  */
 public class TcpListener extends NioServerSocketChannel {
   private final AcceptBackoff backoff = new AcceptBackoff();
@@ -17,7 +17,7 @@
   /** One that is to be bound. */
   public TcpListener() {}
 
-  /** One that listens already. */
+  /** One whose socket listens already. */
   public TcpListener(ServerSocketChannel listening) {
     super(listening);
   }
@@ -40,7 +40,7 @@
     try {
       socket = javaChannel().accept();
     } catch (IOException e) {
-      acceptLater();
+      retryLater();
       return 0;
     }
     if (socket == null) {
@@ -61,17 +61,17 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // Nothing is left of it that could be closed.
+      // The connection is gone already.
     }
   }
 
-  private void acceptLater() {
+  private void retryLater() {
     acceptFailed();
     config().setAutoRead(false);
-    eventLoop().schedule(this::acceptAgain, backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
+    eventLoop().schedule(this::resumeAccepting, backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
   }
 
-  private void acceptAgain() {
+  private void resumeAccepting() {
     if (isOpen()) {
       config().setAutoRead(true);
     }
--- a/engine/src/test/java/shalepaddle/hotrestart/HotRestartTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/HotRestartTest.java
@@ -9,42 +9,43 @@
 import org.junit.jupiter.api.io.TempDir;
 import shalepaddle.hotrestart.ProcessState.Stage;
 
-/** What the two processes of a node hear of each other, and when. */
+/** What the two processes of a node learn of each other, and when. */
 class HotRestartTest {
   @TempDir private Path folder;
 
   private final long now = System.currentTimeMillis();
-  private final List<Told> told = new ArrayList<>();
+  private final List<Reported> reported = new ArrayList<>();
 
   /** One call of the listener. */
-  private record Told(List<ServerExclusion> words, int partners, int clients, int connections) {}
+  private record Reported(
+      List<ServerExclusion> exclusions, int partners, int clients, int connections) {}
 
   private ProcessFiles files(long pid) {
     return new ProcessFiles(folder, pid, () -> now, alive -> true, line -> {});
   }
 
-  private static ProcessState state(long pid, Stage stage, List<ServerExclusion> words) {
-    return new ProcessState(pid, stage, 12, 34, words, null);
+  private static ProcessState state(long pid, Stage stage, List<ServerExclusion> exclusions) {
+    return new ProcessState(pid, stage, 12, 34, exclusions, null);
   }
 
   /**
-   * A process that starts looks once more before its first request. Told of the words alone, it
-   * would take itself for the only one, and open all connections that both may have together.
+   * A process that starts polls once more before its first request. If it learned of the exclusions
+   * alone, it would assume to be the only one and open all connections that both may open together.
    */
   @Test
-  void aLookTellsOfPartnersTheirConnectionsAndTheirWordsTogether() {
-    List<ServerExclusion> words = List.of(new ServerExclusion(5, true, now));
-    files(2).publish(state(2, Stage.READY, words));
-    try (HotRestart handover =
+  void pollReportsPartnersConnectionsAndExclusionsTogether() {
+    List<ServerExclusion> exclusions = List.of(new ServerExclusion(5, true, now));
+    files(2).publish(state(2, Stage.READY, exclusions));
+    try (HotRestart hotRestart =
         new HotRestart(
             files(1),
             () -> state(1, Stage.STARTING, List.of()),
             List::of,
             (theirs, partners, clients, servers) ->
-                told.add(new Told(theirs, partners, clients, servers)))) {
-      handover.poll();
+                reported.add(new Reported(theirs, partners, clients, servers)))) {
+      hotRestart.poll();
     }
-    assertEquals(List.of(new Told(words, 1, 12, 34)), told);
-    assertEquals(1, files(2).readOthers().partners().size(), "it has not told of itself");
+    assertEquals(List.of(new Reported(exclusions, 1, 12, 34)), reported);
+    assertEquals(1, files(2).readOthers().partners().size(), "it has not reported of itself");
   }
 }
--- a/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
@@ -18,7 +18,7 @@
 import shalepaddle.model.Request;
 import shalepaddle.settings.FormatException;
 
-/** Observations on their way from one process of a node to the next. */
+/** The file with observations that one process of a node publishes for the next. */
 class ObservationFormatTest {
   @TempDir private Path folder;
 
@@ -37,13 +37,13 @@
   }
 
   @Test
-  void whatIsWrittenIsReadAsItWas() throws Exception {
+  void readsWhatWasWritten() throws Exception {
     assertEquals(some(), ObservationFormat.read(ObservationFormat.write(some())));
     assertEquals(List.of(), ObservationFormat.read(ObservationFormat.write(List.of())));
   }
 
   @Test
-  void aFileThatIsCutOrChangedAnywhereIsNotBelieved() throws Exception {
+  void rejectsFileThatIsTruncatedOrChangedAnywhere() throws Exception {
     byte[] whole = ObservationFormat.write(some());
     for (int length = 0; length < whole.length; length++) {
       byte[] cut = Arrays.copyOf(whole, length);
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void resultsKeepTheirStoredNames() throws Exception {
+  void keepsStoredNamesOfResults() throws Exception {
     List<String> names =
         List.of(
             "OK",
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void whatALaterVersionAddsAtTheEndIsPassedOver() throws Exception {
+  void skipsElementsOfLaterVersion() throws Exception {
     byte[] more =
         Frame.wrap(
             "shalepaddle-seen-1",
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void aStartTakesWhatALivingProcessHasSeenOnce() throws Exception {
+  void startReadsObservationsOfLivingProcessOnce() throws Exception {
     List<String> log = new ArrayList<>();
     ProcessFiles old =
         new ProcessFiles(folder, 1, System::currentTimeMillis, pid -> true, log::add);
--- a/engine/src/test/java/shalepaddle/hotrestart/ProcessFilesTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ProcessFilesTest.java
@@ -21,7 +21,7 @@
 import shalepaddle.model.ServerEntry;
 import shalepaddle.settings.FormatException;
 
-/** What one process of a node believes of the others' files. */
+/** What one process of a node reads from the others' files. */
 class ProcessFilesTest {
   @TempDir private Path folder;
 
@@ -33,8 +33,8 @@
     return new ProcessFiles(folder, pid, () -> now, alive::contains, log::add);
   }
 
-  private static ProcessState state(long pid, ProcessState.Stage stage, ServerExclusion... words)
-      throws FormatException {
+  private static ProcessState state(
+      long pid, ProcessState.Stage stage, ServerExclusion... exclusions) throws FormatException {
     MemberList list =
         new MemberList(
             true,
@@ -44,22 +44,22 @@
                     new ServerEntry(
                         Long.MIN_VALUE, "a \"b\"", "m", 3, ServerEntry.State.DRAINING, 1.5, 17.25),
                     MemberList.parseAddress("127.0.0.1:11211"))));
-    return new ProcessState(pid, stage, 12, 34, List.of(words), list);
+    return new ProcessState(pid, stage, 12, 34, List.of(exclusions), list);
   }
 
   @Test
-  void whatIsToldIsReadAsItWasTold() throws Exception {
-    ProcessState told =
+  void readsPublishedState() throws Exception {
+    ProcessState published =
         state(2, ProcessState.Stage.READY, new ServerExclusion(Long.MAX_VALUE, true, now));
-    assertTrue(of(2).publish(told));
-    assertEquals(List.of(told), of(1).readOthers().partners());
+    assertTrue(of(2).publish(published));
+    assertEquals(List.of(published), of(1).readOthers().partners());
     assertEquals(List.of(), of(2).readOthers().partners(), "not of itself");
-    assertEquals(told.list(), of(1).readOthers().newestMemberList());
+    assertEquals(published.list(), of(1).readOthers().newestMemberList());
     assertNull(of(2).readOthers().newestMemberList());
   }
 
   @Test
-  void aFileThatIsCutOrChangedAnywhereIsNotBelieved() throws Exception {
+  void rejectsFileThatIsTruncatedOrChangedAnywhere() throws Exception {
     byte[] whole =
         StateFormat.write(state(2, ProcessState.Stage.READY, new ServerExclusion(5, true, 9)));
     for (int length = 0; length < whole.length; length++) {
@@ -77,26 +77,26 @@
     for (int i = 0; i < 100; i++) {
       assertEquals(List.of(), own.readOthers().partners());
     }
-    assertEquals(2, log.size(), "each is told of once: " + log);
+    assertEquals(2, log.size(), "each is logged once: " + log);
   }
 
   @Test
-  void onePartnerThatIsSilentOrGoneLeavesItsWordsAlone() throws Exception {
-    ServerExclusion word = new ServerExclusion(5, true, now);
-    of(2).publish(state(2, ProcessState.Stage.READY, word));
+  void countsOnlyExclusionsOfSilentOrEndedProcess() throws Exception {
+    ServerExclusion exclusion = new ServerExclusion(5, true, now);
+    of(2).publish(state(2, ProcessState.Stage.READY, exclusion));
     Path file = folder.resolve("shalepaddle-2.process");
     Files.setLastModifiedTime(file, FileTime.fromMillis(now - ProcessFiles.SILENT_MILLIS));
     assertEquals(List.of(), of(1).readOthers().partners());
-    assertEquals(List.of(word), of(1).readOthers().exclusions());
+    assertEquals(List.of(exclusion), of(1).readOthers().exclusions());
     alive.remove(2L);
-    assertEquals(List.of(word), of(1).readOthers().exclusions());
+    assertEquals(List.of(exclusion), of(1).readOthers().exclusions());
     now += 3 * ProcessFiles.SILENT_MILLIS;
-    assertEquals(List.of(word), of(1).readOthers().exclusions());
-    assertFalse(Files.exists(file), "its words are told by who has read them");
+    assertEquals(List.of(exclusion), of(1).readOthers().exclusions());
+    assertFalse(Files.exists(file), "the processes that read its exclusions publish them");
   }
 
   @Test
-  void aFolderThatIsMissingHarmsNobody() {
+  void worksWithoutFolder() {
     ProcessFiles lost =
         new ProcessFiles(folder.resolve("none"), 1, () -> now, alive::contains, log::add);
     assertEquals(List.of(), lost.readOthers().partners());
--- a/engine/src/test/java/shalepaddle/hotrestart/ServerExclusionsTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ServerExclusionsTest.java
@@ -10,21 +10,24 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Two processes come to hold the same words, in whatever order and how often they hear them. */
+/**
+ * Two processes have the same exclusions in the end, in whatever order and how often they merge.
+ */
 class ServerExclusionsTest {
   @Test
-  void mergingInAnyOrderAndTwiceComesToTheSame() {
+  void mergeIsCommutativeAndIdempotent() {
     Random random = new Random(7);
     for (int round = 0; round < 500; round++) {
-      List<ServerExclusion> said = new ArrayList<>();
+      List<ServerExclusion> recorded = new ArrayList<>();
       for (int i = 0; i < 12; i++) {
-        said.add(new ServerExclusion(random.nextInt(4), random.nextBoolean(), random.nextInt(6)));
+        recorded.add(
+            new ServerExclusion(random.nextInt(4), random.nextBoolean(), random.nextInt(6)));
       }
       ServerExclusions one = new ServerExclusions();
-      said.forEach(one::record);
-      Collections.shuffle(said, random);
+      recorded.forEach(one::record);
+      Collections.shuffle(recorded, random);
       ServerExclusions other = new ServerExclusions();
-      other.merge(said);
+      other.merge(recorded);
       other.merge(one.all());
       one.merge(other.all());
       assertEquals(new HashSet<>(one.all()), new HashSet<>(other.all()));
@@ -33,24 +36,25 @@
   }
 
   @Test
-  void theNewestWordHoldsAndTellsWhetherItChangesAnything() {
-    ServerExclusions words = new ServerExclusions();
-    assertTrue(words.record(new ServerExclusion(1, true, 10)));
-    assertEquals(false, words.record(new ServerExclusion(1, true, 20)), "twice out");
-    assertEquals(false, words.record(new ServerExclusion(1, false, 15)), "older than the last");
-    assertTrue(words.record(new ServerExclusion(1, false, 30)), "one call back undoes both");
-    assertEquals(false, words.record(new ServerExclusion(2, false, 30)), "it was never out");
+  void latestIsInForceAndReportsChanges() {
+    ServerExclusions exclusions = new ServerExclusions();
+    assertTrue(exclusions.record(new ServerExclusion(1, true, 10)));
+    assertEquals(false, exclusions.record(new ServerExclusion(1, true, 20)), "twice out");
+    assertEquals(
+        false, exclusions.record(new ServerExclusion(1, false, 15)), "older than the last");
+    assertTrue(exclusions.record(new ServerExclusion(1, false, 30)), "one call back undoes both");
+    assertEquals(false, exclusions.record(new ServerExclusion(2, false, 30)), "it was never out");
   }
 
   @Test
-  void aServerThatIsOutIsNeverForgotten() {
-    ServerExclusions words = new ServerExclusions();
-    words.record(new ServerExclusion(-1, true, 1));
+  void neverRemovesExclusion() {
+    ServerExclusions exclusions = new ServerExclusions();
+    exclusions.record(new ServerExclusion(-1, true, 1));
     for (int i = 0; i < 10_000; i++) {
-      words.record(new ServerExclusion(i, true, 2));
-      words.record(new ServerExclusion(i, false, 3));
+      exclusions.record(new ServerExclusion(i, true, 2));
+      exclusions.record(new ServerExclusion(i, false, 3));
     }
-    assertTrue(words.all().size() <= 4096);
-    assertTrue(words.all().contains(new ServerExclusion(-1, true, 1)));
+    assertTrue(exclusions.all().size() <= 4096);
+    assertTrue(exclusions.all().contains(new ServerExclusion(-1, true, 1)));
   }
 }
--- a/engine/src/test/java/shalepaddle/node/AdminServerTest.java
+++ b/engine/src/test/java/shalepaddle/node/AdminServerTest.java
@@ -26,17 +26,17 @@
 import shalepaddle.settings.JsonObject;
 import shalepaddle.testkit.ScriptedPeer;
 
-/** What operators see and do at the door of a node that serves, over loopback sockets. */
+/** The admin server of a node that serves, over loopback sockets. */
 @Timeout(60)
 class AdminServerTest {
-  private static final String DOOR = "},\"management\":\"127.0.0.1:0\",\"unused\":{";
+  private static final String ADMIN_SERVER = "},\"management\":\"127.0.0.1:0\",\"unused\":{";
 
   private NodeFixture rig;
   private String member;
 
   @BeforeEach
   void start() throws Exception {
-    rig = new NodeFixture(DOOR);
+    rig = new NodeFixture(ADMIN_SERVER);
     member = "s-" + rig.cache.getLocalPort();
   }
 
@@ -71,7 +71,7 @@
     return new Answer(status, body);
   }
 
-  private long figure(String name) throws Exception {
+  private long metric(String name) throws Exception {
     for (String line : call("GET", "/api/telemetry").body().lines().toList()) {
       if (line.startsWith(name + " ")) {
         return Long.parseLong(line.substring(name.length() + 1));
@@ -80,11 +80,11 @@
     throw new AssertionError("no " + name);
   }
 
-  /** Figures may be some milliseconds old. */
-  private void awaitFigure(String name, long value) throws Exception {
+  /** Metrics may be some milliseconds old. */
+  private void awaitMetric(String name, long value) throws Exception {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-    while (figure(name) != value) {
-      assertTrue(System.nanoTime() < until, name + " is " + figure(name));
+    while (metric(name) != value) {
+      assertTrue(System.nanoTime() < until, name + " is " + metric(name));
     }
   }
 
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void answersWhatIsNoCall() throws Exception {
+  void answersMalformedRequests() throws Exception {
     for (String text :
         List.of(
             "nonsense\r\n\r\n",
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void answersBesideCallersThatHoldTheirConnections() throws Exception {
+  void answersWhileOtherCallersKeepConnectionsOpen() throws Exception {
     List<ScriptedPeer> stuck = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
       stuck.add(caller().write(i % 2 == 0 ? "" : "PUT /api/exclude?memb"));
@@ -144,86 +144,86 @@
   }
 
   @Test
-  void answersWhileTheRequestLoopStands() throws Exception {
+  void answersDuringEventLoopStall() throws Exception {
     rig.pausedWhile(
         1,
         () -> {
           assertEquals(200, call("GET", "/api/ready").status());
           assertEquals(200, call("GET", "/api/telemetry").status());
-          // What could not be carried out in time is never carried out.
+          // A command that was not run in time is never run.
           assertEquals(503, call("PUT", "/api/exclude?member=" + member).status());
         });
     rig.settled();
-    assertEquals(0, figure("app_ejected"));
+    assertEquals(0, metric("app_ejected"));
   }
 
   @Test
   void countsEachRequestOnceAndEachAttempt() throws Exception {
-    assertEquals(0, figure("app_results{service=\"read\",disposition=\"succeeded\"}"));
+    assertEquals(0, metric("app_results{service=\"read\",disposition=\"succeeded\"}"));
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
-    awaitFigure("app_outstanding", 1);
-    assertEquals(1, figure("app_forwards"));
+    awaitMetric("app_outstanding", 1);
+    assertEquals(1, metric("app_forwards"));
     cache.write("VA 1 Oa1\r\nx\r\n");
     client.line();
     client.line();
-    awaitFigure("app_results{service=\"read\",disposition=\"succeeded\"}", 1);
-    awaitFigure("app_outstanding", 0);
+    awaitMetric("app_results{service=\"read\",disposition=\"succeeded\"}", 1);
+    awaitMetric("app_outstanding", 0);
     client.write(NodeFixture.put("a2", 2000, "v"));
     cache.line();
     cache.line();
     cache.write("SERVER_ERROR failed\r\n");
     client.line();
-    awaitFigure("app_results{service=\"put\",disposition=\"aborted\"}", 1);
+    awaitMetric("app_results{service=\"put\",disposition=\"aborted\"}", 1);
     client.write(NodeFixture.put("a3", 2000, "v"));
     cache.line();
     cache.line();
     cache.write("SERVER_ERROR busy\r\n");
     client.line();
-    awaitFigure("app_results{service=\"put\",disposition=\"declined\"}", 1);
-    // One whose client leaves ends as well.
+    awaitMetric("app_results{service=\"put\",disposition=\"declined\"}", 1);
+    // A request whose client disconnects ends as well.
     client.write(NodeFixture.get("a4", 2000));
     cache.line();
-    awaitFigure("app_outstanding", 1);
+    awaitMetric("app_outstanding", 1);
     client.close();
-    awaitFigure("app_outstanding", 0);
-    assertEquals(4, figure("app_forwards"));
-    assertEquals(1, figure("app_discovered"));
+    awaitMetric("app_outstanding", 0);
+    assertEquals(4, metric("app_forwards"));
+    assertEquals(1, metric("app_discovered"));
   }
 
   @Test
-  void aServerOutByHandGetsNothingUntilItIsPutBack() throws Exception {
+  void sendsNothingToExcludedServerUntilIncluded() throws Exception {
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     assertEquals(200, call("PUT", "/api/exclude?member=" + member).status());
     assertEquals(200, call("PUT", "/api/exclude?member=" + member).status());
-    assertEquals(1, figure("app_ejected"));
-    // What is under way ends; its connection is not used again.
+    assertEquals(1, metric("app_ejected"));
+    // An open attempt ends; its connection is not used again.
     cache.write("VA 1 Oa1\r\nx\r\n");
     assertEquals("VA 1 Oa1", client.line());
     client.line();
     assertTrue(cache.ended());
     client.write(NodeFixture.get("a2", 2000));
     assertEquals("SERVER_ERROR busy", client.line());
-    // Discovery's word changes nothing, whether it drops the server or has it back.
+    // The list changes nothing, whether it removes the server or adds it again.
     ScriptedPeer discovery = rig.acceptDiscovery();
     while (!discovery.line().isEmpty()) {}
     discovery.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     discovery.write(NodeFixture.chunk(NodeFixture.members(8, true) + "\n"));
-    awaitFigure("app_discovered", 0);
+    awaitMetric("app_discovered", 0);
     assertEquals(200, call("PUT", "/api/exclude?member=" + member).status());
     discovery.write(
         NodeFixture.chunk(NodeFixture.members(9, true, rig.cache.getLocalPort()) + "\n"));
-    awaitFigure("app_discovered", 1);
+    awaitMetric("app_discovered", 1);
     client.write(NodeFixture.get("a3", 2000));
     assertEquals("SERVER_ERROR busy", client.line());
     assertEquals(200, call("PUT", "/api/include?member=" + member).status());
-    assertEquals(0, figure("app_ejected"));
-    // It counts as cold: within its warm-up of a second it may get nothing from a fresh node.
+    assertEquals(0, metric("app_ejected"));
+    // It is in slow start: within a second it may get nothing from a node without load.
     for (int i = 0; ; i++) {
       client.write(NodeFixture.get("b" + i, 2000) + "mn\r\n");
       rig.cache.setSoTimeout(100);
@@ -242,7 +242,7 @@
   }
 
   @Test
-  void whatWaitsForAConnectionIsNotSentToAServerThatIsLeftOut() throws Exception {
+  void doesNotSendQueuedRequestToExcludedServer() throws Exception {
     ScriptedPeer client = rig.client();
     ScriptedPeer[] caches = new ScriptedPeer[1];
     rig.pausedWhile(
@@ -272,16 +272,16 @@
   }
 
   @Test
-  void newSettingsHoldForWhatComesAndOldOnesForWhatIsOpen(@TempDir Path folder) throws Exception {
+  void appliesNewSettingsToNewRequestsAlone(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("config.json");
-    String text = rig.configText(DOOR);
+    String text = rig.configText(ADMIN_SERVER);
     JsonObject shape = JsonObject.parse(text);
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.put("a1", 2000, "v"));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.line();
-    // The class may be repeated from now on, has two attempts, and another class is added.
+    // The class is idempotent from now on, has two attempts, and another class is added.
     String next =
         text.replace(
                 "{\"name\":\"put\",\"effect\":\"fragile\"",
@@ -290,12 +290,12 @@
             .replace("\"attempts-cap\":1", "\"attempts-cap\":2");
     Files.writeString(file, next.substring(0, next.length() - 40));
     rig.node.reload(file.toString(), shape);
-    awaitFigure("app_sighup_rejected", 1);
+    awaitMetric("app_sighup_rejected", 1);
     Files.writeString(file, next);
     rig.node.reload(file.toString(), shape);
-    awaitFigure("app_sighup_applied", 1);
-    assertEquals(0, figure("app_results{service=\"more\",disposition=\"succeeded\"}"));
-    // What was open is unsafe as ever: it may have run, so that it has failed.
+    awaitMetric("app_sighup_applied", 1);
+    assertEquals(0, metric("app_results{service=\"more\",disposition=\"succeeded\"}"));
+    // An open request is not idempotent as before: it may have run, so it has failed.
     cache.write("SERVER_ERROR failed\r\n");
     assertEquals("SERVER_ERROR failed", client.line());
     client.write(NodeFixture.put("a2", 2000, "v"));
@@ -310,10 +310,10 @@
     cache.write("VA 1 Oa3\r\nx\r\n");
     assertEquals("VA 1 Oa3", client.line());
     client.line();
-    // A class that is dropped is taken for a moment, then turned down, and its figures stay.
+    // A removed class is accepted for a moment, then rejected, and its metrics stay.
     Files.writeString(file, text);
     rig.node.reload(file.toString(), shape);
-    awaitFigure("app_sighup_applied", 2);
+    awaitMetric("app_sighup_applied", 2);
     client.write("mg key v Oa4 Pc=more,d=900\r\n");
     cache.line();
     cache.write("VA 1 Oa4\r\nx\r\n");
@@ -332,11 +332,11 @@
       }
       assertTrue(tries < 50);
     }
-    awaitFigure("app_results{service=\"more\",disposition=\"succeeded\"}", 1 + tries);
+    awaitMetric("app_results{service=\"more\",disposition=\"succeeded\"}", 1 + tries);
   }
 
   @Test
-  void isNotReadyWhileItDrains() throws Exception {
+  void isNotReadyWhileDraining() throws Exception {
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
@@ -347,7 +347,7 @@
     while (call("GET", "/api/ready").status() != 503) {
       assertTrue(System.nanoTime() < until);
     }
-    awaitFigure("app_outstanding", 1);
+    awaitMetric("app_outstanding", 1);
     cache.write("VA 1 Oa1\r\nx\r\n");
     client.line();
     client.close();
@@ -355,10 +355,10 @@
   }
 
   @Test
-  void anAddressThatIsTakenIsAnErrorThatNamesIt() throws Exception {
+  void namesAddressThatIsInUse() throws Exception {
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       String port = ":" + taken.getLocalPort();
-      String settings = DOOR.replace(":0\"", port + "\"");
+      String settings = ADMIN_SERVER.replace(":0\"", port + "\"");
       try (Node node = new Node(rig.config(settings), OperatorFile.DEFAULTS)) {
         IOException e = assertThrows(IOException.class, node::start);
         assertTrue(e.getMessage().contains(port) && e.getMessage().contains("management"));
--- a/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
+++ b/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
@@ -21,7 +21,7 @@
 class DiscoveryTest {
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  /** Reads a call and returns its first line. */
+  /** Reads a request and returns its first line. */
   private static String call(ScriptedPeer discovery) throws IOException {
     String first = discovery.line();
     while (!discovery.line().isEmpty()) {
@@ -33,7 +33,7 @@
   private static final String WATCH = "GET /catalog/members?follow=1&since=%d HTTP/1.1";
 
   @Test
-  void followsAWatchFromTheVersionItKnows() throws Exception {
+  void followsWatchFromKnownVersion() throws Exception {
     try (NodeFixture rig = new NodeFixture();
         ServerSocket second = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       second.setSoTimeout(ScriptedPeer.PATIENCE_MILLIS);
@@ -53,14 +53,14 @@
               + "]}\n";
       discovery.write(NodeFixture.chunk(change));
       serveOne(rig, rig.cache, "back");
-      // Nothing tells a node that it is up to date but the version with which it asks again.
+      // Only the version with which a node polls again shows that it is up to date.
       discovery.close();
       assertEquals(WATCH.formatted(9), call(rig.acceptDiscovery()));
     }
   }
 
   /**
-   * Asks until a request comes to the server; those that the old list sent elsewhere are given up.
+   * Sends requests until one comes to the server; those that the old list sent elsewhere time out.
    */
   private static void serveOne(NodeFixture rig, ServerSocket server, String id) throws Exception {
     server.setSoTimeout(100);
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void asksAgainAfterAFailedCall() throws Exception {
+  void retriesAfterFailedCall() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
       ScriptedPeer first = rig.acceptDiscovery();
       call(first);
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void takesASilentWatchForDead() throws Exception {
+  void endsSilentWatch() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void keepsAWatchUpWhereListsArePushed() throws Exception {
+  void keepsWatchOpenWhereListsArePushed() throws Exception {
     try (NodeFixture rig = new NodeFixture(",\"discovery\":\"push\"")) {
       ScriptedPeer discovery = rig.acceptDiscovery();
       assertEquals(WATCH.formatted(7), call(discovery));
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void asksWhereTheNewConfigurationSays(@TempDir Path folder) throws Exception {
+  void callsServiceOfNewConfiguration(@TempDir Path folder) throws Exception {
     Path config = folder.resolve("config.json");
     try (NodeFixture rig = new NodeFixture();
         ServerSocket second = NodeFixture.listen()) {
@@ -159,13 +159,13 @@
   }
 
   @Test
-  void sharesAConnectionWhenNoFurtherOneComesUp() throws Exception {
+  void sharesConnectionWhenNoOtherCanBeOpened() throws Exception {
     ServerSocket moved = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     try (NodeFixture rig = new NodeFixture(3)) {
       moved.setSoTimeout(ScriptedPeer.PATIENCE_MILLIS);
       rig.client().write(NodeFixture.get("a1", 60_000));
       assertTrue(rig.acceptCache().line().contains("Oa1 "));
-      // The server has moved: the connection to its old address only sees out what is under way.
+      // The server has moved: the connection to its old address only completes open attempts.
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
       String server =
@@ -177,7 +177,7 @@
       rig.client().write(NodeFixture.get("a2", 60_000));
       ScriptedPeer second = new ScriptedPeer(moved.accept());
       assertTrue(second.line().contains("Oa2 "));
-      // Guards against a loop without end over attempts that find no connection of their own.
+      // Prevents an endless loop over attempts that find no connection of their own.
       moved.close();
       rig.client().write(NodeFixture.get("a3", 60_000));
       assertTrue(second.line().contains("Oa3 "));
@@ -194,7 +194,7 @@
   }
 
   @Test
-  void readsListsThatAreIndentedAndCutAnywhere() throws Exception {
+  void readsListsThatAreIndentedAndSplitAnywhere() throws Exception {
     try (NodeFixture rig = new NodeFixture();
         ServerSocket second = NodeFixture.listen()) {
       ScriptedPeer discovery = rig.acceptDiscovery();
@@ -226,7 +226,7 @@
     }
   }
 
-  /** Discovery that says nothing until it is asked anew; after how many milliseconds that is. */
+  /** Discovery that is silent until it is called again; returns after how many milliseconds. */
   private static long millisToNextCall(NodeFixture rig, ScriptedPeer discovery, String last)
       throws Exception {
     discovery.write(last);
@@ -237,18 +237,18 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"ask", "push"})
-  void aWatchThatFallsSilentIsOpenedAnewWellBeforeWhatItMissesBinds(String mode) throws Exception {
+  void reopensSilentWatchBeforeMissedChangesAreBinding(String mode) throws Exception {
     try (NodeFixture rig = new NodeFixture(",\"discovery\":\"" + mode + "\"")) {
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
       long millis = millisToNextCall(rig, discovery, HEAD + NodeFixture.chunk("\n"));
-      // Bound after 6 s, of which a call that waits in turn may take 2.
+      // Binding after 6 s, of which a queued call may take 2.
       assertTrue(millis > 2500 && millis < 3950, "asked anew after " + millis + " ms");
     }
   }
 
   @Test
-  void aListThatDoesNotEndIsGivenUpThoughTheWatchGoesOn() throws Exception {
+  void endsCallWhoseListIsNeverComplete() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
@@ -265,10 +265,10 @@
     }
   }
 
-  /** What an agent gets at the return of discovery binds at once. */
+  /** A list that an agent gets when discovery returns is binding at once. */
   @ParameterizedTest
   @ValueSource(doubles = {2, 0.4})
-  void anAgentThatDoesNotAnswerIsAskedAnewWithinTheGrace(double grace) throws Exception {
+  void retriesSilentAgentWithinDrainGrace(double grace) throws Exception {
     String settings =
         ",\"discovery\":\"push\",\"contract\":{\"ask-within\":10,\"drain-grace\":%s,"
             + "\"cold-from\":0.1,\"warm-within\":1}";
@@ -283,7 +283,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"ask", "push"})
-  void aListThatNamesAnEntryTwiceLeavesTheOldOneInForce(String mode) throws Exception {
+  void rejectsListWithDuplicateEntry(String mode) throws Exception {
     try (NodeFixture rig = new NodeFixture(",\"discovery\":\"" + mode + "\"")) {
       ScriptedPeer discovery = rig.acceptDiscovery();
       call(discovery);
@@ -296,7 +296,7 @@
   }
 
   @Test
-  void anOlderListBringsNobodyBackWhoIsKnownToLeave() throws Exception {
+  void olderListDoesNotReviveDrainingServer() throws Exception {
     try (NodeFixture rig = new NodeFixture();
         ServerSocket other = NodeFixture.listen()) {
       int leaving = rig.cache.getLocalPort();
@@ -328,11 +328,9 @@
     }
   }
 
-  /**
-   * Where lists are asked for calls wait in turn: one made anew is at the end of the line again.
-   */
+  /** Where lists are polled the service queues calls: a repeated one is at the end of the queue. */
   @Test
-  void aCallThatWaitsItsTurnIsNotMadeAnew() throws Exception {
+  void doesNotRepeatQueuedCall() throws Exception {
     String contract =
         ",\"contract\":{\"ask-within\":1,\"drain-grace\":2,\"cold-from\":0.1,\"warm-within\":1}";
     try (NodeFixture rig = new NodeFixture(contract)) {
@@ -345,10 +343,9 @@
     }
   }
 
-  /** What the new service has to tell binds 4 s after the signal. */
+  /** The new service's list is binding 4 s after the signal. */
   @Test
-  void whatTheOldServiceFailedToDoDoesNotSlowCallsToTheNewOne(@TempDir Path folder)
-      throws Exception {
+  void failuresOfOldServiceDoNotDelayCallsToNewOne(@TempDir Path folder) throws Exception {
     String busy = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     Path config = folder.resolve("config.json");
     try (NodeFixture rig = new NodeFixture();
@@ -370,9 +367,9 @@
     }
   }
 
-  /** What an agent has binds from the first moment on, whatever the process was started with. */
+  /** An agent's list is binding from the first moment on, whatever the configuration contains. */
   @Test
-  void aNodeListensOnceItHasTheAgentsList() throws Exception {
+  void listensOnceAgentsListIsApplied() throws Exception {
     try (ServerSocket agent = NodeFixture.listen();
         ServerSocket left = NodeFixture.listen();
         ServerSocket ready = NodeFixture.listen()) {
@@ -382,7 +379,7 @@
                 try {
                   ScriptedPeer call = new ScriptedPeer(agent.accept());
                   call(call);
-                  // Long against what lies between listening and a first request.
+                  // Long compared with the time from listening to a first request.
                   Thread.sleep(100);
                   call.write(
                       HEAD
@@ -392,7 +389,7 @@
                                   server(left.getLocalPort(), "leaving"),
                                   server(ready.getLocalPort(), "active"))));
                 } catch (IOException | InterruptedException e) {
-                  // The test fails by what it waits for.
+                  // The assertion below fails then.
                 }
               });
       answers.start();
@@ -408,9 +405,9 @@
     }
   }
 
-  /** An agent that says nothing, since discovery is down, delays a start by a moment alone. */
+  /** An agent that is silent, since discovery is down, delays a start only briefly. */
   @Test
-  void aNodeListensWhereItsAgentIsSilent() throws Exception {
+  void listensThoughAgentIsSilent() throws Exception {
     try (ServerSocket agent = NodeFixture.listen();
         ServerSocket known = NodeFixture.listen();
         NodeFixture rig = new NodeFixture(agent, known, ",\"discovery\":\"push\"")) {
--- a/engine/src/test/java/shalepaddle/node/DrainTest.java
+++ b/engine/src/test/java/shalepaddle/node/DrainTest.java
@@ -16,8 +16,8 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
- * What clients send up to the moment in which a process may be killed, after it was told to end: it
- * is answered, or the end of its connection tells that it was never read.
+ * Requests that come between the signal to end and the moment in which the process may be killed:
+ * each is answered, or the end of its connection shows that it was never read.
  */
 @Timeout(30)
 class DrainTest {
@@ -53,7 +53,7 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
   }
 
-  /** A server that takes 3 ms over each request; what has come to it. */
+  /** A server that answers each request after 3 ms; returns the requests that came. */
   private Set<String> serveAll() throws IOException {
     Set<String> arrived = ConcurrentHashMap.newKeySet();
     ScriptedPeer cache = rig.acceptCache();
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void aClientThatAlwaysHasARequestOutIsToldWhatWasNotRead() throws Exception {
+  void notifiesBusyClientOfUnreadRequests() throws Exception {
     rig = new NodeFixture(",\"instances\":28" + settings(0.3));
     ScriptedPeer client = rig.client().write(NodeFixture.get("r0", 300));
     Set<String> arrived = serveAll();
@@ -89,14 +89,14 @@
       try {
         client.write(NodeFixture.get("r" + next++, 300));
       } catch (IOException e) {
-        // It has been told already; what it was sent before that it can still read.
+        // Its connection has ended; what was sent before that can still be read.
       }
       line = client.line();
       if (line != null && line.startsWith("VA")) {
         answered.add(line.substring("VA 1 O".length()));
         client.line();
       } else if (line != null) {
-        // A refusal answers the oldest that is open.
+        // A rejection answers the oldest open request.
         assertEquals("SERVER_ERROR busy", line.substring(0, "SERVER_ERROR busy".length()));
       }
     }
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void whoHasAskedForNothingIsEndedBeforeTheProcessMayBeKilled() throws Exception {
+  void closesSilentClientBeforeProcessMayBeKilled() throws Exception {
     rig = new NodeFixture(settings(0.1));
     ScriptedPeer early = rig.client();
     ScriptedPeer half = rig.client().write("mg ke");
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void aHandOverEndsWhoRestsBeforeTheProcessMayBeKilled() throws Exception {
+  void handOverClosesIdleClientBeforeProcessMayBeKilled() throws Exception {
     rig = new NodeFixture(settings(0.1));
     ScriptedPeer client = rig.client().write(NodeFixture.get("a1", 5000));
     serveAll();
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void whatCameWhileTheLoopStoodStillIsAcceptedBeforeTheListenerCloses() throws Exception {
+  void acceptsConnectionsOfStallBeforeListenerCloses() throws Exception {
     rig = new NodeFixture();
     ScriptedPeer[] late = new ScriptedPeer[20];
     drain();
--- a/engine/src/test/java/shalepaddle/node/EventLoopThreadsTest.java
+++ b/engine/src/test/java/shalepaddle/node/EventLoopThreadsTest.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void anErrorThatEndsTheLoopIsAFailureOfTheProcess() throws Exception {
+  void reportsErrorThatEndsLoop() throws Exception {
     run(
         () -> {
           throw new NoClassDefFoundError("forced");
@@ -34,13 +34,13 @@
   }
 
   @Test
-  void soIsALoopThatEndsInSilence() throws Exception {
+  void reportsLoopThatEndsWithoutError() throws Exception {
     run(() -> {});
     assertEquals(1, failures.get());
   }
 
   @Test
-  void aFailureIsToldOfAlsoWhereTheLogFails() throws Exception {
+  void reportsFailureThoughLogFails() throws Exception {
     EventLoopThreads mute =
         new EventLoopThreads(
             new Log(
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void aLoopThatWasToldToEndMayEnd() throws Exception {
+  void reportsNothingAfterShutdownIsAllowed() throws Exception {
     threads.allowShutdown();
     run(() -> {});
     assertEquals(0, failures.get());
--- a/engine/src/test/java/shalepaddle/node/MetersTest.java
+++ b/engine/src/test/java/shalepaddle/node/MetersTest.java
@@ -13,7 +13,7 @@
   private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
 
   @Test
-  void theNewestReadingIsShown() {
+  void showsNewestSnapshot() {
     AtomicReference<CoalescingSnapshot> reading = new AtomicReference<>();
     new CoalescingMetrics(reading::get, Tags.of("node", "n0")).bindTo(registry);
     assertEquals(0, registry.get("shalepaddle.joining.waiting").gauge().value(), "not joined");
@@ -37,7 +37,7 @@
     assertEquals(1, registry.get("shalepaddle.joining.left").functionCounter().count());
   }
 
-  /** Keeps neither the binder nor what it reads from. */
+  /** References neither the binder nor its source after it returns. */
   private void bind() {
     AtomicReference<CoalescingSnapshot> reading =
         new AtomicReference<>(new CoalescingSnapshot(0, 0, 0, 0, 0, 0, 1, 7, 0));
--- a/engine/src/test/java/shalepaddle/node/OperatorFileTest.java
+++ b/engine/src/test/java/shalepaddle/node/OperatorFileTest.java
@@ -24,14 +24,14 @@
   }
 
   @Test
-  void theFileThatIsDeployedSaysWhatHoldsWithoutIt() throws Exception {
+  void deployedFileContainsDefaults() throws Exception {
     assertEquals(OperatorFile.DEFAULTS, OperatorFile.load("deploy/operator.toml"));
     assertEquals(OperatorFile.DEFAULTS, load(""));
     assertEquals(OperatorFile.DEFAULTS, OperatorFile.load(null));
   }
 
   @Test
-  void figuresAreTakenInTheirUnits() throws Exception {
+  void convertsValuesFromTheirUnits() throws Exception {
     assertEquals(
         new OverloadConfig(false, 0.02, 0.05, 0.2, 0.1, 0.25),
         load("[overload];shed = false;target_ms = 20;learn = 0.05;repeats = 0.2;"
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void readsAreJoinedOnlyWhereItSaysSo() throws Exception {
+  void coalescesReadsOnlyWhenEnabled() throws Exception {
     assertEquals(CoalescingConfig.OFF, load("").coalescing());
     assertEquals(CoalescingConfig.DEFAULTS, load("[joining];join = true").coalescing());
     assertEquals(
@@ -67,7 +67,7 @@
         "[joining];join = true;callers = 1|line 3: callers is 1.0, and must be from 2.0 to",
         "[joining];age_ms = 0|line 2: age_ms is 0.0, and must be from 1.0 to 60000.0"
       })
-  void whatIsWrongIsNamedWithItsLine(String text, String message) {
+  void namesLineOfError(String text, String message) {
     FormatException e = assertThrows(FormatException.class, () -> load(text));
     String said = e.getMessage();
     String from = said.substring(said.indexOf(", line ") + 2);
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void aFileThatIsNotThereIsNamed() {
+  void namesMissingFile() {
     FormatException e =
         assertThrows(FormatException.class, () -> OperatorFile.load("no/such/file.toml"));
     assertEquals("cannot read the operator file no/such/file.toml", e.getMessage());
--- a/engine/src/test/java/shalepaddle/node/ProcessorUseTest.java
+++ b/engine/src/test/java/shalepaddle/node/ProcessorUseTest.java
@@ -8,7 +8,7 @@
 
 class ProcessorUseTest {
   @Test
-  void isAPartOfTheCoresAndReadSeldom() {
+  void isRatioOfCoresAndReadRarely() {
     ProcessorUse half = new ProcessorUse(0.5);
     ProcessorUse eight = new ProcessorUse(8);
     long now = System.nanoTime();
@@ -19,7 +19,7 @@
       sum += Math.sqrt(sum + 1);
     }
     assertTrue(Double.isNaN(half.usedRatio(now + 1)), "no sooner than in half a second");
-    // Told that a second has passed: the work done is the same for both, and more than nothing.
+    // As if a second had passed: the work done is the same for both, and more than nothing.
     long later = now + TimeUnit.SECONDS.toNanos(1);
     double share = half.usedRatio(later);
     assertTrue(share > 0.05, "share of half a core: " + share + ", " + sum);
@@ -27,9 +27,9 @@
     assertEquals(share, half.usedRatio(later + 1), "as it was read last");
   }
 
-  /** The platform's own figure, asked before and after, has it between. */
+  /** The value lies between the platform's own, read before and after. */
   @Test
-  void tellsWhatThePlatformTells() {
+  void agreesWithPlatform() {
     long before = platform();
     long used = new ProcessorUse(1).usedNanos();
     long after = platform();
--- a/engine/src/test/java/shalepaddle/node/ServerDrainingTest.java
+++ b/engine/src/test/java/shalepaddle/node/ServerDrainingTest.java
@@ -25,7 +25,7 @@
       ,"instances":%d,"caps":{"attempts-cap":3,"cancel":false,"parallel-tries":%b,\
       "multiplex":%d,"connect-timeout":8,"conn-idle":60}""";
 
-  private static final String DOOR = "},\"management\":\"127.0.0.1:0\",\"unused\":{";
+  private static final String ADMIN_SERVER = "},\"management\":\"127.0.0.1:0\",\"unused\":{";
 
   private ServerSocket other;
   private NodeFixture rig;
@@ -64,7 +64,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"leaving", "left", "moved", "active"})
   void whatWaitsForAPlaceGoesElsewhere(String state) throws Exception {
-    rig = new NodeFixture(CAPS.formatted(28, false, 1) + DOOR);
+    rig = new NodeFixture(CAPS.formatted(28, false, 1) + ADMIN_SERVER);
     client = rig.client().write(NodeFixture.get("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().contains("Oa1 "));
--- a/engine/src/test/java/shalepaddle/node/WarmupTest.java
+++ b/engine/src/test/java/shalepaddle/node/WarmupTest.java
@@ -8,11 +8,11 @@
 
 class WarmupTest {
   /**
-   * Where what it waits for never came, every start took its longest time and was not warm. Again
-   * and again: once its code is compiled, all is answered at once, and calls met within calls.
+   * A warm-up that waits in vain takes its longest time at each start. Repeated, since calls were
+   * once made within calls when all code was compiled and answers came at once.
    */
   @RepeatedTest(25)
-  void answersAllItsRequestsWithinTheProcess() throws Exception {
+  void answersAllRequestsWithinProcess() throws Exception {
     assertEquals(
         Warmup.REQUEST_COUNT, Warmup.run(NodeConfig.rehearsal(), Transport.sockets(), new Log()));
   }
--- a/engine/src/test/java/shalepaddle/sockets/AcceptBackoffTest.java
+++ b/engine/src/test/java/shalepaddle/sockets/AcceptBackoffTest.java
@@ -8,7 +8,7 @@
   private final AcceptBackoff backoff = new AcceptBackoff();
 
   @Test
-  void triesAgainSoonAndEverLaterUpToABound() {
+  void doublesDelayUpToMaximum() {
     long last = 0;
     for (int i = 0; i < 20; i++) {
       long delay = backoff.nextDelayMillis();
