--- a/core/src/main/java/shalepaddle/overload/AdmissionController.java
+++ b/core/src/main/java/shalepaddle/overload/AdmissionController.java
@@ -6,151 +6,152 @@
 /**
  * Which requests are admitted while the processor is short, decided from a request's tier alone.
  *
- * <p>Ten times a second the {@link AimdRateLimit} is dealt out over the tiers by what came of each
- * lately, from the one that is worth most down: tiers above the brink pass whole, the one on it in
- * part, and of those below only a small part, which keeps telling what they would cost and lets no
- * tier be locked out for good. The brink moves smoothly, since the tier on it is admitted by chance
- * and not by turns. Repeats keep, besides, within a share of the first tries that were admitted:
- * where all is refused, repeats multiply the load that makes it so.
+ * <p>Ten times a second the limit of {@link AimdRateLimit} is distributed over the tiers by their
+ * recent rates, from the highest priority down: tiers above the admission threshold are admitted
+ * completely, the tier at it in part and at random, and of those below only a small part, which
+ * shows what they would cost and starves no tier. Retries are limited, besides, to a ratio of the
+ * first attempts that were admitted, as in a retry storm they multiply the load.
  *
- * <p>Time is an argument, in nanoseconds. Not thread-safe: it belongs to one event loop.
+ * <p>Time is an argument, in nanoseconds. Not thread-safe: owned by one event loop.
  */
 public final class AdmissionController {
-  /** Weight of the last interval in what is thought to come: storms rise within some of them. */
-  private static final double FRESH = 0.5;
+  /** Weight of the last interval in the rates, since retry storms rise within some of them. */
+  private static final double RATE_GAIN_RATIO = 0.5;
 
-  /** Repeats that may be saved up. */
-  private static final double REPEAT_BURST = 20;
+  /** Retries that may be saved up. */
+  private static final double MAX_RETRY_TOKENS = 20;
 
-  /** Repeats that an interval's spare admits at most: some hundred times what a loop does then. */
-  private static final double MOST_SPARE = 100_000;
+  /** Retries for which the unused limit of an interval may be granted. */
+  private static final double MAX_UNUSED_TOKENS = 100_000;
 
-  private static final double LONGEST_ADVICE = 5;
+  private static final double MAX_RETRY_AFTER_SECONDS = 5;
 
-  private final OverloadConfig tuning;
-  private final AimdRateLimit limitPerSecond;
+  private final OverloadConfig config;
+  private final AimdRateLimit rateLimit;
   private final SplittableRandom random;
-  private double[] offeredRates;
+  private double[] offeredPerSecond;
   private double[] admittedRatio;
   private int[] offeredCount;
-  private long[] offeredInAll;
-  private long[] refusedInAll;
-  private long begunAt;
-  private boolean begun;
-  private boolean known;
-  private int admitted;
-  private double repeatTokens = REPEAT_BURST;
+  private long[] offeredTotals;
+  private long[] rejectedTotals;
+  private long intervalBeganAtNanos;
+  private boolean hasBegun;
+  private boolean areRatesKnown;
+  private int admittedInInterval;
+  private double retryTokens = MAX_RETRY_TOKENS;
   private long rejectedRetryCount;
 
-  /** Admits all, until the event loop falls behind. */
-  public AdmissionController(OverloadConfig tuning, PriorityTiers tiers, long seed) {
-    this(tuning, seed);
+  /** Admits all, until the event loop is overloaded. */
+  public AdmissionController(OverloadConfig config, PriorityTiers tiers, long seed) {
+    this(config, seed);
     resetTiers(tiers.count());
   }
 
-  AdmissionController(OverloadConfig tuning, long seed) {
-    this.tuning = tuning;
-    limitPerSecond = new AimdRateLimit(tuning.targetDelaySeconds());
+  AdmissionController(OverloadConfig config, long seed) {
+    this.config = config;
+    rateLimit = new AimdRateLimit(config.targetDelaySeconds());
     random = new SplittableRandom(seed);
   }
 
-  /** Begins with so many tiers, none of which is known; the limit on all together is kept. */
+  /** Begins with so many tiers, whose rates are not known; the limit on all together is kept. */
   void resetTiers(int count) {
-    offeredRates = new double[count];
+    offeredPerSecond = new double[count];
     admittedRatio = new double[count];
     offeredCount = new int[count];
-    offeredInAll = new long[count];
-    refusedInAll = new long[count];
-    known = false;
+    offeredTotals = new long[count];
+    rejectedTotals = new long[count];
+    areRatesKnown = false;
     Arrays.fill(admittedRatio, 1);
   }
 
-  /** Whether requests may be refused now: while not, none needs to be asked about. */
+  /** Whether requests may be rejected now: while not, all are admitted. */
   public boolean isLimiting() {
-    return limitPerSecond.limited();
+    return rateLimit.isLimiting();
   }
 
   /**
-   * A request has come; whether it is admitted. What is not must be refused, and never sent on.
+   * Decides on a request; one that is not admitted must be rejected, and never forwarded.
    *
-   * @param tier as {@link PriorityTiers} has it
-   * @param repeat whether its client has tried before
+   * @param tier its tier by {@link PriorityTiers}
+   * @param isRetry whether it is a retry
    */
-  public boolean admit(int tier, boolean repeat) {
+  public boolean admit(int tier, boolean isRetry) {
     offeredCount[tier]++;
-    offeredInAll[tier]++;
-    boolean pass = admittedRatio[tier] >= 1 || random.nextDouble() < admittedRatio[tier];
-    if (pass && isLimiting()) {
-      if (!repeat) {
-        repeatTokens =
-            Math.max(repeatTokens, Math.min(REPEAT_BURST, repeatTokens + tuning.retryRatio()));
-      } else if (repeatTokens >= 1) {
-        repeatTokens--;
+    offeredTotals[tier]++;
+    boolean isAdmitted = admittedRatio[tier] >= 1 || random.nextDouble() < admittedRatio[tier];
+    if (isAdmitted && isLimiting()) {
+      if (!isRetry) {
+        retryTokens =
+            Math.max(retryTokens, Math.min(MAX_RETRY_TOKENS, retryTokens + config.retryRatio()));
+      } else if (retryTokens >= 1) {
+        retryTokens--;
       } else {
         rejectedRetryCount++;
-        pass = false;
+        isAdmitted = false;
       }
     }
-    if (pass) {
-      admitted++;
+    if (isAdmitted) {
+      admittedInInterval++;
     } else {
-      refusedInAll[tier]++;
+      rejectedTotals[tier]++;
     }
-    return pass;
+    return isAdmitted;
   }
 
   /**
-   * How long a refused client should stay away, in seconds: as many times the least as there are
-   * more requests than are admitted, and by up to half more or less, so that those who were refused
-   * together don't come back together.
+   * Seconds for which a rejected client should stay away: the configured minimum times the ratio of
+   * offered to admitted requests, with jitter of a half so that clients that were rejected together
+   * do not come back together.
    */
   public double retryAfterSeconds() {
-    double excess = isLimiting() ? Math.max(1, sum(offeredRates) / limitPerSecond.limit()) : 1;
+    double excess =
+        isLimiting() ? Math.max(1, sum(offeredPerSecond) / rateLimit.limitPerSecond()) : 1;
     double spread = 0.5 + random.nextDouble();
-    return Math.min(LONGEST_ADVICE, tuning.minRetryAfterSeconds() * excess * spread);
+    return Math.min(MAX_RETRY_AFTER_SECONDS, config.minRetryAfterSeconds() * excess * spread);
   }
 
-  /** An interval ends in which so many seconds of delay stood in the event loop. */
-  public void onIntervalEnd(double stood, long now) {
-    double seconds = begun ? Math.max(1e-3, (now - begunAt) / 1e9) : 0;
-    begunAt = now;
-    if (!begun) {
-      begun = true;
+  /** An interval has ended; the least delay of the event loop in it was so many seconds. */
+  public void onIntervalEnd(double delaySeconds, long now) {
+    double seconds = hasBegun ? Math.max(1e-3, (now - intervalBeganAtNanos) / 1e9) : 0;
+    intervalBeganAtNanos = now;
+    if (!hasBegun) {
+      hasBegun = true;
     } else {
       for (int tier = 0; tier < offeredCount.length; tier++) {
         double rate = offeredCount[tier] / seconds;
-        // The first interval is all that is known: overload may begin with the first request.
-        offeredRates[tier] += (known ? FRESH : 1) * (rate - offeredRates[tier]);
+        // The first interval counts in full, as overload may begin with the first request.
+        offeredPerSecond[tier] +=
+            (areRatesKnown ? RATE_GAIN_RATIO : 1) * (rate - offeredPerSecond[tier]);
       }
-      known = true;
-      if (tuning.isSheddingEnabled()) {
-        limitPerSecond.next(stood, admitted / seconds, sum(offeredRates));
-        dealOut();
-        spare(seconds);
+      areRatesKnown = true;
+      if (config.isSheddingEnabled()) {
+        rateLimit.update(delaySeconds, admittedInInterval / seconds, sum(offeredPerSecond));
+        updateAdmittedRatios();
+        grantUnusedLimitToRetries(seconds);
       }
     }
     Arrays.fill(offeredCount, 0);
-    admitted = 0;
+    admittedInInterval = 0;
   }
 
   /**
-   * What the limit left over may go to repeats. Guards against a standstill in which all clients
-   * repeat: with no first tries there is no share of them.
+   * Grants half of the limit that was not used to retries. Else none would be admitted where all
+   * clients send retries, as they are admitted in proportion to first attempts.
    */
-  private void spare(double seconds) {
+  private void grantUnusedLimitToRetries(double seconds) {
     if (isLimiting()) {
-      double spare = (limitPerSecond.limit() * seconds - admitted) / 2;
-      repeatTokens = Math.max(repeatTokens, Math.min(spare, MOST_SPARE));
+      double unused = (rateLimit.limitPerSecond() * seconds - admittedInInterval) / 2;
+      retryTokens = Math.max(retryTokens, Math.min(unused, MAX_UNUSED_TOKENS));
     }
   }
 
-  private void dealOut() {
-    double left = limitPerSecond.limit();
+  private void updateAdmittedRatios() {
+    double remaining = rateLimit.limitPerSecond();
     for (int tier = 0; tier < admittedRatio.length; tier++) {
-      double rate = offeredRates[tier];
-      double pass = rate <= left ? 1 : left / rate;
-      admittedRatio[tier] = Math.max(tuning.minAdmittedRatio(), pass);
-      left = Math.max(0, left - pass * rate);
+      double rate = offeredPerSecond[tier];
+      double ratio = rate <= remaining ? 1 : remaining / rate;
+      admittedRatio[tier] = Math.max(config.minAdmittedRatio(), ratio);
+      remaining = Math.max(0, remaining - ratio * rate);
     }
   }
 
@@ -162,27 +163,27 @@
     return sum;
   }
 
-  /** The part of a tier that is admitted, from 0 to 1. */
+  /** The part of a tier that is admitted now, from 0 to 1. */
   public double admittedRatio(int tier) {
     return admittedRatio[tier];
   }
 
   /** Requests a second that may be admitted, infinite where there is no limit. */
   public double limitPerSecond() {
-    return limitPerSecond.limit();
+    return rateLimit.limitPerSecond();
   }
 
   /** Requests of a tier that came, since the start. */
   public long offeredCount(int tier) {
-    return offeredInAll[tier];
+    return offeredTotals[tier];
   }
 
-  /** Requests of a tier that were refused, since the start. */
+  /** Requests of a tier that were rejected, since the start. */
   public long rejectedCount(int tier) {
-    return refusedInAll[tier];
+    return rejectedTotals[tier];
   }
 
-  /** Repeats that were refused for want of first tries, since the start. */
+  /** Retries that were rejected for their ratio to first attempts, since the start. */
   public long rejectedRetryCount() {
     return rejectedRetryCount;
   }
--- a/core/src/main/java/shalepaddle/overload/AdmissionQueue.java
+++ b/core/src/main/java/shalepaddle/overload/AdmissionQueue.java
@@ -6,103 +6,104 @@
 import java.util.function.Consumer;
 
 /**
- * Requests that have been read and wait for their turn in the event loop: those that are worth most
- * first, and among equals by an adaptive order.
+ * Requests that have been read and wait for the event loop, by priority tier and, within a tier, in
+ * an adaptive order.
  *
- * <p>In order of arrival while the queue is short-lived; newest first once it stands, since what
- * has waited longest is nearest to useless (adaptive LIFO; Maurer, "Fail at Scale", ACM Queue
- * 2015). Bounded in number and in time: what has waited too long is handed back to be refused, and
- * at the bound the oldest of the least worth. So no queue stands here for longer than the bound,
- * and whoever is not served hears so at once.
+ * <p>First in, first out while the queue is short-lived; last in, first out once it is a standing
+ * queue, since the request that has waited longest is nearest to its deadline (adaptive LIFO;
+ * Maurer, "Fail at Scale", ACM Queue 2015). Bounded in number and in time: what has waited too long
+ * is rejected, and at the bound the oldest of the lowest priority is.
  *
  * <p>Time is an argument, in nanoseconds. Not thread-safe.
  *
- * @param <T> what waits
+ * @param <T> the items
  */
 public final class AdmissionQueue<T> {
-  /** A queue that has not been empty for so long stands. */
-  private static final long STANDS_NANOS = 100_000_000L;
+  /** A queue that has not been empty for so long is a standing queue. */
+  private static final long STANDING_QUEUE_NANOS = 100_000_000L;
 
-  private record Waiting<T>(T item, long since) {}
+  private record Waiting<T>(T item, long sinceNanos) {}
 
-  private final List<ArrayDeque<Waiting<T>>> lanes = new ArrayList<>();
-  private final int most;
-  private final long longestNanos;
-  private final Consumer<T> refused;
+  private final List<ArrayDeque<Waiting<T>>> queuesByTier = new ArrayList<>();
+  private final int maxItems;
+  private final long maxWaitNanos;
+  private final Consumer<T> onRejected;
   private int size;
-  private long begunAt;
+  private long nonEmptySinceNanos;
 
   /**
    * An empty queue.
    *
    * @param tiers how many tiers there are
-   * @param most items that wait at most, above 0
-   * @param longestNanos how long one waits at most
-   * @param refused is given what is not served
+   * @param maxItems the most items that wait, above 0
+   * @param maxWaitNanos the longest that one waits
+   * @param onRejected receives each item that is not served
    */
-  public AdmissionQueue(int tiers, int most, long longestNanos, Consumer<T> refused) {
-    if (tiers < 1 || most < 1 || longestNanos <= 0) {
+  public AdmissionQueue(int tiers, int maxItems, long maxWaitNanos, Consumer<T> onRejected) {
+    if (tiers < 1 || maxItems < 1 || maxWaitNanos <= 0) {
       throw new IllegalArgumentException(
-          "%d tiers, %d items, %d ns".formatted(tiers, most, longestNanos));
+          "%d tiers, %d items, %d ns".formatted(tiers, maxItems, maxWaitNanos));
     }
-    this.most = most;
-    this.longestNanos = longestNanos;
-    this.refused = refused;
+    this.maxItems = maxItems;
+    this.maxWaitNanos = maxWaitNanos;
+    this.onRejected = onRejected;
     for (int i = 0; i < tiers; i++) {
-      lanes.add(new ArrayDeque<>());
+      queuesByTier.add(new ArrayDeque<>());
     }
   }
 
-  /** Lets an item wait; hands another back if that is one too many. */
+  /** Adds an item; rejects the oldest of the lowest priority if that is one too many. */
   public void offer(T item, int tier, long now) {
     if (size == 0) {
-      begunAt = now;
+      nonEmptySinceNanos = now;
     }
-    lanes.get(tier).addLast(new Waiting<>(item, now));
+    queuesByTier.get(tier).addLast(new Waiting<>(item, now));
     size++;
-    if (size > most) {
-      for (int lane = lanes.size() - 1; lane >= 0; lane--) {
-        if (!lanes.get(lane).isEmpty()) {
-          handBack(lanes.get(lane));
+    if (size > maxItems) {
+      for (int lane = queuesByTier.size() - 1; lane >= 0; lane--) {
+        if (!queuesByTier.get(lane).isEmpty()) {
+          rejectOldest(queuesByTier.get(lane));
           return;
         }
       }
     }
   }
 
-  /** The next item to be served, after those that have waited too long are handed back. */
+  /**
+   * Removes the next item to serve, after rejecting those that have waited too long; null if empty.
+   */
   public T poll(long now) {
-    for (ArrayDeque<Waiting<T>> lane : lanes) {
-      while (!lane.isEmpty() && now - lane.peekFirst().since() > longestNanos) {
-        handBack(lane);
+    for (ArrayDeque<Waiting<T>> lane : queuesByTier) {
+      while (!lane.isEmpty() && now - lane.peekFirst().sinceNanos() > maxWaitNanos) {
+        rejectOldest(lane);
       }
     }
-    boolean stands = now - begunAt > STANDS_NANOS;
-    for (ArrayDeque<Waiting<T>> lane : lanes) {
+    boolean isStanding = now - nonEmptySinceNanos > STANDING_QUEUE_NANOS;
+    for (ArrayDeque<Waiting<T>> lane : queuesByTier) {
       if (!lane.isEmpty()) {
         size--;
-        return (stands ? lane.pollLast() : lane.pollFirst()).item();
+        return (isStanding ? lane.pollLast() : lane.pollFirst()).item();
       }
     }
     return null;
   }
 
-  private void handBack(ArrayDeque<Waiting<T>> lane) {
+  private void rejectOldest(ArrayDeque<Waiting<T>> lane) {
     size--;
-    refused.accept(lane.pollFirst().item());
+    onRejected.accept(lane.pollFirst().item());
   }
 
-  /** Hands back all that waits. */
+  /** Rejects all items. */
   public void rejectAll() {
-    lanes.forEach(
+    queuesByTier.forEach(
         lane -> {
           while (!lane.isEmpty()) {
-            handBack(lane);
+            rejectOldest(lane);
           }
         });
   }
 
-  /** How many wait. */
+  /** How many items wait. */
   public int size() {
     return size;
   }
@@ -110,9 +111,9 @@
   /** Nanoseconds for which the oldest has waited, 0 if none waits. */
   public long oldestWaitNanos(long now) {
     long oldest = 0;
-    for (ArrayDeque<Waiting<T>> lane : lanes) {
+    for (ArrayDeque<Waiting<T>> lane : queuesByTier) {
       if (!lane.isEmpty()) {
-        oldest = Math.max(oldest, now - lane.peekFirst().since());
+        oldest = Math.max(oldest, now - lane.peekFirst().sinceNanos());
       }
     }
     return oldest;
--- a/core/src/main/java/shalepaddle/overload/AimdRateLimit.java
+++ b/core/src/main/java/shalepaddle/overload/AimdRateLimit.java
@@ -1,135 +1,139 @@
 package shalepaddle.overload;
 
 /**
- * How many requests a second are admitted, from the delay that stands in the event loop.
+ * How many requests a second are admitted, from the least delay of the event loop in each interval.
  *
- * <p>The idea is that of congestion control, additive growth and multiplicative decrease, with
- * CoDel's standing delay in the place of losses. With a target {@code T} and a delay {@code d} that
- * stood through an interval in which {@code a} requests a second were admitted, the limit becomes
+ * <p>Congestion control with additive increase and multiplicative decrease, with CoDel's standing
+ * delay in place of losses. With a target {@code T} and a delay {@code d} in an interval in which
+ * {@code a} requests a second were admitted, the limit becomes
  *
  * <pre>
- *   min(limit, a) · (1 − min({@value #MOST_CUT}, {@value #CUT} · d / T))   where d harms, unless it falls
- *   limit · (1 + {@value #REGAIN})   elsewhere, up to {@value #KNOWN} of what was admitted at the last cut
- *   limit · (1 + {@value #GROWTH})   elsewhere, above that
+ *   min(limit, a) · (1 − min({@value #MAX_DECREASE_RATIO}, {@value #DECREASE_PER_TARGET_RATIO} · d / T))   on overload, unless d falls
+ *   limit · (1 + {@value #RECOVERY_RATIO})   otherwise, up to {@value #RECOVERED_CAPACITY_RATIO} of the known capacity
+ *   limit · (1 + {@value #INCREASE_RATIO})   otherwise, above that
  * </pre>
  *
- * <p>A delay harms where it is above T and grows, or stands at {@value #HARMS} T and more. One that
- * stands a little above T is that of clients who wait for their answers: each turn serves each of
- * them once, and is as long as they are many. Refusing them shortens turns and serves nobody: who
- * is refused asks again at once, refusals take the time of answers, and a limit that was held there
- * stayed for good once anything had set it off (a metastable failure; Bronson et al., "Metastable
- * Failures in Distributed Systems", HotOS 2021). So the limit rises again wherever the delay does
- * not harm, and goodput comes back with it.
+ * <p>A delay is overload where it is above T and grows, or is {@value #OVERLOAD_DELAY_RATIO} T and
+ * more. One that stays a little above T is that of clients which wait for their answers: each turn
+ * of the loop serves each of them once. Rejecting them would shorten turns and serve nobody, as
+ * they retry at once and rejections take the time of answers (a metastable failure; Bronson et al.,
+ * "Metastable Failures in Distributed Systems", HotOS 2021).
  *
- * <p>A delay that falls is a queue that drains: cutting on would cut for the same queue again and
- * again. What was admitted when the loop was last behind is about what it can do, so the limit
- * comes back to there fast and feels its way slowly from there on, as CUBIC does (RFC 9438). For
- * the first {@value #YOUNG} intervals it always comes back fast: what a start could do while its
- * code was compiled says nothing of what it can do now. It is lifted once it has exceeded what is
- * offered for a second.
+ * <p>A falling delay is a queue that drains, for which the limit was decreased already. What was
+ * admitted at the last overload is about the capacity, so the limit returns there fast and grows
+ * slowly from there on, as CUBIC's window does (RFC 9438). In the first {@value #WARMUP_INTERVALS}
+ * intervals it always returns fast. It is lifted once it has exceeded the offered rate for a
+ * second.
  *
- * <p>Guards against a queue before the event loop in which every request waits until its answer is
- * useless. A limit on the rate, rather than on a share of what comes, holds also while a storm of
- * repeats multiplies what comes. Could do harm where the delay has another cause than requests: the
- * limit then falls to {@value #LEAST_PART} of what the loop has lately done, and fades with it.
+ * <p>Prevents a queue before the event loop in which every request waits past its deadline. A limit
+ * on the rate, rather than on a fraction of requests, also holds during a retry storm. Cost: where
+ * the delay has another cause than requests, the limit falls to {@value #MIN_CAPACITY_RATIO} of the
+ * recent capacity.
  *
- * <p>Not thread-safe.
+ * <p>Delays are in seconds. Not thread-safe.
  */
 final class AimdRateLimit {
-  private static final double CUT = 0.1;
-  private static final double MOST_CUT = 0.3;
-  private static final double GROWTH = 0.03;
-  private static final double REGAIN = 0.15;
-  private static final double KNOWN = 0.9;
+  private static final double DECREASE_PER_TARGET_RATIO = 0.1;
+  private static final double MAX_DECREASE_RATIO = 0.3;
+  private static final double INCREASE_RATIO = 0.03;
+  private static final double RECOVERY_RATIO = 0.15;
+  private static final double RECOVERED_CAPACITY_RATIO = 0.9;
 
-  /** A delay below this part of the one before falls. */
-  private static final double FALLING = 0.8;
+  /** A delay below this part of the previous one is falling. */
+  private static final double FALLING_DELAY_RATIO = 0.8;
 
-  /** A delay of so many targets harms, whether it grows or not. */
-  private static final double HARMS = 1.5;
+  /** A delay of so many targets is overload, whether it grows or not. */
+  private static final double OVERLOAD_DELAY_RATIO = 1.5;
 
-  /** A delay of so many times the one before, or the target if that is more, grows. */
-  private static final double GROWS = 1.1;
+  /** A delay of so many times the previous one, or the target if greater, is growing. */
+  private static final double GROWING_DELAY_RATIO = 1.1;
 
-  /** Requests a second that any processor does. */
-  private static final double LEAST = 10;
+  /** Requests a second that any processor can serve. */
+  private static final double MIN_LIMIT_PER_SECOND = 10;
 
   /**
-   * The part of what the loop has lately done that it may always do: what is left of its time after
-   * that is for refusing. Below it, the delay comes from refusals, and cutting on would serve
-   * nobody.
+   * The part of the recent capacity that is always admitted. Below it, the delay comes from
+   * rejections, and a lower limit would serve nobody.
    */
-  private static final double LEAST_PART = 0.3;
+  private static final double MIN_CAPACITY_RATIO = 0.3;
 
-  /** What the loop did counts a tenth less after a second: the processor may be shared. */
-  private static final double FADES = 0.99;
+  /** Decay of the known capacity in each interval, as other processes may use the processor. */
+  private static final double CAPACITY_DECAY_RATIO = 0.99;
 
-  /**
-   * The limit is lifted after so many intervals in which this part above what is offered passes.
-   */
-  private static final int LIFT_AFTER = 10;
+  /** The limit is lifted after so many intervals in which it was not used. */
+  private static final int UNUSED_INTERVALS_TO_LIFT = 10;
 
-  private static final double AMPLE = 1.2;
+  private static final double UNUSED_LIMIT_RATIO = 1.2;
 
-  /**
-   * For so many intervals what the process can do is not known: its code is being compiled, and
-   * does several times as much a moment later as when it was last behind.
-   */
-  private static final int YOUNG = 100;
+  /** Intervals in which code is being compiled, so that the capacity grows quickly. */
+  private static final int WARMUP_INTERVALS = 100;
 
-  private final double target;
-  private double limit = Double.POSITIVE_INFINITY;
-  private double able;
-  private double before;
-  private int ample;
-  private int young = YOUNG;
+  private final double targetDelaySeconds;
+  private double limitPerSecond = Double.POSITIVE_INFINITY;
+  private double capacityPerSecond;
+  private double previousDelaySeconds;
+  private int unusedIntervals;
+  private int warmupIntervalsLeft = WARMUP_INTERVALS;
 
   AimdRateLimit(double target) {
-    this.target = target;
+    this.targetDelaySeconds = target;
   }
 
   /**
    * An interval has ended.
    *
-   * @param standing seconds of delay that stood through it
-   * @param admitted requests a second that were admitted
-   * @param offered requests a second that came
+   * @param delaySeconds the least delay of the event loop in it
+   * @param admittedPerSecond requests a second that were admitted
+   * @param offeredPerSecond requests a second that were offered
    * @return requests a second that may be admitted from now on, infinite where there is no limit
    */
-  double next(double standing, double admitted, double offered) {
-    boolean harms = standing >= HARMS * target || standing > GROWS * Math.max(before, target);
-    if (harms) {
-      if (!limited() || standing > FALLING * before) {
-        double cut = Math.min(MOST_CUT, CUT * standing / target);
-        able = Math.max(admitted, able);
-        limit = Math.max(least(), Math.min(limit, admitted) * (1 - cut));
+  double update(double delaySeconds, double admittedPerSecond, double offeredPerSecond) {
+    boolean isOverloaded =
+        delaySeconds >= OVERLOAD_DELAY_RATIO * targetDelaySeconds
+            || delaySeconds
+                > GROWING_DELAY_RATIO * Math.max(previousDelaySeconds, targetDelaySeconds);
+    if (isOverloaded) {
+      if (!isLimiting() || delaySeconds > FALLING_DELAY_RATIO * previousDelaySeconds) {
+        double decrease =
+            Math.min(
+                MAX_DECREASE_RATIO, DECREASE_PER_TARGET_RATIO * delaySeconds / targetDelaySeconds);
+        capacityPerSecond = Math.max(admittedPerSecond, capacityPerSecond);
+        limitPerSecond =
+            Math.max(
+                minLimitPerSecond(), Math.min(limitPerSecond, admittedPerSecond) * (1 - decrease));
       }
-      ample = 0;
-    } else if (limited()) {
-      limit *= 1 + (limit < KNOWN * able || young > 0 ? REGAIN : GROWTH);
-      ample = limit >= AMPLE * offered ? ample + 1 : 0;
-      if (ample >= LIFT_AFTER) {
-        limit = Double.POSITIVE_INFINITY;
-        ample = 0;
+      unusedIntervals = 0;
+    } else if (isLimiting()) {
+      limitPerSecond *=
+          1
+              + (limitPerSecond < RECOVERED_CAPACITY_RATIO * capacityPerSecond
+                      || warmupIntervalsLeft > 0
+                  ? RECOVERY_RATIO
+                  : INCREASE_RATIO);
+      unusedIntervals =
+          limitPerSecond >= UNUSED_LIMIT_RATIO * offeredPerSecond ? unusedIntervals + 1 : 0;
+      if (unusedIntervals >= UNUSED_INTERVALS_TO_LIFT) {
+        limitPerSecond = Double.POSITIVE_INFINITY;
+        unusedIntervals = 0;
       }
     }
-    before = standing;
-    able *= FADES;
-    young = Math.max(0, young - 1);
-    return limit;
+    previousDelaySeconds = delaySeconds;
+    capacityPerSecond *= CAPACITY_DECAY_RATIO;
+    warmupIntervalsLeft = Math.max(0, warmupIntervalsLeft - 1);
+    return limitPerSecond;
   }
 
-  private double least() {
-    return Math.max(LEAST, LEAST_PART * able);
+  private double minLimitPerSecond() {
+    return Math.max(MIN_LIMIT_PER_SECOND, MIN_CAPACITY_RATIO * capacityPerSecond);
   }
 
   /** Requests a second; infinite where there is no limit. */
-  double limit() {
-    return limit;
+  double limitPerSecond() {
+    return limitPerSecond;
   }
 
   /** Whether there is a limit. */
-  boolean limited() {
-    return limit < Double.POSITIVE_INFINITY;
+  boolean isLimiting() {
+    return limitPerSecond < Double.POSITIVE_INFINITY;
   }
 }
--- a/core/src/main/java/shalepaddle/overload/DegradationPolicy.java
+++ b/core/src/main/java/shalepaddle/overload/DegradationPolicy.java
@@ -1,26 +1,26 @@
 package shalepaddle.overload;
 
 /**
- * What a load balancer does without while a resource is short. Each answer belongs to one resource:
- * where bytes are short, bytes are freed and no request is shed for it; where the processor is
- * short, no connection is closed, since each would have to be opened again.
+ * What is reduced while a resource is short. Each measure belongs to one resource: a shortage of
+ * memory frees buffers and sheds no request; a shortage of processor time closes no connection, as
+ * each would have to be opened again. Immutable.
  *
- * @param maxPendingResponses answers that one client's connection may be owed before no more is
- *     read from it
- * @param maxIdleNanos how long a connection to a cache server is kept that is not in use, at most
- * @param shrinksBuffers whether buffers kept for reuse are given back
- * @param heavyReaderRatio the part of all requests above which a connection is read from by turns
- *     only, 1 for none
+ * @param maxPendingResponses responses pending on one client connection before reading from it is
+ *     suspended
+ * @param maxIdleNanos after which an idle connection to a cache server is closed
+ * @param shrinksBuffers whether pooled buffers are released
+ * @param heavyReaderRatio the part of all requests above which a connection is read from only in
+ *     turns, 1 for never
  */
 public record DegradationPolicy(
     int maxPendingResponses, long maxIdleNanos, boolean shrinksBuffers, double heavyReaderRatio) {
-  /** Nothing is short. */
+  /** No resource is short. */
   public static final DegradationPolicy CALM = new DegradationPolicy(64, Long.MAX_VALUE, false, 1);
 
-  /** What these levels ask for. */
+  /** The policy for these levels. */
   public static DegradationPolicy of(
       PressureLevel processor, PressureLevel memory, PressureLevel descriptors) {
-    int owed =
+    int maxPendingResponses =
         switch (memory) {
           case CALM -> CALM.maxPendingResponses();
           case BUSY -> 16;
@@ -34,6 +34,9 @@
           case FULL -> 1_000_000_000L;
         };
     return new DegradationPolicy(
-        owed, idleNanos, memory != PressureLevel.CALM, processor == PressureLevel.CALM ? 1 : 0.1);
+        maxPendingResponses,
+        idleNanos,
+        memory != PressureLevel.CALM,
+        processor == PressureLevel.CALM ? 1 : 0.1);
   }
 }
--- a/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
+++ b/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
@@ -1,50 +1,49 @@
 package shalepaddle.overload;
 
 /**
- * The level of one resource, from a figure of how short it is, with hysteresis: a level is reached
- * at once and left only after the figure has stayed below a lower bound for several readings in a
- * row. Guards against answers that switch on and off with every reading, each undoing what the
- * other measured. Costs some readings in which more gives way than must.
+ * The pressure level of one resource, with hysteresis: a level is reached at once and left only
+ * after several readings in a row below a lower bound. Prevents measures that switch on and off
+ * with every reading. Cost: some readings at too high a level.
  *
  * <p>Not thread-safe.
  */
 public final class HysteresisGauge {
-  /** Where a level begins and ends, in the figure's own unit. */
-  public record Bounds(double busy, double full, double release, int calmReadings) {
+  /** Where levels begin and end, in the unit of the readings. */
+  public record Bounds(double busy, double full, double release, int releaseReadings) {
     /** Checks that the bounds are in order. */
     public Bounds {
-      if (!(release < busy && busy < full) || calmReadings < 1) {
+      if (!(release < busy && busy < full) || releaseReadings < 1) {
         throw new IllegalArgumentException(
             "bounds out of order: release %s, busy %s, full %s, calm readings %d"
-                .formatted(release, busy, full, calmReadings));
+                .formatted(release, busy, full, releaseReadings));
       }
     }
   }
 
   private final Bounds bounds;
   private PressureLevel level = PressureLevel.CALM;
-  private int calm;
+  private int readingsBelowRelease;
 
-  /** A calm one. */
+  /** A gauge at the lowest level. */
   public HysteresisGauge(Bounds bounds) {
     this.bounds = bounds;
   }
 
-  /** Takes a reading; returns the level from now on. A figure that is no number changes nothing. */
-  public PressureLevel update(double figure) {
+  /** Takes in a reading and returns the level from now on; NaN changes nothing. */
+  public PressureLevel update(double value) {
     PressureLevel now =
-        figure >= bounds.full()
+        value >= bounds.full()
             ? PressureLevel.FULL
-            : figure >= bounds.busy() ? PressureLevel.BUSY : PressureLevel.CALM;
-    if (Double.isNaN(figure) || now.compareTo(level) >= 0) {
-      calm = 0;
-      level = Double.isNaN(figure) ? level : now;
-    } else if (figure > bounds.release() && level == PressureLevel.BUSY) {
-      calm = 0;
-    } else if (++calm >= bounds.calmReadings()) {
-      // One step down at a time: what was shut off comes back in parts.
+            : value >= bounds.busy() ? PressureLevel.BUSY : PressureLevel.CALM;
+    if (Double.isNaN(value) || now.compareTo(level) >= 0) {
+      readingsBelowRelease = 0;
+      level = Double.isNaN(value) ? level : now;
+    } else if (value > bounds.release() && level == PressureLevel.BUSY) {
+      readingsBelowRelease = 0;
+    } else if (++readingsBelowRelease >= bounds.releaseReadings()) {
+      // One step down at a time, so that load returns in parts.
       level = level == PressureLevel.FULL ? PressureLevel.BUSY : PressureLevel.CALM;
-      calm = 0;
+      readingsBelowRelease = 0;
     }
     return level;
   }
--- a/core/src/main/java/shalepaddle/overload/MinimumOverInterval.java
+++ b/core/src/main/java/shalepaddle/overload/MinimumOverInterval.java
@@ -1,27 +1,24 @@
 package shalepaddle.overload;
 
 /**
- * The least of what was seen in each interval: how much of a quantity stands, however high it rises
- * in between.
+ * The minimum of a quantity over each interval: how much of it is standing, whatever its peaks.
  *
- * <p>The idea is CoDel's (Nichols and Jacobson, "Controlling Queue Delay", 2012; RFC 8289): a queue
- * that works as it should runs empty now and then, so its least delay over an interval tells a good
- * queue from one that stands, where its mean and its peaks do not. Here it keeps a single long
- * turn, a garbage collection, or a process that was stopped for a second, from being taken for
- * overload: after it the loop is soon on time again, within the same interval. What it costs is a
- * verdict that comes an interval late.
+ * <p>The idea is CoDel's (Nichols and Jacobson, "Controlling Queue Delay", 2012; RFC 8289): a good
+ * queue is empty now and then, so its minimum over an interval tells it from a standing queue. Here
+ * it prevents a single long turn of the event loop, a garbage collection or a stopped process from
+ * being taken for overload. Cost: the result comes an interval late.
  *
- * <p>Not thread-safe.
+ * <p>Time is an argument, in nanoseconds. Not thread-safe.
  */
 public final class MinimumOverInterval {
   private final long intervalNanos;
-  private long endsAt;
-  private double least;
-  private int seen;
-  private boolean begun;
+  private long endsAtNanos;
+  private double minimum;
+  private int samples;
+  private boolean hasBegun;
 
   /**
-   * Nothing is seen yet.
+   * Without any value.
    *
    * @param intervalNanos length of an interval, above 0
    */
@@ -32,30 +29,30 @@
     this.intervalNanos = intervalNanos;
   }
 
-  /** A value is seen, from 0 up. */
+  /** Adds a value. */
   public void add(double value) {
-    least = seen++ == 0 ? value : Math.min(least, value);
+    minimum = samples++ == 0 ? value : Math.min(minimum, value);
   }
 
   /** Whether an interval has ended by now, so that its {@link #takeMinimum} is due. */
   public boolean isIntervalOver(long now) {
-    if (!begun) {
-      begun = true;
-      endsAt = now + intervalNanos;
+    if (!hasBegun) {
+      hasBegun = true;
+      endsAtNanos = now + intervalNanos;
     }
-    return now - endsAt >= 0 && seen > 0;
+    return now - endsAtNanos >= 0 && samples > 0;
   }
 
-  /** Forgets what was seen: the next interval begins now. */
+  /** Discards all values; the next interval begins now. */
   public void restart(long now) {
-    begun = true;
-    seen = 0;
-    endsAt = now + intervalNanos;
+    hasBegun = true;
+    samples = 0;
+    endsAtNanos = now + intervalNanos;
   }
 
-  /** What stood in the interval that ends now. The next begins. */
+  /** The minimum of the interval that ends now; the next begins. */
   public double takeMinimum(long now) {
     restart(now);
-    return least;
+    return minimum;
   }
 }
--- a/core/src/main/java/shalepaddle/overload/OverloadConfig.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadConfig.java
@@ -3,19 +3,17 @@
 import shalepaddle.model.ProtocolLimits;
 
 /**
- * The figures that an operator may set, all others follow from these. The {@link #DEFAULT} ones are
- * meant to be left alone.
+ * What an operator may configure of overload control; all other figures follow from these.
  *
- * @param isSheddingEnabled whether requests are refused for want of processor time at all
+ * @param isSheddingEnabled whether requests are rejected for a shortage of processor time at all
  * @param targetDelaySeconds seconds that every turn of the event loop may take before fewer are
  *     admitted
  * @param minAdmittedRatio the part of every tier that is admitted however short the processor is,
  *     from 0 to 1
- * @param retryRatio repeats admitted for each first try while few are admitted
+ * @param retryRatio retries admitted for each first attempt while requests are rejected
  * @param maxQueueSeconds seconds for which a request may wait for the event loop before it is
  *     refused
- * @param minRetryAfterSeconds shortest time in seconds for which a refused client is asked to stay
- *     away
+ * @param minRetryAfterSeconds the shortest Retry-After of a rejection in seconds
  */
 public record OverloadConfig(
     boolean isSheddingEnabled,
@@ -25,18 +23,18 @@
     double maxQueueSeconds,
     double minRetryAfterSeconds) {
   /**
-   * Turns of 10 ms are seen by nobody whose requests take 50 ms and more, and one of the twice as
-   * long that come now and then keeps below 20 ms; a fiftieth of every tier tells what serving it
-   * would cost; a tenth of first tries in repeats mends single failures and feeds no storm.
+   * Turns of 10 ms are short against requests of 50 ms and more; a fiftieth of every tier shows
+   * what serving it would cost; one retry in ten first attempts repairs single failures and feeds
+   * no retry storm.
    */
   public static final OverloadConfig DEFAULT = new OverloadConfig(true, 0.01, 0.02, 0.1, 0.05, 0.1);
 
-  /** Measures and tells, and refuses nothing. */
+  /** Measures and reports, and rejects nothing. */
   public static final OverloadConfig DISABLED =
       new OverloadConfig(false, 0.01, 0.02, 0.1, 0.05, 0.1);
 
   /**
-   * Checks the figures.
+   * Checks the values.
    *
    * @throws IllegalArgumentException if one is out of its range; the message names it and the range
    */
--- a/core/src/main/java/shalepaddle/overload/OverloadControl.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadControl.java
@@ -10,10 +10,10 @@
  * process, asked about each request and for the {@link DegradationPolicy}.
  *
  * <p>Three things follow from a delay that stands in the event loop, from the outside in: requests
- * are admitted by their worth, {@link AdmissionController}; connections that send the most are read
- * from by turns, {@link DegradationPolicy#heavyReaderRatio}; and what has been read waits in the
- * {@link AdmissionQueue}, whose oldest item counts as delay too. Memory and descriptors have
- * answers of their own.
+ * are admitted by their priority, {@link AdmissionController}; connections that send the most are
+ * read from in turns, {@link DegradationPolicy#heavyReaderRatio}; and requests that have been read
+ * wait in the {@link AdmissionQueue}, whose oldest item counts as delay too. Memory and descriptors
+ * have answers of their own.
  *
  * <p>Time is an argument, in nanoseconds. Not thread-safe: it belongs to one event loop.
  */
@@ -21,33 +21,33 @@
   /** The answer to a request that is admitted. */
   public static final long ADMITTED = -1;
 
-  /** Added to the advice of a refusal whose client has tried before, as far as is known. */
+  /** Added to the Retry-After of a rejection of a retry, marked or inferred. */
   public static final long RETRY_FLAG = 1L << 40;
 
   private Settings settings;
-  private final OverloadConfig tuning;
+  private final OverloadConfig config;
   private PriorityTiers tiers;
   private final OverloadMeter meter;
   private final AdmissionController admission;
-  private TenantQuotas shares;
-  private final RetryInference guess = new RetryInference();
+  private TenantQuotas quotas;
+  private final RetryInference retryInference = new RetryInference();
   private DegradationPolicy degradationPolicy = DegradationPolicy.CALM;
-  private double onConnectionSlotUsage;
-  private double stood;
-  private double processor = Double.NaN;
-  private double memory;
-  private double descriptors;
+  private double connectionSlotRatio;
+  private double delaySeconds;
+  private double processorRatio = Double.NaN;
+  private double memoryRatio;
+  private double descriptorRatio;
 
   /**
-   * All is calm.
+   * All levels are at their lowest.
    *
-   * @param seed for what is refused by chance
-   * @param listener is told of changes of a level
+   * @param seed of random rejections
+   * @param listener is notified of changes of a level
    */
   public OverloadControl(
-      Settings settings, OverloadConfig tuning, long seed, OverloadMeter.Listener listener) {
-    this.tuning = tuning;
-    admission = new AdmissionController(tuning, seed);
+      Settings settings, OverloadConfig config, long seed, OverloadMeter.Listener listener) {
+    this.config = config;
+    admission = new AdmissionController(config, seed);
     meter = new OverloadMeter(listener);
     updateSettings(settings);
   }
@@ -61,68 +61,70 @@
     settings = next;
     tiers = new PriorityTiers(next.services(), next.overQuotaWeightRatio());
     admission.resetTiers(tiers.count());
-    shares = new TenantQuotas(next.tenants(), next.instances());
+    quotas = new TenantQuotas(next.tenants(), next.instances());
   }
 
-  /** A queue for what was admitted and waits for its turn. */
-  public <T> AdmissionQueue<T> newAdmissionQueue(int most, Consumer<T> refused) {
+  /** A queue for requests that were admitted and wait for the event loop. */
+  public <T> AdmissionQueue<T> newAdmissionQueue(int maxItems, Consumer<T> onRejected) {
     return new AdmissionQueue<>(
-        tiers.count(), most, (long) (tuning.maxQueueSeconds() * 1e9), refused);
+        tiers.count(), maxItems, (long) (config.maxQueueSeconds() * 1e9), onRejected);
   }
 
   /**
-   * A turn of the event loop ends.
+   * A turn of the event loop has ended.
    *
-   * @param begunAt when it began, now for one in which nothing had come
-   * @param oldest how long the oldest item has waited in the {@link AdmissionQueue}, 0 if none
-   *     waits
+   * @param beganAtNanos when it began, now for one in which nothing had come
+   * @param oldestWaitNanos how long the oldest item has waited in the {@link AdmissionQueue}, 0 if
+   *     none waits
    */
-  public void onLoopTurnEnd(long begunAt, long now, long oldest) {
+  public void onLoopTurnEnd(long beganAtNanos, long now, long oldestWaitNanos) {
     double ended =
-        meter.onLoopTurnEnd(Math.min(begunAt, now - oldest), now, admission.isLimiting());
+        meter.onLoopTurnEnd(
+            Math.min(beganAtNanos, now - oldestWaitNanos), now, admission.isLimiting());
     if (!Double.isNaN(ended)) {
-      stood = ended;
+      delaySeconds = ended;
       admission.onIntervalEnd(ended, now);
-      pose();
+      updateDegradationPolicy();
     }
   }
 
-  /** The process did not run for so many nanoseconds, until now. */
+  /** The event loop was stalled for so many nanoseconds, until now. */
   public void onEventLoopStall(long nanos, long now) {
     meter.onEventLoopStall(nanos, now);
   }
 
   /**
-   * So much is in use, each as a part of its limit; to be told some times in 100 ms.
+   * So much is in use, each as a part of its limit; to be called several times in 100 ms.
    *
-   * @param processorShare of the cores that the process may use, NaN if unknown: told on, and never
-   *     a reason to refuse, since a process that uses all it has and is on time serves everybody
-   * @param memoryShare of the heap or of the memory outside of it, whichever is higher
-   * @param descriptorShare of the file descriptors
+   * @param processorRatio of the cores that the process may use, NaN if unknown: reported, and
+   *     never a reason to reject, as a process that uses all of it and is on time serves everybody
+   * @param memoryRatio of the heap or of the memory outside of it, whichever is higher
+   * @param descriptorRatio of the file descriptors
    */
   public void onResourceUsage(
-      double processorShare, double memoryShare, double descriptorShare, long now) {
-    processor = processorShare;
-    memory = memoryShare;
-    descriptors = descriptorShare;
-    meter.onResourceUsage(memoryShare, descriptorShare, now);
-    pose();
+      double processorRatio, double memoryRatio, double descriptorRatio, long now) {
+    this.processorRatio = processorRatio;
+    this.memoryRatio = memoryRatio;
+    this.descriptorRatio = descriptorRatio;
+    meter.onResourceUsage(memoryRatio, descriptorRatio, now);
+    updateDegradationPolicy();
   }
 
-  private void pose() {
+  private void updateDegradationPolicy() {
     degradationPolicy =
         DegradationPolicy.of(
             level(Resource.CPU), level(Resource.MEMORY), level(Resource.DESCRIPTORS));
   }
 
-  /** Whether requests may be refused now. */
+  /** Whether requests may be rejected now. */
   public boolean isShedding() {
-    return admission.isLimiting() || onConnectionSlotUsage >= ConnectionSlotReservation.LEAST_FROM;
+    return admission.isLimiting()
+        || connectionSlotRatio >= ConnectionSlotReservation.MIN_REJECTING_USE_RATIO;
   }
 
-  /** Of the connections that clients may hold for requests, this part waits for answers now. */
-  public void onConnectionSlotUsage(double taken) {
-    onConnectionSlotUsage = tuning.isSheddingEnabled() ? taken : 0;
+  /** This part of the connections that clients may hold for requests is in use now. */
+  public void onConnectionSlotUsage(double usedRatio) {
+    connectionSlotRatio = config.isSheddingEnabled() ? usedRatio : 0;
   }
 
   /**
@@ -131,38 +133,39 @@
    * @param serviceClass the place of its class in the settings; one past the last has been dropped
    *     and is admitted, for the moment in which its clients hear of that
    * @param tenant the place of its tenant there, -1 for none that is known
-   * @param subject a hash of its key
-   * @param marked whether its client marked it as a repeat
+   * @param keyHash a hash of its key
+   * @param isMarkedRetry whether its client marked it as a retry
    * @return {@link #ADMITTED}, or in how many milliseconds its client should come again, 0 for no
    *     advice, with {@link #RETRY_FLAG} added where it has come again
    */
-  public long admit(int serviceClass, int tenant, long subject, boolean marked, long now) {
+  public long admit(int serviceClass, int tenant, long keyHash, boolean isMarkedRetry, long now) {
     if (serviceClass >= settings.services().size()) {
       return ADMITTED;
     }
-    boolean pastShare = shares.isOverQuota(tenant, now);
-    int tier = tiers.of(serviceClass, marked, pastShare);
-    if (ConnectionSlotReservation.rejects(tier, tiers.count(), onConnectionSlotUsage)) {
-      return retryAfterMillis() + (marked ? RETRY_FLAG : 0);
+    boolean isOverQuota = quotas.isOverQuota(tenant, now);
+    int tier = tiers.of(serviceClass, isMarkedRetry, isOverQuota);
+    if (ConnectionSlotReservation.rejects(tier, tiers.count(), connectionSlotRatio)) {
+      return retryAfterMillis() + (isMarkedRetry ? RETRY_FLAG : 0);
     }
     if (!admission.isLimiting()) {
-      // Counted, and a repeat is of no matter yet: nothing was refused here.
-      admission.admit(tier, marked);
+      // Counted only; retries need not be told apart before anything is rejected.
+      admission.admit(tier, isMarkedRetry);
       return ADMITTED;
     }
-    boolean repeat =
-        marked
-            || (!settings.clientsMarkRetries() && guess.isLikelyRetry(subject, serviceClass, now));
-    if (admission.admit(tiers.of(serviceClass, repeat, pastShare), repeat)) {
+    boolean isRetry =
+        isMarkedRetry
+            || (!settings.clientsMarkRetries()
+                && retryInference.isLikelyRetry(keyHash, serviceClass, now));
+    if (admission.admit(tiers.of(serviceClass, isRetry, isOverQuota), isRetry)) {
       return ADMITTED;
     }
     if (!settings.clientsMarkRetries()) {
-      guess.recordRejection(subject, serviceClass, now);
+      retryInference.recordRejection(keyHash, serviceClass, now);
     }
-    return retryAfterMillis() + (repeat ? RETRY_FLAG : 0);
+    return retryAfterMillis() + (isRetry ? RETRY_FLAG : 0);
   }
 
-  /** Milliseconds for which a client that is refused now should stay away, 0 for no advice. */
+  /** Retry-After of a rejection now in milliseconds, 0 for none. */
   public long retryAfterMillis() {
     return settings.limits().sendsRetryAfter()
         ? Math.round(
@@ -170,27 +173,29 @@
         : 0;
   }
 
-  /** The tier of an admitted request, for its place in the intake; the last one if unknown. */
-  public int tier(String serviceClass, boolean repeat) {
+  /**
+   * The tier of an admitted request, for the admission queue; the lowest if its class is unknown.
+   */
+  public int tier(String serviceClass, boolean isRetry) {
     for (int i = 0; i < settings.services().size(); i++) {
       if (settings.services().get(i).name().equals(serviceClass)) {
-        return tiers.of(i, repeat, false);
+        return tiers.of(i, isRetry, false);
       }
     }
     return tiers.count() - 1;
   }
 
-  /** What to do without now. */
+  /** The degradation policy that holds now. */
   public DegradationPolicy degradationPolicy() {
     return degradationPolicy;
   }
 
-  /** How short the process is of this. */
+  /** The pressure level of a resource. */
   public PressureLevel level(Resource resource) {
     return meter.level(resource);
   }
 
-  /** What an operator may want to see, as it stands now. */
+  /** What operators see of overload, at this moment. */
   public OverloadSnapshot snapshot() {
     List<OverloadSnapshot.Tier> each =
         IntStream.range(0, tiers.count())
@@ -205,10 +210,10 @@
         level(Resource.CPU),
         level(Resource.MEMORY),
         level(Resource.DESCRIPTORS),
-        stood,
-        processor,
-        memory,
-        descriptors,
+        delaySeconds,
+        processorRatio,
+        memoryRatio,
+        descriptorRatio,
         admission.limitPerSecond(),
         admission.rejectedRetryCount(),
         each);
--- a/core/src/main/java/shalepaddle/overload/OverloadMeter.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadMeter.java
@@ -38,9 +38,9 @@
   private static final long MEMORY_INTERVAL_NANOS = 2_000_000_000L;
 
   /** After a pause what came in it is made up for, for as long as the pause, but no longer than. */
-  private static final long MOST_GRACE_NANOS = 1_000_000_000L;
+  private static final long MAX_GRACE_NANOS = 1_000_000_000L;
 
-  /** Is told of changes. */
+  /** Receives changes of a level. */
   @FunctionalInterface
   public interface Listener {
     /**
@@ -56,10 +56,10 @@
   private final MinimumOverInterval descriptors = new MinimumOverInterval(INTERVAL_NANOS);
   private final Map<Resource, HysteresisGauge> gauges = new EnumMap<>(Resource.class);
   private final Listener listener;
-  private long graceUntil;
-  private boolean grace;
+  private long graceUntilNanos;
+  private boolean isInGrace;
 
-  /** All is calm. */
+  /** All levels are at their lowest. */
   public OverloadMeter(Listener listener) {
     this.listener = listener;
     gauges.put(Resource.CPU, new HysteresisGauge(DELAY));
@@ -73,51 +73,51 @@
    * stopped, for load.
    */
   public void onEventLoopStall(long nanos, long now) {
-    grace = true;
-    graceUntil = now + Math.min(nanos, MOST_GRACE_NANOS);
+    isInGrace = true;
+    graceUntilNanos = now + Math.min(nanos, MAX_GRACE_NANOS);
   }
 
   /**
    * A turn of the loop ends that began then: what came in it had to wait for as long, half of it on
    * average.
    *
-   * @param shedding whether requests are refused for want of the processor: as long as they are,
-   *     the processor is short, however well the refusals keep the delay down
-   * @return seconds of delay that stood in the interval that ends now, NaN where none ends
+   * @param isShedding whether requests are rejected: as long as they are, the processor is short,
+   *     however low rejections keep the delay
+   * @return the least delay in seconds of the interval that ends now, NaN if none ends
    */
-  public double onLoopTurnEnd(long begunAt, long now, boolean shedding) {
-    if (grace && now - graceUntil < 0) {
+  public double onLoopTurnEnd(long beganAtNanos, long now, boolean isShedding) {
+    if (isInGrace && now - graceUntilNanos < 0) {
       delay.restart(now);
       return Double.NaN;
     }
-    grace = false;
-    delay.add(Math.max(0, now - begunAt) / 1e9);
+    isInGrace = false;
+    delay.add(Math.max(0, now - beganAtNanos) / 1e9);
     if (!delay.isIntervalOver(now)) {
       return Double.NaN;
     }
-    double stood = delay.takeMinimum(now);
-    read(Resource.CPU, shedding ? Math.max(stood, DELAY.busy()) : stood);
-    return stood;
+    double delaySeconds = delay.takeMinimum(now);
+    update(Resource.CPU, isShedding ? Math.max(delaySeconds, DELAY.busy()) : delaySeconds);
+    return delaySeconds;
   }
 
   /**
    * So much is in use, each as a part of its limit; to be told some times an interval.
    *
-   * @param memoryShare of the heap or of the memory outside of it, whichever is higher
-   * @param descriptorShare of the file descriptors
+   * @param memoryRatio of the heap or of the memory outside of it, whichever is higher
+   * @param descriptorRatio of the file descriptors
    */
-  public void onResourceUsage(double memoryShare, double descriptorShare, long now) {
-    memory.add(memoryShare);
-    descriptors.add(descriptorShare);
+  public void onResourceUsage(double memoryRatio, double descriptorRatio, long now) {
+    memory.add(memoryRatio);
+    descriptors.add(descriptorRatio);
     if (memory.isIntervalOver(now)) {
-      read(Resource.MEMORY, memory.takeMinimum(now));
+      update(Resource.MEMORY, memory.takeMinimum(now));
     }
     if (descriptors.isIntervalOver(now)) {
-      read(Resource.DESCRIPTORS, descriptors.takeMinimum(now));
+      update(Resource.DESCRIPTORS, descriptors.takeMinimum(now));
     }
   }
 
-  private void read(Resource resource, double figure) {
+  private void update(Resource resource, double figure) {
     HysteresisGauge gauge = gauges.get(resource);
     PressureLevel before = gauge.level();
     PressureLevel now = gauge.update(figure);
@@ -126,7 +126,7 @@
     }
   }
 
-  /** How short this resource is. */
+  /** The pressure level of a resource. */
   public PressureLevel level(Resource resource) {
     return gauges.get(resource).level();
   }
--- a/core/src/main/java/shalepaddle/overload/PressureLevel.java
+++ b/core/src/main/java/shalepaddle/overload/PressureLevel.java
@@ -2,11 +2,11 @@
 
 /** How short a {@link Resource} is. */
 public enum PressureLevel {
-  /** Enough is left. */
+  /** There is enough. */
   CALM(0),
-  /** It grows short: what is worth least should give way. */
+  /** It is getting short: the lowest priorities are shed. */
   BUSY(1),
-  /** It is all but gone: only what is worth most should go on. */
+  /** It is nearly exhausted: only the highest priorities are served. */
   FULL(2);
 
   private final int severity;
--- a/core/src/main/java/shalepaddle/overload/RetryStormDetector.java
+++ b/core/src/main/java/shalepaddle/overload/RetryStormDetector.java
@@ -1,92 +1,88 @@
 package shalepaddle.overload;
 
 /**
- * One client's connection, as far as what was refused on it comes again before the time that the
- * refusal named.
+ * Whether one client connection sends retries before their Retry-After has passed.
  *
- * <p>The idea: a refusal that is answered at once brings the next try at once, and takes the time
- * in which something could be served; so refusals can keep up what they came from. An answer is
- * never held back for that. But what the connection sends next may be read later: it waits in the
- * client's own socket, costs nothing there, and meets a loop that has had time to serve. Whether a
- * connection insists is told by its repeats alone, in turns of {@value #INTERVAL_NANOS} ns: whoever
- * heeds the advice repeats what was refused in earlier turns, and whose time has come; repeats past
- * those, and past {@value #FEW}, came too soon. Such a connection is read from again in the next
- * turn, and in that as far as its first repeat that is refused.
+ * <p>A rejection that is answered at once brings the next retry at once, so that rejections can
+ * keep up the overload that caused them. Answers are not delayed for that; but reading from such a
+ * connection is suspended for an interval of {@value #INTERVAL_NANOS} ns, in which its requests
+ * wait in the client's own socket. A retry is early if more come than are due by the Retry-After of
+ * earlier rejections; up to {@value #MAX_EARLY_RETRIES} an interval are tolerated.
  *
- * <p>Guards against a storm that feeds itself: what refusals cost is bounded by the number of
- * connections, however many requests come on them. Harms a connection that many callers share, of
- * whom some insist: all of them wait, for a turn at most.
+ * <p>Prevents a retry storm that feeds itself: its cost is bounded by the number of connections.
+ * Cost: callers that share a connection with an early one wait too, for an interval at most.
  *
- * <p>Time is an argument, in nanoseconds. Not thread-safe: it belongs to one connection.
+ * <p>Time is an argument, in nanoseconds. Not thread-safe: owned by one connection.
  */
 public final class RetryStormDetector {
-  /** Nothing is read for so long at most. */
+  /** The longest that reading is suspended; retries are counted in intervals of this length. */
   public static final long INTERVAL_NANOS = 100_000_000L;
 
-  /** Repeats in a turn that are never too many: advice may be as short as half a turn. */
-  private static final int FEW = 2;
+  /** Early retries in an interval that are tolerated, as a Retry-After may be half an interval. */
+  private static final int MAX_EARLY_RETRIES = 2;
 
-  /** Refused requests that may still come again, as many as a connection may be owed answers. */
-  private static final int MOST_DUE = 64;
+  /** Retries that may be due, as many as a connection may have responses pending. */
+  private static final int MAX_DUE_RETRIES = 64;
 
-  /** Turns over which advice is told apart; longer advice counts as that. */
-  private static final int TURNS = 16;
+  /** Intervals that are told apart; a longer Retry-After counts as this. */
+  private static final int INTERVALS = 16;
 
-  /** Refused requests that may come again from a turn on, by the turn; null before the first. */
-  private byte[] later;
+  /** Retries that are due from an interval on, by the interval; null before the first rejection. */
+  private byte[] dueLater;
 
-  private long turn;
-  private int due;
-  private int early;
-  private boolean insists;
-  private boolean insisted;
+  private long interval;
+  private int dueRetries;
+  private int earlyRetries;
+  private boolean isStorm;
+  private boolean wasStorm;
 
   /**
-   * A request of the connection is refused.
+   * A request of the connection is rejected.
    *
-   * @param repeat whether its client has tried before
-   * @param adviceNanos for how long its client is told to stay away, 0 for no advice
-   * @return for how long to read nothing from the connection, 0 to go on
+   * @param isRetry whether it is a retry
+   * @param retryAfterNanos the Retry-After that the client is given, 0 for none
+   * @return nanoseconds for which to suspend reading from the connection, 0 for none
    */
-  public long recordRejection(boolean repeat, long adviceNanos, long now) {
+  public long recordRejection(boolean isRetry, long retryAfterNanos, long now) {
     long current = Math.floorDiv(now, INTERVAL_NANOS);
-    if (later == null) {
-      later = new byte[TURNS];
-      turn = current;
+    if (dueLater == null) {
+      dueLater = new byte[INTERVALS];
+      interval = current;
     }
-    if (current != turn) {
-      for (int i = 1; i <= Math.min(TURNS, current - turn); i++) {
-        int place = place(turn + i);
-        due = Math.min(MOST_DUE, due + later[place]);
-        later[place] = 0;
+    if (current != interval) {
+      for (int i = 1; i <= Math.min(INTERVALS, current - interval); i++) {
+        int slot = slot(interval + i);
+        dueRetries = Math.min(MAX_DUE_RETRIES, dueRetries + dueLater[slot]);
+        dueLater[slot] = 0;
       }
-      insisted = insists && current == turn + 1;
-      insists = false;
-      early = 0;
-      turn = current;
+      wasStorm = isStorm && current == interval + 1;
+      isStorm = false;
+      earlyRetries = 0;
+      interval = current;
     }
-    if (repeat && due > 0) {
-      due--;
-    } else if (repeat) {
-      // It comes now, and so will not come when it was told to.
-      forgetOne(current);
-      insists |= ++early > (insisted ? 0 : FEW);
+    if (isRetry && dueRetries > 0) {
+      dueRetries--;
+    } else if (isRetry) {
+      // It came early, and so will not come when it is due.
+      removeOneDueLater(current);
+      isStorm |= ++earlyRetries > (wasStorm ? 0 : MAX_EARLY_RETRIES);
     }
-    int from = place(current + Math.max(1, Math.min(TURNS - 1, adviceNanos / INTERVAL_NANOS)));
-    later[from] = (byte) Math.min(MOST_DUE, later[from] + 1);
-    return insists ? INTERVAL_NANOS : 0;
+    int from =
+        slot(current + Math.max(1, Math.min(INTERVALS - 1, retryAfterNanos / INTERVAL_NANOS)));
+    dueLater[from] = (byte) Math.min(MAX_DUE_RETRIES, dueLater[from] + 1);
+    return isStorm ? INTERVAL_NANOS : 0;
   }
 
-  private void forgetOne(long current) {
-    for (int i = 1; i < TURNS; i++) {
-      if (later[place(current + i)] > 0) {
-        later[place(current + i)]--;
+  private void removeOneDueLater(long current) {
+    for (int i = 1; i < INTERVALS; i++) {
+      if (dueLater[slot(current + i)] > 0) {
+        dueLater[slot(current + i)]--;
         return;
       }
     }
   }
 
-  private static int place(long turn) {
-    return (int) Math.floorMod(turn, (long) TURNS);
+  private static int slot(long interval) {
+    return (int) Math.floorMod(interval, (long) INTERVALS);
   }
 }
--- a/core/src/test/java/shalepaddle/overload/AdmissionControllerTest.java
+++ b/core/src/test/java/shalepaddle/overload/AdmissionControllerTest.java
@@ -30,35 +30,39 @@
   @Test
   void theLimitFallsFastRisesSlowlyAndIsLifted() {
     AimdRateLimit limit = new AimdRateLimit(0.005);
-    limit.next(0.004, 1000, 1000);
-    assertFalse(limit.limited(), "below the target nothing is limited");
-    limit.next(0.05, 1000, 3000);
-    assertEquals(700, limit.limit(), 1, "cut by no more than three tenths");
-    limit.next(0.03, 700, 3000);
-    assertEquals(700, limit.limit(), 1, "held while the queue drains");
-    limit.next(0.005, 600, 3000);
-    assertEquals(805, limit.limit(), 1, "back where the delay stands at the target");
-    limit.next(0.006, 600, 3000);
-    assertEquals(528, limit.limit(), 1, "an eighth off what was admitted, where it grows above it");
-    limit.next(0.006, 528, 3000);
-    assertEquals(607, limit.limit(), 1, "back fast to what is known to go, where it grows no more");
-    limit.next(0.0075, 528, 3000);
-    assertEquals(449, limit.limit(), 1, "cut again where it harms");
+    limit.update(0.004, 1000, 1000);
+    assertFalse(limit.isLimiting(), "below the target nothing is limited");
+    limit.update(0.05, 1000, 3000);
+    assertEquals(700, limit.limitPerSecond(), 1, "cut by no more than three tenths");
+    limit.update(0.03, 700, 3000);
+    assertEquals(700, limit.limitPerSecond(), 1, "held while the queue drains");
+    limit.update(0.005, 600, 3000);
+    assertEquals(805, limit.limitPerSecond(), 1, "back where the delay stands at the target");
+    limit.update(0.006, 600, 3000);
+    assertEquals(
+        528, limit.limitPerSecond(), 1, "an eighth off what was admitted, where it grows above it");
+    limit.update(0.006, 528, 3000);
+    assertEquals(
+        607, limit.limitPerSecond(), 1, "back fast to what is known to go, where it grows no more");
+    limit.update(0.0075, 528, 3000);
+    assertEquals(449, limit.limitPerSecond(), 1, "cut again where it harms");
     int intervals = 0;
-    while (limit.limited()) {
-      limit.next(0, 500, 500);
+    while (limit.isLimiting()) {
+      limit.update(0, 500, 500);
       intervals++;
     }
     assertTrue(intervals <= 30, "lifted within 3 s: " + intervals);
     for (int i = 0; i < 500; i++) {
-      limit.next(1, 1, 1000);
+      limit.update(1, 1, 1000);
     }
-    assertEquals(10, limit.limit(), 0.1, "never so low that nothing is learned");
+    assertEquals(10, limit.limitPerSecond(), 0.1, "never so low that nothing is learned");
     AimdRateLimit busy = new AimdRateLimit(0.005);
     for (int i = 0; i < 20; i++) {
-      busy.next(0.1, 1000, 9000);
+      busy.update(0.1, 1000, 9000);
     }
-    assertTrue(busy.limit() > 200, "refusals may take the rest, not all: " + busy.limit());
+    assertTrue(
+        busy.limitPerSecond() > 200,
+        "refusals may take the rest, not all: " + busy.limitPerSecond());
   }
 
   @Test
--- a/core/src/test/java/shalepaddle/overload/ConnectionSlotReservationTest.java
+++ b/core/src/test/java/shalepaddle/overload/ConnectionSlotReservationTest.java
@@ -19,7 +19,7 @@
               ConnectionSlotReservation.rejects(tier, tiers, taken)
                   || !ConnectionSlotReservation.rejects(tier - 1, tiers, taken));
           assertFalse(
-              taken < ConnectionSlotReservation.LEAST_FROM
+              taken < ConnectionSlotReservation.MIN_REJECTING_USE_RATIO
                   && ConnectionSlotReservation.rejects(tier, tiers, taken));
           assertTrue(taken < 1 || ConnectionSlotReservation.rejects(tier, tiers, taken));
         }
