--- a/engine/src/main/java/shalepaddle/codec/meta/MetaClientCodec.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaClientCodec.java
@@ -8,42 +8,44 @@
 import shalepaddle.front.RequestAdmission;
 import shalepaddle.model.Settings;
 
-/** The meta protocol, as clients speak it. */
+/** The meta protocol as clients speak it. Owned by the event loop. */
 public final class MetaClientCodec implements ClientCodec {
-  private final MemoryBudget values;
+  private final MemoryBudget writeBudget;
   private final RequestNames names;
-  private final RequestAdmission gate;
+  private final RequestAdmission admission;
 
   /**
    * The codec of one front.
    *
-   * @param values bounds the values that all connections' requests hold together
-   * @param settings names the classes and tenants; requests of other classes are turned down at the
-   *     edge
-   * @param gate is asked about each request
+   * @param writeBudget bounds the values of all writes that are open
+   * @param settings names the classes and tenants; requests of other classes are rejected by the
+   *     decoder
+   * @param admission admits or rejects each request
    */
-  public MetaClientCodec(MemoryBudget values, Settings settings, RequestAdmission gate) {
-    this.values = values;
+  public MetaClientCodec(MemoryBudget writeBudget, Settings settings, RequestAdmission admission) {
+    this.writeBudget = writeBudget;
     this.names = new RequestNames(settings);
-    this.gate = gate;
+    this.admission = admission;
   }
 
   /**
-   * From now on requests are read by these settings, on all connections. Classes that are dropped
-   * are still taken until then; {@link #expireRemovedClasses} is due at that time.
+   * From now on requests are read by these settings, on all connections. Classes that are removed
+   * are still accepted until they expire; {@link #expireRemovedClasses} is due at that time.
+   *
+   * @param now the time by the loop's clock, as is {@code expireAtNanos}
    */
-  public void updateSettings(Settings settings, long now, long until) {
-    names.retune(settings, now, until);
+  public void updateSettings(Settings settings, long now, long expireAtNanos) {
+    names.update(settings, now, expireAtNanos);
   }
 
-  /** Turns down classes that were dropped and whose time is up. */
+  /** Rejects removed classes from now on, if they have expired. */
   public void expireRemovedClasses(long now) {
-    names.forget(now);
+    names.expireRemoved(now);
   }
 
   @Override
   public CommandDecoder decoder() {
-    return new MetaCommandDecoder(values, names, gate);
+    return new MetaCommandDecoder(writeBudget, names, admission);
   }
 
   @Override
@@ -53,11 +55,11 @@
 
   @Override
   public ByteBuf encodeStreamEnd() {
-    return MetaReplies.valueEnd();
+    return MetaReplies.streamEnd();
   }
 
   @Override
   public ByteBuf encodeDuplicateId(ByteBufAllocator allocator) {
-    return MetaReplies.line(allocator, "CLIENT_ERROR id in use");
+    return MetaReplies.line(allocator, WireNames.CLIENT_ERROR + " id in use");
   }
 }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaReplies.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaReplies.java
@@ -6,80 +6,94 @@
 import io.netty.buffer.Unpooled;
 import shalepaddle.engine.Reply;
 
-/** Puts answers into the words of the meta protocol. */
+/** Encodes responses to clients. The caller owns the bytes that are returned. */
 public final class MetaReplies {
   /**
    * A value up to this size is copied behind its line: one buffer costs less than three, and the
-   * one that it was read into is not held for a slow reader. A larger one is passed on as it is.
+   * buffer that it was read into is not retained for a slow reader. A larger one is not copied.
    */
-  private static final int COPIED = 2048;
+  private static final int MAX_COPIED_VALUE_BYTES = 2048;
 
-  private static final ByteBuf CRLF =
+  /** CRLF as a big-endian short. */
+  static final int CRLF = 0x0D0A;
+
+  private static final ByteBuf CRLF_BUFFER =
       Unpooled.unreleasableBuffer(Unpooled.wrappedBuffer(new byte[] {'\r', '\n'}).asReadOnly());
 
-  /** Bytes of a refusal with advice of up to ten seconds. */
-  static final int BUSY_LENGTH = 24;
+  /** Length of a rejection with a Retry-After of up to ten seconds. */
+  static final int BUSY_LINE_BYTES = 24;
+
+  private static final String BUSY = WireNames.SERVER_ERROR + " " + WireNames.BUSY;
 
   private MetaReplies() {}
 
-  /** The answer's bytes; a value that it holds is used up. */
+  /** The bytes of a reply, of a streamed value the head alone. A value in it belongs to this. */
   public static ByteBuf encode(ByteBufAllocator allocator, String id, Reply reply) {
     if (reply instanceof Reply.Value served) {
       return value(allocator, id, served.value());
     }
-    if (reply instanceof Reply.Streamed pieces) {
-      return valueHead(allocator.buffer(id.length() + 16), id, pieces.length());
+    if (reply instanceof Reply.Streamed streamed) {
+      return valueHead(allocator.buffer(id.length() + 16), id, streamed.length());
     }
     if (reply instanceof Reply.Receipt written) {
-      return line(allocator, "HD O" + id + " c" + written.receipt());
+      return line(
+          allocator,
+          WireNames.STORED
+              + " "
+              + WireNames.REQUEST_ID
+              + id
+              + " "
+              + WireNames.RECEIPT
+              + written.receipt());
     }
-    if (reply instanceof Reply.Rejected refused) {
-      return busy(allocator.buffer(BUSY_LENGTH), refused.retryAfterMillis());
+    if (reply instanceof Reply.Rejected rejected) {
+      return busy(allocator.buffer(BUSY_LINE_BYTES), rejected.retryAfterMillis());
     }
-    return line(allocator, "SERVER_ERROR failed");
+    return line(allocator, WireNames.SERVER_ERROR + " " + WireNames.FAILED);
   }
 
-  /** Adds a refusal to the bytes, with advice to come again after so many milliseconds, or none. */
-  static ByteBuf busy(ByteBuf bytes, long millis) {
-    ByteBufUtil.writeAscii(bytes, "SERVER_ERROR busy");
-    if (millis > 0) {
+  /** Appends a rejection; a Retry-After of 0 is left out. Returns the bytes given. */
+  static ByteBuf busy(ByteBuf bytes, long retryAfterMillis) {
+    ByteBufUtil.writeAscii(bytes, BUSY);
+    if (retryAfterMillis > 0) {
       bytes.writeByte(' ');
-      ByteBufUtil.writeAscii(bytes, Long.toString(millis));
+      ByteBufUtil.writeAscii(bytes, Long.toString(retryAfterMillis));
     }
-    return bytes.writeShort(0x0D0A);
+    return bytes.writeShort(CRLF);
   }
 
+  /** A line of ASCII text with its CRLF. */
   public static ByteBuf line(ByteBufAllocator allocator, String text) {
     ByteBuf line = allocator.buffer(text.length() + 2);
     ByteBufUtil.writeAscii(line, text);
-    return line.writeShort(0x0D0A);
+    return line.writeShort(CRLF);
   }
 
-  /** What follows the last piece of a value. */
-  static ByteBuf valueEnd() {
-    return CRLF.duplicate();
+  /** What follows the last chunk of a streamed value. */
+  static ByteBuf streamEnd() {
+    return CRLF_BUFFER.duplicate();
   }
 
   private static ByteBuf valueHead(ByteBuf head, String id, int length) {
-    ByteBufUtil.writeAscii(head, "VA ");
+    ByteBufUtil.writeAscii(head, WireNames.VALUE + " ");
     ByteBufUtil.writeAscii(head, Integer.toString(length));
-    ByteBufUtil.writeAscii(head, " O");
+    ByteBufUtil.writeAscii(head, " " + WireNames.REQUEST_ID);
     ByteBufUtil.writeAscii(head, id);
-    return head.writeShort(0x0D0A);
+    return head.writeShort(CRLF);
   }
 
   private static ByteBuf value(ByteBufAllocator allocator, String id, ByteBuf value) {
     int length = value.readableBytes();
-    boolean copied = length <= COPIED;
-    ByteBuf head = allocator.buffer(id.length() + 16 + (copied ? length + 2 : 0));
+    boolean isCopied = length <= MAX_COPIED_VALUE_BYTES;
+    ByteBuf head = allocator.buffer(id.length() + 16 + (isCopied ? length + 2 : 0));
     valueHead(head, id, length);
-    if (copied) {
+    if (isCopied) {
       try {
-        return head.writeBytes(value, value.readerIndex(), length).writeShort(0x0D0A);
+        return head.writeBytes(value, value.readerIndex(), length).writeShort(CRLF);
       } finally {
         value.release();
       }
     }
-    return allocator.compositeBuffer(3).addComponents(true, head, value, CRLF.duplicate());
+    return allocator.compositeBuffer(3).addComponents(true, head, value, CRLF_BUFFER.duplicate());
   }
 }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaServerCodec.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaServerCodec.java
@@ -8,7 +8,7 @@
 import shalepaddle.model.Request;
 import shalepaddle.upstream.ServerCodec;
 
-/** The meta protocol, as cache servers speak it. */
+/** The meta protocol as cache servers speak it. Stateless. */
 public final class MetaServerCodec implements ServerCodec {
   @Override
   public ReplyDecoder decoder() {
@@ -16,43 +16,49 @@
   }
 
   @Override
-  public ByteBuf encode(ByteBufAllocator allocator, Call call, long millis) {
-    // What a client wrote in this protocol goes on as it came.
+  public ByteBuf encode(ByteBufAllocator allocator, Call call, long timeoutMillis) {
     return call.payload() instanceof MetaPayload own
-        ? own.encode(allocator, millis)
-        : compose(allocator, call, Math.max(1, millis));
+        ? own.encode(allocator, timeoutMillis)
+        : compose(allocator, call, Math.max(1, timeoutMillis));
   }
 
-  /** A request that came in another protocol, or in none. */
-  private static ByteBuf compose(ByteBufAllocator allocator, Call call, long millis) {
+  /** Encodes a request that came in another protocol, or in none. The value is retained. */
+  private static ByteBuf compose(ByteBufAllocator allocator, Call call, long timeoutMillis) {
     Request request = call.request();
     ByteBuf value = call.payload().value();
     StringBuilder line = new StringBuilder(96);
-    line.append(request.write() ? "ms " : "mg ").append(request.key());
+    line.append(request.write() ? WireNames.WRITE : WireNames.READ).append(' ');
+    line.append(request.key()).append(' ');
     if (request.write()) {
-      line.append(' ').append(value == null ? 0 : value.readableBytes());
+      line.append(value == null ? 0 : value.readableBytes());
     } else {
-      line.append(" v");
+      line.append(WireNames.WANTS_VALUE);
     }
-    line.append(" O").append(request.id()).append(" Pc=").append(request.serviceClass());
+    line.append(' ').append(WireNames.REQUEST_ID).append(request.id());
+    line.append(' ').append(WireNames.PROPERTIES).append(WireNames.SERVICE_CLASS);
+    line.append(WireNames.PROPERTY_VALUE).append(request.serviceClass());
     if (request.tenant() != null) {
-      line.append(",t=").append(request.tenant());
+      appendProperty(line, WireNames.TENANT).append(request.tenant());
     }
-    line.append(",d=").append(millis);
+    appendProperty(line, WireNames.DEADLINE_MILLIS).append(timeoutMillis);
     if (call.payload().idempotencyKey() != null) {
-      line.append(",k=").append(call.payload().idempotencyKey());
+      appendProperty(line, WireNames.IDEMPOTENCY_KEY).append(call.payload().idempotencyKey());
     }
     if (request.retry()) {
-      line.append(",r=1");
+      appendProperty(line, WireNames.RETRY).append(1);
     }
     ByteBuf head = allocator.buffer(line.length() + 2);
     ByteBufUtil.writeAscii(head, line);
-    head.writeShort(0x0D0A);
+    head.writeShort(MetaReplies.CRLF);
     if (!request.write()) {
       return head;
     }
-    ByteBuf end = allocator.buffer(2).writeShort(0x0D0A);
+    ByteBuf end = allocator.buffer(2).writeShort(MetaReplies.CRLF);
     ByteBuf block = value == null ? Unpooled.EMPTY_BUFFER : value.retainedDuplicate();
     return allocator.compositeBuffer(3).addComponents(true, head, block, end);
   }
+
+  private static StringBuilder appendProperty(StringBuilder line, char name) {
+    return line.append(WireNames.PROPERTY_SEPARATOR).append(name).append(WireNames.PROPERTY_VALUE);
+  }
 }
--- a/engine/src/main/java/shalepaddle/codec/meta/NameTable.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/NameTable.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Known names by their place in a list, found by their bytes: no string is made to look one up. */
+/** Finds known names by their bytes, without allocating a string. Immutable. */
 final class NameTable {
   private final byte[][] names;
 
@@ -16,7 +16,7 @@
             .toArray(byte[][]::new);
   }
 
-  /** The place of the name between two places of a line, -1 if it is not known. */
+  /** The index of the name in the list, -1 if it is not known. */
   int find(byte[] line, int from, int to) {
     for (int i = 0; i < names.length; i++) {
       if (Arrays.equals(names[i], 0, names[i].length, line, from, to)) {
@@ -26,17 +26,17 @@
     return -1;
   }
 
-  /** The place of the name between two places of a buffer, -1 if it is not known. */
+  /** The index of the name in the list, -1 if it is not known. */
   int find(ByteBuf line, int from, int to) {
     for (int i = 0; i < names.length; i++) {
-      if (names[i].length == to - from && same(names[i], line, from)) {
+      if (names[i].length == to - from && matches(names[i], line, from)) {
         return i;
       }
     }
     return -1;
   }
 
-  private static boolean same(byte[] name, ByteBuf line, int from) {
+  private static boolean matches(byte[] name, ByteBuf line, int from) {
     for (int i = 0; i < name.length; i++) {
       if (line.getByte(from + i) != name[i]) {
         return false;
--- a/engine/src/main/java/shalepaddle/codec/meta/RequestNames.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/RequestNames.java
@@ -5,50 +5,52 @@
 import shalepaddle.model.Settings;
 
 /**
- * The names of classes and tenants that requests may bear, for all connections of one front. A name
- * has its place in the settings; classes that were dropped a moment ago stand behind the last.
+ * The service classes and tenants that requests may name, for all connections of one front. The
+ * index of a name is that in the settings; classes that were removed lately come behind the last.
+ * Owned by the event loop.
  */
 final class RequestNames {
   private NameTable classes;
   private NameTable tenants;
   private List<String> current;
 
-  /** Those that were dropped, and until when they are still taken. */
-  private List<String> dropped = List.of();
+  /** Classes that were removed and are still accepted. */
+  private List<String> removed = List.of();
 
-  private long droppedUntil;
+  /** Until when, by the loop's clock. */
+  private long removedExpireAtNanos;
 
   RequestNames(Settings settings) {
-    take(settings);
+    apply(settings);
   }
 
-  private void take(Settings settings) {
+  private void apply(Settings settings) {
     current = settings.services().stream().map(Settings.ServiceClass::name).toList();
     tenants = new NameTable(settings.tenants().stream().map(Settings.Tenant::name).toList());
     List<String> all = new ArrayList<>(current);
-    all.addAll(dropped);
+    all.addAll(removed);
     classes = new NameTable(all);
   }
 
   /**
-   * Takes these names from now on, and those that are dropped until then: their clients have not
-   * all heard of it.
+   * Accepts these names from now on, and those that are removed until they expire: their clients
+   * have not all been notified.
    */
-  void retune(Settings settings, long now, long until) {
+  void update(Settings settings, long now, long expireAtNanos) {
     List<String> before = new ArrayList<>(current);
-    if (now - droppedUntil < 0) {
-      before.addAll(dropped);
+    if (now - removedExpireAtNanos < 0) {
+      before.addAll(removed);
     }
     settings.services().forEach(service -> before.remove(service.name()));
-    dropped = List.copyOf(before);
-    droppedUntil = until;
-    take(settings);
+    removed = List.copyOf(before);
+    removedExpireAtNanos = expireAtNanos;
+    apply(settings);
   }
 
-  /** Forgets what was dropped, where its time is up. */
-  void forget(long now) {
-    if (!dropped.isEmpty() && now - droppedUntil >= 0) {
-      dropped = List.of();
+  /** Accepts removed classes no longer, if they have expired. */
+  void expireRemoved(long now) {
+    if (!removed.isEmpty() && now - removedExpireAtNanos >= 0) {
+      removed = List.of();
       classes = new NameTable(current);
     }
   }
--- a/engine/src/test/java/shalepaddle/codec/meta/MetaRepliesTest.java
+++ b/engine/src/test/java/shalepaddle/codec/meta/MetaRepliesTest.java
@@ -15,7 +15,7 @@
 import shalepaddle.engine.Reply;
 import shalepaddle.model.Request;
 
-/** Requests and answers in the words of the meta protocol, and who holds their bytes. */
+/** Encoded requests and responses, and who owns their bytes. */
 class MetaRepliesTest {
   private static final ByteBufAllocator ALLOCATOR = UnpooledByteBufAllocator.DEFAULT;
 
@@ -30,7 +30,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2048, 2049, 65536})
-  void aValueIsUsedUpByItsAnswer(int length) {
+  void releasesValueWithItsResponse(int length) {
     String text = "x".repeat(length);
     ByteBuf value = Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     ByteBuf answer = MetaReplies.encode(ALLOCATOR, "a1", new Reply.Value(value));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void otherAnswersAreLines() {
+  void encodesOtherRepliesAsLines() {
     assertEquals(
         "HD Oa1 c7\r\n", used(MetaReplies.encode(ALLOCATOR, "a1", new Reply.Receipt("7"))));
     assertEquals(
@@ -52,7 +52,7 @@
         used(MetaReplies.encode(ALLOCATOR, "a1", new Reply.Failed(true))));
   }
 
-  /** A payload of another front: a value, and a key by which servers know it again. */
+  /** A payload of another front: a value and an idempotency key. */
   private record Plain(ByteBuf value, String idempotencyKey) implements Payload {
     @Override
     public void release() {
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void aRequestOfAnotherFrontIsPutIntoWords() {
+  void encodesRequestOfAnotherProtocol() {
     Request read = new Request("r1", "square", "read", null, 1, 0, 0, false, false);
     assertEquals(
         "mg square v Or1 Pc=read,d=250\r\n",
