--- a/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
@@ -6,11 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
 import java.util.concurrent.CompletionException;
 import shalepaddle.replicatedstate.CommandResult;
 import shalepaddle.replicatedstate.Proposal;
-import shalepaddle.replicatedstate.ReplicatedState;
 import shalepaddle.replicatedstate.StateCommand;
 import shalepaddle.storage.CrashingLogDirectory;
 import shalepaddle.storage.SilentlyFailingLogDirectory;
@@ -74,66 +72,10 @@
       }
     }
     group.advance(8000);
-    checkFinalState();
+    new FinalStateCheck(group, proposals, acknowledged, violations).run();
     return new Report(acknowledged.size(), reads, group.leaderByTerm.size(), violations);
   }
 
-  private void checkFinalState() {
-    for (MemberStatus status : statuses()) {
-      if (status.inactiveReason() != null) {
-        violations.add(status.name() + " is still aside: " + status.inactiveReason());
-      }
-    }
-    VirtualGroup.Machine leader = group.leader();
-    if (leader == null) {
-      violations.add("nobody leads at the end: " + statuses());
-      return;
-    }
-    List<ReplicatedState.Snapshot> reads = new ArrayList<>();
-    List<Throwable> failures = new ArrayList<>();
-    leader
-        .member
-        .read()
-        .whenComplete(
-            (image, cause) -> {
-              if (cause == null) {
-                reads.add(image);
-              } else {
-                failures.add(cause);
-              }
-            });
-    group.advance(1000);
-    if (reads.isEmpty()) {
-      violations.add("nothing can be read at the end: " + failures + statuses());
-      return;
-    }
-    ReplicatedState replayed = new ReplicatedState();
-    new TreeMap<>(group.appliedIds)
-        .forEach((index, id) -> replayed.apply(index, proposals.get(id)));
-    acknowledged.forEach(
-        (id, index) -> {
-          if (!id.equals(group.appliedIds.get(index))) {
-            violations.add(
-                id
-                    + " was answered yes at "
-                    + index
-                    + ", where there is "
-                    + group.appliedIds.get(index));
-          }
-        });
-    if (!replayed.excludedServers().equals(reads.get(0).excludedServers())) {
-      violations.add(
-          "held is "
-              + reads.get(0).excludedServers()
-              + ", the log says "
-              + replayed.excludedServers());
-    }
-  }
-
-  private List<MemberStatus> statuses() {
-    return group.machines.values().stream().map(machine -> machine.member.status()).toList();
-  }
-
   /** Injects a fault or heals some, again and again. */
   private void scheduleNextFault() {
     group.scheduleAt(
@@ -309,50 +251,58 @@
       if (isOver) {
         return;
       }
-      boolean[] settled = {false};
+      Attempt attempt = new Attempt(proposal);
       VirtualGroup.Machine machine = randomTarget();
       if (machine != null) {
-        machine
-            .member
-            .propose(proposal)
-            .whenComplete(
-                (result, cause) -> {
-                  if (settled[0]) {
-                    return;
-                  }
-                  settled[0] = true;
-                  if (cause == null) {
-                    acknowledged(proposal, result);
-                    scheduleNext();
-                  } else {
-                    if (!(cause instanceof NotCommittedException)
-                        && !(cause instanceof CompletionException)) {
-                      violations.add("an answer that is none: " + cause);
-                    }
-                    group.scheduleAt(group.now + 50 * VirtualGroup.MILLI, () -> send(proposal));
-                  }
-                });
+        machine.member.propose(proposal).whenComplete(attempt::completed);
         if (defect == InjectedDefect.EARLY_ACKNOWLEDGEMENT && machine.member.status().isLeader()) {
-          group.scheduleAt(
-              group.now,
-              () -> {
-                if (!settled[0] && machine.isUp()) {
-                  settled[0] = true;
-                  long index = machine.member.status().lastLogIndex() + 1;
-                  acknowledged(proposal, new CommandResult(CommandResult.Outcome.COMMITTED, index));
-                  scheduleNext();
-                }
-              });
+          group.scheduleAt(group.now, () -> attempt.acknowledgeEarly(machine));
+        }
+      }
+      group.scheduleAt(group.now + REQUEST_TIMEOUT_MILLIS * VirtualGroup.MILLI, attempt::timedOut);
+    }
+
+    /** One attempt at a proposal; the first outcome counts. */
+    private final class Attempt {
+      private final Proposal proposal;
+      private boolean isSettled;
+
+      Attempt(Proposal proposal) {
+        this.proposal = proposal;
+      }
+
+      void completed(CommandResult result, Throwable failure) {
+        if (isSettled) {
+          return;
+        }
+        isSettled = true;
+        if (failure == null) {
+          acknowledged(proposal, result);
+          scheduleNext();
+          return;
+        }
+        if (!(failure instanceof NotCommittedException)
+            && !(failure instanceof CompletionException)) {
+          violations.add("an answer that is none: " + failure);
+        }
+        group.scheduleAt(group.now + 50 * VirtualGroup.MILLI, () -> send(proposal));
+      }
+
+      void acknowledgeEarly(VirtualGroup.Machine machine) {
+        if (!isSettled && machine.isUp()) {
+          isSettled = true;
+          long index = machine.member.status().lastLogIndex() + 1;
+          acknowledged(proposal, new CommandResult(CommandResult.Outcome.COMMITTED, index));
+          scheduleNext();
+        }
+      }
+
+      void timedOut() {
+        if (!isSettled) {
+          isSettled = true;
+          send(proposal);
         }
       }
-      group.scheduleAt(
-          group.now + REQUEST_TIMEOUT_MILLIS * VirtualGroup.MILLI,
-          () -> {
-            if (!settled[0]) {
-              settled[0] = true;
-              send(proposal);
-            }
-          });
     }
 
     private void acknowledged(Proposal proposal, CommandResult result) {
@@ -373,7 +323,7 @@
       if (defect == InjectedDefect.STALE_READ) {
         checkRead(machine.appliedIndex, atLeast);
       } else {
-        machine.member.read().thenAccept(image -> checkRead(image.index(), atLeast));
+        machine.member.read().thenAccept(state -> checkRead(state.index(), atLeast));
       }
       scheduleNext();
     }
