--- a/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
@@ -123,7 +123,7 @@
   public void removeMember(String member, long timeoutMillis)
       throws IOException, InterruptedException {
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
-    IOException lastFailure = new IOException("nobody leads");
+    IOException lastFailure = new GroupUnavailableException("nobody leads");
     while (System.nanoTime() - deadline < 0) {
       for (String candidate : membersInOrder(null)) {
         try {
@@ -162,7 +162,7 @@
       GroupRequest request, byte[] body, String preferred, long timeoutMillis)
       throws IOException, InterruptedException {
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
-    IOException lastFailure = new IOException("no member is known");
+    IOException lastFailure = new GroupUnavailableException("no member is known");
     do {
       for (String member : membersInOrder(preferred)) {
         long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
