--- a/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
+++ b/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
@@ -2,23 +2,26 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** A value whose request ends with it: it is counted when it is whole, or never will be. */
+/**
+ * Counts the request of a streamed value when the value is complete, has failed or is cancelled.
+ * Owned by the event loop's thread.
+ */
 final class MeteredValueSource implements ValueSource, ValueSource.Receiver {
-  private final RequestMetrics figures;
+  private final RequestMetrics metrics;
   private final String service;
   private final ValueSource source;
-  private Receiver taker;
-  private boolean over;
+  private Receiver receiver;
+  private boolean ended;
 
-  MeteredValueSource(RequestMetrics figures, String service, ValueSource source) {
-    this.figures = figures;
+  MeteredValueSource(RequestMetrics metrics, String service, ValueSource source) {
+    this.metrics = metrics;
     this.service = service;
     this.source = source;
   }
 
   @Override
-  public void start(Receiver taker) {
-    this.taker = taker;
+  public void start(Receiver receiver) {
+    this.receiver = receiver;
     source.start(this);
   }
 
@@ -29,29 +32,29 @@
 
   @Override
   public void cancel() {
-    if (!over) {
-      over = true;
-      figures.gone();
+    if (!ended) {
+      ended = true;
+      metrics.clientDisconnected();
       source.cancel();
     }
   }
 
   @Override
   public void onChunk(ByteBuf bytes) {
-    taker.onChunk(bytes);
+    receiver.onChunk(bytes);
   }
 
   @Override
   public void onComplete() {
-    over = true;
-    figures.served(service);
-    taker.onComplete();
+    ended = true;
+    metrics.streamed(service);
+    receiver.onComplete();
   }
 
   @Override
   public void onFailure() {
-    over = true;
-    figures.answered(service, new Reply.Failed(true));
-    taker.onFailure();
+    ended = true;
+    metrics.answered(service, new Reply.Failed(true));
+    receiver.onFailure();
   }
 }
