--- a/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
@@ -55,10 +55,7 @@
   /** Whether bytes were read in this turn of which not all have been looked at. */
   private boolean isReadInProgress;
 
-  /**
-   * Whether the kernel has not taken all that was written. Other attempts wait in the pool
-   * meanwhile, where they can be withdrawn.
-   */
+  /** Whether the kernel has not taken all that was written: others wait in the pool meanwhile. */
   private boolean isWritePending;
 
   /** Whether a request got any other answer than a rejection: the server has accepted it. */
@@ -120,21 +117,8 @@
     return isUnavailable ? Integer.MAX_VALUE : inFlight.size();
   }
 
-  /**
-   * Whether an attempt is better written here than there: fewer in flight, or used more recently.
-   * Connections whose first request is in flight come last: if the server rejects the connection,
-   * it is not known whether a second request ran.
-   */
-  boolean isPreferredTo(ServerConnection other) {
-    if (other != null && isUnproven() != other.isUnproven()) {
-      return other.isUnproven();
-    }
-    return other == null
-        || load() < other.load()
-        || (load() == other.load() && usedAtNanos() - other.usedAtNanos() > 0);
-  }
-
-  private boolean isUnproven() {
+  /** Whether its first request is in flight: the server may still reject the connection. */
+  boolean isUnproven() {
     return !isAccepted && !inFlight.isEmpty();
   }
 
@@ -152,25 +136,19 @@
     // The channel owns the encoded bytes from here on.
     ChannelFuture written =
         channel.writeAndFlush(codec.encode(channel.alloc(), attempt.call(), timeoutMillis));
-    if (written.isDone()) {
-      attemptWritten(attempt, written.isSuccess());
-    } else {
+    if (!written.isDone()) {
       isWritePending = true;
       written.addListener(done -> pendingWriteDone(attempt, done.isSuccess()));
+    } else if (written.isSuccess()) {
+      dispatcher.attemptWritten(attempt);
     }
   }
 
   private void pendingWriteDone(Attempt attempt, boolean isSuccess) {
     isWritePending = false;
-    attemptWritten(attempt, isSuccess);
-    if (isSuccess) {
-      pool.connectionAvailable(this);
-    }
-  }
-
-  private void attemptWritten(Attempt attempt, boolean isSuccess) {
     if (isSuccess) {
       dispatcher.attemptWritten(attempt);
+      pool.connectionAvailable(this);
     }
   }
 
--- a/engine/src/main/java/shalepaddle/upstream/ServerPool.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPool.java
@@ -160,13 +160,29 @@
           && staleConnections.isLikelyStale(now - connection.usedAtNanos(), now)) {
         connection.drain();
       }
-      if (connection.load() < limits.maxInFlight() && connection.isPreferredTo(best)) {
+      if (connection.load() < limits.maxInFlight() && isPreferred(connection, best)) {
         best = connection;
       }
     }
     return best;
   }
 
+  /**
+   * Whether an attempt is better written to the candidate: fewer in flight, or used more recently.
+   * Connections whose first request is in flight come last: if the server rejects such a
+   * connection, it is not known whether a second request on it ran.
+   */
+  private static boolean isPreferred(ServerConnection candidate, ServerConnection best) {
+    if (best == null) {
+      return true;
+    }
+    if (candidate.isUnproven() != best.isUnproven()) {
+      return best.isUnproven();
+    }
+    return candidate.load() < best.load()
+        || (candidate.load() == best.load() && candidate.usedAtNanos() - best.usedAtNanos() > 0);
+  }
+
   /** Connections that are not draining. */
   private int usableConnections() {
     int usable = 0;
--- /dev/null
+++ b/engine/src/test/java/shalepaddle/upstream/ConnectionLimitTest.java
@@ -0,0 +1,67 @@
+package shalepaddle.upstream;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.netty.util.concurrent.MockTicker;
+import io.netty.util.concurrent.Ticker;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import shalepaddle.loop.LoopClock;
+
+/** The learned limit of a server's connections, by a clock that the test moves. */
+class ConnectionLimitTest {
+  private static final int MAX_CONNECTIONS = 4;
+
+  /** The test moves the clock by jumps, which look like stalls. */
+  private static final class IgnoringListener implements LoopClock.Listener {
+    @Override
+    public void onStall(long nanos) {}
+
+    @Override
+    public void onTaskFailure(RuntimeException cause) {}
+  }
+
+  private final MockTicker ticker = Ticker.newMockTicker();
+  private final ConnectionBudget budget = new ConnectionBudget(100);
+  private final ConnectionLimit limit =
+      new ConnectionLimit(new LoopClock(ticker, new IgnoringListener()), budget, MAX_CONNECTIONS);
+
+  @Test
+  void recoversByOneConnectionAfterEachPeriod() {
+    limit.connectFailed(1);
+    assertEquals(3, limit.current());
+    limit.connectFailed(1);
+    assertEquals(2, limit.current());
+    ticker.advance(2000, TimeUnit.MILLISECONDS);
+    assertEquals(2, limit.current(), "only past the period");
+    ticker.advance(1, TimeUnit.MILLISECONDS);
+    assertEquals(3, limit.current());
+    ticker.advance(2000, TimeUnit.MILLISECONDS);
+    assertEquals(4, limit.current());
+  }
+
+  @Test
+  void recoversSoonerWhenServerRejectedTheConnection() {
+    limit.connectionRejected(2);
+    assertEquals(2, limit.current());
+    ticker.advance(251, TimeUnit.MILLISECONDS);
+    assertEquals(3, limit.current());
+  }
+
+  @Test
+  void neverFallsBelowUsableConnectionsOrOne() {
+    limit.connectionRejected(0);
+    assertEquals(1, limit.current());
+    limit.connectFailed(3);
+    assertEquals(3, limit.current(), "so many are usable");
+  }
+
+  @Test
+  void sharesTheMaximumWithOtherProcesses() {
+    budget.setPeerProcessUsage(1, 7);
+    assertEquals(2, limit.current());
+    assertEquals(2, limit.share());
+    budget.setPeerProcessUsage(9, 7);
+    assertEquals(1, limit.current(), "at least one");
+  }
+}
