--- a/daemon/src/test/java/shalepaddle/daemon/JarIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/JarIT.java
@@ -51,7 +51,7 @@
     String loaded =
         output(builder.start())
             .lines()
-            .filter(line -> line.contains(" shalepaddle.node.Node "))
+            .filter(line -> line.contains(" shalepaddle.node.NodeProcess "))
             .findFirst()
             .orElseThrow();
     assertTrue(loaded.contains("shared objects file"), loaded);
