--- a/engine/src/main/java/shalepaddle/config/NodeConfig.java
+++ b/engine/src/main/java/shalepaddle/config/NodeConfig.java
@@ -9,8 +9,8 @@
 import shalepaddle.model.Settings;
 import shalepaddle.settings.FormatException;
 import shalepaddle.settings.JsonObject;
-import shalepaddle.settings.Retuning;
 import shalepaddle.settings.SettingsFormat;
+import shalepaddle.settings.SettingsUpdateValidator;
 
 /**
  * The platform's configuration of a node, from the file that {@code ROUTER_CONFIG} names.
@@ -68,7 +68,7 @@
   public static NodeConfig reload(String file, JsonObject startupContent) throws FormatException {
     JsonObject next = readJson(file);
     try {
-      Retuning.check(startupContent, next);
+      SettingsUpdateValidator.check(startupContent, next);
     } catch (FormatException e) {
       throw inFile(file, e);
     }
