--- a/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
@@ -32,7 +32,7 @@
   /** Between two rounds over all members. */
   private static final long ROUND_DELAY_MILLIS = 30;
 
-  /** Beyond a request's timeout, after which the transport itself is considered stuck. */
+  /** How long after a request's timeout the transport itself is considered stuck. */
   private static final long TRANSPORT_GRACE_MILLIS = 1000;
 
   private final MemberTransport transport;
@@ -57,7 +57,8 @@
 
     @Override
     public CompletionStage<byte[]> requestReceived(String method, byte[] body) {
-      return CompletableFuture.failedFuture(RequestFailure.rejected("nobody is here"));
+      return CompletableFuture.failedFuture(
+          RequestFailure.rejected("a client answers no requests"));
     }
 
     @Override
@@ -72,7 +73,7 @@
     transport.setAddress(member, address);
   }
 
-  /** A member is not asked any more. */
+  /** A member is not asked any more; an open connection to it stays until {@link #close}. */
   public synchronized void removeAddress(String member) {
     members.remove(member);
   }
@@ -158,6 +159,11 @@
         request(member, GroupRequest.STATUS, new byte[0], ATTEMPT_TIMEOUT_MILLIS));
   }
 
+  /**
+   * Sends a request to one member after the other until one succeeds.
+   *
+   * @throws IOException the last failure, when the time is up
+   */
   private byte[] requestOfAny(
       GroupRequest request, byte[] body, String preferred, long timeoutMillis)
       throws IOException, InterruptedException {
@@ -189,7 +195,9 @@
     } catch (ExecutionException e) {
       throw e.getCause() instanceof IOException cause ? cause : new IOException(e.getCause());
     } catch (TimeoutException e) {
-      throw new IOException("no answer from " + member, e);
+      throw new IOException(
+          "no answer from %s in %d ms".formatted(member, timeoutMillis + TRANSPORT_GRACE_MILLIS),
+          e);
     }
   }
 
--- a/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
@@ -20,10 +20,13 @@
 import shalepaddle.transport.MemberTransport;
 
 /**
- * A member of a group, as a process has it. Requests go to the leader and are repeated under the
- * same id for as long as the caller waits, so that a lost answer comes the second time.
+ * A member of a group that runs in this process. Requests go to the leader and are repeated under
+ * the same id for as long as the caller waits, so that a lost answer comes the second time.
  *
- * <p>Thread-safe. Owns its log, thread and connections until {@link #close}.
+ * <p>Thread-safe once {@link #start} has returned; before, {@link #listenForSubscribers} and {@link
+ * #start} must be called from one thread. Futures complete on the member's thread or the
+ * transport's event loop, so what depends on them must not block; a future may never complete after
+ * {@link #close}. Owns its log, thread and connections until then.
  */
 public final class GroupMember implements AutoCloseable {
   private static final int ENTRIES_BETWEEN_SNAPSHOTS = 10_000;
@@ -37,7 +40,7 @@
   /** Null until the member is part of the group. */
   private volatile RaftMember raftMember;
 
-  /** Null where there are no subscribers. */
+  /** Null where there are no subscribers. Not changed after {@link #start}. */
   private ChangeFeedServer feedServer;
 
   /**
@@ -222,7 +225,10 @@
         .send(timeoutMillis);
   }
 
-  /** Takes no part any more. Blocks until its threads have ended, 1 s each at most. */
+  /**
+   * Ends its part in the group. Blocks until its threads have ended, 1 s each at most. Tasks that
+   * wait for the member's thread are dropped, and their futures don't complete.
+   */
   @Override
   public void close() throws IOException {
     if (feedServer != null) {
--- a/cluster/src/main/java/shalepaddle/cluster/GroupRequest.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupRequest.java
@@ -1,6 +1,9 @@
 package shalepaddle.cluster;
 
-/** What may be requested of a member. The wire names never change. */
+/**
+ * What may be requested of a member. The wire names never change, and some differ from the names of
+ * the constants.
+ */
 enum GroupRequest {
   /** Commits a proposal; answered with its result. Any member passes it on to the leader. */
   PROPOSE("hold"),
@@ -8,7 +11,10 @@
   READ("read"),
   /** Answered with the member's own status. */
   STATUS("standing"),
-  /** Adds the named member as a learner; answered with the initial members, by the leader alone. */
+  /**
+   * Adds the named member as a learner, by the leader alone; answered with the initial members. Any
+   * member answers if the named one is a member already.
+   */
   JOIN("join"),
   /** Makes the named learner a voter, by the leader alone. */
   PROMOTE("vote"),
--- a/cluster/src/main/java/shalepaddle/cluster/JoinProcedure.java
+++ b/cluster/src/main/java/shalepaddle/cluster/JoinProcedure.java
@@ -45,7 +45,11 @@
     this.onJoined = onJoined;
   }
 
-  /** Asks all known members to be added; only the leader's answer is a success. */
+  /**
+   * Asks all known members to be added, and again until one succeeds: the leader, or any that knows
+   * this member to be added already. Failures of single requests are ignored, since all but the
+   * leader reject them.
+   */
   void start() {
     CompletableFuture<byte[]> firstAnswer = new CompletableFuture<>();
     for (String other : config.otherMembers().keySet()) {
@@ -63,6 +67,7 @@
                   if (failure != null) {
                     start();
                   } else {
+                    // Names have no spaces: MemberConfig checks them.
                     onJoined.accept(
                         List.of(new String(initialMembers, StandardCharsets.UTF_8).split(" ")));
                     requestPromotion();
@@ -70,6 +75,7 @@
                 }));
   }
 
+  /** Asks the leader for a vote until this member has one; the answers are not needed. */
   private void requestPromotion() {
     MemberStatus current = status.get();
     if (current.votingMembers().contains(config.name())) {
--- a/cluster/src/main/java/shalepaddle/cluster/LeaderRequest.java
+++ b/cluster/src/main/java/shalepaddle/cluster/LeaderRequest.java
@@ -14,12 +14,13 @@
 
 /**
  * A request to the leader, this member or another, repeated until it is answered or its time is up.
- * Owned by the member's thread; the future may be used from any thread.
+ * Owned by the member's thread. The future completes there or on the transport's event loop, so
+ * what depends on it must not block; it never completes if the member is closed meanwhile.
  *
  * @param <T> the answer
  */
 final class LeaderRequest<T> {
-  /** For another member to answer, before it is asked again. */
+  /** How long another member has to answer an attempt. */
   static final long ATTEMPT_TIMEOUT_MILLIS = 500;
 
   /** Between a failed attempt and the next one. */
@@ -40,7 +41,10 @@
   private final CompletableFuture<T> answer = new CompletableFuture<>();
   private long deadlineNanos;
 
-  /** Whether an attempt may have taken effect though its answer did not come. */
+  /** Why the last attempt failed, for operators. */
+  private String lastFailure = "not made";
+
+  /** Whether any attempt may have taken effect though its answer did not come. */
   private boolean mayHaveTakenEffect;
 
   /**
@@ -84,7 +88,7 @@
       answer.completeExceptionally(
           new NotCommittedException(
               mayHaveTakenEffect ? Outcome.INDETERMINATE : Outcome.REJECTED,
-              "the group has no majority in contact"));
+              "no leader completed the request in time; the last attempt: " + lastFailure));
       return;
     }
     MemberStatus current = status.get();
@@ -100,6 +104,7 @@
           .thenApply(this::decode)
           .whenComplete(this::completeOrRetry);
     } else {
+      lastFailure = "no leader is known, as when the group has no majority in contact";
       scheduleRetry();
     }
   }
@@ -120,6 +125,7 @@
     boolean mayHave = RequestFailure.mayHaveTakenEffect(failure);
     executor.execute(
         () -> {
+          lastFailure = RequestFailure.reasonOf(failure);
           mayHaveTakenEffect |= mayHave;
           scheduleRetry();
         });
--- a/cluster/src/main/java/shalepaddle/cluster/MemberConfig.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberConfig.java
@@ -13,7 +13,8 @@
  * @param name the member's own; must not be used again once its folder is lost
  * @param folder the directory of its log, for it alone
  * @param listenAddress where it listens for the others, with port 0 for any
- * @param advertisedAddress where the others find it, null for the listen address
+ * @param advertisedAddress where the others find it, null for the listen address, which then must
+ *     not be a wildcard such as 0.0.0.0; resolved, which is not checked
  * @param initialMembers those with whom the group began, and where this member finds them; one that
  *     joins need not know all of them
  */
@@ -45,7 +46,7 @@
   private static void checkName(String what, String name) {
     if (!name.matches("[A-Za-z0-9._-]{1," + MAX_NAME_LENGTH + "}")) {
       throw new IllegalArgumentException(
-          "%s '%s' must have 1 to %d letters, digits, dots, dashes"
+          "%s '%s' must have 1 to %d letters, digits, dots, dashes or underscores"
               .formatted(what, name, MAX_NAME_LENGTH));
     }
   }
--- a/cluster/src/main/java/shalepaddle/cluster/MemberFolder.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberFolder.java
@@ -47,6 +47,7 @@
       if (owner.isPresent()) {
         throw MemberFolderException.occupied(config.folder(), owner.get());
       }
+      // This writes a header, so that the directory is this member's from now on.
       RaftLogStore logStore = new RaftLogStore(directory, config.group(), config.name());
       if (isInitialMember) {
         logStore.initializeGroup(config.initialMembers().keySet());
--- a/cluster/src/main/java/shalepaddle/cluster/MemberRequestHandler.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberRequestHandler.java
@@ -33,6 +33,7 @@
   public void raftMessageReceived(byte[] message) {
     RaftMember raftMember = member.raftMember();
     if (raftMember == null) {
+      // Still joining. The leader sends again.
       return;
     }
     RaftMessage decoded;
@@ -49,14 +50,15 @@
   public CompletionStage<byte[]> requestReceived(String method, byte[] body) {
     GroupRequest request = GroupRequest.ofWireName(method);
     if (request == GroupRequest.STATUS) {
-      return CompletableFuture.completedFuture(MemberStatusCodec.encode(member.status()));
+      // Answered while the member is joining as well.
+      return status();
     }
     RaftMember raftMember = member.raftMember();
     if (raftMember == null) {
       return rejected(member.name() + " is still joining");
     }
     if (request == null) {
-      return rejected("no question is '" + method + "'");
+      return rejected("there is no request '" + method + "'");
     }
     try {
       return handle(request, body, raftMember);
@@ -68,7 +70,7 @@
   private CompletionStage<byte[]> handle(GroupRequest request, byte[] body, RaftMember raftMember)
       throws IOException {
     return switch (request) {
-      case STATUS -> CompletableFuture.completedFuture(MemberStatusCodec.encode(member.status()));
+      case STATUS -> status();
       case PROPOSE ->
           translateFailure(
               propose(ReplicatedStateCodec.decodeProposal(body), raftMember)
@@ -82,6 +84,10 @@
     };
   }
 
+  private CompletionStage<byte[]> status() {
+    return CompletableFuture.completedFuture(MemberStatusCodec.encode(member.status()));
+  }
+
   private static String decodeName(byte[] body) {
     return new String(body, StandardCharsets.UTF_8);
   }
--- a/cluster/src/main/java/shalepaddle/cluster/MemberStatusCodec.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberStatusCodec.java
@@ -24,7 +24,7 @@
   /**
    * A status.
    *
-   * @throws IOException if the bytes are none, or the role is one of a later version
+   * @throws IOException if the bytes are not a status, or the role is one of a later version
    */
   static MemberStatus decode(byte[] bytes) throws IOException {
     return CborValues.decode(
--- a/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
@@ -62,7 +62,10 @@
     return System.nanoTime();
   }
 
-  /** Completes the running task and drops the others. Blocks for 1 s at most. */
+  /**
+   * Completes the running task and drops the others, also those that were to run at once. Blocks
+   * for 1 s at most; a task that runs longer than that still goes on when this returns.
+   */
   @Override
   public void close() {
     executor.shutdown();
--- a/cluster/src/main/java/shalepaddle/cluster/RequestFailure.java
+++ b/cluster/src/main/java/shalepaddle/cluster/RequestFailure.java
@@ -45,6 +45,11 @@
         || !rejected.getMessage().startsWith(REJECTED);
   }
 
+  /** Why a request failed, for operators. */
+  static String reasonOf(Throwable failure) {
+    return String.valueOf(rootOf(failure).getMessage());
+  }
+
   private static Throwable rootOf(Throwable failure) {
     return failure instanceof CompletionException ? failure.getCause() : failure;
   }
--- a/cluster/src/main/java/shalepaddle/cluster/package-info.java
+++ b/cluster/src/main/java/shalepaddle/cluster/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A group member as a process has it, and the client of a group.
+ * A group member that runs in this process, and the client of a group.
  *
  * <p>{@link shalepaddle.cluster.GroupMember} joins the directory of its log, its thread, its
  * transport, its part in Raft and the change feed; {@code LeaderRequest} sends a request to the
--- a/cluster/src/main/java/shalepaddle/encoding/CborValues.java
+++ b/cluster/src/main/java/shalepaddle/encoding/CborValues.java
@@ -152,7 +152,11 @@
     T decode(Reader in) throws IOException;
   }
 
-  /** The bytes of a value. */
+  /**
+   * The bytes of a value.
+   *
+   * @throws UncheckedIOException as the encoder throws IOException: for a value without a format
+   */
   public static <T> byte[] encode(T value, Encoder<T> encoder) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
--- a/cluster/src/main/java/shalepaddle/encoding/ChangeFeedCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/ChangeFeedCodec.java
@@ -37,7 +37,7 @@
    * A subscriber's message.
    *
    * @throws UnknownFormatException if a later version made it
-   * @throws MalformedMessageException if the bytes are none
+   * @throws MalformedMessageException if the bytes are not a subscriber's message
    */
   public static SubscriberMessage decodeSubscriberMessage(byte[] bytes) throws IOException {
     return CborValues.decode(
@@ -78,7 +78,7 @@
    * A publisher's message.
    *
    * @throws UnknownFormatException if a later version made it
-   * @throws MalformedMessageException if the bytes are none
+   * @throws MalformedMessageException if the bytes are not a publisher's message
    */
   public static PublisherMessage decodePublisherMessage(byte[] bytes) throws IOException {
     return CborValues.decode(
--- a/cluster/src/main/java/shalepaddle/encoding/RaftMessageCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/RaftMessageCodec.java
@@ -48,7 +48,11 @@
     }
   }
 
-  /** The bytes of a message. */
+  /**
+   * The bytes of a message.
+   *
+   * @throws java.io.UncheckedIOException if the message, or an operation in it, has no format
+   */
   public static byte[] encode(RaftMessage message) {
     return CborValues.encode(message, RaftMessageCodec::write);
   }
@@ -57,7 +61,7 @@
    * A message.
    *
    * @throws UnknownFormatException if a later version made it
-   * @throws MalformedMessageException if the bytes are none
+   * @throws MalformedMessageException if the bytes are not a Raft message
    */
   public static RaftMessage decode(byte[] bytes) throws IOException {
     return CborValues.decode(bytes, RaftMessageCodec::read);
--- a/cluster/src/main/java/shalepaddle/encoding/ReplicatedStateCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/ReplicatedStateCodec.java
@@ -30,7 +30,7 @@
   /**
    * A proposal. A command of a later version is read as {@link StateCommand.Unknown}.
    *
-   * @throws MalformedMessageException if the bytes are none
+   * @throws MalformedMessageException if the bytes are not a proposal
    */
   public static Proposal decodeProposal(byte[] bytes) throws IOException {
     return CborValues.decode(
@@ -55,7 +55,7 @@
   /**
    * A result.
    *
-   * @throws MalformedMessageException if the bytes are none
+   * @throws MalformedMessageException if the bytes are not a result
    */
   public static CommandResult decodeResult(byte[] bytes) throws IOException {
     return CborValues.decode(bytes, ReplicatedStateCodec::readResult);
@@ -89,7 +89,7 @@
    * A snapshot.
    *
    * @throws UnknownFormatException if a later version made it
-   * @throws MalformedMessageException if the bytes are none
+   * @throws MalformedMessageException if the bytes are not a snapshot
    */
   public static ReplicatedState.Snapshot decodeSnapshot(byte[] bytes) throws IOException {
     return CborValues.decode(
--- a/cluster/src/main/java/shalepaddle/raft/ElectionWatchdog.java
+++ b/cluster/src/main/java/shalepaddle/raft/ElectionWatchdog.java
@@ -13,7 +13,10 @@
  * <p>Thread-safe: messages come and go on any thread.
  */
 final class ElectionWatchdog {
-  /** Without a leader's message and without an own vote request for so long, the library stalls. */
+  /**
+   * A follower that for so many real nanoseconds neither hears from a leader nor asks for votes is
+   * taken for stalled.
+   */
   static final long STALL_NANOS =
       TimeUnit.MILLISECONDS.toNanos(3 * RaftTimeouts.leaderLossTimeoutMillis());
 
--- a/cluster/src/main/java/shalepaddle/raft/NotCommittedException.java
+++ b/cluster/src/main/java/shalepaddle/raft/NotCommittedException.java
@@ -5,7 +5,10 @@
 import io.microraft.exception.NotLeaderException;
 import java.util.concurrent.CompletionException;
 
-/** A proposal, a read or a membership change was not committed, or nobody knows whether. */
+/**
+ * A proposal, a read or a membership change has no result: it was rejected, or it is unknown
+ * whether it was committed.
+ */
 public final class NotCommittedException extends Exception {
   private static final long serialVersionUID = 1;
 
@@ -40,10 +43,12 @@
       return new NotCommittedException(Outcome.REJECTED, member + " does not lead");
     }
     if (cause instanceof CannotReplicateException) {
-      return new NotCommittedException(Outcome.REJECTED, "too much waits for the majority");
+      return new NotCommittedException(
+          Outcome.REJECTED, member + " accepts no more now: too much is uncommitted");
     }
     if (cause instanceof IndeterminateStateException) {
-      return new NotCommittedException(Outcome.INDETERMINATE, member + " lost its lead meanwhile");
+      return new NotCommittedException(
+          Outcome.INDETERMINATE, member + " lost the leadership before the commit");
     }
     return new NotCommittedException(Outcome.INDETERMINATE, String.valueOf(cause.getMessage()));
   }
--- a/cluster/src/main/java/shalepaddle/raft/RaftMember.java
+++ b/cluster/src/main/java/shalepaddle/raft/RaftMember.java
@@ -42,10 +42,11 @@
  * to the log store, the transport and the replicated state, and restarts it after a disk failure or
  * a stalled election.
  *
- * <p>Thread-safe; futures complete on the member's thread.
+ * <p>Thread-safe, except {@link #appliedState}; futures complete on the member's thread. Calls
+ * after {@link #close} have no effect, and their futures may never complete.
  */
 public final class RaftMember implements AutoCloseable {
-  /** Is notified on the member's thread. */
+  /** Is notified on the member's thread, which must not be blocked. */
   public interface Listener {
     /**
      * A committed entry was applied here. Called in the order of the log.
@@ -57,7 +58,7 @@
     /** A snapshot replaced the state of all entries that were applied. */
     void snapshotInstalled(ReplicatedState.Snapshot snapshot);
 
-    /** The status is not the same as before. */
+    /** The status has changed in any of its fields. */
     void statusChanged(MemberStatus status);
   }
 
@@ -83,7 +84,7 @@
     }
   }
 
-  /** Between two attempts to recover a failed log store. */
+  /** Between two checks whether the log store has failed and can be recovered. */
   private static final long RECOVERY_INTERVAL_NANOS = 250_000_000;
 
   private final String group;
@@ -137,7 +138,9 @@
   }
 
   /**
-   * The library, from what the log store holds.
+   * Builds the library's node from what the log store holds, and replaces what belongs to one run
+   * of it: the state machine, the snapshot boundary and the times of the watchdog. In the
+   * constructor or on the member's thread.
    *
    * @param lastNotifiedIndex the listener was notified of entries up to there
    */
@@ -185,19 +188,25 @@
 
     @Override
     public boolean isReachable(RaftEndpoint endpoint) {
-      // Only a response shows that.
+      // Not known without a response, so it is assumed.
       return true;
     }
   }
 
-  /** Starts to take part. */
+  /**
+   * Starts to take part, and the periodic checks of the log store and of the elections. To be
+   * called once.
+   */
   public CompletionStage<?> start() {
     executor.schedule(ElectionWatchdog.STALL_NANOS, this::restartIfStalled);
     executor.schedule(RECOVERY_INTERVAL_NANOS, this::recoverIfFailed);
     return node.start();
   }
 
-  /** Recovers a failed log store, and restarts the library from what it has surely persisted. */
+  /**
+   * Recovers a failed log store, and restarts the library from what is certainly on disk: its
+   * memory may be ahead of that.
+   */
   private void recoverIfFailed() {
     if (isClosed) {
       return;
@@ -218,13 +227,17 @@
     executor.schedule(ElectionWatchdog.STALL_NANOS / 3, this::restartIfStalled);
   }
 
+  /** Replaces the library's node by a new one. On the member's thread. */
   private void restart() {
     node.terminate();
     node = buildNode(stateMachine.state().index());
     node.start();
   }
 
-  /** Handles a message of another member. */
+  /**
+   * Handles a message of another member, later on the member's thread. Messages to an inactive
+   * member are dropped.
+   */
   public void handle(RaftMessage message) {
     if (message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest) {
       watchdog.leaderMessageReceived(executor.nanoTime());
@@ -237,13 +250,14 @@
             ? snapshotBoundary.adjustRequest(request)
             : message);
     if (message instanceof PreVoteResponse response && !response.isGranted()) {
+      // After the library has handled the response, which it also does on the member's thread.
       executor.execute(() -> ElectionWatchdog.adoptTerm(node, group, response));
     }
   }
 
   private void reported(RaftNodeReport report) {
     if (report.getStatus() != node.getStatus()) {
-      // A report of the library before its restart.
+      // A late report of the terminated node that a restart has replaced.
       return;
     }
     MemberStatus before = status;
@@ -272,7 +286,7 @@
     return RaftNodeStatus.isTerminal(report.getStatus()) ? "it has ended" : null;
   }
 
-  /** This member's last reported view of the group. */
+  /** This member's view of the group, as of the library's last report, 200 ms old at most. */
   public MemberStatus status() {
     return status;
   }
@@ -354,7 +368,10 @@
         });
   }
 
-  /** The state as far as it is applied here, which may be behind; on the member's thread. */
+  /**
+   * The state as far as it is applied here, which may be behind the committed one. To be called on
+   * the member's thread.
+   */
   public ReplicatedState.Snapshot appliedState() {
     return stateMachine.state().snapshot();
   }
@@ -364,7 +381,7 @@
     return LogEntryCodec.names(node.getInitialMembers().getMembers());
   }
 
-  /** Takes no part any more. The log store stays open. */
+  /** Ends its part in the group, asynchronously. The log store stays open. */
   @Override
   public void close() {
     executor.execute(
--- a/cluster/src/main/java/shalepaddle/raft/RaftTimeouts.java
+++ b/cluster/src/main/java/shalepaddle/raft/RaftTimeouts.java
@@ -20,13 +20,15 @@
   /** Real milliseconds of one of the library's seconds. */
   public static final long LIBRARY_SECOND_MILLIS = 200;
 
+  private static final long MILLIS_PER_SECOND = 1000;
+
   /** Between two heartbeats of the leader, in the library's seconds. */
   private static final int HEARTBEAT_PERIOD_LIBRARY_SECONDS = 1;
 
-  /** Without a heartbeat for so long a leader is considered lost, in the library's seconds. */
+  /** The time without a heartbeat after which a leader is lost, in the library's seconds. */
   private static final int LEADER_LOSS_LIBRARY_SECONDS = 4;
 
-  /** After which an election without a result starts again, in the library's milliseconds. */
+  /** The time after which an undecided election is repeated, in the library's milliseconds. */
   private static final int ELECTION_LIBRARY_MILLIS = 2000;
 
   /** Between two status reports, in the library's seconds. */
@@ -67,7 +69,7 @@
       @Override
       public long millis() {
         long realMillis = (nanoTime.getAsLong() - startNanos) / 1_000_000;
-        return CLOCK_START_MILLIS + realMillis * 1000 / LIBRARY_SECOND_MILLIS;
+        return CLOCK_START_MILLIS + realMillis * MILLIS_PER_SECOND / LIBRARY_SECOND_MILLIS;
       }
 
       @Override
@@ -102,7 +104,7 @@
 
       @Override
       public void schedule(Runnable task, long delay, TimeUnit unit) {
-        executor.schedule(unit.toNanos(delay) / 1000 * LIBRARY_SECOND_MILLIS, task);
+        executor.schedule(unit.toNanos(delay) / MILLIS_PER_SECOND * LIBRARY_SECOND_MILLIS, task);
       }
     };
   }
--- a/cluster/src/main/java/shalepaddle/raft/ReplicatedStateMachine.java
+++ b/cluster/src/main/java/shalepaddle/raft/ReplicatedStateMachine.java
@@ -37,7 +37,11 @@
     return state;
   }
 
-  /** Returns the {@link CommandResult}, null for an entry without a command. */
+  /**
+   * Applies a committed entry, or answers a linearizable read, whose operation is empty.
+   *
+   * @return the {@link CommandResult}, null for an entry without a command and for a read
+   */
   @Override
   public Object runOperation(long index, Object operation) {
     byte[] bytes = (byte[]) operation;
@@ -48,7 +52,8 @@
     try {
       proposal = ReplicatedStateCodec.decodeProposal(bytes);
     } catch (IOException e) {
-      // Every member has the same bytes, so all of them skip the entry.
+      // Every member has the same bytes, so all of them skip the entry. The listener is not
+      // told, and the index of the state does not advance.
       return new CommandResult(CommandResult.Outcome.UNKNOWN_COMMAND, index);
     }
     CommandResult result = state.apply(index, proposal);
@@ -61,6 +66,7 @@
   @Override
   public void takeSnapshot(long index, Consumer<Object> chunks) {
     byte[] bytes = ReplicatedStateCodec.encodeSnapshot(state.snapshot());
+    // At least one chunk: the log store knows a snapshot by its chunks.
     for (int from = 0; from == 0 || from < bytes.length; from += CHUNK_BYTES) {
       chunks.accept(Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + CHUNK_BYTES)));
     }
--- a/cluster/src/main/java/shalepaddle/storage/LogStoreFailedException.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogStoreFailedException.java
@@ -10,6 +10,9 @@
   private static final long serialVersionUID = 1;
 
   LogStoreFailedException(IOException cause) {
-    super("the journal failed before: " + cause.getMessage(), cause);
+    super(
+        "the log failed before, and nothing is written until it is recovered: "
+            + cause.getMessage(),
+        cause);
   }
 }
--- a/cluster/src/main/java/shalepaddle/storage/RaftLogStore.java
+++ b/cluster/src/main/java/shalepaddle/storage/RaftLogStore.java
@@ -20,7 +20,7 @@
 
 /**
  * A member's durable term, vote, log and snapshot: an append-only segment that is compacted to the
- * next one when most of it is superseded.
+ * next one when it has more than doubled.
  *
  * <p>A log-structured store (Rosenblum and Ousterhout, "The Design and Implementation of a
  * Log-Structured File System", 1992): the state is what the records of the newest segment add up
@@ -89,6 +89,7 @@
         : Optional.of(LogRecovery.read(directory, newest.get()).owner());
   }
 
+  /** Reads the newest segment, if there is one, and continues with a new one. */
   private void open() throws IOException {
     Optional<String> newest = LogRecovery.newestSegmentName(directory);
     LogRecovery.deleteAllBut(directory, newest);
@@ -115,8 +116,9 @@
   }
 
   /**
-   * Makes a failed store usable again: reads what was synced, which is all that anybody was
-   * answered by, and writes it to a new segment.
+   * Makes a failed store usable again: reads what was synced and writes it to a new segment. What
+   * was not synced is dropped; the member has acknowledged none of it, so that is safe. The library
+   * must then be restarted from {@link #restoredState}, since its memory may be ahead of the log.
    *
    * @return false if the disk still fails; may be called again
    */
@@ -129,7 +131,8 @@
       String newest =
           LogRecovery.newestSegmentName(directory)
               .orElseThrow(() -> CorruptLogException.withoutSegment(directory.location()));
-      // A segment that was renamed in a failed compaction was synced before it was named.
+      // A newer segment than the writer's comes from a compaction that failed after its rename. It
+      // was synced before that, so all of it counts.
       long maxBytes = writer.isCurrent(newest) ? writer.syncedLength() : Integer.MAX_VALUE;
       LogRecovery.NewestSegment segment = LogRecovery.read(directory, newest, maxBytes);
       LogRecovery.deleteAllBut(directory, Optional.of(newest));
@@ -152,9 +155,11 @@
   }
 
   /**
-   * Makes this the log of one of the members with whom a group begins; all of them vote.
+   * Makes this the log of one of the members with whom a group begins; all of them vote. The log
+   * must be new, which is not checked.
    *
    * @param members the names of all of them
+   * @throws IOException if the disk fails; the log may then have only a part of this
    */
   public void initializeGroup(Collection<String> members) throws IOException {
     Collection<RaftEndpoint> endpoints = new LinkedHashSet<>();
@@ -174,7 +179,7 @@
     return contents.restoredState();
   }
 
-  /** What an operator should know of the state in which the log was found. */
+  /** Lines for operators about what was repaired when the log was opened, as a cut-off write. */
   public List<String> recoveryWarnings() {
     return List.copyOf(recoveryWarnings);
   }
@@ -203,7 +208,11 @@
     void run() throws IOException;
   }
 
-  /** Runs an operation unless an earlier one failed, and remembers a failure. */
+  /**
+   * Runs an operation unless an earlier one failed, and remembers a failure. Operations change the
+   * contents in memory before the file, so after a failure the contents may be ahead of the disk;
+   * {@link #recover} reads them again.
+   */
   private void runUnlessFailed(Operation operation) throws IOException {
     if (failure != null) {
       throw new LogStoreFailedException(failure);
--- a/cluster/src/main/java/shalepaddle/storage/SegmentWriter.java
+++ b/cluster/src/main/java/shalepaddle/storage/SegmentWriter.java
@@ -6,20 +6,27 @@
 
 /**
  * Appends to the current segment and switches to the next one. Segments are numbered by generation;
- * only the newest counts. Owned by the member's thread.
+ * only the newest counts. {@link #startNext} must have succeeded before the first {@link #append}
+ * or {@link #sync}, and again after {@link #close}. Owned by the member's thread.
  */
 final class SegmentWriter implements Closeable {
+  // Names of stored files, which never change.
   private static final String SEGMENT_PREFIX = "journal-";
   private static final String INCOMPLETE_PREFIX = "next-";
   private static final int HEXADECIMAL = 16;
 
   private final LogDirectory directory;
 
-  /** Of the current segment, 0 for none. */
+  /** The number of the current segment, 0 for none. */
   private long generation;
 
+  /** The current segment, null before the first and after {@link #close}. */
   private LogDirectory.Appender file;
+
+  /** Bytes of the current segment, synced or not. */
   private long length;
+
+  /** Bytes with which the current segment began. */
   private long lengthAtStart;
 
   /** Bytes of the segment that the last successful sync covered. */
@@ -100,7 +107,10 @@
     syncedLength = length;
   }
 
-  /** Whether it exceeds so many bytes, and most of it was superseded since it was started. */
+  /**
+   * Whether the segment exceeds so many bytes and has more than doubled since it was started. What
+   * was superseded is not counted; the doubling bounds the cost of rewriting what was not.
+   */
   boolean needsCompaction(long thresholdBytes) {
     return length > thresholdBytes && length > 2 * lengthAtStart;
   }
--- a/cluster/src/main/java/shalepaddle/transport/ChangeFeedClient.java
+++ b/cluster/src/main/java/shalepaddle/transport/ChangeFeedClient.java
@@ -38,7 +38,7 @@
     /** A snapshot replaced the state of all entries that were applied. */
     void snapshotInstalled(ReplicatedState.Snapshot snapshot);
 
-    /** Whether the node is in contact with the group has changed. */
+    /** The node has come into contact with the group, or has lost it. */
     void contactChanged(boolean isInContact);
 
     /** A line for operators. */
@@ -240,7 +240,7 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       Throwable root = cause.getCause() == null ? cause : cause.getCause();
       if (ctx.channel() == channel) {
-        listener.diagnostic("a member's words can't be read: " + root.getMessage());
+        listener.diagnostic("a member's message can't be read: " + root.getMessage());
       }
       ctx.close();
     }
--- a/cluster/src/main/java/shalepaddle/transport/MemberTransport.java
+++ b/cluster/src/main/java/shalepaddle/transport/MemberTransport.java
@@ -28,6 +28,9 @@
   /** Accepted connections at once. */
   private static final int MAX_CONNECTIONS = 256;
 
+  /** Peers of which the last rejection is remembered; those of further peers are not reported. */
+  private static final int MAX_REPORTED_PEERS = 256;
+
   /** A connection without a handshake is closed after so long. */
   private static final long HANDSHAKE_TIMEOUT_MILLIS = 2000;
 
@@ -49,9 +52,11 @@
 
   private final MultiThreadIoEventLoopGroup loops;
   private final EventLoop loop;
+
+  /** By the member's name. Owned by the event loop. */
   private final Map<String, PeerConnection> peers = new HashMap<>();
 
-  /** The last rejection that was reported, by the peer's IP address. */
+  /** The last rejection that was reported, by the peer's IP address. Owned by the event loop. */
   private final Map<String, String> reportedRejections = new HashMap<>();
 
   private final Listener listener;
@@ -151,9 +156,12 @@
     return response;
   }
 
-  /** Reports a rejected peer, unless the same was reported of it last. */
+  /**
+   * Reports a rejected peer, unless the same was reported of it last. Nothing is reported any more
+   * once {@link #MAX_REPORTED_PEERS} peers were.
+   */
   private void reportRejection(String peer, String reason) {
-    if (reportedRejections.size() < MAX_CONNECTIONS
+    if (reportedRejections.size() < MAX_REPORTED_PEERS
         && !reason.equals(reportedRejections.put(peer, reason))) {
       listener.diagnostic("a peer at " + peer + " is turned down: " + reason);
     }
@@ -161,14 +169,14 @@
 
   /** One accepted connection. */
   private final class InboundHandler extends SimpleChannelInboundHandler<Frame> {
-    private boolean hasShakenHands;
+    private boolean isHandshakeDone;
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       ctx.executor()
           .schedule(
               () -> {
-                if (!hasShakenHands) {
+                if (!isHandshakeDone) {
                   ctx.close();
                 }
               },
@@ -178,8 +186,8 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Frame frame) throws IOException {
-      if (!hasShakenHands) {
-        shakeHands(frame);
+      if (!isHandshakeDone) {
+        acceptHandshake(frame);
         return;
       }
       switch (frame.kind()) {
@@ -190,7 +198,11 @@
       }
     }
 
-    private void shakeHands(Frame frame) throws IOException {
+    /**
+     * Accepts a peer of the same group, and sends to it at the address that it advertises from now
+     * on, in place of the configured one.
+     */
+    private void acceptHandshake(Frame frame) throws IOException {
       if (frame.kind() != Frame.Kind.HELLO) {
         throw new UnexpectedMessageException(frame.kind(), Frame.Kind.HELLO);
       }
@@ -199,7 +211,7 @@
         throw new HandshakeRejectedException(
             "it is of group '%s', and this is '%s'".formatted(theirs.group(), hello.group()));
       }
-      hasShakenHands = true;
+      isHandshakeDone = true;
       if (!theirs.address().isEmpty()) {
         try {
           setPeerAddress(theirs.name(), MemberList.parseAddress(theirs.address()));
--- a/cluster/src/main/java/shalepaddle/transport/PeerConnection.java
+++ b/cluster/src/main/java/shalepaddle/transport/PeerConnection.java
@@ -55,9 +55,15 @@
   /** The connection, null unless {@link State#CONNECTED} or closed from there. */
   private Channel channel;
 
+  /** The backoff after the next failure; doubled with each, reset by a TCP connection. */
   private long backoffMillis = INITIAL_BACKOFF_MILLIS;
+
+  /** No attempt to connect before; {@link #NO_BACKOFF} for at once. */
   private long notBeforeNanos = NO_BACKOFF;
+
+  /** Since when the connection accepts no bytes; {@link #UNBLOCKED} while it does. */
   private long blockedSinceNanos = UNBLOCKED;
+
   private long lastRequestId;
 
   PeerConnection(EventLoop loop, InetSocketAddress address, ControlMessages.Hello hello) {
@@ -103,7 +109,8 @@
     loop.schedule(
         () ->
             response.completeExceptionally(
-                new PeerUnavailableException("no answer from " + address)),
+                new PeerUnavailableException(
+                    "no answer from %s in %d ms".formatted(address, timeoutMillis))),
         timeoutMillis,
         TimeUnit.MILLISECONDS);
     send(new Frame(Frame.Kind.REQUEST, new ControlMessages.Request(id, method, body).encode()));
--- a/core/src/main/java/shalepaddle/changefeed/ChangeFeedPublisher.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedPublisher.java
@@ -8,10 +8,11 @@
 /**
  * Decides what a member sends to the subscribers of the change feed.
  *
- * <p>A subscriber is an index in the log and what is in flight to it; nothing is stored for it. One
- * that is slow or has stopped is sent at most {@link Limits#windowBytes} without an
- * acknowledgement, delays nobody, and gets a snapshot once the entries that it lacks are not
- * retained any more.
+ * <p>For each subscriber the publisher knows the last log index that was sent to it and how many
+ * bytes it has not acknowledged; entries are retained once for all of them. No more is sent to a
+ * subscriber while {@link Limits#windowBytes} are not acknowledged, so a slow or stopped one does
+ * not delay the others. It gets a snapshot once the entries that it lacks are not retained any
+ * more.
  *
  * <p>Not thread-safe: owned by the thread that applies the log. Times are monotonic nanoseconds.
  */
@@ -19,7 +20,7 @@
   /** Bytes of entries in one message, unless a single entry is larger. */
   private static final int MAX_BATCH_BYTES = 16 << 10;
 
-  /** Subscribers of which the last rejected entry is remembered. */
+  /** Names of subscribers in {@link #lastRejections} at most; they are never removed. */
   private static final int MAX_REJECTIONS = 1024;
 
   private static final String NO_LEADER = "this member knows nobody who leads its group";
@@ -29,7 +30,8 @@
    *
    * @param maxSubscribers that are served at once
    * @param maxRetainedBytes of entries for subscribers that reconnect
-   * @param windowBytes in flight to one subscriber, beyond which nothing more is sent to it
+   * @param windowBytes sent to one subscriber and not acknowledged, from which on nothing more is
+   *     sent to it; the last message may exceed it
    * @param heartbeatNanos after which a subscriber that was sent nothing gets a heartbeat
    * @param ackTimeoutNanos after which a subscriber that does not acknowledge is disconnected
    * @param leaderLossTimeoutNanos without a known leader, after which subscribers are rejected; an
@@ -44,7 +46,13 @@
       long leaderLossTimeoutNanos) {
     /** For twice the nodes that docs/CAPACITY.md plans for. */
     public static final Limits DEFAULT =
-        new Limits(1024, 8L << 20, 256 << 10, 250_000_000L, 5_000_000_000L, 2_500_000_000L);
+        new Limits(
+            /* maxSubscribers= */ 1024,
+            /* maxRetainedBytes= */ 8L << 20,
+            /* windowBytes= */ 256 << 10,
+            /* heartbeatNanos= */ 250_000_000L,
+            /* ackTimeoutNanos= */ 5_000_000_000L,
+            /* leaderLossTimeoutNanos= */ 2_500_000_000L);
   }
 
   /** Carries out what a publisher decides. */
@@ -64,7 +72,7 @@
   private final Output output;
   private final RetainedEntries retained;
 
-  /** By connection, in the order in which they began. */
+  /** The subscribers that have sent a hello, by connection, in the order of their hellos. */
   private final Map<Long, SubscriberSession> sessions = new LinkedHashMap<>();
 
   private final Map<String, SubscriberMessage.EntryRejected> lastRejections = new HashMap<>();
@@ -133,7 +141,7 @@
       if (session != null) {
         reject(connection, "a second hello");
       } else {
-        greeted(now, connection, hello);
+        helloReceived(now, connection, hello);
       }
     } else if (session == null) {
       reject(connection, "speaks before it says who it is");
@@ -146,7 +154,8 @@
     }
   }
 
-  private void greeted(long now, long connection, SubscriberMessage.Hello hello) {
+  /** Accepts a subscriber and sends what it lacks, or rejects it with a reason. */
+  private void helloReceived(long now, long connection, SubscriberMessage.Hello hello) {
     long lastIndex = retained.lastIndex();
     if (!hello.group().equals(group)) {
       reject(connection, "it follows group '%s', and this is '%s'".formatted(hello.group(), group));
@@ -179,7 +188,7 @@
     output.close(connection);
   }
 
-  /** Sends what a subscriber lacks, as far as its window allows. */
+  /** Sends what a subscriber lacks, as far as its window allows; rejects it if that is gone. */
   private void sendMissing(long now, long connection) {
     SubscriberSession session = sessions.get(connection);
     while (session != null
@@ -223,7 +232,10 @@
     sessions.remove(connection);
   }
 
-  /** To be called several times in {@link Limits#heartbeatNanos}. */
+  /**
+   * Sends heartbeats, and disconnects subscribers that don't acknowledge, or all of them while no
+   * leader is known. To be called several times in each {@link Limits#heartbeatNanos}.
+   */
   public void tick(long now) {
     for (long connection : List.copyOf(sessions.keySet())) {
       SubscriberSession session = sessions.get(connection);
--- a/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
@@ -17,13 +17,14 @@
   /**
    * The timeouts of a subscriber, in nanoseconds.
    *
-   * @param silenceTimeoutNanos without a message, after which another member is tried
-   * @param connectTimeoutNanos for a connection to be established and answered
-   * @param initialBackoffNanos before the next attempt at most; doubled with each that fails
-   * @param maxBackoffNanos the upper limit of that
+   * @param silenceTimeoutNanos the time without a message after which another member is tried
+   * @param connectTimeoutNanos from the start of an attempt to connect to the first message
+   * @param initialBackoffNanos the upper bound of the first random backoff; the bound doubles with
+   *     each failed attempt
+   * @param maxBackoffNanos what the bound does not exceed
    * @param ackIntervalNanos between two acknowledgements
-   * @param contactTimeoutNanos without a message, after which the node is out of contact; longer
-   *     than all others
+   * @param contactTimeoutNanos the time without a message after which the node is out of contact;
+   *     must be longer than all others, which is not checked
    */
   public record Timeouts(
       long silenceTimeoutNanos,
@@ -35,17 +36,22 @@
     /** For entries that reach all nodes within 1.1 s, also when a member is lost. */
     public static final Timeouts DEFAULT =
         new Timeouts(
-            600_000_000L,
-            1_500_000_000L,
-            100_000_000L,
-            1_000_000_000L,
-            500_000_000L,
-            2_000_000_000L);
+            /* silenceTimeoutNanos= */ 600_000_000L,
+            /* connectTimeoutNanos= */ 1_500_000_000L,
+            /* initialBackoffNanos= */ 100_000_000L,
+            /* maxBackoffNanos= */ 1_000_000_000L,
+            /* ackIntervalNanos= */ 500_000_000L,
+            /* contactTimeoutNanos= */ 2_000_000_000L);
   }
 
   /** Carries out what a subscriber decides. */
   public interface Output {
-    /** Opens a connection to the member of this number, and closes an older one. */
+    /**
+     * Opens a connection to a member. Only called while there is no other: it was closed, or its
+     * end was reported to {@link ChangeFeedSubscriber#disconnected}.
+     *
+     * @param member its number, from 0
+     */
     void connect(int member);
 
     /** Closes the connection, if there is one, in any state. */
@@ -64,7 +70,7 @@
      */
     boolean installSnapshot(long index, byte[] state);
 
-    /** Whether the node is in contact with the group has changed. */
+    /** The node has come into contact with the group, or has lost it. */
     void contactChanged(boolean isInContact);
 
     /** A member rejected the subscription. */
@@ -77,7 +83,7 @@
     /** Connecting, until the deadline. */
     CONNECTING,
     /** Connected, and the hello is sent; nothing has come yet. */
-    GREETED,
+    HELLO_SENT,
     /** Receives messages; the deadline is that of the next one. */
     SUBSCRIBED
   }
@@ -91,15 +97,19 @@
   private State state = State.BACKING_OFF;
   private int member;
 
-  /** When the state ends by itself. */
+  /** When {@link #tick} leaves the state, unless something else does before. */
   private long deadlineNanos;
 
+  /** The upper bound of the next random backoff. */
   private long maxNextBackoffNanos;
+
+  /** The last log index that was received, in an entry or a snapshot; 0 for none. */
   private long lastIndex;
+
   private boolean isInContact;
   private long lastMessageNanos;
 
-  /** The last index that the member knows to be received. */
+  /** The index in the last hello or acknowledgement on this connection. */
   private long acknowledgedIndex;
 
   private long nextAckNanos;
@@ -136,11 +146,14 @@
   }
 
   /**
-   * Whether the node was stalled until now. Messages that came meanwhile may be as old as the
-   * stall, and nothing shows it; so a node that was stalled for long closes its connection, and is
-   * out of contact until it is answered on a new one.
+   * Gives up the connection, if there is one, when no method was called for the contact timeout, as
+   * when the process was stopped. Messages that came meanwhile may be as old as the stall, and
+   * nothing shows it; so the node is out of contact until it is answered on a new connection. Each
+   * method that is called with a time calls this first.
+   *
+   * @return whether there was a stall; what the caller was called for is then obsolete
    */
-  private boolean wasStalled(long now) {
+  private boolean disconnectAfterStall(long now) {
     boolean stalled = now - lastCallNanos >= timeouts.contactTimeoutNanos;
     lastCallNanos = now;
     if (stalled && state != State.BACKING_OFF) {
@@ -179,7 +192,7 @@
   /** Time has passed. */
   public void tick(long now) {
     // A stall needs nothing more here: the state is that of a new backoff.
-    wasStalled(now);
+    disconnectAfterStall(now);
     if (now - lastMessageNanos >= timeouts.contactTimeoutNanos) {
       loseContact();
     }
@@ -212,8 +225,8 @@
 
   /** The connection is established. */
   public void connected(long now) {
-    if (!wasStalled(now) && state == State.CONNECTING) {
-      state = State.GREETED;
+    if (!disconnectAfterStall(now) && state == State.CONNECTING) {
+      state = State.HELLO_SENT;
       acknowledgedIndex = lastIndex;
       output.send(new SubscriberMessage.Hello(group, name, lastIndex));
     }
@@ -221,14 +234,14 @@
 
   /** The connection could not be established, or has ended. */
   public void disconnected(long now) {
-    if (!wasStalled(now) && state != State.BACKING_OFF) {
+    if (!disconnectAfterStall(now) && state != State.BACKING_OFF) {
       switchMember(now);
     }
   }
 
   /** A message came from the member. */
   public void received(long now, PublisherMessage message) {
-    if (wasStalled(now) || !isConnected()) {
+    if (disconnectAfterStall(now) || !isConnected()) {
       return;
     }
     if (message instanceof PublisherMessage.Rejected rejected) {
@@ -253,11 +266,14 @@
   }
 
   private boolean isConnected() {
-    return state == State.GREETED || state == State.SUBSCRIBED;
+    return state == State.HELLO_SENT || state == State.SUBSCRIBED;
   }
 
   /**
-   * Applies what is new; false if the message shows that something is missing, or is unreadable.
+   * Applies what is new in a message.
+   *
+   * @return false if entries before it are missing here, or its snapshot can't be read; the
+   *     connection is then of no use
    */
   private boolean accept(long now, PublisherMessage message) {
     long before = lastIndex;
@@ -319,7 +335,7 @@
     }
   }
 
-  /** The last log index that it knows, 0 for none. */
+  /** The last log index that was received, in an entry or a snapshot; 0 for none. */
   public long lastIndex() {
     return lastIndex;
   }
--- a/core/src/main/java/shalepaddle/changefeed/RetainedEntries.java
+++ b/core/src/main/java/shalepaddle/changefeed/RetainedEntries.java
@@ -76,8 +76,10 @@
   }
 
   /**
-   * The entries after an index, of which at least one must be retained: one, and more up to a
-   * number of bytes.
+   * The entries after an index, up to a number of bytes; the first one even if it is larger.
+   *
+   * @param index from {@link #baseIndex} on and before {@link #lastIndex}; otherwise the batch has
+   *     gaps or is empty, which is not checked
    */
   Batch batchAfter(long index, int maxBatchBytes) {
     List<ChangeEntry> batch = new ArrayList<>();
--- a/core/src/main/java/shalepaddle/changefeed/SubscriberSession.java
+++ b/core/src/main/java/shalepaddle/changefeed/SubscriberSession.java
@@ -2,7 +2,10 @@
 
 import java.util.ArrayDeque;
 
-/** What a publisher knows of one subscriber's connection. Owned by its publisher. */
+/**
+ * What a publisher knows of one subscriber's connection. Owned by its publisher. Times are
+ * monotonic nanoseconds.
+ */
 final class SubscriberSession {
   /** A message that is not acknowledged. */
   private record InFlight(long lastIndex, int bytes) {}
@@ -46,7 +49,7 @@
   /** A message with state or entries up to an index is sent. */
   void stateSent(long now, long lastIndex, int bytes) {
     sentIndex = lastIndex;
-    heartbeatSent(now);
+    messageSent(now);
     if (bytes > 0) {
       inFlight.add(new InFlight(lastIndex, bytes));
       inFlightBytes += bytes;
@@ -55,6 +58,10 @@
 
   /** A message is sent that needs no acknowledgement. */
   void heartbeatSent(long now) {
+    messageSent(now);
+  }
+
+  private void messageSent(long now) {
     if (inFlight.isEmpty()) {
       lastAckNanos = now;
     }
--- a/core/src/main/java/shalepaddle/replicatedstate/Proposal.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/Proposal.java
@@ -22,13 +22,14 @@
    */
   public Proposal {
     if (id.isEmpty() || id.length() > MAX_ID_LENGTH) {
-      throw new IllegalArgumentException("an id has 1 to " + MAX_ID_LENGTH + " characters");
+      throw new IllegalArgumentException(
+          "a proposal's id has 1 to " + MAX_ID_LENGTH + " characters");
     }
     if (command instanceof StateCommand.SetExclusion exclusion) {
       int length = exclusion.serverId().length();
       if (length == 0 || length > MAX_SERVER_ID_LENGTH) {
         throw new IllegalArgumentException(
-            "a member has 1 to " + MAX_SERVER_ID_LENGTH + " characters");
+            "a server's id has 1 to " + MAX_SERVER_ID_LENGTH + " characters");
       }
     }
   }
