--- a/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
@@ -32,7 +32,10 @@
     executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
   }
 
-  /** The task, whose failure is logged and does not stop the thread. */
+  /**
+   * The task, with a line in the log if it throws a RuntimeException. The thread goes on in any
+   * case; an Error is not logged.
+   */
   private Runnable logFailure(Runnable task) {
     return () -> {
       try {
--- a/cluster/src/main/java/shalepaddle/storage/LogContents.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogContents.java
@@ -164,7 +164,7 @@
         new ArrayList<>(entries.tailMap(snapshotIndex + 1).values()));
   }
 
-  /** The bytes of a segment, below its header, that holds this state and no superseded record. */
+  /** The encoded records of this state, without superseded ones, to follow a segment's header. */
   List<byte[]> encode() throws IOException {
     List<byte[]> records = new ArrayList<>();
     if (localEndpoint != null) {
--- a/cluster/src/main/java/shalepaddle/storage/LogRecovery.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogRecovery.java
@@ -20,7 +20,7 @@
    *
    * @param fileName its name
    * @param path the same with its directory, for messages
-   * @param records those below its header
+   * @param records those after its header
    * @param partialBytes bytes at its end that a crash cut short
    */
   record NewestSegment(
--- a/cluster/src/test/java/shalepaddle/raft/RaftMemberTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftMemberTest.java
@@ -35,7 +35,7 @@
     VirtualGroup.Machine next = group.leader();
     assertNotNull(next, "nobody leads");
     List<Object> read = new ArrayList<>();
-    next.member.read().thenAccept(image -> read.add(image.excludedServers()));
+    next.member.read().thenAccept(state -> read.add(state.excludedServers()));
     next.member.propose(exclusion("p1", "s-1", true)).thenAccept(results::add);
     group.advance(100);
     assertEquals(List.of(List.of("s-1")), read);
--- a/cluster/src/test/java/shalepaddle/raft/ReplicatedStateMachineTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/ReplicatedStateMachineTest.java
@@ -25,16 +25,16 @@
             new RaftMember.Listener() {
               @Override
               public void entryApplied(
-                  long index, byte[] body, Proposal proposal, CommandResult answer) {
-                assertEquals(CommandResult.Outcome.UNKNOWN_COMMAND, answer.outcome());
+                  long index, byte[] body, Proposal proposal, CommandResult result) {
+                assertEquals(CommandResult.Outcome.UNKNOWN_COMMAND, result.outcome());
                 bodies.add(body);
               }
 
               @Override
-              public void snapshotInstalled(ReplicatedState.Snapshot image) {}
+              public void snapshotInstalled(ReplicatedState.Snapshot snapshot) {}
 
               @Override
-              public void statusChanged(MemberStatus standing) {}
+              public void statusChanged(MemberStatus status) {}
             });
     stateMachine.runOperation(3, laterCommand);
     assertEquals(1, bodies.size());
--- a/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
+++ b/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
@@ -108,7 +108,7 @@
     }
 
     @Override
-    public void entryApplied(long index, byte[] body, Proposal proposal, CommandResult answer) {
+    public void entryApplied(long index, byte[] body, Proposal proposal, CommandResult result) {
       String before = appliedIds.putIfAbsent(index, proposal.id());
       if (before != null && !before.equals(proposal.id())) {
         throw new AssertionError(
