--- a/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
@@ -32,7 +32,10 @@
     executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
   }
 
-  /** The task, whose failure is logged and does not stop the thread. */
+  /**
+   * The task, with a line in the log if it throws a RuntimeException. The thread goes on in any
+   * case; an Error is not logged.
+   */
   private Runnable logFailure(Runnable task) {
     return () -> {
       try {
@@ -62,7 +65,10 @@
     return System.nanoTime();
   }
 
-  /** Completes the running task and drops the others. Blocks for 1 s at most. */
+  /**
+   * Completes the running task and drops the others, also those that were to run at once. Blocks
+   * for 1 s at most; a task that runs longer than that still goes on when this returns.
+   */
   @Override
   public void close() {
     executor.shutdown();
