--- a/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
@@ -53,6 +53,14 @@
     rig.close();
   }
 
+  /**
+   * A node that sheds no load: a request that is shed does not wait, and could not be forwarded.
+   */
+  private static NodeFixture fixture(String settings) throws Exception {
+    return new NodeFixture(
+        settings, new OperatorFile(OverloadConfig.DISABLED, CoalescingConfig.OFF));
+  }
+
   private String next() {
     return "r" + asked++;
   }
@@ -106,7 +114,7 @@
 
   @Test
   void noneThatWaitsForAPlaceIsSentOn() throws Exception {
-    rig = new NodeFixture(ONE_PLACE);
+    rig = fixture(ONE_PLACE);
     int sent = 0;
     ScriptedPeer cache = null;
     for (int batch = 0; batch < BATCHES; batch++) {
@@ -139,7 +147,7 @@
 
   @Test
   void noneThatWaitsForAConnectionThatComesUpLateIsSentOn() throws Exception {
-    rig = new NodeFixture(ONE_PLACE);
+    rig = fixture(ONE_PLACE);
     List<Socket> fillers = fill(rig.cache);
     List<ScriptedPeer> waiting = ask(BATCH);
     // One that leaves after it has waited, the same as one that leaves at once.
@@ -161,7 +169,7 @@
 
   @Test
   void noneThatWaitsBehindBytesThatTheKernelDidNotTakeIsSentOn() throws Exception {
-    rig = new NodeFixture(SHARED.formatted(false));
+    rig = fixture(SHARED.formatted(false));
     int length = 4 << 20;
     ScriptedPeer first = rig.client().write(NodeFixture.put("w", MILLIS, "v".repeat(length)));
     // It reads nothing yet.
@@ -185,7 +193,7 @@
     int sent = 0;
     for (int batch = 0; batch < BATCHES; batch++) {
       // A new one: a server that has lost so many is not asked for a while.
-      rig = new NodeFixture(SHARED.formatted(cancel));
+      rig = fixture(SHARED.formatted(cancel));
       List<ScriptedPeer> waiting = ask(BATCH);
       ScriptedPeer cache = rig.acceptCache();
       for (int i = 0; i < BATCH; i++) {
@@ -220,7 +228,7 @@
 
   @Test
   void noneIsSentOnWhoseConnectionIsNotReadFromForTheAnswersItIsOwed() throws Exception {
-    rig = new NodeFixture(ONE_PLACE);
+    rig = fixture(ONE_PLACE);
     int sent = 0;
     ScriptedPeer cache = null;
     int pipelined = 100;
@@ -251,7 +259,7 @@
 
   @Test
   void noneIsSentOnBehindAnErrorOnItsConnection() throws Exception {
-    rig = new NodeFixture(ONE_PLACE);
+    rig = fixture(ONE_PLACE);
     int sent = 0;
     ScriptedPeer cache = null;
     for (int batch = 0; batch < BATCHES; batch++) {
@@ -276,7 +284,7 @@
   @ParameterizedTest
   @ValueSource(ints = {BATCH / 5, BATCH})
   void noneThatCameAndLeftWhileTheLoopStoodStillIsSentOn(int batchSize) throws Exception {
-    rig = new NodeFixture(ONE_PLACE);
+    rig = fixture(ONE_PLACE);
     ScriptedPeer first = rig.client().write(NodeFixture.get(next(), MILLIS));
     ScriptedPeer cache = rig.acceptCache();
     serve(cache, cache.line());
