--- a/core/src/main/java/shalepaddle/overload/AdmissionController.java
+++ b/core/src/main/java/shalepaddle/overload/AdmissionController.java
@@ -53,7 +53,7 @@
     random = new SplittableRandom(seed);
   }
 
-  /** Begins with so many tiers, whose rates are not known; the limit on all together is kept. */
+  /** Replaces the tiers, with unknown rates and counts of 0; the limit on all together is kept. */
   void resetTiers(int count) {
     offeredPerSecond = new double[count];
     admittedRatio = new double[count];
@@ -81,6 +81,7 @@
     boolean isAdmitted = admittedRatio[tier] >= 1 || random.nextDouble() < admittedRatio[tier];
     if (isAdmitted && isLimiting()) {
       if (!isRetry) {
+        // The outer maximum keeps tokens above the bound, which an unused limit may have granted.
         retryTokens =
             Math.max(retryTokens, Math.min(MAX_RETRY_TOKENS, retryTokens + config.retryRatio()));
       } else if (retryTokens >= 1) {
@@ -110,7 +111,11 @@
     return Math.min(MAX_RETRY_AFTER_SECONDS, config.minRetryAfterSeconds() * excess * spread);
   }
 
-  /** An interval has ended; the least delay of the event loop in it was so many seconds. */
+  /**
+   * An interval has ended. The first call only begins the measurement of rates.
+   *
+   * @param delaySeconds the least delay of the event loop in the interval
+   */
   public void onIntervalEnd(double delaySeconds, long now) {
     double seconds = hasBegun ? Math.max(1e-3, (now - intervalBeganAtNanos) / 1e9) : 0;
     intervalBeganAtNanos = now;
--- a/core/src/main/java/shalepaddle/overload/AdmissionQueue.java
+++ b/core/src/main/java/shalepaddle/overload/AdmissionQueue.java
@@ -19,7 +19,7 @@
  * @param <T> the items
  */
 public final class AdmissionQueue<T> {
-  /** A queue that has not been empty for so long is a standing queue. */
+  /** A queue that has not been empty for longer than this is a standing queue. */
   private static final long STANDING_QUEUE_NANOS = 100_000_000L;
 
   private record Waiting<T>(T item, long sinceNanos) {}
@@ -60,9 +60,9 @@
     queuesByTier.get(tier).addLast(new Waiting<>(item, now));
     size++;
     if (size > maxItems) {
-      for (int lane = queuesByTier.size() - 1; lane >= 0; lane--) {
-        if (!queuesByTier.get(lane).isEmpty()) {
-          rejectOldest(queuesByTier.get(lane));
+      for (int lowest = queuesByTier.size() - 1; lowest >= 0; lowest--) {
+        if (!queuesByTier.get(lowest).isEmpty()) {
+          rejectOldest(queuesByTier.get(lowest));
           return;
         }
       }
@@ -73,32 +73,32 @@
    * Removes the next item to serve, after rejecting those that have waited too long; null if empty.
    */
   public T poll(long now) {
-    for (ArrayDeque<Waiting<T>> lane : queuesByTier) {
-      while (!lane.isEmpty() && now - lane.peekFirst().sinceNanos() > maxWaitNanos) {
-        rejectOldest(lane);
+    for (ArrayDeque<Waiting<T>> queue : queuesByTier) {
+      while (!queue.isEmpty() && now - queue.peekFirst().sinceNanos() > maxWaitNanos) {
+        rejectOldest(queue);
       }
     }
     boolean isStanding = now - nonEmptySinceNanos > STANDING_QUEUE_NANOS;
-    for (ArrayDeque<Waiting<T>> lane : queuesByTier) {
-      if (!lane.isEmpty()) {
+    for (ArrayDeque<Waiting<T>> queue : queuesByTier) {
+      if (!queue.isEmpty()) {
         size--;
-        return (isStanding ? lane.pollLast() : lane.pollFirst()).item();
+        return (isStanding ? queue.pollLast() : queue.pollFirst()).item();
       }
     }
     return null;
   }
 
-  private void rejectOldest(ArrayDeque<Waiting<T>> lane) {
+  private void rejectOldest(ArrayDeque<Waiting<T>> queue) {
     size--;
-    onRejected.accept(lane.pollFirst().item());
+    onRejected.accept(queue.pollFirst().item());
   }
 
   /** Rejects all items. */
   public void rejectAll() {
     queuesByTier.forEach(
-        lane -> {
-          while (!lane.isEmpty()) {
-            rejectOldest(lane);
+        queue -> {
+          while (!queue.isEmpty()) {
+            rejectOldest(queue);
           }
         });
   }
@@ -111,9 +111,9 @@
   /** Nanoseconds for which the oldest has waited, 0 if none waits. */
   public long oldestWaitNanos(long now) {
     long oldest = 0;
-    for (ArrayDeque<Waiting<T>> lane : queuesByTier) {
-      if (!lane.isEmpty()) {
-        oldest = Math.max(oldest, now - lane.peekFirst().sinceNanos());
+    for (ArrayDeque<Waiting<T>> queue : queuesByTier) {
+      if (!queue.isEmpty()) {
+        oldest = Math.max(oldest, now - queue.peekFirst().sinceNanos());
       }
     }
     return oldest;
--- a/core/src/main/java/shalepaddle/overload/AimdRateLimit.java
+++ b/core/src/main/java/shalepaddle/overload/AimdRateLimit.java
@@ -42,10 +42,10 @@
   /** A delay below this part of the previous one is falling. */
   private static final double FALLING_DELAY_RATIO = 0.8;
 
-  /** A delay of so many targets is overload, whether it grows or not. */
+  /** A delay of at least this multiple of the target is overload, whether it grows or not. */
   private static final double OVERLOAD_DELAY_RATIO = 1.5;
 
-  /** A delay of so many times the previous one, or the target if greater, is growing. */
+  /** A delay above this multiple of the previous one, or of the target if greater, is growing. */
   private static final double GROWING_DELAY_RATIO = 1.1;
 
   /** Requests a second that any processor can serve. */
@@ -60,9 +60,10 @@
   /** Decay of the known capacity in each interval, as other processes may use the processor. */
   private static final double CAPACITY_DECAY_RATIO = 0.99;
 
-  /** The limit is lifted after so many intervals in which it was not used. */
+  /** Consecutive intervals with an unused limit after which it is lifted. */
   private static final int UNUSED_INTERVALS_TO_LIFT = 10;
 
+  /** A limit of at least this multiple of the offered rate is unused. */
   private static final double UNUSED_LIMIT_RATIO = 1.2;
 
   /** Intervals in which code is being compiled, so that the capacity grows quickly. */
--- a/core/src/main/java/shalepaddle/overload/MinimumOverInterval.java
+++ b/core/src/main/java/shalepaddle/overload/MinimumOverInterval.java
@@ -1,7 +1,7 @@
 package shalepaddle.overload;
 
 /**
- * The minimum of a quantity over each interval: how much of it is standing, whatever its peaks.
+ * The minimum of a quantity over each interval: its standing part, without peaks.
  *
  * <p>The idea is CoDel's (Nichols and Jacobson, "Controlling Queue Delay", 2012; RFC 8289): a good
  * queue is empty now and then, so its minimum over an interval tells it from a standing queue. Here
--- a/core/src/main/java/shalepaddle/overload/OverloadControl.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadControl.java
@@ -9,7 +9,7 @@
  * All decisions on a load balancer's own overload in one place: fed with what is measured of the
  * process, asked about each request and for the {@link DegradationPolicy}.
  *
- * <p>Three things follow from a delay that stands in the event loop, from the outside in: requests
+ * <p>A standing delay of the event loop (its minimum over an interval) has three effects: requests
  * are admitted by their priority, {@link AdmissionController}; connections that send the most are
  * read from in turns, {@link DegradationPolicy#heavyReaderRatio}; and requests that have been read
  * wait in the {@link AdmissionQueue}, whose oldest item counts as delay too. Memory and descriptors
@@ -21,7 +21,10 @@
   /** The answer to a request that is admitted. */
   public static final long ADMITTED = -1;
 
-  /** Added to the Retry-After of a rejection of a retry, marked or inferred. */
+  /**
+   * Added to the Retry-After of a rejection of a retry, marked or inferred. Above any Retry-After
+   * in milliseconds.
+   */
   public static final long RETRY_FLAG = 1L << 40;
 
   private Settings settings;
@@ -53,9 +56,9 @@
   }
 
   /**
-   * From now on these classes and tenants hold. The limit on all requests together is kept, as what
-   * the process can do is the same; how it is dealt out is learned anew within some intervals. An
-   * {@link #newAdmissionQueue} that was made before goes by the old tiers.
+   * Replaces service classes and tenants. The limit on all requests together is kept, as the
+   * capacity of the process is unchanged; the rates of the tiers, which distribute it, are measured
+   * again. Queues of {@link #newAdmissionQueue} keep the tiers of the settings at their creation.
    */
   public void updateSettings(Settings next) {
     settings = next;
@@ -78,23 +81,23 @@
    *     none waits
    */
   public void onLoopTurnEnd(long beganAtNanos, long now, long oldestWaitNanos) {
-    double ended =
+    double standingDelaySeconds =
         meter.onLoopTurnEnd(
             Math.min(beganAtNanos, now - oldestWaitNanos), now, admission.isLimiting());
-    if (!Double.isNaN(ended)) {
-      delaySeconds = ended;
-      admission.onIntervalEnd(ended, now);
+    if (!Double.isNaN(standingDelaySeconds)) {
+      delaySeconds = standingDelaySeconds;
+      admission.onIntervalEnd(standingDelaySeconds, now);
       updateDegradationPolicy();
     }
   }
 
-  /** The event loop was stalled for so many nanoseconds, until now. */
+  /** The event loop was stalled until now, for a time in nanoseconds. */
   public void onEventLoopStall(long nanos, long now) {
     meter.onEventLoopStall(nanos, now);
   }
 
   /**
-   * So much is in use, each as a part of its limit; to be called several times in 100 ms.
+   * The use of each resource, as a fraction of its limit; to be called several times in 100 ms.
    *
    * @param processorRatio of the cores that the process may use, NaN if unknown: reported, and
    *     never a reason to reject, as a process that uses all of it and is on time serves everybody
@@ -116,7 +119,7 @@
             level(Resource.CPU), level(Resource.MEMORY), level(Resource.DESCRIPTORS));
   }
 
-  /** Whether requests may be rejected now. */
+  /** Whether requests may be rejected now, for delay or for client connections. */
   public boolean isShedding() {
     return admission.isLimiting()
         || connectionSlotRatio >= ConnectionSlotReservation.MIN_REJECTING_USE_RATIO;
--- a/core/src/main/java/shalepaddle/overload/OverloadMeter.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadMeter.java
@@ -37,7 +37,10 @@
   /** Long enough to hold a collection where memory is used up. */
   private static final long MEMORY_INTERVAL_NANOS = 2_000_000_000L;
 
-  /** After a pause what came in it is made up for, for as long as the pause, but no longer than. */
+  /**
+   * After a stall the loop works off what came during it, which takes about as long as the stall.
+   * Turns are ignored for that time, at most for this long.
+   */
   private static final long MAX_GRACE_NANOS = 1_000_000_000L;
 
   /** Receives changes of a level. */
@@ -68,9 +71,9 @@
   }
 
   /**
-   * The process did not run for so long, until now. Turns are not judged until the loop has had
-   * time to make up for it: guards against taking a collection of garbage, or a process that was
-   * stopped, for load.
+   * The process did not run until now, for a time in nanoseconds. Turns are ignored until the loop
+   * has had time to catch up, so that a garbage collection or a stopped process is not taken for
+   * overload.
    */
   public void onEventLoopStall(long nanos, long now) {
     isInGrace = true;
@@ -101,7 +104,7 @@
   }
 
   /**
-   * So much is in use, each as a part of its limit; to be told some times an interval.
+   * The use of each resource, as a fraction of its limit; to be called several times in 100 ms.
    *
    * @param memoryRatio of the heap or of the memory outside of it, whichever is higher
    * @param descriptorRatio of the file descriptors
--- a/core/src/main/java/shalepaddle/overload/PressureLevel.java
+++ b/core/src/main/java/shalepaddle/overload/PressureLevel.java
@@ -4,9 +4,9 @@
 public enum PressureLevel {
   /** There is enough. */
   CALM(0),
-  /** It is getting short: the lowest priorities are shed. */
+  /** It is getting short: the measures of {@link DegradationPolicy} begin. */
   BUSY(1),
-  /** It is nearly exhausted: only the highest priorities are served. */
+  /** It is nearly exhausted: those measures are at their strictest. */
   FULL(2);
 
   private final int severity;
--- a/core/src/main/java/shalepaddle/overload/Resource.java
+++ b/core/src/main/java/shalepaddle/overload/Resource.java
@@ -1,6 +1,6 @@
 package shalepaddle.overload;
 
-/** What a process can run short of, each with answers of its own. */
+/** What a process can run short of, each with its own measures. */
 public enum Resource {
   /** Processor time: requests wait for the event loop. */
   CPU,
--- a/core/src/main/java/shalepaddle/policy/PendingRequest.java
+++ b/core/src/main/java/shalepaddle/policy/PendingRequest.java
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Whether the final answer is still to come, and from whom. */
+  /** Whether the final answer is still to come. */
   private enum State {
     OPEN,
     /** A streamed answer has begun and goes on without a deadline. */
@@ -83,7 +83,7 @@
     return serviceClass;
   }
 
-  /** A number of its own, for timers. */
+  /** Identifies the request in timer tokens: even, above 0 and unique within its router. */
   long serial() {
     return serial;
   }
@@ -129,7 +129,7 @@
     return deadlineSeconds;
   }
 
-  /** A client that waits until then has joined the request's flight. */
+  /** Another client, which waits until then, shares the answer of this request. */
   void extendDeadline(double untilSeconds) {
     deadlineSeconds = Math.max(deadlineSeconds, untilSeconds);
   }
@@ -205,29 +205,32 @@
     if (isClosed || (attemptsInFlight > 0 && !limits.allowsParallelAttempts())) {
       return 0;
     }
-    Attempt first = firstThatMayHaveRun();
+    Attempt first = firstAttemptThatMayHaveRun();
     boolean isDeduplicated =
         first == null || serviceClass.deduplicationScope().spans(first.entry, server.entry());
-    return isDeduplicated || isIdempotent() ? idempotentForSeconds(first, nowSeconds) : 0;
+    return isDeduplicated || isIdempotent() ? safeToRepeatForSeconds(first, nowSeconds) : 0;
   }
 
   /**
    * Whether the client may be told that a retry, at any load balancer, does not take effect twice.
    */
   boolean mayReject(double nowSeconds) {
-    Attempt first = firstThatMayHaveRun();
+    Attempt first = firstAttemptThatMayHaveRun();
     boolean isBoundToServers =
         serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
             && serviceClass.deduplicationScope() != Settings.DeduplicationScope.ALL;
-    return first == null || (!isBoundToServers && idempotentForSeconds(first, nowSeconds) > 0);
+    return first == null || (!isBoundToServers && safeToRepeatForSeconds(first, nowSeconds) > 0);
   }
 
   boolean isIdempotent() {
     return serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT;
   }
 
-  /** Seconds in which servers still drop a repeated key, less the time that an attempt takes. */
-  private double idempotentForSeconds(Attempt first, double nowSeconds) {
+  /**
+   * Seconds in which servers still recognize a repeated idempotency key, which they remember from
+   * the first attempt on, less the time to connect. Infinite if no attempt may have run.
+   */
+  private double safeToRepeatForSeconds(Attempt first, double nowSeconds) {
     if (first == null || isIdempotent()) {
       return Double.POSITIVE_INFINITY;
     }
@@ -240,7 +243,7 @@
         : 0;
   }
 
-  private Attempt firstThatMayHaveRun() {
+  private Attempt firstAttemptThatMayHaveRun() {
     for (Attempt attempt : attempts) {
       if (attempt.mayHaveRun) {
         return attempt;
--- a/core/src/main/java/shalepaddle/policy/RequestRouter.java
+++ b/core/src/main/java/shalepaddle/policy/RequestRouter.java
@@ -31,18 +31,24 @@
  * owned by one event loop.
  */
 public final class RequestRouter {
-  /** The timer of the endpoint list; all others carry a request's serial. */
+  /** Token of the endpoint list's timer. Other tokens are serials of requests, which begin at 2. */
   static final long MEMBERSHIP_TIMER = 0;
 
-  /** Added to a request's serial for the end of its hold. */
+  /**
+   * Marks the token of a request's hold timer; without it the token is that of the deadline timer.
+   * Serials are even, so that this bit is free.
+   */
   private static final long HOLD_FLAG = 1;
 
   private static final long SERIAL_STEP = 2;
 
-  /** Likely fetches always let through, as a part of requests: about the misses of warm caches. */
+  /**
+   * Rate of likely fetches that the fetch window does not limit, as a fraction of the request rate.
+   * About the miss ratio of warm caches.
+   */
   private static final double GUARANTEED_FETCH_RATIO = 0.1;
 
-  /** How long a request may be held for a fetch, as a part of its latency objective. */
+  /** Longest hold of a request for a fetch, from its arrival, as a fraction of its objective. */
   private static final double MAX_HOLD_RATIO = 0.5;
 
   private final RoutingActions actions;
@@ -101,7 +107,10 @@
     selector.rebuildRing(registry);
   }
 
-  /** An operator excludes a server until it is included again, whatever the list says meanwhile. */
+  /**
+   * An operator excludes a server or includes it again. An exclusion outlasts updates of the
+   * endpoint list, also while the server is not listed.
+   */
   public void setExcluded(double now, long server, boolean excluded) {
     registry.setExcluded(now, server, excluded);
     selector.rebuildRing(registry);
@@ -117,8 +126,10 @@
   }
 
   /**
-   * Another process of this node has sent this to a server, as the first attempt: what its {@link
-   * #onOutcome} shows is learned here as well. It gets no answer and no further attempt from here.
+   * Replays the first attempt of a request that another process of this node has sent, so that this
+   * router learns from its {@link #onOutcome}. The request gets no answer and no further attempt
+   * from here. {@link RoutingActions#send} is called as for any attempt; the caller must not carry
+   * it out. Does nothing if the server is not listed.
    */
   public void observeAttempt(double now, Request request, long server) {
     ServerHealth target = registry.server(server);
@@ -152,7 +163,7 @@
   /** A client's request. */
   public void onRequest(double now, Request request) {
     PendingRequest pending = accept(now, request);
-    // Whatever else happens, the request is answered at its deadline.
+    // Ensures an answer by the deadline, also if the request is held or an attempt never ends.
     actions.scheduleTimer(pending.serial(), Math.max(0, pending.deadlineSeconds() - now));
     if (LatencyAdmission.admits(
         inFlight - fetchLimiter.fetchesInFlight(),
@@ -164,12 +175,19 @@
     answerIfDone(now, pending);
   }
 
-  /** The event loop was stalled for so many seconds until now: they count in no rate. */
+  /**
+   * The event loop was stalled until now. The stall is left out of the throughput rates.
+   *
+   * @param seconds length of the stall
+   */
   public void onEventLoopStall(double seconds) {
     throughput.onEventLoopStall(seconds);
   }
 
-  /** Sends an attempt by the ordinary path, or holds it for a fetch, if a server may take it. */
+  /**
+   * Selects a server and sends an attempt, or holds the request for a fetch. If no server may take
+   * it, or no fetch may start, it does neither: the caller then gives the final answer.
+   */
   private void dispatch(double now, PendingRequest pending) {
     ServerHealth target = selector.select(now, pending, inFlight);
     if (target == null) {
@@ -178,6 +196,7 @@
     long keyAtServer = keyAtServer(pending, target);
     if (isLikelyFetch(now, pending, keyAtServer)) {
       boolean isFull = fetchLimiter.isFull(now);
+      // Waits for the fetch of the same key, if one is in flight, else for capacity for its own.
       if (!pending.isHoldExpired()
           && (fetchLimiter.joinFetch(keyAtServer, pending)
               || (isFull && fetchLimiter.hold(pending)))) {
@@ -223,6 +242,7 @@
     inFlight++;
   }
 
+  /** Updates fleet health, throughput and fetch limit if a period of one second is over. */
   private void updateEverySecond(double now) {
     if (throughput.isPeriodOver(now)) {
       fleet.update(now);
@@ -238,7 +258,7 @@
     }
   }
 
-  /** Gives the final answer of a request that no server answered. */
+  /** Rejects a request that no server answered if a retry of it is safe; else fails it. */
   private void answer(double now, PendingRequest pending) {
     if (!pending.hasAttemptInFlight() && pending.mayReject(now)) {
       double retryAfterSeconds =
@@ -260,7 +280,10 @@
     }
   }
 
-  /** A client that waits until then has joined the request's flight. */
+  /**
+   * Another client, which waits until then, shares the answer of this request. Never shortens the
+   * deadline; does nothing if the request is unknown.
+   */
   public void extendDeadline(String requestId, double deadline) {
     PendingRequest pending = pendingById.get(requestId);
     if (pending != null) {
@@ -290,7 +313,8 @@
       retryPolicy.onSuccess();
       throughput.onAnswer(server.isWarm(now));
     }
-    // First, as a retry would take the place of the fetch that has ended, and block its key.
+    // Before a retry: it may be a fetch too and would replace the ended one, whose key would then
+    // never be released, as a request records only one fetch.
     recordOutcome(now, pending, server, outcome);
     if (outcome.completesRequest() || outcome.result() == Result.OK || pending.isAnswered()) {
       complete(pending);
@@ -312,7 +336,7 @@
     fleet.updatePanicState();
   }
 
-  /** Learns what an outcome shows of caches and origin, and resumes requests that were held. */
+  /** Updates load score, cached keys and fetch limit from an outcome, and resumes held requests. */
   private void recordOutcome(
       double now, PendingRequest pending, ServerHealth server, Outcome outcome) {
     loadSampler.updateLoadScore(now, pending, server, outcome);
@@ -320,9 +344,24 @@
     if (succeeded && !pending.isWrite()) {
       fetchLimiter.onAnswered(now, keyAtServer(pending, server), outcome.cacheStatus());
     }
+    recordFetch(now, pending, server, outcome);
+    for (PendingRequest held = fetchLimiter.pollHeld(now);
+        held != null;
+        held = fetchLimiter.pollHeld(now)) {
+      resume(now, held);
+    }
+  }
+
+  /**
+   * Records an outcome in the fetch losses and the fetch window if it is that of a likely fetch. A
+   * busy reply to a read counts as a lost fetch, also where no fetch was expected.
+   */
+  private void recordFetch(
+      double now, PendingRequest pending, ServerHealth server, Outcome outcome) {
     boolean isFetch = pending.isFetch(outcome.attempt());
     boolean isBusy = outcome.result() == Result.SERVER_BUSY && !pending.isWrite();
     if (isFetch || isBusy) {
+      boolean succeeded = outcome.result() == Result.OK;
       double objective = pending.serviceClass().latencyObjectiveSeconds();
       boolean isLate = outcome.activeSeconds() > objective;
       boolean isLateFetch = succeeded && isLate && outcome.cacheStatus() != Outcome.CacheStatus.HIT;
@@ -341,11 +380,6 @@
         }
       }
     }
-    for (PendingRequest held = fetchLimiter.pollHeld(now);
-        held != null;
-        held = fetchLimiter.pollHeld(now)) {
-      resume(now, held);
-    }
   }
 
   private void resume(double now, PendingRequest pending) {
--- a/core/src/main/java/shalepaddle/policy/RoutingActions.java
+++ b/core/src/main/java/shalepaddle/policy/RoutingActions.java
@@ -1,14 +1,15 @@
 package shalepaddle.policy;
 
 /**
- * What a {@link RequestRouter} can have done. Its owner carries the calls out in their order, on
- * the router's own thread; it must not call the router from within.
+ * The actions that a {@link RequestRouter} decides on. Its owner carries the calls out in their
+ * order, on the router's own thread; it must not call the router from within.
  */
 public interface RoutingActions {
   /**
    * Sends the next attempt of a request.
    *
-   * @param withinSeconds its last byte must go out within this time, or never; may be infinite
+   * @param withinSeconds the attempt must not be written unless its last byte is handed to the
+   *     socket within this time, as it could take effect twice; may be infinite
    */
   void send(String requestId, long server, double withinSeconds);
 
--- a/core/src/main/java/shalepaddle/policy/ServerSelector.java
+++ b/core/src/main/java/shalepaddle/policy/ServerSelector.java
@@ -21,10 +21,13 @@
  * and fetches it reads.
  */
 final class ServerSelector {
-  /** Jumps before the ordinary path is given up: each finds one of many servers. */
+  /**
+   * Jumps on the ring, after those in the own zone, before the least loaded server is taken
+   * instead. Several jumps may find the same server.
+   */
   private static final int MAX_JUMPS = 64;
 
-  /** Of so many likely fetches, one goes to a fetch-limited server, to see whether it recovers. */
+  /** One in this many likely fetches, on average, is a trial of a fetch-limited server. */
   private static final int FETCHES_PER_TRIAL = 20;
 
   private final SplittableRandom random;
@@ -54,7 +57,7 @@
     settings = next;
   }
 
-  /** The ready servers may have changed: the ring is rebuilt if they have. */
+  /** Takes over the ready servers; rebuilds the ring if they or, where used, weights may differ. */
   void rebuildRing(ServerRegistry registry) {
     List<ServerHealth> ready = registry.readyServers();
     String originKind = settings.cache().originKind();
@@ -91,7 +94,9 @@
   }
 
   /**
-   * The server for the next attempt of a request; null if none may take it.
+   * The server for the next attempt of a request; null if none may take it. If all servers that the
+   * jumps find are at their caps, it is the warm one of them with the least load relative to its
+   * cap. Draws a random number for each jump that finds a fetch-limited server.
    *
    * @param inFlight all attempts that this load balancer has in flight
    */
@@ -169,7 +174,10 @@
         nowSeconds, throughput.warmAnswersPerSecond() * weight(server));
   }
 
-  /** The end of the search where every jump failed: the least loaded server that may take it. */
+  /**
+   * The server with the fewest requests in flight that may take the request. Unlike the jumps, it
+   * ignores caps and load scores, and may return a server that an earlier attempt was sent to.
+   */
   private ServerHealth leastLoaded(
       double nowSeconds, PendingRequest request, List<ServerHealth> servers) {
     ServerHealth best = null;
--- a/core/src/main/java/shalepaddle/policy/admission/FetchCandidate.java
+++ b/core/src/main/java/shalepaddle/policy/admission/FetchCandidate.java
@@ -16,7 +16,9 @@
   /** Whether its final answer is given, or its client is gone. */
   public abstract boolean isAnswered();
 
-  /** Whether it waits for a fetch and has no attempt out. */
+  /**
+   * Whether it waits for another's fetch, or for capacity for its own, with no attempt in flight.
+   */
   public final boolean isHeld() {
     return isHeld;
   }
--- a/core/src/main/java/shalepaddle/policy/admission/OriginFetchLimiter.java
+++ b/core/src/main/java/shalepaddle/policy/admission/OriginFetchLimiter.java
@@ -13,7 +13,7 @@
  * lately; a request for another is a likely fetch. One fetch of a key at a server goes first and
  * the others wait for it, and fetches in flight stay within a window that shrinks when many fail or
  * come late (additive increase, multiplicative decrease, as TCP's congestion window). Prevents
- * congestion collapse, in which failed fetches keep keys out of the caches for good.
+ * congestion collapse, in which failed fetches keep keys out of the caches permanently.
  *
  * <p>A key at a server is given by its hash. Times are in seconds. Not thread-safe: owned by one
  * router.
@@ -21,9 +21,10 @@
  * @param <T> the requests that are held
  */
 public final class OriginFetchLimiter<T extends FetchCandidate> {
+  /** Bounds memory; the key whose last answer or lookup is longest ago is dropped. */
   private static final int MAX_REMEMBERED_KEYS = 1 << 15;
 
-  /** How long a key is expected in a cache at first; learned from hits and misses then. */
+  /** How long after an answer a key is expected in the cache, until hits and misses adjust it. */
   private static final double INITIAL_CACHED_SECONDS = 8;
 
   private static final double MIN_CACHED_SECONDS = 0.5;
@@ -34,19 +35,23 @@
 
   private static final double CACHED_INCREASE_RATIO = 1.02;
 
-  /** The window shrinks once in this part of a latency objective, as fetches fail together. */
+  /**
+   * The window shrinks at most once in this fraction of a latency objective, since fetches that
+   * fail together have one cause.
+   */
   private static final double MIN_SHRINK_INTERVAL_RATIO = 0.5;
 
   private static final double WINDOW_DECREASE_RATIO = 0.7;
 
-  /** The part of fetches that may fail before the window shrinks. */
+  /** The fraction of fetches that may fail or come late before the window shrinks. */
   private static final double MAX_LOSS_RATIO = 0.15;
 
+  /** Tokens for guaranteed fetches that may accumulate. */
   private static final int MAX_GUARANTEED_BURST = 2;
 
   private static final int MIN_HELD_REQUESTS = 2;
 
-  /** Requests are held up to this part of the window, which will soon have capacity for them. */
+  /** At most the window divided by this is held: as many as will soon find capacity. */
   private static final double HELD_WINDOW_DIVISOR = 8;
 
   private final Map<Long, Double> answeredAtSeconds = new LinkedHashMap<>(1024, 0.75f, true);
@@ -57,7 +62,7 @@
   private int fetchesInFlight;
   private double guaranteedPerSecond;
   private double lossRatio;
-  private double tokens;
+  private double guaranteedTokens;
   private double refilledAtSeconds;
   private double shrunkAtSeconds;
 
@@ -93,26 +98,29 @@
     return followers != null && followers.add(request);
   }
 
-  /** Whether there is no capacity for a fetch now. */
+  /**
+   * Whether there is no capacity for a fetch now: neither in the window nor a guaranteed token.
+   * Refills the tokens; {@link #onFetchStarted} takes one.
+   */
   public boolean isFull(double nowSeconds) {
     if (fetchesInFlight < window) {
       return false;
     }
-    // Some always go, as only they show what other load balancers have long had cached. Fewer do
-    // while many fail, so that an origin that is backlogged can drain.
-    tokens =
+    // Some fetches always start: a key may be cached through other load balancers, which only a
+    // request for it shows. Squared, so that a backlogged origin gets far fewer and can recover.
+    guaranteedTokens =
         Math.min(
             MAX_GUARANTEED_BURST,
-            tokens
+            guaranteedTokens
                 + (nowSeconds - refilledAtSeconds)
                     * guaranteedPerSecond
                     * (1 - lossRatio)
                     * (1 - lossRatio));
     refilledAtSeconds = nowSeconds;
-    return tokens < 1;
+    return guaranteedTokens < 1;
   }
 
-  /** Whether more fetches fail than is usual. */
+  /** Whether more fetches fail or come late than is usual. */
   public boolean isOriginDegraded() {
     return lossRatio > MAX_LOSS_RATIO;
   }
@@ -122,7 +130,7 @@
    * add delay: a client that is rejected at once has time for a retry, and uses no connection.
    */
   public boolean hold(T request) {
-    // Else they would stay while the window is full.
+    // Requests that are no longer held would take up places while the window is full.
     held.removeIf(earlier -> !earlier.isHeld() || earlier.isAnswered());
     return held.size() < Math.max(MIN_HELD_REQUESTS, window / HELD_WINDOW_DIVISOR)
         && held.add(request);
@@ -134,13 +142,14 @@
   }
 
   /**
-   * An attempt that is a likely fetch goes out.
+   * An attempt that is a likely fetch goes out. Call it only after {@link #isFull} was false at the
+   * same time, or for an attempt that was sent already.
    *
    * @param outlier whether it goes to an outlier, so that its end says nothing of the origin
    */
   public void onFetchStarted(long keyAtServer, T request, int attempt, boolean outlier) {
     if (fetchesInFlight >= window) {
-      tokens--;
+      guaranteedTokens--;
     }
     request.beginFetch(attempt, keyAtServer, !outlier);
     if (!outlier) {
@@ -152,18 +161,18 @@
   /**
    * A likely fetch is over.
    *
-   * @param good whether it succeeded in time
-   * @param bad whether it failed or came late
+   * @param inTime whether it succeeded in time
+   * @param lost whether it failed or came late; both are false if the outcome shows neither
    * @return the requests that waited for it
    */
   public List<T> onFetchEnded(
-      double nowSeconds, T request, double latencyObjectiveSeconds, boolean good, boolean bad) {
-    if (bad
+      double nowSeconds, T request, double latencyObjectiveSeconds, boolean inTime, boolean lost) {
+    if (lost
         && isOriginDegraded()
         && nowSeconds - shrunkAtSeconds > MIN_SHRINK_INTERVAL_RATIO * latencyObjectiveSeconds) {
       window = Math.max(1, Math.min(window, fetchesInFlight) * WINDOW_DECREASE_RATIO);
       shrunkAtSeconds = nowSeconds;
-    } else if (good && fetchesInFlight >= window / 2) {
+    } else if (inTime && fetchesInFlight >= window / 2) {
       window += 1 / window;
     }
     if (request.endFetch()) {
--- a/core/src/main/java/shalepaddle/policy/health/FleetHealth.java
+++ b/core/src/main/java/shalepaddle/policy/health/FleetHealth.java
@@ -5,8 +5,8 @@
 
 /**
  * What holds for the ready servers together: the panic threshold, the usual load score, and how
- * many fetches are lost. One server is set against these, so that a cause which all share, such as
- * a slow origin, moves no keys and ejects nobody.
+ * many fetches are lost. Each server is compared with these, so that a cause which all share, such
+ * as a slow origin, neither moves keys nor ejects a server.
  *
  * <p>Times are in seconds. Not thread-safe: owned by one router.
  */
@@ -24,7 +24,9 @@
 
   private static final double MEDIAN_RANK_RATIO = 0.5;
 
-  /** Nearly the maximum: one odd server of very many does not count. */
+  /**
+   * The maximum among up to about 10,000 servers; among more, the highest outliers are left out.
+   */
   private static final double GREATEST_RANK_RATIO = 0.9999;
 
   /** The rank of the loss that all servers share: what only some have is not the origin's. */
@@ -56,7 +58,7 @@
     return !isPanicking && server.isEjected();
   }
 
-  /** Takes in, once a second, how the servers fare. */
+  /** Recomputes the figures of all servers together; to be called once a second. */
   public void update(double nowSeconds) {
     greatestKeyFraction =
         Math.max(
@@ -103,12 +105,12 @@
         SHARED_LOSS_RANK_RATIO, server -> server.fetchLossRatio(nowSeconds, fetchLossRatio));
   }
 
-  /** Whether a server loses so many fetches that it should get hardly any. */
+  /** Whether a server loses more than its permitted fraction of fetches and gets only trials. */
   public boolean isFetchLimited(double nowSeconds, ServerHealth server) {
     return server.fetchLossRatio(nowSeconds, fetchLossRatio) > MAX_FETCH_LOSS_RATIO;
   }
 
-  /** The value at such a rank among the servers, 0 without any. */
+  /** The quantile of a value over the servers, by a rank from 0 to below 1; 0 without servers. */
   private double ranked(double rankRatio, ToDoubleFunction<ServerHealth> value) {
     double[] values = servers.stream().mapToDouble(value).sorted().toArray();
     return values.length == 0 ? 0 : values[(int) (rankRatio * values.length)];
--- a/core/src/main/java/shalepaddle/policy/health/IdleConnectionPolicy.java
+++ b/core/src/main/java/shalepaddle/policy/health/IdleConnectionPolicy.java
@@ -18,9 +18,10 @@
   }
 
   /**
-   * An attempt at a server has ended.
+   * An attempt at a server has ended. If this returns true, it has also marked the server as
+   * unconnected, and the caller must close the connections.
    *
-   * @return whether its idle connections must be closed now; the server counts as unconnected then
+   * @return whether its idle connections must be closed now
    */
   public boolean closesIdle(double nowSeconds, ServerHealth server) {
     boolean closes = nowSeconds < closingUntilSeconds && server.inFlight() == 0;
--- a/core/src/main/java/shalepaddle/policy/health/OutlierDetector.java
+++ b/core/src/main/java/shalepaddle/policy/health/OutlierDetector.java
@@ -28,9 +28,9 @@
   static final int MAX_CONSECUTIVE_FAILURES = 3;
 
   /**
-   * What a reset or a busy response counts among those. Networks and idle limits reset connections
-   * to servers that run, and a server without capacity for a fetch may serve all else. Cost: where
-   * requests are few, an ejection takes longer.
+   * What a reset or a busy response adds to the count of consecutive failures. Networks and idle
+   * limits reset connections to servers that run, and a server without capacity for a fetch may
+   * serve all else. Cost: where requests are few, an ejection takes longer.
    */
   private static final double PARTIAL_FAILURE_WEIGHT_RATIO = 0.5;
 
@@ -40,7 +40,7 @@
 
   private static final double BACKOFF_MULTIPLIER = 1.5;
 
-  /** How recent a failure must be to count as one of now. */
+  /** How recent the last failure must be for the server to count as failing. */
   private static final double RECENT_SECONDS = 1;
 
   private boolean isFailing;
@@ -104,7 +104,7 @@
     Outcome.Result result = outcome.result();
     boolean served = result == Outcome.Result.OK || result == Outcome.Result.CACHE_MISS;
     double sentAtSeconds = nowSeconds - outcome.elapsedSeconds();
-    // Attempts in flight when a connection failed report that failure once more.
+    // Attempts sent before a connection failure was observed may fail for the same cause.
     boolean isNewEvidence = sentAtSeconds > connectionFailedAtSeconds;
     boolean failed = isFailure(outcome);
     boolean wasReset = result == Outcome.Result.RESET && isNewEvidence;
@@ -127,8 +127,8 @@
     if (isNewEvidence && result.isConnectionFailure()) {
       connectionFailedAtSeconds = nowSeconds;
     }
-    // Also ejects servers that hang, whose fetches would be taken for the origin's losses, and
-    // those that reject all at once and so attract the most.
+    // Includes servers that hang, as their lost fetches would be attributed to the origin, and
+    // servers that reject at once, as their few requests in flight would attract more.
     if ((failed || wasReset) && failuresAreFew && consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
       isFailing = true;
     }
--- a/core/src/main/java/shalepaddle/policy/health/ServerStartTimes.java
+++ b/core/src/main/java/shalepaddle/policy/health/ServerStartTimes.java
@@ -9,13 +9,12 @@
 /**
  * When each server started, in this load balancer's own time.
  *
- * <p>The endpoint list stamps starts with the wall clock of whoever writes it, which may differ
- * from this machine's by any amount and may step. So a start that is listed while the list is
- * followed counts from when it is received. In the first list, stamps are compared with each other
- * alone: a server that started well before the newest one is warm. Of the others nothing certain is
- * known, and they count as having started as lately as the stamps permit; but if that were most of
- * the list, they count as warm unless this machine's clock says otherwise, so that not all requests
- * are rejected.
+ * <p>The endpoint list stamps starts with the wall clock of its author, which may differ from this
+ * machine's by any amount and may step. So a start that is listed while the list is followed counts
+ * from when it is received. In the first list, stamps are compared with each other alone: a server
+ * that started well before the newest one is warm. Of the others nothing certain is known, and they
+ * count as having started as lately as the stamps permit; but if that were most of the list, they
+ * count as warm unless this machine's clock says otherwise, so that not all requests are rejected.
  *
  * <p>Bounded to {@value #MAX_SERVERS} servers, among them some that were removed: one that comes
  * back with the same stamp has not started anew. Times are in seconds. Not thread-safe: owned by
--- a/core/src/main/java/shalepaddle/policy/health/ThroughputEstimator.java
+++ b/core/src/main/java/shalepaddle/policy/health/ThroughputEstimator.java
@@ -35,7 +35,7 @@
     warmAnswers += isWarm ? 1 : 0;
   }
 
-  /** This load balancer was stalled for so many seconds, which belong to no period. */
+  /** Leaves a stall of this load balancer, in seconds, out of the period. */
   public void onEventLoopStall(double seconds) {
     periodBeganAtSeconds += seconds;
   }
--- a/core/src/main/java/shalepaddle/policy/membership/MembershipSubscription.java
+++ b/core/src/main/java/shalepaddle/policy/membership/MembershipSubscription.java
@@ -5,6 +5,6 @@
   /** Subscribes to watch events of the endpoint list, which begins with a complete list. */
   void subscribe();
 
-  /** Asks for a call of {@link ServerRegistry#onTimer} after so many seconds. */
+  /** Schedules a call of {@link ServerRegistry#onTimer} after a delay in seconds. */
   void scheduleTimer(double delaySeconds);
 }
--- a/core/src/main/java/shalepaddle/policy/placement/ConsistentHashRing.java
+++ b/core/src/main/java/shalepaddle/policy/placement/ConsistentHashRing.java
@@ -26,7 +26,7 @@
   private final ServerHealth[] owners = new ServerHealth[SLOTS];
 
   /**
-   * Builds the ring anew, a pure function of the servers in whatever order.
+   * Builds the ring anew. The result does not depend on the order of the servers.
    *
    * @param weighted whether a server's points follow its weight
    */
--- a/core/src/main/java/shalepaddle/policy/placement/HotKeyReplication.java
+++ b/core/src/main/java/shalepaddle/policy/placement/HotKeyReplication.java
@@ -43,7 +43,12 @@
     void assignReplicas(int replicas, int localJumps, int firstReplica);
   }
 
-  /** Counts a request for a key and selects its replicas among so many ready cache servers. */
+  /**
+   * Counts a request for a key and selects its replicas. Draws a random number if there are
+   * several.
+   *
+   * @param readyServers how many cache servers are ready
+   */
   public void selectReplicas(
       double nowSeconds,
       Target request,
--- a/engine/src/main/java/shalepaddle/engine/AnswerMargin.java
+++ b/engine/src/main/java/shalepaddle/engine/AnswerMargin.java
@@ -14,13 +14,13 @@
   /** The stall that has to be expected of any process. */
   private static final long USUAL_STALL_NANOS = 100_000_000;
 
-  /** At most one part in so many of a request's time is reserved for it. */
+  /** At most the request's time divided by this is reserved for the usual stall. */
   private static final long USUAL_STALL_DIVISOR = 8;
 
   /** The longest repeated stall that time is reserved for. */
   private static final long MAX_ALLOWANCE_NANOS = 150_000_000;
 
-  /** At most one part in so many of a request's time is reserved where stalls repeat. */
+  /** At most the request's time divided by this is reserved where stalls repeat. */
   private static final long ALLOWANCE_DIVISOR = 4;
 
   private AnswerMargin() {}
--- a/engine/src/main/java/shalepaddle/engine/AttemptLifecycle.java
+++ b/engine/src/main/java/shalepaddle/engine/AttemptLifecycle.java
@@ -52,7 +52,8 @@
   /**
    * Forwards a request to a server.
    *
-   * @param writeWithinSeconds by when it must be written complete, infinite for at any time
+   * @param writeWithinSeconds seconds from now within which its last byte must be written, or it is
+   *     not sent; may be infinite
    */
   void send(Exchange exchange, long server, double writeWithinSeconds) {
     long now = clock.now();
@@ -66,10 +67,10 @@
             deadline,
             writeWithinSeconds,
             clock.stalledNanos());
-    recorder.record(kindOfNext(exchange), exchange.id());
-    boolean spent = !exchange.hasAttemptLeft();
+    recorder.record(eventOfNextAttempt(exchange), exchange.id());
+    boolean hasUsedAllAttempts = !exchange.hasAttemptLeft();
     exchange.add(attempt);
-    if (exchange.isEnded() || spent || deadlines.isTooLateToSend(deadline, now)) {
+    if (exchange.isEnded() || hasUsedAllAttempts || deadlines.isTooLateToSend(deadline, now)) {
       end(attempt, Outcome.Result.NOT_SENT);
       return;
     }
@@ -78,8 +79,8 @@
     clock.whenBacklogRead(() -> upstream.send(attempt));
   }
 
-  /** What the next attempt of an exchange is to it. */
-  private static Event kindOfNext(Exchange exchange) {
+  /** Whether the next attempt is the first one, a hedge or a retry, as a recorded event. */
+  private static Event eventOfNextAttempt(Exchange exchange) {
     if (exchange.attempts().isEmpty()) {
       return Event.ATTEMPT_FIRST;
     }
@@ -156,7 +157,10 @@
     }
   }
 
-  /** Its time is up. That no connection came up for it proves that it never ran. */
+  /**
+   * The attempt's deadline has passed. An attempt that has no connection has provably not run, and
+   * ends as a failure to connect.
+   */
   void timeOut(Attempt attempt) {
     boolean unsent = attempt.carrier() == null;
     withdraw(attempt, true, unsent ? Outcome.Result.CONNECT_FAILED : Outcome.Result.TIMEOUT);
@@ -180,7 +184,7 @@
   }
 
   private void end(
-      Attempt attempt, Outcome.Result result, Outcome.CacheStatus note, LoadReport load) {
+      Attempt attempt, Outcome.Result result, Outcome.CacheStatus cacheStatus, LoadReport load) {
     if (attempt.isEnded()) {
       return;
     }
@@ -202,7 +206,7 @@
                   elapsed,
                   stalled,
                   exchange.isEnded(),
-                  note,
+                  cacheStatus,
                   load);
           if (warmStartLog != null && result != Outcome.Result.NOT_SENT) {
             warmStartLog.add(new Observation(now, attempt.call().request(), outcome));
--- a/engine/src/main/java/shalepaddle/engine/Dispatcher.java
+++ b/engine/src/main/java/shalepaddle/engine/Dispatcher.java
@@ -144,8 +144,8 @@
   }
 
   /**
-   * From now on new requests follow these settings. What is open or queued keeps those under which
-   * it was accepted: what is queued is routed first, since it lies in the queue by the old tiers.
+   * Replaces the settings for new requests. Open and queued requests keep the settings under which
+   * they were accepted; queued ones are routed first, since the queue is ordered by the old tiers.
    */
   public void retune(Settings next) {
     queue.retune(next);
@@ -158,10 +158,10 @@
   }
 
   /**
-   * From now on gives requests no more time than until then; those that are open, and would wait
-   * for longer, are answered then. Prevents that they are lost where the process is killed.
+   * Limits the deadlines of new requests to this time, and answers open requests shortly before it,
+   * so that none is left without an answer when the process is killed.
    *
-   * @param nanos by the loop's clock
+   * @param nanos the time, by the loop's clock
    */
   public void drainBy(long nanos) {
     drain.drainBy(nanos, exchanges::answerAll);
@@ -280,7 +280,7 @@
     policy.post((router, now) -> router.setExcluded(now, server, excluded));
   }
 
-  /** The event loop has stalled for so long, until now. */
+  /** The event loop has stalled until now, for a time in nanoseconds. */
   public void onStall(long nanos) {
     recorder.record(Event.LOOP_STALLED, null, lengthOf(nanos));
     policy.post((router, now) -> router.onEventLoopStall(nanos / 1e9));
--- a/engine/src/main/java/shalepaddle/engine/EngineDrain.java
+++ b/engine/src/main/java/shalepaddle/engine/EngineDrain.java
@@ -31,7 +31,7 @@
   }
 
   /**
-   * From now on no request is given more time than until then.
+   * Limits the deadlines of new requests to this time.
    *
    * @param nanos by the loop's clock
    * @param answerOpen answers what is open; run shortly before that time
@@ -41,8 +41,8 @@
     if (state == State.RUNNING) {
       state = State.DRAINING;
     }
-    // One tick before the attempts that time out at that time, each of which would be judged as a
-    // sign of its server.
+    // One tick before the attempts time out, since each time-out would count as a failure of its
+    // server.
     long early = AttemptDeadlines.ANSWER_MARGIN_NANOS + tickNanos;
     timers.runNoLaterThan(nanos - early - clock.now(), answerOpen);
   }
--- a/engine/src/main/java/shalepaddle/engine/Exchange.java
+++ b/engine/src/main/java/shalepaddle/engine/Exchange.java
@@ -88,7 +88,7 @@
     return deadlineNanos;
   }
 
-  /** Gives it more time, since a client that waits longer has joined its flight. */
+  /** Sets a later deadline, since another client that shares the answer waits for longer. */
   void extendDeadline(long nanos) {
     deadlineNanos = nanos;
     clientDeadlineNanos = Math.max(clientDeadlineNanos, nanos);
@@ -119,7 +119,10 @@
     return state == State.ROUTED;
   }
 
-  /** Whether no attempt can change its answer any more, or its client has left. */
+  /**
+   * Whether no attempt can change its answer any more, or its client has left. Also true before the
+   * answer is given, while a value is being collected.
+   */
   boolean isEnded() {
     return state != State.ACCEPTED && state != State.ROUTED;
   }
--- a/engine/src/main/java/shalepaddle/engine/ExchangeLifecycle.java
+++ b/engine/src/main/java/shalepaddle/engine/ExchangeLifecycle.java
@@ -94,8 +94,8 @@
 
   /**
    * Starts an exchange; its answer may be given before this returns. After a stall it waits until
-   * the backlog is read, so that it is decided on what has happened meanwhile and is not written to
-   * a connection whose end waits to be read.
+   * the backlog is read, so that the policy knows what happened during the stall and no request is
+   * written to a connection that the server has closed.
    */
   void start(Exchange exchange, Request request) {
     clock.whenBacklogRead(() -> queue.enter(exchange, request));
@@ -120,7 +120,7 @@
         });
   }
 
-  /** Rejects what has waited for its turn too long: the policy does not know of it. */
+  /** Rejects an exchange that has waited in the queue too long and was not yet routed. */
   void rejectQueued(Exchange exchange) {
     recorder.record(Event.REJECTED_QUEUE, exchange.id());
     end(exchange, new Reply.Rejected(overload.retryAfterMillis()));
@@ -185,7 +185,10 @@
     }
   }
 
-  /** Gives the final answer; {@link #settle} is due next. */
+  /**
+   * Gives the final answer. The caller ensures that none was given before; {@link #settle} does the
+   * cleanup.
+   */
   void finish(Exchange exchange, Reply reply) {
     Reply checked = guard.answer(exchange, reply, clock.now());
     exchange.answer();
@@ -196,9 +199,10 @@
   }
 
   /**
-   * Forgets what has ended. Attempts that wait for a connection are taken back whatever the
-   * settings say of cancelling: nothing has been sent that would have to be cancelled, and nothing
-   * may be sent for a request that is answered or whose client has left.
+   * Cleans up an exchange that has ended; removes it once no attempt is in flight. Attempts that
+   * wait for a connection are withdrawn even if the settings forbid cancellation: nothing has been
+   * sent that would have to be cancelled, and nothing may be sent for a request that is answered or
+   * whose client has left.
    */
   void settle(Exchange exchange) {
     if (!exchange.isEnded()) {
--- a/engine/src/main/java/shalepaddle/engine/InvariantGuard.java
+++ b/engine/src/main/java/shalepaddle/engine/InvariantGuard.java
@@ -22,7 +22,7 @@
   /** How late the protocol lets an answer be. */
   private static final long ANSWER_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** Bounds the log where many requests are affected alike. */
+  /** Bounds the log when one fault affects many requests. */
   private static final int MAX_HISTORIES_PER_SECOND = 2;
 
   private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
--- a/engine/src/main/java/shalepaddle/engine/MemoryBudget.java
+++ b/engine/src/main/java/shalepaddle/engine/MemoryBudget.java
@@ -7,12 +7,12 @@
 public final class MemoryBudget {
   private long freeBytes;
 
-  /** A budget of so many bytes, all of them free. */
+  /** A budget of this size in bytes, all of them free. */
   public MemoryBudget(long bytes) {
     this.freeBytes = bytes;
   }
 
-  /** Reserves so many bytes; false, and nothing reserved, if there are not as many left. */
+  /** Reserves bytes; returns false and reserves none if fewer are left. */
   public boolean reserve(int bytes) {
     if (bytes > freeBytes) {
       return false;
--- a/engine/src/main/java/shalepaddle/engine/PolicyEventLoop.java
+++ b/engine/src/main/java/shalepaddle/engine/PolicyEventLoop.java
@@ -85,7 +85,7 @@
     try {
       WarmStartLog.replay(router, known, WarmStartLog.inTime(clock.now(), past));
     } catch (RuntimeException e) {
-      // A part of what was observed is no worse than nothing: the node starts with that.
+      // The node starts with what was replayed before the failure.
       log.failure("decision module, replaying", e);
     }
   }
--- a/engine/src/main/java/shalepaddle/engine/RequestIntake.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestIntake.java
@@ -10,8 +10,8 @@
 
 /**
  * Accepts requests: gives each its deadline, rejects those that come too late or after the end, and
- * opens an exchange for the others or lets them join a flight. Owned by the event loop's thread;
- * all times are nanoseconds of the loop's clock.
+ * opens an exchange for the others or lets them share one. Owned by the event loop's thread; all
+ * times are nanoseconds of the loop's clock.
  */
 final class RequestIntake {
   private final EventLoop loop;
@@ -101,7 +101,7 @@
     return exchange;
   }
 
-  /** Rejects a request that the policy never hears of, and that has not run. */
+  /** Rejects a request that has not run, without notifying the policy of it. */
   private Exchange reject(Call call, long clientDeadline, Event reason, long retryAfterMillis) {
     recorder.record(reason, call.request().id());
     Exchange rejected =
--- a/engine/src/main/java/shalepaddle/engine/RequestQueue.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestQueue.java
@@ -21,6 +21,7 @@
    */
   private static final long MAX_ROUTING_NANOS = 3_000_000;
 
+  /** Requests in the queue; above it, the oldest of the lowest priority is rejected. */
   private static final int MAX_QUEUED = 1024;
 
   /** A request in the queue. */
@@ -126,7 +127,10 @@
     route.accept(next.exchange(), next.request().withBudgetAtMost(Math.max(0, left)));
   }
 
-  /** Scheduled, not executed: a task that is executed runs in this turn, before the next poll. */
+  /**
+   * Routes in the next turn. Uses schedule, as a task given to execute would still run in this
+   * turn, before the next poll for I/O.
+   */
   private void scheduleRouting() {
     loop.schedule(this::routeQueued, 1, TimeUnit.NANOSECONDS);
   }
