--- a/engine/src/main/java/shalepaddle/codec/meta/MetaCommandDecoder.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaCommandDecoder.java
@@ -11,8 +11,8 @@
 import shalepaddle.front.RequestAdmission;
 
 /**
- * Decodes the commands on one client's connection, however their bytes are cut. Requests of unknown
- * classes are answered here, so that no cache server has to reject them.
+ * Decodes the commands on one client's connection. Requests of unknown classes are answered here,
+ * so that no cache server has to reject them.
  */
 final class MetaCommandDecoder extends ClientCodec.CommandDecoder {
   /** What comes next. */
@@ -20,7 +20,7 @@
     LINE,
     /** The value of {@link #pendingWrite} and its CRLF. */
     VALUE,
-    /** It is not known where the next command begins: all that comes is dropped. */
+    /** It is not known where the next command begins: all further bytes are dropped. */
     DESYNCHRONIZED
   }
 
@@ -33,13 +33,13 @@
   /** The write whose value is being read; owned here until it is passed on. Null otherwise. */
   private ClientCommand pendingWrite;
 
-  /** Where that value goes, a part of the pending write; null where it is read and dropped. */
+  /** Receives that value, owned by the pending write; null where the value is dropped. */
   private MetaPayload pendingPayload;
 
   /** Bytes of the value, with its CRLF, that are still to come. */
   private int missingBytes;
 
-  /** Whether the line that is read next was admitted. */
+  /** Whether the next line was admitted already, so that it is not counted twice. */
   private boolean isAdmitted;
 
   MetaCommandDecoder(MemoryBudget budget, RequestNames names, RequestAdmission admission) {
@@ -104,10 +104,11 @@
   }
 
   /**
-   * Takes lines off the buffer for as long as they are requests that are rejected.
+   * Consumes lines as long as they are requests that are rejected. Stops at the first that is not,
+   * setting {@link #isAdmitted} if it was admitted, and after a rejected write, setting {@link
+   * State#VALUE}: its value is read and dropped before it is answered.
    *
-   * @return the answers to rejected reads, all in one buffer; null if there are none. A rejected
-   *     write ends them: its value is read and dropped before it is answered.
+   * @return the answers to rejected reads, all in one buffer; null if there are none
    */
   private ClientCommand reject(ByteBufAllocator allocator, ByteBuf in) {
     ByteBuf answers = null;
@@ -209,7 +210,7 @@
     return ClientCommand.of(parser.request(isWrite), parser.payload(line, budget));
   }
 
-  /** Reserves memory for the value of a write; rejects it, which has not run, if there is none. */
+  /** Reserves memory for the value of a write, or rejects the write if there is none. */
   private ClientCommand beginWrite(
       ByteBufAllocator allocator, ClientCommand command, int valueBytes) {
     ClientCommand write = command;
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaPayload.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaPayload.java
@@ -36,7 +36,7 @@
     return true;
   }
 
-  /** Copies so many bytes of the value. */
+  /** Copies the next {@code bytes} bytes of the value. */
   void appendValue(ByteBuf in, int bytes) {
     block.writeBytes(in, bytes);
   }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaReplyDecoder.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaReplyDecoder.java
@@ -23,16 +23,16 @@
     VALUE,
     /** Chunks of a value that is streamed, and its CRLF. */
     STREAM,
-    /** A malformed reply has come: all that follows is dropped. */
+    /** A malformed reply was read: all further bytes are dropped. */
     CORRUPTED
   }
 
   private State state = State.LINE;
 
-  /** The reply whose value is still to come, without that. */
+  /** The reply whose value is being read, without the value. */
   private ServerReply head;
 
-  /** Bytes of that value, while streaming those still to come; -1 for a reply without a value. */
+  /** Length of the value; the bytes missing while streaming; -1 for a reply without a value. */
   private int valueBytes;
 
   @Override
--- a/engine/src/main/java/shalepaddle/front/ArrivalTracker.java
+++ b/engine/src/main/java/shalepaddle/front/ArrivalTracker.java
@@ -6,7 +6,7 @@
  * The earliest time at which the bytes that are read from one connection can have arrived.
  *
  * <p>A request's time counts from when its client sends it, and a node may read it later: its event
- * loop was busy or stalled, or isReading was suspended. The socket does not say when bytes arrived.
+ * loop was busy or stalled, or reading was suspended. The socket does not say when bytes arrived.
  * What is known is the latest time at which it was empty: it was read until then, or a poll did not
  * report it while it was being polled.
  *
@@ -28,7 +28,9 @@
   private long arrivalNanos;
 
   /**
-   * Of a connection that has just been accepted: what waits on it can be as old as the connection.
+   * For a connection that has just been accepted: unread bytes can be as old as the connection.
+   *
+   * @param connectedSinceNanos the earliest time at which the client can have connected
    */
   ArrivalTracker(LoopClock clock, long connectedSinceNanos) {
     this.clock = clock;
@@ -36,7 +38,7 @@
     this.arrivalNanos = emptyAtNanos;
   }
 
-  /** From now on the socket is polled, or not. */
+  /** Sets whether the event loop polls the socket for bytes from now on. */
   void setPolled(boolean on) {
     if (on && !isPolled) {
       polledSinceNanos = clock.now();
@@ -55,7 +57,11 @@
     return arrivalNanos;
   }
 
-  /** Reading ends for this turn; the socket was empty then, or more may wait on it. */
+  /**
+   * Reading ends for this turn.
+   *
+   * @param isEmpty whether the socket was read until it was empty; otherwise more may wait in it
+   */
   void readComplete(boolean isEmpty) {
     if (isReading && isEmpty) {
       emptyAtNanos = readingSinceNanos;
--- a/engine/src/main/java/shalepaddle/front/ClientCommand.java
+++ b/engine/src/main/java/shalepaddle/front/ClientCommand.java
@@ -5,7 +5,7 @@
 import shalepaddle.model.Request;
 
 /**
- * A command as it was read from a client's connection. Whoever takes it owns its buffers.
+ * A command as it was read from a client's connection. Its receiver owns its buffers.
  *
  * @param answer the bytes to answer at once, null for a request that goes to a cache server
  * @param isProtocolError whether that answer says that the client broke the protocol
--- a/engine/src/main/java/shalepaddle/front/ClientConnections.java
+++ b/engine/src/main/java/shalepaddle/front/ClientConnections.java
@@ -54,7 +54,7 @@
   /** How long a client may take to close its end once this node has closed its own. */
   private static final long MAX_HALF_CLOSED_NANOS = 250_000_000L;
 
-  /** Steps, of a millisecond each, in which a drain ends the idle connections, about. */
+  /** Each step of a drain closes one idle connection and a 64th of those left. */
   private static final int DRAIN_STEPS = 64;
 
   private static final long DRAIN_STEP_MILLIS = 1;
@@ -75,7 +75,7 @@
   /** Unused connections past this part of the limit are closed first, the oldest first. */
   private static final double MAX_UNUSED_RATIO = 0.25;
 
-  /** The part of the limit from which on idle connections are closed early. */
+  /** The part from which on idle ones are closed after MIN_IDLE_WHEN_CROWDED_NANOS. */
   private static final double CROWDED_RATIO = 0.5;
 
   /** The part from which on they are closed after {@link #MIN_UNUSED_NANOS}. */
@@ -154,7 +154,7 @@
 
   /** Ends one connection that has had this status since the given time; false if none can be. */
   private boolean endOldest(Status status, long before) {
-    for (ClientHandler client : expired(status, before, MAX_CANDIDATES)) {
+    for (ClientHandler client : enteredBefore(status, before, MAX_CANDIDATES)) {
       if (status == Status.HALF_CLOSED) {
         client.abort(Event.CLOSE_CROWDED);
         return true;
@@ -181,7 +181,7 @@
     }
     open.get(to).put(client, clock.activeNanos());
     if (to == Status.AWAITING_RESPONSE) {
-      closeCrowding();
+      closeIdleIfCrowded();
     }
     if (isDraining && to == Status.IDLE) {
       client.endIfNothingUnread(Event.CLOSE_DRAIN, false);
@@ -220,12 +220,15 @@
     return size;
   }
 
-  /** Closes connections that were of no use for too long. Not to be called during a backlog. */
+  /**
+   * Closes connections that have exceeded the time allowed in their status. Not to be called while
+   * the clock has a backlog, which may hold their requests.
+   */
   public void closeExpired() {
     long now = clock.activeNanos();
     endAll(Status.UNUSED, Event.CLOSE_UNUSED, now - MAX_COMMAND_NANOS);
     for (ClientHandler client :
-        expired(Status.MID_COMMAND, now - MAX_COMMAND_NANOS, Integer.MAX_VALUE)) {
+        enteredBefore(Status.MID_COMMAND, now - MAX_COMMAND_NANOS, Integer.MAX_VALUE)) {
       boolean isPastMaxValueTime =
           open.get(Status.MID_COMMAND).get(client) - (now - MAX_VALUE_NANOS) <= 0;
       if (isPastMaxValueTime || !client.hasSentValueSince(now - MAX_COMMAND_NANOS)) {
@@ -235,22 +238,22 @@
     if (!isListenerClosed) {
       endAll(Status.IDLE, Event.CLOSE_IDLE, now - MAX_IDLE_NANOS);
     }
-    closeCrowding();
+    closeIdleIfCrowded();
     abortAll(Status.HALF_CLOSED, now - MAX_HALF_CLOSED_NANOS);
     abortAll(Status.CLOSING, now - MAX_CLOSING_NANOS);
-    for (ClientHandler client : expired(Status.AWAITING_RESPONSE, now, Integer.MAX_VALUE)) {
+    for (ClientHandler client : enteredBefore(Status.AWAITING_RESPONSE, now, Integer.MAX_VALUE)) {
       client.abortIfWriteStalled();
     }
   }
 
   private void endAll(Status status, Event reason, long before) {
-    for (ClientHandler client : expired(status, before, Integer.MAX_VALUE)) {
+    for (ClientHandler client : enteredBefore(status, before, Integer.MAX_VALUE)) {
       client.endIfNothingUnread(reason, false);
     }
   }
 
   private void abortAll(Status status, long before) {
-    for (ClientHandler client : expired(status, before, Integer.MAX_VALUE)) {
+    for (ClientHandler client : enteredBefore(status, before, Integer.MAX_VALUE)) {
       client.abort(Event.CLOSE_TIMEOUT);
     }
   }
@@ -261,7 +264,7 @@
    * limit, and keeps capacity for a burst. Cost: clients that come back after a pause have to
    * connect again.
    */
-  private void closeCrowding() {
+  private void closeIdleIfCrowded() {
     if (isListenerClosed) {
       return;
     }
@@ -271,29 +274,30 @@
   }
 
   /**
-   * Closes connections idle since then until no more than that many are left. One whose client has
-   * just disconnected is still among them: each is closed once, and not looked at again.
+   * Closes connections that have been idle since {@code before}, as many as idle and used ones
+   * together exceed {@code maxOpen}. The number is computed once, not after each close: a
+   * connection whose client has just disconnected stays in the map, and a loop would not end.
    */
   private void closeIdle(long before, double maxOpen) {
     int used = open.get(Status.MID_COMMAND).size() + open.get(Status.AWAITING_RESPONSE).size();
     double excess = open.get(Status.IDLE).size() + used - maxOpen;
     if (excess > 0) {
-      for (ClientHandler client : expired(Status.IDLE, before, (int) Math.ceil(excess))) {
+      for (ClientHandler client : enteredBefore(Status.IDLE, before, (int) Math.ceil(excess))) {
         client.endIfNothingUnread(Event.CLOSE_CROWDED, true);
       }
     }
   }
 
-  /** Those that have had this status since the given time, at most so many, oldest first. */
-  private List<ClientHandler> expired(Status status, long before, int max) {
-    List<ClientHandler> expired = new ArrayList<>();
+  /** At most {@code max} connections with this status since the given time, oldest first. */
+  private List<ClientHandler> enteredBefore(Status status, long before, int max) {
+    List<ClientHandler> clients = new ArrayList<>();
     for (var entry : open.get(status).entrySet()) {
-      if (entry.getValue() - before > 0 || expired.size() == max) {
+      if (entry.getValue() - before > 0 || clients.size() == max) {
         break;
       }
-      expired.add(entry.getKey());
+      clients.add(entry.getKey());
     }
-    return expired;
+    return clients;
   }
 
   /**
@@ -302,7 +306,8 @@
    * send a request in the very moment in which they are closed.
    *
    * @param restMillis after how long the closing of idle connections begins
-   * @param lastCallMillis how long after that those are ended, too, that have not become idle
+   * @param lastCallMillis how long after that reading stops on all connections, so that each closes
+   *     after the responses that are pending then
    * @param then run once when no connection is left
    */
   public void drain(EventLoop loop, long restMillis, long lastCallMillis, Runnable then) {
@@ -310,7 +315,7 @@
     whenDrained = then;
     notifyIfDrained();
     if (connectionCount() > 0) {
-      loop.schedule(() -> closeNext(loop), restMillis, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> closeIdleStep(loop), restMillis, TimeUnit.MILLISECONDS);
       loop.schedule(
           () -> clock.whenBacklogRead(this::lastCall),
           restMillis + lastCallMillis,
@@ -319,8 +324,8 @@
   }
 
   /**
-   * Nothing more is read on any connection; each ends behind its pending responses. What clients
-   * send until the process is killed is not lost with it then.
+   * Stops reading on all connections; each closes after its pending responses. Requests read later
+   * could be lost when the process is killed; unread ones are sent again elsewhere.
    */
   private void lastCall() {
     for (Status status : Status.values()) {
@@ -330,17 +335,17 @@
 
   /**
    * Ends idle connections in steps; one with unread bytes is ended after its response. Between two
-   * steps the event loop reads what has come. The step grows with the number left, so that all are
-   * ended in time also after a stall.
+   * steps the event loop reads what has come. Each step closes a share of those left, so that the
+   * number of steps grows slowly with how many there are.
    */
-  private void closeNext(EventLoop loop) {
+  private void closeIdleStep(EventLoop loop) {
     int idle = open.get(Status.IDLE).size();
     if (idle > 0) {
       for (ClientHandler client :
-          expired(Status.IDLE, clock.activeNanos(), 1 + idle / DRAIN_STEPS)) {
+          enteredBefore(Status.IDLE, clock.activeNanos(), 1 + idle / DRAIN_STEPS)) {
         client.endIfNothingUnread(Event.CLOSE_DRAIN, false);
       }
-      loop.schedule(() -> closeNext(loop), DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> closeIdleStep(loop), DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/front/ClientFront.java
+++ b/engine/src/main/java/shalepaddle/front/ClientFront.java
@@ -61,7 +61,7 @@
             new ClientHandler(dispatcher, clients, codec, inbound, decoder, fairness));
   }
 
-  /** Closes connections that were of no use for too long. Not to be called during a backlog. */
+  /** See {@link ClientConnections#closeExpired}. */
   public void closeExpired() {
     clients.closeExpired();
   }
@@ -84,6 +84,8 @@
   /**
    * Ends all connections, each behind its pending responses; see {@link ClientConnections#drain}.
    *
+   * @param restMillis after how long the closing of idle connections begins
+   * @param lastCallMillis how long after that reading stops on all connections
    * @param then run once when no connection is left
    */
   public void drain(EventLoop loop, long restMillis, long lastCallMillis, Runnable then) {
--- a/engine/src/main/java/shalepaddle/front/ClientHandler.java
+++ b/engine/src/main/java/shalepaddle/front/ClientHandler.java
@@ -23,20 +23,20 @@
 final class ClientHandler extends ChannelInboundHandlerAdapter {
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** How long a client may read nothing of what was written to it, in active time. */
+  /** How long a connection may stay unwritable because its client reads nothing, in active time. */
   private static final long MAX_WRITE_STALL_NANOS = 10_000_000_000L;
 
   /**
-   * How long nothing is read from a client after this node's end of the stream: what it sends until
-   * it can have seen that is not taken.
+   * How long reading is suspended after the half-close: requests that the client sends before it
+   * sees that must stay unread, see {@link #endIfNothingUnread}.
    */
   private static final long HALF_CLOSE_SUSPEND_MILLIS = 100;
 
-  /** How far the connection has come. */
+  /** The stages of closing, in order; the last two are alternatives. */
   private enum State {
     OPEN,
-    /** Nothing more is read; once what was read is answered it is half-closed. */
-    LAST_CALL,
+    /** Reads nothing more; is half-closed once all requests that were read are answered. */
+    STOPPED_READING,
     /** Takes no commands; closes once all that was written has gone out. */
     CLOSING,
     /** All is answered and the sending end is closed, so that the client closes its own. */
@@ -59,13 +59,13 @@
   private Channel channel;
   private State state = State.OPEN;
 
-  /** As {@link ClientConnections} knows it, null before the channel is active. */
+  /** The status last reported to {@link ClientConnections}, null before the channel is active. */
   private ClientConnections.Status status;
 
   private boolean hasRequested;
 
-  /** Whether, in its present status, it was left open once since its command had unread bytes. */
-  private boolean wasSpared;
+  /** Whether, in the present MID_COMMAND status, unread bytes have prevented a close once. */
+  private boolean hasSkippedClose;
 
   private long receivedAtActiveNanos;
   private long unwritableSinceActiveNanos;
@@ -195,7 +195,7 @@
     ctx.close();
   }
 
-  /** Looks again at what suspends reading. */
+  /** Suspends or resumes reading, by the reasons that hold now. */
   void updateReading() {
     reads.update();
   }
@@ -206,10 +206,10 @@
     if (current != status && channel.isActive()) {
       ClientConnections.Status previous = status;
       status = current;
-      wasSpared = false;
+      hasSkippedClose = false;
       connections.statusChanged(this, previous, current);
     }
-    halfCloseIfLastCallIsOver();
+    halfCloseIfAllAnswered();
   }
 
   private ClientConnections.Status currentStatus() {
@@ -261,8 +261,8 @@
     if (isClosing()) {
       return false;
     }
-    if (!wasSpared && (inbound.hasBytes() || ClientListener.hasUnread(channel))) {
-      wasSpared = status == ClientConnections.Status.MID_COMMAND;
+    if (!hasSkippedClose && (inbound.hasBytes() || ClientListener.hasUnread(channel))) {
+      hasSkippedClose = status == ClientConnections.Status.MID_COMMAND;
       return false;
     }
     if (isDescriptorNeeded) {
@@ -274,20 +274,21 @@
   }
 
   /**
-   * From now on reads nothing more, and ends the connection once it has answered what was read. A
-   * client that always has a request in flight is never idle; what it sent last would be lost when
-   * the process ends. By the protocol it sends again elsewhere what this node has not read.
+   * Stops reading, and ends the connection once the requests that were read are answered. For
+   * clients that always have a request in flight, so that their connections never become idle: the
+   * last requests would be lost when the process ends. By the protocol a client sends again
+   * elsewhere what this node has not read.
    */
   void lastCall() {
     if (!isClosing()) {
-      state = State.LAST_CALL;
+      state = State.STOPPED_READING;
       reads.stop();
-      halfCloseIfLastCallIsOver();
+      halfCloseIfAllAnswered();
     }
   }
 
-  private void halfCloseIfLastCallIsOver() {
-    if (state == State.LAST_CALL && responses.isEmpty() && !inbound.hasBytes()) {
+  private void halfCloseIfAllAnswered() {
+    if (state == State.STOPPED_READING && responses.isEmpty() && !inbound.hasBytes()) {
       halfClose(Event.CLOSE_DRAIN);
     }
   }
@@ -306,7 +307,7 @@
     channel.eventLoop().schedule(reads::discard, HALF_CLOSE_SUSPEND_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Whether it sends the value of a command, and has gone on with that since the given time. */
+  /** Whether a value is being received, and bytes of it came after the given active time. */
   boolean hasSentValueSince(long activeNanos) {
     return decoder.isReadingValue() && receivedAtActiveNanos - activeNanos > 0;
   }
@@ -316,13 +317,13 @@
     return receivedAtActiveNanos;
   }
 
-  /** Closes the connection whatever has not gone out. */
+  /** Closes the connection at once; bytes that were not yet sent are dropped. */
   void abort(Event reason) {
     recorder.record(reason, name);
     channel.close();
   }
 
-  /** Closes the connection of a client that has read nothing of what waits for it for too long. */
+  /** Aborts the connection if it was unwritable for longer than the limit. */
   void abortIfWriteStalled() {
     if (!channel.isWritable()
         && clock.activeNanos() - unwritableSinceActiveNanos > MAX_WRITE_STALL_NANOS) {
--- a/engine/src/main/java/shalepaddle/front/ClientListener.java
+++ b/engine/src/main/java/shalepaddle/front/ClientListener.java
@@ -11,13 +11,13 @@
 import shalepaddle.sockets.TcpListener;
 
 /**
- * Accepts clients' connections, and knows since when each may have waited for that. Owned by its
- * event loop.
+ * Accepts clients' connections, and knows the earliest time at which each can have arrived. Owned
+ * by its event loop.
  */
 public final class ClientListener extends TcpListener {
   private final boolean isInherited;
 
-  /** Of the connections that are accepted without an empty backlog seen between them. */
+  /** Shared by connections accepted in a row, until the accept queue is seen empty. */
   private Backlog backlog = new Backlog();
 
   /** One that is to be bound. */
@@ -49,7 +49,7 @@
     List<Object> waiting = new ArrayList<>();
     // Where accepting fails the rest is reset.
     while (doReadMessages(waiting) > 0) {
-      // One more.
+      // Each call accepts some.
     }
     waiting.forEach(pipeline()::fireChannelRead);
     pipeline().fireChannelReadComplete();
--- a/engine/src/main/java/shalepaddle/front/InboundBuffer.java
+++ b/engine/src/main/java/shalepaddle/front/InboundBuffer.java
@@ -24,19 +24,19 @@
  * <p>All of it runs on the connection's event loop. It owns what it has read until it passes it on.
  */
 final class InboundBuffer extends ChannelDuplexHandler {
-  /** No more is read from a connection while so much of it is buffered. */
+  /** Reading from a connection stops while at least this many of its bytes are buffered. */
   static final int MAX_BUFFERED_BYTES = 16 << 10;
 
-  /** How much is delivered between two looks at the mode: some tens of commands. */
+  /** Buffered bytes delivered before the mode is checked again: some tens of commands. */
   private static final int MAX_DELIVERY_BYTES = 4 << 10;
 
-  /** Reads after which a connection's turn ends whether or not its socket is empty. */
+  /** Netty's maximum of reads per event: after as many, the socket may still hold bytes. */
   private static final int MAX_READS_PER_TURN = 16;
 
-  /** Bytes that arrived within this time of one another are buffered together. */
+  /** Bytes that arrived less than this after a segment's first are appended to that segment. */
   private static final long MERGE_NANOS = 5_000_000;
 
-  /** What is done with what comes. */
+  /** Whether bytes are read from the socket, and whether they are passed on. */
   enum Mode {
     /** It is read and delivered. */
     DELIVER,
@@ -46,7 +46,7 @@
     SUSPEND
   }
 
-  /** Is notified by when what is buffered has to be delivered. */
+  /** Is notified of the time by which the buffered commands have to be delivered. */
   @FunctionalInterface
   interface DeadlineListener {
     /** The earliest deadline among the buffered commands, by the loop's clock. */
@@ -117,7 +117,7 @@
     return !segments.isEmpty();
   }
 
-  /** Whether so much is buffered that nothing more is read: more may wait in the socket. */
+  /** Whether a limit of the buffer is reached, so that more bytes may be unread in the socket. */
   boolean isFull() {
     return hasBytes() && (bufferedBytes >= MAX_BUFFERED_BYTES || exceedsBudget);
   }
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Changes what is done with what comes. What was buffered is delivered by a task of its own, not
-   * within this call.
+   * Changes the mode. If it now permits, buffered bytes are delivered in a task of the event loop,
+   * not within this call.
    */
   void setMode(Mode next) {
     if (next == mode) {
@@ -258,7 +258,7 @@
     return first.bytes;
   }
 
-  /** Nothing is buffered any more. */
+  /** Clears the accounting once the last segment is gone. */
   private void reset() {
     exceedsBudget = false;
     budget.release(reservedBytes);
--- a/engine/src/main/java/shalepaddle/front/ReadControl.java
+++ b/engine/src/main/java/shalepaddle/front/ReadControl.java
@@ -35,9 +35,9 @@
    */
   private static final long MAX_PAUSE_WITH_FULL_BUFFER_NANOS = 50_000_000L;
 
-  /** What is done with what the client sends. */
+  /** Whether commands are read; from TAKING to STOPPED to DISCARDING, never back. */
   private enum State {
-    /** Commands are taken, unless one of the reasons above suspends that. */
+    /** Commands are taken, unless one of the reasons in the class comment suspends that. */
     TAKING,
     /** Nothing more is read; what was read before is still delivered. */
     STOPPED,
@@ -62,7 +62,7 @@
   /** The task that ends the pause, null before the first. */
   private Future<?> resumption;
 
-  /** What suspended reading when that was looked at last, so that each is recorded once. */
+  /** The reasons at the last {@link #update}, so that each is recorded once when it begins. */
   private boolean hadTooManyPending;
 
   private boolean wasUnwritable;
@@ -89,7 +89,10 @@
     inbound.setListener(this::deadlineFound);
   }
 
-  /** Looks at all reasons again, and reads or suspends. */
+  /**
+   * Sets the mode of the inbound buffer from the present state. To be called after each change of
+   * writability, of pending responses or of the pause.
+   */
   void update() {
     boolean hasTooManyPending = hasTooManyPending();
     boolean takes =
@@ -134,7 +137,7 @@
     wasUnwritable = isUnwritable;
   }
 
-  /** The client broke the protocol. */
+  /** Counts a protocol error of the client, and pauses reading. */
   void clientError() {
     errors++;
     pause(Event.READ_PAUSE_CLIENT_ERROR, TimeUnit.MILLISECONDS.toNanos(ERROR_PAUSE_MILLIS));
@@ -160,7 +163,7 @@
     return nanos;
   }
 
-  /** Reads nothing for so long at least; 0 changes nothing. */
+  /** Reads nothing for at least the given time; 0 changes nothing. */
   private void pause(Event reason, long nanos) {
     if (nanos <= 0) {
       return;
--- a/engine/src/main/java/shalepaddle/front/ReadPause.java
+++ b/engine/src/main/java/shalepaddle/front/ReadPause.java
@@ -15,7 +15,7 @@
   }
 
   /**
-   * There is a reason to read nothing for so long.
+   * Extends the pause to at least the given time from now.
    *
    * @return whether the pause begins with it: the caller must then ask {@link #remainingNanos} when
    *     it ends
--- a/engine/src/main/java/shalepaddle/front/ResponseQueue.java
+++ b/engine/src/main/java/shalepaddle/front/ResponseQueue.java
@@ -62,7 +62,7 @@
     return channel.isWritable();
   }
 
-  /** Encodes a reply; a value in it is used up. */
+  /** Encodes a reply, and takes ownership of a value in it. */
   ByteBuf encode(String requestId, Reply reply) {
     return codec.encode(channel.alloc(), requestId, reply);
   }
@@ -120,7 +120,7 @@
     connection.updateReading();
   }
 
-  /** The client reads what was written again, or no longer. */
+  /** Resumes or pauses the stream of the first response, by whether the channel is writable. */
   void writabilityChanged() {
     ResponseSlot first = slots.peek();
     if (first != null) {
@@ -147,7 +147,7 @@
     }
   }
 
-  /** The client has gone: discards what is pending and cancels its requests. */
+  /** The client has disconnected: discards pending responses and cancels their requests. */
   void disconnected() {
     for (ResponseSlot slot = slots.poll(); slot != null; slot = slots.poll()) {
       slot.discard();
--- a/engine/src/main/java/shalepaddle/front/ResponseSlot.java
+++ b/engine/src/main/java/shalepaddle/front/ResponseSlot.java
@@ -12,9 +12,9 @@
  * reply. Owned by its {@link ResponseQueue}, on the event loop.
  */
 final class ResponseSlot implements ReplySink, ValueSource.Receiver {
-  /** How far the response has come. */
+  /** What there is of the response. */
   private enum State {
-    /** It has not begun, or what had begun of it will never be complete. */
+    /** No bytes of it are encoded, or its stream has ended and the end is not queued yet. */
     PENDING,
     /** A large value is its response, of which the encoded head waits for its turn. */
     STREAM_READY,
@@ -51,7 +51,7 @@
    *
    * @param readAtNanos when it was read, by the loop's clock
    * @param arrivalNanos the earliest time at which its last byte can have arrived
-   * @param budgetNanos for how long its client waits
+   * @param budgetNanos how long its client waits from the arrival
    */
   void setRequest(String id, long readAtNanos, long arrivalNanos, long budgetNanos) {
     this.requestId = id;
@@ -100,12 +100,12 @@
     return submission != null && state != State.COMPLETE;
   }
 
-  /** Whether its client has waited in vain for all its time. */
+  /** Whether it is incomplete, and the request's time has passed since its earliest arrival. */
   boolean isPastBudget(long now) {
     return state != State.COMPLETE && now - arrivalNanos >= budgetNanos;
   }
 
-  /** Whether its client has waited in vain for over half its time since it was read. */
+  /** Whether it is incomplete, and over half the request's time has passed since it was read. */
   boolean isPastHalfBudget(long now) {
     return state != State.COMPLETE && now - readAtNanos > budgetNanos / 2;
   }
@@ -157,7 +157,7 @@
     setReading(responses.isWritable());
   }
 
-  /** Lets the value come, or leaves it with the server while the client does not read. */
+  /** Resumes or pauses reading the value from the server; no effect unless it is streaming. */
   void setReading(boolean on) {
     if (state == State.STREAMING) {
       source.setReading(on);
@@ -179,7 +179,7 @@
     responses.streamFailed();
   }
 
-  /** Gives the complete response, which belongs to this from here on. */
+  /** Sets the complete response, and takes ownership of it; a second one is reported. */
   void complete(ByteBuf bytes) {
     if (!responses.isOpen()) {
       bytes.release();
@@ -195,7 +195,7 @@
     }
   }
 
-  /** Its client has gone: releases what it has and cancels what it waits for. */
+  /** The client has disconnected: releases the encoded bytes and cancels the streamed value. */
   void discard() {
     if (encoded != null) {
       takeEncoded().release();
--- a/engine/src/main/java/shalepaddle/hotrestart/HotRestart.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/HotRestart.java
@@ -15,12 +15,13 @@
  * #close}.
  */
 public final class HotRestart implements AutoCloseable {
+  /** From the end of one poll to the begin of the next. */
   static final long POLL_MILLIS = 50;
 
-  /** Polls after which an unchanged state is published again, as a heartbeat. */
+  /** Polls after which an unchanged state is published again, as a heartbeat: about 0.5 s. */
   private static final int HEARTBEAT_POLLS = 10;
 
-  /** Polls from one publication of observations for a starting process to the next. */
+  /** Polls between publications of observations while another process starts: about 0.25 s. */
   private static final int OBSERVATIONS_POLLS = 5;
 
   /** Receives the state of the other processes, on the thread that polls. */
--- a/engine/src/main/java/shalepaddle/loop/Clock.java
+++ b/engine/src/main/java/shalepaddle/loop/Clock.java
@@ -11,7 +11,7 @@
   private final double startSeconds;
   private final long startNanos;
 
-  /** A clock whose present time is so many milliseconds since 1970. */
+  /** A clock whose present time is the given number of milliseconds since 1970. */
   public Clock(Ticker ticker, long epochMillis) {
     this.ticker = ticker;
     this.startSeconds = epochMillis / 1e3;
--- a/engine/src/main/java/shalepaddle/loop/LoopClock.java
+++ b/engine/src/main/java/shalepaddle/loop/LoopClock.java
@@ -5,17 +5,16 @@
 import java.util.List;
 
 /**
- * Notices that the event loop has stalled, and puts off what must not be decided before the backlog
- * of the stall is read.
+ * Detects stalls of the event loop, and postpones decisions that must not be made before the
+ * backlog of a stall is read.
  *
  * <p>A process that is stopped, or gets no processor, reads nothing, while the kernel goes on
- * receiving for it. Whoever measures a peer's silence by the wall clock then blames the peer for
- * the loop's own stall. So the loop runs a turn at least every {@link #MAX_SLEEP_NANOS}, and a
- * longer gap between two reads of the clock is a stall, with two consequences. {@link #activeNanos}
- * does not advance in a stall: silence is measured by it. And the loop {@linkplain #hasBacklog has
- * a backlog} until it has read all that waited: what judges peers, or answers requests whose time
- * is up, waits for that by {@link #whenBacklogRead}. Deadlines of clients are not measured by
- * active time.
+ * receiving for it. A time-out measured by the wall clock would then blame the peer for the loop's
+ * own stall. So the loop runs a turn at least every {@link #MAX_SLEEP_NANOS}, and a longer gap
+ * between two reads of the clock is a stall, with two consequences. {@link #activeNanos} does not
+ * advance in a stall: silence is measured by it. And the loop {@linkplain #hasBacklog has a
+ * backlog} until it has read what arrived meanwhile: time-outs of peers and of requests wait for
+ * that, see {@link #whenBacklogRead}. Clients' deadlines are not measured in active time.
  *
  * <p>Prevents that connections with requests are closed, and servers ejected, for a stall of this
  * process. Cost: where every turn is as long as a stall, silence is found out some turns later.
@@ -30,18 +29,21 @@
   public static final long STALL_THRESHOLD_NANOS = 30_000_000L;
 
   /**
-   * In so many turns after a stall all that waited should be read: one brings connections that wait
-   * to be accepted, the next what was sent on them. Bounds the delay where stalls follow one
-   * another, or more arrives than can be read.
+   * The most turns that the backlog of a stall takes: one turn accepts waiting connections, the
+   * next reads what was sent on them. Bounds the delay where stalls follow one another, or more
+   * arrives than can be read.
    */
   private static final int MAX_BACKLOG_TURNS = 8;
 
-  /** How long after a stall decisions are put off at most, since turns are long under overload. */
+  /**
+   * A backlog ends with the first turn that ends later than this after the stall: under overload
+   * {@link #MAX_BACKLOG_TURNS} turns would take longer.
+   */
   static final long MAX_BACKLOG_NANOS = 60_000_000L;
 
   /** Is notified of stalls and turns, on the event loop's thread. */
   public interface Listener {
-    /** The loop has stalled for so long, until now. */
+    /** The loop has stalled for this many nanoseconds, until now. */
     void onStall(long nanos);
 
     /** A task that had waited for the backlog to be read has failed. */
@@ -216,7 +218,11 @@
     refresh(now);
   }
 
-  /** The events of this turn, of so many connections, are handled. */
+  /**
+   * The events of this turn are handled. Runs the tasks that waited for that.
+   *
+   * @param handled channels that had events, 0 if nothing was ready
+   */
   void turnEnds(long now, int handled) {
     refresh(now);
     if (hasBacklog()) {
--- a/engine/src/main/java/shalepaddle/loop/StallHistory.java
+++ b/engine/src/main/java/shalepaddle/loop/StallHistory.java
@@ -14,7 +14,7 @@
   private final long[] secondLongest = new long[2];
   private long window = Long.MIN_VALUE;
 
-  /** The loop has stalled for so long, until now. */
+  /** The loop has stalled for this many nanoseconds, until now. */
   void add(long nanos, long now) {
     advance(now);
     if (nanos > longest[0]) {
--- a/engine/src/main/java/shalepaddle/loop/Timers.java
+++ b/engine/src/main/java/shalepaddle/loop/Timers.java
@@ -29,7 +29,7 @@
   /**
    * No timers.
    *
-   * @param tickNanos the grain, above 0
+   * @param tickNanos the resolution, above 0
    */
   public Timers(EventLoop loop, LoopClock clock, Log log, long tickNanos) {
     this.loop = loop;
@@ -58,14 +58,14 @@
     return schedule(Math.floorDiv(clock.now() - start + delayNanos, tickNanos), task);
   }
 
-  /** Runs a task in the first tick that is not before the delay. */
+  /** Runs a task in the first tick that is not before the delay; after the backlog of a stall. */
   public Timer runNoEarlierThan(long delayNanos, Runnable task) {
     return schedule(-Math.floorDiv(-(clock.now() - start + delayNanos), tickNanos), task);
   }
 
   /**
-   * Runs a task once the event loop was {@linkplain LoopClock#activeNanos active} for so long: for
-   * timers that judge a peer's silence.
+   * Runs a task once the event loop was {@linkplain LoopClock#activeNanos active} for the given
+   * time: for time-outs of a silent peer.
    */
   public Timer afterActiveTime(long nanos, Runnable task) {
     Timer timer = new Timer(task);
@@ -74,7 +74,7 @@
   }
 
   /**
-   * Closes a connection that is not established after so much active time; its future then fails
+   * Closes a connection that is not established after the given active time; its future then fails
    * with a {@link java.nio.channels.ClosedChannelException}. The bootstrap's own time-out is not
    * used: after a stall it may run before an established connection is noticed, and a peer that is
    * up would be taken for one that is down.
--- a/engine/src/main/java/shalepaddle/membership/DiscoveryCall.java
+++ b/engine/src/main/java/shalepaddle/membership/DiscoveryCall.java
@@ -35,12 +35,12 @@
 
   /**
    * How long discovery may be silent. A watch carries at least an empty line every 2 s, and a poll
-   * is queued for about as long. What a silent watch misses binds the node 6 s after the silence
-   * began: a backoff and another queued call fit into that.
+   * is queued for about as long. The node has to follow a list 6 s after its watch fell silent: a
+   * backoff and another queued call fit into that.
    */
   private static final long MAX_SILENCE_MILLIS = 3250;
 
-  /** Learns what a call brings. After {@link #onEnd} nothing follows. */
+  /** Receives the lists of a call and its end; {@link #onEnd} is the last notification. */
   interface Observer {
     void onList(MemberList list);
 
@@ -70,8 +70,8 @@
     }
 
     /** A call to an agent, which answers at once. */
-    static Limits ofWatch(long agentMillis) {
-      return new Limits(agentMillis, agentMillis);
+    static Limits ofWatch(long agentTimeoutMillis) {
+      return new Limits(agentTimeoutMillis, agentTimeoutMillis);
     }
   }
 
--- a/engine/src/main/java/shalepaddle/membership/DiscoveryClient.java
+++ b/engine/src/main/java/shalepaddle/membership/DiscoveryClient.java
@@ -15,11 +15,11 @@
  * <p>On the event loop alone.
  */
 public final class DiscoveryClient implements MemberSource {
-  /** The longest that an agent on the node's own machine may take to answer. */
-  private static final long MAX_AGENT_MILLIS = 1000;
+  /** The longest time-out of a call to an agent, which runs on the node's own machine. */
+  private static final long MAX_AGENT_TIMEOUT_MILLIS = 1000;
 
-  /** The shortest, and the shortest backoff: prevents a storm of calls where the grace is short. */
-  private static final long MIN_AGENT_MILLIS = 200;
+  /** The shortest time-out and backoff: limits the rate of calls where the grace is short. */
+  private static final long MIN_AGENT_TIMEOUT_MILLIS = 200;
 
   private static final long CONNECT_TIMEOUT_MILLIS = 2000;
   private static final long BACKOFF_MILLIS = 500;
@@ -31,11 +31,12 @@
   private final boolean isPolled;
 
   /**
-   * How long an agent may take to answer: it answers at once, or is silent while discovery is down.
-   * A list that it gets when discovery returns binds the node from then on. So a call that was made
-   * shortly before, and the backoff after it, have to fit into the grace of a drain.
+   * The time-out of a connect to an agent and of its answer, and the longest backoff. An agent
+   * answers at once, or not at all while discovery is down. The grace of a drain begins when the
+   * agent gets the list, so a time-out and the backoff together have to fit into it: half of the
+   * grace each.
    */
-  private final long agentMillis;
+  private final long agentTimeoutMillis;
 
   private final MemberListener listener;
   private InetSocketAddress address;
@@ -73,14 +74,15 @@
     this.clock = clock;
     this.address = address;
     this.isPolled = isPolled;
-    this.agentMillis = graceSeconds > 0 ? agentMillis(graceSeconds) : MAX_AGENT_MILLIS;
+    this.agentTimeoutMillis =
+        graceSeconds > 0 ? agentTimeoutMillis(graceSeconds) : MAX_AGENT_TIMEOUT_MILLIS;
     this.version = version;
     this.listener = listener;
   }
 
-  private static long agentMillis(double graceSeconds) {
+  private static long agentTimeoutMillis(double graceSeconds) {
     long halfGraceMillis = (long) (graceSeconds * 500);
-    return Math.max(MIN_AGENT_MILLIS, Math.min(MAX_AGENT_MILLIS, halfGraceMillis));
+    return Math.max(MIN_AGENT_TIMEOUT_MILLIS, Math.min(MAX_AGENT_TIMEOUT_MILLIS, halfGraceMillis));
   }
 
   /**
@@ -98,7 +100,7 @@
   private DiscoveryCall.Limits limits() {
     return isPolled
         ? DiscoveryCall.Limits.ofPoll(CONNECT_TIMEOUT_MILLIS)
-        : DiscoveryCall.Limits.ofWatch(agentMillis);
+        : DiscoveryCall.Limits.ofWatch(agentTimeoutMillis);
   }
 
   private DiscoveryCall.Observer observer() {
@@ -146,7 +148,7 @@
       listener.onFailure(end.reason());
     }
     if (!isPolled) {
-      long backoffMillis = end.mayRetryAtOnce() ? 0 : Math.min(BACKOFF_MILLIS, agentMillis);
+      long backoffMillis = end.mayRetryAtOnce() ? 0 : Math.min(BACKOFF_MILLIS, agentTimeoutMillis);
       loop.schedule(
           () -> {
             if (!stopped) {
--- a/engine/src/main/java/shalepaddle/node/AdmissionFilter.java
+++ b/engine/src/main/java/shalepaddle/node/AdmissionFilter.java
@@ -25,7 +25,8 @@
    * For one node.
    *
    * @param settings those in force now
-   * @param openRequests client connections with an open request now, in all processes of this node
+   * @param openRequests client connections with an open request now; of other processes of this
+   *     node all client connections
    */
   AdmissionFilter(
       OverloadControl overload,
--- a/engine/src/main/java/shalepaddle/node/DescriptorBudget.java
+++ b/engine/src/main/java/shalepaddle/node/DescriptorBudget.java
@@ -61,19 +61,19 @@
     return new ServerPool.Limits(
         connections,
         maxServerConnections(),
-        // Where a request may not have two attempts out, one that is given up must be off its
-        // connection before the next goes out: nothing may share it.
+        // Without parallel attempts, an abandoned attempt is cancelled by closing its connection
+        // before the next is sent, so no other attempt may share the connection.
         limits.allowsParallelAttempts() ? Math.max(1, limits.maxAttemptsPerConnection()) : 1,
         (long) (Math.max(1, limits.idleTimeoutSeconds() / 2) * 1e9),
         (long) (Math.max(0.001, limits.connectTimeoutSeconds()) * 1e9));
   }
 
-  /** The part of the request limit that so many open requests use; above 1 past the limit. */
+  /** Open requests as a part of the request limit; above 1 past the limit. */
   double requestRatio(int openRequests) {
     return openRequests / (limit * REQUEST_RATIO);
   }
 
-  /** The part of all descriptors in use, with so many connections. */
+  /** The part of all descriptors that is in use with the given connections. */
   double usedRatio(int clientConnections, int serverConnections) {
     double used = reserved + clientConnections + serverConnections;
     return used / limit;
--- a/engine/src/main/java/shalepaddle/node/GracefulShutdown.java
+++ b/engine/src/main/java/shalepaddle/node/GracefulShutdown.java
@@ -15,31 +15,37 @@
  * The end of a node's service: a planned restart without a successor ({@link #drain}) or with one
  * that has taken over ({@link #handOver}). Owns the clients' listener, so as to stop it.
  *
- * <p>By the protocol a node is killed no sooner than the longest deadline and {@link #KILL_MILLIS}
- * after the signal. All times count from the signal, also where the process was stalled then.
+ * <p>By the protocol, the platform kills a node no sooner than the longest deadline plus {@link
+ * #KILL_MILLIS} after the signal that ends it. All requests are to be answered {@link
+ * #ANSWERED_BEFORE_KILL_MILLIS} before that. This time counts from the signal even if the process
+ * was stalled when it came; the steps of a drain before it are timers, set when the loop handles
+ * it.
  *
  * <p>On the event loop alone.
  */
 final class GracefulShutdown {
-  /** New connections go on coming for so long after a planned restart has begun. */
+  /** How long after the start of a planned restart the platform still sends new connections. */
   private static final long ACCEPT_MILLIS = 500;
 
+  /** How long after the longest deadline the platform kills a node, at the earliest. */
   private static final long KILL_MILLIS = 700;
 
-  /** The platform waits for no longer deadline than this. */
+  /** The longest deadline that the platform waits for; requests with longer ones are cut short. */
   private static final long MAX_DEADLINE_MILLIS = 3000;
 
   /** How long idle client connections stay open after another process took over. */
-  private static final long IDLE_MILLIS = 1000;
+  private static final long HAND_OVER_IDLE_MILLIS = 1000;
 
   /** How long before the kill all requests are answered. */
   private static final long ANSWERED_BEFORE_KILL_MILLIS = 150;
 
-  /** How long before all requests are answered clients are released. */
-  private static final long RELEASE_MILLIS = 450;
+  /** How long before the time for the last answer the closing of idle connections begins. */
+  private static final long CLOSE_IDLE_BEFORE_ANSWERED_MILLIS = 450;
 
-  /** How long before all requests are answered reading stops: the time for what was read last. */
-  private static final long LAST_READ_MILLIS = 80;
+  /**
+   * How long before the time for the last answer reading stops: left for the requests read last.
+   */
+  private static final long STOP_READING_BEFORE_ANSWERED_MILLIS = 80;
 
   private final EventLoop loop;
   private final LoopClock clock;
@@ -74,7 +80,7 @@
     this.longestDeadlineSeconds = longestDeadlineSeconds;
   }
 
-  /** Clients are accepted there, until {@link #stopAccepting}. */
+  /** Sets the channel that accepts clients, until {@link #stopAccepting}. */
   void listensOn(Channel channel) {
     listener = channel;
   }
@@ -83,7 +89,7 @@
     return listener != null;
   }
 
-  /** The longest that a drain takes, but for clients that do not read their answers. */
+  /** The longest duration of a drain in ms, unless clients do not read their answers. */
   long maxDrainMillis() {
     long deadline =
         Math.min(MAX_DEADLINE_MILLIS, (long) (longestDeadlineSeconds.getAsDouble() * 1e3));
@@ -93,18 +99,19 @@
   /** See {@link LoadBalancer#drain}. */
   void drain(Runnable onDrained) {
     long answeredMillis = begin();
-    long releaseMillis = Math.max(ACCEPT_MILLIS, answeredMillis - RELEASE_MILLIS);
-    // These timers wait until what came in a stall has been accepted and read.
+    long closeIdleMillis =
+        Math.max(ACCEPT_MILLIS, answeredMillis - CLOSE_IDLE_BEFORE_ANSWERED_MILLIS);
+    // After a stall these timers run only once its backlog has been accepted and read.
     dispatcher
         .timers()
         .runNoEarlierThan(TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS), this::stopAccepting);
     dispatcher
         .timers()
         .runNoEarlierThan(
-            TimeUnit.MILLISECONDS.toNanos(releaseMillis),
+            TimeUnit.MILLISECONDS.toNanos(closeIdleMillis),
             () -> {
               log.line("draining " + front.connectionCount() + " client connections");
-              front.drain(loop, 0, lastReadMillis(answeredMillis - releaseMillis), onDrained);
+              front.drain(loop, 0, stopReadingMillis(answeredMillis - closeIdleMillis), onDrained);
             });
   }
 
@@ -113,18 +120,24 @@
     long answeredMillis = begin();
     stopAccepting();
     log.line("handing over " + front.connectionCount() + " client connections");
-    // Where deadlines are short the process is killed before connections were idle for as long.
-    long idleMillis = Math.min(IDLE_MILLIS, Math.max(0, answeredMillis - RELEASE_MILLIS));
-    long releaseMillis = Math.min(answeredMillis - idleMillis, RELEASE_MILLIS);
-    front.drain(loop, idleMillis, lastReadMillis(releaseMillis), onDrained);
+    // With short deadlines the process would be killed before HAND_OVER_IDLE_MILLIS have passed.
+    long idleMillis =
+        Math.min(
+            HAND_OVER_IDLE_MILLIS, Math.max(0, answeredMillis - CLOSE_IDLE_BEFORE_ANSWERED_MILLIS));
+    long closeIdleMillis = Math.min(answeredMillis - idleMillis, CLOSE_IDLE_BEFORE_ANSWERED_MILLIS);
+    front.drain(loop, idleMillis, stopReadingMillis(closeIdleMillis), onDrained);
   }
 
-  /** When reading stops, of so many milliseconds in which all is answered. */
-  private static long lastReadMillis(long millis) {
-    return Math.max(0, millis - LAST_READ_MILLIS);
+  /** When reading stops, in ms, if all requests are to be answered within the given time. */
+  private static long stopReadingMillis(long answeredMillis) {
+    return Math.max(0, answeredMillis - STOP_READING_BEFORE_ANSWERED_MILLIS);
   }
 
-  /** Returns in how many milliseconds all requests have been answered. */
+  /**
+   * Publishes the stage, logs the totals and cuts the requests' deadlines to the time that is left.
+   *
+   * @return in how many milliseconds from now all requests are to be answered
+   */
   private long begin() {
     snapshots.enter(ProcessState.Stage.DRAINING);
     snapshots.publishState();
@@ -135,7 +148,7 @@
     return answeredMillis;
   }
 
-  /** Accepts no more clients; those that are connected are served on. */
+  /** Closes the listener, or takes a shared one off the loop; open connections are still served. */
   void stopAccepting() {
     front.listenerClosed();
     if (listener instanceof ClientListener shared) {
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -39,13 +39,13 @@
  * #awaitPushedList}, {@link #isReady} and the snapshots, which say so.
  */
 public final class LoadBalancer {
-  /** How long a removed service class is still accepted: its clients may not have heard of it. */
+  /** How long a removed service class is still accepted: clients may not have the new settings. */
   private static final long REMOVED_CLASS_NANOS = 1_200_000_000L;
 
-  /** All memory divided by this may be used for what clients sent ahead of its turn. */
-  private static final int READ_AHEAD_DIVISOR = 64;
+  /** All memory divided by this is the budget of the clients' inbound buffers. */
+  private static final int INBOUND_BUFFER_DIVISOR = 64;
 
-  /** Calls from other threads that may wait for the event loop. */
+  /** The most calls from other threads that may wait for the event loop. */
   private static final int MAX_SUBMITTED = 4096;
 
   private final EventLoop loop;
@@ -69,10 +69,10 @@
   /** The configuration that the node was started with, with the settings in force. */
   private NodeConfig config;
 
-  /** Client connections of this node's other processes. */
-  private int partnersClients;
+  /** Open client connections of this node's other processes, which share its limits. */
+  private int peerClientConnections;
 
-  /** One that opens as many connections to each server as its part of the tier allows. */
+  /** A load balancer with its share of the connections that each server allows the whole tier. */
   public LoadBalancer(
       NodeConfig config,
       OperatorFile operator,
@@ -92,7 +92,7 @@
         log);
   }
 
-  /** One that opens so many connections to each server at most. */
+  /** A load balancer that opens at most {@code connectionsPerServer} to each server. */
   LoadBalancer(
       NodeConfig config,
       OperatorFile operator,
@@ -132,7 +132,7 @@
             codec,
             descriptors.maxClientConnections(),
             overload::degradationPolicy,
-            new MemoryBudget(((long) config.memoryMb() << 20) / READ_AHEAD_DIVISOR));
+            new MemoryBudget(((long) config.memoryMb() << 20) / INBOUND_BUFFER_DIVISOR));
     snapshots = new SnapshotPublisher(dispatcher, overload, front, pools, exclusions, members);
     monitor =
         new ResourceMonitor(
@@ -179,11 +179,17 @@
 
   private AdmissionFilter admissionFilter() {
     return new AdmissionFilter(
-        overload, dispatcher, clock, descriptors, () -> config.settings(), this::openOnConnections);
+        overload,
+        dispatcher,
+        clock,
+        descriptors,
+        () -> config.settings(),
+        this::connectionsAwaitingResponse);
   }
 
-  private int openOnConnections() {
-    return front.connectionsAwaitingResponse() + partnersClients;
+  /** Those of this process; and all of other processes, which do not publish how many wait. */
+  private int connectionsAwaitingResponse() {
+    return front.connectionsAwaitingResponse() + peerClientConnections;
   }
 
   private void publishState() {
@@ -200,7 +206,7 @@
     startAfter(List.of());
   }
 
-  /** The same, after learning from what another process of this node has observed. */
+  /** As {@link #start}, but first replays what another process of this node has observed. */
   void startAfter(List<Observation> past) {
     if (!past.isEmpty()) {
       dispatcher.replay(config.knownMembers().toUpdate(MembershipUpdate.Kind.CACHED), past);
@@ -213,8 +219,8 @@
   }
 
   /**
-   * Where lists are pushed, waits for the first one, for so many milliseconds at most: the agent's
-   * list is binding from the first moment on. From any thread but the event loop.
+   * Where lists are pushed, waits for the first one, at most {@code millis}: from the first request
+   * on, the node has to follow the agent's list. From any thread but the event loop.
    */
   void awaitPushedList(long millis) throws InterruptedException {
     if (!config.settings().pollsEndpointList()) {
@@ -283,12 +289,14 @@
    * node together.
    *
    * @param partners how many processes there are besides this one
+   * @param exclusions the cache servers that operators have excluded there
    * @param clients their open client connections
+   * @param serverConnections their connections to cache servers
    */
   public void updatePartners(
       List<ServerExclusion> exclusions, int partners, int clients, int serverConnections) {
     this.exclusions.merge(exclusions);
-    partnersClients = clients;
+    peerClientConnections = clients;
     front.setMaxConnections(descriptors.maxClientConnections() - clients);
     pools.setPeerProcessUsage(partners, serverConnections);
   }
@@ -330,7 +338,7 @@
     }
   }
 
-  /** The loop has been stalled for so many nanoseconds until now. */
+  /** The loop has been stalled for this many nanoseconds, until now. */
   public void recordStall(long nanos) {
     overload.onEventLoopStall(nanos, clock.now());
     dispatcher.onStall(nanos);
--- a/engine/src/main/java/shalepaddle/node/MemberTracker.java
+++ b/engine/src/main/java/shalepaddle/node/MemberTracker.java
@@ -13,7 +13,7 @@
 
 /**
  * Owns the list of cache servers as this node knows it, and passes each change first to the
- * connections and then to the decisions.
+ * connections and then to the policy.
  *
  * <p>On the event loop alone, but for {@link #awaitFirstList}.
  */
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Waits for the first list from discovery, for so many milliseconds at most. From any thread but
-   * the event loop.
+   * Waits for the first list from discovery, for at most {@code millis}. From any thread but the
+   * event loop.
    */
   void awaitFirstList(long millis) throws InterruptedException {
     // Going on without it is correct: the list of the configuration is used then.
--- a/engine/src/main/java/shalepaddle/node/Node.java
+++ b/engine/src/main/java/shalepaddle/node/Node.java
@@ -37,7 +37,7 @@
  * <p>Methods may be called from any thread but the event loop, for which most of them wait.
  */
 public final class Node implements AutoCloseable {
-  /** How long the last answers may take to be written, where nobody kills the node. */
+  /** Added to the longest drain: the time in which clients may read the last answers. */
   private static final long LINGER_MILLIS = 2000;
 
   /**
@@ -46,7 +46,7 @@
    */
   private static final long FIRST_LIST_MILLIS = 250;
 
-  /** See {@link #awaitDrained(long)}. */
+  /** How often {@link #awaitDrained(long)} checks: the most of its time that one stall uses up. */
   private static final long DRAIN_STEP_MILLIS = 50;
 
   /** Stalls longer than this are logged. */
@@ -82,7 +82,7 @@
     this(config, operator, DescriptorBudget.connectionsPerServer(config));
   }
 
-  /** A node that opens so many connections to each server. */
+  /** A node that opens at most {@code connections} to each server. */
   Node(NodeConfig config, OperatorFile operator, int connections) {
     this(config, operator, connections, null, null);
   }
@@ -253,7 +253,8 @@
     // The future is done before its listener has run, which makes the balancer ready.
     loop.submit(() -> {}).await();
     if (hotRestart != null) {
-      // Before this node says that it is ready: whoever reads that may end the other at once.
+      // Before this node says that it is ready: the platform may end the other process as soon as
+      // it reads that.
       hotRestart.publish();
     }
     listening = true;
@@ -283,9 +284,9 @@
   }
 
   /**
-   * Waits until all requests are answered; false if they are not after so many milliseconds in
-   * which the process ran. Counts steps, of which a stall takes one, so that no stall uses up the
-   * time.
+   * Waits until all requests are answered; false after {@code millis} in which the process ran. The
+   * time is counted in steps, and a stall of any length takes one, so that a stall does not use up
+   * the time.
    */
   private boolean awaitDrained(long millis) throws InterruptedException {
     for (long left = millis; left > 0; left -= DRAIN_STEP_MILLIS) {
--- a/engine/src/main/java/shalepaddle/node/NodeProcess.java
+++ b/engine/src/main/java/shalepaddle/node/NodeProcess.java
@@ -108,7 +108,7 @@
     }
     node.haltOnLoopFailure();
     node.prepare();
-    // Before it listens: whoever sees a node answer may signal it at once.
+    // Before it listens: once a node answers, the platform may signal it at any time.
     Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain"));
     installReload(node, configFile, startup.configJson());
     try {
--- a/engine/src/main/java/shalepaddle/node/ProcessorUse.java
+++ b/engine/src/main/java/shalepaddle/node/ProcessorUse.java
@@ -35,7 +35,7 @@
   private long usedNanos = -1;
   private double usedRatio = Double.NaN;
 
-  /** The use of a process that may use so many cores. */
+  /** The use of a process that may use the given number of cores. */
   ProcessorUse(double cores) {
     this.cores = Math.max(0.01, cores);
   }
--- a/engine/src/main/java/shalepaddle/node/ResourceMonitor.java
+++ b/engine/src/main/java/shalepaddle/node/ResourceMonitor.java
@@ -14,14 +14,17 @@
 
 /**
  * Measures periodically how much of its limits the process uses, reports it to the overload
- * control, and closes connections that have been of no use for too long. On the event loop alone,
- * from {@link #start} until {@link #stop}.
+ * control, publishes the snapshots, and closes connections that have been idle for too long. On the
+ * event loop alone, from {@link #start} until {@link #stop}.
  */
 final class ResourceMonitor {
+  /** From one check for expired connections to the next. */
   private static final long SWEEP_INTERVAL_MILLIS = 100;
+
+  /** From one measurement of resources, and publication of snapshots, to the next. */
   private static final long MEASURE_INTERVAL_NANOS = 25_000_000L;
 
-  /** Least time between two releases of cached buffers, which would have to be allocated anew. */
+  /** The shortest time between releases of cached buffers: they have to be allocated again. */
   private static final long MIN_RELEASE_INTERVAL_NANOS = 1_000_000_000L;
 
   private final EventLoop loop;
@@ -35,8 +38,8 @@
   private final ServerPools pools;
   private final SnapshotPublisher snapshots;
 
-  private long releasedAt;
-  private boolean idleConnectionsUnwanted;
+  private long releasedAtNanos;
+  private boolean closesIdleConnections;
   private boolean stopped;
 
   ResourceMonitor(
@@ -84,7 +87,7 @@
 
   /** From now on idle connections to servers are closed at once: a successor needs them. */
   void closeIdleConnections() {
-    idleConnectionsUnwanted = true;
+    closesIdleConnections = true;
   }
 
   private void measure() {
@@ -102,8 +105,8 @@
         now);
     snapshots.publishMetrics();
     if (overload.degradationPolicy().shrinksBuffers()
-        && now - releasedAt > MIN_RELEASE_INTERVAL_NANOS) {
-      releasedAt = now;
+        && now - releasedAtNanos > MIN_RELEASE_INTERVAL_NANOS) {
+      releasedAtNanos = now;
       transport.releaseCachedBuffers();
     }
     dispatcher.timers().runNoEarlierThan(MEASURE_INTERVAL_NANOS, this::measure);
@@ -125,7 +128,7 @@
     }
     scheduleSweep();
     front.closeExpired();
-    long maxIdleNanos = idleConnectionsUnwanted ? 0 : overload.degradationPolicy().maxIdleNanos();
+    long maxIdleNanos = closesIdleConnections ? 0 : overload.degradationPolicy().maxIdleNanos();
     pools.closeExpiredIdle(clock.refresh(), maxIdleNanos);
     pools.closeStalled();
   }
--- a/engine/src/main/java/shalepaddle/node/SnapshotPublisher.java
+++ b/engine/src/main/java/shalepaddle/node/SnapshotPublisher.java
@@ -11,8 +11,8 @@
 
 /**
  * Publishes the event loop's state to other threads as immutable snapshots: the admin server, the
- * other processes of this node, and whoever registers meters. The event loop writes; the accessors
- * may be called from any thread and return what was published last.
+ * other processes of this node, and the meters of an embedding program. The event loop writes; the
+ * accessors may be called from any thread and return what was published last.
  */
 final class SnapshotPublisher {
   private final long pid = ProcessHandle.current().pid();
--- a/engine/src/main/java/shalepaddle/node/Warmup.java
+++ b/engine/src/main/java/shalepaddle/node/Warmup.java
@@ -57,7 +57,7 @@
   /** Requests that are open at the same time. */
   static final int CONCURRENT_REQUESTS = 4;
 
-  /** The node starts to serve after this time, whatever happens here. */
+  /** The warm-up is cut short after this time. */
   static final long MAX_MILLIS = 1500;
 
   private static final int SERVER_COUNT = 4;
@@ -87,7 +87,7 @@
     try {
       return new Warmup(config, group.next(), clock, transport.allocator(), log).run();
     } finally {
-      // Its connections end with it; nobody waits for that.
+      // Ends its connections too. Not waited for, since nothing depends on it.
       group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
   }
@@ -222,7 +222,7 @@
         settings.timerResolutionSeconds());
   }
 
-  /** Stalls of a loop whose code is being compiled harm no client. */
+  /** Ignores stalls: a loop whose code is being compiled is late, and serves no clients. */
   private record StallsIgnored(Log log) implements LoopClock.Listener {
     @Override
     public void onStall(long nanos) {
--- a/engine/src/main/java/shalepaddle/node/WarmupClient.java
+++ b/engine/src/main/java/shalepaddle/node/WarmupClient.java
@@ -34,7 +34,7 @@
     services = settings.services();
   }
 
-  /** Waits until all are answered; false if they are not after so many milliseconds. */
+  /** Waits until all requests are answered; false if that takes longer than {@code millis}. */
   boolean awaitAllAnswered(long millis) throws InterruptedException {
     return allAnswered.await(millis, TimeUnit.MILLISECONDS);
   }
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Writes after the present call. Both ends of a connection are on one event loop, where a write
-   * is read within it: the node would be called within a call of its own, as by no socket, and
-   * stall.
+   * Writes in a later task of the event loop. Both ends of a local connection are on one loop,
+   * where a write is read by the other end within the call: such reentrancy, which sockets do not
+   * have, would stall the node.
    */
   static void writeLater(ChannelHandlerContext ctx, ByteBuf bytes) {
     ctx.executor().execute(() -> ctx.writeAndFlush(bytes));
--- a/engine/src/main/java/shalepaddle/upstream/ConnectionBudget.java
+++ b/engine/src/main/java/shalepaddle/upstream/ConnectionBudget.java
@@ -27,15 +27,15 @@
     return taken;
   }
 
-  /** Other processes of this node have so many connections together. */
+  /** Sets how many connections this node's other processes have together. */
   void setPeerProcessUsage(int processes, int connections) {
     peerProcesses = processes;
     takenByPeers = connections;
   }
 
   /**
-   * This process's even share of so many connections to one server, at least one: the server counts
-   * those of all processes of the node together.
+   * This process's even share of the node's connections to one server, at least one: the server
+   * counts those of all processes of the node together.
    */
   int share(int connections) {
     return Math.max(1, connections / (1 + peerProcesses));
@@ -46,6 +46,7 @@
     taken++;
   }
 
+  /** A connection was closed or not established; once for each {@link #take}. */
   void release() {
     taken--;
   }
--- a/engine/src/main/java/shalepaddle/upstream/ConnectionLimit.java
+++ b/engine/src/main/java/shalepaddle/upstream/ConnectionLimit.java
@@ -25,7 +25,10 @@
   private final LoopClock clock;
   private final ConnectionBudget budget;
   private final int maxConnections;
-  private int learned;
+
+  /** Lowered by failures, raised again by one after each recovery time. */
+  private int observedLimit;
+
   private long changedAtNanos;
   private long recoveryNanos = CONNECT_FAILED_RECOVERY_NANOS;
 
@@ -34,16 +37,16 @@
     this.clock = clock;
     this.budget = budget;
     this.maxConnections = maxConnections;
-    this.learned = maxConnections;
+    this.observedLimit = maxConnections;
   }
 
   /** Connections that this process may have to the server now; at least one. */
   int current() {
-    while (learned < maxConnections && clock.refresh() - changedAtNanos > recoveryNanos) {
-      learned++;
+    while (observedLimit < maxConnections && clock.refresh() - changedAtNanos > recoveryNanos) {
+      observedLimit++;
       changedAtNanos += recoveryNanos;
     }
-    return Math.min(learned, budget.share(maxConnections));
+    return Math.min(observedLimit, budget.share(maxConnections));
   }
 
   /** This process's share of the configured maximum. */
@@ -51,18 +54,18 @@
     return budget.share(maxConnections);
   }
 
-  /** A connection did not come up while so many others are usable. */
+  /** A connection was not established while {@code usable} others can be used. */
   void connectFailed(int usable) {
     lower(Math.max(Math.max(1, usable), current() - 1), CONNECT_FAILED_RECOVERY_NANOS);
   }
 
-  /** The server rejected a connection while so many others are usable. */
+  /** The server rejected a connection while {@code usable} others can be used. */
   void connectionRejected(int usable) {
     lower(Math.max(1, Math.min(current(), usable)), REJECTED_RECOVERY_NANOS);
   }
 
   private void lower(int connections, long nanos) {
-    learned = connections;
+    observedLimit = connections;
     changedAtNanos = clock.refresh();
     recoveryNanos = nanos;
   }
--- a/engine/src/main/java/shalepaddle/upstream/InFlightAttempts.java
+++ b/engine/src/main/java/shalepaddle/upstream/InFlightAttempts.java
@@ -17,7 +17,7 @@
   enum Match {
     /** The oldest attempt. */
     OLDEST,
-    /** The request that was answered last: it is harmless. */
+    /** The request that was answered last: the reply can be ignored. */
     DUPLICATE,
     /** No request: what comes on the connection can't be trusted. */
     NONE
@@ -61,7 +61,7 @@
     return attempts.peek();
   }
 
-  /** Whether somebody still waits for an answer to any of them. */
+  /** Whether any of them is not abandoned. */
   boolean isAnyAwaited() {
     return awaited != 0;
   }
@@ -77,7 +77,7 @@
 
   /**
    * For how long the connection was idle before the oldest attempt was written; {@link
-   * #NO_IDLE_PERIOD} if this was asked since.
+   * #NO_IDLE_PERIOD} if it was not idle then, or this was called since.
    */
   long takeIdlePeriodNanos() {
     long idleNanos = idlePeriodNanos;
@@ -104,7 +104,7 @@
     return Match.OLDEST;
   }
 
-  /** Nobody waits for this one any more; its reply is still to come. */
+  /** The result of this one is no longer needed; it stays until its reply has come. */
   void abandon(Attempt attempt) {
     attempt.abandon();
     awaited--;
--- a/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
@@ -32,7 +32,7 @@
   /** Whether what comes on the connection can be used. */
   private enum State {
     OPEN,
-    /** What came can't be trusted: this node closes it, and reads nothing more. */
+    /** A reply was malformed or matched no request: is being closed, and ignores further bytes. */
     CORRUPTED,
     CLOSED
   }
@@ -52,10 +52,10 @@
   /** Whether it gets no more requests, and closes once no reply on it is awaited. */
   private boolean isDraining;
 
-  /** Whether bytes were read in this turn of which not all have been looked at. */
+  /** Whether bytes read in this turn are still being decoded. */
   private boolean isReadInProgress;
 
-  /** Whether the kernel has not taken all that was written: others wait in the pool meanwhile. */
+  /** Whether the kernel has not taken all bytes of the last request; no other is written then. */
   private boolean isWritePending;
 
   /** Whether a request got any other answer than a rejection: the server has accepted it. */
@@ -153,9 +153,9 @@
   }
 
   /**
-   * Nobody waits for this attempt any more. Closing the connection cancels it at the server, but
-   * also breaks the other attempts: where there are any, its reply is read and dropped. Nothing
-   * more is written, since the reply may never come.
+   * The result of this attempt is no longer needed. Closing the connection cancels it at the
+   * server, but also breaks the other attempts: where there are any, its reply is read and dropped.
+   * Nothing more is written, since the reply may never come.
    */
   @Override
   public void abandon(Attempt attempt, boolean overdue) {
@@ -276,8 +276,8 @@
   }
 
   /**
-   * Nobody wants the rest of a value. Closing is the cheapest end, unless others wait behind it:
-   * the rest is read and dropped then.
+   * The rest of a value is no longer needed. Closes the connection, unless other requests wait
+   * behind it: then the rest is read and dropped.
    */
   void streamCancelled(StreamedReply reply) {
     if (phase == reply && inFlight.size() <= 1) {
@@ -305,7 +305,7 @@
 
   /**
    * All that came is looked at, so the connection can be used again. No request is written earlier:
-   * bytes right behind a reply answer nobody, and would be taken for the next request's answer.
+   * surplus bytes behind a reply would be taken for the answer to the next request.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
--- a/engine/src/main/java/shalepaddle/upstream/ServerPool.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPool.java
@@ -53,7 +53,7 @@
 
   private int connecting;
 
-  /** How often {@link #drain} was called: connections that were being opened then are not used. */
+  /** Calls of {@link #drain}: shows whether one came while a connection was being opened. */
   private int drains;
 
   ServerPool(
@@ -260,7 +260,7 @@
     for (Attempt attempt : takeQueue()) {
       ServerConnection best = bestConnection();
       if (attempt.isEnded()) {
-        // The end of one before it has ended it.
+        // Completing an earlier one can end it, see the class comment.
         continue;
       }
       if (best != null) {
@@ -299,7 +299,7 @@
     }
   }
 
-  /** Empties the queue. Prevents an endless loop where an attempt is queued again. */
+  /** Empties the queue into a list, so that a loop over it ends if attempts are queued again. */
   private List<Attempt> takeQueue() {
     List<Attempt> taken = new ArrayList<>(queue);
     queue.clear();
--- a/engine/src/main/java/shalepaddle/upstream/ServerPools.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPools.java
@@ -152,7 +152,7 @@
     return budget.taken();
   }
 
-  /** So many other processes of this node have so many connections together. */
+  /** Sets the number of this node's other processes, and of the connections they have together. */
   public void setPeerProcessUsage(int processes, int connections) {
     budget.setPeerProcessUsage(processes, connections);
   }
--- a/engine/src/main/java/shalepaddle/upstream/StreamedReply.java
+++ b/engine/src/main/java/shalepaddle/upstream/StreamedReply.java
@@ -18,15 +18,15 @@
 final class StreamedReply implements ReplyPhase, ValueSource {
   static final int MAX_BUFFERED_BYTES = 16 << 10;
 
-  /** How far the value has come. */
+  /** Where chunks of the value go. */
   private enum State {
-    /** The first bytes are buffered; nobody was offered the value. */
+    /** They are buffered; the value was not yet offered to the engine. */
     BUFFERING,
-    /** It was offered, and its receiver's turn at the client has not come. */
+    /** They stay buffered until earlier responses on the client's connection are complete. */
     OFFERED,
-    /** A receiver takes each chunk as it comes. */
+    /** They are passed to the receiver as they come. */
     RECEIVED,
-    /** Nobody wants the rest. */
+    /** They are released. */
     CANCELLED
   }
 
@@ -55,7 +55,7 @@
     return state != State.BUFFERING;
   }
 
-  /** Takes the next chunk, which belongs to this from here on. */
+  /** Adds the next chunk, and takes ownership of it. */
   void add(ByteBuf chunk) {
     if (state == State.CANCELLED) {
       chunk.release();
