--- a/core/src/main/java/shalepaddle/changefeed/ChangeFeedPublisher.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedPublisher.java
@@ -8,19 +8,19 @@
 /**
  * Decides what a member sends to the subscribers of the change feed.
  *
- * <p>For each subscriber the publisher knows the last log index that was sent to it and how many
- * bytes it has not acknowledged; entries are retained once for all of them. No more is sent to a
- * subscriber while {@link Limits#windowBytes} are not acknowledged, so a slow or stopped one does
- * not delay the others. It gets a snapshot once the entries that it lacks are not retained any
- * more.
+ * <p>For each subscriber the publisher tracks the last log index that was sent and the number of
+ * bytes that are not acknowledged. Entries are retained only once for all subscribers. Nothing more
+ * is sent to a subscriber while {@link Limits#windowBytes} are not acknowledged, so a slow or
+ * stopped subscriber does not delay the others. It gets a snapshot if the entries that it lacks are
+ * no longer retained.
  *
  * <p>Not thread-safe: owned by the thread that applies the log. Times are monotonic nanoseconds.
  */
 public final class ChangeFeedPublisher {
-  /** Bytes of entries in one message, unless a single entry is larger. */
+  /** Maximum number of bytes of entries in one message, unless a single entry is larger. */
   private static final int MAX_BATCH_BYTES = 16 << 10;
 
-  /** Names of subscribers in {@link #lastRejections} at most; they are never removed. */
+  /** Maximum number of subscribers in {@link #lastRejections}, which are never removed. */
   private static final int MAX_REJECTIONS = 1024;
 
   private static final String NO_LEADER = "this member knows nobody who leads its group";
@@ -28,14 +28,15 @@
   /**
    * The limits and timeouts of a publisher.
    *
-   * @param maxSubscribers that are served at once
-   * @param maxRetainedBytes of entries for subscribers that reconnect
-   * @param windowBytes sent to one subscriber and not acknowledged, from which on nothing more is
-   *     sent to it; the last message may exceed it
-   * @param heartbeatNanos after which a subscriber that was sent nothing gets a heartbeat
-   * @param ackTimeoutNanos after which a subscriber that does not acknowledge is disconnected
-   * @param leaderLossTimeoutNanos without a known leader, after which subscribers are rejected; an
-   *     election takes less
+   * @param maxSubscribers maximum number of subscribers served at once
+   * @param maxRetainedBytes maximum number of bytes of entries retained for subscribers that
+   *     reconnect
+   * @param windowBytes number of unacknowledged bytes from which on nothing more is sent to a
+   *     subscriber; the last message may exceed it
+   * @param heartbeatNanos time after the last message after which a subscriber gets a heartbeat
+   * @param ackTimeoutNanos time after which a subscriber that does not acknowledge is disconnected
+   * @param leaderLossTimeoutNanos time without a known leader after which subscribers are rejected;
+   *     longer than an election takes
    */
   public record Limits(
       int maxSubscribers,
@@ -44,7 +45,7 @@
       long heartbeatNanos,
       long ackTimeoutNanos,
       long leaderLossTimeoutNanos) {
-    /** For twice the nodes that docs/CAPACITY.md plans for. */
+    /** The default limits, for twice the number of nodes that docs/CAPACITY.md plans for. */
     public static final Limits DEFAULT =
         new Limits(
             /* maxSubscribers= */ 1024,
@@ -55,22 +56,22 @@
             /* leaderLossTimeoutNanos= */ 2_500_000_000L);
   }
 
-  /** Carries out what a publisher decides. */
+  /** Performs the actions that a publisher decides on. */
   public interface Output {
     /** Sends a message to a subscriber, in the order of the calls. */
     void send(long connection, PublisherMessage message);
 
-    /** Closes a subscriber's connection once everything was sent. */
+    /** Closes a subscriber's connection after all messages on it were sent. */
     void close(long connection);
 
-    /** The member's state, with the last log index that is applied in it. */
+    /** Returns the member's state with the last log index that is applied in it. */
     PublisherMessage.Snapshot snapshot();
   }
 
   private final String group;
   private final Limits limits;
   private final Output output;
-  private final RetainedEntries retained;
+  private final RetainedEntries retainedEntries;
 
   /** The subscribers that have sent a hello, by connection, in the order of their hellos. */
   private final Map<Long, SubscriberSession> sessions = new LinkedHashMap<>();
@@ -79,25 +80,25 @@
 
   private boolean isLeaderKnown;
 
-  /** Since when no leader is known, if none is. */
+  /** The time at which the leader was lost; only valid while no leader is known. */
   private long leaderLostNanos;
 
   /**
-   * A publisher of an empty log, which rejects subscribers until it knows a leader: a member that
-   * has just started does not know what it lacks.
+   * Creates a publisher of an empty log. It rejects subscribers until a leader is known, since a
+   * member that has just started does not know which entries it lacks.
    */
   public ChangeFeedPublisher(String group, long now, Limits limits, Output output) {
     this.group = group;
     this.leaderLostNanos = now - limits.leaderLossTimeoutNanos();
     this.limits = limits;
     this.output = output;
-    this.retained = new RetainedEntries(limits.maxRetainedBytes());
+    this.retainedEntries = new RetainedEntries(limits.maxRetainedBytes());
   }
 
   /**
-   * Whether this member knows the leader of its group. A member that is cut off from the others
-   * would tell its subscribers that nothing is new, so after a time that an election may take they
-   * are rejected and go to another one.
+   * Sets whether this member knows the leader of its group. A member that is cut off from the group
+   * would report to its subscribers that there are no new entries. After {@link
+   * Limits#leaderLossTimeoutNanos} it therefore rejects them, and they switch to another member.
    */
   public void setLeaderKnown(long now, boolean isKnown) {
     if (isLeaderKnown && !isKnown) {
@@ -111,30 +112,30 @@
   }
 
   /**
-   * A committed entry was applied at this member.
+   * Publishes a committed entry that was applied at this member.
    *
    * @throws IllegalStateException if its index is not after the last one
    */
   public void entryApplied(long now, ChangeEntry entry) {
-    retained.add(entry);
+    retainedEntries.add(entry);
     sendToAll(now);
   }
 
-  /** A snapshot replaced the state of all entries that were applied at this member. */
+  /** Handles the installation of a snapshot, which replaced this member's state. */
   public void snapshotInstalled(long now, long snapshotIndex) {
-    if (snapshotIndex <= retained.lastIndex()) {
+    if (snapshotIndex <= retainedEntries.lastIndex()) {
       return;
     }
-    retained.reset(snapshotIndex);
+    retainedEntries.reset(snapshotIndex);
     sendToAll(now);
   }
 
   private void sendToAll(long now) {
-    // A copy, since sending may end with a subscriber's removal.
+    // Iterates over a copy, since sending may remove a subscriber.
     List.copyOf(sessions.keySet()).forEach(connection -> sendMissing(now, connection));
   }
 
-  /** A message came from a subscriber. */
+  /** Handles a message from a subscriber. */
   public void received(long now, long connection, SubscriberMessage message) {
     SubscriberSession session = sessions.get(connection);
     if (message instanceof SubscriberMessage.Hello hello) {
@@ -154,9 +155,12 @@
     }
   }
 
-  /** Accepts a subscriber and sends what it lacks, or rejects it with a reason. */
+  /**
+   * Accepts a subscriber and sends the entries that it lacks, or rejects the subscriber with a
+   * reason.
+   */
   private void helloReceived(long now, long connection, SubscriberMessage.Hello hello) {
-    long lastIndex = retained.lastIndex();
+    long lastIndex = retainedEntries.lastIndex();
     if (!hello.group().equals(group)) {
       reject(connection, "it follows group '%s', and this is '%s'".formatted(hello.group(), group));
     } else if (sessions.size() >= limits.maxSubscribers()) {
@@ -164,7 +168,8 @@
     } else if (isLeaderLost(now)) {
       reject(connection, NO_LEADER);
     } else if (hello.index() > lastIndex) {
-      // This member lags or was restored from a backup: the subscriber must not go back.
+      // This member lags or was restored from a backup; the subscriber must not revert to that
+      // older state.
       reject(
           connection,
           "this member knows up to %d, less than %d".formatted(lastIndex, hello.index()));
@@ -188,13 +193,16 @@
     output.close(connection);
   }
 
-  /** Sends what a subscriber lacks, as far as its window allows; rejects it if that is gone. */
+  /**
+   * Sends the entries that a subscriber lacks, as far as its window permits, or rejects the
+   * subscriber.
+   */
   private void sendMissing(long now, long connection) {
     SubscriberSession session = sessions.get(connection);
     while (session != null
-        && session.sentIndex() < retained.lastIndex()
+        && session.sentIndex() < retainedEntries.lastIndex()
         && session.inFlightBytes() < limits.windowBytes()) {
-      if (session.sentIndex() >= retained.baseIndex()) {
+      if (session.sentIndex() >= retainedEntries.baseIndex()) {
         sendBatch(now, connection, session);
       } else if (!sendSnapshot(now, connection, session)) {
         return;
@@ -204,16 +212,18 @@
 
   private void sendBatch(long now, long connection, SubscriberSession session) {
     long previousIndex = session.sentIndex();
-    RetainedEntries.Batch batch = retained.batchAfter(previousIndex, MAX_BATCH_BYTES);
+    RetainedEntries.Batch batch = retainedEntries.batchAfter(previousIndex, MAX_BATCH_BYTES);
     session.stateSent(now, batch.lastIndex(), batch.bytes());
     output.send(connection, new PublisherMessage.Entries(previousIndex, batch.entries()));
   }
 
-  /** Sends the member's state; rejects the subscriber and returns false if that is too old. */
+  /**
+   * Sends the member's state. If the state is too old, rejects the subscriber and returns false.
+   */
   private boolean sendSnapshot(long now, long connection, SubscriberSession session) {
     PublisherMessage.Snapshot snapshot = output.snapshot();
-    if (snapshot.index() < retained.baseIndex() || snapshot.index() <= session.sentIndex()) {
-      // The member is applying its log again, so that entries after its state are not retained.
+    if (snapshot.index() < retainedEntries.baseIndex() || snapshot.index() <= session.sentIndex()) {
+      // The member is replaying its log, and entries after its state are not retained.
       reject(connection, "this member is catching up");
       return false;
     }
@@ -227,14 +237,14 @@
     output.send(connection, new PublisherMessage.Heartbeat(session.sentIndex()));
   }
 
-  /** A subscriber's connection has ended. */
+  /** Handles the end of a subscriber's connection. */
   public void disconnected(long connection) {
     sessions.remove(connection);
   }
 
   /**
-   * Sends heartbeats, and disconnects subscribers that don't acknowledge, or all of them while no
-   * leader is known. To be called several times in each {@link Limits#heartbeatNanos}.
+   * Sends heartbeats and disconnects subscribers that don't acknowledge. Rejects all subscribers if
+   * the leader is lost. Must be called several times per {@link Limits#heartbeatNanos}.
    */
   public void tick(long now) {
     for (long connection : List.copyOf(sessions.keySet())) {
@@ -254,20 +264,20 @@
 
   /** The last log index that was applied at this member, 0 for none. */
   public long lastIndex() {
-    return retained.lastIndex();
+    return retainedEntries.lastIndex();
   }
 
-  /** How many subscribers are served. */
+  /** The number of subscribers. */
   public int subscriberCount() {
     return sessions.size();
   }
 
-  /** Bytes of entries that are retained. */
+  /** The number of bytes of retained entries. */
   public long retainedBytes() {
-    return retained.bytes();
+    return retainedEntries.bytes();
   }
 
-  /** Bytes that are in flight to all subscribers. */
+  /** The number of bytes in flight to all subscribers. */
   public long inFlightBytes() {
     return sessions.values().stream().mapToLong(SubscriberSession::inFlightBytes).sum();
   }
--- a/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
@@ -3,13 +3,14 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides which member a node subscribes to, what it accepts, and whether it is in contact with the
- * group.
+ * Decides which member a node subscribes to, which messages it accepts, and whether it is in
+ * contact with the group.
  *
- * <p>It applies entries in the order of the log, each once, and never goes back: what it knows is
- * skipped, and where something is missing it subscribes again from its own index. When its member's
- * connection ends, falls silent or lacks entries, it goes to a random other one after a random
- * backoff, so that the many nodes that lose a member are spread over the others and over time.
+ * <p>Entries are applied in the order of the log, each once. The subscriber never reverts to an
+ * older state: it skips entries that it has, and if entries are missing it subscribes again from
+ * its own index. When the connection to its member ends, is silent or lacks entries, it switches to
+ * a random other member after a random backoff. Many nodes that lose the same member are thus
+ * spread over the other members and over time.
  *
  * <p>Not thread-safe: owned by one thread. Times are monotonic nanoseconds.
  */
@@ -18,11 +19,12 @@
    * The timeouts of a subscriber, in nanoseconds.
    *
    * @param silenceTimeoutNanos the time without a message after which another member is tried
-   * @param connectTimeoutNanos from the start of an attempt to connect to the first message
+   * @param connectTimeoutNanos the longest time from the start of a connection attempt to the first
+   *     message
    * @param initialBackoffNanos the upper bound of the first random backoff; the bound doubles with
    *     each failed attempt
-   * @param maxBackoffNanos what the bound does not exceed
-   * @param ackIntervalNanos between two acknowledgements
+   * @param maxBackoffNanos the greatest value of that bound
+   * @param ackIntervalNanos the time between two acknowledgements
    * @param contactTimeoutNanos the time without a message after which the node is out of contact;
    *     must be longer than all others, which is not checked
    */
@@ -33,7 +35,9 @@
       long maxBackoffNanos,
       long ackIntervalNanos,
       long contactTimeoutNanos) {
-    /** For entries that reach all nodes within 1.1 s, also when a member is lost. */
+    /**
+     * The default timeouts, with which entries reach all nodes within 1.1 s even if a member fails.
+     */
     public static final Timeouts DEFAULT =
         new Timeouts(
             /* silenceTimeoutNanos= */ 600_000_000L,
@@ -44,13 +48,13 @@
             /* contactTimeoutNanos= */ 2_000_000_000L);
   }
 
-  /** Carries out what a subscriber decides. */
+  /** Performs the actions that a subscriber decides on. */
   public interface Output {
     /**
-     * Opens a connection to a member. Only called while there is no other: it was closed, or its
-     * end was reported to {@link ChangeFeedSubscriber#disconnected}.
+     * Opens a connection to a member. Only called while there is no other connection: the previous
+     * one was closed, or its end was reported to {@link ChangeFeedSubscriber#disconnected}.
      *
-     * @param member its number, from 0
+     * @param member the member's number, counted from 0
      */
     void connect(int member);
 
@@ -66,25 +70,28 @@
     /**
      * Replaces the state.
      *
-     * @return false if it can't be read, and nothing has changed
+     * @return false if the state can't be read; it is then unchanged
      */
     boolean installSnapshot(long index, byte[] state);
 
-    /** The node has come into contact with the group, or has lost it. */
+    /** Reports that the node has gained or lost contact with the group. */
     void contactChanged(boolean isInContact);
 
-    /** A member rejected the subscription. */
+    /** Reports that a member rejected the subscription. */
     void rejected(int member, String reason);
   }
 
   private enum State {
-    /** Not connected, until the deadline. */
+    /** There is no connection; the subscriber opens one at the deadline. */
     BACKING_OFF,
-    /** Connecting, until the deadline. */
+    /** The connection is being opened; the subscriber gives up at the deadline. */
     CONNECTING,
-    /** Connected, and the hello is sent; nothing has come yet. */
+    /**
+     * The connection is open and the hello is sent; the subscriber gives up if no message arrives
+     * by the deadline.
+     */
     HELLO_SENT,
-    /** Receives messages; the deadline is that of the next one. */
+    /** The subscriber receives messages; it gives up if none arrives by the deadline. */
     SUBSCRIBED
   }
 
@@ -97,7 +104,7 @@
   private State state = State.BACKING_OFF;
   private int member;
 
-  /** When {@link #tick} leaves the state, unless something else does before. */
+  /** The time at which {@link #tick} leaves the current state, unless an event does so earlier. */
   private long deadlineNanos;
 
   /** The upper bound of the next random backoff. */
@@ -114,15 +121,16 @@
 
   private long nextAckNanos;
 
-  /** When any method was last called with a time. */
+  /** The time of the last call of any method with a time argument. */
   private long lastCallNanos;
 
   /**
-   * A subscriber that knows nothing of the log.
+   * Creates a subscriber that has no entries of the log.
    *
-   * @param name the node's own
-   * @param memberCount how many members can be subscribed to
-   * @param seed for the choice of members and backoff; a different one at each node
+   * @param group the name of the group
+   * @param name the node's own name
+   * @param memberCount the number of members that can be subscribed to
+   * @param seed random seed for the choice of members and backoffs; must differ between nodes
    */
   public ChangeFeedSubscriber(
       String group,
@@ -146,22 +154,22 @@
   }
 
   /**
-   * Gives up the connection, if there is one, when no method was called for the contact timeout, as
-   * when the process was stopped. Messages that came meanwhile may be as old as the stall, and
-   * nothing shows it; so the node is out of contact until it is answered on a new connection. Each
-   * method that is called with a time calls this first.
+   * Closes the connection, if there is one, when no method was called for the contact timeout, for
+   * example because the process was stopped. Messages that arrived in that time may be as old as
+   * the stall without showing it, so the node is out of contact until it gets a message on a new
+   * connection. Each method with a time argument calls this first.
    *
-   * @return whether there was a stall; what the caller was called for is then obsolete
+   * @return whether there was a stall; the event that the calling method handles is then obsolete
    */
   private boolean disconnectAfterStall(long now) {
-    boolean stalled = now - lastCallNanos >= timeouts.contactTimeoutNanos;
+    boolean hasStalled = now - lastCallNanos >= timeouts.contactTimeoutNanos;
     lastCallNanos = now;
-    if (stalled && state != State.BACKING_OFF) {
+    if (hasStalled && state != State.BACKING_OFF) {
       loseContact();
       output.close();
       backOff(now);
     }
-    return stalled;
+    return hasStalled;
   }
 
   private void loseContact() {
@@ -176,27 +184,27 @@
     deadlineNanos = now + random.nextLong(maxNextBackoffNanos + 1);
   }
 
-  /** When {@link #tick} is to be called at the latest. */
+  /** The time by which {@link #tick} must be called. */
   public long nextTickNanos() {
-    long next = deadlineNanos;
+    long tickNanos = deadlineNanos;
     if (isInContact) {
-      next = Math.min(next, lastMessageNanos + timeouts.contactTimeoutNanos);
+      tickNanos = Math.min(tickNanos, lastMessageNanos + timeouts.contactTimeoutNanos);
     }
-    return hasUnacknowledged() ? Math.min(next, nextAckNanos) : next;
+    return hasUnacknowledgedIndex() ? Math.min(tickNanos, nextAckNanos) : tickNanos;
   }
 
-  private boolean hasUnacknowledged() {
+  private boolean hasUnacknowledgedIndex() {
     return state == State.SUBSCRIBED && lastIndex > acknowledgedIndex;
   }
 
-  /** Time has passed. */
+  /** Handles all timeouts that are due. */
   public void tick(long now) {
-    // A stall needs nothing more here: the state is that of a new backoff.
+    // After a stall, nothing else is due: a new backoff has begun.
     disconnectAfterStall(now);
     if (now - lastMessageNanos >= timeouts.contactTimeoutNanos) {
       loseContact();
     }
-    if (hasUnacknowledged() && now - nextAckNanos >= 0) {
+    if (hasUnacknowledgedIndex() && now - nextAckNanos >= 0) {
       acknowledge(now);
     }
     if (now - deadlineNanos < 0) {
@@ -212,7 +220,7 @@
     }
   }
 
-  /** Goes to a random other member, after a backoff that grows until a message is accepted. */
+  /** Switches to a random other member, after a backoff that grows until a message is accepted. */
   private void switchMember(long now) {
     if (memberCount == 1) {
       member = 0;
@@ -223,7 +231,7 @@
     maxNextBackoffNanos = Math.min(timeouts.maxBackoffNanos, 2 * maxNextBackoffNanos);
   }
 
-  /** The connection is established. */
+  /** Handles an established connection. */
   public void connected(long now) {
     if (!disconnectAfterStall(now) && state == State.CONNECTING) {
       state = State.HELLO_SENT;
@@ -232,20 +240,20 @@
     }
   }
 
-  /** The connection could not be established, or has ended. */
+  /** Handles a connection that could not be established or has ended. */
   public void disconnected(long now) {
     if (!disconnectAfterStall(now) && state != State.BACKING_OFF) {
       switchMember(now);
     }
   }
 
-  /** A message came from the member. */
+  /** Handles a message from the member. */
   public void received(long now, PublisherMessage message) {
     if (disconnectAfterStall(now) || !isConnected()) {
       return;
     }
-    if (message instanceof PublisherMessage.Rejected rejected) {
-      output.rejected(member, rejected.reason());
+    if (message instanceof PublisherMessage.Rejected rejection) {
+      output.rejected(member, rejection.reason());
       output.close();
       switchMember(now);
       return;
@@ -270,13 +278,13 @@
   }
 
   /**
-   * Applies what is new in a message.
+   * Applies the new entries or the new state in a message.
    *
-   * @return false if entries before it are missing here, or its snapshot can't be read; the
-   *     connection is then of no use
+   * @return false if earlier entries are missing here or the snapshot can't be read; the connection
+   *     must then be closed
    */
   private boolean accept(long now, PublisherMessage message) {
-    long before = lastIndex;
+    long indexBefore = lastIndex;
     boolean isAccepted;
     if (message instanceof PublisherMessage.Snapshot snapshot) {
       isAccepted = acceptSnapshot(snapshot);
@@ -287,7 +295,7 @@
           !(message instanceof PublisherMessage.Heartbeat heartbeat)
               || heartbeat.index() <= lastIndex;
     }
-    if (lastIndex > before && before == acknowledgedIndex) {
+    if (lastIndex > indexBefore && indexBefore == acknowledgedIndex) {
       nextAckNanos = now + timeouts.ackIntervalNanos;
     }
     return isAccepted;
@@ -326,7 +334,7 @@
   /**
    * Reports to the member that an entry can't be applied here.
    *
-   * @param reason for operators; cut to {@link SubscriberMessage#MAX_TEXT_LENGTH}
+   * @param reason the reason for operators; cut to {@link SubscriberMessage#MAX_TEXT_LENGTH}
    */
   public void rejectEntry(long index, String reason) {
     if (state == State.SUBSCRIBED) {
@@ -340,12 +348,12 @@
     return lastIndex;
   }
 
-  /** Whether a message came lately, and nothing was missing before it. */
+  /** Whether a message was received recently and no entries were missing before it. */
   public boolean isInContact() {
     return isInContact;
   }
 
-  /** The number of the member that it subscribes to, or will. */
+  /** The number of the member that this subscriber is subscribed to or will connect to next. */
   public int member() {
     return member;
   }
--- a/core/src/main/java/shalepaddle/changefeed/PublisherMessage.java
+++ b/core/src/main/java/shalepaddle/changefeed/PublisherMessage.java
@@ -2,37 +2,37 @@
 
 import java.util.List;
 
-/** A message of a publisher to a subscriber, in order on one connection. */
+/** A message from a publisher to a subscriber. Messages arrive in order on one connection. */
 public sealed interface PublisherMessage {
   /**
-   * All entries after an index, up to the last of these.
+   * Consecutive entries of the log: all entries from after an index to the last one given.
    *
-   * @param previousIndex the subscriber must know the log up to there
-   * @param entries in order, at least one
+   * @param previousIndex the index that the subscriber must have received the log up to
+   * @param entries the entries in order, at least one
    */
   record Entries(long previousIndex, List<ChangeEntry> entries) implements PublisherMessage {}
 
   /**
-   * The whole state, for a subscriber that lacks entries that are not retained any more.
+   * The complete state, for a subscriber that lacks entries which are no longer retained.
    *
-   * @param index the last log index that is applied in it
-   * @param state its bytes
+   * @param index the last log index that is applied in the state
+   * @param state the encoded state
    */
-  // Never compared; a copy for each subscriber would cost more.
+  // Snapshots are never compared, and copying the array for each subscriber would be expensive.
   @SuppressWarnings("ArrayRecordComponent")
   record Snapshot(long index, byte[] state) implements PublisherMessage {}
 
   /**
-   * Nothing is new.
+   * A heartbeat: there are no new entries.
    *
    * @param index the last log index that was sent on this connection
    */
   record Heartbeat(long index) implements PublisherMessage {}
 
   /**
-   * This member does not serve the subscriber now, and closes the connection.
+   * A rejection: this member does not serve the subscriber now and closes the connection.
    *
-   * @param reason for operators
+   * @param reason the reason for operators
    */
   record Rejected(String reason) implements PublisherMessage {}
 }
--- a/core/src/main/java/shalepaddle/changefeed/RetainedEntries.java
+++ b/core/src/main/java/shalepaddle/changefeed/RetainedEntries.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * The last entries of the log, retained for subscribers that reconnect; the oldest are evicted
- * beyond a number of bytes. Owned by its publisher.
+ * The last entries of the log, retained for subscribers that reconnect. The oldest entries are
+ * evicted if the total size exceeds a limit. Owned by its publisher.
  */
 final class RetainedEntries {
   /** Bytes of an entry in addition to its body, in memory and on the wire. */
@@ -23,9 +23,10 @@
   }
 
   /**
-   * Some entries that follow each other.
+   * Consecutive entries.
    *
-   * @param bytes with their overhead
+   * @param entries the entries in order
+   * @param bytes their size in bytes, with overhead
    */
   record Batch(List<ChangeEntry> entries, int bytes) {
     long lastIndex() {
@@ -33,17 +34,17 @@
     }
   }
 
-  /** All entries after this index are retained. */
+  /** The index after which all entries are retained. */
   long baseIndex() {
     return baseIndex;
   }
 
-  /** The last index of an entry or a snapshot, 0 for none. */
+  /** The log index of the last entry or snapshot, 0 for none. */
   long lastIndex() {
     return lastIndex;
   }
 
-  /** Bytes of all retained entries, with their overhead. */
+  /** The size in bytes of all retained entries, with overhead. */
   long bytes() {
     return bytes;
   }
@@ -55,19 +56,20 @@
    */
   void add(ChangeEntry entry) {
     if (entry.index() <= lastIndex) {
-      throw new IllegalStateException("entry " + entry.index() + " after " + lastIndex);
+      throw new IllegalStateException(
+          "entry index " + entry.index() + " must be above the last index " + lastIndex);
     }
     lastIndex = entry.index();
     entries.put(lastIndex, entry);
     bytes += sizeOf(entry);
     while (bytes > maxBytes) {
-      ChangeEntry oldest = entries.pollFirstEntry().getValue();
-      bytes -= sizeOf(oldest);
-      baseIndex = oldest.index();
+      ChangeEntry oldestEntry = entries.pollFirstEntry().getValue();
+      bytes -= sizeOf(oldestEntry);
+      baseIndex = oldestEntry.index();
     }
   }
 
-  /** Drops all entries, for a snapshot up to this index. */
+  /** Drops all entries, since a snapshot up to this index replaces them. */
   void reset(long snapshotIndex) {
     entries.clear();
     bytes = 0;
@@ -76,10 +78,10 @@
   }
 
   /**
-   * The entries after an index, up to a number of bytes; the first one even if it is larger.
+   * The entries after an index, up to a number of bytes; always includes the first entry.
    *
-   * @param index from {@link #baseIndex} on and before {@link #lastIndex}; otherwise the batch has
-   *     gaps or is empty, which is not checked
+   * @param index at least {@link #baseIndex} and less than {@link #lastIndex}; otherwise the batch
+   *     has gaps or is empty, which is not checked
    */
   Batch batchAfter(long index, int maxBatchBytes) {
     List<ChangeEntry> batch = new ArrayList<>();
--- a/core/src/main/java/shalepaddle/changefeed/SubscriberMessage.java
+++ b/core/src/main/java/shalepaddle/changefeed/SubscriberMessage.java
@@ -1,31 +1,31 @@
 package shalepaddle.changefeed;
 
-/** A message of a subscriber to a publisher. */
+/** A message from a subscriber to a publisher. */
 public sealed interface SubscriberMessage {
-  /** Characters of a name, or of a reason, at most. */
+  /** Maximum number of characters in a name or a reason. */
   int MAX_TEXT_LENGTH = 256;
 
   /**
-   * The first message on a connection.
+   * The first message that a subscriber sends on a connection.
    *
-   * @param group the group that it subscribes to
-   * @param name the subscriber's own
-   * @param index the last log index that it knows, 0 for none
+   * @param group the name of the group that the subscriber follows
+   * @param name the subscriber's name
+   * @param index the last log index that the subscriber has received, 0 for none
    */
   record Hello(String group, String name, long index) implements SubscriberMessage {}
 
   /**
-   * It has received everything up to an index.
+   * An acknowledgement: the subscriber has received everything up to an index.
    *
-   * @param index a log index
+   * @param index the last log index that the subscriber has received
    */
   record Acknowledgement(long index) implements SubscriberMessage {}
 
   /**
-   * It has received an entry that it can't apply, and keeps its state.
+   * A report that the subscriber can't apply an entry; its state is unchanged.
    *
    * @param index the entry's log index
-   * @param reason for operators
+   * @param reason the reason for operators
    */
   record EntryRejected(long index, String reason) implements SubscriberMessage {}
 }
--- a/core/src/main/java/shalepaddle/changefeed/SubscriberSession.java
+++ b/core/src/main/java/shalepaddle/changefeed/SubscriberSession.java
@@ -3,27 +3,30 @@
 import java.util.ArrayDeque;
 
 /**
- * What a publisher knows of one subscriber's connection. Owned by its publisher. Times are
- * monotonic nanoseconds.
+ * A publisher's state of one subscriber's connection. Owned by its publisher. Times are monotonic
+ * nanoseconds.
  */
 final class SubscriberSession {
-  /** A message that is not acknowledged. */
-  private record InFlight(long lastIndex, int bytes) {}
+  /** A message that is not acknowledged yet. */
+  private record InFlightMessage(long lastIndex, int bytes) {}
 
   private final String name;
-  private final ArrayDeque<InFlight> inFlight = new ArrayDeque<>();
+  private final ArrayDeque<InFlightMessage> inFlightMessages = new ArrayDeque<>();
   private int inFlightBytes;
   private long sentIndex;
   private long lastSentNanos;
 
-  /** Of the last acknowledgement, or of the first message sent since nothing was in flight. */
+  /**
+   * The time of the last acknowledgement, or, if later, of the last message that was sent while
+   * nothing was in flight.
+   */
   private long lastAckNanos;
 
   /**
-   * A new connection.
+   * Creates the state of a new connection.
    *
-   * @param name the subscriber's
-   * @param index the last log index that it knows
+   * @param name the subscriber's name
+   * @param index the last log index that the subscriber has received
    */
   SubscriberSession(String name, long index, long now) {
     this.name = name;
@@ -41,43 +44,43 @@
     return sentIndex;
   }
 
-  /** Bytes of messages that are not acknowledged. */
+  /** The number of bytes that are not acknowledged. */
   int inFlightBytes() {
     return inFlightBytes;
   }
 
-  /** A message with state or entries up to an index is sent. */
+  /** Records a message with state or entries up to an index. */
   void stateSent(long now, long lastIndex, int bytes) {
     sentIndex = lastIndex;
     messageSent(now);
     if (bytes > 0) {
-      inFlight.add(new InFlight(lastIndex, bytes));
+      inFlightMessages.add(new InFlightMessage(lastIndex, bytes));
       inFlightBytes += bytes;
     }
   }
 
-  /** A message is sent that needs no acknowledgement. */
+  /** Records a message that needs no acknowledgement. */
   void heartbeatSent(long now) {
     messageSent(now);
   }
 
   private void messageSent(long now) {
-    if (inFlight.isEmpty()) {
+    if (inFlightMessages.isEmpty()) {
       lastAckNanos = now;
     }
     lastSentNanos = now;
   }
 
-  /** The subscriber has received everything up to an index. */
-  void acknowledged(long now, long upTo) {
+  /** Records that the subscriber has received everything up to an index. */
+  void acknowledged(long now, long index) {
     lastAckNanos = now;
-    while (!inFlight.isEmpty() && inFlight.peek().lastIndex <= upTo) {
-      inFlightBytes -= inFlight.poll().bytes;
+    while (!inFlightMessages.isEmpty() && inFlightMessages.peek().lastIndex <= index) {
+      inFlightBytes -= inFlightMessages.poll().bytes;
     }
   }
 
   boolean isAckOverdue(long now, long timeoutNanos) {
-    return !inFlight.isEmpty() && now - lastAckNanos >= timeoutNanos;
+    return !inFlightMessages.isEmpty() && now - lastAckNanos >= timeoutNanos;
   }
 
   boolean isHeartbeatDue(long now, long intervalNanos) {
--- a/core/src/main/java/shalepaddle/coalescing/CoalescingConfig.java
+++ b/core/src/main/java/shalepaddle/coalescing/CoalescingConfig.java
@@ -6,12 +6,13 @@
  * The settings of request coalescing that an operator may change. Immutable.
  *
  * @param enabled whether reads are coalesced
- * @param acrossTenants whether tenants see the same values, so that their reads share flights
- * @param maxWaiters reads that may join one flight, 2 to 100,000
+ * @param acrossTenants whether reads of different tenants share flights, since tenants see the same
+ *     values
+ * @param maxWaiters maximum number of reads in one flight, 2 to 100,000
  * @param maxAgeSeconds seconds after its beginning in which a flight may be joined, 0.001 to 60
- * @param maxFlights flights that may be open at once, 1 to 1,000,000; further reads are not
- *     coalesced
- * @param retriesPerJoin retries of flights with broken connections that each join allows, 0 to 1
+ * @param maxFlights maximum number of open flights, 1 to 1,000,000; further reads are not coalesced
+ * @param retriesPerJoin retry tokens that each join adds; a flight whose connection broke needs one
+ *     to retry; 0 to 1
  */
 public record CoalescingConfig(
     boolean enabled,
@@ -20,14 +21,14 @@
     double maxAgeSeconds,
     int maxFlights,
     double retriesPerJoin) {
-  /** Off: each answer is one that a server gave to that very request. */
+  /** The settings with which coalescing is off: each read has its own attempt. */
   public static final CoalescingConfig OFF =
       new CoalescingConfig(false, false, 1000, 0.25, 10_000, 0.1);
 
   /**
-   * On, with the default limits. A quarter of a second covers most fetches from an origin; a read
-   * that arrives later is better served by another server. One retry for ten joins recovers from
-   * single failures without a retry storm.
+   * The settings with which coalescing is on, with the default limits. A quarter of a second covers
+   * most fetches from an origin; a read that arrives later is better served by another server. One
+   * retry per ten joins recovers from single failures without a retry storm.
    */
   public static final CoalescingConfig DEFAULTS =
       new CoalescingConfig(true, false, 1000, 0.25, 10_000, 0.1);
@@ -35,8 +36,8 @@
   /**
    * Checks the ranges.
    *
-   * @throws IllegalArgumentException if a value is out of its range; the message has the name of
-   *     its setting and the range
+   * @throws IllegalArgumentException if a value is out of its range; the message names its setting
+   *     and the range
    */
   public CoalescingConfig {
     ProtocolLimits.checkRange("callers", maxWaiters, 2, 100_000);
--- a/core/src/main/java/shalepaddle/coalescing/Flight.java
+++ b/core/src/main/java/shalepaddle/coalescing/Flight.java
@@ -6,39 +6,43 @@
 import java.util.PriorityQueue;
 
 /**
- * One attempt at a read, and all that wait for its answer, in the order of their arrival.
+ * A read in flight and the callers that wait for its answer, in the order of their arrival.
  *
- * <p>Most flights have a single caller, so that what only several need is allocated when the second
- * one joins. Not thread-safe: owned by the {@link RequestCoalescer}. All times are nanoseconds.
+ * <p>Most flights have a single caller, so the queue by deadline is only allocated when a second
+ * caller joins. Not thread-safe: owned by the {@link RequestCoalescer}. All times are in
+ * nanoseconds.
  *
  * @param <C> the caller's representation outside this package
  */
 public final class Flight<C> {
   private final String key;
   private final CoalescingKey coalescingKey;
-  private final long beganAt;
+  private final long beganAtNanos;
 
-  /** All that joined, some of them ended; the first of those that wait is the leader. */
+  /** The callers that joined, possibly including ended ones; the first that waits is the leader. */
   private final ArrayDeque<FlightWaiter<C>> waiters = new ArrayDeque<>(2);
 
-  /** The same by their deadlines, null while there was only one. */
-  private PriorityQueue<FlightWaiter<C>> byDeadline;
+  /**
+   * The callers in {@link #waiters}, ordered by deadline; null until a second caller has joined.
+   */
+  private PriorityQueue<FlightWaiter<C>> waitersByDeadline;
 
-  private long deadline;
-  private int joined;
-  private int waiting;
-  private int retries;
-  private boolean closed;
+  private long latestDeadlineNanos;
+  private int joinedCount;
+  private int waitingCount;
+  private int retryCount;
+  private boolean isClosed;
 
-  /** Whether it is in a {@link FlightIndex}, and the next flight there of the same key. */
-  private boolean indexed;
+  /** Whether the flight is in a {@link FlightIndex}. */
+  private boolean isIndexed;
 
+  /** The next flight with the same key in the {@link FlightIndex}; null if there is none. */
   private Flight<C> nextOfKey;
 
-  Flight(String key, CoalescingKey coalescingKey, long beganAt) {
+  Flight(String key, CoalescingKey coalescingKey, long beganAtNanos) {
     this.key = key;
     this.coalescingKey = coalescingKey;
-    this.beganAt = beganAt;
+    this.beganAtNanos = beganAtNanos;
   }
 
   private static int compareDeadlines(FlightWaiter<?> a, FlightWaiter<?> b) {
@@ -47,28 +51,28 @@
         : a.position() - b.position();
   }
 
-  /** Adds a caller behind all others. */
+  /** Adds a caller after all others. */
   FlightWaiter<C> add(C caller, long deadlineNanos) {
-    FlightWaiter<C> waiter = new FlightWaiter<>(this, caller, deadlineNanos, joined++);
+    FlightWaiter<C> waiter = new FlightWaiter<>(this, caller, deadlineNanos, joinedCount++);
     if (waiters.isEmpty()) {
-      deadline = deadlineNanos;
+      latestDeadlineNanos = deadlineNanos;
     } else {
-      if (byDeadline == null) {
-        byDeadline = new PriorityQueue<>(Flight::compareDeadlines);
-        byDeadline.addAll(waiters);
+      if (waitersByDeadline == null) {
+        waitersByDeadline = new PriorityQueue<>(Flight::compareDeadlines);
+        waitersByDeadline.addAll(waiters);
       }
-      byDeadline.add(waiter);
-      deadline = Math.max(deadline, deadlineNanos);
+      waitersByDeadline.add(waiter);
+      latestDeadlineNanos = Math.max(latestDeadlineNanos, deadlineNanos);
     }
     waiters.add(waiter);
-    waiting++;
+    waitingCount++;
     return waiter;
   }
 
-  /** A waiter is answered, or its client has left. */
+  /** Ends a waiter that is answered or whose client has left. */
   void end(FlightWaiter<C> waiter) {
     waiter.end();
-    waiting--;
+    waitingCount--;
   }
 
   /** The key that is read. */
@@ -76,67 +80,67 @@
     return key;
   }
 
-  /** What else reads must have in common to share it. */
+  /** The attributes, besides the key, that reads must have in common to share the flight. */
   CoalescingKey coalescingKey() {
     return coalescingKey;
   }
 
   long beganAt() {
-    return beganAt;
+    return beganAtNanos;
   }
 
-  /** Callers that joined, whether or not they still wait. */
+  /** The number of callers that have joined, whether or not they still wait. */
   int joined() {
-    return joined;
+    return joinedCount;
   }
 
-  /** Callers that wait. */
+  /** The number of callers that wait. */
   int waiting() {
-    return waiting;
+    return waitingCount;
   }
 
-  /** Attempts after the first. */
+  /** The number of attempts after the first. */
   int retries() {
-    return retries;
+    return retryCount;
   }
 
   void countRetry() {
-    retries++;
+    retryCount++;
   }
 
-  /** It is answered, or nobody waits any more. */
+  /** Closes the flight, which is answered or has no waiters left. */
   void close() {
-    closed = true;
+    isClosed = true;
   }
 
-  /** Whether it is answered, or nobody waits any more. */
+  /** Whether the flight is answered or has no waiters left. */
   public boolean isClosed() {
-    return closed;
+    return isClosed;
   }
 
-  /** Whether reads can join it by its index. */
+  /** Whether reads can find the flight in the index. */
   boolean isIndexed() {
-    return indexed;
+    return isIndexed;
   }
 
-  /** It is in the index, before that other flight of its key, null for none. */
-  void setIndexedBefore(Flight<C> next) {
-    indexed = true;
-    nextOfKey = next;
+  /** Marks the flight as indexed before another flight of its key, null for none. */
+  void setIndexedBefore(Flight<C> nextFlight) {
+    isIndexed = true;
+    nextOfKey = nextFlight;
   }
 
-  /** It is not in the index any more. */
+  /** Marks the flight as no longer indexed. */
   void setUnindexed() {
-    indexed = false;
+    isIndexed = false;
     nextOfKey = null;
   }
 
-  /** The flight behind it in the index, null for none. */
+  /** The next flight with the same key in the index, null for none. */
   Flight<C> nextOfKey() {
     return nextOfKey;
   }
 
-  /** The first caller that waits, under whose id the read is attempted. Null if nobody waits. */
+  /** The first caller that waits, whose id the attempt uses; null if there are no waiters. */
   public FlightWaiter<C> leader() {
     while (!waiters.isEmpty() && waiters.peek().isEnded()) {
       waiters.poll();
@@ -144,55 +148,61 @@
     return waiters.peek();
   }
 
-  /** The latest deadline of those that wait, or waited when it was determined last. */
+  /**
+   * The latest deadline of the callers that joined. Callers that have ended are only left out after
+   * a retry.
+   */
   public long deadline() {
-    return deadline;
+    return latestDeadlineNanos;
   }
 
-  /** The next deadline of a waiter before the flight's own; {@code Long.MAX_VALUE} for none. */
+  /**
+   * The earliest deadline of a waiter if it is before {@link #deadline}; otherwise {@code
+   * Long.MAX_VALUE}.
+   */
   public long nextDue() {
-    if (byDeadline == null) {
+    if (waitersByDeadline == null) {
       return Long.MAX_VALUE;
     }
-    while (!byDeadline.isEmpty() && byDeadline.peek().isEnded()) {
-      byDeadline.poll();
+    while (!waitersByDeadline.isEmpty() && waitersByDeadline.peek().isEnded()) {
+      waitersByDeadline.poll();
     }
-    FlightWaiter<C> first = byDeadline.peek();
-    return first == null || first.deadlineNanos() == deadline
+    FlightWaiter<C> earliestWaiter = waitersByDeadline.peek();
+    return earliestWaiter == null || earliestWaiter.deadlineNanos() == latestDeadlineNanos
         ? Long.MAX_VALUE
-        : first.deadlineNanos();
+        : earliestWaiter.deadlineNanos();
   }
 
-  /** Ends the waiters whose deadline has passed, and returns them in the order of deadlines. */
+  /** Ends the waiters whose deadline has passed and returns them in the order of deadlines. */
   List<FlightWaiter<C>> expire(long now) {
-    List<FlightWaiter<C>> expired = new ArrayList<>();
-    while (byDeadline != null
-        && !byDeadline.isEmpty()
-        && byDeadline.peek().deadlineNanos() - now <= 0) {
-      FlightWaiter<C> waiter = byDeadline.poll();
+    List<FlightWaiter<C>> expiredWaiters = new ArrayList<>();
+    while (waitersByDeadline != null
+        && !waitersByDeadline.isEmpty()
+        && waitersByDeadline.peek().deadlineNanos() - now <= 0) {
+      FlightWaiter<C> waiter = waitersByDeadline.poll();
       if (!waiter.isEnded()) {
         end(waiter);
-        expired.add(waiter);
+        expiredWaiters.add(waiter);
       }
     }
-    return expired;
+    return expiredWaiters;
   }
 
-  /** Ends all waiters, and returns them in the order of their arrival. */
+  /** Ends all waiters and returns them in the order of their arrival. */
   List<FlightWaiter<C>> endAll() {
-    List<FlightWaiter<C>> all = new ArrayList<>(waiting);
+    List<FlightWaiter<C>> endedWaiters = new ArrayList<>(waitingCount);
     for (FlightWaiter<C> waiter : waiters) {
       if (!waiter.isEnded()) {
         end(waiter);
-        all.add(waiter);
+        endedWaiters.add(waiter);
       }
     }
     waiters.clear();
-    byDeadline = null;
-    return all;
+    waitersByDeadline = null;
+    return endedWaiters;
   }
 
-  /** Whether any waiter but the leader has time left. */
+  /** Whether any waiter other than the leader has time left. */
   boolean outlastsLeader(long now) {
     FlightWaiter<C> leader = leader();
     for (FlightWaiter<C> waiter : waiters) {
@@ -203,14 +213,14 @@
     return false;
   }
 
-  /** Ends the leader and returns it; the deadline is then that of those who still wait. */
+  /** Ends the leader and returns it; the deadline is then that of the remaining waiters. */
   FlightWaiter<C> endLeader() {
     FlightWaiter<C> leader = leader();
     end(leader);
-    deadline = Long.MIN_VALUE;
+    latestDeadlineNanos = Long.MIN_VALUE;
     for (FlightWaiter<C> waiter : waiters) {
       if (!waiter.isEnded()) {
-        deadline = Math.max(deadline, waiter.deadlineNanos());
+        latestDeadlineNanos = Math.max(latestDeadlineNanos, waiter.deadlineNanos());
       }
     }
     return leader;
--- a/core/src/main/java/shalepaddle/coalescing/FlightDecision.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightDecision.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What follows from the end of a flight's attempt.
+ * The consequences of the end of a flight's attempt.
  *
- * @param recipients who gets the answer, in this order
+ * @param recipients the waiters that get the answer, in this order
  * @param retries whether the flight retries, with a new {@link Flight#leader}
  * @param <C> the caller's representation outside this package
  */
--- a/core/src/main/java/shalepaddle/coalescing/FlightIndex.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightIndex.java
@@ -4,17 +4,18 @@
 import java.util.Map;
 
 /**
- * The flights that reads may join, by key: the newest of each key, and behind it those that differ
- * in their {@link CoalescingKey}. Not thread-safe: owned by the {@link RequestCoalescer}.
+ * The flights that reads may join, by key. The flights of one key differ in their {@link
+ * CoalescingKey} and form a linked list, newest first. Not thread-safe: owned by the {@link
+ * RequestCoalescer}.
  *
  * @param <C> the caller's representation outside this package
  */
 final class FlightIndex<C> {
-  private final Map<String, Flight<C>> byKey = new HashMap<>();
+  private final Map<String, Flight<C>> flightsByKey = new HashMap<>();
 
-  /** The flight that a read may join, null for none. */
+  /** Finds the flight that a read may join; null if there is none. */
   Flight<C> find(String key, String serviceClass, String tenant) {
-    Flight<C> flight = byKey.get(key);
+    Flight<C> flight = flightsByKey.get(key);
     while (flight != null && !flight.coalescingKey().matches(serviceClass, tenant)) {
       flight = flight.nextOfKey();
     }
@@ -22,32 +23,32 @@
   }
 
   void add(Flight<C> flight) {
-    flight.setIndexedBefore(byKey.put(flight.key(), flight));
+    flight.setIndexedBefore(flightsByKey.put(flight.key(), flight));
   }
 
-  /** Removes a flight; no effect where it is not indexed. */
+  /** Removes a flight; has no effect if it is not indexed. */
   void remove(Flight<C> flight) {
     if (!flight.isIndexed()) {
       return;
     }
-    Flight<C> head = byKey.get(flight.key());
+    Flight<C> head = flightsByKey.get(flight.key());
     if (head != flight) {
-      Flight<C> before = head;
-      while (before.nextOfKey() != flight) {
-        before = before.nextOfKey();
+      Flight<C> previous = head;
+      while (previous.nextOfKey() != flight) {
+        previous = previous.nextOfKey();
       }
-      before.setIndexedBefore(flight.nextOfKey());
+      previous.setIndexedBefore(flight.nextOfKey());
     } else if (flight.nextOfKey() == null) {
-      byKey.remove(flight.key());
+      flightsByKey.remove(flight.key());
     } else {
-      byKey.put(flight.key(), flight.nextOfKey());
+      flightsByKey.put(flight.key(), flight.nextOfKey());
     }
     flight.setUnindexed();
   }
 
   /** Removes all flights of a key. */
   void removeAll(String key) {
-    Flight<C> flight = byKey.remove(key);
+    Flight<C> flight = flightsByKey.remove(key);
     while (flight != null) {
       Flight<C> next = flight.nextOfKey();
       flight.setUnindexed();
@@ -55,8 +56,8 @@
     }
   }
 
-  /** Keys with a flight that reads may join. */
+  /** The number of keys with a flight that reads may join. */
   int keys() {
-    return byKey.size();
+    return flightsByKey.size();
   }
 }
--- a/core/src/main/java/shalepaddle/coalescing/FlightResult.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightResult.java
@@ -2,30 +2,30 @@
 
 import shalepaddle.model.Outcome;
 
-/** How a flight's attempt has ended, as far as its waiters are concerned. */
+/** How a flight's attempt ended, as far as it matters to the waiters. */
 public enum FlightResult {
-  /** With the value, which all waiters get. */
+  /** The attempt returned the value, which all waiters get. */
   SERVED,
 
   /**
-   * It was rejected, by servers or by the policy, or failed at the origin: another attempt would
-   * end alike and add to the load.
+   * The attempt was rejected by servers or by the policy, or failed at the origin. Another attempt
+   * would end the same way and add to the load.
    */
   REJECTED,
 
-  /** Its connection broke, or its response was malformed: another attempt may succeed. */
+  /** The connection broke or the response was malformed. Another attempt may succeed. */
   BROKEN,
 
-  /** Its deadline has passed, or the load balancer shuts down: it is not retried. */
+  /** The deadline has passed or the load balancer shuts down. The flight is not retried. */
   FINAL;
 
   /**
    * The result of an exchange that was rejected.
    *
-   * @param last the result of its last attempt, null if it had none
+   * @param lastResult the result of the exchange's last attempt, null if it had none
    */
-  public static FlightResult ofRejection(Outcome.Result last) {
-    return last != null && (last.isConnectionFailure() || last == Outcome.Result.MALFORMED_RESPONSE)
+  public static FlightResult ofRejection(Outcome.Result lastResult) {
+    return lastResult != null && (lastResult.isConnectionFailure() || lastResult == Outcome.Result.MALFORMED_RESPONSE)
         ? BROKEN
         : REJECTED;
   }
--- a/core/src/main/java/shalepaddle/coalescing/FlightWaiter.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightWaiter.java
@@ -10,7 +10,7 @@
   private final C caller;
   private final long deadlineNanos;
   private final int position;
-  private boolean ended;
+  private boolean isEnded;
 
   FlightWaiter(Flight<C> flight, C caller, long deadlineNanos, int position) {
     this.flight = flight;
@@ -24,28 +24,28 @@
     return caller;
   }
 
-  /** The flight that it waits for. */
+  /** The flight that the read waits for. */
   public Flight<C> flight() {
     return flight;
   }
 
-  /** When its client stops waiting. */
+  /** The time at which the waiter's client stops waiting. */
   long deadlineNanos() {
     return deadlineNanos;
   }
 
-  /** The number of callers that joined the flight before it. */
+  /** The number of callers that joined the flight before this one. */
   int position() {
     return position;
   }
 
-  /** It is answered, or its client has left. */
+  /** Marks the waiter as answered, or its client as gone. */
   void end() {
-    ended = true;
+    isEnded = true;
   }
 
-  /** Whether it is answered, or its client has left. */
+  /** Whether the waiter is answered or its client has left. */
   boolean isEnded() {
-    return ended;
+    return isEnded;
   }
 }
--- a/core/src/main/java/shalepaddle/coalescing/RequestCoalescer.java
+++ b/core/src/main/java/shalepaddle/coalescing/RequestCoalescer.java
@@ -4,29 +4,29 @@
 
 /**
  * Request coalescing: the first read of a key begins a <em>flight</em>, and equal reads that arrive
- * while it is out wait for its answer, each until its own client's deadline. Known as single flight
- * (Go's {@code golang.org/x/sync/singleflight}) and request collapsing (nginx's {@code
- * proxy_cache_lock}, Varnish's waiting list). It differs from these in three points: nobody waits
- * for more than one attempt that succeeds, waiters are not served in turns, and a flight is not
- * joined any more once an operation on its key has ended since it began.
+ * while it is open wait for its answer, each until its own client's deadline. Also known as single
+ * flight (Go's {@code golang.org/x/sync/singleflight}) and request collapsing (nginx's {@code
+ * proxy_cache_lock}, Varnish's waiting list). It differs from these in three points: a waiter waits
+ * for at most one successful attempt, waiters are not served one after another, and a flight can no
+ * longer be joined once an operation on its key has ended since the flight began.
  *
- * <p>The last point keeps reads linearizable, as far as clients of this load balancer can tell. A
- * value that was read at some time p is given to a caller that arrived at r &gt; p only if no
- * operation on its key ended here between the flight's beginning and r. Then every write that took
- * effect between p and r had not ended by r, and neither had a read that saw it: all of them may be
- * taken to have happened after r, and the caller's read at r. A write also keeps later reads from
- * older flights from the time at which it is accepted.
+ * <p>The last point keeps reads linearizable, as far as clients of this load balancer can observe.
+ * A value that was read at time p is returned to a caller that arrived at r &gt; p only if no
+ * operation on its key ended here between the beginning of the flight and r. Then no write that
+ * took effect between p and r had ended by r, and no read that returned such a write's value had
+ * ended either. All of them can therefore be ordered after r, and the caller's read at r. From the
+ * time at which a write is accepted, later reads do not join older flights either.
  *
- * <p>All times are nanoseconds of one monotonic clock. Not thread-safe. Its size is bounded by
- * {@link CoalescingConfig#maxFlights} times {@link CoalescingConfig#maxWaiters}.
+ * <p>All times are nanoseconds of one monotonic clock. Not thread-safe. The number of waiters is
+ * bounded by {@link CoalescingConfig#maxFlights} times {@link CoalescingConfig#maxWaiters}.
  *
  * @param <C> the caller's representation outside this package
  */
 public final class RequestCoalescer<C> {
-  /** Retries of one flight, each of which its waiters wait for. */
+  /** Maximum number of retries of one flight, whose waiters wait for all of them. */
   private static final int MAX_RETRIES = 3;
 
-  /** The capacity of the bucket of retry tokens, which is full at first. */
+  /** The capacity of the retry token bucket, which is full initially. */
   private static final double MAX_RETRY_TOKENS = 10;
 
   private static final double MIN_SPREAD_RATIO = 0.75;
@@ -38,51 +38,52 @@
   private double retryTokens = MAX_RETRY_TOKENS;
   private int openFlights;
   private int waiters;
-  private long flights;
-  private long joined;
-  private long uncoalesced;
-  private long shared;
-  private long retried;
-  private long retriesDenied;
-  private long left;
-
-  /** A coalescer without flights. */
+  private long startedFlights;
+  private long joinedReads;
+  private long uncoalescedReads;
+  private long sharedAnswers;
+  private long retries;
+  private long deniedRetries;
+  private long departedWaiters;
+
+  /** Creates a coalescer without flights. */
   public RequestCoalescer(CoalescingConfig config) {
     this.config = config;
     this.maxAgeNanos = (long) (config.maxAgeSeconds() * 1e9);
   }
 
   /**
-   * A read arrives that may be repeated. If it begins a flight, it is the flight's {@linkplain
-   * Flight#leader leader} and is to be attempted now. If it moves {@link Flight#deadline}, the
-   * attempt has that much longer.
+   * Adds an idempotent read to the flight that it may join, or begins a flight for it. If it begins
+   * a flight, it is the flight's {@linkplain Flight#leader leader}, and the caller of this method
+   * must start the attempt. If it extends {@link Flight#deadline}, the attempt's deadline must be
+   * extended too.
    *
-   * @param key what it reads
+   * @param key the key that it reads
    * @param serviceClass its service class
    * @param tenant its tenant, null for none
-   * @param caller its representation
+   * @param caller the caller that waits for the answer
    * @param deadlineNanos when its client stops waiting
-   * @return null if too many flights are open, and it needs an attempt of its own
+   * @return null if too many flights are open and the read needs an attempt of its own
    */
   public FlightWaiter<C> join(
       String key, String serviceClass, String tenant, C caller, long deadlineNanos, long now) {
-    String visibleTo = config.acrossTenants() ? null : tenant;
-    Flight<C> flight = index.find(key, serviceClass, visibleTo);
+    String visibleTenant = config.acrossTenants() ? null : tenant;
+    Flight<C> flight = index.find(key, serviceClass, visibleTenant);
     if (flight != null && !isJoinable(flight, now)) {
       index.remove(flight);
       flight = null;
     }
     if (flight == null) {
       if (openFlights >= config.maxFlights()) {
-        uncoalesced++;
+        uncoalescedReads++;
         return null;
       }
-      flight = new Flight<>(key, new CoalescingKey(serviceClass, visibleTo), now);
+      flight = new Flight<>(key, new CoalescingKey(serviceClass, visibleTenant), now);
       index.add(flight);
       openFlights++;
-      flights++;
+      startedFlights++;
     } else {
-      joined++;
+      joinedReads++;
       retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + config.retriesPerJoin());
     }
     waiters++;
@@ -94,17 +95,17 @@
   }
 
   /**
-   * A write of this key is accepted, or an operation on it has ended, whether or not it was a
-   * flight: from now on no read joins a flight that began before.
+   * Prevents reads from joining the current flights of a key. Must be called when a write of the
+   * key is accepted, and when an operation on it has ended, whether or not it was a flight.
    */
   public void invalidate(String key) {
     index.removeAll(key);
   }
 
   /**
-   * The client of a waiter has left.
+   * Removes a waiter whose client has left.
    *
-   * @return whether nobody waits any more, so that the attempt is to be abandoned
+   * @return whether no waiters are left, so that the attempt must be abandoned
    */
   public boolean leave(FlightWaiter<C> waiter) {
     if (waiter.isEnded()) {
@@ -121,7 +122,7 @@
       return false;
     }
     if (flight.waiting() > 0) {
-      left += departures;
+      departedWaiters += departures;
       return false;
     }
     close(flight);
@@ -135,22 +136,23 @@
   }
 
   /**
-   * Ends the waiters of a flight whose deadline has passed, and returns them in the order of their
-   * deadlines. If the flight {@link Flight#isClosed} then, its attempt is to be abandoned.
+   * Ends the waiters of a flight whose deadline has passed and returns them in the order of their
+   * deadlines. If this closes the flight, see {@link Flight#isClosed}, its attempt must be
+   * abandoned.
    */
   public List<FlightWaiter<C>> expire(Flight<C> flight, long now) {
-    List<FlightWaiter<C>> expired = flight.expire(now);
-    waiters -= expired.size();
-    closeIfAbandoned(flight, expired.size());
-    return expired;
+    List<FlightWaiter<C>> expiredWaiters = flight.expire(now);
+    waiters -= expiredWaiters.size();
+    closeIfAbandoned(flight, expiredWaiters.size());
+    return expiredWaiters;
   }
 
   /**
-   * A flight's attempt has ended.
+   * Handles the end of a flight's attempt.
    *
-   * <p>The failure of a connection is given to the leader alone, and the next waiter becomes the
-   * leader and retries, as long as there are retry tokens. So one failure becomes neither a failure
-   * of all waiters nor an attempt for each.
+   * <p>A connection failure is reported to the leader only, and the next waiter becomes the leader
+   * and retries while there are retry tokens. A single failure thus neither fails all waiters nor
+   * causes a separate attempt for each.
    */
   public FlightDecision<C> complete(Flight<C> flight, FlightResult result, long now) {
     if (flight.isClosed()) {
@@ -158,22 +160,22 @@
     }
     if (result == FlightResult.BROKEN && mayRetry(flight, now)) {
       retryTokens--;
-      retried++;
+      retries++;
       flight.countRetry();
       waiters--;
       return new FlightDecision<>(List.of(flight.endLeader()), true);
     }
-    // Nobody may join an older flight of this key, which could bring an older value.
+    // Reads must not join an older flight of this key, which could return an older value.
     if (result == FlightResult.SERVED) {
       invalidate(flight.key());
     }
-    List<FlightWaiter<C>> all = flight.endAll();
+    List<FlightWaiter<C>> endedWaiters = flight.endAll();
     close(flight);
-    waiters -= all.size();
+    waiters -= endedWaiters.size();
     if (result == FlightResult.SERVED) {
-      shared += all.size() - 1;
+      sharedAnswers += endedWaiters.size() - 1;
     }
-    return new FlightDecision<>(all, false);
+    return new FlightDecision<>(endedWaiters, false);
   }
 
   private boolean mayRetry(Flight<C> flight, long now) {
@@ -181,37 +183,37 @@
       return false;
     }
     if (retryTokens < 1) {
-      retriesDenied++;
+      deniedRetries++;
       return false;
     }
     return flight.outlastsLeader(now);
   }
 
   /**
-   * Retry-After for one of several callers that are rejected together, spread so that they do not
-   * retry together: the given one, less or more by up to a quarter.
+   * Returns the Retry-After for one of several callers that are rejected together: the given one
+   * changed by up to ±25%, so that the callers do not retry together.
    *
-   * @param retryAfterMillis 0 for no advice
-   * @param maxMillis the longest that clients follow
-   * @param position of the caller among them, from 0
-   * @param count of callers
+   * @param retryAfterMillis the Retry-After before the spread, 0 for no advice
+   * @param maxMillis the longest Retry-After that clients follow
+   * @param position the position of the caller among the rejected ones, counted from 0
+   * @param callerCount the number of rejected callers
    */
   public static long spreadRetryAfter(
-      long retryAfterMillis, long maxMillis, int position, int count) {
-    if (retryAfterMillis <= 0 || count < 2) {
+      long retryAfterMillis, long maxMillis, int position, int callerCount) {
+    if (retryAfterMillis <= 0 || callerCount < 2) {
       return retryAfterMillis;
     }
-    double factor = MIN_SPREAD_RATIO + SPREAD_RANGE_RATIO * position / (count - 1);
-    return Math.max(1, Math.min(maxMillis, Math.round(retryAfterMillis * factor)));
+    double spreadRatio = MIN_SPREAD_RATIO + SPREAD_RANGE_RATIO * position / (callerCount - 1);
+    return Math.max(1, Math.min(maxMillis, Math.round(retryAfterMillis * spreadRatio)));
   }
 
-  /** All counters as they are now. */
+  /** The current values of all counters. */
   public CoalescingSnapshot snapshot() {
     return new CoalescingSnapshot(
-        flights, joined, uncoalesced, shared, retried, retriesDenied, left, openFlights, waiters);
+        startedFlights, joinedReads, uncoalescedReads, sharedAnswers, retries, deniedRetries, departedWaiters, openFlights, waiters);
   }
 
-  /** Keys with a flight that reads may join. */
+  /** The number of keys with a flight that reads may join. */
   int keys() {
     return index.keys();
   }
--- a/core/src/main/java/shalepaddle/model/LoadReport.java
+++ b/core/src/main/java/shalepaddle/model/LoadReport.java
@@ -5,10 +5,10 @@
  *
  * @param inFlight requests in progress
  * @param queued requests waiting in its queue
- * @param utilization part of its cores in use, from 0 to 1
+ * @param utilization fraction of its cores in use, from 0 to 1
  * @param latencyMillis its recent service time in milliseconds
- * @param requestRate requests served a second
- * @param errorRate errors a second
+ * @param requestRate requests served per second
+ * @param errorRate errors per second
  * @param extra0 a value whose meaning depends on the deployment
  * @param extra1 a value whose meaning depends on the deployment
  */
--- a/core/src/main/java/shalepaddle/model/MembershipUpdate.java
+++ b/core/src/main/java/shalepaddle/model/MembershipUpdate.java
@@ -7,26 +7,26 @@
 /**
  * An update of the endpoint list: a watch event, or the result of a poll.
  *
- * @param kind what the entries are
- * @param version the list's version, which grows
- * @param entries the lines that came with it, empty for a failure
+ * @param kind what the entries represent
+ * @param version the list's version, which increases with each change
+ * @param entries the lines in the update, empty for a failure
  */
 public record MembershipUpdate(Kind kind, long version, List<ServerEntry> entries) {
 
-  /** The ids of the servers that it names. */
+  /** The ids of the servers in the update. */
   public Set<Long> serverIds() {
     return entries.stream().map(ServerEntry::id).collect(Collectors.toUnmodifiableSet());
   }
 
-  /** What the entries of an update are. */
+  /** What the entries of an update represent. */
   public enum Kind {
-    /** The lines that changed. */
+    /** Only the lines of the endpoint list that changed. */
     DELTA,
-    /** The complete list. */
+    /** The complete endpoint list. */
     FULL,
-    /** The complete list from a cache of this node, perhaps old. */
+    /** The complete endpoint list from this node's cache; it may be outdated. */
     CACHED,
-    /** A poll for the list failed, or the watch was interrupted. */
+    /** No lines: a poll for the endpoint list failed, or the watch was interrupted. */
     FAILED
   }
 }
--- a/core/src/main/java/shalepaddle/model/Observation.java
+++ b/core/src/main/java/shalepaddle/model/Observation.java
@@ -1,9 +1,9 @@
 package shalepaddle.model;
 
 /**
- * An attempt and its outcome, as one process of a node observed it, for another process of the same
- * node to learn from. It is raw, so that versions of the program that draw other conclusions can
- * exchange it.
+ * An attempt and its outcome as observed by one process of a node, for another process of the same
+ * node to learn from. Contains the raw data rather than conclusions, so that different versions of
+ * the program can exchange it.
  *
  * @param endedAt when the attempt ended, in seconds since 1970
  * @param request the request that it was sent for
--- a/core/src/main/java/shalepaddle/model/Outcome.java
+++ b/core/src/main/java/shalepaddle/model/Outcome.java
@@ -9,7 +9,7 @@
  * @param result how it ended
  * @param elapsedSeconds time since it was sent
  * @param stalledSeconds how much of that this node's event loop was stalled
- * @param completesRequest whether the request is complete with it, and gets no further attempt
+ * @param completesRequest whether the request is complete and gets no further attempt
  * @param cacheStatus what the server reported about its cache
  * @param load the server's load report, null if there is none
  */
@@ -38,14 +38,14 @@
         requestId, attempt, server, result, elapsedSeconds, 0, completesRequest, cacheStatus, load);
   }
 
-  /** Time for which the event loop was active: the rest is not the server's fault. */
+  /** The part of the elapsed time for which the event loop was not stalled. */
   public double activeSeconds() {
     return Math.max(0, elapsedSeconds - stalledSeconds);
   }
 
   /**
-   * The part of the elapsed time for which the event loop was active, from 0 to 1, which is what
-   * the server may be blamed for; 1 if the server responded.
+   * The fraction of the elapsed time for which the event loop was not stalled, from 0 to 1; 1 if
+   * the server responded. Only this fraction of a failure counts against the server.
    */
   public double activeRatio() {
     return result.isServerResponse() || elapsedSeconds <= 0
@@ -53,7 +53,10 @@
         : Math.min(1, activeSeconds() / elapsedSeconds);
   }
 
-  /** Whether the event loop was active for most of that time: if not, a timeout says little. */
+  /**
+   * Whether the event loop was active at least half the time; otherwise a timeout says little about
+   * the server.
+   */
   public boolean isMostlyActive() {
     return activeRatio() >= 0.5;
   }
@@ -75,11 +78,11 @@
     /** The connection was lost while the attempt was in flight. */
     RESET(false, false),
     CANCELLED(false, false),
-    /** It was withdrawn before any byte of it was written. */
+    /** The attempt was withdrawn before any byte of it was written. */
     NOT_SENT(true, false),
-    /** The server rejected a new connection for its limit, while others to it were open. */
+    /** The server refused a new connection at its limit while other connections were open. */
     CONNECTION_LIMIT_REACHED(true, false),
-    /** A look-aside cache does not have the value; the origin may. */
+    /** A look-aside cache does not have the value; the origin may have it. */
     CACHE_MISS(true, true),
     /** The response could not be parsed; the server runs, and may have run the attempt. */
     MALFORMED_RESPONSE(false, true);
@@ -87,9 +90,9 @@
     private final boolean provesNotRun;
     private final boolean isServerResponse;
 
-    Result(boolean provesNotRun, boolean fromServer) {
+    Result(boolean provesNotRun, boolean isServerResponse) {
       this.provesNotRun = provesNotRun;
-      this.isServerResponse = fromServer;
+      this.isServerResponse = isServerResponse;
     }
 
     /** Whether the server itself responded. */
@@ -97,17 +100,17 @@
       return isServerResponse;
     }
 
-    /** Whether there was no connection, or it was lost. */
+    /** Whether the connection could not be established or was lost. */
     public boolean isConnectionFailure() {
       return this == CONNECT_FAILED || this == RESET;
     }
 
-    /** Whether no connection could carry the attempt, which says nothing against a retry. */
+    /** Whether the attempt failed for lack of a connection, so that a retry may succeed. */
     public boolean isConnectionUnavailable() {
       return isConnectionFailure() || this == CONNECTION_LIMIT_REACHED;
     }
 
-    /** Whether this proves that the server never ran the attempt. */
+    /** Whether this result proves that the server never ran the attempt. */
     public boolean provesNotRun() {
       return provesNotRun;
     }
@@ -115,9 +118,9 @@
 
   /** What a server reports about its cache. */
   public enum CacheStatus {
-    /** Nothing. */
+    /** The server did not report a cache status. */
     NONE,
-    /** The value was cached. */
+    /** The server had the value cached. */
     HIT,
     /** The server fetched the value from the origin. */
     MISS,
--- a/core/src/main/java/shalepaddle/model/ProtocolLimits.java
+++ b/core/src/main/java/shalepaddle/model/ProtocolLimits.java
@@ -5,7 +5,7 @@
   private ProtocolLimits() {}
 
   /**
-   * Checks that a value is in its range, bounds included.
+   * Checks that a value is in its range, including the bounds.
    *
    * @param name the setting's name as the operator knows it
    * @throws IllegalArgumentException if it is not, or is NaN; the message gives the name and the
--- a/core/src/main/java/shalepaddle/model/ServerEntry.java
+++ b/core/src/main/java/shalepaddle/model/ServerEntry.java
@@ -9,8 +9,8 @@
  * @param cell the cell it belongs to
  * @param state its state in the list
  * @param weight its weight relative to other servers
- * @param startedAtSeconds its last start by the wall clock of whoever writes the list, comparable
- *     with stamps of that list alone; 0 if long ago
+ * @param startedAtSeconds its last start by the wall clock of the list's author, comparable only
+ *     with other start times of that list; 0 if long ago
  */
 public record ServerEntry(
     long id,
@@ -23,11 +23,11 @@
 
   /** The state of a server in the endpoint list. */
   public enum State {
-    /** It takes requests. */
+    /** The server accepts requests. */
     READY,
-    /** It finishes what it has and takes no new requests. */
+    /** The server completes its requests in progress and accepts no new ones. */
     DRAINING,
-    /** It is no longer listed. */
+    /** The server is no longer listed. */
     REMOVED
   }
 }
--- a/core/src/main/java/shalepaddle/model/Settings.java
+++ b/core/src/main/java/shalepaddle/model/Settings.java
@@ -3,26 +3,26 @@
 import java.util.List;
 
 /**
- * What a load balancer instance is configured with, in the simulator and in a real node alike. The
- * names that these have in configuration files and on the simulator's wire are mapped in {@code
- * SettingsFormat}.
+ * The configuration of a load balancer instance, both in the simulator and in a real node. {@code
+ * SettingsFormat} maps these values to their names in configuration files and on the simulator's
+ * wire.
  *
  * @param zone the instance's own zone
  * @param zones all zones
  * @param kinds the machine kinds
- * @param instanceNumber the instance's number, from 0 on
- * @param instances how many load balancer instances there are
+ * @param instanceNumber the instance's number, counted from 0
+ * @param instances the number of load balancer instances
  * @param pollsEndpointList whether the endpoint list must be polled, rather than watched
  * @param clientsMarkRetries whether clients mark their retries
  * @param weights what the weights in the endpoint list mean
  * @param cache how the caches work
- * @param limits what the deployment permits
+ * @param limits limits of the deployment
  * @param contract the figures of the contract with clients, servers and discovery
- * @param prices the costs by which a deployment is measured
+ * @param prices the weights of the costs by which a deployment is rated
  * @param services the service classes
  * @param tenants the tenants, empty where there are none
- * @param overQuotaWeightRatio priority of a request over its tenant's quota, as a part of its
- *     class's
+ * @param overQuotaWeightRatio priority weight of a request above its tenant's quota, as a fraction
+ *     of its service class's priority weight
  * @param timerResolutionSeconds the shortest time between two batches of events
  */
 public record Settings(
@@ -43,30 +43,33 @@
     double overQuotaWeightRatio,
     double timerResolutionSeconds) {
 
-  /** What the weights in the endpoint list mean. */
+  /** The meaning of the weights in the endpoint list. */
   public enum Weights {
     NONE,
     NOMINAL,
     ROUGH,
     LIVE;
 
-    /** Whether they stand for sizes of machines; live ones follow the load. */
+    /** Whether the weights express machine sizes. {@code LIVE} weights follow the load instead. */
     public boolean isStable() {
       return this == NOMINAL || this == ROUGH;
     }
   }
 
-  /** What more than one run of a request does. */
+  /** The effect of running a request more than once. */
   public enum Idempotency {
-    /** Nothing. */
+    /** Several runs have the same effect as one. */
     IDEMPOTENT,
-    /** Nothing, as servers drop a repeated idempotency key, for some time and in some scope. */
+    /**
+     * Several runs have the same effect as one, since servers drop a repeated idempotency key
+     * within a time window and a {@link DeduplicationScope}.
+     */
     IDEMPOTENT_WITH_KEY,
-    /** It takes effect more than once. */
+    /** Each run of the request takes effect again. */
     NOT_IDEMPOTENT
   }
 
-  /** Which servers together drop a repeated idempotency key. */
+  /** The set of servers that share idempotency keys, and so drop repeated ones. */
   public enum DeduplicationScope {
     ALL,
     ZONE,
@@ -85,10 +88,12 @@
   /**
    * How the caches work.
    *
-   * @param lookAside whether the instance itself fetches from the origin what a cache does not have
+   * @param lookAside whether the instance itself fetches a value that a cache does not have from
+   *     the origin
    * @param originKind the origin's machine kind in the endpoint list, null if it is not listed
-   * @param originOverloadRatio the multiple of its capacity at which the origin halts, 0 for none
-   * @param originOverloadSeconds how long such load lasts until the origin halts
+   * @param originOverloadRatio load at which the origin halts, as a multiple of its capacity; 0 if
+   *     it never does
+   * @param originOverloadSeconds how long such a load lasts before the origin halts
    */
   public record CacheMode(
       boolean lookAside,
@@ -97,18 +102,18 @@
       double originOverloadSeconds) {}
 
   /**
-   * What the deployment permits.
+   * Limits of the deployment.
    *
-   * @param maxAttempts attempts of one request
+   * @param maxAttempts maximum number of attempts of one request
    * @param allowsParallelAttempts whether hedged requests are permitted
    * @param allowsCancellation whether attempts may be cancelled
    * @param allowsHealthChecks whether servers may be sent health checks
    * @param allowsGossip whether instances may send each other messages
-   * @param sendsRetryAfter whether rejected clients are given a Retry-After
+   * @param sendsRetryAfter whether rejections contain a Retry-After
    * @param maxRetryAfterSeconds the longest Retry-After that clients follow
-   * @param connectTimeoutSeconds after which a connection attempt fails
-   * @param idleTimeoutSeconds after which an idle connection is closed
-   * @param maxAttemptsPerConnection attempts in flight that share a connection
+   * @param connectTimeoutSeconds time after which a connection attempt fails
+   * @param idleTimeoutSeconds time after which an idle connection is closed
+   * @param maxAttemptsPerConnection maximum number of attempts in flight on one connection
    */
   public record Limits(
       int maxAttempts,
@@ -125,13 +130,14 @@
   /**
    * The figures of the contract with clients, servers and discovery.
    *
-   * @param responseGraceSeconds how long after the client's deadline a final answer still counts
+   * @param responseGraceSeconds how long after the client's deadline a final answer is still valid
    * @param maxPollIntervalSeconds the longest time between polls of the endpoint list
    * @param drainGraceSeconds how long requests may still be sent to a draining server
-   * @param slowStartMinRatio the part of its capacity that a started server has at least
+   * @param slowStartMinRatio the fraction of its capacity that a server has when it starts
    * @param slowStartSeconds the time after its start at which a server is warm
-   * @param overloadRatio the multiple of its present capacity that overloads a server in slow start
-   * @param overloadSeconds how long such load lasts until the server fails
+   * @param overloadRatio the load that overloads a server in slow start, as a multiple of its
+   *     present capacity
+   * @param overloadSeconds how long such a load lasts before the server fails
    */
   public record Contract(
       double responseGraceSeconds,
@@ -143,17 +149,17 @@
       double overloadSeconds) {}
 
   /**
-   * The costs by which a deployment is measured, each for a fraction or a rate.
+   * The weights of the costs by which a deployment is rated, each applied to a fraction or a rate.
    *
    * @param crossZone attempts that cross zones
-   * @param wastedWork work that served no answer
-   * @param lateFailure priority weight that failed after its latency objective
+   * @param wastedWork work that contributed to no answer
+   * @param lateFailure priority weight of requests that failed after their latency objective
    * @param originFetch fetches from the origin
    * @param healthCheck health checks
    * @param handshake new connections
    * @param connection open connections
-   * @param gossip bytes between instances
-   * @param discovery lines of the endpoint list
+   * @param gossip bytes sent between instances
+   * @param discovery endpoint list lines received
    */
   public record Prices(
       double crossZone,
@@ -171,13 +177,14 @@
    *
    * @param name its name
    * @param latencyObjectiveSeconds an answer within this time has the full priority weight
-   * @param objectivePerWorkSecond how much the objective grows with a request's own work
-   * @param deadlineSeconds how long the client waits over all of its own attempts
-   * @param priorityWeight how important a request is, relative to other classes
-   * @param lateWeightRatio the part of the weight that an answer after the objective still has
-   * @param idempotency what more than one run of a request does
+   * @param objectivePerWorkSecond by how many seconds the objective grows per second of a request's
+   *     expected work
+   * @param deadlineSeconds how long the client waits in total, including its own retries
+   * @param priorityWeight the importance of a request, relative to other classes
+   * @param lateWeightRatio the fraction of the weight that an answer after the objective still has
+   * @param idempotency the effect of running a request more than once
    * @param deduplicationScope which servers drop a repeated idempotency key
-   * @param idempotencyWindowSeconds how long they do, from the first attempt that may have run
+   * @param idempotencyWindowSeconds how long they do so, from the first attempt that may have run
    * @param streamed whether answers are streamed
    */
   public record ServiceClass(
@@ -193,17 +200,18 @@
       boolean streamed) {
 
     /**
-     * The class if it is known, else one for this request alone, which counts as not idempotent.
+     * Returns the known class, or if it is null, a class for this request only, which is not
+     * idempotent.
      */
-    public static ServiceClass orUnknown(ServiceClass known, Request request) {
-      double budget = request.budgetSeconds();
-      return known != null
-          ? known
+    public static ServiceClass orUnknown(ServiceClass knownClass, Request request) {
+      double budgetSeconds = request.budgetSeconds();
+      return knownClass != null
+          ? knownClass
           : new ServiceClass(
               request.serviceClass(),
-              budget,
+              budgetSeconds,
               0,
-              budget,
+              budgetSeconds,
               1,
               0,
               Idempotency.NOT_IDEMPOTENT,
@@ -217,8 +225,8 @@
    * A tenant.
    *
    * @param name its name
-   * @param capacityRatio its part of the service's capacity
-   * @param quotaPerSecond requests a second within its quota, over all instances
+   * @param capacityRatio its fraction of the service's capacity
+   * @param quotaPerSecond its quota in requests per second, over all instances
    */
   public record Tenant(String name, double capacityRatio, double quotaPerSecond) {}
 }
--- a/core/src/main/java/shalepaddle/model/package-info.java
+++ b/core/src/main/java/shalepaddle/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The values that decisions are made on: settings, requests, outcomes of attempts, the endpoint
- * list and load reports. Immutable, so any thread may use them; calls nothing else.
+ * Value types of the routing decisions: settings, requests, outcomes of attempts, the endpoint list
+ * and load reports. Immutable and thread-safe; depends on no other package.
  */
 package shalepaddle.model;
--- a/core/src/main/java/shalepaddle/overload/AdmissionQueue.java
+++ b/core/src/main/java/shalepaddle/overload/AdmissionQueue.java
@@ -6,13 +6,14 @@
 import java.util.function.Consumer;
 
 /**
- * Requests that have been read and wait for the event loop, by priority tier and, within a tier, in
- * an adaptive order.
+ * Queue of requests that have been read and wait for the event loop, ordered by priority tier and,
+ * within a tier, in an adaptive order.
  *
- * <p>First in, first out while the queue is short-lived; last in, first out once it is a standing
- * queue, since the request that has waited longest is nearest to its deadline (adaptive LIFO;
- * Maurer, "Fail at Scale", ACM Queue 2015). Bounded in number and in time: what has waited too long
- * is rejected, and at the bound the oldest of the lowest priority is.
+ * <p>The order is first in, first out while the queue is short-lived, and last in, first out once
+ * it is a standing queue, since the request that has waited longest is the nearest to its deadline
+ * (adaptive LIFO; Maurer, "Fail at Scale", ACM Queue 2015). Bounded in size and waiting time:
+ * requests that have waited too long are rejected, and when the queue is full the oldest request of
+ * the lowest priority is rejected.
  *
  * <p>Time is an argument, in nanoseconds. Not thread-safe.
  *
@@ -22,9 +23,9 @@
   /** A queue that has not been empty for longer than this is a standing queue. */
   private static final long STANDING_QUEUE_NANOS = 100_000_000L;
 
-  private record Waiting<T>(T item, long sinceNanos) {}
+  private record QueuedItem<T>(T item, long enqueuedAtNanos) {}
 
-  private final List<ArrayDeque<Waiting<T>>> queuesByTier = new ArrayList<>();
+  private final List<ArrayDeque<QueuedItem<T>>> queuesByTier = new ArrayList<>();
   private final int maxItems;
   private final long maxWaitNanos;
   private final Consumer<T> onRejected;
@@ -32,37 +33,38 @@
   private long nonEmptySinceNanos;
 
   /**
-   * An empty queue.
+   * Creates an empty queue.
    *
-   * @param tiers how many tiers there are
-   * @param maxItems the most items that wait, above 0
-   * @param maxWaitNanos the longest that one waits
+   * @param tierCount the number of tiers
+   * @param maxItems the maximum number of items, above 0
+   * @param maxWaitNanos the longest time that an item waits
    * @param onRejected receives each item that is not served
    */
-  public AdmissionQueue(int tiers, int maxItems, long maxWaitNanos, Consumer<T> onRejected) {
-    if (tiers < 1 || maxItems < 1 || maxWaitNanos <= 0) {
+  public AdmissionQueue(int tierCount, int maxItems, long maxWaitNanos, Consumer<T> onRejected) {
+    if (tierCount < 1 || maxItems < 1 || maxWaitNanos <= 0) {
       throw new IllegalArgumentException(
-          "%d tiers, %d items, %d ns".formatted(tiers, maxItems, maxWaitNanos));
+          "queue of %d tiers, at most %d items and %d ns: each must be above 0"
+              .formatted(tierCount, maxItems, maxWaitNanos));
     }
     this.maxItems = maxItems;
     this.maxWaitNanos = maxWaitNanos;
     this.onRejected = onRejected;
-    for (int i = 0; i < tiers; i++) {
+    for (int i = 0; i < tierCount; i++) {
       queuesByTier.add(new ArrayDeque<>());
     }
   }
 
-  /** Adds an item; rejects the oldest of the lowest priority if that is one too many. */
+  /** Adds an item; if the queue is then too long, rejects the oldest one of the lowest priority. */
   public void offer(T item, int tier, long now) {
     if (size == 0) {
       nonEmptySinceNanos = now;
     }
-    queuesByTier.get(tier).addLast(new Waiting<>(item, now));
+    queuesByTier.get(tier).addLast(new QueuedItem<>(item, now));
     size++;
     if (size > maxItems) {
-      for (int lowest = queuesByTier.size() - 1; lowest >= 0; lowest--) {
-        if (!queuesByTier.get(lowest).isEmpty()) {
-          rejectOldest(queuesByTier.get(lowest));
+      for (int lowestTier = queuesByTier.size() - 1; lowestTier >= 0; lowestTier--) {
+        if (!queuesByTier.get(lowestTier).isEmpty()) {
+          rejectOldest(queuesByTier.get(lowestTier));
           return;
         }
       }
@@ -70,16 +72,17 @@
   }
 
   /**
-   * Removes the next item to serve, after rejecting those that have waited too long; null if empty.
+   * Removes the next item to serve, after rejecting those that have waited too long; returns null
+   * if the queue is empty.
    */
   public T poll(long now) {
-    for (ArrayDeque<Waiting<T>> queue : queuesByTier) {
-      while (!queue.isEmpty() && now - queue.peekFirst().sinceNanos() > maxWaitNanos) {
+    for (ArrayDeque<QueuedItem<T>> queue : queuesByTier) {
+      while (!queue.isEmpty() && now - queue.peekFirst().enqueuedAtNanos() > maxWaitNanos) {
         rejectOldest(queue);
       }
     }
     boolean isStanding = now - nonEmptySinceNanos > STANDING_QUEUE_NANOS;
-    for (ArrayDeque<Waiting<T>> queue : queuesByTier) {
+    for (ArrayDeque<QueuedItem<T>> queue : queuesByTier) {
       if (!queue.isEmpty()) {
         size--;
         return (isStanding ? queue.pollLast() : queue.pollFirst()).item();
@@ -88,7 +91,7 @@
     return null;
   }
 
-  private void rejectOldest(ArrayDeque<Waiting<T>> queue) {
+  private void rejectOldest(ArrayDeque<QueuedItem<T>> queue) {
     size--;
     onRejected.accept(queue.pollFirst().item());
   }
@@ -103,19 +106,19 @@
         });
   }
 
-  /** How many items wait. */
+  /** The number of items that wait. */
   public int size() {
     return size;
   }
 
-  /** Nanoseconds for which the oldest has waited, 0 if none waits. */
+  /** The time in nanoseconds for which the oldest item has waited, 0 if none waits. */
   public long oldestWaitNanos(long now) {
-    long oldest = 0;
-    for (ArrayDeque<Waiting<T>> queue : queuesByTier) {
+    long waitNanos = 0;
+    for (ArrayDeque<QueuedItem<T>> queue : queuesByTier) {
       if (!queue.isEmpty()) {
-        oldest = Math.max(oldest, now - queue.peekFirst().sinceNanos());
+        waitNanos = Math.max(waitNanos, now - queue.peekFirst().enqueuedAtNanos());
       }
     }
-    return oldest;
+    return waitNanos;
   }
 }
--- a/core/src/main/java/shalepaddle/overload/AimdRateLimit.java
+++ b/core/src/main/java/shalepaddle/overload/AimdRateLimit.java
@@ -1,45 +1,47 @@
 package shalepaddle.overload;
 
 /**
- * How many requests a second are admitted, from the least delay of the event loop in each interval.
+ * Computes the limit on admitted requests per second from the minimum delay of the event loop in
+ * each interval.
  *
- * <p>Congestion control with additive increase and multiplicative decrease, with CoDel's standing
- * delay in place of losses. With a target {@code T} and a delay {@code d} in an interval in which
- * {@code a} requests a second were admitted, the limit becomes
+ * <p>Congestion control with gradual increase and multiplicative decrease, using CoDel's standing
+ * delay instead of losses. With a target {@code T} and a delay {@code d} in an interval in which
+ * {@code a} requests per second were admitted, the limit becomes
  *
  * <pre>
- *   min(limit, a) · (1 − min({@value #MAX_DECREASE_RATIO}, {@value #DECREASE_PER_TARGET_RATIO} · d / T))   on overload, unless d falls
- *   limit · (1 + {@value #RECOVERY_RATIO})   otherwise, up to {@value #RECOVERED_CAPACITY_RATIO} of the known capacity
- *   limit · (1 + {@value #INCREASE_RATIO})   otherwise, above that
+ *   min(limit, a) · (1 − min({@value #MAX_LIMIT_DECREASE_RATIO}, {@value #LIMIT_DECREASE_PER_TARGET_RATIO} · d / T))   on overload, unless d falls
+ *   limit · (1 + {@value #LIMIT_RECOVERY_RATIO})   otherwise, up to {@value #RECOVERED_CAPACITY_RATIO} of the known capacity
+ *   limit · (1 + {@value #LIMIT_INCREASE_RATIO})   otherwise, above that
  * </pre>
  *
- * <p>A delay is overload where it is above T and grows, or is {@value #OVERLOAD_DELAY_RATIO} T and
- * more. One that stays a little above T is that of clients which wait for their answers: each turn
- * of the loop serves each of them once. Rejecting them would shorten turns and serve nobody, as
- * they retry at once and rejections take the time of answers (a metastable failure; Bronson et al.,
- * "Metastable Failures in Distributed Systems", HotOS 2021).
+ * <p>A delay counts as overload if it is above T and grows, or if it is at least {@value
+ * #OVERLOAD_DELAY_RATIO} T. A delay that stays slightly above T is caused by clients that wait for
+ * their answers before they send again: each turn of the loop serves each of them once. Rejecting
+ * them would shorten the turns but serve no more requests, since they retry at once and rejections
+ * use the time needed for answers (a metastable failure; Bronson et al., "Metastable Failures in
+ * Distributed Systems", HotOS 2021).
  *
- * <p>A falling delay is a queue that drains, for which the limit was decreased already. What was
- * admitted at the last overload is about the capacity, so the limit returns there fast and grows
- * slowly from there on, as CUBIC's window does (RFC 9438). In the first {@value #WARMUP_INTERVALS}
- * intervals it always returns fast. It is lifted once it has exceeded the offered rate for a
+ * <p>A falling delay shows a queue that drains, for which the limit was already decreased. The rate
+ * admitted at the last overload is about the capacity. The limit therefore rises quickly up to that
+ * rate and slowly above it, like CUBIC's window (RFC 9438). In the first {@value #WARMUP_INTERVALS}
+ * intervals it always rises quickly. It is lifted once it has exceeded the offered rate for a
  * second.
  *
  * <p>Prevents a queue before the event loop in which every request waits past its deadline. A limit
- * on the rate, rather than on a fraction of requests, also holds during a retry storm. Cost: where
- * the delay has another cause than requests, the limit falls to {@value #MIN_CAPACITY_RATIO} of the
- * recent capacity.
+ * on the rate, rather than on a fraction of requests, stays effective during a retry storm. Cost:
+ * if the delay has another cause than requests, the limit falls to {@value #MIN_CAPACITY_RATIO} of
+ * the recent capacity.
  *
  * <p>Delays are in seconds. Not thread-safe.
  */
 final class AimdRateLimit {
-  private static final double DECREASE_PER_TARGET_RATIO = 0.1;
-  private static final double MAX_DECREASE_RATIO = 0.3;
-  private static final double INCREASE_RATIO = 0.03;
-  private static final double RECOVERY_RATIO = 0.15;
+  private static final double LIMIT_DECREASE_PER_TARGET_RATIO = 0.1;
+  private static final double MAX_LIMIT_DECREASE_RATIO = 0.3;
+  private static final double LIMIT_INCREASE_RATIO = 0.03;
+  private static final double LIMIT_RECOVERY_RATIO = 0.15;
   private static final double RECOVERED_CAPACITY_RATIO = 0.9;
 
-  /** A delay below this part of the previous one is falling. */
+  /** A delay below this fraction of the previous one is falling. */
   private static final double FALLING_DELAY_RATIO = 0.8;
 
   /** A delay of at least this multiple of the target is overload, whether it grows or not. */
@@ -48,25 +50,25 @@
   /** A delay above this multiple of the previous one, or of the target if greater, is growing. */
   private static final double GROWING_DELAY_RATIO = 1.1;
 
-  /** Requests a second that any processor can serve. */
+  /** The lowest limit: a rate of requests that any processor can serve. */
   private static final double MIN_LIMIT_PER_SECOND = 10;
 
   /**
-   * The part of the recent capacity that is always admitted. Below it, the delay comes from
-   * rejections, and a lower limit would serve nobody.
+   * The fraction of the recent capacity that is always admitted. Below it, the delay is caused by
+   * the rejections themselves, and a lower limit would not reduce it.
    */
   private static final double MIN_CAPACITY_RATIO = 0.3;
 
-  /** Decay of the known capacity in each interval, as other processes may use the processor. */
+  /** Decay of the known capacity per interval, since other processes may use the processor. */
   private static final double CAPACITY_DECAY_RATIO = 0.99;
 
-  /** Consecutive intervals with an unused limit after which it is lifted. */
+  /** Consecutive intervals with an unused limit after which the limit is lifted. */
   private static final int UNUSED_INTERVALS_TO_LIFT = 10;
 
   /** A limit of at least this multiple of the offered rate is unused. */
-  private static final double UNUSED_LIMIT_RATIO = 1.2;
+  private static final double MIN_UNUSED_LIMIT_PER_OFFERED_RATE = 1.2;
 
-  /** Intervals in which code is being compiled, so that the capacity grows quickly. */
+  /** Number of intervals after the start in which JIT compilation raises the capacity quickly. */
   private static final int WARMUP_INTERVALS = 100;
 
   private final double targetDelaySeconds;
@@ -76,17 +78,17 @@
   private int unusedIntervals;
   private int warmupIntervalsLeft = WARMUP_INTERVALS;
 
-  AimdRateLimit(double target) {
-    this.targetDelaySeconds = target;
+  AimdRateLimit(double targetDelaySeconds) {
+    this.targetDelaySeconds = targetDelaySeconds;
   }
 
   /**
-   * An interval has ended.
+   * Updates the limit at the end of an interval.
    *
-   * @param delaySeconds the least delay of the event loop in it
-   * @param admittedPerSecond requests a second that were admitted
-   * @param offeredPerSecond requests a second that were offered
-   * @return requests a second that may be admitted from now on, infinite where there is no limit
+   * @param delaySeconds the minimum delay of the event loop in the interval
+   * @param admittedPerSecond requests per second that were admitted
+   * @param offeredPerSecond requests per second that were offered
+   * @return requests per second that may be admitted from now on; infinite if there is no limit
    */
   double update(double delaySeconds, double admittedPerSecond, double offeredPerSecond) {
     boolean isOverloaded =
@@ -95,13 +97,13 @@
                 > GROWING_DELAY_RATIO * Math.max(previousDelaySeconds, targetDelaySeconds);
     if (isOverloaded) {
       if (!isLimiting() || delaySeconds > FALLING_DELAY_RATIO * previousDelaySeconds) {
-        double decrease =
+        double decreaseRatio =
             Math.min(
-                MAX_DECREASE_RATIO, DECREASE_PER_TARGET_RATIO * delaySeconds / targetDelaySeconds);
+                MAX_LIMIT_DECREASE_RATIO, LIMIT_DECREASE_PER_TARGET_RATIO * delaySeconds / targetDelaySeconds);
         capacityPerSecond = Math.max(admittedPerSecond, capacityPerSecond);
         limitPerSecond =
             Math.max(
-                minLimitPerSecond(), Math.min(limitPerSecond, admittedPerSecond) * (1 - decrease));
+                minLimitPerSecond(), Math.min(limitPerSecond, admittedPerSecond) * (1 - decreaseRatio));
       }
       unusedIntervals = 0;
     } else if (isLimiting()) {
@@ -109,10 +111,12 @@
           1
               + (limitPerSecond < RECOVERED_CAPACITY_RATIO * capacityPerSecond
                       || warmupIntervalsLeft > 0
-                  ? RECOVERY_RATIO
-                  : INCREASE_RATIO);
+                  ? LIMIT_RECOVERY_RATIO
+                  : LIMIT_INCREASE_RATIO);
       unusedIntervals =
-          limitPerSecond >= UNUSED_LIMIT_RATIO * offeredPerSecond ? unusedIntervals + 1 : 0;
+          limitPerSecond >= MIN_UNUSED_LIMIT_PER_OFFERED_RATE * offeredPerSecond
+              ? unusedIntervals + 1
+              : 0;
       if (unusedIntervals >= UNUSED_INTERVALS_TO_LIFT) {
         limitPerSecond = Double.POSITIVE_INFINITY;
         unusedIntervals = 0;
@@ -128,7 +132,7 @@
     return Math.max(MIN_LIMIT_PER_SECOND, MIN_CAPACITY_RATIO * capacityPerSecond);
   }
 
-  /** Requests a second; infinite where there is no limit. */
+  /** The limit in requests per second; infinite if there is none. */
   double limitPerSecond() {
     return limitPerSecond;
   }
--- a/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
+++ b/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
@@ -1,20 +1,28 @@
 package shalepaddle.overload;
 
 /**
- * The pressure level of one resource, with hysteresis: a level is reached at once and left only
- * after several readings in a row below a lower bound. Prevents measures that switch on and off
- * with every reading. Cost: some readings at too high a level.
+ * The pressure level of one resource, with hysteresis: the level rises at once and falls only after
+ * several consecutive readings below a lower bound. Prevents measures from being switched on and
+ * off with every reading. Cost: the level stays too high for some readings.
  *
  * <p>Not thread-safe.
  */
 public final class HysteresisGauge {
-  /** Where levels begin and end, in the unit of the readings. */
+  /**
+   * The bounds between levels, in the unit of the readings.
+   *
+   * @param busy lower bound of {@link PressureLevel#BUSY}
+   * @param full lower bound of {@link PressureLevel#FULL}
+   * @param release readings up to this one may lower the level {@code BUSY}
+   * @param releaseReadings the number of consecutive low readings that lower the level
+   */
   public record Bounds(double busy, double full, double release, int releaseReadings) {
-    /** Checks that the bounds are in order. */
+    /** Checks that the bounds are in ascending order. */
     public Bounds {
       if (!(release < busy && busy < full) || releaseReadings < 1) {
         throw new IllegalArgumentException(
-            "bounds out of order: release %s, busy %s, full %s, calm readings %d"
+            ("bounds must satisfy release < busy < full and releaseReadings >= 1, but are"
+                    + " release %s, busy %s, full %s, releaseReadings %d")
                 .formatted(release, busy, full, releaseReadings));
       }
     }
@@ -24,31 +32,31 @@
   private PressureLevel level = PressureLevel.CALM;
   private int readingsBelowRelease;
 
-  /** A gauge at the lowest level. */
+  /** Creates a gauge at the lowest level. */
   public HysteresisGauge(Bounds bounds) {
     this.bounds = bounds;
   }
 
-  /** Takes in a reading and returns the level from now on; NaN changes nothing. */
-  public PressureLevel update(double value) {
-    PressureLevel now =
-        value >= bounds.full()
+  /** Updates the level by a reading and returns it. NaN does not change the level. */
+  public PressureLevel update(double reading) {
+    PressureLevel readingLevel =
+        reading >= bounds.full()
             ? PressureLevel.FULL
-            : value >= bounds.busy() ? PressureLevel.BUSY : PressureLevel.CALM;
-    if (Double.isNaN(value) || now.compareTo(level) >= 0) {
+            : reading >= bounds.busy() ? PressureLevel.BUSY : PressureLevel.CALM;
+    if (Double.isNaN(reading) || readingLevel.compareTo(level) >= 0) {
       readingsBelowRelease = 0;
-      level = Double.isNaN(value) ? level : now;
-    } else if (value > bounds.release() && level == PressureLevel.BUSY) {
+      level = Double.isNaN(reading) ? level : readingLevel;
+    } else if (reading > bounds.release() && level == PressureLevel.BUSY) {
       readingsBelowRelease = 0;
     } else if (++readingsBelowRelease >= bounds.releaseReadings()) {
-      // One step down at a time, so that load returns in parts.
+      // Lowers the level one step at a time, so that load returns gradually.
       level = level == PressureLevel.FULL ? PressureLevel.BUSY : PressureLevel.CALM;
       readingsBelowRelease = 0;
     }
     return level;
   }
 
-  /** The level that the last reading led to. */
+  /** The level after the last reading. */
   public PressureLevel level() {
     return level;
   }
--- a/core/src/main/java/shalepaddle/overload/OverloadConfig.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadConfig.java
@@ -3,16 +3,15 @@
 import shalepaddle.model.ProtocolLimits;
 
 /**
- * What an operator may configure of overload control; all other figures follow from these.
+ * The settings of overload control that an operator may change.
  *
- * @param isSheddingEnabled whether requests are rejected for a shortage of processor time at all
- * @param targetDelaySeconds seconds that every turn of the event loop may take before fewer are
- *     admitted
- * @param minAdmittedRatio the part of every tier that is admitted however short the processor is,
- *     from 0 to 1
+ * @param isSheddingEnabled whether requests are rejected when processor time is short
+ * @param targetDelaySeconds the minimum turn length of the event loop, in seconds, above which
+ *     fewer requests are admitted
+ * @param minAdmittedRatio the fraction of every tier that is always admitted, from 0 to 1
  * @param retryRatio retries admitted for each first attempt while requests are rejected
  * @param maxQueueSeconds seconds for which a request may wait for the event loop before it is
- *     refused
+ *     rejected
  * @param minRetryAfterSeconds the shortest Retry-After of a rejection in seconds
  */
 public record OverloadConfig(
@@ -23,20 +22,21 @@
     double maxQueueSeconds,
     double minRetryAfterSeconds) {
   /**
-   * Turns of 10 ms are short against requests of 50 ms and more; a fiftieth of every tier shows
-   * what serving it would cost; one retry in ten first attempts repairs single failures and feeds
-   * no retry storm.
+   * The default values. A target of 10 ms per turn is short compared with requests, which take 50
+   * ms or more. Admitting 2% of every tier shows what serving it would cost. One retry per ten
+   * first attempts covers single failures without supporting a retry storm.
    */
   public static final OverloadConfig DEFAULT = new OverloadConfig(true, 0.01, 0.02, 0.1, 0.05, 0.1);
 
-  /** Measures and reports, and rejects nothing. */
+  /** The settings with which overload is only measured and reported, and no request is rejected. */
   public static final OverloadConfig DISABLED =
       new OverloadConfig(false, 0.01, 0.02, 0.1, 0.05, 0.1);
 
   /**
    * Checks the values.
    *
-   * @throws IllegalArgumentException if one is out of its range; the message names it and the range
+   * @throws IllegalArgumentException if a value is out of its range; the message names its setting
+   *     and the range
    */
   public OverloadConfig {
     ProtocolLimits.checkRange("target_ms", targetDelaySeconds * 1e3, 1, 1000);
--- a/core/src/main/java/shalepaddle/overload/OverloadControl.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadControl.java
@@ -6,24 +6,24 @@
 import shalepaddle.model.Settings;
 
 /**
- * All decisions on a load balancer's own overload in one place: fed with what is measured of the
- * process, asked about each request and for the {@link DegradationPolicy}.
+ * Entry point for all decisions on a load balancer's own overload. Receives measurements of the
+ * process, decides whether each request is admitted, and provides the {@link DegradationPolicy}.
  *
  * <p>A standing delay of the event loop (its minimum over an interval) has three effects: requests
- * are admitted by their priority, {@link AdmissionController}; connections that send the most are
- * read from in turns, {@link DegradationPolicy#heavyReaderRatio}; and requests that have been read
- * wait in the {@link AdmissionQueue}, whose oldest item counts as delay too. Memory and descriptors
- * have answers of their own.
+ * are admitted by their priority, see {@link AdmissionController}; connections that send the most
+ * requests are read from in turns, see {@link DegradationPolicy#heavyReaderRatio}; and requests
+ * that have been read wait in the {@link AdmissionQueue}, whose oldest item also counts as delay.
+ * Shortages of memory and of descriptors have their own measures.
  *
- * <p>Time is an argument, in nanoseconds. Not thread-safe: it belongs to one event loop.
+ * <p>Time is an argument, in nanoseconds. Not thread-safe: owned by one event loop.
  */
 public final class OverloadControl {
-  /** The answer to a request that is admitted. */
+  /** The result of {@link #admit} for an admitted request. */
   public static final long ADMITTED = -1;
 
   /**
-   * Added to the Retry-After of a rejection of a retry, marked or inferred. Above any Retry-After
-   * in milliseconds.
+   * A flag that is added to the Retry-After when the rejected request is a retry, marked or
+   * inferred. Greater than any Retry-After in milliseconds.
    */
   public static final long RETRY_FLAG = 1L << 40;
 
@@ -31,7 +31,7 @@
   private final OverloadConfig config;
   private PriorityTiers tiers;
   private final OverloadMeter meter;
-  private final AdmissionController admission;
+  private final AdmissionController admissionController;
   private TenantQuotas quotas;
   private final RetryInference retryInference = new RetryInference();
   private DegradationPolicy degradationPolicy = DegradationPolicy.CALM;
@@ -42,67 +42,69 @@
   private double descriptorRatio;
 
   /**
-   * All levels are at their lowest.
+   * Creates the control with all pressure levels at their lowest.
    *
-   * @param seed of random rejections
-   * @param listener is notified of changes of a level
+   * @param seed seed of random rejections
+   * @param listener receives changes of a level
    */
   public OverloadControl(
       Settings settings, OverloadConfig config, long seed, OverloadMeter.Listener listener) {
     this.config = config;
-    admission = new AdmissionController(config, seed);
+    admissionController = new AdmissionController(config, seed);
     meter = new OverloadMeter(listener);
     updateSettings(settings);
   }
 
   /**
-   * Replaces service classes and tenants. The limit on all requests together is kept, as the
-   * capacity of the process is unchanged; the rates of the tiers, which distribute it, are measured
-   * again. Queues of {@link #newAdmissionQueue} keep the tiers of the settings at their creation.
+   * Replaces service classes and tenants. The limit on all requests together stays, since the
+   * capacity of the process is unchanged. The rates of the tiers, by which the limit is
+   * distributed, are measured again. Queues from {@link #newAdmissionQueue} keep the tiers of the
+   * settings at their creation.
    */
-  public void updateSettings(Settings next) {
-    settings = next;
-    tiers = new PriorityTiers(next.services(), next.overQuotaWeightRatio());
-    admission.resetTiers(tiers.count());
-    quotas = new TenantQuotas(next.tenants(), next.instances());
+  public void updateSettings(Settings newSettings) {
+    settings = newSettings;
+    tiers = new PriorityTiers(newSettings.services(), newSettings.overQuotaWeightRatio());
+    admissionController.resetTiers(tiers.count());
+    quotas = new TenantQuotas(newSettings.tenants(), newSettings.instances());
   }
 
-  /** A queue for requests that were admitted and wait for the event loop. */
+  /** Creates a queue for admitted requests that wait for the event loop. */
   public <T> AdmissionQueue<T> newAdmissionQueue(int maxItems, Consumer<T> onRejected) {
     return new AdmissionQueue<>(
         tiers.count(), maxItems, (long) (config.maxQueueSeconds() * 1e9), onRejected);
   }
 
   /**
-   * A turn of the event loop has ended.
+   * Records the end of a turn of the event loop.
    *
-   * @param beganAtNanos when it began, now for one in which nothing had come
+   * @param beganAtNanos when the turn began; equal to {@code now} if it had nothing to do
    * @param oldestWaitNanos how long the oldest item has waited in the {@link AdmissionQueue}, 0 if
    *     none waits
    */
   public void onLoopTurnEnd(long beganAtNanos, long now, long oldestWaitNanos) {
     double standingDelaySeconds =
         meter.onLoopTurnEnd(
-            Math.min(beganAtNanos, now - oldestWaitNanos), now, admission.isLimiting());
+            Math.min(beganAtNanos, now - oldestWaitNanos), now, admissionController.isLimiting());
     if (!Double.isNaN(standingDelaySeconds)) {
       delaySeconds = standingDelaySeconds;
-      admission.onIntervalEnd(standingDelaySeconds, now);
+      admissionController.onIntervalEnd(standingDelaySeconds, now);
       updateDegradationPolicy();
     }
   }
 
-  /** The event loop was stalled until now, for a time in nanoseconds. */
-  public void onEventLoopStall(long nanos, long now) {
-    meter.onEventLoopStall(nanos, now);
+  /** Records a stall of the event loop, in nanoseconds, that ends now. */
+  public void onEventLoopStall(long stallNanos, long now) {
+    meter.onEventLoopStall(stallNanos, now);
   }
 
   /**
-   * The use of each resource, as a fraction of its limit; to be called several times in 100 ms.
+   * Records the use of each resource as a fraction of its limit; must be called several times per
+   * 100 ms.
    *
-   * @param processorRatio of the cores that the process may use, NaN if unknown: reported, and
-   *     never a reason to reject, as a process that uses all of it and is on time serves everybody
-   * @param memoryRatio of the heap or of the memory outside of it, whichever is higher
-   * @param descriptorRatio of the file descriptors
+   * @param processorRatio use of the cores that the process may use, NaN if unknown; only reported,
+   *     since a process that uses all of its cores but has no delay need not reject requests
+   * @param memoryRatio use of the heap or of off-heap memory, whichever is higher
+   * @param descriptorRatio use of the file descriptors
    */
   public void onResourceUsage(
       double processorRatio, double memoryRatio, double descriptorRatio, long now) {
@@ -119,27 +121,28 @@
             level(Resource.CPU), level(Resource.MEMORY), level(Resource.DESCRIPTORS));
   }
 
-  /** Whether requests may be rejected now, for delay or for client connections. */
+  /** Whether requests may be rejected now, due to delay or to the use of client connections. */
   public boolean isShedding() {
-    return admission.isLimiting()
+    return admissionController.isLimiting()
         || connectionSlotRatio >= ConnectionSlotReservation.MIN_REJECTING_USE_RATIO;
   }
 
-  /** This part of the connections that clients may hold for requests is in use now. */
+  /** Records which fraction of the connections that clients may open for requests is in use now. */
   public void onConnectionSlotUsage(double usedRatio) {
     connectionSlotRatio = config.isSheddingEnabled() ? usedRatio : 0;
   }
 
   /**
-   * A request has come.
+   * Decides whether a request is admitted.
    *
-   * @param serviceClass the place of its class in the settings; one past the last has been dropped
-   *     and is admitted, for the moment in which its clients hear of that
-   * @param tenant the place of its tenant there, -1 for none that is known
+   * @param serviceClass the index of its class in the settings; an index beyond the last class
+   *     belongs to a removed class, whose requests are admitted until its clients know of the
+   *     removal
+   * @param tenant the index of its tenant in the settings, -1 if unknown
    * @param keyHash a hash of its key
    * @param isMarkedRetry whether its client marked it as a retry
-   * @return {@link #ADMITTED}, or in how many milliseconds its client should come again, 0 for no
-   *     advice, with {@link #RETRY_FLAG} added where it has come again
+   * @return {@link #ADMITTED}, or the Retry-After of the rejection in milliseconds, 0 for no
+   *     advice, plus {@link #RETRY_FLAG} if the request is a retry
    */
   public long admit(int serviceClass, int tenant, long keyHash, boolean isMarkedRetry, long now) {
     if (serviceClass >= settings.services().size()) {
@@ -150,16 +153,16 @@
     if (ConnectionSlotReservation.rejects(tier, tiers.count(), connectionSlotRatio)) {
       return retryAfterMillis() + (isMarkedRetry ? RETRY_FLAG : 0);
     }
-    if (!admission.isLimiting()) {
-      // Counted only; retries need not be told apart before anything is rejected.
-      admission.admit(tier, isMarkedRetry);
+    if (!admissionController.isLimiting()) {
+      // This call only counts the request. Retries are not inferred before a request is rejected.
+      admissionController.admit(tier, isMarkedRetry);
       return ADMITTED;
     }
     boolean isRetry =
         isMarkedRetry
             || (!settings.clientsMarkRetries()
                 && retryInference.isLikelyRetry(keyHash, serviceClass, now));
-    if (admission.admit(tiers.of(serviceClass, isRetry, isOverQuota), isRetry)) {
+    if (admissionController.admit(tiers.of(serviceClass, isRetry, isOverQuota), isRetry)) {
       return ADMITTED;
     }
     if (!settings.clientsMarkRetries()) {
@@ -168,11 +171,11 @@
     return retryAfterMillis() + (isRetry ? RETRY_FLAG : 0);
   }
 
-  /** Retry-After of a rejection now in milliseconds, 0 for none. */
+  /** The Retry-After of a rejection now, in milliseconds; 0 for none. */
   public long retryAfterMillis() {
     return settings.limits().sendsRetryAfter()
         ? Math.round(
-            1e3 * Math.min(settings.limits().maxRetryAfterSeconds(), admission.retryAfterSeconds()))
+            1e3 * Math.min(settings.limits().maxRetryAfterSeconds(), admissionController.retryAfterSeconds()))
         : 0;
   }
 
@@ -188,7 +191,7 @@
     return tiers.count() - 1;
   }
 
-  /** The degradation policy that holds now. */
+  /** The current degradation policy. */
   public DegradationPolicy degradationPolicy() {
     return degradationPolicy;
   }
@@ -198,16 +201,16 @@
     return meter.level(resource);
   }
 
-  /** What operators see of overload, at this moment. */
+  /** The current overload figures for operators. */
   public OverloadSnapshot snapshot() {
-    List<OverloadSnapshot.Tier> each =
+    List<OverloadSnapshot.Tier> tierSnapshots =
         IntStream.range(0, tiers.count())
             .mapToObj(
                 tier ->
                     new OverloadSnapshot.Tier(
-                        admission.admittedRatio(tier),
-                        admission.offeredCount(tier),
-                        admission.rejectedCount(tier)))
+                        admissionController.admittedRatio(tier),
+                        admissionController.offeredCount(tier),
+                        admissionController.rejectedCount(tier)))
             .toList();
     return new OverloadSnapshot(
         level(Resource.CPU),
@@ -217,8 +220,8 @@
         processorRatio,
         memoryRatio,
         descriptorRatio,
-        admission.limitPerSecond(),
-        admission.rejectedRetryCount(),
-        each);
+        admissionController.limitPerSecond(),
+        admissionController.rejectedRetryCount(),
+        tierSnapshots);
   }
 }
--- a/core/src/main/java/shalepaddle/overload/OverloadMeter.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadMeter.java
@@ -4,128 +4,137 @@
 import java.util.Map;
 
 /**
- * The levels of all resources of the own process, from readings of it. Tells each change of a level
- * once, with the figure that made it.
+ * Determines the pressure levels of this process's resources from readings. Reports each change of
+ * a level once, with the reading that caused it.
  *
- * <p>CPU is judged by the delay that stands in the event loop, not by the share of the processor in
- * use: a loop that is busy all the time and never late serves everybody, and where others take the
- * processor away it is late with little use of its own. The delay is the length of the loop's
- * turns: how late a timer runs tells it too, but a timer comes due anywhere in a turn, so that the
- * least of some such delays is next to nothing however long the turns are. Memory and descriptors
- * are judged by the part of the limit that is in use, memory by what stands over an interval, so
- * that garbage which the next collection takes does not count.
+ * <p>The CPU level depends on the standing delay of the event loop, not on the processor usage: a
+ * loop that is always busy but never late serves all requests, and when other processes use the
+ * processor, the loop is late with little usage of its own. The delay is the length of the loop's
+ * turns. The lateness of a timer would be a worse measure: a timer may be due at any point of a
+ * turn, so the minimum over several timers is near zero even if the turns are long. The levels of
+ * memory and descriptors depend on the fraction of the limit in use. For memory this is the minimum
+ * over an interval, so that garbage which the next collection frees does not count.
  *
- * <p>Not thread-safe: it belongs to the event loop that it measures.
+ * <p>Not thread-safe: owned by the event loop that it measures.
  */
 public final class OverloadMeter {
   /**
-   * Seconds that every turn of the loop takes. Requests here wait for 50 ms and more at servers, so
-   * that 10 ms are seen by nobody; at 30 ms the loop's own part shows in every answer.
+   * Bounds of the minimum turn length of the loop, in seconds. Requests wait for 50 ms or more at
+   * servers, so that 10 ms are not noticeable; at 30 ms the loop adds noticeably to every answer.
    */
-  public static final HysteresisGauge.Bounds DELAY =
+  public static final HysteresisGauge.Bounds DELAY_BOUNDS =
       new HysteresisGauge.Bounds(0.01, 0.03, 0.004, 10);
 
-  /** Parts of the memory limit; the rest is what a collection or a burst needs. */
-  public static final HysteresisGauge.Bounds MEMORY = new HysteresisGauge.Bounds(0.8, 0.92, 0.7, 2);
+  /**
+   * Bounds of the memory use, as fractions of the memory limit; the rest is needed by a garbage
+   * collection or a burst.
+   */
+  public static final HysteresisGauge.Bounds MEMORY_BOUNDS =
+      new HysteresisGauge.Bounds(0.8, 0.92, 0.7, 2);
 
-  /** Parts of the descriptors that the process may hold. */
-  public static final HysteresisGauge.Bounds DESCRIPTORS =
+  /** Bounds of the descriptor use, as fractions of the descriptors that the process may open. */
+  public static final HysteresisGauge.Bounds DESCRIPTOR_BOUNDS =
       new HysteresisGauge.Bounds(0.85, 0.95, 0.75, 10);
 
   private static final long INTERVAL_NANOS = 100_000_000L;
 
-  /** Long enough to hold a collection where memory is used up. */
+  /**
+   * The interval of the memory minimum: long enough to include a garbage collection when memory is
+   * nearly exhausted.
+   */
   private static final long MEMORY_INTERVAL_NANOS = 2_000_000_000L;
 
   /**
-   * After a stall the loop works off what came during it, which takes about as long as the stall.
-   * Turns are ignored for that time, at most for this long.
+   * The longest time after a stall in which turns are ignored. The loop first processes what
+   * arrived during the stall, which takes about as long as the stall.
    */
   private static final long MAX_GRACE_NANOS = 1_000_000_000L;
 
-  /** Receives changes of a level. */
+  /** Receives changes of pressure levels. */
   @FunctionalInterface
   public interface Listener {
     /**
-     * A level has changed.
+     * Reports that a level has changed.
      *
-     * @param figure seconds of standing delay for the processor, a part of the limit for others
+     * @param reading the standing delay in seconds for {@link Resource#CPU}, fraction of the limit
+     *     for the other resources
      */
-    void changed(Resource resource, PressureLevel before, PressureLevel now, double figure);
+    void changed(Resource resource, PressureLevel previousLevel, PressureLevel newLevel, double reading);
   }
 
-  private final MinimumOverInterval delay = new MinimumOverInterval(INTERVAL_NANOS);
-  private final MinimumOverInterval memory = new MinimumOverInterval(MEMORY_INTERVAL_NANOS);
-  private final MinimumOverInterval descriptors = new MinimumOverInterval(INTERVAL_NANOS);
+  private final MinimumOverInterval minDelay = new MinimumOverInterval(INTERVAL_NANOS);
+  private final MinimumOverInterval minMemoryRatio = new MinimumOverInterval(MEMORY_INTERVAL_NANOS);
+  private final MinimumOverInterval minDescriptorRatio = new MinimumOverInterval(INTERVAL_NANOS);
   private final Map<Resource, HysteresisGauge> gauges = new EnumMap<>(Resource.class);
   private final Listener listener;
   private long graceUntilNanos;
   private boolean isInGrace;
 
-  /** All levels are at their lowest. */
+  /** Creates a meter with all levels at their lowest. */
   public OverloadMeter(Listener listener) {
     this.listener = listener;
-    gauges.put(Resource.CPU, new HysteresisGauge(DELAY));
-    gauges.put(Resource.MEMORY, new HysteresisGauge(MEMORY));
-    gauges.put(Resource.DESCRIPTORS, new HysteresisGauge(DESCRIPTORS));
+    gauges.put(Resource.CPU, new HysteresisGauge(DELAY_BOUNDS));
+    gauges.put(Resource.MEMORY, new HysteresisGauge(MEMORY_BOUNDS));
+    gauges.put(Resource.DESCRIPTORS, new HysteresisGauge(DESCRIPTOR_BOUNDS));
   }
 
   /**
-   * The process did not run until now, for a time in nanoseconds. Turns are ignored until the loop
+   * Records a stall of the process, in nanoseconds, that ends now. Turns are ignored until the loop
    * has had time to catch up, so that a garbage collection or a stopped process is not taken for
    * overload.
    */
-  public void onEventLoopStall(long nanos, long now) {
+  public void onEventLoopStall(long stallNanos, long now) {
     isInGrace = true;
-    graceUntilNanos = now + Math.min(nanos, MAX_GRACE_NANOS);
+    graceUntilNanos = now + Math.min(stallNanos, MAX_GRACE_NANOS);
   }
 
   /**
-   * A turn of the loop ends that began then: what came in it had to wait for as long, half of it on
-   * average.
+   * Records the end of a turn of the loop. Its length is the longest time that a request which
+   * arrived during the turn had to wait; the average wait is half of it.
    *
-   * @param isShedding whether requests are rejected: as long as they are, the processor is short,
-   *     however low rejections keep the delay
-   * @return the least delay in seconds of the interval that ends now, NaN if none ends
+   * @param isShedding whether requests are rejected; the level then stays at least {@link
+   *     PressureLevel#BUSY}, since the delay is low only because of the rejections
+   * @return the minimum delay in seconds of the interval that ends now, NaN if none ends
    */
   public double onLoopTurnEnd(long beganAtNanos, long now, boolean isShedding) {
     if (isInGrace && now - graceUntilNanos < 0) {
-      delay.restart(now);
+      minDelay.restart(now);
       return Double.NaN;
     }
     isInGrace = false;
-    delay.add(Math.max(0, now - beganAtNanos) / 1e9);
-    if (!delay.isIntervalOver(now)) {
+    minDelay.add(Math.max(0, now - beganAtNanos) / 1e9);
+    if (!minDelay.isIntervalOver(now)) {
       return Double.NaN;
     }
-    double delaySeconds = delay.takeMinimum(now);
-    update(Resource.CPU, isShedding ? Math.max(delaySeconds, DELAY.busy()) : delaySeconds);
+    double delaySeconds = minDelay.takeMinimum(now);
+    update(Resource.CPU, isShedding ? Math.max(delaySeconds, DELAY_BOUNDS.busy()) : delaySeconds);
     return delaySeconds;
   }
 
   /**
-   * The use of each resource, as a fraction of its limit; to be called several times in 100 ms.
+   * Records the use of each resource as a fraction of its limit; must be called several times per
+   * 100 ms.
    *
-   * @param memoryRatio of the heap or of the memory outside of it, whichever is higher
-   * @param descriptorRatio of the file descriptors
+   * @param memoryRatio use of the heap or of off-heap memory, whichever is higher
+   * @param descriptorRatio use of the file descriptors
    */
   public void onResourceUsage(double memoryRatio, double descriptorRatio, long now) {
-    memory.add(memoryRatio);
-    descriptors.add(descriptorRatio);
-    if (memory.isIntervalOver(now)) {
-      update(Resource.MEMORY, memory.takeMinimum(now));
+    minMemoryRatio.add(memoryRatio);
+    minDescriptorRatio.add(descriptorRatio);
+    if (minMemoryRatio.isIntervalOver(now)) {
+      update(Resource.MEMORY, minMemoryRatio.takeMinimum(now));
     }
-    if (descriptors.isIntervalOver(now)) {
-      update(Resource.DESCRIPTORS, descriptors.takeMinimum(now));
+    if (minDescriptorRatio.isIntervalOver(now)) {
+      update(Resource.DESCRIPTORS, minDescriptorRatio.takeMinimum(now));
     }
   }
 
-  private void update(Resource resource, double figure) {
+  private void update(Resource resource, double reading) {
     HysteresisGauge gauge = gauges.get(resource);
-    PressureLevel before = gauge.level();
-    PressureLevel now = gauge.update(figure);
-    if (now != before) {
-      listener.changed(resource, before, now, figure);
+    PressureLevel previousLevel = gauge.level();
+    PressureLevel newLevel = gauge.update(reading);
+    if (newLevel != previousLevel) {
+      listener.changed(resource, previousLevel, newLevel, reading);
     }
   }
 
--- a/core/src/main/java/shalepaddle/overload/PressureLevel.java
+++ b/core/src/main/java/shalepaddle/overload/PressureLevel.java
@@ -2,11 +2,11 @@
 
 /** How short a {@link Resource} is. */
 public enum PressureLevel {
-  /** There is enough. */
+  /** The resource is not short. */
   CALM(0),
-  /** It is getting short: the measures of {@link DegradationPolicy} begin. */
+  /** The resource is getting short: the measures of {@link DegradationPolicy} begin. */
   BUSY(1),
-  /** It is nearly exhausted: those measures are at their strictest. */
+  /** The resource is nearly exhausted: the measures are at their strictest. */
   FULL(2);
 
   private final int severity;
@@ -15,7 +15,7 @@
     this.severity = severity;
   }
 
-  /** 0 where enough is left, up to 2; the value that metrics show. */
+  /** The level as a number from 0 (sufficient) to 2 (nearly exhausted), as shown in metrics. */
   public int severity() {
     return severity;
   }
--- a/core/src/main/java/shalepaddle/overload/PriorityTiers.java
+++ b/core/src/main/java/shalepaddle/overload/PriorityTiers.java
@@ -8,10 +8,11 @@
  * The priority tiers of requests: tier 0 is the highest, and all requests of one tier have the same
  * priority weight.
  *
- * <p>All requests cost the event loop about the same, so the weight alone makes the order. A retry
- * counts half of a first attempt, as it has cost a request already and has less time left; a
- * request over its tenant's quota counts what the settings say. The order is that of DAGOR's
- * priority levels (Zhou et al., "Overload Control for Scaling WeChat Microservices", 2018).
+ * <p>All requests cost the event loop about the same, so their order depends on the weight only. A
+ * retry has half the weight of a first attempt, since the first attempt has already been paid for
+ * and less time is left. The weight of a request above its tenant's quota is reduced by a ratio
+ * from the settings. The scheme follows DAGOR's priority levels (Zhou et al., "Overload Control for
+ * Scaling WeChat Microservices", 2018).
  *
  * <p>Immutable.
  */
@@ -19,24 +20,24 @@
   private static final double RETRY_WEIGHT_RATIO = 0.5;
 
   private final int[] tiers;
-  private final int count;
+  private final int tierCount;
 
-  /** The tiers of the classes, in the order in which the settings name them. */
-  public PriorityTiers(List<Settings.ServiceClass> classes, double overQuotaWeightRatio) {
-    double[] weights = new double[classes.size() * 4];
-    TreeSet<Double> distinct = new TreeSet<>();
+  /** Creates the tiers of service classes, given in the order of the settings. */
+  public PriorityTiers(List<Settings.ServiceClass> serviceClasses, double overQuotaWeightRatio) {
+    double[] weights = new double[serviceClasses.size() * 4];
+    TreeSet<Double> distinctWeights = new TreeSet<>();
     for (int i = 0; i < weights.length; i++) {
-      double weight = Math.max(0, classes.get(i / 4).priorityWeight());
+      double weight = Math.max(0, serviceClasses.get(i / 4).priorityWeight());
       weights[i] =
           weight
               * ((i & 1) != 0 ? RETRY_WEIGHT_RATIO : 1)
               * ((i & 2) != 0 ? overQuotaWeightRatio : 1);
-      distinct.add(weights[i]);
+      distinctWeights.add(weights[i]);
     }
-    count = Math.max(1, distinct.size());
+    tierCount = Math.max(1, distinctWeights.size());
     tiers = new int[weights.length];
     for (int i = 0; i < weights.length; i++) {
-      tiers[i] = distinct.tailSet(weights[i], false).size();
+      tiers[i] = distinctWeights.tailSet(weights[i], false).size();
     }
   }
 
@@ -51,8 +52,8 @@
     return tiers[4 * serviceClass + (isRetry ? 1 : 0) + (isOverQuota ? 2 : 0)];
   }
 
-  /** How many tiers there are. */
+  /** The number of tiers. */
   public int count() {
-    return count;
+    return tierCount;
   }
 }
--- a/core/src/main/java/shalepaddle/overload/Resource.java
+++ b/core/src/main/java/shalepaddle/overload/Resource.java
@@ -1,11 +1,11 @@
 package shalepaddle.overload;
 
-/** What a process can run short of, each with its own measures. */
+/** A resource that a process can run short of; each has its own countermeasures. */
 public enum Resource {
   /** Processor time: requests wait for the event loop. */
   CPU,
-  /** Memory, on the heap or outside of it. */
+  /** Memory, on the heap or off-heap. */
   MEMORY,
-  /** File descriptors, sockets among them. */
+  /** File descriptors, including sockets. */
   DESCRIPTORS
 }
--- a/core/src/main/java/shalepaddle/overload/TenantQuotas.java
+++ b/core/src/main/java/shalepaddle/overload/TenantQuotas.java
@@ -4,20 +4,24 @@
 import shalepaddle.model.Settings;
 
 /**
- * Which tenants are over their quota: a token bucket for each, filled by its quota divided by the
- * number of instances, and holding one second of it. A tenant without a quota is never over it.
+ * Determines which tenants exceed their quota. Each tenant has a token bucket, which is refilled at
+ * its quota divided by the number of instances and holds one second of that rate. A tenant without
+ * a quota never exceeds it.
  *
  * <p>Time is an argument, in nanoseconds. Not thread-safe.
  */
 public final class TenantQuotas {
-  /** Tolerates an uneven distribution of requests over instances. */
+  /**
+   * The size of a tenant's token bucket, in seconds of its refill rate; tolerates an uneven
+   * distribution of requests over instances.
+   */
   private static final double BURST_SECONDS = 1;
 
   private final double[] quotasPerSecond;
   private final double[] tokens;
   private final long[] refilledAtNanos;
 
-  /** Full buckets, of the tenants in the order in which the settings name them. */
+  /** Creates full buckets for the tenants, given in the order of the settings. */
   public TenantQuotas(List<Settings.Tenant> tenants, int instances) {
     quotasPerSecond =
         tenants.stream()
@@ -26,15 +30,18 @@
     tokens = new double[quotasPerSecond.length];
     refilledAtNanos = new long[quotasPerSecond.length];
     for (int i = 0; i < quotasPerSecond.length; i++) {
-      tokens[i] = burst(i);
+      tokens[i] = burstTokens(i);
     }
   }
 
-  private double burst(int tenant) {
+  private double burstTokens(int tenant) {
     return Math.max(1, quotasPerSecond[tenant] * BURST_SECONDS);
   }
 
-  /** Counts a request of this tenant, -1 if unknown; returns whether it is over the quota. */
+  /**
+   * Counts a request of a tenant, -1 if unknown; returns whether the request exceeds the tenant's
+   * quota.
+   */
   public boolean isOverQuota(int tenant, long now) {
     if (tenant < 0 || quotasPerSecond[tenant] == 0) {
       return false;
@@ -42,7 +49,7 @@
     if (refilledAtNanos[tenant] != 0) {
       tokens[tenant] =
           Math.min(
-              burst(tenant),
+              burstTokens(tenant),
               tokens[tenant]
                   + Math.max(0, now - refilledAtNanos[tenant]) / 1e9 * quotasPerSecond[tenant]);
     }
--- a/core/src/main/java/shalepaddle/policy/LoadSampler.java
+++ b/core/src/main/java/shalepaddle/policy/LoadSampler.java
@@ -7,20 +7,20 @@
 import shalepaddle.policy.health.ServerHealth;
 
 /**
- * What the outcome of an attempt shows of its server's load, for the server's load score. Fetches
- * are left out, as a slow origin makes them, and the hits behind them, late everywhere.
+ * Derives samples for a server's load score from the outcomes of its attempts. Fetches are left
+ * out: a slow origin delays them, and the hits queued behind them, at every server alike.
  *
  * <p>Times are in seconds. Not thread-safe: owned by one router, whose state of health and fetches
  * it reads.
  */
 final class LoadSampler {
-  /** The part of a latency objective that a response from the cache may take for a score of 1. */
+  /** Latency of a cache hit that gives a score of 1, as a fraction of the latency objective. */
   private static final double FAIR_LATENCY_RATIO = 0.4;
 
-  /** Use of its cores at which a server's queue grows long, for a score of 1. */
+  /** CPU utilization that gives a score of 1; a server's queue grows long above it. */
   private static final double FAIR_UTILIZATION_RATIO = 0.85;
 
-  /** The score of an attempt that was not served. */
+  /** Load score of an attempt that was not served; 1 is the highest fair load of a server. */
   private static final double NOT_SERVED_SCORE = 2;
 
   private final FleetHealth fleet;
@@ -46,19 +46,21 @@
       server.recordLoad(nowSeconds, outcome.activeSeconds() / fairSeconds, fleet.fairScore());
     } else if (outcome.isObservedTimeout()
         || (outcome.result() == Result.SERVER_BUSY && server.isFailingRepeatedly())) {
-      // One that rejects single reads lacks capacity for fetches, and serves what it has cached.
+      // A single busy reply does not count: the server may lack capacity for fetches only, and
+      // still serve what it has cached.
       server.recordLoad(nowSeconds, NOT_SERVED_SCORE, fleet.fairScore());
     }
   }
 
-  /** Whether the outcome is that of a fetch, and so the origin's rather than the server's. */
+  /** Whether the attempt was a fetch whose outcome is due to the origin, not to the server. */
   private boolean isFetchOfOrigin(
       double nowSeconds, PendingRequest request, ServerHealth server, Outcome outcome) {
-    boolean fetch = request.isFetch(outcome.attempt()) || outcome.cacheStatus().isMiss();
-    // A server that hangs has no hits to show it: while fetches succeed elsewhere, it is blamed.
-    boolean hangs =
+    boolean isFetch = request.isFetch(outcome.attempt()) || outcome.cacheStatus().isMiss();
+    // A hanging server completes no hits that would raise its score. Its timed-out fetches count
+    // against it while fetches at other servers succeed.
+    boolean isHanging =
         outcome.result() == Result.TIMEOUT
             && (!fetchLimiter.isOriginDegraded() || fleet.isOutlier(nowSeconds, server));
-    return fetch && !hangs && outcome.cacheStatus() != Outcome.CacheStatus.HIT;
+    return isFetch && !isHanging && outcome.cacheStatus() != Outcome.CacheStatus.HIT;
   }
 }
--- a/core/src/main/java/shalepaddle/policy/PendingRequest.java
+++ b/core/src/main/java/shalepaddle/policy/PendingRequest.java
@@ -11,9 +11,9 @@
 import shalepaddle.policy.placement.HotKeyReplication;
 
 /**
- * A request without a final answer, or with attempts still in flight, and all of its attempts. It
- * keeps two rules of the contract: every request gets one final answer, and no request takes effect
- * twice.
+ * A request that has no final answer yet or still has attempts in flight, with all of its attempts.
+ * Enforces two guarantees to clients: every request gets exactly one final answer, and no request
+ * takes effect twice.
  *
  * <p>Times are in seconds. Not thread-safe: owned by one router.
  */
@@ -33,10 +33,10 @@
     }
   }
 
-  /** Whether the final answer is still to come. */
+  /** The progress of the request's final answer. */
   private enum State {
     OPEN,
-    /** A streamed answer has begun and goes on without a deadline. */
+    /** A streamed answer has begun; the deadline no longer applies. */
     STREAMING,
     ANSWERED
   }
@@ -52,10 +52,10 @@
   private double deadlineSeconds;
   private int replicas = 1;
   private int firstReplica;
-  private int localJumps;
+  private int ownZoneJumps;
   private int attemptsInFlight;
 
-  /** A request that has just come; it follows the limits that hold now. */
+  /** Creates a request that arrives now; later changes of the limits do not affect it. */
   PendingRequest(
       Request request,
       Settings.ServiceClass serviceClass,
@@ -83,7 +83,7 @@
     return serviceClass;
   }
 
-  /** Identifies the request in timer tokens: even, above 0 and unique within its router. */
+  /** The number that identifies the request in timer tokens: even, above 0, unique per router. */
   long serial() {
     return serial;
   }
@@ -92,7 +92,7 @@
     return arrivedAtSeconds;
   }
 
-  /** The hash of the key; of the id where the request names no key. */
+  /** The hash of the key, or of the request id if the request has no key. */
   @Override
   public long keyHash() {
     return keyHash;
@@ -104,32 +104,35 @@
   }
 
   @Override
-  public void assignReplicas(int replicas, int localJumps, int firstReplica) {
+  public void assignReplicas(int replicas, int ownZoneJumps, int firstReplica) {
     this.replicas = replicas;
-    this.localJumps = localJumps;
+    this.ownZoneJumps = ownZoneJumps;
     this.firstReplica = firstReplica;
   }
 
-  /** How many jumps look for a server in the own zone before any server may take it. */
+  /** The number of ring jumps restricted to servers of the own zone, before all zones are tried. */
   int localJumps() {
-    return localJumps;
+    return ownZoneJumps;
   }
 
-  /** The attempt number to hash the key with at a jump: its replicas in turn, then onward. */
-  int hashAttempt(int jump) {
-    if (jump < localJumps) {
-      return (firstReplica + jump) % localJumps;
+  /**
+   * The attempt number to hash the key with at a ring jump: first the key's replicas in turn, then
+   * the later positions of its hash sequence.
+   */
+  int hashAttempt(int ringJump) {
+    if (ringJump < ownZoneJumps) {
+      return (firstReplica + ringJump) % ownZoneJumps;
     }
-    int onward = jump - localJumps;
-    return onward < replicas ? (firstReplica + onward) % replicas : onward;
+    int jumpInAllZones = ringJump - ownZoneJumps;
+    return jumpInAllZones < replicas ? (firstReplica + jumpInAllZones) % replicas : jumpInAllZones;
   }
 
-  /** When its client stops waiting. */
+  /** The time at which the client stops waiting. */
   double deadlineSeconds() {
     return deadlineSeconds;
   }
 
-  /** Another client, which waits until then, shares the answer of this request. */
+  /** Extends the deadline to that of another client that shares the answer. */
   void extendDeadline(double untilSeconds) {
     deadlineSeconds = Math.max(deadlineSeconds, untilSeconds);
   }
@@ -149,7 +152,7 @@
     }
   }
 
-  /** The final answer is given, or nobody waits for it. */
+  /** Marks the request as answered, or as abandoned by its client. */
   void markAnswered() {
     state = State.ANSWERED;
   }
@@ -185,7 +188,7 @@
     attemptsInFlight++;
   }
 
-  /** An attempt has ended; false if it was not in flight. */
+  /** Records the end of an attempt; returns false if it was not in flight. */
   boolean onAttemptEnded(int attempt, boolean provenNotRun) {
     if (!isInFlight(attempt)) {
       return false;
@@ -197,29 +200,30 @@
   }
 
   /**
-   * Seconds in which one more attempt may go to this server without taking effect twice; 0 if it
-   * must not be sent.
+   * The number of seconds during which another attempt may be sent to this server without the
+   * request taking effect twice; 0 if none may be sent.
    */
   double sendWithinSeconds(ServerHealth server, double nowSeconds) {
     boolean isClosed = state != State.OPEN || attempts.size() >= limits.maxAttempts();
     if (isClosed || (attemptsInFlight > 0 && !limits.allowsParallelAttempts())) {
       return 0;
     }
-    Attempt first = firstAttemptThatMayHaveRun();
+    Attempt firstAttempt = firstAttemptThatMayHaveRun();
     boolean isDeduplicated =
-        first == null || serviceClass.deduplicationScope().spans(first.entry, server.entry());
-    return isDeduplicated || isIdempotent() ? safeToRepeatForSeconds(first, nowSeconds) : 0;
+        firstAttempt == null || serviceClass.deduplicationScope().spans(firstAttempt.entry, server.entry());
+    return isDeduplicated || isIdempotent() ? remainingRepeatSeconds(firstAttempt, nowSeconds) : 0;
   }
 
   /**
-   * Whether the client may be told that a retry, at any load balancer, does not take effect twice.
+   * Whether the request may be rejected: a rejection assures the client that a retry, at any load
+   * balancer, does not take effect twice.
    */
   boolean mayReject(double nowSeconds) {
-    Attempt first = firstAttemptThatMayHaveRun();
+    Attempt firstAttempt = firstAttemptThatMayHaveRun();
     boolean isBoundToServers =
         serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
             && serviceClass.deduplicationScope() != Settings.DeduplicationScope.ALL;
-    return first == null || (!isBoundToServers && safeToRepeatForSeconds(first, nowSeconds) > 0);
+    return firstAttempt == null || (!isBoundToServers && remainingRepeatSeconds(firstAttempt, nowSeconds) > 0);
   }
 
   boolean isIdempotent() {
@@ -227,19 +231,20 @@
   }
 
   /**
-   * Seconds in which servers still recognize a repeated idempotency key, which they remember from
-   * the first attempt on, less the time to connect. Infinite if no attempt may have run.
+   * The number of seconds during which servers still recognize a repeated idempotency key. Their
+   * window starts with the first attempt; the time to connect is subtracted. Infinite if no attempt
+   * may have run.
    */
-  private double safeToRepeatForSeconds(Attempt first, double nowSeconds) {
-    if (first == null || isIdempotent()) {
+  private double remainingRepeatSeconds(Attempt firstAttempt, double nowSeconds) {
+    if (firstAttempt == null || isIdempotent()) {
       return Double.POSITIVE_INFINITY;
     }
-    double until =
-        first.sentAtSeconds
+    double untilSeconds =
+        firstAttempt.sentAtSeconds
             + serviceClass.idempotencyWindowSeconds()
             - limits.connectTimeoutSeconds();
     return serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
-        ? Math.max(0, until - nowSeconds)
+        ? Math.max(0, untilSeconds - nowSeconds)
         : 0;
   }
 
--- a/core/src/main/java/shalepaddle/policy/RequestRouter.java
+++ b/core/src/main/java/shalepaddle/policy/RequestRouter.java
@@ -23,32 +23,32 @@
 import shalepaddle.policy.retry.RetryPolicy;
 
 /**
- * Decides where requests go: consistent hashing with bounded loads over the servers of the endpoint
- * list. Joins the rules of the sub-packages; each event goes through one method here, and what
- * follows from it goes to the {@link RoutingActions}.
+ * Decides which server each request is sent to: consistent hashing with bounded loads over the
+ * servers of the endpoint list. Combines the rules of the sub-packages: each kind of event has one
+ * method here, which passes the resulting actions to {@link RoutingActions}.
  *
  * <p>Each method takes the time of its event, in seconds. Not thread-safe: one object per instance,
  * owned by one event loop.
  */
 public final class RequestRouter {
-  /** Token of the endpoint list's timer. Other tokens are serials of requests, which begin at 2. */
+  /** Token of the endpoint list's timer. All other tokens contain a request serial, 2 or higher. */
   static final long MEMBERSHIP_TIMER = 0;
 
   /**
-   * Marks the token of a request's hold timer; without it the token is that of the deadline timer.
-   * Serials are even, so that this bit is free.
+   * Bit set in the token of a request's hold timer and clear in that of its deadline timer. Serials
+   * are even, so this bit is free.
    */
   private static final long HOLD_FLAG = 1;
 
   private static final long SERIAL_STEP = 2;
 
   /**
-   * Rate of likely fetches that the fetch window does not limit, as a fraction of the request rate.
-   * About the miss ratio of warm caches.
+   * Rate of likely fetches that the fetch window does not limit, as a fraction of the request rate;
+   * about the miss ratio of warm caches.
    */
   private static final double GUARANTEED_FETCH_RATIO = 0.1;
 
-  /** Longest hold of a request for a fetch, from its arrival, as a fraction of its objective. */
+  /** How long after its arrival a request may be held, as a fraction of its latency objective. */
   private static final double MAX_HOLD_RATIO = 0.5;
 
   private final RoutingActions actions;
@@ -63,23 +63,23 @@
   private final IdleConnectionPolicy idleConnections = new IdleConnectionPolicy();
   private final ServerSelector selector;
   private final Map<String, Settings.ServiceClass> serviceClasses = new HashMap<>();
-  private final Map<String, PendingRequest> pendingById = new HashMap<>();
-  private final Map<Long, PendingRequest> unansweredBySerial = new HashMap<>();
+  private final Map<String, PendingRequest> pendingRequestsById = new HashMap<>();
+  private final Map<Long, PendingRequest> unansweredRequestsBySerial = new HashMap<>();
   private Settings settings;
   private int inFlight;
   private long lastSerial;
 
-  /** A router that knows of no server yet. */
+  /** Creates a router without servers. */
   public RequestRouter(Settings settings, long seed, RoutingActions actions) {
     this.settings = settings;
     this.actions = actions;
     this.random = new SplittableRandom(seed);
-    this.registry = new ServerRegistry(settings, subscription(actions), random.split());
+    this.registry = new ServerRegistry(settings, newSubscription(actions), random.split());
     this.selector = new ServerSelector(settings, random, fleet, throughput, fetchLimiter);
     updateSettings(settings);
   }
 
-  private static MembershipSubscription subscription(RoutingActions actions) {
+  private static MembershipSubscription newSubscription(RoutingActions actions) {
     return new MembershipSubscription() {
       @Override
       public void subscribe() {
@@ -93,54 +93,57 @@
     };
   }
 
-  /** New requests follow these; open ones, and those of removed classes, keep what they had. */
-  public void updateSettings(Settings next) {
-    settings = next;
-    registry.updateSettings(next);
-    selector.updateSettings(next);
-    next.services().forEach(service -> serviceClasses.put(service.name(), service));
+  /**
+   * Applies new settings to requests that arrive from now on. Pending requests keep the settings
+   * they were accepted with, and a removed service class stays usable.
+   */
+  public void updateSettings(Settings newSettings) {
+    settings = newSettings;
+    registry.updateSettings(newSettings);
+    selector.updateSettings(newSettings);
+    newSettings.services().forEach(service -> serviceClasses.put(service.name(), service));
   }
 
-  /** An update of the endpoint list. */
+  /** Applies an update of the endpoint list. */
   public void onMembershipUpdate(double now, MembershipUpdate update) {
     registry.apply(now, update);
     selector.rebuildRing(registry);
   }
 
   /**
-   * An operator excludes a server or includes it again. An exclusion outlasts updates of the
-   * endpoint list, also while the server is not listed.
+   * Excludes a server on an operator's behalf, or includes it again. An exclusion persists across
+   * updates of the endpoint list, even while the server is not listed.
    */
-  public void setExcluded(double now, long server, boolean excluded) {
-    registry.setExcluded(now, server, excluded);
+  public void setExcluded(double now, long serverId, boolean isExcluded) {
+    registry.setExcluded(now, serverId, isExcluded);
     selector.rebuildRing(registry);
   }
 
-  /** How many servers are listed, or only those that are excluded or ejected. */
-  public int serverCount(boolean avoidedOnly) {
+  /** The number of listed servers, or only of those that are excluded or ejected. */
+  public int serverCount(boolean countsAvoidedOnly) {
     return (int)
         registry.servers().stream()
             .filter(
-                server -> !avoidedOnly || registry.isExcluded(server) || fleet.isAvoided(server))
+                server -> !countsAvoidedOnly || registry.isExcluded(server) || fleet.isAvoided(server))
             .count();
   }
 
   /**
    * Replays the first attempt of a request that another process of this node has sent, so that this
-   * router learns from its {@link #onOutcome}. The request gets no answer and no further attempt
-   * from here. {@link RoutingActions#send} is called as for any attempt; the caller must not carry
-   * it out. Does nothing if the server is not listed.
+   * router learns from its outcome when it is passed to {@link #onOutcome}. This router neither
+   * answers the request nor sends further attempts of it. {@link RoutingActions#send} is called as
+   * for any attempt; the caller must ignore that call. Does nothing if the server is not listed.
    */
-  public void observeAttempt(double now, Request request, long server) {
-    ServerHealth target = registry.server(server);
-    if (target != null) {
-      PendingRequest pending = accept(now, request);
-      pending.markAnswered();
-      long keyAtServer = keyAtServer(pending, target);
-      if (isLikelyFetch(now, pending, keyAtServer)) {
-        startFetch(now, pending, target, keyAtServer);
+  public void observeAttempt(double now, Request request, long serverId) {
+    ServerHealth targetServer = registry.server(serverId);
+    if (targetServer != null) {
+      PendingRequest pendingRequest = accept(now, request);
+      pendingRequest.markAnswered();
+      long keyServerHash = keyServerHash(pendingRequest, targetServer);
+      if (isLikelyFetch(now, pendingRequest, keyServerHash)) {
+        startFetch(now, pendingRequest, targetServer, keyServerHash);
       }
-      send(now, pending, target);
+      send(now, pendingRequest, targetServer);
     }
   }
 
@@ -150,99 +153,101 @@
     updateEverySecond(now);
     throughput.onRequest();
     lastSerial += SERIAL_STEP;
-    PendingRequest pending =
+    PendingRequest pendingRequest =
         new PendingRequest(request, serviceClass, settings.limits(), lastSerial, now);
-    pendingById.put(pending.id(), pending);
-    unansweredBySerial.put(pending.serial(), pending);
+    pendingRequestsById.put(pendingRequest.id(), pendingRequest);
+    unansweredRequestsBySerial.put(pendingRequest.serial(), pendingRequest);
     if (request.key() != null) {
-      hotKeys.selectReplicas(now, pending, selector.readyCount(), settings, random);
+      hotKeys.selectReplicas(now, pendingRequest, selector.readyCount(), settings, random);
     }
-    return pending;
+    return pendingRequest;
   }
 
-  /** A client's request. */
+  /** Handles a new request from a client. */
   public void onRequest(double now, Request request) {
-    PendingRequest pending = accept(now, request);
-    // Ensures an answer by the deadline, also if the request is held or an attempt never ends.
-    actions.scheduleTimer(pending.serial(), Math.max(0, pending.deadlineSeconds() - now));
+    PendingRequest pendingRequest = accept(now, request);
+    // The timer ensures an answer by the deadline, even if the request is held or an attempt never
+    // ends.
+    actions.scheduleTimer(pendingRequest.serial(), Math.max(0, pendingRequest.deadlineSeconds() - now));
     if (LatencyAdmission.admits(
         inFlight - fetchLimiter.fetchesInFlight(),
         selector.readyCount(),
         throughput.answersPerSecond(),
-        pending.serviceClass().latencyObjectiveSeconds())) {
-      dispatch(now, pending);
+        pendingRequest.serviceClass().latencyObjectiveSeconds())) {
+      dispatch(now, pendingRequest);
     }
-    answerIfDone(now, pending);
+    answerIfDone(now, pendingRequest);
   }
 
   /**
-   * The event loop was stalled until now. The stall is left out of the throughput rates.
+   * Excludes a stall of the event loop, which has just ended, from the throughput rates.
    *
-   * @param seconds length of the stall
+   * @param stallSeconds length of the stall
    */
-  public void onEventLoopStall(double seconds) {
-    throughput.onEventLoopStall(seconds);
+  public void onEventLoopStall(double stallSeconds) {
+    throughput.onEventLoopStall(stallSeconds);
   }
 
   /**
-   * Selects a server and sends an attempt, or holds the request for a fetch. If no server may take
-   * it, or no fetch may start, it does neither: the caller then gives the final answer.
+   * Selects a server and sends an attempt, or holds the request for a fetch. Does neither if no
+   * server may take the request or no fetch may start; the caller then gives the final answer.
    */
-  private void dispatch(double now, PendingRequest pending) {
-    ServerHealth target = selector.select(now, pending, inFlight);
-    if (target == null) {
+  private void dispatch(double now, PendingRequest pendingRequest) {
+    ServerHealth targetServer = selector.select(now, pendingRequest, inFlight);
+    if (targetServer == null) {
       return;
     }
-    long keyAtServer = keyAtServer(pending, target);
-    if (isLikelyFetch(now, pending, keyAtServer)) {
+    long keyServerHash = keyServerHash(pendingRequest, targetServer);
+    if (isLikelyFetch(now, pendingRequest, keyServerHash)) {
       boolean isFull = fetchLimiter.isFull(now);
-      // Waits for the fetch of the same key, if one is in flight, else for capacity for its own.
-      if (!pending.isHoldExpired()
-          && (fetchLimiter.joinFetch(keyAtServer, pending)
-              || (isFull && fetchLimiter.hold(pending)))) {
-        hold(now, pending);
+      // The request waits for the fetch of the same key if one is in flight, otherwise for capacity
+      // for its own fetch.
+      if (!pendingRequest.isHoldExpired()
+          && (fetchLimiter.joinFetch(keyServerHash, pendingRequest)
+              || (isFull && fetchLimiter.hold(pendingRequest)))) {
+        hold(now, pendingRequest);
         return;
       }
       if (isFull) {
         return;
       }
-      startFetch(now, pending, target, keyAtServer);
+      startFetch(now, pendingRequest, targetServer, keyServerHash);
     }
-    send(now, pending, target);
+    send(now, pendingRequest, targetServer);
   }
 
-  private static long keyAtServer(PendingRequest pending, ServerHealth server) {
-    return Hashing.ofKeyAtServer(pending.keyHash(), server.id());
+  private static long keyServerHash(PendingRequest pendingRequest, ServerHealth server) {
+    return Hashing.ofKeyAtServer(pendingRequest.keyHash(), server.id());
   }
 
-  private boolean isLikelyFetch(double now, PendingRequest pending, long keyAtServer) {
+  private boolean isLikelyFetch(double now, PendingRequest pendingRequest, long keyServerHash) {
     boolean isCacheable =
-        !settings.cache().lookAside() && pending.request().key() != null && !pending.isWrite();
-    return isCacheable && fetchLimiter.expectsMiss(now, keyAtServer);
+        !settings.cache().lookAside() && pendingRequest.request().key() != null && !pendingRequest.isWrite();
+    return isCacheable && fetchLimiter.expectsMiss(now, keyServerHash);
   }
 
   private void startFetch(
-      double now, PendingRequest pending, ServerHealth target, long keyAtServer) {
+      double now, PendingRequest pendingRequest, ServerHealth targetServer, long keyServerHash) {
     fetchLimiter.onFetchStarted(
-        keyAtServer, pending, pending.attemptCount(), fleet.isOutlier(now, target));
+        keyServerHash, pendingRequest, pendingRequest.attemptCount(), fleet.isOutlier(now, targetServer));
   }
 
-  private void hold(double now, PendingRequest pending) {
-    pending.hold();
-    double until =
-        pending.arrivedAtSeconds()
-            + pending.serviceClass().latencyObjectiveSeconds() * MAX_HOLD_RATIO;
-    actions.scheduleTimer(pending.serial() + HOLD_FLAG, Math.max(0, until - now));
+  private void hold(double now, PendingRequest pendingRequest) {
+    pendingRequest.hold();
+    double untilSeconds =
+        pendingRequest.arrivedAtSeconds()
+            + pendingRequest.serviceClass().latencyObjectiveSeconds() * MAX_HOLD_RATIO;
+    actions.scheduleTimer(pendingRequest.serial() + HOLD_FLAG, Math.max(0, untilSeconds - now));
   }
 
-  private void send(double now, PendingRequest pending, ServerHealth target) {
-    actions.send(pending.id(), target.id(), pending.sendWithinSeconds(target, now));
-    target.onSent();
-    pending.onSent(target, now);
+  private void send(double now, PendingRequest pendingRequest, ServerHealth targetServer) {
+    actions.send(pendingRequest.id(), targetServer.id(), pendingRequest.sendWithinSeconds(targetServer, now));
+    targetServer.onSent();
+    pendingRequest.onSent(targetServer, now);
     inFlight++;
   }
 
-  /** Updates fleet health, throughput and fetch limit if a period of one second is over. */
+  /** Updates fleet health, throughput and the fetch limit once per second. */
   private void updateEverySecond(double now) {
     if (throughput.isPeriodOver(now)) {
       fleet.update(now);
@@ -252,82 +257,82 @@
   }
 
   /** Answers a request that has no attempt in flight and is not held. */
-  private void answerIfDone(double now, PendingRequest pending) {
-    if (!pending.isAnswered() && !pending.hasAttemptInFlight() && !pending.isHeld()) {
-      answer(now, pending);
+  private void answerIfDone(double now, PendingRequest pendingRequest) {
+    if (!pendingRequest.isAnswered() && !pendingRequest.hasAttemptInFlight() && !pendingRequest.isHeld()) {
+      answer(now, pendingRequest);
     }
   }
 
-  /** Rejects a request that no server answered if a retry of it is safe; else fails it. */
-  private void answer(double now, PendingRequest pending) {
-    if (!pending.hasAttemptInFlight() && pending.mayReject(now)) {
+  /** Gives a request that no server answered its final answer: rejects it if a retry is safe. */
+  private void answer(double now, PendingRequest pendingRequest) {
+    if (!pendingRequest.hasAttemptInFlight() && pendingRequest.mayReject(now)) {
       double retryAfterSeconds =
           RetryAfterAdvice.seconds(
-              settings.limits(), pendingById.size(), throughput.answersPerSecond(), random);
-      actions.reject(pending.id(), retryAfterSeconds);
+              settings.limits(), pendingRequestsById.size(), throughput.answersPerSecond(), random);
+      actions.reject(pendingRequest.id(), retryAfterSeconds);
     } else {
-      actions.fail(pending.id());
+      actions.fail(pendingRequest.id());
     }
-    complete(pending);
+    complete(pendingRequest);
   }
 
-  /** The request has its final answer; its attempts may still be in flight. */
-  private void complete(PendingRequest pending) {
-    pending.markAnswered();
-    unansweredBySerial.remove(pending.serial());
-    if (!pending.hasAttemptInFlight()) {
-      pendingById.remove(pending.id());
+  /** Marks the request as answered; its attempts may still be in flight. */
+  private void complete(PendingRequest pendingRequest) {
+    pendingRequest.markAnswered();
+    unansweredRequestsBySerial.remove(pendingRequest.serial());
+    if (!pendingRequest.hasAttemptInFlight()) {
+      pendingRequestsById.remove(pendingRequest.id());
     }
   }
 
   /**
-   * Another client, which waits until then, shares the answer of this request. Never shortens the
-   * deadline; does nothing if the request is unknown.
+   * Extends a request's deadline to that of another client that shares the answer.
+   * Never shortens the deadline; does nothing if the request is unknown.
    */
-  public void extendDeadline(String requestId, double deadline) {
-    PendingRequest pending = pendingById.get(requestId);
-    if (pending != null) {
-      pending.extendDeadline(deadline);
+  public void extendDeadline(String requestId, double deadlineSeconds) {
+    PendingRequest pendingRequest = pendingRequestsById.get(requestId);
+    if (pendingRequest != null) {
+      pendingRequest.extendDeadline(deadlineSeconds);
     }
   }
 
-  /** A streamed answer has begun: it goes to the client and has no deadline any more. */
+  /** Handles the start of a streamed answer to the client; the deadline no longer applies. */
   public void onStreamStarted(double now, String requestId, int attempt) {
-    PendingRequest pending = pendingById.get(requestId);
-    if (pending != null && pending.isInFlight(attempt)) {
-      pending.startStreaming();
+    PendingRequest pendingRequest = pendingRequestsById.get(requestId);
+    if (pendingRequest != null && pendingRequest.isInFlight(attempt)) {
+      pendingRequest.startStreaming();
     }
   }
 
-  /** An attempt has ended. */
+  /** Handles the end of an attempt. */
   public void onOutcome(double now, Outcome outcome) {
-    PendingRequest pending = pendingById.get(outcome.requestId());
-    if (pending == null
-        || !pending.onAttemptEnded(outcome.attempt(), outcome.result().provesNotRun())) {
+    PendingRequest pendingRequest = pendingRequestsById.get(outcome.requestId());
+    if (pendingRequest == null
+        || !pendingRequest.onAttemptEnded(outcome.attempt(), outcome.result().provesNotRun())) {
       return;
     }
     inFlight--;
-    ServerHealth server = pending.server(outcome.attempt());
+    ServerHealth server = pendingRequest.server(outcome.attempt());
     updateHealth(now, server, outcome);
     if (outcome.result() == Result.OK) {
       retryPolicy.onSuccess();
       throughput.onAnswer(server.isWarm(now));
     }
-    // Before a retry: it may be a fetch too and would replace the ended one, whose key would then
-    // never be released, as a request records only one fetch.
-    recordOutcome(now, pending, server, outcome);
-    if (outcome.completesRequest() || outcome.result() == Result.OK || pending.isAnswered()) {
-      complete(pending);
-    } else if (!pending.hasAttemptInFlight()) {
-      retryOrComplete(now, pending, outcome);
+    // This call must precede a retry, since the retry may be a fetch too and a request records only
+    // one fetch: the key of the ended fetch would never be released.
+    recordOutcome(now, pendingRequest, server, outcome);
+    if (outcome.completesRequest() || outcome.result() == Result.OK || pendingRequest.isAnswered()) {
+      complete(pendingRequest);
+    } else if (!pendingRequest.hasAttemptInFlight()) {
+      retryOrComplete(now, pendingRequest, outcome);
     }
   }
 
   private void updateHealth(double now, ServerHealth server, Outcome outcome) {
-    boolean refusedConnection =
+    boolean hasRefusedConnection =
         server.onAttemptEnded(
             now, outcome, settings.limits().idleTimeoutSeconds(), fleet.areFailuresFew());
-    if (refusedConnection) {
+    if (hasRefusedConnection) {
       idleConnections.onConnectionRefused(now);
     }
     if (idleConnections.closesIdle(now, server)) {
@@ -338,43 +343,43 @@
 
   /** Updates load score, cached keys and fetch limit from an outcome, and resumes held requests. */
   private void recordOutcome(
-      double now, PendingRequest pending, ServerHealth server, Outcome outcome) {
-    loadSampler.updateLoadScore(now, pending, server, outcome);
-    boolean succeeded = outcome.result() == Result.OK;
-    if (succeeded && !pending.isWrite()) {
-      fetchLimiter.onAnswered(now, keyAtServer(pending, server), outcome.cacheStatus());
+      double now, PendingRequest pendingRequest, ServerHealth server, Outcome outcome) {
+    loadSampler.updateLoadScore(now, pendingRequest, server, outcome);
+    boolean hasSucceeded = outcome.result() == Result.OK;
+    if (hasSucceeded && !pendingRequest.isWrite()) {
+      fetchLimiter.onAnswered(now, keyServerHash(pendingRequest, server), outcome.cacheStatus());
     }
-    recordFetch(now, pending, server, outcome);
-    for (PendingRequest held = fetchLimiter.pollHeld(now);
-        held != null;
-        held = fetchLimiter.pollHeld(now)) {
-      resume(now, held);
+    recordFetch(now, pendingRequest, server, outcome);
+    for (PendingRequest heldRequest = fetchLimiter.pollHeld(now);
+        heldRequest != null;
+        heldRequest = fetchLimiter.pollHeld(now)) {
+      resume(now, heldRequest);
     }
   }
 
   /**
-   * Records an outcome in the fetch losses and the fetch window if it is that of a likely fetch. A
-   * busy reply to a read counts as a lost fetch, also where no fetch was expected.
+   * Updates the fetch loss ratios and the fetch window if the attempt was a likely fetch. A busy
+   * reply to a read counts as a lost fetch even if no fetch was expected.
    */
   private void recordFetch(
-      double now, PendingRequest pending, ServerHealth server, Outcome outcome) {
-    boolean isFetch = pending.isFetch(outcome.attempt());
-    boolean isBusy = outcome.result() == Result.SERVER_BUSY && !pending.isWrite();
+      double now, PendingRequest pendingRequest, ServerHealth server, Outcome outcome) {
+    boolean isFetch = pendingRequest.isFetch(outcome.attempt());
+    boolean isBusy = outcome.result() == Result.SERVER_BUSY && !pendingRequest.isWrite();
     if (isFetch || isBusy) {
-      boolean succeeded = outcome.result() == Result.OK;
-      double objective = pending.serviceClass().latencyObjectiveSeconds();
-      boolean isLate = outcome.activeSeconds() > objective;
-      boolean isLateFetch = succeeded && isLate && outcome.cacheStatus() != Outcome.CacheStatus.HIT;
+      boolean hasSucceeded = outcome.result() == Result.OK;
+      double objectiveSeconds = pendingRequest.serviceClass().latencyObjectiveSeconds();
+      boolean isLate = outcome.activeSeconds() > objectiveSeconds;
+      boolean isLateFetch = hasSucceeded && isLate && outcome.cacheStatus() != Outcome.CacheStatus.HIT;
       boolean isLost =
           isBusy || outcome.result() == Result.ERROR || outcome.isObservedTimeout() || isLateFetch;
-      boolean isInTime = succeeded && !isLate;
+      boolean isInTime = hasSucceeded && !isLate;
       if (isLost || isInTime) {
         fleet.recordFetch(now, server, isLost);
         fetchLimiter.setLossRatio(fleet.sharedFetchLossRatio(now));
       }
       if (isFetch) {
         List<PendingRequest> followers =
-            fetchLimiter.onFetchEnded(now, pending, objective, isInTime, isLost);
+            fetchLimiter.onFetchEnded(now, pendingRequest, objectiveSeconds, isInTime, isLost);
         for (PendingRequest follower : followers) {
           resume(now, follower);
         }
@@ -382,62 +387,62 @@
     }
   }
 
-  private void resume(double now, PendingRequest pending) {
-    if (pending.isHeld() && !pending.isAnswered()) {
-      pending.release();
-      dispatch(now, pending);
-      answerIfDone(now, pending);
+  private void resume(double now, PendingRequest pendingRequest) {
+    if (pendingRequest.isHeld() && !pendingRequest.isAnswered()) {
+      pendingRequest.release();
+      dispatch(now, pendingRequest);
+      answerIfDone(now, pendingRequest);
     }
   }
 
-  private void retryOrComplete(double now, PendingRequest pending, Outcome outcome) {
-    boolean hasTimeLeft = now < pending.deadlineSeconds() - settings.timerResolutionSeconds();
+  private void retryOrComplete(double now, PendingRequest pendingRequest, Outcome outcome) {
+    boolean hasTimeLeft = now < pendingRequest.deadlineSeconds() - settings.timerResolutionSeconds();
     switch (retryPolicy.decide(outcome.result(), hasTimeLeft, fetchLimiter.isOriginDegraded())) {
-      case RETRY -> dispatch(now, pending);
+      case RETRY -> dispatch(now, pendingRequest);
       case FETCH_FROM_ORIGIN -> {
-        ServerHealth origin = selector.selectOrigin(now, pending);
+        ServerHealth origin = selector.selectOrigin(now, pendingRequest);
         if (origin != null) {
-          send(now, pending, origin);
+          send(now, pendingRequest, origin);
         }
       }
       case GIVE_UP -> {}
     }
-    answerIfDone(now, pending);
+    answerIfDone(now, pendingRequest);
   }
 
-  /** The client has disconnected; it gets no answer. */
+  /** Handles the disconnection of a request's client, which gets no answer. */
   public void onClientDisconnected(double now, String requestId) {
-    PendingRequest pending = pendingById.get(requestId);
-    if (pending == null || pending.isAnswered()) {
+    PendingRequest pendingRequest = pendingRequestsById.get(requestId);
+    if (pendingRequest == null || pendingRequest.isAnswered()) {
       return;
     }
-    if (settings.limits().allowsCancellation() && !pending.isStreaming()) {
-      for (int attempt = 0; attempt < pending.attemptCount(); attempt++) {
-        if (pending.isInFlight(attempt)) {
+    if (settings.limits().allowsCancellation() && !pendingRequest.isStreaming()) {
+      for (int attempt = 0; attempt < pendingRequest.attemptCount(); attempt++) {
+        if (pendingRequest.isInFlight(attempt)) {
           actions.cancel(requestId, attempt);
         }
       }
     }
-    complete(pending);
+    complete(pendingRequest);
   }
 
-  /** A timer that was scheduled came due. */
+  /** Handles a scheduled timer that is due. */
   public void onTimer(double now, long token) {
     if (token == MEMBERSHIP_TIMER) {
       registry.onTimer(now);
       return;
     }
-    PendingRequest pending = unansweredBySerial.get(token & ~HOLD_FLAG);
-    if (pending == null || pending.isAnswered() || pending.isStreaming()) {
+    PendingRequest pendingRequest = unansweredRequestsBySerial.get(token & ~HOLD_FLAG);
+    if (pendingRequest == null || pendingRequest.isAnswered() || pendingRequest.isStreaming()) {
       return;
     }
     if ((token & HOLD_FLAG) != 0) {
-      pending.expireHold();
-      resume(now, pending);
-    } else if (now < pending.deadlineSeconds() - settings.timerResolutionSeconds()) {
-      actions.scheduleTimer(pending.serial(), pending.deadlineSeconds() - now);
+      pendingRequest.expireHold();
+      resume(now, pendingRequest);
+    } else if (now < pendingRequest.deadlineSeconds() - settings.timerResolutionSeconds()) {
+      actions.scheduleTimer(pendingRequest.serial(), pendingRequest.deadlineSeconds() - now);
     } else {
-      answer(now, pending);
+      answer(now, pendingRequest);
     }
   }
 }
--- a/core/src/main/java/shalepaddle/policy/ServerSelector.java
+++ b/core/src/main/java/shalepaddle/policy/ServerSelector.java
@@ -14,20 +14,20 @@
 import shalepaddle.policy.placement.ConsistentHashRing;
 
 /**
- * Selects the server of an attempt: the first owner on the key's hash sequence that has capacity
- * under its bounded load, is not ejected, and accepts the key. Knows the ready servers.
+ * Selects the server of an attempt: the first owner on the key's hash sequence that is below its
+ * bounded-load cap, is not ejected, and accepts the key. Holds the list of ready servers.
  *
- * <p>Times are in seconds. Not thread-safe: owned by one router, whose state of health, throughput
- * and fetches it reads.
+ * <p>Times are in seconds. Not thread-safe: owned by one router, whose health, throughput and fetch
+ * state it reads.
  */
 final class ServerSelector {
   /**
-   * Jumps on the ring, after those in the own zone, before the least loaded server is taken
-   * instead. Several jumps may find the same server.
+   * Maximum number of jumps on the ring, after those restricted to the own zone, before the least
+   * loaded server is selected instead. Several jumps may find the same server.
    */
-  private static final int MAX_JUMPS = 64;
+  private static final int MAX_RING_JUMPS = 64;
 
-  /** One in this many likely fetches, on average, is a trial of a fetch-limited server. */
+  /** A fetch-limited server gets one in this many of its likely fetches, on average, as a trial. */
   private static final int FETCHES_PER_TRIAL = 20;
 
   private final SplittableRandom random;
@@ -36,8 +36,8 @@
   private final OriginFetchLimiter<PendingRequest> fetchLimiter;
   private final ConsistentHashRing ring = new ConsistentHashRing();
   private Settings settings;
-  private List<ServerHealth> caches = List.of();
-  private List<ServerHealth> origins = List.of();
+  private List<ServerHealth> cacheServers = List.of();
+  private List<ServerHealth> originServers = List.of();
   private double totalWeight;
 
   ServerSelector(
@@ -53,30 +53,30 @@
     this.fetchLimiter = fetchLimiter;
   }
 
-  void updateSettings(Settings next) {
-    settings = next;
+  void updateSettings(Settings newSettings) {
+    settings = newSettings;
   }
 
-  /** Takes over the ready servers; rebuilds the ring if they or, where used, weights may differ. */
+  /** Updates the ready servers. Rebuilds the ring if they changed or if it depends on weights. */
   void rebuildRing(ServerRegistry registry) {
-    List<ServerHealth> ready = registry.readyServers();
+    List<ServerHealth> readyServers = registry.readyServers();
     String originKind = settings.cache().originKind();
-    origins = ready.stream().filter(server -> server.entry().kind().equals(originKind)).toList();
-    List<ServerHealth> readyCaches = new ArrayList<>(ready);
-    readyCaches.removeAll(origins);
-    totalWeight = readyCaches.stream().mapToDouble(this::weight).sum();
-    boolean weighted = settings.weights().isStable();
-    if (weighted || !readyCaches.equals(caches)) {
-      ring.rebuild(readyCaches, weighted);
+    originServers = readyServers.stream().filter(server -> server.entry().kind().equals(originKind)).toList();
+    List<ServerHealth> readyCacheServers = new ArrayList<>(readyServers);
+    readyCacheServers.removeAll(originServers);
+    totalWeight = readyCacheServers.stream().mapToDouble(this::weight).sum();
+    boolean isWeighted = settings.weights().isStable();
+    if (isWeighted || !readyCacheServers.equals(cacheServers)) {
+      ring.rebuild(readyCacheServers, isWeighted);
     }
-    caches = readyCaches;
-    fleet.setServers(caches);
+    cacheServers = readyCacheServers;
+    fleet.setServers(cacheServers);
     fleet.updatePanicState();
   }
 
-  /** How many cache servers are ready. */
+  /** The number of cache servers that are ready. */
   int readyCount() {
-    return caches.size();
+    return cacheServers.size();
   }
 
   private double weight(ServerHealth server) {
@@ -87,16 +87,16 @@
 
   /** The sum of the weights of warm servers that are not ejected. */
   double warmWeight(double nowSeconds) {
-    return caches.stream()
+    return cacheServers.stream()
         .filter(server -> server.isWarm(nowSeconds) && !server.isEjected())
         .mapToDouble(this::weight)
         .sum();
   }
 
   /**
-   * The server for the next attempt of a request; null if none may take it. If all servers that the
-   * jumps find are at their caps, it is the warm one of them with the least load relative to its
-   * cap. Draws a random number for each jump that finds a fetch-limited server.
+   * Selects the server for the next attempt of a request; null if none may take it. If all servers
+   * that the ring jumps find are at their caps, selects the warm one with the lowest load relative
+   * to its cap. Draws a random number for each ring jump that finds a fetch-limited server.
    *
    * @param inFlight all attempts that this load balancer has in flight
    */
@@ -104,18 +104,18 @@
     if (settings.cache().lookAside() && request.isWrite()) {
       return selectOrigin(nowSeconds, request);
     }
-    ServerHealth fallback = null;
-    double fallbackFill = Double.POSITIVE_INFINITY;
-    for (int jump = 0; jump < request.localJumps() + MAX_JUMPS; jump++) {
-      ServerHealth server = ring.owner(request.keyHash(), request.hashAttempt(jump));
+    ServerHealth fallbackServer = null;
+    double fallbackLoadRatio = Double.POSITIVE_INFINITY;
+    for (int ringJump = 0; ringJump < request.localJumps() + MAX_RING_JUMPS; ringJump++) {
+      ServerHealth server = ring.owner(request.keyHash(), request.hashAttempt(ringJump));
       if (server == null) {
         return null;
       }
-      if (!mayReceive(nowSeconds, request, server, jump)) {
+      if (!mayReceive(nowSeconds, request, server, ringJump)) {
         continue;
       }
       if (fleet.isAvoided(server)) {
-        if (jump <= request.localJumps()
+        if (ringJump <= request.localJumps()
             && request.isIdempotent()
             && server.isTrialDue(nowSeconds)) {
           return server;
@@ -129,37 +129,37 @@
       if (server.inFlight() < cap) {
         return server;
       }
-      double fill = (double) server.inFlight() / cap;
-      if (fill < fallbackFill && server.isWarm(nowSeconds)) {
-        fallback = server;
-        fallbackFill = fill;
+      double loadRatio = (double) server.inFlight() / cap;
+      if (loadRatio < fallbackLoadRatio && server.isWarm(nowSeconds)) {
+        fallbackServer = server;
+        fallbackLoadRatio = loadRatio;
       }
     }
-    return fallback != null ? fallback : leastLoaded(nowSeconds, request, caches);
+    return fallbackServer != null ? fallbackServer : selectLeastLoaded(nowSeconds, request, cacheServers);
   }
 
   /** The least loaded origin server for an attempt; null if none may take it. */
   ServerHealth selectOrigin(double nowSeconds, PendingRequest request) {
-    return leastLoaded(nowSeconds, request, origins);
+    return selectLeastLoaded(nowSeconds, request, originServers);
   }
 
   private boolean mayReceive(
-      double nowSeconds, PendingRequest request, ServerHealth server, int jump) {
+      double nowSeconds, PendingRequest request, ServerHealth server, int ringJump) {
     boolean isRemote =
-        jump < request.localJumps() && !server.entry().zone().equals(settings.zone());
+        ringJump < request.localJumps() && !server.entry().zone().equals(settings.zone());
     return !isRemote
         && request.sendWithinSeconds(server, nowSeconds) > 0
         && !request.wasSentTo(server);
   }
 
-  /** Whether the server takes the key, as far as slow start, load score and fetch losses allow. */
+  /** Whether slow start, load score and fetch losses permit sending the key to the server. */
   private boolean acceptsKey(double nowSeconds, PendingRequest request, ServerHealth server) {
     if (!hasSlowStartCapacity(nowSeconds, server)
         || !server.acceptsKey(nowSeconds, request.keyHash(), fleet.greatestKeyFraction())) {
       return false;
     }
-    // A server that lacks capacity for fetches, while others have it, gets few of them and goes on
-    // serving what it has cached.
+    // A server that lacks capacity for fetches while others have it gets few of them, but continues
+    // to serve what it has cached.
     boolean isRead = !request.isWrite() && request.request().key() != null;
     boolean isFetchLimited =
         isRead && fleet.isFetchLimited(nowSeconds, server) && !fetchLimiter.isOriginDegraded();
@@ -175,20 +175,20 @@
   }
 
   /**
-   * The server with the fewest requests in flight that may take the request. Unlike the jumps, it
-   * ignores caps and load scores, and may return a server that an earlier attempt was sent to.
+   * Selects the server with the fewest requests in flight that may take the request. Unlike the
+   * ring jumps, this ignores caps and load scores and may select the server of an earlier attempt.
    */
-  private ServerHealth leastLoaded(
+  private ServerHealth selectLeastLoaded(
       double nowSeconds, PendingRequest request, List<ServerHealth> servers) {
-    ServerHealth best = null;
+    ServerHealth leastLoadedServer = null;
     for (ServerHealth server : servers) {
-      if ((best == null || server.inFlight() < best.inFlight())
+      if ((leastLoadedServer == null || server.inFlight() < leastLoadedServer.inFlight())
           && request.sendWithinSeconds(server, nowSeconds) > 0
           && (!fleet.isAvoided(server) || server.isTrialDue(nowSeconds))
           && hasSlowStartCapacity(nowSeconds, server)) {
-        best = server;
+        leastLoadedServer = server;
       }
     }
-    return best;
+    return leastLoadedServer;
   }
 }
--- a/core/src/main/java/shalepaddle/policy/admission/FetchCandidate.java
+++ b/core/src/main/java/shalepaddle/policy/admission/FetchCandidate.java
@@ -1,8 +1,8 @@
 package shalepaddle.policy.admission;
 
 /**
- * A request as {@link OriginFetchLimiter} sees it: whether it is held for another's fetch, and
- * whether one of its own attempts is a likely fetch. Not thread-safe: owned by one router.
+ * The part of a request's state that {@link OriginFetchLimiter} uses: whether the request is held,
+ * and which of its attempts is a likely fetch. Not thread-safe: owned by one router.
  */
 public abstract class FetchCandidate {
   private static final int NO_ATTEMPT = -1;
@@ -13,32 +13,33 @@
   private long fetchHash;
   private boolean isFetchCounted;
 
-  /** Whether its final answer is given, or its client is gone. */
+  /** Whether the request has its final answer or its client has disconnected. */
   public abstract boolean isAnswered();
 
   /**
-   * Whether it waits for another's fetch, or for capacity for its own, with no attempt in flight.
+   * Whether the request waits, with no attempt in flight, for another request's fetch of the same
+   * key or for capacity for its own fetch.
    */
   public final boolean isHeld() {
     return isHeld;
   }
 
-  /** Whether it has been held for as long as is permitted, and must not be held again. */
+  /** Whether the request's maximum hold time is over, so that it must not be held again. */
   public final boolean isHoldExpired() {
     return isHoldExpired;
   }
 
-  /** It waits from now on. */
+  /** Marks the request as held. */
   public final void hold() {
     isHeld = true;
   }
 
-  /** It waits no longer. */
+  /** Marks the request as no longer held. */
   public final void release() {
     isHeld = false;
   }
 
-  /** It has been held for as long as is permitted. */
+  /** Records that the request's maximum hold time is over. */
   public final void expireHold() {
     isHoldExpired = true;
   }
@@ -48,18 +49,18 @@
     return attempt == fetchAttempt;
   }
 
-  final void beginFetch(int attempt, long hash, boolean counted) {
+  final void beginFetch(int attempt, long keyServerHash, boolean isCounted) {
     fetchAttempt = attempt;
-    fetchHash = hash;
-    isFetchCounted = counted;
+    fetchHash = keyServerHash;
+    isFetchCounted = isCounted;
   }
 
-  /** Ends the fetch; returns whether it counted among those in flight. */
+  /** Ends the fetch; returns whether it was counted among the fetches in flight. */
   final boolean endFetch() {
-    boolean counted = isFetchCounted;
+    boolean isCounted = isFetchCounted;
     isFetchCounted = false;
     fetchAttempt = NO_ATTEMPT;
-    return counted;
+    return isCounted;
   }
 
   final long fetchHash() {
