--- a/core/src/main/java/shalepaddle/policy/admission/OriginFetchLimiter.java
+++ b/core/src/main/java/shalepaddle/policy/admission/OriginFetchLimiter.java
@@ -9,22 +9,25 @@
 import shalepaddle.model.Outcome;
 
 /**
- * Keeps fetches within what the origin can serve. It remembers which keys each server answered
- * lately; a request for another is a likely fetch. One fetch of a key at a server goes first and
- * the others wait for it, and fetches in flight stay within a window that shrinks when many fail or
- * come late (additive increase, multiplicative decrease, as TCP's congestion window). Prevents
- * congestion collapse, in which failed fetches keep keys out of the caches permanently.
+ * Limits fetches to what the origin can serve. Remembers which keys each server has answered
+ * recently; a request for any other key is a likely fetch. Only one fetch of a key is sent to a
+ * server at a time, and requests for the same key wait for it. Fetches in flight are limited by a
+ * window that shrinks when many fail or are late (additive increase, multiplicative decrease, like
+ * TCP's congestion window). Prevents congestion collapse, in which failed fetches keep keys out of
+ * the caches permanently.
  *
- * <p>A key at a server is given by its hash. Times are in seconds. Not thread-safe: owned by one
- * router.
+ * <p>A pair of key and server is identified by its hash. Times are in seconds. Not thread-safe:
+ * owned by one router.
  *
- * @param <T> the requests that are held
+ * @param <T> the type of the requests
  */
 public final class OriginFetchLimiter<T extends FetchCandidate> {
-  /** Bounds memory; the key whose last answer or lookup is longest ago is dropped. */
+  /**
+   * Maximum number of remembered keys, which bounds memory; the least recently used key is dropped.
+   */
   private static final int MAX_REMEMBERED_KEYS = 1 << 15;
 
-  /** How long after an answer a key is expected in the cache, until hits and misses adjust it. */
+  /** Initial estimate of how long a key stays cached after an answer; hits and misses adjust it. */
   private static final double INITIAL_CACHED_SECONDS = 8;
 
   private static final double MIN_CACHED_SECONDS = 0.5;
@@ -36,29 +39,32 @@
   private static final double CACHED_INCREASE_RATIO = 1.02;
 
   /**
-   * The window shrinks at most once in this fraction of a latency objective, since fetches that
-   * fail together have one cause.
+   * Minimum interval between two reductions of the window, as a fraction of the latency objective;
+   * fetches that fail together usually have one cause.
    */
   private static final double MIN_SHRINK_INTERVAL_RATIO = 0.5;
 
   private static final double WINDOW_DECREASE_RATIO = 0.7;
 
-  /** The fraction of fetches that may fail or come late before the window shrinks. */
+  /** The fraction of fetches that may fail or be late before the window shrinks. */
   private static final double MAX_LOSS_RATIO = 0.15;
 
-  /** Tokens for guaranteed fetches that may accumulate. */
-  private static final int MAX_GUARANTEED_BURST = 2;
+  /** Maximum number of accumulated tokens for guaranteed fetches. */
+  private static final int MAX_GUARANTEED_TOKENS = 2;
 
   private static final int MIN_HELD_REQUESTS = 2;
 
-  /** At most the window divided by this is held: as many as will soon find capacity. */
+  /**
+   * The maximum number of held requests is the window divided by this, so that they get capacity
+   * soon.
+   */
   private static final double HELD_WINDOW_DIVISOR = 8;
 
   private final Map<Long, Double> answeredAtSeconds = new LinkedHashMap<>(1024, 0.75f, true);
   private final Map<Long, List<T>> followersByFetch = new HashMap<>();
-  private final ArrayDeque<T> held = new ArrayDeque<>();
+  private final ArrayDeque<T> heldRequests = new ArrayDeque<>();
   private double expectedCachedSeconds = INITIAL_CACHED_SECONDS;
-  private double window = Double.POSITIVE_INFINITY;
+  private double fetchWindow = Double.POSITIVE_INFINITY;
   private int fetchesInFlight;
   private double guaranteedPerSecond;
   private double lossRatio;
@@ -66,51 +72,52 @@
   private double refilledAtSeconds;
   private double shrunkAtSeconds;
 
-  /** Likely fetches in flight, except those at outliers. */
+  /** The number of likely fetches in flight, except those at outliers. */
   public int fetchesInFlight() {
     return fetchesInFlight;
   }
 
-  /** Sets the rate of likely fetches that the window never holds back. */
+  /** Sets the rate of likely fetches that may start even when the window is full. */
   public void setGuaranteedPerSecond(double fetchesPerSecond) {
     guaranteedPerSecond = fetchesPerSecond;
   }
 
-  /** Sets the part of fetches that fails or comes late. */
+  /** Sets the fraction of fetches that fail or are late. */
   public void setLossRatio(double ratio) {
     lossRatio = ratio;
   }
 
-  /** The part of fetches that fails or comes late. */
+  /** The fraction of fetches that fail or are late. */
   double lossRatio() {
     return lossRatio;
   }
 
-  /** Whether the server likely has to fetch the key. */
-  public boolean expectsMiss(double nowSeconds, long keyAtServer) {
-    Double at = answeredAtSeconds.get(keyAtServer);
-    return at == null || nowSeconds - at > expectedCachedSeconds;
+  /** Whether the server likely has to fetch the key from the origin. */
+  public boolean expectsMiss(double nowSeconds, long keyServerHash) {
+    Double lastAnswerSeconds = answeredAtSeconds.get(keyServerHash);
+    return lastAnswerSeconds == null || nowSeconds - lastAnswerSeconds > expectedCachedSeconds;
   }
 
   /** Makes a request wait for the fetch of its key at its server, if one is in flight. */
-  public boolean joinFetch(long keyAtServer, T request) {
-    List<T> followers = followersByFetch.get(keyAtServer);
+  public boolean joinFetch(long keyServerHash, T request) {
+    List<T> followers = followersByFetch.get(keyServerHash);
     return followers != null && followers.add(request);
   }
 
   /**
-   * Whether there is no capacity for a fetch now: neither in the window nor a guaranteed token.
-   * Refills the tokens; {@link #onFetchStarted} takes one.
+   * Whether no fetch may start now: the window is full and no token for a guaranteed fetch is left.
+   * Refills the tokens; {@link #onFetchStarted} withdraws one.
    */
   public boolean isFull(double nowSeconds) {
-    if (fetchesInFlight < window) {
+    if (fetchesInFlight < fetchWindow) {
       return false;
     }
-    // Some fetches always start: a key may be cached through other load balancers, which only a
-    // request for it shows. Squared, so that a backlogged origin gets far fewer and can recover.
+    // Some fetches may always start: other load balancers may have caused a key to be cached, which
+    // only a request for it can reveal. The success ratio is squared so that an overloaded origin
+    // gets far fewer fetches and can recover.
     guaranteedTokens =
         Math.min(
-            MAX_GUARANTEED_BURST,
+            MAX_GUARANTEED_TOKENS,
             guaranteedTokens
                 + (nowSeconds - refilledAtSeconds)
                     * guaranteedPerSecond
@@ -120,60 +127,63 @@
     return guaranteedTokens < 1;
   }
 
-  /** Whether more fetches fail or come late than is usual. */
+  /** Whether more fetches than usual fail or are late. */
   public boolean isOriginDegraded() {
     return lossRatio > MAX_LOSS_RATIO;
   }
 
   /**
-   * Holds a request until there is capacity; false if too many are held. A longer queue would only
-   * add delay: a client that is rejected at once has time for a retry, and uses no connection.
+   * Holds a request until there is capacity; returns false if too many are held. A longer queue
+   * would only add delay: a client that is rejected at once has time left for a retry and occupies
+   * no connection meanwhile.
    */
   public boolean hold(T request) {
-    // Requests that are no longer held would take up places while the window is full.
-    held.removeIf(earlier -> !earlier.isHeld() || earlier.isAnswered());
-    return held.size() < Math.max(MIN_HELD_REQUESTS, window / HELD_WINDOW_DIVISOR)
-        && held.add(request);
+    // Requests that no longer wait would occupy the queue while the window is full.
+    heldRequests.removeIf(heldRequest -> !heldRequest.isHeld() || heldRequest.isAnswered());
+    return heldRequests.size() < Math.max(MIN_HELD_REQUESTS, fetchWindow / HELD_WINDOW_DIVISOR)
+        && heldRequests.add(request);
   }
 
-  /** Removes the newest held request, which has the most time left; null if none may go. */
+  /** Removes the newest held request, which has the most time left; null if none may start. */
   public T pollHeld(double nowSeconds) {
-    return held.isEmpty() || isFull(nowSeconds) ? null : held.pollLast();
+    return heldRequests.isEmpty() || isFull(nowSeconds) ? null : heldRequests.pollLast();
   }
 
   /**
-   * An attempt that is a likely fetch goes out. Call it only after {@link #isFull} was false at the
-   * same time, or for an attempt that was sent already.
+   * Records the start of a likely fetch. Must only be called after {@link #isFull} returned false
+   * at the same time, or for an attempt that was sent already.
    *
-   * @param outlier whether it goes to an outlier, so that its end says nothing of the origin
+   * @param isOutlier whether the server is an outlier, so that the fetch's result does not show the
+   *     origin's state
    */
-  public void onFetchStarted(long keyAtServer, T request, int attempt, boolean outlier) {
-    if (fetchesInFlight >= window) {
+  public void onFetchStarted(long keyServerHash, T request, int attempt, boolean isOutlier) {
+    if (fetchesInFlight >= fetchWindow) {
       guaranteedTokens--;
     }
-    request.beginFetch(attempt, keyAtServer, !outlier);
-    if (!outlier) {
+    request.beginFetch(attempt, keyServerHash, !isOutlier);
+    if (!isOutlier) {
       fetchesInFlight++;
     }
-    followersByFetch.putIfAbsent(keyAtServer, new ArrayList<>());
+    followersByFetch.putIfAbsent(keyServerHash, new ArrayList<>());
   }
 
   /**
-   * A likely fetch is over.
+   * Records the end of a likely fetch.
    *
-   * @param inTime whether it succeeded in time
-   * @param lost whether it failed or came late; both are false if the outcome shows neither
+   * @param isInTime whether the fetch succeeded in time
+   * @param isLost whether the fetch failed or was late; if the outcome shows neither, both are
+   *     false
    * @return the requests that waited for it
    */
   public List<T> onFetchEnded(
-      double nowSeconds, T request, double latencyObjectiveSeconds, boolean inTime, boolean lost) {
-    if (lost
+      double nowSeconds, T request, double latencyObjectiveSeconds, boolean isInTime, boolean isLost) {
+    if (isLost
         && isOriginDegraded()
         && nowSeconds - shrunkAtSeconds > MIN_SHRINK_INTERVAL_RATIO * latencyObjectiveSeconds) {
-      window = Math.max(1, Math.min(window, fetchesInFlight) * WINDOW_DECREASE_RATIO);
+      fetchWindow = Math.max(1, Math.min(fetchWindow, fetchesInFlight) * WINDOW_DECREASE_RATIO);
       shrunkAtSeconds = nowSeconds;
-    } else if (inTime && fetchesInFlight >= window / 2) {
-      window += 1 / window;
+    } else if (isInTime && fetchesInFlight >= fetchWindow / 2) {
+      fetchWindow += 1 / fetchWindow;
     }
     if (request.endFetch()) {
       fetchesInFlight--;
@@ -182,14 +192,14 @@
     return followers == null ? List.of() : followers;
   }
 
-  /** A server answered a request for a key: it has it cached now. */
-  public void onAnswered(double nowSeconds, long keyAtServer, Outcome.CacheStatus cacheStatus) {
-    Double earlier = answeredAtSeconds.put(keyAtServer, nowSeconds);
+  /** Records that a server answered a request for a key and so has it cached now. */
+  public void onAnswered(double nowSeconds, long keyServerHash, Outcome.CacheStatus cacheStatus) {
+    Double previousAnswerSeconds = answeredAtSeconds.put(keyServerHash, nowSeconds);
     if (answeredAtSeconds.size() > MAX_REMEMBERED_KEYS) {
       answeredAtSeconds.remove(answeredAtSeconds.keySet().iterator().next());
     }
-    if (earlier != null) {
-      learnCachedSeconds(nowSeconds - earlier, cacheStatus);
+    if (previousAnswerSeconds != null) {
+      learnCachedSeconds(nowSeconds - previousAnswerSeconds, cacheStatus);
     }
   }
 
--- a/core/src/main/java/shalepaddle/policy/admission/package-info.java
+++ b/core/src/main/java/shalepaddle/policy/admission/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which requests may go out now: as many as can be answered within their latency objective, and as
- * many fetches as the origin can serve. Owned by one router; calls no other rule.
+ * Admission rules: limit requests to those that can be answered within their latency objective, and
+ * fetches to what the origin can serve. Owned by one router; does not depend on other rules.
  */
 package shalepaddle.policy.admission;
--- a/core/src/main/java/shalepaddle/policy/hash/Hashing.java
+++ b/core/src/main/java/shalepaddle/policy/hash/Hashing.java
@@ -1,8 +1,8 @@
 package shalepaddle.policy.hash;
 
 /**
- * The hash functions of the routing policy. They depend on their arguments alone, so that load
- * balancers with the same endpoint list place keys alike. Stateless.
+ * The hash functions of the routing policy. They depend only on their arguments, so that all load
+ * balancers with the same endpoint list map keys to the same servers. Stateless.
  */
 public final class Hashing {
   private static final long FNV_OFFSET_BASIS = 0xCBF29CE484222325L;
@@ -13,7 +13,7 @@
 
   private Hashing() {}
 
-  /** A 64-bit hash of a text: FNV-1a over its UTF-16 units, then mixed. */
+  /** A 64-bit hash of a string: FNV-1a over its UTF-16 code units, then {@link #mix}. */
   public static long ofText(String text) {
     long hash = FNV_OFFSET_BASIS;
     for (int i = 0; i < text.length(); i++) {
@@ -30,7 +30,7 @@
     return mixed ^ (mixed >>> 31);
   }
 
-  /** The hash of a key's nth attempt, from 0 on: a sequence of its own for each key. */
+  /** The hash of a key's nth attempt, counted from 0. Each key has its own sequence of hashes. */
   public static long ofAttempt(long keyHash, int attempt) {
     return mix(keyHash + attempt * GOLDEN_GAMMA);
   }
@@ -40,7 +40,7 @@
     return mix(keyHash ^ mix(serverId));
   }
 
-  /** A hash as a number in [0, 1). */
+  /** Maps a hash to a number in [0, 1). */
   public static double fraction(long hash) {
     return (mix(hash) >>> 11) * 0x1.0p-53;
   }
--- a/core/src/main/java/shalepaddle/policy/hash/package-info.java
+++ b/core/src/main/java/shalepaddle/policy/hash/package-info.java
@@ -1,2 +1,2 @@
-/** Hash functions that all rules and all load balancers share. Stateless; calls nothing else. */
+/** Hash functions shared by all rules and all load balancers. Stateless, without dependencies. */
 package shalepaddle.policy.hash;
--- a/core/src/main/java/shalepaddle/policy/health/FleetHealth.java
+++ b/core/src/main/java/shalepaddle/policy/health/FleetHealth.java
@@ -4,17 +4,17 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What holds for the ready servers together: the panic threshold, the usual load score, and how
- * many fetches are lost. Each server is compared with these, so that a cause which all share, such
- * as a slow origin, neither moves keys nor ejects a server.
+ * Health figures of all ready servers together: the panic state, the usual load score and the fetch
+ * loss ratio. Servers are compared with these, so that a common cause such as a slow origin neither
+ * moves keys nor ejects a server.
  *
  * <p>Times are in seconds. Not thread-safe: owned by one router.
  */
 public final class FleetHealth {
-  /** Weight of a new fetch in the fleet's average of fetch losses. */
+  /** Weight of a new fetch in the fleet's moving average of fetch losses. */
   private static final double FETCH_LOSS_GAIN_RATIO = 0.1;
 
-  /** The part of its fetches that a server may lose before it gets hardly any. */
+  /** The fraction of its fetches that a server may lose before its fetches are limited. */
   private static final double MAX_FETCH_LOSS_RATIO = 0.3;
 
   private static final double MIN_GREATEST_KEY_FRACTION = 0.02;
@@ -25,93 +25,103 @@
   private static final double MEDIAN_RANK_RATIO = 0.5;
 
   /**
-   * The maximum among up to about 10,000 servers; among more, the highest outliers are left out.
+   * Rank of the greatest key fraction: the maximum of up to about 10,000 servers; of more servers,
+   * the highest outliers are left out.
    */
   private static final double GREATEST_RANK_RATIO = 0.9999;
 
-  /** The rank of the loss that all servers share: what only some have is not the origin's. */
+  /**
+   * Rank of the fetch loss ratio that is attributed to the origin: three quarters of the servers
+   * lose at least as many fetches.
+   */
   private static final double SHARED_LOSS_RANK_RATIO = 0.25;
 
   private List<ServerHealth> servers = List.of();
   private boolean isPanicking;
-  private boolean areFailuresFew;
+  private boolean areMostServersHealthy;
   private double greatestKeyFraction = 1;
   private double fairScore = 1;
   private double fetchLossRatio;
 
-  /** These are the ready servers from now on. */
-  public void setServers(List<ServerHealth> ready) {
-    servers = ready;
+  /** Sets the ready servers. */
+  public void setServers(List<ServerHealth> readyServers) {
+    servers = readyServers;
   }
 
   /**
-   * Enters or leaves panic: while more than half of the servers would be ejected, none is (the
-   * panic threshold of Envoy). The cause is then likely shared, or this load balancer's own, and
-   * the load of many would fall on few. Cost: where most are really down, requests try some first.
+   * Enters or leaves panic mode: while more than half of the servers would be ejected, none is
+   * (like Envoy's panic threshold). The cause is then likely common to the servers or lies in this
+   * load balancer, and ejections would overload the few remaining servers. Cost: if most servers
+   * are really down, some requests are first sent to servers that are down.
    */
   public void updatePanicState() {
     isPanicking = 2 * servers.stream().filter(ServerHealth::isEjected).count() > servers.size();
   }
 
-  /** Whether the server gets no requests but trials: it is ejected, and there is no panic. */
+  /** Whether the server gets trial requests only: it is ejected, and panic mode is off. */
   public boolean isAvoided(ServerHealth server) {
     return !isPanicking && server.isEjected();
   }
 
-  /** Recomputes the figures of all servers together; to be called once a second. */
+  /** Recomputes the fleet's figures; must be called once per second. */
   public void update(double nowSeconds) {
     greatestKeyFraction =
         Math.max(
             MIN_GREATEST_KEY_FRACTION,
-            ranked(GREATEST_RANK_RATIO, server -> server.keyFraction(nowSeconds)));
-    long failing = servers.stream().filter(server -> server.isFailingRecently(nowSeconds)).count();
-    areFailuresFew = 3 * failing <= servers.size();
+            quantile(GREATEST_RANK_RATIO, server -> server.keyFraction(nowSeconds)));
+    long failingServers = servers.stream().filter(server -> server.isFailingRecently(nowSeconds)).count();
+    areMostServersHealthy = 3 * failingServers <= servers.size();
     fairScore =
         Math.max(
             1,
             FAIR_SCORE_MULTIPLE
-                * ranked(MEDIAN_RANK_RATIO, server -> server.loadScore(nowSeconds)));
+                * quantile(MEDIAN_RANK_RATIO, server -> server.loadScore(nowSeconds)));
   }
 
   /** Whether at most a third of the servers failed repeatedly in the last second. */
   public boolean areFailuresFew() {
-    return areFailuresFew;
+    return areMostServersHealthy;
   }
 
-  /** The greatest part of its keys that any server is offered. */
+  /** The greatest key fraction of any server. */
   public double greatestKeyFraction() {
     return greatestKeyFraction;
   }
 
-  /** The load score up to which a server is loaded like the others. */
+  /** The load score up to which a server counts as loaded like the others. */
   public double fairScore() {
     return fairScore;
   }
 
-  /** Whether a server is loaded, or fails, beyond the others, so that the cause is its own. */
+  /** Whether a server is loaded more than the others, or fails while most of them do not. */
   public boolean isOutlier(double nowSeconds, ServerHealth server) {
-    return server.loadScore(nowSeconds) > fairScore || (areFailuresFew && server.isNearEjection());
+    return server.loadScore(nowSeconds) > fairScore
+        || (areMostServersHealthy && server.isNearEjection());
   }
 
-  /** A fetch has ended at a server. */
-  public void recordFetch(double nowSeconds, ServerHealth server, boolean lost) {
-    server.recordFetch(nowSeconds, lost, fetchLossRatio);
-    fetchLossRatio += FETCH_LOSS_GAIN_RATIO * ((lost ? 1 : 0) - fetchLossRatio);
+  /**
+   * Records the end of a fetch at a server.
+   *
+   * @param isLost whether the fetch failed, was late or was rejected
+   */
+  public void recordFetch(double nowSeconds, ServerHealth server, boolean isLost) {
+    server.recordFetch(nowSeconds, isLost, fetchLossRatio);
+    fetchLossRatio += FETCH_LOSS_GAIN_RATIO * ((isLost ? 1 : 0) - fetchLossRatio);
   }
 
-  /** The part of fetches that nearly all servers lose, which is the origin's. */
+  /** The fetch loss ratio that most servers reach, which is attributed to the origin. */
   public double sharedFetchLossRatio(double nowSeconds) {
-    return ranked(
+    return quantile(
         SHARED_LOSS_RANK_RATIO, server -> server.fetchLossRatio(nowSeconds, fetchLossRatio));
   }
 
-  /** Whether a server loses more than its permitted fraction of fetches and gets only trials. */
+  /** Whether a server loses too many fetches, so that it gets only occasional fetches as trials. */
   public boolean isFetchLimited(double nowSeconds, ServerHealth server) {
     return server.fetchLossRatio(nowSeconds, fetchLossRatio) > MAX_FETCH_LOSS_RATIO;
   }
 
-  /** The quantile of a value over the servers, by a rank from 0 to below 1; 0 without servers. */
-  private double ranked(double rankRatio, ToDoubleFunction<ServerHealth> value) {
+  /** The quantile of a value over the servers, by a rank in [0, 1); 0 if there are no servers. */
+  private double quantile(double rankRatio, ToDoubleFunction<ServerHealth> value) {
     double[] values = servers.stream().mapToDouble(value).sorted().toArray();
     return values.length == 0 ? 0 : values[(int) (rankRatio * values.length)];
   }
--- a/core/src/main/java/shalepaddle/policy/health/IdleConnectionPolicy.java
+++ b/core/src/main/java/shalepaddle/policy/health/IdleConnectionPolicy.java
@@ -1,33 +1,36 @@
 package shalepaddle.policy.health;
 
 /**
- * Closes connections that are not in use while running servers refuse new ones: their connections
- * are a limited resource that other load balancers need too.
+ * Closes idle connections while running servers refuse new ones: servers accept a limited number of
+ * connections, which other load balancers need too.
  *
  * <p>Times are in seconds. Not thread-safe: owned by one router.
  */
 public final class IdleConnectionPolicy {
-  /** How long connections are closed after use: about as long as a fleet keeps its size. */
+  /**
+   * How long after a refused connection idle connections are closed; about the time between changes
+   * of the fleet's size.
+   */
   private static final double CLOSING_SECONDS = 300;
 
   private double closingUntilSeconds = Double.NEGATIVE_INFINITY;
 
-  /** A running server has refused a connection. */
+  /** Records that a running server has refused a connection. */
   public void onConnectionRefused(double nowSeconds) {
     closingUntilSeconds = nowSeconds + CLOSING_SECONDS;
   }
 
   /**
-   * An attempt at a server has ended. If this returns true, it has also marked the server as
-   * unconnected, and the caller must close the connections.
+   * Decides, after an attempt at a server has ended, whether the caller must close the idle
+   * connections to it. If so, also records in the server's health that they are closed.
    *
-   * @return whether its idle connections must be closed now
+   * @return whether the server's idle connections must be closed now
    */
   public boolean closesIdle(double nowSeconds, ServerHealth server) {
-    boolean closes = nowSeconds < closingUntilSeconds && server.inFlight() == 0;
-    if (closes) {
+    boolean mustClose = nowSeconds < closingUntilSeconds && server.inFlight() == 0;
+    if (mustClose) {
       server.onConnectionsClosed();
     }
-    return closes;
+    return mustClose;
   }
 }
--- a/core/src/main/java/shalepaddle/policy/health/LoadScore.java
+++ b/core/src/main/java/shalepaddle/policy/health/LoadScore.java
@@ -1,11 +1,12 @@
 package shalepaddle.policy.health;
 
 /**
- * How loaded one server is, from samples of its latency and utilization, and which part of its keys
- * it is offered because of that. Protects servers that are slower than the endpoint list says, or
- * have too many keys, where a load balancer has too little in flight for a cap to act.
+ * The load of one server, from samples of its latency and utilization, and the fraction of its keys
+ * that it is offered at that load. Protects servers that are slower than their weight in the
+ * endpoint list, or own too many keys, where a load balancer has too few requests in flight for a
+ * cap to take effect.
  *
- * <p>Scores are relative to what is fair: above 1, responses come late or all cores are in use.
+ * <p>Scores are relative to a fair load: above 1, responses are late or the cores are saturated.
  * Times are in seconds. Not thread-safe: owned by one router.
  */
 final class LoadScore {
@@ -13,15 +14,15 @@
 
   private static final double MAX_SCORE = 4;
 
-  /** Weight of a new sample in the average. */
+  /** Weight of a new sample in the moving average. */
   private static final double SCORE_GAIN_RATIO = 0.2;
 
-  /** Time in which a score that is not renewed fades to a third. */
+  /** Time constant of the exponential decay of a score without new samples. */
   static final double FADE_SECONDS = 3;
 
   private static final double MIN_KEY_FRACTION = 0.02;
 
-  /** How fast the key fraction recovers without any sample. */
+  /** The recovery of the key fraction per second without samples. */
   private static final double RECOVERY_PER_SECOND = 0.02;
 
   private static final double MAX_RECOVERY_SECONDS = 5;
@@ -45,40 +46,41 @@
   }
 
   /**
-   * Takes in a sample.
+   * Adds a sample.
    *
-   * @param sample 1 is the most that is fair for one server
-   * @param fairScore the fleet's usual score: a load that all servers share moves no keys
+   * @param sample the observed load; 1 is the highest fair load of one server
+   * @param fairScore the fleet's usual score; a load that all servers have moves no keys
    */
   void record(double nowSeconds, double sample, double fairScore) {
     score =
         score(nowSeconds)
             + SCORE_GAIN_RATIO * (Math.min(MAX_SCORE, Math.max(0, sample)) - score(nowSeconds));
-    double relative = Math.min(MAX_SCORE, Math.max(0, sample / fairScore));
-    double sinceLast = nowSeconds - sampledAtSeconds;
-    if (relative > 1) {
-      // After a long pause a sample weighs more, as it stands for the time before it.
-      double gain =
+    double relativeLoad = Math.min(MAX_SCORE, Math.max(0, sample / fairScore));
+    double secondsSinceLastSample = nowSeconds - sampledAtSeconds;
+    if (relativeLoad > 1) {
+      // A sample after a long pause weighs more, since it represents the time since the last one.
+      double gainRatio =
           Math.max(
               MIN_DECREASE_GAIN_RATIO,
-              Math.min(MAX_DECREASE_GAIN_RATIO, DECREASE_GAIN_PER_SECOND * sinceLast));
-      keyFraction *= 1 - gain * (relative - 1);
+              Math.min(MAX_DECREASE_GAIN_RATIO, DECREASE_GAIN_PER_SECOND * secondsSinceLastSample));
+      keyFraction *= 1 - gainRatio * (relativeLoad - 1);
     } else {
       keyFraction +=
-          INCREASE_GAIN_RATIO * (1 - relative) * Math.max(keyFraction, MIN_INCREASE_BASE);
+          INCREASE_GAIN_RATIO * (1 - relativeLoad) * Math.max(keyFraction, MIN_INCREASE_BASE);
     }
-    // Without any sample it still recovers slowly, since a server with few keys has few samples.
-    keyFraction += RECOVERY_PER_SECOND * Math.min(MAX_RECOVERY_SECONDS, Math.max(0, sinceLast));
+    // The key fraction recovers slowly even without samples, since a server with few keys has few
+    // samples.
+    keyFraction += RECOVERY_PER_SECOND * Math.min(MAX_RECOVERY_SECONDS, Math.max(0, secondsSinceLastSample));
     keyFraction = Math.min(1, Math.max(MIN_KEY_FRACTION, keyFraction));
     sampledAtSeconds = nowSeconds;
   }
 
-  /** The recent score; it fades, so that a server without requests does not stay overloaded. */
+  /** The score with its decay, by which a server without requests does not stay overloaded. */
   double score(double nowSeconds) {
     return score * Math.exp(Math.min(0, sampledAtSeconds - nowSeconds) / FADE_SECONDS);
   }
 
-  /** The part of its keys that the server is offered, above 0 to 1. */
+  /** The fraction of its keys that the server is offered, greater than 0 and at most 1. */
   double keyFraction(double nowSeconds) {
     return Math.min(
         1, keyFraction + RECOVERY_PER_SECOND * Math.max(0, nowSeconds - sampledAtSeconds));
--- a/core/src/main/java/shalepaddle/policy/health/OutlierDetector.java
+++ b/core/src/main/java/shalepaddle/policy/health/OutlierDetector.java
@@ -6,31 +6,31 @@
  * Ejects one server after consecutive failures and lets single trial requests through until one
  * succeeds (outlier detection as in Envoy and gRPC, with a half-open circuit breaker).
  *
- * <p>Refused connections eject by themselves. Attempts that were not served eject only while few
- * servers fail, as what many share is likely not theirs. Times are in seconds. Not thread-safe:
- * owned by one router.
+ * <p>Consecutive refused connections eject a server in any case. Other failures eject it only while
+ * few servers fail; if many fail, the cause is likely not in the servers. Times are in seconds. Not
+ * thread-safe: owned by one router.
  */
 final class OutlierDetector {
-  /** What the end of an attempt shows of the server's process. */
+  /** What the end of an attempt shows about the server's process. */
   enum Finding {
-    /** Nothing special. */
+    /** The attempt shows neither a restart nor a refused connection. */
     NONE,
-    /** It refused connections and serves again: likely a new process with an empty cache. */
+    /** The server refused connections and responds again: likely restarted, with an empty cache. */
     RESTARTED,
-    /** It refused a connection, though it may well run: it may be at its limit of connections. */
+    /** The server refused a connection but may be running: it may be at its connection limit. */
     REFUSED_CONNECTION
   }
 
-  /** Consecutive refused connections that eject; one may be due to a limit of connections. */
+  /** Consecutive refused connections that eject; a single one may be due to a connection limit. */
   private static final int MAX_REFUSED_CONNECTIONS = 2;
 
-  /** Consecutive attempts not served that eject while most servers serve. */
+  /** Consecutive failures that eject while most servers respond. */
   static final int MAX_CONSECUTIVE_FAILURES = 3;
 
   /**
-   * What a reset or a busy response adds to the count of consecutive failures. Networks and idle
-   * limits reset connections to servers that run, and a server without capacity for a fetch may
-   * serve all else. Cost: where requests are few, an ejection takes longer.
+   * What a reset or a busy response adds to the count of consecutive failures. Network faults and
+   * idle timeouts also reset connections to running servers, and a server without capacity for a
+   * fetch may serve all other requests. Cost: with few requests, an ejection takes longer.
    */
   private static final double PARTIAL_FAILURE_WEIGHT_RATIO = 0.5;
 
@@ -40,7 +40,7 @@
 
   private static final double BACKOFF_MULTIPLIER = 1.5;
 
-  /** How recent the last failure must be for the server to count as failing. */
+  /** Maximum age of the last attempt for the server to count as failing recently. */
   private static final double RECENT_SECONDS = 1;
 
   private boolean isFailing;
@@ -48,13 +48,13 @@
   private int refusedConnections;
   private double firstRefusedAtSeconds;
   private double connectionFailedAtSeconds = Double.NEGATIVE_INFINITY;
-  private double endedAtSeconds;
+  private double lastAttemptEndedAtSeconds;
   private double connectionUsedAtSeconds = Double.NEGATIVE_INFINITY;
   private double backoffSeconds;
   private double trialAtSeconds;
   private boolean isTrialInFlight;
 
-  /** Whether the server gets no requests but trials. */
+  /** Whether the server gets trial requests only. */
   boolean isEjected() {
     return isFailing || refusedConnections >= MAX_REFUSED_CONNECTIONS;
   }
@@ -64,56 +64,61 @@
     return !isTrialInFlight && nowSeconds >= trialAtSeconds;
   }
 
-  /** Consecutive attempts that were not served; some count in part. */
+  /** The number of consecutive failures; some count only in part. */
   double consecutiveFailures() {
     return consecutiveFailures;
   }
 
-  /** Whether it fails again and again, as of the last second. */
+  /** Whether the server has more than one consecutive failure, the last of them within a second. */
   boolean isFailingRecently(double nowSeconds) {
-    return consecutiveFailures > 1 && nowSeconds - endedAtSeconds < RECENT_SECONDS;
+    return consecutiveFailures > 1 && nowSeconds - lastAttemptEndedAtSeconds < RECENT_SECONDS;
   }
 
-  /** The server has started anew. */
+  /** Clears the ejection after a restart of the server. */
   void reset() {
     refusedConnections = 0;
     isFailing = false;
     isTrialInFlight = false;
   }
 
-  /** A request goes to the server. */
+  /** Records that a request is sent to the server. */
   void onSent() {
     if (isEjected()) {
       isTrialInFlight = true;
     }
   }
 
-  /** The idle connections to the server are closed. */
+  /** Records that the idle connections to the server are closed. */
   void onConnectionsClosed() {
     connectionUsedAtSeconds = Double.NEGATIVE_INFINITY;
   }
 
   /**
-   * An attempt has ended.
+   * Records the end of an attempt.
    *
-   * @param idleTimeoutSeconds after which an idle connection is closed
-   * @param failuresAreFew whether most servers serve what they get
+   * @param idleTimeoutSeconds time after which an idle connection is closed
+   * @param areMostServersHealthy whether at most a third of the servers fail repeatedly
    */
   Finding onAttemptEnded(
-      double nowSeconds, Outcome outcome, double idleTimeoutSeconds, boolean failuresAreFew) {
+      double nowSeconds,
+      Outcome outcome,
+      double idleTimeoutSeconds,
+      boolean areMostServersHealthy) {
     Outcome.Result result = outcome.result();
-    boolean served = result == Outcome.Result.OK || result == Outcome.Result.CACHE_MISS;
+    boolean wasServed = result == Outcome.Result.OK || result == Outcome.Result.CACHE_MISS;
     double sentAtSeconds = nowSeconds - outcome.elapsedSeconds();
-    // Attempts sent before a connection failure was observed may fail for the same cause.
+    // Attempts sent before the last observed connection failure may fail for the same cause.
     boolean isNewEvidence = sentAtSeconds > connectionFailedAtSeconds;
-    boolean failed = isFailure(outcome);
+    boolean hasFailed = isFailure(outcome);
     boolean wasReset = result == Outcome.Result.RESET && isNewEvidence;
-    countFailure(outcome, served, failed, wasReset);
-    endedAtSeconds = nowSeconds;
+    countFailure(outcome, wasServed, hasFailed, wasReset);
+    lastAttemptEndedAtSeconds = nowSeconds;
     isTrialInFlight = false;
     final boolean wasEjected = isEjected();
-    double connectionNeededAt = refusedConnections > 0 ? firstRefusedAtSeconds : nowSeconds;
-    boolean wasConnected = connectionNeededAt - connectionUsedAtSeconds < idleTimeoutSeconds;
+    // Whether an earlier connection was not yet closed as idle when a new one was first refused.
+    // The refusal is then not due to a connection limit.
+    double firstNeededAtSeconds = refusedConnections > 0 ? firstRefusedAtSeconds : nowSeconds;
+    boolean wasConnected = firstNeededAtSeconds - connectionUsedAtSeconds < idleTimeoutSeconds;
     Finding finding = Finding.NONE;
     if (result == Outcome.Result.CONNECT_FAILED) {
       finding = wasConnected ? Finding.NONE : Finding.REFUSED_CONNECTION;
@@ -127,12 +132,15 @@
     if (isNewEvidence && result.isConnectionFailure()) {
       connectionFailedAtSeconds = nowSeconds;
     }
-    // Includes servers that hang, as their lost fetches would be attributed to the origin, and
-    // servers that reject at once, as their few requests in flight would attract more.
-    if ((failed || wasReset) && failuresAreFew && consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
+    // This also ejects servers that hang, since their lost fetches would be attributed to the
+    // origin, and servers that reject at once, since they would attract more requests by having few
+    // in flight.
+    if ((hasFailed || wasReset)
+        && areMostServersHealthy
+        && consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
       isFailing = true;
     }
-    if (isEjected() && !served && (!wasEjected || sentAtSeconds >= trialAtSeconds)) {
+    if (isEjected() && !wasServed && (!wasEjected || sentAtSeconds >= trialAtSeconds)) {
       scheduleTrial(nowSeconds, wasEjected && result != Outcome.Result.RESET);
     }
     return finding;
@@ -149,7 +157,7 @@
     return hasRestarted ? Finding.RESTARTED : Finding.NONE;
   }
 
-  /** Whether the server failed the attempt; an error that names a cache miss is the origin's. */
+  /** Whether the server failed the attempt; an error after a cache miss is due to the origin. */
   private static boolean isFailure(Outcome outcome) {
     return switch (outcome.result()) {
       case TIMEOUT, SERVER_BUSY -> true;
@@ -158,20 +166,20 @@
     };
   }
 
-  private void countFailure(Outcome outcome, boolean served, boolean failed, boolean wasReset) {
-    if (served) {
+  private void countFailure(Outcome outcome, boolean wasServed, boolean hasFailed, boolean wasReset) {
+    if (wasServed) {
       consecutiveFailures = 0;
     } else if (wasReset || outcome.result() == Outcome.Result.SERVER_BUSY) {
       consecutiveFailures += PARTIAL_FAILURE_WEIGHT_RATIO;
-    } else if (failed) {
-      // A server is not blamed for time in which this load balancer was stalled.
+    } else if (hasFailed) {
+      // Time in which this load balancer was stalled does not count against the server.
       consecutiveFailures += outcome.activeRatio();
     }
   }
 
-  private void scheduleTrial(double nowSeconds, boolean trialFailed) {
+  private void scheduleTrial(double nowSeconds, boolean hasTrialFailed) {
     backoffSeconds =
-        trialFailed
+        hasTrialFailed
             ? Math.min(MAX_BACKOFF_SECONDS, backoffSeconds * BACKOFF_MULTIPLIER)
             : INITIAL_BACKOFF_SECONDS;
     trialAtSeconds = nowSeconds + backoffSeconds;
--- a/core/src/main/java/shalepaddle/policy/health/ServerHealth.java
+++ b/core/src/main/java/shalepaddle/policy/health/ServerHealth.java
@@ -6,13 +6,13 @@
 import shalepaddle.policy.hash.Hashing;
 
 /**
- * What this load balancer knows of one server: its line of the endpoint list, requests in flight,
- * and the state of {@link OutlierDetector}, {@link SlowStart} and {@link LoadScore}.
+ * This load balancer's view of one server: its line of the endpoint list, requests in flight, and
+ * the state of {@link OutlierDetector}, {@link SlowStart} and {@link LoadScore}.
  *
  * <p>Times are in seconds. Not thread-safe: owned by one router.
  */
 public final class ServerHealth {
-  /** Weight of a new fetch in the average of fetch losses. */
+  /** Weight of a new fetch in the moving average of fetch losses. */
   private static final double FETCH_LOSS_GAIN_RATIO = 0.15;
 
   private final long id;
@@ -22,21 +22,21 @@
   private ServerEntry entry;
   private int inFlight;
 
-  /** The last start that the endpoint list gave. */
+  /** The server's last start according to the endpoint list. */
   private double listedStartSeconds = ServerStartTimes.LONG_AGO;
 
   private double fetchLossRatio;
   private double fetchedAtSeconds = Double.NEGATIVE_INFINITY;
 
-  /** A server that was not listed before: warm, and without any failure. */
+  /** Creates the state of a server that was not listed before: warm and without failures. */
   public ServerHealth(ServerEntry entry, double nowSeconds, Settings settings) {
     this.id = entry.id();
     this.entry = entry;
-    // Spread over the load balancers, as without any tokens many would wait long and then send
-    // their first requests together.
-    double offset = (double) settings.instanceNumber() / Math.max(1, settings.instances());
+    // The initial tokens differ between load balancers. If all began without tokens, many would
+    // wait long and then send their first requests together.
+    double instanceOffset = (double) settings.instanceNumber() / Math.max(1, settings.instances());
     this.slowStart =
-        new SlowStart(settings.contract(), (Hashing.fraction(id) + offset) % 1, nowSeconds);
+        new SlowStart(settings.contract(), (Hashing.fraction(id) + instanceOffset) % 1, nowSeconds);
     this.loadScore = new LoadScore(nowSeconds);
   }
 
@@ -45,7 +45,7 @@
     return id;
   }
 
-  /** Its line of the endpoint list. */
+  /** The server's line of the endpoint list. */
   public ServerEntry entry() {
     return entry;
   }
@@ -56,20 +56,20 @@
   }
 
   /**
-   * The endpoint list has a line for this server; a new start means an empty cache.
+   * Applies the server's line of the endpoint list; after a new start the server's cache is empty.
    *
-   * @param startSeconds when it started last, in this load balancer's time
+   * @param startSeconds the server's last start, in this load balancer's time
    */
-  public void onListed(ServerEntry listed, double startSeconds, double nowSeconds) {
+  public void onListed(ServerEntry newEntry, double startSeconds, double nowSeconds) {
     if (startSeconds > listedStartSeconds) {
       listedStartSeconds = startSeconds;
       slowStart.restart(nowSeconds, startSeconds);
       outlierDetector.reset();
     }
-    entry = listed;
+    entry = newEntry;
   }
 
-  /** Whether it gets no requests but trials, see {@link OutlierDetector}. */
+  /** Whether the server gets trial requests only, see {@link OutlierDetector}. */
   public boolean isEjected() {
     return outlierDetector.isEjected();
   }
@@ -79,27 +79,27 @@
     return outlierDetector.isTrialDue(nowSeconds);
   }
 
-  /** Whether the last attempts there failed, as of the last second. */
+  /** Whether the server has more than one consecutive failure, the last of them within a second. */
   boolean isFailingRecently(double nowSeconds) {
     return outlierDetector.isFailingRecently(nowSeconds);
   }
 
-  /** Whether more than one attempt in a row was not served. */
+  /** Whether the server has more than one consecutive failure. */
   public boolean isFailingRepeatedly() {
     return outlierDetector.consecutiveFailures() > 1;
   }
 
-  /** Whether one more failure would eject it. */
+  /** Whether one more failure would eject the server. */
   boolean isNearEjection() {
     return outlierDetector.consecutiveFailures() >= OutlierDetector.MAX_CONSECUTIVE_FAILURES - 1;
   }
 
-  /** The part of its capacity that it has after a start: 1 once it is warm. */
+  /** The fraction of its full capacity that the server has now: 1 once it is warm. */
   public double capacityRatio(double nowSeconds) {
     return slowStart.capacityRatio(nowSeconds);
   }
 
-  /** Whether its slow start is over. */
+  /** Whether the server's slow start is over. */
   public boolean isWarm(double nowSeconds) {
     return capacityRatio(nowSeconds) >= 1;
   }
@@ -107,48 +107,49 @@
   /**
    * Whether slow start permits one more request.
    *
-   * @param warmRequestsPerSecond the rate at which warm servers of like weight answer
+   * @param warmRequestsPerSecond the rate at which warm servers of the same weight answer
    */
   public boolean hasSlowStartCapacity(double nowSeconds, double warmRequestsPerSecond) {
     return isWarm(nowSeconds) || slowStart.hasCapacity(nowSeconds, warmRequestsPerSecond);
   }
 
   /**
-   * Takes in a sample of its load.
+   * Adds a sample of the server's load.
    *
-   * @param sample 1 is the most that is fair
+   * @param sample the observed load; 1 is the highest fair load
    * @param fairScore the fleet's usual score
    */
   public void recordLoad(double nowSeconds, double sample, double fairScore) {
     loadScore.record(nowSeconds, sample, fairScore);
   }
 
-  /** Its recent load score; above 1 it is loaded more than is fair. */
+  /** The server's recent load score; above 1, the server has more than a fair load. */
   public double loadScore(double nowSeconds) {
     return loadScore.score(nowSeconds);
   }
 
-  /** The part of its keys that it is offered for its load. */
+  /** The fraction of its keys that the server is offered at its load. */
   public double keyFraction(double nowSeconds) {
     return loadScore.keyFraction(nowSeconds);
   }
 
   /**
-   * Whether the key is among those that the server is offered, while it gets but a part of them for
-   * its load or its slow start: all load balancers then leave out the same keys.
+   * Whether the key is among those that the server is offered when its load or its slow start
+   * reduces their number. All load balancers leave out the same keys.
    *
-   * @param greatestKeyFraction of any server; fractions are relative to it
+   * @param greatestKeyFraction the greatest key fraction of any server, to which fractions are
+   *     relative
    */
   public boolean acceptsKey(double nowSeconds, long keyHash, double greatestKeyFraction) {
-    double accepted =
+    double acceptedFraction =
         keyFraction(nowSeconds) / greatestKeyFraction * slowStart.keyFraction(nowSeconds);
-    return accepted >= 1 || Hashing.fraction(keyHash ^ Hashing.mix(id)) < accepted;
+    return acceptedFraction >= 1 || Hashing.fraction(keyHash ^ Hashing.mix(id)) < acceptedFraction;
   }
 
   /**
-   * The part of its fetches that fails, comes late or is rejected.
+   * The fraction of the server's fetches that fail, are late or are rejected.
    *
-   * @param fleetLossRatio that of all servers, which holds where it has had few fetches lately
+   * @param fleetLossRatio the loss ratio of all servers, to which this one decays without fetches
    */
   public double fetchLossRatio(double nowSeconds, double fleetLossRatio) {
     return fleetLossRatio
@@ -156,15 +157,20 @@
             * Math.exp((fetchedAtSeconds - nowSeconds) / LoadScore.FADE_SECONDS);
   }
 
-  /** A fetch has ended there. */
-  void recordFetch(double nowSeconds, boolean lost, double fleetLossRatio) {
+  /**
+   * Records the end of a fetch.
+   *
+   * @param isLost whether the fetch failed, was late or was rejected
+   * @param fleetLossRatio the loss ratio of all servers
+   */
+  void recordFetch(double nowSeconds, boolean isLost, double fleetLossRatio) {
     fetchLossRatio =
         fetchLossRatio(nowSeconds, fleetLossRatio) * (1 - FETCH_LOSS_GAIN_RATIO)
-            + (lost ? FETCH_LOSS_GAIN_RATIO : 0);
+            + (isLost ? FETCH_LOSS_GAIN_RATIO : 0);
     fetchedAtSeconds = nowSeconds;
   }
 
-  /** An attempt goes to the server. */
+  /** Records that an attempt is sent to the server. */
   public void onSent() {
     inFlight++;
     slowStart.onSent();
@@ -172,25 +178,25 @@
   }
 
   /**
-   * An attempt has ended.
+   * Records the end of an attempt.
    *
-   * @param idleTimeoutSeconds after which an idle connection is closed
-   * @param failuresAreFew whether most servers serve what they get
-   * @return whether it refused a connection and may yet be running
+   * @param idleTimeoutSeconds time after which an idle connection is closed
+   * @param areMostServersHealthy whether at most a third of the servers fail repeatedly
+   * @return whether the server refused a connection but may be running
    */
   public boolean onAttemptEnded(
-      double nowSeconds, Outcome outcome, double idleTimeoutSeconds, boolean failuresAreFew) {
+      double nowSeconds, Outcome outcome, double idleTimeoutSeconds, boolean areMostServersHealthy) {
     inFlight--;
     OutlierDetector.Finding finding =
-        outlierDetector.onAttemptEnded(nowSeconds, outcome, idleTimeoutSeconds, failuresAreFew);
+        outlierDetector.onAttemptEnded(nowSeconds, outcome, idleTimeoutSeconds, areMostServersHealthy);
     if (finding == OutlierDetector.Finding.RESTARTED) {
-      // Until the endpoint list gives its start, it counts as warming up from now on.
+      // Slow start begins now; the endpoint list may give the actual start later.
       slowStart.restart(nowSeconds, nowSeconds);
     }
     return finding == OutlierDetector.Finding.REFUSED_CONNECTION;
   }
 
-  /** The idle connections to the server are closed. */
+  /** Records that the idle connections to the server are closed. */
   void onConnectionsClosed() {
     outlierDetector.onConnectionsClosed();
   }
--- a/core/src/main/java/shalepaddle/policy/health/ServerStartTimes.java
+++ b/core/src/main/java/shalepaddle/policy/health/ServerStartTimes.java
@@ -7,27 +7,30 @@
 import shalepaddle.model.ServerEntry;
 
 /**
- * When each server started, in this load balancer's own time.
+ * The start time of each server, in this load balancer's own time.
  *
- * <p>The endpoint list stamps starts with the wall clock of its author, which may differ from this
- * machine's by any amount and may step. So a start that is listed while the list is followed counts
- * from when it is received. In the first list, stamps are compared with each other alone: a server
- * that started well before the newest one is warm. Of the others nothing certain is known, and they
- * count as having started as lately as the stamps permit; but if that were most of the list, they
- * count as warm unless this machine's clock says otherwise, so that not all requests are rejected.
+ * <p>The endpoint list gives start times by the wall clock of its author, which may differ from
+ * this machine's clock by any amount and may step. A start that is listed while this load balancer
+ * follows the list therefore counts from the time at which the update arrives. In the first
+ * list, start times are only compared with each other: a server that started well before the newest
+ * one is warm. The other servers count as started as recently as the listed times permit. If they
+ * are more than half of the list, they count as warm unless this machine's clock also shows a
+ * recent start, so that not all requests are rejected.
  *
- * <p>Bounded to {@value #MAX_SERVERS} servers, among them some that were removed: one that comes
- * back with the same stamp has not started anew. Times are in seconds. Not thread-safe: owned by
+ * <p>Bounded to {@value #MAX_SERVERS} servers. Removed servers are included: one that is listed
+ * again with the same start time has not restarted. Times are in seconds. Not thread-safe: owned by
  * one router.
  */
 public final class ServerStartTimes {
-  /** The start of a server that is warm, whenever it started. */
+  /** The start time of a server that counts as warm. */
   public static final double LONG_AGO = Double.NEGATIVE_INFINITY;
 
   private static final int MAX_SERVERS = 8192;
 
-  /** A start as the list stamps it, and in this load balancer's time. */
-  private record Start(double stampSeconds, double atSeconds) {}
+  /**
+   * The start of a server, by the clock of the list's author and in this load balancer's own time.
+   */
+  private record Start(double listedSeconds, double localSeconds) {}
 
   private final Map<Long, Start> starts =
       new LinkedHashMap<>(16, 0.75f, true) {
@@ -42,78 +45,87 @@
   private long newestVersion = Long.MIN_VALUE;
 
   /**
-   * Without any server.
+   * Creates the record without any server.
    *
-   * @param slowStartSeconds how long after its start a server is warm
+   * @param slowStartSeconds the time after its start at which a server is warm
    */
   public ServerStartTimes(double slowStartSeconds) {
     this.slowStartSeconds = slowStartSeconds;
   }
 
-  /** When the server started: {@link #LONG_AGO} if the list does not say. */
+  /** The time at which the server started; {@link #LONG_AGO} if the list has no start of it. */
   public double of(long id) {
     Start start = starts.get(id);
-    return start == null ? LONG_AGO : start.atSeconds;
+    return start == null ? LONG_AGO : start.localSeconds;
   }
 
-  /** The server counts as having started now, until another start is listed. */
+  /** Counts the server as started now, until the list gives a different start. */
   public void restarted(double nowSeconds, long id) {
-    Start known = starts.get(id);
-    starts.put(id, new Start(known == null ? 0 : known.stampSeconds, nowSeconds));
+    Start knownStart = starts.get(id);
+    starts.put(id, new Start(knownStart == null ? 0 : knownStart.listedSeconds, nowSeconds));
   }
 
-  /** Takes in the starts of an update of the list. */
+  /** Records the starts in an update of the list. */
   public void learn(double nowSeconds, MembershipUpdate update) {
-    boolean isOlder = update.version() < newestVersion;
+    boolean isOlderList = update.version() < newestVersion;
     newestVersion = Math.max(newestVersion, update.version());
     boolean isDelta = update.kind() == MembershipUpdate.Kind.DELTA;
-    FirstList first = isFollowing || isDelta ? null : new FirstList(nowSeconds, update.entries());
+    FirstList firstList = isFollowing || isDelta ? null : new FirstList(nowSeconds, update.entries());
     for (ServerEntry entry : update.entries()) {
-      Start known = starts.get(entry.id());
-      double stamp = entry.startedAtSeconds();
-      if (isNewStart(known, stamp, isOlder)) {
-        starts.put(entry.id(), new Start(stamp, startSeconds(nowSeconds, stamp, first)));
+      Start knownStart = starts.get(entry.id());
+      double listedSeconds = entry.startedAtSeconds();
+      if (isNewStart(knownStart, listedSeconds, isOlderList)) {
+        starts.put(
+            entry.id(),
+            new Start(listedSeconds, startSeconds(nowSeconds, listedSeconds, firstList)));
       }
     }
     isFollowing |= update.kind() != MembershipUpdate.Kind.CACHED;
   }
 
-  private static double startSeconds(double nowSeconds, double stamp, FirstList first) {
-    if (stamp <= 0) {
+  private static double startSeconds(double nowSeconds, double listedSeconds, FirstList firstList) {
+    if (listedSeconds <= 0) {
       return LONG_AGO;
     }
-    return first == null ? nowSeconds : first.startSeconds(stamp);
+    return firstList == null ? nowSeconds : firstList.startSeconds(listedSeconds);
   }
 
-  /** An older list, from a replica that lags, has no new start of a server that is known. */
-  private static boolean isNewStart(Start known, double stamp, boolean isOlder) {
-    return known == null
-        || (stamp > 0 && known.stampSeconds != stamp && !(isOlder && stamp < known.stampSeconds));
+  /**
+   * Whether a listed start time shows a new start. An older list, from a replica that lags, may
+   * give an earlier start time of a known server, which is not a new start.
+   */
+  private static boolean isNewStart(Start knownStart, double listedSeconds, boolean isOlderList) {
+    return knownStart == null
+        || (listedSeconds > 0
+            && knownStart.listedSeconds != listedSeconds
+            && !(isOlderList && listedSeconds < knownStart.listedSeconds));
   }
 
-  /** What can be known of starts that were before this load balancer's own. */
+  /** Estimates the starts in the first list, which were before this load balancer's own start. */
   private final class FirstList {
     private final double nowSeconds;
-    private final double newestStamp;
-    private final boolean areMostNew;
+    private final double newestListedSeconds;
+    private final boolean areMostStartsRecent;
 
     FirstList(double nowSeconds, List<ServerEntry> entries) {
       this.nowSeconds = nowSeconds;
-      newestStamp = entries.stream().mapToDouble(ServerEntry::startedAtSeconds).max().orElse(0);
-      long fresh =
+      newestListedSeconds =
+          entries.stream().mapToDouble(ServerEntry::startedAtSeconds).max().orElse(0);
+      long recentStarts =
           entries.stream().filter(entry -> mayBeWarmingUp(entry.startedAtSeconds())).count();
-      areMostNew = 2 * fresh > entries.size();
+      areMostStartsRecent = 2 * recentStarts > entries.size();
     }
 
-    private boolean mayBeWarmingUp(double stamp) {
-      return stamp > 0 && newestStamp - stamp < slowStartSeconds;
+    private boolean mayBeWarmingUp(double listedSeconds) {
+      return listedSeconds > 0 && newestListedSeconds - listedSeconds < slowStartSeconds;
     }
 
-    double startSeconds(double stamp) {
-      double age = nowSeconds - stamp;
-      boolean isWarmingUpByThisClock = age >= 0 && age < slowStartSeconds;
-      boolean isWarmingUp = mayBeWarmingUp(stamp) && (isWarmingUpByThisClock || !areMostNew);
-      return isWarmingUp ? nowSeconds - (newestStamp - stamp) : LONG_AGO;
+    double startSeconds(double listedSeconds) {
+      double ageSeconds = nowSeconds - listedSeconds;
+      boolean isWarmingUpByThisClock = ageSeconds >= 0 && ageSeconds < slowStartSeconds;
+      boolean isWarmingUp =
+          mayBeWarmingUp(listedSeconds) && (isWarmingUpByThisClock || !areMostStartsRecent);
+      return isWarmingUp ? nowSeconds - (newestListedSeconds - listedSeconds) : LONG_AGO;
     }
   }
 }
--- a/core/src/main/java/shalepaddle/policy/health/ThroughputEstimator.java
+++ b/core/src/main/java/shalepaddle/policy/health/ThroughputEstimator.java
@@ -1,19 +1,23 @@
 package shalepaddle.policy.health;
 
 /**
- * How fast requests come to this load balancer and are answered by its servers: exponentially
- * weighted averages of rates that are taken once a second. Times are in seconds. Not thread-safe:
- * owned by one router.
+ * The rates at which this load balancer receives requests and its servers answer them:
+ * exponentially weighted moving averages, updated once a second. Times are in seconds. Not
+ * thread-safe: owned by one router.
  */
 public final class ThroughputEstimator {
   private static final double PERIOD_SECONDS = 1;
 
-  /** Weights of the newest period in each average. */
+  /** Weight of the newest period in the average of a warm server's answers. */
   private static final double WARM_GAIN_RATIO = 0.3;
 
+  /** Weight of the newest period in the average of all answers. */
   private static final double ANSWER_GAIN_RATIO = 0.5;
 
-  /** Small, so that a retry storm raises the average slowly. */
+  /**
+   * Weight of the newest period in the average of requests; small, so that a retry storm raises the
+   * average slowly.
+   */
   private static final double REQUEST_GAIN_RATIO = 0.05;
 
   private double periodBeganAtSeconds = Double.NaN;
@@ -24,67 +28,67 @@
   private double answersPerSecond = Double.POSITIVE_INFINITY;
   private double warmAnswersPerSecond;
 
-  /** A request has come. */
+  /** Records the arrival of a request. */
   public void onRequest() {
     requests++;
   }
 
-  /** A server has answered. */
+  /** Records an answer of a server. */
   public void onAnswer(boolean isWarm) {
     answers++;
     warmAnswers += isWarm ? 1 : 0;
   }
 
-  /** Leaves a stall of this load balancer, in seconds, out of the period. */
-  public void onEventLoopStall(double seconds) {
-    periodBeganAtSeconds += seconds;
+  /** Excludes a stall of this load balancer's event loop from the current period. */
+  public void onEventLoopStall(double stallSeconds) {
+    periodBeganAtSeconds += stallSeconds;
   }
 
-  /** Whether a period is over; the first call begins the first one. */
+  /** Whether the current period is over; the first call begins the first period. */
   public boolean isPeriodOver(double nowSeconds) {
     periodBeganAtSeconds = Double.isNaN(periodBeganAtSeconds) ? nowSeconds : periodBeganAtSeconds;
     return nowSeconds - periodBeganAtSeconds >= PERIOD_SECONDS;
   }
 
   /**
-   * Takes the rates of the period that is over, and begins the next one.
+   * Updates the averages from the period that is over and begins the next one.
    *
    * @param warmWeight the sum of the weights of warm servers
    */
   public void endPeriod(double nowSeconds, double warmWeight) {
-    double seconds = nowSeconds - periodBeganAtSeconds;
+    double periodSeconds = nowSeconds - periodBeganAtSeconds;
     if (warmWeight > 0) {
-      double rate = warmAnswers / seconds / warmWeight;
+      double warmRatePerSecond = warmAnswers / periodSeconds / warmWeight;
       warmAnswersPerSecond =
           warmAnswersPerSecond == 0
-              ? rate
-              : warmAnswersPerSecond + WARM_GAIN_RATIO * (rate - warmAnswersPerSecond);
+              ? warmRatePerSecond
+              : warmAnswersPerSecond + WARM_GAIN_RATIO * (warmRatePerSecond - warmAnswersPerSecond);
     }
-    double rate = answers / seconds;
+    double answerRatePerSecond = answers / periodSeconds;
     answersPerSecond =
-        Double.isInfinite(answersPerSecond) ? rate : ANSWER_GAIN_RATIO * (answersPerSecond + rate);
+        Double.isInfinite(answersPerSecond) ? answerRatePerSecond : ANSWER_GAIN_RATIO * (answersPerSecond + answerRatePerSecond);
     requestsPerSecond +=
         (requestsPerSecond == 0 ? 1 : REQUEST_GAIN_RATIO)
-            * (requests / seconds - requestsPerSecond);
+            * (requests / periodSeconds - requestsPerSecond);
     warmAnswers = 0;
     answers = 0;
     requests = 0;
     periodBeganAtSeconds = nowSeconds;
   }
 
-  /** Requests a second that come. */
+  /** Requests received per second. */
   public double requestsPerSecond() {
     return requestsPerSecond;
   }
 
-  /** Answers a second; infinite before the first period is over. */
+  /** Answers per second; infinite until the first period is over. */
   public double answersPerSecond() {
     return answersPerSecond;
   }
 
   /**
-   * Answers a second of a warm server of weight 1. Counts answers, as attempts in a retry storm do
-   * not show what a server can do.
+   * The answers per second of a warm server of weight 1. Based on answers rather than attempts,
+   * since attempts in a retry storm do not show a server's capacity.
    */
   public double warmAnswersPerSecond() {
     return warmAnswersPerSecond;
--- a/core/src/main/java/shalepaddle/policy/membership/MembershipSubscription.java
+++ b/core/src/main/java/shalepaddle/policy/membership/MembershipSubscription.java
@@ -1,8 +1,8 @@
 package shalepaddle.policy.membership;
 
-/** What {@link ServerRegistry} needs to follow the endpoint list; carried out by its owner. */
+/** Actions by which {@link ServerRegistry} follows the endpoint list; its owner performs them. */
 public interface MembershipSubscription {
-  /** Subscribes to watch events of the endpoint list, which begins with a complete list. */
+  /** Subscribes to watch events of the endpoint list; the first event is the complete list. */
   void subscribe();
 
   /** Schedules a call of {@link ServerRegistry#onTimer} after a delay in seconds. */
--- a/core/src/main/java/shalepaddle/policy/membership/ServerRegistry.java
+++ b/core/src/main/java/shalepaddle/policy/membership/ServerRegistry.java
@@ -13,8 +13,8 @@
 import shalepaddle.policy.health.ServerStartTimes;
 
 /**
- * Follows the endpoint list: which servers there are, which are ready, which an operator has
- * excluded; and polls for the list where it is not pushed.
+ * Follows the endpoint list: which servers are listed, which are ready, and which an operator has
+ * excluded. Polls for the list where it is not pushed.
  *
  * <p>Times are in seconds. Not thread-safe: owned by one router.
  */
@@ -23,10 +23,13 @@
 
   private static final int MAX_BACKOFF_DOUBLINGS = 8;
 
-  /** The longest backoff, as a part of the longest interval in which the contract wants a poll. */
+  /** The longest backoff, as a fraction of {@link Settings.Contract#maxPollIntervalSeconds}. */
   private static final double MAX_BACKOFF_RATIO = 0.4;
 
-  /** When a poll without an answer is repeated, as a part of that interval. */
+  /**
+   * The time after which an unanswered poll is repeated, as a fraction of {@link
+   * Settings.Contract#maxPollIntervalSeconds}.
+   */
   private static final double POLL_TIMEOUT_RATIO = 0.8;
 
   private static final double MAX_INITIAL_SPREAD_SECONDS = 0.5;
@@ -40,7 +43,7 @@
   private final TreeMap<Long, ServerHealth> servers = new TreeMap<>();
   private final ServerStartTimes startTimes;
 
-  /** Since when an operator excludes servers, also such as are not listed for now. */
+  /** When an operator excluded each server, by id; may contain servers that are not listed. */
   private final Map<Long, Double> excludedSinceSeconds = new HashMap<>();
 
   private Settings settings;
@@ -48,7 +51,7 @@
   private double pollAtSeconds = Double.POSITIVE_INFINITY;
   private int consecutiveFailures;
 
-  /** A registry without servers. */
+  /** Creates a registry without servers. */
   public ServerRegistry(
       Settings settings, MembershipSubscription subscription, SplittableRandom random) {
     this.settings = settings;
@@ -57,9 +60,9 @@
     this.startTimes = new ServerStartTimes(settings.contract().slowStartSeconds());
   }
 
-  /** Polls follow these settings from now on, with the shortest backoff. */
-  public void updateSettings(Settings next) {
-    settings = next;
+  /** Applies new settings to later polls and resets the backoff. */
+  public void updateSettings(Settings newSettings) {
+    settings = newSettings;
     consecutiveFailures = 0;
   }
 
@@ -68,7 +71,7 @@
     return servers.values();
   }
 
-  /** The server of this id; null if it is not listed. */
+  /** The server with this id; null if it is not listed. */
   public ServerHealth server(long id) {
     return servers.get(id);
   }
@@ -80,28 +83,29 @@
         .toList();
   }
 
-  /** Whether an operator excludes the server. */
+  /** Whether an operator has excluded the server. */
   public boolean isExcluded(ServerHealth server) {
     return excludedSinceSeconds.containsKey(server.id());
   }
 
   /**
-   * An operator excludes a server or includes it again. One that is included again counts as just
-   * started, as it may have been and its start may not be listed yet.
+   * Excludes a server on an operator's behalf, or includes it again. An included server counts as
+   * just started unless a start during the exclusion is listed: it may have been restarted, and the
+   * list may not show this yet.
    */
-  public void setExcluded(double nowSeconds, long id, boolean excluded) {
-    Double since =
-        excluded
+  public void setExcluded(double nowSeconds, long id, boolean isExcluded) {
+    Double excludedAtSeconds =
+        isExcluded
             ? excludedSinceSeconds.putIfAbsent(id, nowSeconds)
             : excludedSinceSeconds.remove(id);
     ServerHealth server = servers.get(id);
-    if (!excluded && since != null && server != null && startTimes.of(id) <= since) {
+    if (!isExcluded && excludedAtSeconds != null && server != null && startTimes.of(id) <= excludedAtSeconds) {
       startTimes.restarted(nowSeconds, id);
       put(nowSeconds, server.entry());
     }
   }
 
-  /** Takes in an update of the endpoint list, or the failure of a poll. */
+  /** Applies an update of the endpoint list or the failure of a poll. */
   public void apply(double nowSeconds, MembershipUpdate update) {
     switch (update.kind()) {
       case FAILED -> onFailure(nowSeconds);
@@ -116,28 +120,28 @@
           consecutiveFailures = 0;
         } else if (settings.pollsEndpointList()) {
           // Load balancers that were restarted together spread their first polls.
-          double spread =
+          double spreadSeconds =
               Math.min(
                   SPREAD_PER_INSTANCE_SECONDS * settings.instances(), MAX_INITIAL_SPREAD_SECONDS);
-          schedulePoll(nowSeconds, spread * random.nextDouble());
+          schedulePoll(nowSeconds, spreadSeconds * random.nextDouble());
         }
       }
     }
   }
 
   /**
-   * Backs off with jitter, as the discovery service is small and shared and load balancers whose
-   * polls failed together must not come back together.
+   * Schedules the next poll with exponential backoff and jitter. The discovery service is small and
+   * shared, and load balancers whose polls failed together must not retry together.
    */
   private void onFailure(double nowSeconds) {
     isSubscribed = false;
     consecutiveFailures = Math.min(consecutiveFailures + 1, MAX_BACKOFF_DOUBLINGS);
-    double longest =
+    double maxBackoffSeconds =
         Math.max(
             settings.contract().maxPollIntervalSeconds() * MAX_BACKOFF_RATIO,
             settings.timerResolutionSeconds());
-    double backoff = Math.min(longest, INITIAL_BACKOFF_SECONDS * Math.pow(2, consecutiveFailures));
-    schedulePoll(nowSeconds, backoff * (0.5 + 0.5 * random.nextDouble()));
+    double backoffSeconds = Math.min(maxBackoffSeconds, INITIAL_BACKOFF_SECONDS * Math.pow(2, consecutiveFailures));
+    schedulePoll(nowSeconds, backoffSeconds * (0.5 + 0.5 * random.nextDouble()));
   }
 
   private void put(double nowSeconds, ServerEntry entry) {
@@ -155,13 +159,14 @@
     subscription.scheduleTimer(delaySeconds);
   }
 
-  /** A timer that was scheduled came due. */
+  /** Handles a scheduled timer that is due. */
   public void onTimer(double nowSeconds) {
     if (!isSubscribed
         && settings.pollsEndpointList()
         && nowSeconds + TIMER_TOLERANCE_SECONDS >= pollAtSeconds) {
       subscription.subscribe();
-      // A poll that is never answered must not leave this load balancer without a list.
+      // This timer repeats a poll that is never answered, so that this load balancer still gets a
+      // list.
       schedulePoll(
           nowSeconds,
           Math.max(
--- a/core/src/main/java/shalepaddle/policy/placement/HotKeyReplication.java
+++ b/core/src/main/java/shalepaddle/policy/placement/HotKeyReplication.java
@@ -4,50 +4,57 @@
 import shalepaddle.model.Settings;
 
 /**
- * Gives a hot key several replicas, the first owners of its own hash sequence: it may outgrow one
- * server while each load balancer sees too little of it to reach a cap. Where crossing zones has a
- * price, a key that its zone reads often, and any write, goes to owners in the own zone.
+ * Spreads a hot key over several replicas, the first owners on its hash sequence: its load may
+ * exceed one server's capacity while each load balancer sends too few of its requests to reach a
+ * cap. Where cross-zone attempts have a price, writes and keys that are often read in a zone go to
+ * owners in the same zone.
  *
  * <p>Not thread-safe: owned by one router.
  */
 public final class HotKeyReplication {
-  /** The part of a server's mean load from which a key is shared by several servers. */
+  /** Maximum load of one key per replica, as a fraction of a server's mean load. */
   private static final double HOT_KEY_LOAD_RATIO = 0.5;
 
-  /** Observations in the zone times the price of crossing from which a copy there pays. */
+  /**
+   * The minimum product of the observations in the zone and the cross-zone price at which a copy in
+   * the zone pays off.
+   */
   private static final double MIN_SAVED_PRICE = 0.15;
 
-  /** Jumps for each zone and replica to look for a server in the own zone. */
-  private static final double JUMPS_PER_ZONE_AND_REPLICA = 3;
+  /** Number of ring jumps restricted to the own zone, per zone and replica. */
+  private static final double OWN_ZONE_JUMPS_PER_ZONE_AND_REPLICA = 3;
 
-  /** Observations below which the fraction of one key says little. */
+  /**
+   * Minimum of the total observations by which a key's fraction is computed: with fewer
+   * observations, the fraction is unreliable.
+   */
   private static final double MIN_TOTAL_OBSERVATIONS = 50;
 
   private final HotKeySketch sketch = new HotKeySketch();
 
-  /** A request whose replicas are selected. */
+  /** A request that replicas are selected for. */
   public interface Target {
-    /** The hash of its key. */
+    /** The hash of the request's key. */
     long keyHash();
 
-    /** Whether it changes the value. */
+    /** Whether the request changes the value. */
     boolean isWrite();
 
     /**
-     * Takes the selection.
+     * Receives the selection.
      *
-     * @param replicas how many owners of the key's sequence share it, from 1 on
-     * @param localJumps how many jumps look for a server in the own zone first, 0 for none
-     * @param firstReplica the one to begin with, from 0 on
+     * @param replicas number of owners on the key's hash sequence that serve it, at least 1
+     * @param ownZoneJumps number of ring jumps that are first tried in the own zone only, may be 0
+     * @param firstReplica number of the replica to begin with, counted from 0
      */
-    void assignReplicas(int replicas, int localJumps, int firstReplica);
+    void assignReplicas(int replicas, int ownZoneJumps, int firstReplica);
   }
 
   /**
-   * Counts a request for a key and selects its replicas. Draws a random number if there are
+   * Counts a request for a key and selects the key's replicas. Draws a random number if there are
    * several.
    *
-   * @param readyServers how many cache servers are ready
+   * @param readyServers the number of cache servers that are ready
    */
   public void selectReplicas(
       double nowSeconds,
@@ -55,18 +62,20 @@
       int readyServers,
       Settings settings,
       SplittableRandom random) {
-    boolean write = request.isWrite();
-    double observations = write ? 0 : sketch.observe(nowSeconds, request.keyHash());
-    double zones = Math.max(1, settings.zones().size());
-    double inZone = observations * Math.max(1, settings.instances() / zones);
+    boolean isWrite = request.isWrite();
+    double observations = isWrite ? 0 : sketch.observe(nowSeconds, request.keyHash());
+    double zoneCount = Math.max(1, settings.zones().size());
+    double observationsInZone = observations * Math.max(1, settings.instances() / zoneCount);
     double crossZonePrice = settings.prices().crossZone();
-    boolean local = crossZonePrice > 0 && (write || inZone * crossZonePrice >= MIN_SAVED_PRICE);
-    double fraction = observations / Math.max(sketch.total(), MIN_TOTAL_OBSERVATIONS);
-    double servers = local ? readyServers / zones : readyServers;
+    boolean isLocal =
+        crossZonePrice > 0 && (isWrite || observationsInZone * crossZonePrice >= MIN_SAVED_PRICE);
+    double keyFraction = observations / Math.max(sketch.total(), MIN_TOTAL_OBSERVATIONS);
+    double candidateServers = isLocal ? readyServers / zoneCount : readyServers;
     int replicas =
-        (int) Math.max(1, Math.min(servers, Math.ceil(fraction * servers / HOT_KEY_LOAD_RATIO)));
-    int localJumps = local ? (int) (replicas * zones * JUMPS_PER_ZONE_AND_REPLICA) : 0;
-    int firstReplica = replicas > 1 ? random.nextInt(replicas) * (local ? (int) zones : 1) : 0;
-    request.assignReplicas(replicas, localJumps, firstReplica);
+        (int) Math.max(1, Math.min(candidateServers, Math.ceil(keyFraction * candidateServers / HOT_KEY_LOAD_RATIO)));
+    int ownZoneJumps =
+        isLocal ? (int) (replicas * zoneCount * OWN_ZONE_JUMPS_PER_ZONE_AND_REPLICA) : 0;
+    int firstReplica = replicas > 1 ? random.nextInt(replicas) * (isLocal ? (int) zoneCount : 1) : 0;
+    request.assignReplicas(replicas, ownZoneJumps, firstReplica);
   }
 }
--- a/core/src/main/java/shalepaddle/policy/retry/RetryBudget.java
+++ b/core/src/main/java/shalepaddle/policy/retry/RetryBudget.java
@@ -14,7 +14,7 @@
 
   private double tokens = MAX_TOKENS;
 
-  /** An attempt succeeded. */
+  /** Adds tokens for a successful attempt. */
   void deposit() {
     tokens = Math.min(MAX_TOKENS, tokens + RETRIES_PER_SUCCESS_RATIO);
   }
@@ -24,7 +24,7 @@
     return tokens >= 1;
   }
 
-  /** A retry is sent. It may overdraw the budget where the caller did not ask for capacity. */
+  /** Removes the token of a retry. The balance becomes negative if there is no token. */
   void withdraw() {
     tokens -= 1;
   }
--- a/core/src/main/java/shalepaddle/policy/retry/package-info.java
+++ b/core/src/main/java/shalepaddle/policy/retry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What becomes of a request whose attempt failed: whether it is retried, within a budget, and how
- * long a rejected client should stay away. Owned by one router; calls no other rule.
+ * Retry rules: whether a request whose attempt failed is retried, within a budget, and how long a
+ * rejected client should wait. Owned by one router; does not depend on other rules.
  */
 package shalepaddle.policy.retry;
--- a/core/src/main/java/shalepaddle/replicatedstate/CommandResult.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/CommandResult.java
@@ -1,20 +1,19 @@
 package shalepaddle.replicatedstate;
 
 /**
- * What became of a command. Given once a majority has its entry on disk, and never before.
+ * The result of a command. Only returned once a majority of the members has its entry on disk.
  *
  * @param outcome whether the command took effect
- * @param index the entry's index in the log; for a proposal that was repeated, that of its first
- *     entry
+ * @param index the entry's index in the log; for a repeated proposal, the index of its first entry
  */
 public record CommandResult(Outcome outcome, long index) {
   /** Whether a command took effect. Immutable. */
   public enum Outcome {
-    /** In effect from its log index on, whichever members fail. */
+    /** The command is in effect from its log index on, and survives the failure of members. */
     COMMITTED("HELD"),
-    /** Without effect: as many servers are excluded as may be. */
+    /** The command has no effect: the maximum number of excluded servers is reached. */
     CAPACITY_EXCEEDED("NO_ROOM"),
-    /** Without effect on this version: a later version made the command. */
+    /** The command has no effect: it was written by a later version of the program. */
     UNKNOWN_COMMAND("NOT_KNOWN");
 
     private final String wireName;
@@ -23,15 +22,15 @@
       this.wireName = wireName;
     }
 
-    /** The name in messages, in snapshots and in the output of commands; never changes. */
+    /** The name in messages, snapshots and the output of commands; must never change. */
     public String wireName() {
       return wireName;
     }
 
     /**
-     * The outcome of this wire name.
+     * Returns the outcome with this wire name.
      *
-     * @throws IllegalArgumentException if there is none; names it
+     * @throws IllegalArgumentException if there is none; the message contains the wire name
      */
     public static Outcome ofWireName(String wireName) {
       for (Outcome outcome : values()) {
--- a/core/src/main/java/shalepaddle/replicatedstate/Proposal.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/Proposal.java
@@ -3,22 +3,22 @@
 /**
  * A command and its idempotency key. Immutable.
  *
- * @param id chosen by the caller; a repeat under the same id gets the first result and has no
- *     second effect
+ * @param id the idempotency key, chosen by the caller; a repeated proposal with the same id gets
+ *     the first result and has no second effect
  * @param proposedAtMillis when it was proposed, in milliseconds since 1970
  * @param command the change
  */
 public record Proposal(String id, long proposedAtMillis, StateCommand command) {
-  /** Characters of an id at most. */
+  /** Maximum number of characters in an id. */
   public static final int MAX_ID_LENGTH = 64;
 
-  /** Characters of a cache server's id at most. */
+  /** Maximum number of characters in a cache server's id. */
   public static final int MAX_SERVER_ID_LENGTH = 256;
 
   /**
-   * Checks the lengths, since a committed entry stays in the log.
+   * Checks the lengths before the proposal is committed, since committed entries stay in the log.
    *
-   * @throws IllegalArgumentException says what is wrong
+   * @throws IllegalArgumentException if the proposal's id or the server's id is empty or too long
    */
   public Proposal {
     if (id.isEmpty() || id.length() > MAX_ID_LENGTH) {
--- a/core/src/main/java/shalepaddle/replicatedstate/StateCommand.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/StateCommand.java
@@ -5,15 +5,15 @@
   /**
    * Excludes a cache server from routing on all nodes, or includes it again.
    *
-   * @param serverId the server's id, as discovery has it
+   * @param serverId the server's id in the discovery service
    * @param excluded whether it is excluded
    */
   record SetExclusion(String serverId, boolean excluded) implements StateCommand {}
 
   /**
-   * A command that only a later version knows; it changes nothing here.
+   * A command that only a later version supports; it has no effect on this version.
    *
-   * @param kind its number in the log
+   * @param kind the command's number in the log
    */
   record Unknown(int kind) implements StateCommand {}
 }
--- a/core/src/main/java/shalepaddle/replicatedstate/package-info.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/package-info.java
@@ -1,8 +1,9 @@
 /**
- * What a group holds for the whole fleet, as a deterministic state machine: a command of the
- * replicated log and the state before it give the state after it and the command's result. Every
- * node that applies the same log has the same state. There is no clock: a command brings its time.
+ * The state that a group replicates for the whole fleet, as a deterministic state machine: a
+ * command of the replicated log and the previous state determine the next state and the command's
+ * result. All nodes that have applied the same log have the same state. There is no clock: each
+ * command contains its time.
  *
- * <p>Owned by the thread that applies the log. The package calls nothing but the Java library.
+ * <p>Owned by the thread that applies the log. The package depends only on the Java library.
  */
 package shalepaddle.replicatedstate;
--- a/core/src/test/java/shalepaddle/changefeed/ChangeFeedPublisherTest.java
+++ b/core/src/test/java/shalepaddle/changefeed/ChangeFeedPublisherTest.java
@@ -8,18 +8,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a publisher sends to which subscriber. */
+/** Tests what a publisher sends to each subscriber, and when it rejects one. */
 class ChangeFeedPublisherTest {
-  private static final long MILLI = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** Two subscribers, 100 retained bytes, 50 bytes in flight. */
+  /** Limits of two subscribers, 100 bytes of retained entries and 50 bytes in flight. */
   private static final ChangeFeedPublisher.Limits LIMITS =
-      new ChangeFeedPublisher.Limits(2, 100, 50, 250 * MILLI, 5000 * MILLI, 2500 * MILLI);
+      new ChangeFeedPublisher.Limits(2, 100, 50, 250 * NANOS_PER_MILLI, 5000 * NANOS_PER_MILLI, 2500 * NANOS_PER_MILLI);
 
-  private final List<String> sent = new ArrayList<>();
+  private final List<String> sentMessages = new ArrayList<>();
   private long now;
 
-  /** The last log index that is applied in the state of the member. */
+  /** The last log index that is applied in the member's state. */
   private long stateIndex;
 
   private final ChangeFeedPublisher publisher =
@@ -30,12 +30,12 @@
           new ChangeFeedPublisher.Output() {
             @Override
             public void send(long connection, PublisherMessage message) {
-              sent.add(connection + " " + describe(message));
+              sentMessages.add(connection + " " + describe(message));
             }
 
             @Override
             public void close(long connection) {
-              sent.add(connection + " closed");
+              sentMessages.add(connection + " closed");
             }
 
             @Override
@@ -46,9 +46,10 @@
 
   private static String describe(PublisherMessage message) {
     if (message instanceof PublisherMessage.Entries entries) {
-      return entries.previousIndex()
-          + " then "
-          + entries.entries().stream().map(ChangeEntry::index).toList();
+      return "entries "
+          + entries.entries().stream().map(ChangeEntry::index).toList()
+          + " after "
+          + entries.previousIndex();
     }
     if (message instanceof PublisherMessage.Snapshot snapshot) {
       return "snapshot " + snapshot.index();
@@ -58,10 +59,11 @@
         : "rejected: " + ((PublisherMessage.Rejected) message).reason();
   }
 
-  private List<String> sent() {
-    List<String> all = List.copyOf(sent);
-    sent.clear();
-    return all;
+  /** Returns the messages sent since the last call, each after the number of its connection. */
+  private List<String> takeSent() {
+    List<String> newMessages = List.copyOf(sentMessages);
+    sentMessages.clear();
+    return newMessages;
   }
 
   private void hello(long connection, long index) {
@@ -79,21 +81,21 @@
   }
 
   @Test
-  void sendsMissingEntriesThenEachNewOne() {
+  void sendsMissingEntriesAndThenNewOnes() {
     applyEntries(3, 5);
     hello(1, 3);
     applyEntries(8);
-    assertEquals(List.of("1 3 then [5]", "1 5 then [8]"), sent());
+    assertEquals(List.of("1 entries [5] after 3", "1 entries [8] after 5"), takeSent());
   }
 
   @Test
   void sendsHeartbeatToSubscriberThatLacksNothing() {
     applyEntries(3);
     hello(1, 3);
-    assertEquals(List.of("1 heartbeat 3"), sent());
-    now += 250 * MILLI;
+    assertEquals(List.of("1 heartbeat 3"), takeSent());
+    now += 250 * NANOS_PER_MILLI;
     publisher.tick(now);
-    assertEquals(List.of("1 heartbeat 3"), sent());
+    assertEquals(List.of("1 heartbeat 3"), takeSent());
   }
 
   @Test
@@ -102,7 +104,7 @@
     assertEquals(100, publisher.retainedBytes());
     hello(1, 1);
     hello(2, 5);
-    assertEquals(List.of("1 snapshot 7", "2 5 then [6, 7]"), sent());
+    assertEquals(List.of("1 snapshot 7", "2 entries [6, 7] after 5"), takeSent());
   }
 
   @Test
@@ -110,42 +112,43 @@
     applyEntries(1, 2, 3, 4, 5, 6, 7);
     stateIndex = 1;
     hello(1, 0);
-    assertEquals(List.of("1 rejected: this member is catching up", "1 closed"), sent());
+    assertEquals(List.of("1 rejected: this member is catching up", "1 closed"), takeSent());
     stateIndex = 6;
     hello(2, 0);
-    assertEquals(List.of("2 snapshot 6", "2 6 then [7]"), sent());
+    assertEquals(List.of("2 snapshot 6", "2 entries [7] after 6"), takeSent());
   }
 
   @Test
   void boundsBytesInFlightToSlowSubscriber() {
     hello(1, 0);
     hello(2, 0);
-    sent();
+    takeSent();
     for (long index = 1; index <= 40; index++) {
       applyEntries(index);
       publisher.received(now, 2, new SubscriberMessage.Acknowledgement(index));
     }
-    List<String> all = sent();
-    assertEquals(40, all.stream().filter(line -> line.startsWith("2 ")).count());
-    assertEquals(3, all.stream().filter(line -> line.startsWith("1 ")).count(), all.toString());
-    assertTrue(publisher.inFlightBytes() <= 50 + 20, "in flight: " + publisher.inFlightBytes());
+    List<String> newMessages = takeSent();
+    assertEquals(40, newMessages.stream().filter(line -> line.startsWith("2 ")).count());
+    assertEquals(
+        3, newMessages.stream().filter(line -> line.startsWith("1 ")).count(), newMessages.toString());
+    assertTrue(publisher.inFlightBytes() <= 50 + 20, "bytes in flight: " + publisher.inFlightBytes());
     assertEquals(100, publisher.retainedBytes());
-    // It gets a snapshot, since the entries that it lacks are not retained any more.
+    // The slow subscriber gets a snapshot, since the entries that it lacks are no longer retained.
     publisher.received(now, 1, new SubscriberMessage.Acknowledgement(3));
-    assertEquals(List.of("1 snapshot 40"), sent());
+    assertEquals(List.of("1 snapshot 40"), takeSent());
   }
 
   @Test
   void disconnectsSubscriberThatDoesNotAcknowledge() {
     hello(1, 0);
     applyEntries(1);
-    sent();
-    now += 4999 * MILLI;
+    takeSent();
+    now += 4999 * NANOS_PER_MILLI;
     publisher.tick(now);
-    assertEquals(List.of("1 heartbeat 1"), sent());
-    now += MILLI;
+    assertEquals(List.of("1 heartbeat 1"), takeSent());
+    now += NANOS_PER_MILLI;
     publisher.tick(now);
-    assertEquals(List.of("1 closed"), sent());
+    assertEquals(List.of("1 closed"), takeSent());
     assertEquals(0, publisher.subscriberCount());
   }
 
@@ -164,10 +167,10 @@
             "8 closed",
             "9 rejected: this member knows up to 3, less than 4",
             "9 closed"),
-        sent());
+        takeSent());
     hello(1, 3);
     hello(2, 3);
-    sent();
+    takeSent();
     hello(3, 3);
     hello(1, 3);
     assertEquals(
@@ -176,48 +179,49 @@
             "3 closed",
             "1 rejected: a second hello",
             "1 closed"),
-        sent());
+        takeSent());
   }
 
   @Test
-  void rejectsSubscribersAfterStart() {
+  void rejectsSubscribersUntilLeaderIsKnown() {
     publisher.received(now, 1, new SubscriberMessage.Hello("birds", "n1", 0));
-    assertTrue(sent().get(0).startsWith("1 rejected: this member knows nobody who leads"));
+    assertTrue(takeSent().get(0).startsWith("1 rejected: this member knows nobody who leads"));
   }
 
   @Test
   void rejectsSubscribersAfterLeaderLossTimeout() {
     hello(1, 0);
     publisher.setLeaderKnown(now, false);
-    sent();
-    now += 2400 * MILLI;
+    takeSent();
+    now += 2400 * NANOS_PER_MILLI;
     publisher.tick(now);
-    assertEquals(List.of("1 heartbeat 0"), sent());
-    now += 200 * MILLI;
+    assertEquals(List.of("1 heartbeat 0"), takeSent());
+    now += 200 * NANOS_PER_MILLI;
     publisher.tick(now);
     assertEquals(
-        List.of("1 rejected: this member knows nobody who leads its group", "1 closed"), sent());
+        List.of("1 rejected: this member knows nobody who leads its group", "1 closed"),
+        takeSent());
     publisher.received(now, 2, new SubscriberMessage.Hello("birds", "n2", 0));
-    assertTrue(sent().get(0).startsWith("2 rejected"));
+    assertTrue(takeSent().get(0).startsWith("2 rejected"));
     hello(2, 0);
-    assertEquals(List.of("2 heartbeat 0"), sent());
+    assertEquals(List.of("2 heartbeat 0"), takeSent());
   }
 
   @Test
-  void dropsRetainedEntriesForInstalledSnapshot() {
+  void dropsRetainedEntriesWhenSnapshotIsInstalled() {
     applyEntries(1, 2);
     hello(1, 2);
-    sent();
+    takeSent();
     stateIndex = 50;
     publisher.snapshotInstalled(now, 50);
     publisher.snapshotInstalled(now, 40);
-    assertEquals(List.of("1 snapshot 50"), sent());
+    assertEquals(List.of("1 snapshot 50"), takeSent());
     assertEquals(50, publisher.lastIndex());
     assertThrows(IllegalStateException.class, () -> applyEntries(50));
   }
 
   @Test
-  void remembersLastRejectionBySubscriberName() {
+  void recordsLastRejectedEntryBySubscriberName() {
     applyEntries(3);
     hello(1, 3);
     publisher.received(
--- a/core/src/test/java/shalepaddle/changefeed/ChangeFeedSubscriberTest.java
+++ b/core/src/test/java/shalepaddle/changefeed/ChangeFeedSubscriberTest.java
@@ -9,14 +9,14 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** What a subscriber accepts, and when it switches to another member. */
+/** Tests which messages a subscriber accepts and when it switches to another member. */
 class ChangeFeedSubscriberTest {
-  private static final long MILLI = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final ChangeFeedSubscriber.Timeouts TIMEOUTS =
       ChangeFeedSubscriber.Timeouts.DEFAULT;
 
   private final List<String> actions = new ArrayList<>();
-  private long now = 1_000_000 * MILLI;
+  private long now = 1_000_000 * NANOS_PER_MILLI;
   private final ChangeFeedSubscriber subscriber =
       new ChangeFeedSubscriber(
           "birds",
@@ -47,9 +47,9 @@
             }
 
             @Override
-            public boolean installSnapshot(long index, byte[] image) {
-              actions.add("load " + index);
-              return image.length > 0;
+            public boolean installSnapshot(long index, byte[] state) {
+              actions.add("install " + index);
+              return state.length > 0;
             }
 
             @Override
@@ -69,86 +69,87 @@
         LongStream.of(indexes).mapToObj(index -> new ChangeEntry(index, new byte[1])).toList());
   }
 
-  /** The actions since the last call of this. */
-  private List<String> actions() {
-    List<String> done = List.copyOf(actions);
+  /** Returns the actions since the last call. */
+  private List<String> takeActions() {
+    List<String> takenActions = List.copyOf(actions);
     actions.clear();
-    return done;
+    return takenActions;
   }
 
-  /** Advances the time; ticks when the subscriber wants it. */
+  /** Advances the time and calls {@code tick} whenever it is due. */
   private void advance(long millis) {
-    for (long end = now + millis * MILLI; now < end; now += MILLI) {
+    for (long endNanos = now + millis * NANOS_PER_MILLI; now < endNanos; now += NANOS_PER_MILLI) {
       if (subscriber.nextTickNanos() <= now) {
         subscriber.tick(now);
       }
     }
   }
 
+  /** Subscribes to a member, which sends a snapshot up to this index. */
   private void subscribeFrom(long index) {
     advance(200);
     subscriber.connected(now);
     subscriber.received(now, new PublisherMessage.Snapshot(index, new byte[1]));
-    actions();
+    takeActions();
   }
 
   @Test
   void sendsHelloWithItsOwnIndex() {
     advance(200);
     subscriber.connected(now);
-    assertEquals(List.of("connect", "Hello[group=birds, name=n1, index=0]"), actions());
+    assertEquals(List.of("connect", "Hello[group=birds, name=n1, index=0]"), takeActions());
     subscriber.received(now, entries(0, 3, 5));
-    assertEquals(List.of("apply 3", "apply 5", "in contact"), actions());
+    assertEquals(List.of("apply 3", "apply 5", "in contact"), takeActions());
     advance(600);
-    assertEquals("Acknowledgement[index=5]", actions().get(0));
+    assertEquals("Acknowledgement[index=5]", takeActions().get(0));
   }
 
   @Test
-  void appliesEachEntryOnceAndNeverGoesBack() {
+  void appliesEachEntryOnceAndIgnoresOlderState() {
     subscribeFrom(5);
     subscriber.received(now, entries(3, 4, 5, 7));
     subscriber.received(now, entries(3, 4, 5, 7));
     subscriber.received(now, new PublisherMessage.Snapshot(6, new byte[1]));
-    assertEquals(List.of("apply 7"), actions());
+    assertEquals(List.of("apply 7"), takeActions());
     assertEquals(7, subscriber.lastIndex());
   }
 
   @Test
-  void subscribesAgainWhenEntriesAreMissing() {
+  void resubscribesWhenEntriesAreMissing() {
     subscribeFrom(5);
     subscriber.received(now, entries(7, 9));
-    assertEquals(List.of("close"), actions());
+    assertEquals(List.of("close"), takeActions());
     subscriber.received(now, entries(5, 7));
-    assertEquals(List.of(), actions(), "of the connection that it has left");
+    assertEquals(List.of(), takeActions(), "entries of a closed connection are ignored");
     advance(200);
     subscriber.connected(now);
-    assertEquals(List.of("connect", "Hello[group=birds, name=n1, index=5]"), actions());
+    assertEquals(List.of("connect", "Hello[group=birds, name=n1, index=5]"), takeActions());
   }
 
   @Test
   void detectsMissingEntriesByHeartbeat() {
     subscribeFrom(5);
     subscriber.received(now, new PublisherMessage.Heartbeat(6));
-    assertEquals(List.of("close"), actions());
+    assertEquals(List.of("close"), takeActions());
   }
 
   @Test
-  void ignoresUnreadableSnapshot() {
+  void keepsStateWhenSnapshotIsUnreadable() {
     subscribeFrom(5);
     subscriber.received(now, new PublisherMessage.Snapshot(9, new byte[0]));
-    assertEquals(List.of("load 9", "close"), actions());
+    assertEquals(List.of("install 9", "close"), takeActions());
     assertEquals(5, subscriber.lastIndex());
   }
 
   @Test
   void switchesMemberAfterSilenceAndReportsLostContact() {
     subscribeFrom(5);
-    final int first = subscriber.member();
-    advance(TIMEOUTS.silenceTimeoutNanos() / MILLI + 1);
-    assertTrue(actions().contains("close"));
-    assertTrue(subscriber.member() != first);
-    advance(TIMEOUTS.contactTimeoutNanos() / MILLI);
-    assertTrue(actions().contains("out of contact"));
+    final int firstMember = subscriber.member();
+    advance(TIMEOUTS.silenceTimeoutNanos() / NANOS_PER_MILLI + 1);
+    assertTrue(takeActions().contains("close"));
+    assertTrue(subscriber.member() != firstMember);
+    advance(TIMEOUTS.contactTimeoutNanos() / NANOS_PER_MILLI);
+    assertTrue(takeActions().contains("out of contact"));
     assertFalse(subscriber.isInContact());
     subscriber.connected(now);
     subscriber.received(now, new PublisherMessage.Heartbeat(5));
@@ -159,37 +160,37 @@
   void reportsRejectionAndSwitchesMember() {
     advance(200);
     subscriber.connected(now);
-    actions();
+    takeActions();
     subscriber.received(
         now, new PublisherMessage.Rejected("it follows group 'fish', and this is 'birds'"));
     assertEquals(
-        List.of("rejected: it follows group 'fish', and this is 'birds'", "close"), actions());
+        List.of("rejected: it follows group 'fish', and this is 'birds'", "close"), takeActions());
     assertEquals(0, subscriber.lastIndex());
   }
 
-  /** Messages that are read after a stall may be as old as the stall. */
+  /** Guards against accepting messages that are as old as the stall after which they are read. */
   @Test
   void ignoresMessagesReceivedDuringStall() {
     subscribeFrom(5);
-    now += 3000 * MILLI;
+    now += 3000 * NANOS_PER_MILLI;
     subscriber.received(now, entries(5, 7));
-    assertEquals(List.of("out of contact", "close"), actions());
+    assertEquals(List.of("out of contact", "close"), takeActions());
     assertEquals(5, subscriber.lastIndex());
   }
 
   @Test
-  void backsOffWhileNobodyAnswers() {
+  void backsOffWhileMembersDoNotRespond() {
     int attempts = 0;
     for (int i = 0; i < 100; i++) {
       advance(100);
-      if (actions().contains("connect")) {
+      if (takeActions().contains("connect")) {
         attempts++;
         subscriber.disconnected(now);
-        actions();
+        takeActions();
       }
     }
-    // A backoff of one second at most, of half a second on average.
-    assertTrue(attempts > 8 && attempts < 40, "tries within 10 s: " + attempts);
+    // The backoff is at most 1 s, and 0.5 s on average.
+    assertTrue(attempts > 8 && attempts < 40, "connection attempts within 10 s: " + attempts);
   }
 
   @Test
@@ -199,6 +200,6 @@
     assertEquals(
         List.of(
             "EntryRejected[index=5, reason=" + "x".repeat(SubscriberMessage.MAX_TEXT_LENGTH) + "]"),
-        actions());
+        takeActions());
   }
 }
--- a/core/src/test/java/shalepaddle/coalescing/RequestCoalescerModelTest.java
+++ b/core/src/test/java/shalepaddle/coalescing/RequestCoalescerModelTest.java
@@ -21,190 +21,194 @@
 import net.jqwik.api.state.Transformer;
 
 /**
- * {@link RequestCoalescer} against a naive model that keeps everything in lists: 200 chains of 500
- * steps.
+ * Compares {@link RequestCoalescer} with a naive model that keeps all state in lists, in 200 random
+ * chains of 500 steps.
  */
 class RequestCoalescerModelTest {
   private static final CoalescingConfig CONFIG =
       new CoalescingConfig(true, false, 5, 0.02, 6, 0.02);
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** A caller of the model. */
+  /** A waiter in the model. */
   private static final class ModelWaiter {
     final int id;
-    final long deadline;
-    final FlightWaiter<Integer> real;
-    boolean over;
+    final long deadlineNanos;
+    final FlightWaiter<Integer> realWaiter;
+    boolean isEnded;
 
-    ModelWaiter(int id, long deadline, FlightWaiter<Integer> real) {
+    ModelWaiter(int id, long deadlineNanos, FlightWaiter<Integer> realWaiter) {
       this.id = id;
-      this.deadline = deadline;
-      this.real = real;
+      this.deadlineNanos = deadlineNanos;
+      this.realWaiter = realWaiter;
     }
   }
 
-  /** A flight of the model. */
+  /** A flight in the model. */
   private static final class ModelFlight {
     final String coalescingKey;
     final String key;
-    final long begun;
+    final long beganAtNanos;
 
-    /** Operations on its key that had ended, or writes accepted, when it began. */
+    /** The number of invalidations of the flight's key before the flight began. */
     final int invalidationsBefore;
 
-    final List<ModelWaiter> callers = new ArrayList<>();
-    boolean over;
-    int retries;
+    final List<ModelWaiter> joinedWaiters = new ArrayList<>();
+    boolean isClosed;
+    int retryCount;
 
-    ModelFlight(String coalescingKey, String key, long begun, int invalidationsBefore) {
+    ModelFlight(String coalescingKey, String key, long beganAtNanos, int invalidationsBefore) {
       this.coalescingKey = coalescingKey;
       this.key = key;
-      this.begun = begun;
+      this.beganAtNanos = beganAtNanos;
       this.invalidationsBefore = invalidationsBefore;
     }
 
     List<ModelWaiter> waiting() {
-      return callers.stream().filter(each -> !each.over).toList();
+      return joinedWaiters.stream().filter(waiter -> !waiter.isEnded).toList();
     }
   }
 
-  /** Comparison of them, and all that they have expired. */
+  /** The coalescer and its model, which perform the same steps, and the model's counters. */
   private static final class Comparison {
-    final RequestCoalescer<Integer> real = new RequestCoalescer<>(CONFIG);
+    final RequestCoalescer<Integer> realCoalescer = new RequestCoalescer<>(CONFIG);
     final List<ModelFlight> flights = new ArrayList<>();
     final Map<String, Integer> invalidations = new HashMap<>();
+
+    /** The number of answers that each caller got, by its id. */
     final int[] answers = new int[20_000];
-    double tokens = 10;
+
+    double retryTokens = 10;
     long now;
-    int next;
-    long joined;
-    long uncoalesced;
-    long retried;
-    long retriesDenied;
+    int nextId;
+    long joinedReads;
+    long uncoalescedReads;
+    long retryCount;
+    long deniedRetries;
 
     List<ModelFlight> open() {
-      return flights.stream().filter(each -> !each.over).toList();
+      return flights.stream().filter(flight -> !flight.isClosed).toList();
     }
 
-    void pass(int millis) {
-      now += millis * MILLI;
+    void advance(int millis) {
+      now += millis * NANOS_PER_MILLI;
     }
 
     void read(String key, String tenant, int timeoutMillis) {
-      int id = next++;
-      long deadline = now + timeoutMillis * MILLI;
-      FlightWaiter<Integer> caller = real.join(key, "read", tenant, id, deadline, now);
+      int id = nextId++;
+      long deadlineNanos = now + timeoutMillis * NANOS_PER_MILLI;
+      FlightWaiter<Integer> waiter = realCoalescer.join(key, "read", tenant, id, deadlineNanos, now);
       String coalescingKey = key + "/" + tenant;
-      int count = invalidations.getOrDefault(key, 0);
-      ModelFlight found = null;
+      int invalidationCount = invalidations.getOrDefault(key, 0);
+      ModelFlight foundFlight = null;
       for (ModelFlight modelFlight : open()) {
         if (modelFlight.coalescingKey.equals(coalescingKey)
-            && modelFlight.invalidationsBefore == count
-            && now - modelFlight.begun <= 20 * MILLI
-            && modelFlight.callers.size() < 5) {
-          found = modelFlight;
+            && modelFlight.invalidationsBefore == invalidationCount
+            && now - modelFlight.beganAtNanos <= 20 * NANOS_PER_MILLI
+            && modelFlight.joinedWaiters.size() < 5) {
+          foundFlight = modelFlight;
         }
       }
-      if (found == null) {
+      if (foundFlight == null) {
         if (open().size() >= 6) {
-          assertNull(caller);
-          uncoalesced++;
+          assertNull(waiter);
+          uncoalescedReads++;
           answers[id]++;
           return;
         }
-        found = new ModelFlight(coalescingKey, key, now, count);
-        flights.add(found);
-        assertEquals(caller, caller.flight().leader(), "it begins a flight");
+        foundFlight = new ModelFlight(coalescingKey, key, now, invalidationCount);
+        flights.add(foundFlight);
+        assertEquals(waiter, waiter.flight().leader(), "the first waiter is the leader of a new flight");
       } else {
-        joined++;
-        tokens = Math.min(10, tokens + 0.02);
-        assertEquals(found.callers.get(0).real.flight(), caller.flight(), "it joins that one");
+        joinedReads++;
+        retryTokens = Math.min(10, retryTokens + 0.02);
+        assertEquals(foundFlight.joinedWaiters.get(0).realWaiter.flight(), waiter.flight(), "the waiter joins the flight of the model");
       }
-      found.callers.add(new ModelWaiter(id, deadline, caller));
-      long latest = found.waiting().stream().mapToLong(each -> each.deadline).max().getAsLong();
-      assertTrue(caller.flight().deadline() >= latest);
+      foundFlight.joinedWaiters.add(new ModelWaiter(id, deadlineNanos, waiter));
+      long latestDeadlineNanos = foundFlight.waiting().stream().mapToLong(each -> each.deadlineNanos).max().getAsLong();
+      assertTrue(waiter.flight().deadline() >= latestDeadlineNanos);
     }
 
     void invalidate(String key) {
-      real.invalidate(key);
+      realCoalescer.invalidate(key);
       invalidations.merge(key, 1, Integer::sum);
     }
 
-    void leave(int which) {
-      List<ModelFlight> open = open();
-      if (open.isEmpty()) {
+    void leave(int random) {
+      List<ModelFlight> openFlights = open();
+      if (openFlights.isEmpty()) {
         return;
       }
-      ModelFlight modelFlight = open.get(which % open.size());
-      ModelWaiter leaving = modelFlight.waiting().get(which / 7 % modelFlight.waiting().size());
-      leaving.over = true;
-      answers[leaving.id]++;
-      modelFlight.over = modelFlight.waiting().isEmpty();
-      assertEquals(modelFlight.over, real.leave(leaving.real));
+      ModelFlight modelFlight = openFlights.get(random % openFlights.size());
+      ModelWaiter leavingWaiter = modelFlight.waiting().get(random / 7 % modelFlight.waiting().size());
+      leavingWaiter.isEnded = true;
+      answers[leavingWaiter.id]++;
+      modelFlight.isClosed = modelFlight.waiting().isEmpty();
+      assertEquals(modelFlight.isClosed, realCoalescer.leave(leavingWaiter.realWaiter));
     }
 
-    void expire(int which) {
-      List<ModelFlight> open = open();
-      if (open.isEmpty()) {
+    void expire(int random) {
+      List<ModelFlight> openFlights = open();
+      if (openFlights.isEmpty()) {
         return;
       }
-      ModelFlight modelFlight = open.get(which % open.size());
-      if (modelFlight.callers.size() < 2) {
+      ModelFlight modelFlight = openFlights.get(random % openFlights.size());
+      if (modelFlight.joinedWaiters.size() < 2) {
         return;
       }
-      Flight<Integer> flight = modelFlight.callers.get(0).real.flight();
-      List<Integer> due =
+      Flight<Integer> flight = modelFlight.joinedWaiters.get(0).realWaiter.flight();
+      List<Integer> dueCallers =
           modelFlight.waiting().stream()
-              .filter(each -> each.deadline <= now)
-              .sorted((a, b) -> Long.compare(a.deadline, b.deadline))
-              .peek(each -> each.over = true)
+              .filter(each -> each.deadlineNanos <= now)
+              .sorted((a, b) -> Long.compare(a.deadlineNanos, b.deadlineNanos))
+              .peek(each -> each.isEnded = true)
               .map(each -> each.id)
               .toList();
-      List<Integer> expired = real.expire(flight, now).stream().map(FlightWaiter::caller).toList();
-      assertEquals(due, expired);
-      expired.forEach(id -> answers[id]++);
-      modelFlight.over = modelFlight.waiting().isEmpty();
-      assertEquals(modelFlight.over, flight.isClosed());
-      long least =
-          modelFlight.waiting().stream().mapToLong(w -> w.deadline).min().orElse(Long.MAX_VALUE);
-      assertTrue(flight.nextDue() == least || flight.deadline() == least || modelFlight.over);
+      List<Integer> expiredCallers = realCoalescer.expire(flight, now).stream().map(FlightWaiter::caller).toList();
+      assertEquals(dueCallers, expiredCallers);
+      expiredCallers.forEach(id -> answers[id]++);
+      modelFlight.isClosed = modelFlight.waiting().isEmpty();
+      assertEquals(modelFlight.isClosed, flight.isClosed());
+      long earliestDeadlineNanos =
+          modelFlight.waiting().stream().mapToLong(w -> w.deadlineNanos).min().orElse(Long.MAX_VALUE);
+      assertTrue(
+          flight.nextDue() == earliestDeadlineNanos || flight.deadline() == earliestDeadlineNanos || modelFlight.isClosed);
     }
 
-    void complete(int which, FlightResult result) {
-      List<ModelFlight> open = open();
-      if (open.isEmpty()) {
+    void complete(int random, FlightResult result) {
+      List<ModelFlight> openFlights = open();
+      if (openFlights.isEmpty()) {
         return;
       }
-      ModelFlight modelFlight = open.get(which % open.size());
+      ModelFlight modelFlight = openFlights.get(random % openFlights.size());
       FlightDecision<Integer> decision =
-          real.complete(modelFlight.callers.get(0).real.flight(), result, now);
-      List<ModelWaiter> waiting = modelFlight.waiting();
-      boolean retries = false;
-      if (result == FlightResult.BROKEN && waiting.size() > 1 && modelFlight.retries < 3) {
-        if (tokens < 1) {
-          retriesDenied++;
+          realCoalescer.complete(modelFlight.joinedWaiters.get(0).realWaiter.flight(), result, now);
+      List<ModelWaiter> modelWaiters = modelFlight.waiting();
+      boolean isRetried = false;
+      if (result == FlightResult.BROKEN && modelWaiters.size() > 1 && modelFlight.retryCount < 3) {
+        if (retryTokens < 1) {
+          deniedRetries++;
         } else {
-          retries = waiting.stream().skip(1).anyMatch(each -> each.deadline > now);
+          isRetried = modelWaiters.stream().skip(1).anyMatch(each -> each.deadlineNanos > now);
         }
       }
-      List<ModelWaiter> recipients = retries ? waiting.subList(0, 1) : waiting;
-      assertEquals(retries, decision.retries());
+      List<ModelWaiter> recipients = isRetried ? modelWaiters.subList(0, 1) : modelWaiters;
+      assertEquals(isRetried, decision.retries());
       assertEquals(
           recipients.stream().map(each -> each.id).toList(),
           decision.recipients().stream().map(FlightWaiter::caller).toList());
       recipients.forEach(
           each -> {
-            each.over = true;
+            each.isEnded = true;
             answers[each.id]++;
           });
-      if (retries) {
-        tokens--;
-        retried++;
-        modelFlight.retries++;
+      if (isRetried) {
+        retryTokens--;
+        retryCount++;
+        modelFlight.retryCount++;
         assertEquals(
-            modelFlight.waiting().get(0).id, waiting.get(1).real.flight().leader().caller());
+            modelFlight.waiting().get(0).id, modelWaiters.get(1).realWaiter.flight().leader().caller());
       } else {
-        modelFlight.over = true;
+        modelFlight.isClosed = true;
       }
       if (result == FlightResult.SERVED) {
         invalidations.merge(modelFlight.key, 1, Integer::sum);
@@ -212,44 +216,44 @@
     }
 
     void check() {
-      CoalescingSnapshot snapshot = real.snapshot();
-      int waiting = 0;
+      CoalescingSnapshot snapshot = realCoalescer.snapshot();
+      int waitingCount = 0;
       for (ModelFlight modelFlight : open()) {
-        waiting += modelFlight.waiting().size();
+        waitingCount += modelFlight.waiting().size();
         for (ModelWaiter each : modelFlight.waiting()) {
-          assertEquals(0, answers[each.id], "a waiter has no answer");
+          assertEquals(0, answers[each.id], "a waiter has no answer yet");
         }
       }
       assertEquals(open().size(), snapshot.openFlights());
-      assertEquals(waiting, snapshot.waiters());
+      assertEquals(waitingCount, snapshot.waiters());
       assertEquals(flights.size(), snapshot.flights());
-      assertEquals(joined, snapshot.joined());
-      assertEquals(uncoalesced, snapshot.uncoalesced());
-      assertEquals(retried, snapshot.retried());
-      assertEquals(retriesDenied, snapshot.retriesDenied());
-      assertTrue(real.keys() <= open().size());
+      assertEquals(joinedReads, snapshot.joined());
+      assertEquals(uncoalescedReads, snapshot.uncoalesced());
+      assertEquals(retryCount, snapshot.retried());
+      assertEquals(deniedRetries, snapshot.retriesDenied());
+      assertTrue(realCoalescer.keys() <= open().size());
     }
 
-    /** Completes all open flights: then each caller has exactly one answer. */
-    void end() {
+    /** Completes all open flights; each caller must then have exactly one answer. */
+    void completeAll() {
       while (!open().isEmpty()) {
         complete(0, FlightResult.FINAL);
       }
       check();
-      for (int id = 0; id < next; id++) {
+      for (int id = 0; id < nextId; id++) {
         assertEquals(1, answers[id], "answers of caller " + id);
       }
-      assertEquals(0, real.keys());
+      assertEquals(0, realCoalescer.keys());
     }
 
     @Override
     public String toString() {
-      return "at " + now / MILLI + " ms, " + open().size() + " flights open";
+      return "at " + now / NANOS_PER_MILLI + " ms, " + open().size() + " flights open";
     }
   }
 
   private static final Arbitrary<String> KEYS = Arbitraries.of("a", "b", "c");
-  private static final Arbitrary<Integer> ANY = Arbitraries.integers().between(0, 10_000);
+  private static final Arbitrary<Integer> INDEXES = Arbitraries.integers().between(0, 10_000);
 
   private static final Arbitrary<FlightResult> RESULTS =
       Arbitraries.of(
@@ -265,9 +269,9 @@
   }
 
   private static Transformer<Comparison> step(
-      String what, java.util.function.Consumer<Comparison> step) {
+      String label, java.util.function.Consumer<Comparison> step) {
     return Transformer.mutate(
-        what,
+        label,
         comparison -> {
           step.accept(comparison);
           comparison.check();
@@ -292,22 +296,23 @@
             action(
                 Arbitraries.integers()
                     .between(0, 15)
-                    .map(millis -> step(millis + " ms", comparison -> comparison.pass(millis)))))
+                    .map(millis -> step(millis + " ms", comparison -> comparison.advance(millis)))))
         .withAction(
             1,
             action(
                 KEYS.map(
                     key -> step("invalidate " + key, comparison -> comparison.invalidate(key)))))
-        .withAction(2, action(ANY.map(i -> step("leave " + i, comparison -> comparison.leave(i)))))
         .withAction(
-            2, action(ANY.map(i -> step("expire " + i, comparison -> comparison.expire(i)))))
+            2, action(INDEXES.map(i -> step("leave " + i, comparison -> comparison.leave(i)))))
+        .withAction(
+            2, action(INDEXES.map(i -> step("expire " + i, comparison -> comparison.expire(i)))))
         .withAction(
             2,
             action(
-                Combinators.combine(ANY, RESULTS)
+                Combinators.combine(INDEXES, RESULTS)
                     .as(
-                        (i, how) ->
-                            step(how + " " + i, comparison -> comparison.complete(i, how)))))
+                        (i, result) ->
+                            step(result + " " + i, comparison -> comparison.complete(i, result)))))
         .withMaxTransformations(500);
   }
 
@@ -316,7 +321,7 @@
       seed = "12",
       edgeCases = EdgeCasesMode.NONE,
       afterFailure = AfterFailureMode.PREVIOUS_SEED)
-  void behavesAsNaiveModel(@ForAll("chains") ActionChain<Comparison> chain) {
-    chain.run().end();
+  void behavesLikeNaiveModelForRandomActions(@ForAll("chains") ActionChain<Comparison> chain) {
+    chain.run().completeAll();
   }
 }
--- a/core/src/test/java/shalepaddle/coalescing/RequestCoalescerTest.java
+++ b/core/src/test/java/shalepaddle/coalescing/RequestCoalescerTest.java
@@ -15,18 +15,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import shalepaddle.model.Outcome;
 
+/** Tests which reads share a flight, and what its waiters get. */
 class RequestCoalescerTest {
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final RequestCoalescer<Integer> coalescer = new RequestCoalescer<>(config(100, 10));
-  private int next;
+  private int nextCaller;
 
   private static CoalescingConfig config(int maxWaiters, int maxFlights) {
     return new CoalescingConfig(true, false, maxWaiters, 0.25, maxFlights, 0.1);
   }
 
+  /** Joins a read of the next caller; callers are numbered from 0. */
   private FlightWaiter<Integer> read(String key, long deadlineMillis, long nowMillis) {
-    return coalescer.join(key, "read", "a", next++, deadlineMillis * MILLI, nowMillis * MILLI);
+    return coalescer.join(
+        key, "read", "a", nextCaller++, deadlineMillis * NANOS_PER_MILLI, nowMillis * NANOS_PER_MILLI);
   }
 
   private static List<Integer> callersOf(List<FlightWaiter<Integer>> waiters) {
@@ -34,23 +37,23 @@
   }
 
   @Test
-  void equalReadsShareFlightAndOthersDoNot() {
+  void sharesFlightBetweenEqualReadsOnly() {
     Flight<Integer> flight = read("k", 1000, 0).flight();
     assertSame(flight, read("k", 1000, 1).flight());
     assertNotSame(flight, read("other", 1000, 1).flight());
-    assertNotSame(flight, coalescer.join("k", "scan", "a", 9, 1000 * MILLI, MILLI).flight());
-    assertNotSame(flight, coalescer.join("k", "read", "b", 9, 1000 * MILLI, MILLI).flight());
-    assertNotSame(flight, coalescer.join("k", "read", null, 9, 1000 * MILLI, MILLI).flight());
+    assertNotSame(flight, coalescer.join("k", "scan", "a", 9, 1000 * NANOS_PER_MILLI, NANOS_PER_MILLI).flight());
+    assertNotSame(flight, coalescer.join("k", "read", "b", 9, 1000 * NANOS_PER_MILLI, NANOS_PER_MILLI).flight());
+    assertNotSame(flight, coalescer.join("k", "read", null, 9, 1000 * NANOS_PER_MILLI, NANOS_PER_MILLI).flight());
     assertSame(flight, read("k", 1000, 2).flight());
   }
 
   @Test
-  void tenantsShareFlightsWhenConfigured() {
-    RequestCoalescer<Integer> all =
+  void sharesFlightsAcrossTenantsWhenConfigured() {
+    RequestCoalescer<Integer> tenantSharingCoalescer =
         new RequestCoalescer<>(new CoalescingConfig(true, true, 100, 0.25, 10, 0.1));
     assertSame(
-        all.join("k", "read", "a", 0, MILLI, 0).flight(),
-        all.join("k", "read", "b", 1, MILLI, 0).flight());
+        tenantSharingCoalescer.join("k", "read", "a", 0, NANOS_PER_MILLI, 0).flight(),
+        tenantSharingCoalescer.join("k", "read", "b", 1, NANOS_PER_MILLI, 0).flight());
   }
 
   @Test
@@ -59,34 +62,34 @@
     for (int i = 1; i < 50; i++) {
       read("k", 900 - i, 1);
     }
-    FlightDecision<Integer> decision = coalescer.complete(flight, FlightResult.SERVED, 5 * MILLI);
-    List<Integer> order = new ArrayList<>();
+    FlightDecision<Integer> decision = coalescer.complete(flight, FlightResult.SERVED, 5 * NANOS_PER_MILLI);
+    List<Integer> expectedOrder = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
-      order.add(i);
+      expectedOrder.add(i);
     }
-    assertEquals(order, callersOf(decision.recipients()));
+    assertEquals(expectedOrder, callersOf(decision.recipients()));
     assertFalse(decision.retries());
     assertTrue(flight.isClosed());
     assertEquals(new CoalescingSnapshot(1, 49, 0, 49, 0, 0, 0, 0, 0), coalescer.snapshot());
     assertEquals(0, coalescer.keys());
     assertEquals(
-        List.of(), coalescer.complete(flight, FlightResult.SERVED, 6 * MILLI).recipients());
+        List.of(), coalescer.complete(flight, FlightResult.SERVED, 6 * NANOS_PER_MILLI).recipients());
   }
 
   @Test
-  void flightIsNotJoinedPastMaxAgeOrMaxWaiters() {
-    Flight<Integer> old = read("k", 9000, 0).flight();
-    assertSame(old, read("k", 9000, 250).flight());
-    Flight<Integer> fresh = read("k", 9000, 251).flight();
-    assertNotSame(old, fresh);
+  void doesNotJoinFlightPastMaxAgeOrMaxWaiters() {
+    Flight<Integer> expiredFlight = read("k", 9000, 0).flight();
+    assertSame(expiredFlight, read("k", 9000, 250).flight());
+    Flight<Integer> newFlight = read("k", 9000, 251).flight();
+    assertNotSame(expiredFlight, newFlight);
     for (int i = 1; i < 100; i++) {
-      assertSame(fresh, read("k", 9000, 252).flight());
+      assertSame(newFlight, read("k", 9000, 252).flight());
     }
-    assertNotSame(fresh, read("k", 9000, 252).flight());
-    // Waiters of the old flight still wait.
+    assertNotSame(newFlight, read("k", 9000, 252).flight());
+    // The waiters of the flight that can no longer be joined are still answered.
     assertEquals(
         List.of(0, 1),
-        callersOf(coalescer.complete(old, FlightResult.REJECTED, 300 * MILLI).recipients()));
+        callersOf(coalescer.complete(expiredFlight, FlightResult.REJECTED, 300 * NANOS_PER_MILLI).recipients()));
   }
 
   @Test
@@ -96,127 +99,127 @@
     }
     assertNull(read("k10", 1000, 0));
     assertEquals(1, coalescer.snapshot().uncoalesced());
-    assertTrue(read("k3", 1000, 0) != null, "an open flight can be joined");
+    assertTrue(read("k3", 1000, 0) != null, "a read joins a flight that is open");
   }
 
   @Test
-  void writeBetweenTwoReadsKeepsThemApart() {
-    Flight<Integer> before = read("k", 1000, 0).flight();
+  void doesNotShareFlightBetweenReadsBeforeAndAfterWrite() {
+    Flight<Integer> flightBeforeWrite = read("k", 1000, 0).flight();
     coalescer.invalidate("k");
-    Flight<Integer> during = read("k", 1000, 1).flight();
-    assertNotSame(before, during);
-    assertSame(during, read("k", 1000, 2).flight());
-    coalescer.invalidate("k"); // The write has ended.
-    assertNotSame(during, read("k", 1000, 3).flight());
+    Flight<Integer> flightDuringWrite = read("k", 1000, 1).flight();
+    assertNotSame(flightBeforeWrite, flightDuringWrite);
+    assertSame(flightDuringWrite, read("k", 1000, 2).flight());
+    coalescer.invalidate("k"); // The write ends.
+    assertNotSame(flightDuringWrite, read("k", 1000, 3).flight());
   }
 
   @Test
-  void completedReadInvalidatesOlderFlightsOfItsKey() {
-    Flight<Integer> older = read("k", 1000, 0).flight();
-    Flight<Integer> others = coalescer.join("k", "read", "b", 9, 1000 * MILLI, MILLI).flight();
-    coalescer.complete(others, FlightResult.SERVED, 2 * MILLI);
-    assertNotSame(older, read("k", 1000, 3).flight());
+  void doesNotJoinOlderFlightAfterCompletedReadOfSameKey() {
+    Flight<Integer> olderFlight = read("k", 1000, 0).flight();
+    Flight<Integer> completedFlight = coalescer.join("k", "read", "b", 9, 1000 * NANOS_PER_MILLI, NANOS_PER_MILLI).flight();
+    coalescer.complete(completedFlight, FlightResult.SERVED, 2 * NANOS_PER_MILLI);
+    assertNotSame(olderFlight, read("k", 1000, 3).flight());
   }
 
   @Test
-  void leavingWaiterLeavesOthersInFlight() {
-    FlightWaiter<Integer> first = read("k", 1000, 0);
-    FlightWaiter<Integer> second = read("k", 1000, 1);
-    assertFalse(coalescer.leave(first));
-    assertSame(second, first.flight().leader());
-    assertFalse(coalescer.leave(first), "no effect the second time");
-    assertTrue(coalescer.leave(second));
+  void continuesFlightForRemainingWaitersWhenOneLeaves() {
+    FlightWaiter<Integer> firstWaiter = read("k", 1000, 0);
+    FlightWaiter<Integer> secondWaiter = read("k", 1000, 1);
+    assertFalse(coalescer.leave(firstWaiter));
+    assertSame(secondWaiter, firstWaiter.flight().leader());
+    assertFalse(coalescer.leave(firstWaiter), "the waiter has already left");
+    assertTrue(coalescer.leave(secondWaiter));
     assertEquals(0, coalescer.snapshot().openFlights());
-    assertNotSame(first.flight(), read("k", 1000, 2).flight());
+    assertNotSame(firstWaiter.flight(), read("k", 1000, 2).flight());
   }
 
   @Test
-  void flightLastsUntilLatestDeadlineOfItsWaiters() {
+  void extendsFlightDeadlineToLatestOfItsWaiters() {
     Flight<Integer> flight = read("k", 100, 0).flight();
-    assertEquals(Long.MAX_VALUE, flight.nextDue(), "its deadline is the attempt's own");
+    assertEquals(Long.MAX_VALUE, flight.nextDue(), "no waiter has an earlier deadline than the flight");
     read("k", 2000, 10);
     read("k", 500, 20);
-    assertEquals(2000 * MILLI, flight.deadline());
-    assertEquals(100 * MILLI, flight.nextDue());
-    assertEquals(List.of(0), callersOf(coalescer.expire(flight, 100 * MILLI)));
-    assertEquals(500 * MILLI, flight.nextDue());
-    assertEquals(List.of(2), callersOf(coalescer.expire(flight, 500 * MILLI)));
+    assertEquals(2000 * NANOS_PER_MILLI, flight.deadline());
+    assertEquals(100 * NANOS_PER_MILLI, flight.nextDue());
+    assertEquals(List.of(0), callersOf(coalescer.expire(flight, 100 * NANOS_PER_MILLI)));
+    assertEquals(500 * NANOS_PER_MILLI, flight.nextDue());
+    assertEquals(List.of(2), callersOf(coalescer.expire(flight, 500 * NANOS_PER_MILLI)));
     assertEquals(Long.MAX_VALUE, flight.nextDue());
     assertEquals(
         List.of(1),
-        callersOf(coalescer.complete(flight, FlightResult.SERVED, 700 * MILLI).recipients()));
+        callersOf(coalescer.complete(flight, FlightResult.SERVED, 700 * NANOS_PER_MILLI).recipients()));
   }
 
   @Test
-  void allWaitersMayExpireTogetherAfterStall() {
+  void expiresAllWaitersTogetherAfterStall() {
     Flight<Integer> flight = read("k", 100, 0).flight();
     read("k", 200, 0);
-    assertEquals(List.of(0, 1), callersOf(coalescer.expire(flight, 900 * MILLI)));
+    assertEquals(List.of(0, 1), callersOf(coalescer.expire(flight, 900 * NANOS_PER_MILLI)));
     assertTrue(flight.isClosed());
     assertEquals(0, coalescer.snapshot().openFlights());
   }
 
   @Test
-  void brokenAttemptFailsLeaderAndRetriesForOthers() {
+  void failsLeaderAndRetriesForOthersWhenAttemptBreaks() {
     Flight<Integer> flight = read("k", 1000, 0).flight();
     read("k", 500, 1);
     read("k", 800, 1);
-    FlightDecision<Integer> decision = coalescer.complete(flight, FlightResult.BROKEN, 10 * MILLI);
+    FlightDecision<Integer> decision = coalescer.complete(flight, FlightResult.BROKEN, 10 * NANOS_PER_MILLI);
     assertEquals(List.of(0), callersOf(decision.recipients()));
     assertTrue(decision.retries());
     assertEquals(1, flight.leader().caller());
-    assertEquals(800 * MILLI, flight.deadline(), "the latest deadline of those that wait");
-    assertEquals(500 * MILLI, flight.nextDue());
+    assertEquals(800 * NANOS_PER_MILLI, flight.deadline(), "the flight has the latest deadline of the remaining waiters");
+    assertEquals(500 * NANOS_PER_MILLI, flight.nextDue());
     assertEquals(
         List.of(1, 2),
-        callersOf(coalescer.complete(flight, FlightResult.SERVED, 20 * MILLI).recipients()));
+        callersOf(coalescer.complete(flight, FlightResult.SERVED, 20 * NANOS_PER_MILLI).recipients()));
   }
 
   @Test
-  void flightEndsForAllAfterMaxRetries() {
+  void answersAllWaitersAfterMaxRetries() {
     Flight<Integer> flight = read("k", 1000, 0).flight();
     for (int i = 1; i < 100; i++) {
       read("k", 1000, 1);
     }
-    int attempts = 1;
-    while (coalescer.complete(flight, FlightResult.BROKEN, 10 * MILLI).retries()) {
-      attempts++;
+    int attemptCount = 1;
+    while (coalescer.complete(flight, FlightResult.BROKEN, 10 * NANOS_PER_MILLI).retries()) {
+      attemptCount++;
     }
-    assertEquals(4, attempts);
+    assertEquals(4, attemptCount);
     assertTrue(flight.isClosed());
     assertEquals(0, coalescer.snapshot().waiters());
   }
 
   @Test
-  void retriesAreBoundedByRatioOfJoins() {
-    int retried = 0;
+  void limitsRetriesToRatioOfJoins() {
+    int retryCount = 0;
     for (int i = 0; i < 1000; i++) {
       Flight<Integer> flight = read("k", 1000, 0).flight();
       read("k", 1000, 0);
-      while (coalescer.complete(flight, FlightResult.BROKEN, MILLI).retries()) {
-        retried++;
+      while (coalescer.complete(flight, FlightResult.BROKEN, NANOS_PER_MILLI).retries()) {
+        retryCount++;
       }
     }
-    assertTrue(retried >= 100 && retried <= 110, retried + " for 1000 joins");
-    assertEquals(1000 - retried, coalescer.snapshot().retriesDenied());
+    assertTrue(retryCount >= 100 && retryCount <= 110, retryCount + " retries for 1000 joins");
+    assertEquals(1000 - retryCount, coalescer.snapshot().retriesDenied());
   }
 
   @Test
   void doesNotRetryWhenNoWaiterHasTimeLeft() {
     Flight<Integer> flight = read("k", 1000, 0).flight();
     read("k", 10, 0);
-    FlightDecision<Integer> decision = coalescer.complete(flight, FlightResult.BROKEN, 20 * MILLI);
+    FlightDecision<Integer> decision = coalescer.complete(flight, FlightResult.BROKEN, 20 * NANOS_PER_MILLI);
     assertEquals(List.of(0, 1), callersOf(decision.recipients()));
     assertFalse(decision.retries());
   }
 
   @Test
-  void rejectionGoesToAllWaiters() {
+  void rejectsAllWaitersWhenAttemptIsRejected() {
     Flight<Integer> flight = read("k", 1000, 0).flight();
     read("k", 1000, 0);
     assertEquals(
         List.of(0, 1),
-        callersOf(coalescer.complete(flight, FlightResult.REJECTED, MILLI).recipients()));
+        callersOf(coalescer.complete(flight, FlightResult.REJECTED, NANOS_PER_MILLI).recipients()));
   }
 
   @Test
@@ -231,7 +234,7 @@
   }
 
   @Test
-  void spreadsRetryAfter() {
+  void spreadsRetryAfterOverRejectedCallers() {
     assertEquals(100, RequestCoalescer.spreadRetryAfter(100, 1000, 0, 1));
     assertEquals(0, RequestCoalescer.spreadRetryAfter(0, 1000, 3, 5));
     assertEquals(75, RequestCoalescer.spreadRetryAfter(100, 1000, 0, 5));
@@ -250,11 +253,13 @@
     "2, NaN, 10, 0.1, age_ms"
   })
   void namesSettingThatIsOutOfRange(
-      int callers, double age, int flights, double retries, String name) {
+      int maxWaiters, double maxAgeSeconds, int maxFlights, double retriesPerJoin, String name) {
     IllegalArgumentException e =
         assertThrows(
             IllegalArgumentException.class,
-            () -> new CoalescingConfig(true, false, callers, age, flights, retries));
+            () ->
+                new CoalescingConfig(
+                    true, false, maxWaiters, maxAgeSeconds, maxFlights, retriesPerJoin));
     assertTrue(e.getMessage().startsWith(name + " is "), e.getMessage());
   }
 }
--- a/core/src/test/java/shalepaddle/overload/ConnectionSlotReservationTest.java
+++ b/core/src/test/java/shalepaddle/overload/ConnectionSlotReservationTest.java
@@ -6,29 +6,30 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Who is refused while most places wait for answers. */
+/** Tests which tiers are rejected while most connection slots are in use. */
 class ConnectionSlotReservationTest {
   @Test
-  void whatIsWorthLessIsRefusedSooner() {
+  void rejectsLowerTiersAtLowerUse() {
     for (int tiers = 1; tiers < 9; tiers++) {
-      for (double taken = 0; taken < 2; taken += 0.01) {
+      for (double useRatio = 0; useRatio < 2; useRatio += 0.01) {
         assertFalse(
-            ConnectionSlotReservation.rejects(0, tiers, taken), "the first tier is never refused");
+            ConnectionSlotReservation.rejects(0, tiers, useRatio),
+            "the highest tier is never rejected");
         for (int tier = 1; tier < tiers; tier++) {
           assertTrue(
-              ConnectionSlotReservation.rejects(tier, tiers, taken)
-                  || !ConnectionSlotReservation.rejects(tier - 1, tiers, taken));
+              ConnectionSlotReservation.rejects(tier, tiers, useRatio)
+                  || !ConnectionSlotReservation.rejects(tier - 1, tiers, useRatio));
           assertFalse(
-              taken < ConnectionSlotReservation.MIN_REJECTING_USE_RATIO
-                  && ConnectionSlotReservation.rejects(tier, tiers, taken));
-          assertTrue(taken < 1 || ConnectionSlotReservation.rejects(tier, tiers, taken));
+              useRatio < ConnectionSlotReservation.MIN_REJECTING_USE_RATIO
+                  && ConnectionSlotReservation.rejects(tier, tiers, useRatio));
+          assertTrue(useRatio < 1 || ConnectionSlotReservation.rejects(tier, tiers, useRatio));
         }
       }
     }
   }
 
   @Test
-  void theLeastTierIsRefusedFromItsPartOn() {
+  void rejectsLowestTierAboveMinimumUse() {
     assertEquals(false, ConnectionSlotReservation.rejects(3, 4, 0.79));
     assertEquals(true, ConnectionSlotReservation.rejects(3, 4, 0.81));
     assertEquals(false, ConnectionSlotReservation.rejects(2, 4, 0.81));
--- a/core/src/test/java/shalepaddle/overload/LoopModel.java
+++ b/core/src/test/java/shalepaddle/overload/LoopModel.java
@@ -11,89 +11,110 @@
 import shalepaddle.model.Settings;
 
 /**
- * An event loop in virtual time that needs 100 microseconds to serve a request and a part of that
- * to refuse it, with the kernel's queue before it, read in turns as a selector does it, and an
- * {@link OverloadControl} or none. Clients ask at a rate, whatever becomes of what they asked
- * before; those that are refused may repeat.
+ * A simulation of an event loop in virtual time, with or without an {@link OverloadControl}.
+ * Serving a request takes 100 microseconds, and rejecting it a fraction of that. Requests wait in
+ * the kernel's queue and are read in turns, like by a selector. Clients send new requests at a
+ * given rate, independent of earlier answers, and may retry rejected requests.
  */
 final class LoopModel {
   static final long MILLI = 1_000_000L;
   static final long SECOND = 1000 * MILLI;
   static final int SUBMIT = 1;
 
-  /** What is asked, and of which kind. */
-  private record Ask(long at, long asked, int serviceClass, int tries) {}
+  /**
+   * A request of a client.
+   *
+   * @param arrivesAtNanos when it arrives in the kernel's queue
+   * @param firstSentAtNanos when its first attempt was sent
+   * @param serviceClass the index of its service class
+   * @param retries the number of attempts before this one
+   */
+  private record SimulatedRequest(
+      long arrivesAtNanos, long firstSentAtNanos, int serviceClass, int retries) {}
 
   /**
-   * A client that asks as soon as it is answered, until then.
+   * A client that sends its next request as soon as it has an answer.
    *
-   * @param insists whether it asks for the same again where it was refused, and not for the next
+   * @param untilNanos when the client stops
+   * @param retriesRejections whether it retries a rejected request instead of sending the next one
+   * @param stormDetector the detector of its connection
    */
-  private record Client(long until, boolean insists, RetryStormDetector insistence) {}
+  private record ClosedLoopClient(
+      long untilNanos, boolean retriesRejections, RetryStormDetector stormDetector) {}
 
-  /** What became of a request. */
-  record Fate(long asked, int serviceClass, int tries, boolean served, long took) {}
+  /** The final result of a request. */
+  record RequestResult(
+      long firstSentAtNanos, int serviceClass, int retries, boolean served, long latencyNanos) {}
 
   private final SplittableRandom random = new SplittableRandom(17);
   private final OverloadControl control;
-  private final double refusing;
-  private final int repeats;
-  private final ArrayDeque<Ask> queue = new ArrayDeque<>();
-  private final PriorityQueue<Ask> coming = new PriorityQueue<>(Comparator.comparingLong(Ask::at));
-  private final IdentityHashMap<Ask, Client> closed = new IdentityHashMap<>();
-  final List<Fate> fates = new ArrayList<>();
+  private final double rejectionCostRatio;
+  private final int maxRetries;
+  private final ArrayDeque<SimulatedRequest> queue = new ArrayDeque<>();
+  private final PriorityQueue<SimulatedRequest> scheduledRequests =
+      new PriorityQueue<>(Comparator.comparingLong(SimulatedRequest::arrivesAtNanos));
+  private final IdentityHashMap<SimulatedRequest, ClosedLoopClient> clientsByRequest =
+      new IdentityHashMap<>();
+  final List<RequestResult> fates = new ArrayList<>();
+
+  /** The changes of the CPU pressure level, each with its time in milliseconds. */
   final List<String> levels = new ArrayList<>();
 
-  /** How long turns were, in nanoseconds: what comes in one waits for so long at most. */
+  /** The lengths of all turns in nanoseconds; a request waits until the end of the current turn. */
   final List<Long> turns = new ArrayList<>();
 
-  /** Requests that are read in a turn at most: those that one read of each connection brings. */
-  private static final int READ = 4096;
+  /** Maximum number of requests read in a turn: those from one read of each connection. */
+  private static final int MAX_REQUESTS_PER_TURN = 4096;
 
-  private static final long SERVING = MILLI / 10;
+  private static final long SERVING_TIME_NANOS = MILLI / 10;
 
-  /** So long a client goes on with a request. */
-  private static final long GIVE_UP = 2 * SECOND;
+  /** How long a client waits for and retries a request. */
+  private static final long CLIENT_TIMEOUT_NANOS = 2 * SECOND;
 
-  /** From an answer to the next request of a client that does not wait. */
-  private static final long LOOPBACK = MILLI / 20;
+  /** The time from an answer to the next request of a client that does not wait. */
+  private static final long NEXT_REQUEST_DELAY_NANOS = MILLI / 20;
 
-  /** The connection of what is under way on one. */
-  private final IdentityHashMap<Ask, RetryStormDetector> on = new IdentityHashMap<>();
-
-  private final ArrayDeque<RetryStormDetector> idle = new ArrayDeque<>();
-  private final ArrayDeque<Ask> due = new ArrayDeque<>();
-  private boolean stormy;
-  private boolean insistence = true;
+  /**
+   * The connection of each request, represented by its detector, if the number of connections is
+   * limited.
+   */
+  private final IdentityHashMap<SimulatedRequest, RetryStormDetector> connectionsByRequest =
+      new IdentityHashMap<>();
+
+  /** The connections that no request uses, each represented by its detector. */
+  private final ArrayDeque<RetryStormDetector> idleConnections = new ArrayDeque<>();
+  private final ArrayDeque<SimulatedRequest> waitingForConnection = new ArrayDeque<>();
+  private boolean limitsConnections;
+  private boolean suspendsEarlyRetries = true;
   long now = SECOND;
-  private double perSecond;
-  private double submits = 0.08;
-  private long nextAsk = Long.MAX_VALUE;
-  private double coldTimes = 1;
-  private long coldFrom;
-  private long coldNanos = 1;
+  private double requestsPerSecond;
+  private double submitRatio = 0.08;
+  private long nextArrivalNanos = Long.MAX_VALUE;
+  private double initialCostRatio = 1;
+  private long coldSinceNanos;
+  private long warmupNanos = 1;
 
   /**
-   * A loop at rest.
+   * Creates an idle loop.
    *
-   * @param sheds whether it sheds, or only serves in order
-   * @param refusing the cost of a refusal, as a part of that of serving
-   * @param repeats times that a refused client asks again, half a tenth of a second later or sooner
+   * @param isSheddingEnabled whether the loop sheds load; otherwise it serves all requests in order
+   * @param rejectionCostRatio the cost of a rejection, as a fraction of the cost of serving
+   * @param maxRetries how often a rejected request is retried, each time after 5 to 50 ms
    */
-  LoopModel(boolean sheds, double refusing, int repeats) {
-    this.refusing = refusing;
-    this.repeats = repeats;
+  LoopModel(boolean isSheddingEnabled, double rejectionCostRatio, int maxRetries) {
+    this.rejectionCostRatio = rejectionCostRatio;
+    this.maxRetries = maxRetries;
     control =
-        sheds
+        isSheddingEnabled
             ? new OverloadControl(
                 settings(true),
                 OverloadConfig.DEFAULT,
                 7,
-                (resource, before, level, figure) -> levels.add(now / MILLI + " " + level))
+                (resource, previousLevel, newLevel, reading) -> levels.add(now / MILLI + " " + newLevel))
             : null;
   }
 
-  static Settings settings(boolean marks) {
+  static Settings settings(boolean clientsMarkRetries) {
     return new Settings(
         "a",
         List.of("a"),
@@ -101,7 +122,7 @@
         0,
         1,
         false,
-        marks,
+        clientsMarkRetries,
         Settings.Weights.NONE,
         new Settings.CacheMode(false, null, 0, 0),
         new Settings.Limits(1, true, true, false, false, true, 1, 0.1, 60, 32),
@@ -116,226 +137,315 @@
   }
 
   private static Settings.ServiceClass service(
-      String name, double worth, double aim, Settings.Idempotency effect) {
+      String name,
+      double priorityWeight,
+      double objectiveSeconds,
+      Settings.Idempotency idempotency) {
     return new Settings.ServiceClass(
-        name, aim, 0, 2, worth, 0.25, effect, Settings.DeduplicationScope.ALL, 5, false);
+        name,
+        objectiveSeconds,
+        0,
+        2,
+        priorityWeight,
+        0.25,
+        idempotency,
+        Settings.DeduplicationScope.ALL,
+        5,
+        false);
   }
 
   OverloadControl control() {
     return control;
   }
 
-  /** From now on so many first tries come a second, of which so great a part are submits. */
-  LoopModel load(double perSecond, double submits) {
-    this.perSecond = perSecond;
-    this.submits = submits;
-    nextAsk = now + gap();
+  /**
+   * Sets the rate of new requests from now on.
+   *
+   * @param submitRatio the fraction of them in the class "submit"; the others are reads
+   */
+  LoopModel load(double requestsPerSecond, double submitRatio) {
+    this.requestsPerSecond = requestsPerSecond;
+    this.submitRatio = submitRatio;
+    nextArrivalNanos = now + nextInterarrivalNanos();
     return this;
   }
 
   /**
-   * From now on so many clients ask besides, each as soon as it is answered, whatever the answer:
-   * they ignore the advice to stay away.
+   * Adds clients that each send the next request as soon as the last one is answered, even if it
+   * was rejected: they ignore the Retry-After.
    */
-  LoopModel clients(int count) {
-    return clients(count, Long.MAX_VALUE);
+  LoopModel clients(int clientCount) {
+    return clients(clientCount, Long.MAX_VALUE);
   }
 
-  /** The same, until then. */
-  LoopModel clients(int count, long until) {
-    return clients(count, until, false);
+  /** Adds clients as {@link #clients(int)} does, which stop at the given time. */
+  LoopModel clients(int clientCount, long untilNanos) {
+    return clients(clientCount, untilNanos, false);
   }
 
-  /** The same with clients that repeat what was refused, as if nothing had been advised. */
-  LoopModel insisting(int count) {
-    return clients(count, Long.MAX_VALUE, true);
+  /** Adds clients that retry each rejected request at once and ignore the Retry-After. */
+  LoopModel insisting(int clientCount) {
+    return clients(clientCount, Long.MAX_VALUE, true);
   }
 
-  private LoopModel clients(int count, long until, boolean insists) {
-    List<Ask> come = new ArrayList<>();
-    for (int i = 0; i < count; i++) {
-      come.add(new Ask(now, now, i % 12 == 0 ? SUBMIT : 0, 0));
+  private LoopModel clients(int clientCount, long untilNanos, boolean retriesRejections) {
+    List<SimulatedRequest> firstRequests = new ArrayList<>();
+    for (int i = 0; i < clientCount; i++) {
+      firstRequests.add(new SimulatedRequest(now, now, i % 12 == 0 ? SUBMIT : 0, 0));
     }
-    come.forEach(ask -> closed.put(ask, new Client(until, insists, new RetryStormDetector())));
-    coming.addAll(come);
+    firstRequests.forEach(
+        request ->
+            clientsByRequest.put(
+                request,
+                new ClosedLoopClient(untilNanos, retriesRejections, new RetryStormDetector())));
+    scheduledRequests.addAll(firstRequests);
     return this;
   }
 
   /**
-   * From now on so many first tries come a second, each of which waits for one of so many
-   * connections. Whoever is refused asks again at once on its own, for 2 s since it was first due.
+   * Sets the rate of new requests from now on and limits the number of connections. Each request
+   * waits for a free connection. A rejected request is retried at once on its connection, until 2 s
+   * after it was first sent.
    */
-  LoopModel storm(double perSecond, int connections) {
+  LoopModel storm(double requestsPerSecond, int connections) {
     for (int i = 0; i < connections; i++) {
-      idle.add(new RetryStormDetector());
+      idleConnections.add(new RetryStormDetector());
     }
-    stormy = true;
-    return load(perSecond, 0.08);
+    limitsConnections = true;
+    return load(requestsPerSecond, 0.08);
   }
 
-  /** Puts what waits on connections that are idle. */
-  private void send() {
-    while (!due.isEmpty() && (!idle.isEmpty() || due.peek().at() + GIVE_UP < now)) {
-      Ask ask = due.poll();
-      if (ask.at() + GIVE_UP >= now) {
-        on.put(ask, idle.poll());
-        queue.add(ask);
+  /** Assigns idle connections to waiting requests; drops requests that have waited too long. */
+  private void assignConnections() {
+    while (!waitingForConnection.isEmpty()
+        && (!idleConnections.isEmpty()
+            || waitingForConnection.peek().arrivesAtNanos() + CLIENT_TIMEOUT_NANOS < now)) {
+      SimulatedRequest request = waitingForConnection.poll();
+      if (request.arrivesAtNanos() + CLIENT_TIMEOUT_NANOS >= now) {
+        connectionsByRequest.put(request, idleConnections.poll());
+        queue.add(request);
       }
     }
   }
 
-  /** A connection's request has had its answer. */
-  private void answered(RetryStormDetector connection, Ask ask, long advice) {
-    if (advice == OverloadControl.ADMITTED || now - ask.asked() >= GIVE_UP) {
-      idle.add(connection);
+  /** Retries a rejected request on its connection; otherwise releases the connection. */
+  private void onConnectionAnswered(
+      RetryStormDetector connection, SimulatedRequest request, long retryAfterMillisOrAdmitted) {
+    if (retryAfterMillisOrAdmitted == OverloadControl.ADMITTED
+        || now - request.firstSentAtNanos() >= CLIENT_TIMEOUT_NANOS) {
+      idleConnections.add(connection);
       return;
     }
-    long pause = insistence ? connection.recordRejection(ask.tries() > 0, advice * MILLI, now) : 0;
-    Ask next = new Ask(now + LOOPBACK + pause, ask.asked(), ask.serviceClass(), ask.tries() + 1);
-    on.put(next, connection);
-    coming.add(next);
+    long pauseNanos =
+        suspendsEarlyRetries
+            ? connection.recordRejection(
+                request.retries() > 0, retryAfterMillisOrAdmitted * MILLI, now)
+            : 0;
+    SimulatedRequest nextRequest =
+        new SimulatedRequest(
+            now + NEXT_REQUEST_DELAY_NANOS + pauseNanos,
+            request.firstSentAtNanos(),
+            request.serviceClass(),
+            request.retries() + 1);
+    connectionsByRequest.put(nextRequest, connection);
+    scheduledRequests.add(nextRequest);
   }
 
-  /** Connections of clients that insist are read from like all others. */
+  /** Disables the suspension of reading from connections with early retries. */
   LoopModel withoutInsistence() {
-    insistence = false;
+    suspendsEarlyRetries = false;
     return this;
   }
 
-  /** Serving takes so many times as long now, and falls to the usual within so long. */
-  LoopModel cold(double times, long nanos) {
-    coldTimes = times;
-    coldFrom = now;
-    coldNanos = nanos;
+  /**
+   * Simulates a cold start: serving costs a multiple of the usual time now, and falls to the usual
+   * time within the given number of nanoseconds.
+   */
+  LoopModel cold(double costRatio, long durationNanos) {
+    initialCostRatio = costRatio;
+    coldSinceNanos = now;
+    warmupNanos = durationNanos;
     return this;
   }
 
-  private double coldness() {
-    double left = 1 - (now - coldFrom) / (double) coldNanos;
-    return left > 0 ? 1 + (coldTimes - 1) * left : 1;
+  private double costRatio() {
+    double coldRatio = 1 - (now - coldSinceNanos) / (double) warmupNanos;
+    return coldRatio > 0 ? 1 + (initialCostRatio - 1) * coldRatio : 1;
   }
 
-  private long gap() {
-    return perSecond == 0
+  private long nextInterarrivalNanos() {
+    return requestsPerSecond == 0
         ? Long.MAX_VALUE / 2
-        : (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND);
+        : (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * SECOND);
   }
 
-  /** The process does not run for so long, while requests go on coming. */
-  void stop(long nanos) {
-    now += nanos;
-    control.onEventLoopStall(nanos, now);
+  /** Stops the process for a time in nanoseconds, while requests continue to arrive. */
+  void stop(long durationNanos) {
+    now += durationNanos;
+    control.onEventLoopStall(durationNanos, now);
   }
 
-  /** Runs for so long. */
-  void run(long nanos) {
-    for (long until = now + nanos; now < until; ) {
-      arrivals();
-      long began = now;
-      turn();
-      turns.add(now - began);
+  /** Runs the loop for a time in nanoseconds. */
+  void run(long durationNanos) {
+    for (long untilNanos = now + durationNanos; now < untilNanos; ) {
+      enqueueArrivals();
+      long turnBeganAtNanos = now;
+      runTurn();
+      turns.add(now - turnBeganAtNanos);
       if (control != null) {
-        control.onLoopTurnEnd(began, now, 0);
+        control.onLoopTurnEnd(turnBeganAtNanos, now, 0);
       }
       if (queue.isEmpty()) {
-        // Sleeps until something comes, and for 10 ms at most.
-        now = Math.min(Math.max(now + 1, next()), now + 10 * MILLI);
+        // Sleeps until a request arrives, at most for 10 ms.
+        now = Math.min(Math.max(now + 1, nextEventNanos()), now + 10 * MILLI);
       }
     }
   }
 
-  private long next() {
-    return coming.isEmpty() ? nextAsk : Math.min(nextAsk, coming.peek().at());
+  private long nextEventNanos() {
+    return scheduledRequests.isEmpty()
+        ? nextArrivalNanos
+        : Math.min(nextArrivalNanos, scheduledRequests.peek().arrivesAtNanos());
   }
 
-  private void arrivals() {
-    while (nextAsk <= now) {
-      int serviceClass = random.nextDouble() < submits ? SUBMIT : 0;
-      Ask ask = new Ask(nextAsk, nextAsk, serviceClass, 0);
-      (stormy ? due : queue).add(ask);
-      nextAsk += gap();
+  private void enqueueArrivals() {
+    while (nextArrivalNanos <= now) {
+      int serviceClass = random.nextDouble() < submitRatio ? SUBMIT : 0;
+      SimulatedRequest request =
+          new SimulatedRequest(nextArrivalNanos, nextArrivalNanos, serviceClass, 0);
+      (limitsConnections ? waitingForConnection : queue).add(request);
+      nextArrivalNanos += nextInterarrivalNanos();
     }
-    while (!coming.isEmpty() && coming.peek().at() <= now) {
-      queue.add(coming.poll());
+    while (!scheduledRequests.isEmpty() && scheduledRequests.peek().arrivesAtNanos() <= now) {
+      queue.add(scheduledRequests.poll());
     }
-    send();
+    assignConnections();
   }
 
-  /** All that has come. */
-  private void turn() {
-    for (int left = Math.min(queue.size(), READ); left > 0; left--) {
-      Ask ask = queue.poll();
-      RetryStormDetector connection = on.remove(ask);
-      long advice =
+  /** Serves or rejects all requests in the queue, up to the maximum of a turn. */
+  private void runTurn() {
+    for (int requestsLeft = Math.min(queue.size(), MAX_REQUESTS_PER_TURN); requestsLeft > 0; requestsLeft--) {
+      SimulatedRequest request = queue.poll();
+      RetryStormDetector connection = connectionsByRequest.remove(request);
+      long retryAfterMillisOrAdmitted =
           control == null
               ? OverloadControl.ADMITTED
-              : control.admit(ask.serviceClass(), -1, ask.asked(), ask.tries() > 0, now);
-      boolean served = advice == OverloadControl.ADMITTED;
-      now += (long) (SERVING * coldness() * (served ? 1 : refusing));
-      Client client = closed.remove(ask);
-      if (client != null && now < client.until()) {
-        again(client, ask, advice);
+              : control.admit(
+                  request.serviceClass(),
+                  -1,
+                  request.firstSentAtNanos(),
+                  request.retries() > 0,
+                  now);
+      boolean isServed = retryAfterMillisOrAdmitted == OverloadControl.ADMITTED;
+      now += (long) (SERVING_TIME_NANOS * costRatio() * (isServed ? 1 : rejectionCostRatio));
+      ClosedLoopClient client = clientsByRequest.remove(request);
+      if (client != null && now < client.untilNanos()) {
+        onClientAnswered(client, request, retryAfterMillisOrAdmitted);
       }
       if (connection != null) {
-        answered(connection, ask, advice);
+        onConnectionAnswered(connection, request, retryAfterMillisOrAdmitted);
       }
-      if (!served && ask.tries() < repeats) {
-        long back = now + 5 * MILLI + random.nextLong(45 * MILLI);
-        coming.add(new Ask(back, ask.asked(), ask.serviceClass(), ask.tries() + 1));
+      if (!isServed && request.retries() < maxRetries) {
+        long sentAtNanos = now + 5 * MILLI + random.nextLong(45 * MILLI);
+        scheduledRequests.add(
+            new SimulatedRequest(
+                sentAtNanos,
+                request.firstSentAtNanos(),
+                request.serviceClass(),
+                request.retries() + 1));
       } else {
         fates.add(
-            new Fate(ask.asked(), ask.serviceClass(), ask.tries(), served, now - ask.asked()));
+            new RequestResult(
+                request.firstSentAtNanos(),
+                request.serviceClass(),
+                request.retries(),
+                isServed,
+                now - request.firstSentAtNanos()));
       }
     }
   }
 
-  /** A client goes on; what it sends is read when its connection is. */
-  private void again(Client client, Ask ask, long advice) {
-    boolean same = client.insists() && advice != OverloadControl.ADMITTED;
-    long pause =
-        same ? client.insistence().recordRejection(ask.tries() > 0, advice * MILLI, now) : 0;
-    long back = now + LOOPBACK + pause;
-    Ask next =
-        new Ask(back, same ? ask.asked() : back, ask.serviceClass(), same ? ask.tries() + 1 : 0);
-    closed.put(next, client);
-    coming.add(next);
+  /** Sends a client's next request, after the time for which reading from it is suspended. */
+  private void onClientAnswered(
+      ClosedLoopClient client, SimulatedRequest request, long retryAfterMillisOrAdmitted) {
+    boolean isRetry =
+        client.retriesRejections() && retryAfterMillisOrAdmitted != OverloadControl.ADMITTED;
+    long pauseNanos =
+        isRetry
+            ? client
+                .stormDetector()
+                .recordRejection(request.retries() > 0, retryAfterMillisOrAdmitted * MILLI, now)
+            : 0;
+    long sentAtNanos = now + NEXT_REQUEST_DELAY_NANOS + pauseNanos;
+    SimulatedRequest nextRequest =
+        new SimulatedRequest(
+            sentAtNanos,
+            isRetry ? request.firstSentAtNanos() : sentAtNanos,
+            request.serviceClass(),
+            isRetry ? request.retries() + 1 : 0);
+    clientsByRequest.put(nextRequest, client);
+    scheduledRequests.add(nextRequest);
   }
 
-  /** The part of the requests of a class, asked since then, that was served so soon. */
-  double within(int serviceClass, long since, long nanos) {
-    List<Fate> asked =
-        fates.stream().filter(f -> f.serviceClass() == serviceClass && f.asked() >= since).toList();
-    long good = asked.stream().filter(f -> f.served() && f.took() <= nanos).count();
-    return (double) good / asked.size();
+  /**
+   * The fraction of the requests of a class, first sent at {@code sinceNanos} or later, that were
+   * served within {@code maxLatencyNanos}.
+   */
+  double within(int serviceClass, long sinceNanos, long maxLatencyNanos) {
+    List<RequestResult> sentRequests =
+        fates.stream()
+            .filter(
+                result ->
+                    result.serviceClass() == serviceClass
+                        && result.firstSentAtNanos() >= sinceNanos)
+            .toList();
+    long servedInTime =
+        sentRequests.stream()
+            .filter(result -> result.served() && result.latencyNanos() <= maxLatencyNanos)
+            .count();
+    return (double) servedInTime / sentRequests.size();
   }
 
-  /** Worth served a second within each class's aim, of what was asked from then to then. */
-  double goodput(long since, long until) {
+  /**
+   * The priority weight served per second within the objective of its class, for requests first
+   * sent in the given period.
+   */
+  double goodput(long sinceNanos, long untilNanos) {
     return fates.stream()
-            .filter(f -> f.asked() >= since && f.asked() < until && f.served())
+            .filter(
+                result ->
+                    result.firstSentAtNanos() >= sinceNanos
+                        && result.firstSentAtNanos() < untilNanos
+                        && result.served())
             .mapToDouble(
-                f ->
-                    f.serviceClass() == SUBMIT
-                        ? f.took() <= 300 * MILLI ? 5 : 0
-                        : f.took() <= 750 * MILLI ? 2 : 0)
+                result ->
+                    result.serviceClass() == SUBMIT
+                        ? result.latencyNanos() <= 300 * MILLI ? 5 : 0
+                        : result.latencyNanos() <= 750 * MILLI ? 2 : 0)
             .sum()
-        / ((until - since) / (double) SECOND);
+        / ((untilNanos - sinceNanos) / (double) SECOND);
   }
 
-  /** The part of the loop's time from then to then that went into serving. */
-  double served(long since, long until) {
-    long served =
+  /**
+   * The usual serving time of all requests that were served in the given period, as a fraction of
+   * the period.
+   */
+  double served(long sinceNanos, long untilNanos) {
+    long servedRequests =
         fates.stream()
             .filter(
-                f -> f.served() && f.asked() + f.took() >= since && f.asked() + f.took() < until)
+                result ->
+                    result.served()
+                        && result.firstSentAtNanos() + result.latencyNanos() >= sinceNanos
+                        && result.firstSentAtNanos() + result.latencyNanos() < untilNanos)
             .count();
-    return (double) served * SERVING / (until - since);
+    return (double) servedRequests * SERVING_TIME_NANOS / (untilNanos - sinceNanos);
   }
 
-  /** Milliseconds that 99 of 100 turns keep below, of those after the first so many. */
-  double longTurn(int skip) {
-    long[] sorted = turns.stream().skip(skip).mapToLong(Long::longValue).toArray();
-    Arrays.sort(sorted);
-    return sorted[(int) (0.99 * sorted.length)] / (double) MILLI;
+  /** The 99th percentile of turn lengths in milliseconds, after the first {@code skippedTurns}. */
+  double longTurn(int skippedTurns) {
+    long[] sortedTurnNanos = turns.stream().skip(skippedTurns).mapToLong(Long::longValue).toArray();
+    Arrays.sort(sortedTurnNanos);
+    return sortedTurnNanos[(int) (0.99 * sortedTurnNanos.length)] / (double) MILLI;
   }
 }
--- a/core/src/test/java/shalepaddle/overload/SheddingTest.java
+++ b/core/src/test/java/shalepaddle/overload/SheddingTest.java
@@ -12,193 +12,209 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A whole event loop under load, in virtual time: it serves ten thousand requests a second. */
+/** Tests shedding on a simulated event loop that can serve 10,000 requests per second. */
 class SheddingTest {
-  private static final double REFUSING = 0.05;
+  /** The cost of a rejection, as a fraction of the cost of serving a request. */
+  private static final double REJECTION_COST_RATIO = 0.05;
 
   @Test
-  void withoutSheddingEverybodyWaitsUntilNobodyIsServedInTime() {
-    LoopModel loop = new LoopModel(false, REFUSING, 0).load(30000, 0.08);
+  void servesFewRequestsInTimeWithoutShedding() {
+    LoopModel loop = new LoopModel(false, REJECTION_COST_RATIO, 0).load(30000, 0.08);
     loop.run(3 * SECOND);
-    long since = loop.now;
+    long sinceNanos = loop.now;
     loop.run(10 * SECOND);
-    assertTrue(loop.within(SUBMIT, since, 300 * MILLI) < 0.05);
-    assertTrue(loop.goodput(since, loop.now) < 2000);
+    assertTrue(loop.within(SUBMIT, sinceNanos, 300 * MILLI) < 0.05);
+    assertTrue(loop.goodput(sinceNanos, loop.now) < 2000);
   }
 
   @ParameterizedTest
   @CsvSource({"3, 0", "3, 3", "2, 2", "5, 0"})
-  void submitsAreServedWhileReadsGiveWay(double times, int repeats) {
-    LoopModel loop = new LoopModel(true, REFUSING, repeats).load(10000 * times, 0.08);
-    // The queue that grew before the first verdict drains; repeats of what was in it come as well.
-    loop.run((repeats == 0 && times <= 3 ? 2 : 6) * SECOND);
-    long since = loop.now;
-    int turns = loop.turns.size();
+  void servesHigherPriorityRequestsUnderOverload(double loadRatio, int maxRetries) {
+    LoopModel loop =
+        new LoopModel(true, REJECTION_COST_RATIO, maxRetries).load(10000 * loadRatio, 0.08);
+    // Waits until the queue that grew before shedding began has drained, including retries of the
+    // requests in it.
+    loop.run((maxRetries == 0 && loadRatio <= 3 ? 2 : 6) * SECOND);
+    long sinceNanos = loop.now;
+    int skippedTurns = loop.turns.size();
     loop.run(20 * SECOND);
-    double submits = loop.within(SUBMIT, since, 300 * MILLI);
-    assertTrue(submits >= 0.99, "submits in time: " + submits);
-    double late = loop.longTurn(turns);
-    assertTrue(late < 20, "99th percentile of a turn's length: " + late + " ms");
+    double submitsInTimeRatio = loop.within(SUBMIT, sinceNanos, 300 * MILLI);
+    assertTrue(submitsInTimeRatio >= 0.99, "ratio of requests of the class \"submit\" served in time: " + submitsInTimeRatio);
+    double p99Millis = loop.longTurn(skippedTurns);
+    assertTrue(p99Millis < 20, "99th percentile of turn lengths: " + p99Millis + " ms");
   }
 
   @Test
-  void threeTimesTheLoadServesNearlyAsMuchWorthAsOnce() {
-    LoopModel once = new LoopModel(true, REFUSING, 0).load(9000, 0.08);
-    once.run(20 * SECOND);
-    LoopModel thrice = new LoopModel(true, REFUSING, 0).load(27000, 0.08);
-    thrice.run(20 * SECOND);
-    double ratio = thrice.goodput(3 * SECOND, 19 * SECOND) / once.goodput(3 * SECOND, 19 * SECOND);
-    assertTrue(ratio >= 0.9, "goodput of three times the load to that of once: " + ratio);
+  void keepsGoodputAtThreeTimesTheLoad() {
+    LoopModel usualLoop = new LoopModel(true, REJECTION_COST_RATIO, 0).load(9000, 0.08);
+    usualLoop.run(20 * SECOND);
+    LoopModel overloadedLoop = new LoopModel(true, REJECTION_COST_RATIO, 0).load(27000, 0.08);
+    overloadedLoop.run(20 * SECOND);
+    double goodputRatio =
+        overloadedLoop.goodput(3 * SECOND, 19 * SECOND) / usualLoop.goodput(3 * SECOND, 19 * SECOND);
+    assertTrue(goodputRatio >= 0.9, "ratio of goodput at three times the load: " + goodputRatio);
   }
 
   @Test
-  void overloadInTheFirstSecondIsSeenInTheFirstSecond() {
-    LoopModel loop = new LoopModel(true, REFUSING, 0).load(30000, 0.08);
+  void shedsInFirstSecondWhenOverloadBeginsAtStart() {
+    LoopModel loop = new LoopModel(true, REJECTION_COST_RATIO, 0).load(30000, 0.08);
     loop.run(SECOND);
     assertTrue(loop.control().isShedding());
     loop.run(SECOND);
-    long since = loop.now;
+    long sinceNanos = loop.now;
     loop.run(3 * SECOND);
-    assertTrue(loop.within(SUBMIT, since, 300 * MILLI) >= 0.99);
+    assertTrue(loop.within(SUBMIT, sinceNanos, 300 * MILLI) >= 0.99);
   }
 
   @Test
-  void fullServiceIsBackWithinThreeSecondsAndTheLevelChangesFewTimes() {
-    LoopModel loop = new LoopModel(true, REFUSING, 0).load(30000, 0.08);
+  void restoresFullServiceThreeSecondsAfterOverloadAndChangesLevelRarely() {
+    LoopModel loop = new LoopModel(true, REJECTION_COST_RATIO, 0).load(30000, 0.08);
     loop.run(20 * SECOND);
-    long changes = loop.levels.size();
-    assertTrue(changes <= 6, "changes of the level in 20 s: " + loop.levels);
+    long changeCount = loop.levels.size();
+    assertTrue(changeCount <= 6, "changes of the level in 20 s: " + loop.levels);
     loop.load(5000, 0.08);
     loop.run(3 * SECOND);
-    long since = loop.now;
+    long sinceNanos = loop.now;
     loop.run(5 * SECOND);
-    assertEquals(1, loop.within(0, since, 750 * MILLI), 0.001);
+    assertEquals(1, loop.within(0, sinceNanos, 750 * MILLI), 0.001);
     assertFalse(loop.control().isShedding());
-    assertTrue(loop.levels.size() <= changes + 3, "levels: " + loop.levels);
+    assertTrue(loop.levels.size() <= changeCount + 3, "changes of the level: " + loop.levels);
   }
 
-  /** What is meant by no oscillation: a load that is just too high changes the level seldom. */
+  /** Guards against oscillation: a load slightly above capacity must change the level rarely. */
   @ParameterizedTest
   @ValueSource(doubles = {9000, 10000, 10500, 12000, 15000})
-  void aLoadAroundTheCapacityChangesTheLevelAFewTimesAMinute(double perSecond) {
-    LoopModel loop = new LoopModel(true, REFUSING, 1).load(perSecond, 0.08);
+  void changesLevelRarelyWhenLoadIsNearCapacity(double requestsPerSecond) {
+    LoopModel loop = new LoopModel(true, REJECTION_COST_RATIO, 1).load(requestsPerSecond, 0.08);
     loop.run(60 * SECOND);
-    assertTrue(loop.levels.size() <= 20, loop.levels.size() + " changes: " + loop.levels);
+    assertTrue(loop.levels.size() <= 20, loop.levels.size() + " changes of the level: " + loop.levels);
   }
 
   @Test
-  void aStormOfRepeatsIsCutToAShareOfFirstTries() {
-    LoopModel loop = new LoopModel(true, REFUSING, 3).load(8000, 0.08);
+  void recoversFromRetryStormAfterBurst() {
+    LoopModel loop = new LoopModel(true, REJECTION_COST_RATIO, 3).load(8000, 0.08);
     loop.run(5 * SECOND);
     loop.load(40000, 0.08);
     loop.run(3 * SECOND);
     loop.load(8000, 0.08);
     loop.run(3 * SECOND);
-    long since = loop.now;
+    long sinceNanos = loop.now;
     loop.run(5 * SECOND);
-    assertTrue(loop.within(0, since, 750 * MILLI) > 0.99, "the storm did not feed itself");
+    assertTrue(loop.within(0, sinceNanos, 750 * MILLI) > 0.99, "the retry storm did not sustain itself");
     assertTrue(loop.control().snapshot().rejectedRetryCount() > 0);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {50, 300, 1000, 3000})
-  void aPauseOfTheProcessShedsNothing(int millis) {
-    LoopModel loop = new LoopModel(true, REFUSING, 0).load(3000, 0.08);
+  void doesNotShedAfterProcessStall(int stallMillis) {
+    LoopModel loop = new LoopModel(true, REJECTION_COST_RATIO, 0).load(3000, 0.08);
     for (int i = 0; i < 5; i++) {
       loop.run(4 * SECOND);
-      loop.stop(millis * MILLI);
+      loop.stop(stallMillis * MILLI);
     }
     loop.run(4 * SECOND);
-    long refused = loop.fates.stream().filter(f -> !f.served()).count();
-    // What came in a pause of seconds is a load of its own, and a part of it may be refused.
-    assertTrue(refused <= (millis <= 300 ? 0 : 5 * millis * 3000 / 1000), refused + " refused");
+    long rejectedCount = loop.fates.stream().filter(result -> !result.served()).count();
+    // The requests that arrive during a stall of seconds are an overload, and may be rejected.
+    assertTrue(
+        rejectedCount <= (stallMillis <= 300 ? 0 : 5 * stallMillis * 3000 / 1000),
+        rejectedCount + " requests rejected");
     assertFalse(loop.control().isShedding());
   }
 
-  /** A metastable failure: what set it off is gone, and what it did keeps it up. */
+  /**
+   * Guards against a metastable failure: clients that send the next request right after a rejection
+   * must not keep the loop overloaded once the stall or burst that started the rejections is over.
+   */
   @ParameterizedTest
   @CsvSource({"20, 0.2", "70, 0.2", "100, 0.1", "130, 0.2", "130, 0.4"})
-  void refusalsThatBringTheNextTryAtOnceDoNotKeepItRefusing(int clients, double refusing) {
-    LoopModel loop = new LoopModel(true, refusing, 0).clients(clients);
+  void recoversWhenRejectedClientsSendNextRequestAtOnce(int clients, double rejectionCostRatio) {
+    LoopModel loop = new LoopModel(true, rejectionCostRatio, 0).clients(clients);
     loop.run(4 * SECOND);
-    StringBuilder seen = new StringBuilder();
-    seen.append(loop.served(loop.now - SECOND, loop.now)).append(" at rest; ");
+    StringBuilder measuredRatios = new StringBuilder();
+    measuredRatios.append(loop.served(loop.now - SECOND, loop.now)).append(" in steady state; ");
     loop.stop(SECOND);
     loop.run(2 * SECOND);
-    seen.append(loop.served(loop.now - SECOND, loop.now)).append(" after a pause; ");
+    measuredRatios.append(loop.served(loop.now - SECOND, loop.now)).append(" after a stall; ");
     loop.clients(4 * clients, loop.now + 2 * SECOND);
     loop.run(4 * SECOND);
-    long since = loop.now;
+    long sinceNanos = loop.now;
     loop.run(SECOND);
-    double after = loop.served(since, loop.now);
-    seen.append(after).append(" after a burst");
+    double servingRatioAfter = loop.served(sinceNanos, loop.now);
+    measuredRatios.append(servingRatioAfter).append(" after a burst");
     assertTrue(
-        after >= 0.95,
-        clients + " clients: " + seen + " " + loop.control().snapshot().limitPerSecond());
+        servingRatioAfter >= 0.95,
+        "ratio of time spent serving with %d clients: %s; limit %s requests/s"
+            .formatted(clients, measuredRatios, loop.control().snapshot().limitPerSecond()));
   }
 
   /**
-   * Each repeats at once what was refused, with nobody left who asks for the first time. What they
-   * send is answered when it is read, and read later.
+   * All clients retry rejected requests at once, and there are no other first attempts. The
+   * requests are answered as soon as they are read, but reading from the connections is suspended.
    */
   @ParameterizedTest
   @CsvSource({"150, 0.2", "300, 0.2", "300, 0.4", "600, 0.2"})
-  void clientsThatInsistDoNotTakeTheLoopsTime(int clients, double refusing) {
-    LoopModel loop = new LoopModel(true, refusing, 0).insisting(clients);
+  void spendsLittleTimeOnRejectionsWhenAllClientsRetryAtOnce(
+      int clients, double rejectionCostRatio) {
+    LoopModel loop = new LoopModel(true, rejectionCostRatio, 0).insisting(clients);
     loop.run(4 * SECOND);
-    double rest = loop.served(loop.now - SECOND, loop.now);
+    double servingRatioBefore = loop.served(loop.now - SECOND, loop.now);
     loop.stop(SECOND);
     loop.run(2 * SECOND);
-    long since = loop.now;
+    long sinceNanos = loop.now;
     loop.run(SECOND);
-    double after = loop.served(since, loop.now);
-    assertTrue(rest >= 0.85 && after >= 0.85, rest + " at rest, " + after + " after a pause");
+    double servingRatioAfter = loop.served(sinceNanos, loop.now);
+    assertTrue(
+        servingRatioBefore >= 0.85 && servingRatioAfter >= 0.85, "ratio of time spent serving: " + servingRatioBefore + " in steady state, " + servingRatioAfter + " after a stall");
   }
 
-  /** Code that is not compiled yet takes eight times as long at first, and the usual after 2 s. */
+  /** Before JIT compilation, serving takes eight times as long; after 2 s, the usual time. */
   @ParameterizedTest
   @CsvSource({"4000, 0, 0.4", "7000, 0, 0.7", "0, 64, 1", "0, 130, 1"})
-  void aStartThatIsSlowAtFirstIsAtItsFullServiceTwoSecondsLater(
-      int perSecond, int clients, double full) {
-    LoopModel loop = new LoopModel(true, 0.2, 0).load(perSecond, 0.08).clients(clients);
+  void reachesFullServiceTwoSecondsAfterColdStart(
+      int requestsPerSecond, int clients, double fullRatio) {
+    LoopModel loop = new LoopModel(true, 0.2, 0).load(requestsPerSecond, 0.08).clients(clients);
     loop.cold(8, 2 * SECOND);
     loop.run(4 * SECOND);
-    long since = loop.now;
+    long sinceNanos = loop.now;
     loop.run(SECOND);
-    double served = loop.served(since, loop.now);
-    assertTrue(served >= 0.95 * full, served + " of the loop's time serves");
+    double servingRatio = loop.served(sinceNanos, loop.now);
+    assertTrue(servingRatio >= 0.95 * fullRatio, "ratio of time spent serving: " + servingRatio);
   }
 
   /**
-   * Callers who wait for one of 256 connections and ask again at once, for two seconds each: a cold
-   * start leaves all connections with repeats.
+   * Requests wait for one of 256 connections and are retried at once for up to two seconds. After a
+   * cold start, retries occupy all connections.
    */
   @ParameterizedTest
   @CsvSource({"4000, 0.4", "7000, 0.1", "7000, 0.2", "7000, 0.4"})
-  void aStormOfRepeatsThatAStartSetOffIsOverTwoSecondsLater(int perSecond, double refusing) {
-    LoopModel loop = new LoopModel(true, refusing, 0).storm(perSecond, 256);
+  void endsRetryStormTwoSecondsAfterColdStart(int requestsPerSecond, double rejectionCostRatio) {
+    LoopModel loop = new LoopModel(true, rejectionCostRatio, 0).storm(requestsPerSecond, 256);
     loop.cold(8, 2 * SECOND);
     loop.run(4 * SECOND);
-    long since = loop.now;
+    long sinceNanos = loop.now;
     loop.run(SECOND);
-    double served = loop.served(since, loop.now);
-    assertTrue(served >= 0.95 * perSecond / 10_000, served + " of the loop's time serves");
+    double servingRatio = loop.served(sinceNanos, loop.now);
+    assertTrue(
+        servingRatio >= 0.95 * requestsPerSecond / 10_000, "ratio of time spent serving: " + servingRatio);
   }
 
-  /** The model tells the two apart: the rule that reads insisting clients later is what ends it. */
+  /**
+   * Shows that the retry storm ends only because reading from connections with early retries is
+   * suspended.
+   */
   @Test
-  void theStormGoesOnWhereWhoInsistsIsReadAsEver() {
+  void retryStormPersistsWhenReadingIsNotSuspended() {
     LoopModel loop = new LoopModel(true, 0.4, 0).storm(7000, 256).withoutInsistence();
     loop.cold(8, 2 * SECOND);
     loop.run(4 * SECOND);
-    long since = loop.now;
+    long sinceNanos = loop.now;
     loop.run(SECOND);
-    assertTrue(loop.served(since, loop.now) < 0.95 * 0.7);
+    assertTrue(loop.served(sinceNanos, loop.now) < 0.95 * 0.7);
   }
 
   @Test
-  void aShareOfEveryTierAlwaysPasses() {
-    LoopModel loop = new LoopModel(true, REFUSING, 1).load(60000, 0.3);
+  void admitsMinimumRatioOfEveryTier() {
+    LoopModel loop = new LoopModel(true, REJECTION_COST_RATIO, 1).load(60000, 0.3);
     loop.run(10 * SECOND);
     for (OverloadSnapshot.Tier tier : loop.control().snapshot().tiers()) {
       assertTrue(
--- a/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
+++ b/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
@@ -7,7 +7,7 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.Settings;
 
-/** A request that gets more time, since somebody who waits longer has joined it. */
+/** Tests requests whose deadline is extended because a client with a later deadline joined. */
 class DeadlineExtensionTest {
   private static final Settings SETTINGS = PolicyFixture.settings(false, 2, true);
 
@@ -22,19 +22,19 @@
   }
 
   @Test
-  void answersAtExtendedDeadline() {
+  void failsRequestAtExtendedDeadlineWhenNoServerAnswers() {
     router.extendDeadline("a", 101.5);
     router.onTimer(100.3, token);
     assertEquals(List.of(), actions.of("fail"));
-    PolicyFixture.Act again = actions.of("scheduleTimer").get(1);
-    assertEquals(token, again.number());
-    assertEquals(1.2, again.value(), 1e-9);
+    PolicyFixture.Act secondTimer = actions.of("scheduleTimer").get(1);
+    assertEquals(token, secondTimer.number());
+    assertEquals(1.2, secondTimer.value(), 1e-9);
     router.onTimer(101.5, token);
     assertEquals(1, actions.of("fail").size());
   }
 
   @Test
-  void retriesWithinExtendedDeadline() {
+  void retriesBrokenAttemptWithinExtendedDeadline() {
     router.extendDeadline("a", 101.5);
     long server = actions.of("send").get(0).number();
     router.onOutcome(100.4, PolicyFixture.outcome("a", 0, server, Outcome.Result.RESET));
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void neverShortensDeadline() {
+  void keepsDeadlineWhenExtensionIsEarlier() {
     router.extendDeadline("a", 100.1);
     router.extendDeadline("unknown", 200);
     router.onTimer(100.3, token);
--- a/core/src/test/java/shalepaddle/policy/EventLoopStallDecisionTest.java
+++ b/core/src/test/java/shalepaddle/policy/EventLoopStallDecisionTest.java
@@ -11,14 +11,14 @@
 import shalepaddle.model.Settings;
 import shalepaddle.policy.health.ServerHealth;
 
-/** Time in which the event loop was stalled counts against no server and in no rate. */
+/** Checks that a stall of the event loop counts neither against servers nor in throughput rates. */
 class EventLoopStallDecisionTest {
   private static final Settings SETTINGS = PolicyFixture.settings(false, 1, true);
 
   private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
   private final RequestRouter router = new RequestRouter(SETTINGS, 1, actions);
 
-  private static Outcome ended(
+  private static Outcome outcome(
       Outcome.Result result, double elapsedSeconds, double stalledSeconds) {
     return new Outcome(
         "a", 0, 1, result, elapsedSeconds, stalledSeconds, false, Outcome.CacheStatus.NONE, null);
@@ -31,53 +31,60 @@
       ServerHealth server = new ServerHealth(PolicyFixture.server(1), 100, SETTINGS);
       for (int i = 0; i < 10; i++) {
         server.onSent();
-        server.onAttemptEnded(102 + 2 * i, ended(result, 1, stalledSeconds), 60, true);
+        server.onAttemptEnded(102 + 2 * i, outcome(result, 1, stalledSeconds), 60, true);
       }
       assertEquals(
-          stalledSeconds == 0, server.isEjected(), "stalled for " + stalledSeconds + " s of 1 s");
+          stalledSeconds == 0, server.isEjected(), "ejection when the event loop stalled for " + stalledSeconds + " s of a timeout of 1 s");
     }
   }
 
   @Test
-  void ejectsHangingServerThoughLoopIsMostlyStalled() {
+  void ejectsHangingServerWhenLoopIsMostlyStalled() {
     ServerHealth server = new ServerHealth(PolicyFixture.server(1), 100, SETTINGS);
-    int timeOuts = 0;
-    while (!server.isEjected() && timeOuts < 100) {
+    int timeoutCount = 0;
+    while (!server.isEjected() && timeoutCount < 100) {
       server.onSent();
-      server.onAttemptEnded(102 + timeOuts++, ended(Outcome.Result.TIMEOUT, 1, 0.9), 60, true);
+      server.onAttemptEnded(102 + timeoutCount++, outcome(Outcome.Result.TIMEOUT, 1, 0.9), 60, true);
     }
-    assertTrue(timeOuts >= 10 && timeOuts <= 40, timeOuts + " time-outs");
+    assertTrue(timeoutCount >= 10 && timeoutCount <= 40, timeoutCount + " timeouts until the ejection");
   }
 
-  /** Answers 20 requests a second for 10 s, and then two more every 1.5 s that stay open. */
-  private long rejectedAfterStalls(boolean notified) {
+  /**
+   * Sends 20 requests per second for 10 s, which are answered at once, and then two requests every
+   * 1.5 s, which stay unanswered.
+   *
+   * @param isNotified whether the router is notified of a stall of 1.5 s before each pair
+   * @return the number of rejected requests
+   */
+  private long countRejectionsAfterStalls(boolean isNotified) {
     router.onMembershipUpdate(100, PolicyFixture.fleet(3));
-    int next = 0;
-    for (; next < 200; next++) {
-      double now = 100 + next * 0.05;
-      router.onRequest(now, PolicyFixture.request("q" + next, "key" + next % 7, "safe", 2));
-      PolicyFixture.Act sent = actions.acts.get(actions.acts.size() - 1);
-      router.onOutcome(now, PolicyFixture.outcome("q" + next, 0, sent.number(), Outcome.Result.OK));
+    int requestNumber = 0;
+    for (; requestNumber < 200; requestNumber++) {
+      double now = 100 + requestNumber * 0.05;
+      String id = "q" + requestNumber;
+      router.onRequest(now, PolicyFixture.request(id, "key" + requestNumber % 7, "safe", 2));
+      PolicyFixture.Act lastSend = actions.acts.get(actions.acts.size() - 1);
+      router.onOutcome(now, PolicyFixture.outcome(id, 0, lastSend.number(), Outcome.Result.OK));
     }
     for (int stall = 0; stall < 5; stall++) {
       double now = 111.5 + stall * 1.5;
-      if (notified) {
+      if (isNotified) {
         router.onEventLoopStall(1.5);
       }
       for (int i = 0; i < 2; i++) {
-        router.onRequest(now, PolicyFixture.request("p" + next++, "key" + i, "unsafe", 9));
+        router.onRequest(now, PolicyFixture.request("p" + requestNumber++, "key" + i, "unsafe", 9));
       }
     }
     return actions.of("reject").size();
   }
 
   @Test
-  void admitsRequestsAfterStall() {
-    assertEquals(0, rejectedAfterStalls(true));
+  void admitsRequestsWhenRouterIsNotifiedOfStall() {
+    assertEquals(0, countRejectionsAfterStalls(true));
   }
 
   @Test
-  void rejectsRequestsWhenNothingIsAnsweredWithoutStall() {
-    assertFalse(rejectedAfterStalls(false) == 0);
+  void rejectsRequestsWhenServersDoNotAnswer() {
+    assertFalse(countRejectionsAfterStalls(false) == 0);
   }
 }
--- a/core/src/test/java/shalepaddle/policy/FleetTest.java
+++ b/core/src/test/java/shalepaddle/policy/FleetTest.java
@@ -16,115 +16,123 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.ServerEntry;
 
-/** Many load balancers before many servers, each with little traffic: counts over all. */
+/** Tests many load balancers with little traffic each: how their requests add up at the servers. */
 class FleetTest {
   private static final int NODES = 14;
   private static final int SERVERS = 60;
 
-  /** How many of them start together. */
-  private static final int NEW = 36;
+  /** The number of servers that start together. */
+  private static final int STARTED_SERVERS = 36;
 
   private final List<RequestRouter> nodes = new ArrayList<>();
   private final List<PolicyFixture.Recorder> actions = new ArrayList<>();
   private final Random random = new Random(7);
 
-  /** Requests to each server, by its id. */
-  private final int[] sends = new int[SERVERS + 1];
+  /** Attempts at each server, by its id. */
+  private final int[] attemptsByServer = new int[SERVERS + 1];
 
-  /** Where the keys went, by key. */
-  private final Map<Integer, Set<Long>> homes = new HashMap<>();
+  /** The servers that got attempts for each key. */
+  private final Map<Integer, Set<Long>> serversByKey = new HashMap<>();
 
-  private int serial;
+  private int nextRequestNumber;
 
-  /** Nodes that have served for ten seconds, until 110; what went where is counted from then on. */
-  private void startWarm() {
-    for (int number = 0; number < NODES; number++) {
+  /** Runs all nodes from 100 s to 110 s with warm servers; attempts are counted from then on. */
+  private void runWithWarmServers() {
+    for (int nodeNumber = 0; nodeNumber < NODES; nodeNumber++) {
       PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
       actions.add(recorder);
       nodes.add(
           new RequestRouter(
-              PolicyFixture.settings(number, NODES, false, 4, true), number, recorder));
-      nodes.get(number).onMembershipUpdate(100, PolicyFixture.fleet(SERVERS));
+              PolicyFixture.settings(nodeNumber, NODES, false, 4, true), nodeNumber, recorder));
+      nodes.get(nodeNumber).onMembershipUpdate(100, PolicyFixture.fleet(SERVERS));
     }
-    play(100, 110);
-    Arrays.fill(sends, 0);
-    homes.clear();
+    sendRequests(100, 110);
+    Arrays.fill(attemptsByServer, 0);
+    serversByKey.clear();
   }
 
-  /** One request a second to each server in the mean from each node, answered at once. */
-  private void play(double from, double until) {
-    double now = from;
-    while (now < until) {
+  /**
+   * Sends requests that are answered at once, on average one per second from each node to each
+   * server.
+   */
+  private void sendRequests(double fromSeconds, double untilSeconds) {
+    double now = fromSeconds;
+    while (now < untilSeconds) {
       now += 1.0 / (NODES * SERVERS);
-      int number = random.nextInt(NODES);
+      int nodeNumber = random.nextInt(NODES);
       int key = random.nextInt(3000);
-      String id = "r" + serial++;
-      PolicyFixture.Recorder recorder = actions.get(number);
+      String id = "r" + nextRequestNumber++;
+      PolicyFixture.Recorder recorder = actions.get(nodeNumber);
       recorder.acts.clear();
-      nodes.get(number).onRequest(now, PolicyFixture.request(id, "k" + key, "safe", 1));
+      nodes.get(nodeNumber).onRequest(now, PolicyFixture.request(id, "k" + key, "safe", 1));
       for (PolicyFixture.Act act : recorder.of("send")) {
-        sends[(int) act.number()]++;
-        homes.computeIfAbsent(key, k -> new HashSet<>()).add(act.number());
+        attemptsByServer[(int) act.number()]++;
+        serversByKey.computeIfAbsent(key, k -> new HashSet<>()).add(act.number());
         nodes
-            .get(number)
+            .get(nodeNumber)
             .onOutcome(now, PolicyFixture.outcome(id, 0, act.number(), Outcome.Result.OK));
       }
     }
   }
 
-  /** These servers have just restarted, and all load balancers are notified. */
-  private void restart(List<ServerEntry> started) {
+  /** Notifies all load balancers that these servers have just restarted. */
+  private void restart(List<ServerEntry> startedServers) {
     nodes.forEach(
         node ->
-            node.onMembershipUpdate(110, PolicyFixture.list(MembershipUpdate.Kind.DELTA, started)));
+            node.onMembershipUpdate(110, PolicyFixture.list(MembershipUpdate.Kind.DELTA, startedServers)));
   }
 
   /**
-   * Before, each node saved up for its first request to a cold server, for eight seconds; what was
-   * meant for them all went to the others meanwhile, each time elsewhere.
+   * Guards against a former fault: each node accumulated tokens for eight seconds before its first
+   * request to a warming server. The requests for all warming servers went to other servers
+   * meanwhile, each time to a different one.
    */
   @Test
   void offersManyWarmingServersTheirCapacityFromFirstSecond() {
-    startWarm();
-    List<ServerEntry> started = new ArrayList<>();
-    for (long id = 1; id <= NEW; id++) {
-      started.add(PolicyFixture.server(id, ServerEntry.State.READY, 110));
+    runWithWarmServers();
+    List<ServerEntry> startedServers = new ArrayList<>();
+    for (long id = 1; id <= STARTED_SERVERS; id++) {
+      startedServers.add(PolicyFixture.server(id, ServerEntry.State.READY, 110));
     }
-    restart(started);
-    play(110, 114);
+    restart(startedServers);
+    sendRequests(110, 114);
 
-    // The contract's least: a tenth of a warm server's 14 requests a second, and 0.045 of them more
-    // each second. Offered is twice that; rule 4 ends at three times what the server can do by
-    // then.
-    double least = 0;
+    // A warm server gets 14 requests per second. With the figures in the settings, a server starts
+    // with a tenth of this rate and gains 4.5% of it per second. The load balancers offer twice the
+    // present capacity; three times overload the server.
+    double capacityPerServer = 0;
     for (int second = 0; second < 4; second++) {
-      least += NODES * (0.1 + 0.9 * (second + 0.5) / 20);
+      capacityPerServer += NODES * (0.1 + 0.9 * (second + 0.5) / 20);
     }
-    int all = 0;
-    for (int id = 1; id <= NEW; id++) {
-      int got = sends[id];
-      all += got;
-      assertTrue(got <= 3 * least + 3, "server " + id + " got " + got + " of " + least);
+    int totalAttempts = 0;
+    for (int id = 1; id <= STARTED_SERVERS; id++) {
+      totalAttempts += attemptsByServer[id];
+      assertTrue(
+          attemptsByServer[id] <= 3 * capacityPerServer + 3,
+          "server " + id + " got " + attemptsByServer[id] + " attempts, capacity " + capacityPerServer);
     }
-    assertTrue(all > 1.3 * NEW * least, all + " of " + NEW * least);
-    assertTrue(all < 2.2 * NEW * least, all + " of " + NEW * least);
+    double totalCapacity = STARTED_SERVERS * capacityPerServer;
+    assertTrue(totalAttempts > 1.3 * totalCapacity, totalAttempts + " attempts at the started servers, capacity " + totalCapacity);
+    assertTrue(totalAttempts < 2.2 * totalCapacity, totalAttempts + " attempts at the started servers, capacity " + totalCapacity);
   }
 
   @Test
-  void allLoadBalancersOfferSameKeysToWarmingServers() {
-    startWarm();
+  void offersSameKeysToWarmingServerFromAllLoadBalancers() {
+    runWithWarmServers();
     restart(List.of(PolicyFixture.server(5, ServerEntry.State.READY, 110)));
-    play(110, 116);
+    sendRequests(110, 116);
 
-    Set<Integer> atOwner = new HashSet<>();
-    homes.forEach(
+    Set<Integer> keysAtServer = new HashSet<>();
+    serversByKey.forEach(
         (key, servers) -> {
           if (servers.contains(5L)) {
-            atOwner.add(key);
+            keysAtServer.add(key);
           }
         });
-    assertTrue(atOwner.size() > 10, "keys at the warming server: " + atOwner.size());
-    // One other at most: the one where a key stays until the server is warm enough for it.
-    assertEquals(List.of(), atOwner.stream().filter(key -> homes.get(key).size() > 2).toList());
+    assertTrue(keysAtServer.size() > 10, "number of keys served by the warming server: " + keysAtServer.size());
+    // Each key is at one other server at most, which serves it until server 5 is warm enough.
+    assertEquals(
+        List.of(),
+        keysAtServer.stream().filter(key -> serversByKey.get(key).size() > 2).toList());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
+++ b/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
@@ -7,7 +7,7 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.Outcome.Result;
 
-/** What a router learns from attempts that another process of its node has made. */
+/** Tests what a router learns from attempts that another process of its node has sent. */
 class ObservedAttemptTest {
   private static final int KEYS = 120;
 
@@ -21,7 +21,7 @@
     router.onMembershipUpdate(now, PolicyFixture.fleet(6));
   }
 
-  /** Another process has had this attempt. */
+  /** Lets the router observe an attempt of another process. */
   private void observe(String key, long server, Result result) {
     String id = "~" + attempts++;
     router.observeAttempt(now += 0.003, PolicyFixture.request(id, key, "safe", 1), server);
@@ -29,11 +29,12 @@
     router.onOutcome(now += 0.001, outcome);
   }
 
-  private long sent(String id, String key) {
-    int seen = actions.acts.size();
+  /** Sends a request; returns the server of its first attempt, 0 if it has none. */
+  private long send(String id, String key) {
+    int actionsBefore = actions.acts.size();
     router.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
     return actions.acts.stream()
-        .skip(seen)
+        .skip(actionsBefore)
         .filter(act -> act.what().equals("send"))
         .findFirst()
         .map(PolicyFixture.Act::number)
@@ -41,13 +42,13 @@
   }
 
   @Test
-  void givesNoAnswerForObservedAttempt() {
+  void givesNoAnswerForObservedAttempts() {
     for (int i = 0; i < KEYS; i++) {
       observe("k" + i, 1 + i % 6, i % 7 == 0 ? Result.TIMEOUT : Result.OK);
     }
     assertEquals(0, actions.of("reject").size() + actions.of("fail").size(), "answers");
     assertEquals(0, actions.of("scheduleTimer").size(), "timers");
-    // A late or repeated end of such an attempt changes nothing.
+    // A late or repeated end of an observed attempt has no effect.
     router.onOutcome(now, PolicyFixture.outcome("~0", 0, 1, Result.ERROR));
     router.onTimer(now, 2);
     assertEquals(0, actions.of("reject").size() + actions.of("fail").size(), "answers");
@@ -59,70 +60,79 @@
       long server = 1L + i % 6;
       observe("k" + i, server, server == 3 ? Result.ERROR : Result.OK);
     }
-    int tried = 0;
+    int sentToFailingServer = 0;
     for (int i = 0; i < KEYS; i++) {
       String id = "r" + i;
-      long server = sent(id, "k" + i);
-      tried += server == 3 ? 1 : 0;
+      long server = send(id, "k" + i);
+      sentToFailingServer += server == 3 ? 1 : 0;
       router.onOutcome(
           now, PolicyFixture.outcome(id, 0, server, server == 3 ? Result.ERROR : Result.OK));
     }
-    // There is one trial in half a second.
-    assertTrue(tried <= 1, tried + " of " + KEYS + " went to the failing server");
+    // An ejected server gets one trial after a backoff of 0.5 s.
+    assertTrue(
+        sentToFailingServer <= 1,
+        sentToFailingServer + " of " + KEYS + " were sent to the failing server");
   }
 
   /**
-   * Sends to the first router, whose origin serves nothing, and lets the second observe each
-   * attempt.
+   * Sends a request to a router whose origin does not respond, and lets the router under test
+   * observe the attempt.
+   *
+   * @param isCached whether the servers have the key cached
    */
-  private void playOnBoth(
-      RequestRouter before, PolicyFixture.Recorder its, String key, boolean held) {
+  private void sendAndObserve(
+      RequestRouter sender,
+      PolicyFixture.Recorder actionsOfSender,
+      String key,
+      boolean isCached) {
     String id = "~" + attempts++;
-    int seen = its.acts.size();
-    PolicyFixture.Act sent = null;
-    before.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
-    for (PolicyFixture.Act act : its.acts.subList(seen, its.acts.size())) {
-      sent = act.what().equals("send") ? act : sent;
+    int actionsBefore = actionsOfSender.acts.size();
+    PolicyFixture.Act lastSend = null;
+    sender.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
+    for (PolicyFixture.Act act :
+        actionsOfSender.acts.subList(actionsBefore, actionsOfSender.acts.size())) {
+      lastSend = act.what().equals("send") ? act : lastSend;
     }
-    if (sent != null) {
-      router.observeAttempt(now, PolicyFixture.request(id, key, "safe", 1), sent.number());
+    if (lastSend != null) {
+      router.observeAttempt(now, PolicyFixture.request(id, key, "safe", 1), lastSend.number());
       Outcome outcome =
-          held
-              ? PolicyFixture.outcome(id, 0, sent.number(), Result.OK)
+          isCached
+              ? PolicyFixture.outcome(id, 0, lastSend.number(), Result.OK)
               : new Outcome(
-                  id, 0, sent.number(), Result.TIMEOUT, 1, true, Outcome.CacheStatus.NONE, null);
-      before.onOutcome(now, outcome);
+                  id, 0, lastSend.number(), Result.TIMEOUT, 1, true, Outcome.CacheStatus.NONE, null);
+      sender.onOutcome(now, outcome);
       router.onOutcome(now, outcome);
     }
   }
 
   @Test
-  void shrunkWindowPassesCachedKeys() {
-    PolicyFixture.Recorder its = new PolicyFixture.Recorder();
-    RequestRouter before = new RequestRouter(PolicyFixture.settings(false, 4, true), 1, its);
-    before.onMembershipUpdate(now, PolicyFixture.fleet(6));
+  void sendsCachedKeysButFewFetchesAfterObservedFetchFailures() {
+    PolicyFixture.Recorder actionsOfSender = new PolicyFixture.Recorder();
+    RequestRouter sender =
+        new RequestRouter(PolicyFixture.settings(false, 4, true), 1, actionsOfSender);
+    sender.onMembershipUpdate(now, PolicyFixture.fleet(6));
     for (int i = 0; i < KEYS; i++) {
-      playOnBoth(before, its, "cached" + i, true);
+      sendAndObserve(sender, actionsOfSender, "cached" + i, true);
     }
     for (int i = 0; i < 200; i++) {
-      playOnBoth(before, its, "new" + i, false);
+      sendAndObserve(sender, actionsOfSender, "new" + i, false);
     }
-    int hits = 0;
-    int fetches = 0;
+    int hitSends = 0;
+    int fetchSends = 0;
     for (int i = 0; i < KEYS; i++) {
-      long server = sent("h" + i, "cached" + i);
-      hits += server == 0 ? 0 : 1;
+      long server = send("h" + i, "cached" + i);
+      hitSends += server == 0 ? 0 : 1;
       router.onOutcome(now, PolicyFixture.outcome("h" + i, 0, server, Result.OK));
-      fetches += sent("n" + i, "other" + i) == 0 ? 0 : 1;
+      fetchSends += send("n" + i, "other" + i) == 0 ? 0 : 1;
     }
-    assertTrue(hits > KEYS * 0.9, hits + " of " + KEYS + " reads of cached keys were sent");
-    assertTrue(fetches < KEYS / 4, fetches + " of " + KEYS + " fetches were sent");
+    assertTrue(hitSends > KEYS * 0.9, hitSends + " of " + KEYS + " reads of cached keys were sent");
+    assertTrue(fetchSends < KEYS / 4, fetchSends + " of " + KEYS + " fetches were sent");
   }
 
   @Test
-  void ignoresServerThatIsNotListed() {
+  void ignoresObservedAttemptAtServerThatIsNotListed() {
     observe("k", 77, Result.OK);
     assertEquals(0, actions.acts.size());
-    assertTrue(sent("r", "k") > 0);
+    assertTrue(send("r", "k") > 0);
   }
 }
