--- a/core/src/test/java/shalepaddle/policy/PolicyFixture.java
+++ b/core/src/test/java/shalepaddle/policy/PolicyFixture.java
@@ -8,18 +8,25 @@
 import shalepaddle.model.ServerEntry;
 import shalepaddle.model.Settings;
 
-/** Builds small worlds for tests: settings, servers, and a recorder of actions. */
+/** Test fixtures: settings, servers, requests and outcomes, and a recorder of actions. */
 public final class PolicyFixture {
-  /** One recorded action. */
+  /**
+   * A recorded action.
+   *
+   * @param what the name of the called method
+   * @param id the request id, empty if the action has none
+   * @param number the server id, attempt number or timer token, by the kind of action
+   * @param value the time limit, Retry-After or delay in seconds, by the kind of action
+   */
   record Act(String what, String id, long number, double value) {}
 
-  /** Writes every action down. */
+  /** Records every action. */
   static class Recorder implements RoutingActions {
     final List<Act> acts = new ArrayList<>();
 
     @Override
-    public void send(String requestId, long server, double within) {
-      acts.add(new Act("send", requestId, server, within));
+    public void send(String requestId, long server, double withinSeconds) {
+      acts.add(new Act("send", requestId, server, withinSeconds));
     }
 
     @Override
@@ -28,8 +35,8 @@
     }
 
     @Override
-    public void reject(String requestId, double retryAfter) {
-      acts.add(new Act("reject", requestId, 0, retryAfter));
+    public void reject(String requestId, double retryAfterSeconds) {
+      acts.add(new Act("reject", requestId, 0, retryAfterSeconds));
     }
 
     @Override
@@ -38,8 +45,8 @@
     }
 
     @Override
-    public void scheduleTimer(long token, double delay) {
-      acts.add(new Act("scheduleTimer", "", token, delay));
+    public void scheduleTimer(long token, double delaySeconds) {
+      acts.add(new Act("scheduleTimer", "", token, delaySeconds));
     }
 
     @Override
@@ -52,26 +59,33 @@
       acts.add(new Act("closeIdle", "", server, 0));
     }
 
-    List<Act> of(String what) {
-      return acts.stream().filter(a -> a.what().equals(what)).toList();
+    /** Returns the recorded actions with this name. */
+    List<Act> of(String name) {
+      return acts.stream().filter(act -> act.what().equals(name)).toList();
     }
   }
 
   private PolicyFixture() {}
 
-  public static Settings settings(boolean asks, int maxAttempts, boolean parallel) {
-    return settings(0, 4, asks, maxAttempts, parallel);
+  /** Returns the settings of the first of four instances. */
+  public static Settings settings(
+      boolean pollsEndpointList, int maxAttempts, boolean allowsParallelAttempts) {
+    return settings(0, 4, pollsEndpointList, maxAttempts, allowsParallelAttempts);
   }
 
-  /** Those of one of so many instances. */
+  /** Returns the settings of one of several instances, with five service classes. */
   public static Settings settings(
-      int number, int instances, boolean asks, int maxAttempts, boolean parallel) {
+      int instanceNumber,
+      int instances,
+      boolean pollsEndpointList,
+      int maxAttempts,
+      boolean allowsParallelAttempts) {
     return settings(
-        number,
+        instanceNumber,
         instances,
-        asks,
+        pollsEndpointList,
         maxAttempts,
-        parallel,
+        allowsParallelAttempts,
         List.of(
             service("safe", Settings.Idempotency.IDEMPOTENT, Settings.DeduplicationScope.ALL),
             service(
@@ -84,25 +98,26 @@
                 "unsafe", Settings.Idempotency.NOT_IDEMPOTENT, Settings.DeduplicationScope.ALL)));
   }
 
-  /** Those with these classes. */
+  /** Returns the settings of one of several instances, with the given service classes. */
   public static Settings settings(
-      int number,
+      int instanceNumber,
       int instances,
-      boolean asks,
+      boolean pollsEndpointList,
       int maxAttempts,
-      boolean parallel,
+      boolean allowsParallelAttempts,
       List<Settings.ServiceClass> services) {
     return new Settings(
-        number % 2 == 0 ? "a" : "b",
+        instanceNumber % 2 == 0 ? "a" : "b",
         List.of("a", "b"),
         List.of("box"),
-        number,
+        instanceNumber,
         instances,
-        asks,
+        pollsEndpointList,
         true,
         Settings.Weights.NONE,
         new Settings.CacheMode(false, null, 0, 0),
-        new Settings.Limits(maxAttempts, parallel, true, false, false, false, 1, 0.1, 60, 32),
+        new Settings.Limits(
+            maxAttempts, allowsParallelAttempts, true, false, false, false, 1, 0.1, 60, 32),
         new Settings.Contract(0.02, 10, 2, 0.1, 20, 3, 2),
         new Settings.Prices(0, 0, 0, 0, 0, 0, 0, 0, 0),
         services,
@@ -112,16 +127,17 @@
   }
 
   public static Settings.ServiceClass service(
-      String name, Settings.Idempotency effect, Settings.DeduplicationScope group) {
-    return new Settings.ServiceClass(name, 0.5, 0, 2, 1, 0.2, effect, group, 1, false);
+      String name, Settings.Idempotency idempotency, Settings.DeduplicationScope scope) {
+    return new Settings.ServiceClass(name, 0.5, 0, 2, 1, 0.2, idempotency, scope, 1, false);
   }
 
   public static ServerEntry server(long id) {
     return server(id, ServerEntry.State.READY, 0);
   }
 
-  public static ServerEntry server(long id, ServerEntry.State state, double startedAt) {
-    return new ServerEntry(id, id % 2 == 0 ? "a" : "b", "box", (int) id % 3, state, 1, startedAt);
+  public static ServerEntry server(long id, ServerEntry.State state, double startedAtSeconds) {
+    return new ServerEntry(
+        id, id % 2 == 0 ? "a" : "b", "box", (int) id % 3, state, 1, startedAtSeconds);
   }
 
   public static MembershipUpdate list(MembershipUpdate.Kind kind, List<ServerEntry> entries) {
@@ -136,8 +152,10 @@
     return list(MembershipUpdate.Kind.CACHED, entries);
   }
 
-  public static Request request(String id, String key, String type, double budget) {
-    return new Request(id, key, type, null, budget, 0, 0, false, !type.equals("safe"));
+  /** Returns a request; it is a read if its class is "safe", otherwise a write. */
+  public static Request request(String id, String key, String serviceClass, double budgetSeconds) {
+    return new Request(
+        id, key, serviceClass, null, budgetSeconds, 0, 0, false, !serviceClass.equals("safe"));
   }
 
   public static Outcome outcome(String id, int attempt, long server, Outcome.Result result) {
--- a/core/src/test/java/shalepaddle/policy/PolicySizeTest.java
+++ b/core/src/test/java/shalepaddle/policy/PolicySizeTest.java
@@ -10,29 +10,29 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** The policy and its sub-packages have small files, and the deploy file names all of them. */
+/** Checks that the policy's source files are small and that the deploy file lists all of them. */
 class PolicySizeTest {
-  /** Lines of a file that are not blank. */
+  /** Maximum number of lines in a file that are not blank. */
   private static final int MAX_LINES = 500;
 
   @Test
-  void filesStayWithinLimitAndAreNamedInDeployFile() throws IOException {
+  void limitsFileSizesAndListsFilesInDeployFile() throws IOException {
     Path folder = Path.of("core/src/main/java/shalepaddle/policy");
-    String deploy = Files.readString(Path.of("deploy/balancer.toml"));
-    TreeSet<String> named = new TreeSet<>();
-    TreeSet<String> present = new TreeSet<>();
+    String deployText = Files.readString(Path.of("deploy/balancer.toml"));
+    TreeSet<String> listedFiles = new TreeSet<>();
+    TreeSet<String> presentFiles = new TreeSet<>();
     List<Path> files;
-    try (var tree = Files.walk(folder)) {
-      files = tree.filter(Files::isRegularFile).toList();
+    try (var paths = Files.walk(folder)) {
+      files = paths.filter(Files::isRegularFile).toList();
     }
     for (Path file : files) {
-      present.add(folder.relativize(file).toString());
-      if (deploy.contains("\"" + file.toString().replace('\\', '/') + "\"")) {
-        named.add(folder.relativize(file).toString());
+      presentFiles.add(folder.relativize(file).toString());
+      if (deployText.contains("\"" + file.toString().replace('\\', '/') + "\"")) {
+        listedFiles.add(folder.relativize(file).toString());
       }
-      long lines = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
-      assertTrue(lines <= MAX_LINES, file + ": " + lines + " lines");
+      long lineCount = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
+      assertTrue(lineCount <= MAX_LINES, file + ": " + lineCount + " lines");
     }
-    assertEquals(present, named);
+    assertEquals(presentFiles, listedFiles);
   }
 }
--- a/core/src/test/java/shalepaddle/policy/RequestRouterFailureTest.java
+++ b/core/src/test/java/shalepaddle/policy/RequestRouterFailureTest.java
@@ -15,36 +15,36 @@
 import shalepaddle.model.ServerEntry;
 import shalepaddle.model.Settings;
 
-/** What the router does when servers, caches or the origin fail; one test for each case. */
+/** Tests the router's behaviour when servers, caches or the origin fail or are overloaded. */
 class RequestRouterFailureTest {
   private static final Settings SETTINGS = PolicyFixture.settings(false, 4, true);
 
   private final PolicyFixture.Recorder actions = new PolicyFixture.Recorder();
   private final RequestRouter router = new RequestRouter(SETTINGS, 1, actions);
 
-  /** Sends a request and answers it at once with a hit; returns where it went. */
+  /** Sends a request and answers it at once with a hit; returns the server that got it. */
   private long serve(double now, String id, String key) {
     router.onRequest(now, PolicyFixture.request(id, key, "safe", 1));
-    PolicyFixture.Act sent = actions.acts.get(actions.acts.size() - 1);
-    assertEquals("send", sent.what());
-    router.onOutcome(now, PolicyFixture.outcome(id, 0, sent.number(), Outcome.Result.OK));
-    return sent.number();
+    PolicyFixture.Act send = actions.acts.get(actions.acts.size() - 1);
+    assertEquals("send", send.what());
+    router.onOutcome(now, PolicyFixture.outcome(id, 0, send.number(), Outcome.Result.OK));
+    return send.number();
   }
 
   @Test
-  void replicatesKeyThatOutgrowsOneServer() {
+  void replicatesHotKeyButNotRareKey() {
     router.onMembershipUpdate(100, PolicyFixture.fleet(20));
-    TreeSet<Long> hot = new TreeSet<>();
-    TreeSet<Long> mild = new TreeSet<>();
+    TreeSet<Long> hotKeyServers = new TreeSet<>();
+    TreeSet<Long> rareKeyServers = new TreeSet<>();
     for (int i = 0; i < 1000; i++) {
-      hot.add(serve(100 + i * 0.001, "h" + i, "hot"));
+      hotKeyServers.add(serve(100 + i * 0.001, "h" + i, "hot"));
       if (i % 100 == 0) {
-        mild.add(serve(100 + i * 0.001, "m" + i, "mild"));
+        rareKeyServers.add(serve(100 + i * 0.001, "m" + i, "mild"));
       }
       serve(100 + i * 0.001, "o" + i, "other" + i);
     }
-    assertTrue(hot.size() >= 8, "homes of half of all requests: " + hot.size());
-    assertEquals(1, mild.size());
+    assertTrue(hotKeyServers.size() >= 8, "number of servers of the key that half of all requests are for: " + hotKeyServers.size());
+    assertEquals(1, rareKeyServers.size());
   }
 
   @Test
@@ -55,36 +55,36 @@
       router.onRequest(100 + i * 0.001, PolicyFixture.request(id, null, "safe", 1));
       for (int attempt = 0; attempt < 4; attempt++) {
         List<PolicyFixture.Act> sends = actions.of("send");
-        PolicyFixture.Act last = sends.get(sends.size() - 1);
-        if (last.id().equals(id)) {
+        PolicyFixture.Act lastSend = sends.get(sends.size() - 1);
+        if (lastSend.id().equals(id)) {
           router.onOutcome(
               100 + i * 0.001,
-              PolicyFixture.outcome(id, attempt, last.number(), Outcome.Result.ERROR));
+              PolicyFixture.outcome(id, attempt, lastSend.number(), Outcome.Result.ERROR));
         }
       }
     }
-    assertTrue(actions.of("send").size() <= 211, "sends: " + actions.of("send").size());
+    assertTrue(actions.of("send").size() <= 211, "number of sends: " + actions.of("send").size());
     assertEquals(200, actions.of("reject").size());
   }
 
-  /** One attempt at this server, for a key of its own. */
-  private void attempt(double now, int number, long server, Outcome.Result result) {
-    String id = "~" + number;
-    router.observeAttempt(now, PolicyFixture.request(id, "k" + number, "safe", 1), server);
+  /** Lets the router observe an attempt at this server, for a new key. */
+  private void observeAttempt(double now, int requestNumber, long server, Outcome.Result result) {
+    String id = "~" + requestNumber;
+    router.observeAttempt(now, PolicyFixture.request(id, "k" + requestNumber, "safe", 1), server);
     router.onOutcome(now, PolicyFixture.outcome(id, 0, server, result));
   }
 
   @Test
-  void ejectsFailingServerThoughOthersFailedLongAgo() {
+  void ejectsFailingServerWhenOthersFailedLongAgo() {
     router.onMembershipUpdate(100, PolicyFixture.fleet(6));
-    int number = 0;
+    int requestNumber = 0;
     for (long server : new long[] {1, 1, 2, 2}) {
-      attempt(100, number++, server, Outcome.Result.ERROR);
+      observeAttempt(100, requestNumber++, server, Outcome.Result.ERROR);
     }
     for (double now = 100; now < 105; now += 0.05) {
-      attempt(now, number++, 4 + number % 3, Outcome.Result.OK);
+      observeAttempt(now, requestNumber++, 4 + requestNumber % 3, Outcome.Result.OK);
       if (now > 104) {
-        attempt(now, number++, 3, Outcome.Result.ERROR);
+        observeAttempt(now, requestNumber++, 3, Outcome.Result.ERROR);
       }
     }
     assertEquals(1, router.serverCount(true));
@@ -93,14 +93,14 @@
   @Test
   void ejectsNoServerWhenMoreThanAThirdFailTogether() {
     router.onMembershipUpdate(100, PolicyFixture.fleet(6));
-    int number = 0;
+    int requestNumber = 0;
     for (double now = 100; now < 105; now += 0.05) {
       for (long server = 1; server <= 6; server++) {
-        boolean fails = server <= 3 && now > 102;
-        attempt(now, number++, server, fails ? Outcome.Result.ERROR : Outcome.Result.OK);
+        boolean isFailing = server <= 3 && now > 102;
+        observeAttempt(now, requestNumber++, server, isFailing ? Outcome.Result.ERROR : Outcome.Result.OK);
       }
     }
-    assertTrue(router.serverCount(true) <= 2, router.serverCount(true) + " left out");
+    assertTrue(router.serverCount(true) <= 2, router.serverCount(true) + " servers ejected");
   }
 
   @Test
@@ -114,16 +114,16 @@
       router.onRequest(102, PolicyFixture.request("r" + i, "key" + i, "unsafe", 1));
     }
     List<PolicyFixture.Act> sends = actions.of("send");
-    PolicyFixture.Act refused =
+    PolicyFixture.Act refusedSend =
         sends.stream().filter(act -> act.number() == 2).findFirst().orElseThrow();
-    router.onOutcome(103, PolicyFixture.outcome(refused.id(), 0, 2, Outcome.Result.CONNECT_FAILED));
+    router.onOutcome(103, PolicyFixture.outcome(refusedSend.id(), 0, 2, Outcome.Result.CONNECT_FAILED));
     assertEquals(0, actions.of("closeIdle").stream().filter(act -> act.number() == 1).count());
     for (PolicyFixture.Act act : actions.of("send")) {
       router.onOutcome(104, PolicyFixture.outcome(act.id(), 0, act.number(), Outcome.Result.OK));
     }
-    List<PolicyFixture.Act> ones =
-        actions.of("closeIdle").stream().filter(a -> a.number() == 1).toList();
-    assertEquals(1, ones.size(), "once, when the last attempt there has ended");
+    List<PolicyFixture.Act> closings =
+        actions.of("closeIdle").stream().filter(act -> act.number() == 1).toList();
+    assertEquals(1, closings.size(), "idle connections are closed once, after the last attempt at the server has ended");
   }
 
   @Test
@@ -145,37 +145,37 @@
     router.onMembershipUpdate(101, PolicyFixture.fleet(2));
     router.onRequest(102, PolicyFixture.request("a", "k", "safe", 1));
     List<PolicyFixture.Act> sends = actions.of("send");
-    long home = sends.get(sends.size() - 1).number();
-    router.onOutcome(102.1, PolicyFixture.outcome("a", 0, home, Outcome.Result.ERROR));
-    router.onOutcome(102.2, PolicyFixture.outcome("a", 1, 3 - home, Outcome.Result.OK));
+    long owner = sends.get(sends.size() - 1).number();
+    router.onOutcome(102.1, PolicyFixture.outcome("a", 0, owner, Outcome.Result.ERROR));
+    router.onOutcome(102.2, PolicyFixture.outcome("a", 1, 3 - owner, Outcome.Result.OK));
     actions.acts.clear();
     router.onRequest(103, PolicyFixture.request("b", "k", "safe", 1));
-    assertEquals(1, actions.of("send").size(), "it need not wait for a fetch that is over");
+    assertEquals(1, actions.of("send").size(), "the request is not held for a fetch that has ended");
   }
 
   @Test
-  void panicsWhenMoreThanHalfOfServersWouldBeEjected() {
-    for (int broken = 1; broken <= 4; broken++) {
+  void entersPanicModeWhenMoreThanHalfOfServersWouldBeEjected() {
+    for (int failingServers = 1; failingServers <= 4; failingServers++) {
       PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
-      RequestRouter one = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, recorder);
-      one.onMembershipUpdate(100, PolicyFixture.fleet(4));
+      RequestRouter singleAttemptRouter = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, recorder);
+      singleAttemptRouter.onMembershipUpdate(100, PolicyFixture.fleet(4));
       for (int i = 0; i < 100; i++) {
-        one.onRequest(100 + i * 0.001, PolicyFixture.request("r" + i, "k" + i, "unsafe", 1));
+        singleAttemptRouter.onRequest(100 + i * 0.001, PolicyFixture.request("r" + i, "k" + i, "unsafe", 1));
       }
       double now = 100.2;
       for (PolicyFixture.Act act : List.copyOf(recorder.of("send"))) {
         Outcome.Result result =
-            act.number() <= broken ? Outcome.Result.CONNECT_FAILED : Outcome.Result.OK;
+            act.number() <= failingServers ? Outcome.Result.CONNECT_FAILED : Outcome.Result.OK;
         now += 0.06;
-        one.onOutcome(now, PolicyFixture.outcome(act.id(), 0, act.number(), result));
+        singleAttemptRouter.onOutcome(now, PolicyFixture.outcome(act.id(), 0, act.number(), result));
       }
       recorder.acts.clear();
       for (int i = 0; i < 40; i++) {
-        one.onRequest(now + 0.1, PolicyFixture.request("s" + i, "k" + i, "unsafe", 1));
+        singleAttemptRouter.onRequest(now + 0.1, PolicyFixture.request("s" + i, "k" + i, "unsafe", 1));
       }
-      TreeSet<Long> used = new TreeSet<>();
-      recorder.of("send").forEach(act -> used.add(act.number()));
-      assertEquals(broken <= 2 ? 4 - broken : 4, used.size(), broken + " broken, used " + used);
+      TreeSet<Long> usedServers = new TreeSet<>();
+      recorder.of("send").forEach(act -> usedServers.add(act.number()));
+      assertEquals(failingServers <= 2 ? 4 - failingServers : 4, usedServers.size(), failingServers + " servers failing, requests sent to " + usedServers);
     }
   }
 
@@ -188,16 +188,17 @@
       router.onOutcome(now + 0.05, PolicyFixture.outcome("a" + i, 0, 1, Outcome.Result.OK));
     }
     assertEquals(0, actions.of("reject").size());
-    // Ten a second are answered and the aim is half a second: of a hundred at once few can be.
+    // At ten answers per second and an objective of 0.5 s, only a few of 100 simultaneous requests
+    // can be answered in time.
     for (int i = 0; i < 100; i++) {
       router.onRequest(103.1, PolicyFixture.request("b" + i, "k", "unsafe", 1));
     }
-    int refused = actions.of("reject").size();
-    assertTrue(refused > 85 && refused < 100, refused + " rejected");
+    int rejected = actions.of("reject").size();
+    assertTrue(rejected > 85 && rejected < 100, rejected + " of 100 requests rejected");
   }
 
-  /** Settings with a price of crossing zones. */
-  private static Settings priced(double crossing) {
+  /** Returns settings with a price for cross-zone attempts. */
+  private static Settings settingsWithCrossZonePrice(double crossZonePrice) {
     return new Settings(
         "a",
         SETTINGS.zones(),
@@ -210,7 +211,7 @@
         SETTINGS.cache(),
         SETTINGS.limits(),
         SETTINGS.contract(),
-        new Settings.Prices(crossing, 0, 0, 0, 0, 0, 0, 0, 0),
+        new Settings.Prices(crossZonePrice, 0, 0, 0, 0, 0, 0, 0, 0),
         SETTINGS.services(),
         List.of(),
         1,
@@ -218,32 +219,37 @@
   }
 
   @Test
-  void keepsKeysInZoneByPriceOfCrossing() {
-    long[] crossed = new long[2];
+  void keepsKeysInZoneWhenCrossZonePriceIsHigh() {
+    long[] crossZoneSends = new long[2];
     for (int i = 0; i < 2; i++) {
       PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
-      RequestRouter local = new RequestRouter(priced(i == 0 ? 0.1 : 0.01), 1, recorder);
-      local.onMembershipUpdate(100, PolicyFixture.fleet(10));
+      RequestRouter localRouter =
+          new RequestRouter(settingsWithCrossZonePrice(i == 0 ? 0.1 : 0.01), 1, recorder);
+      localRouter.onMembershipUpdate(100, PolicyFixture.fleet(10));
       for (int key = 0; key < 30; key++) {
         String id = "k" + key;
-        local.onRequest(100 + key, PolicyFixture.request(id, "key" + key, "safe", 1));
-        PolicyFixture.Act sent = recorder.of("send").get(key);
-        local.onOutcome(
-            100.1 + key, PolicyFixture.outcome(sent.id(), 0, sent.number(), Outcome.Result.OK));
+        localRouter.onRequest(100 + key, PolicyFixture.request(id, "key" + key, "safe", 1));
+        PolicyFixture.Act send = recorder.of("send").get(key);
+        localRouter.onOutcome(
+            100.1 + key, PolicyFixture.outcome(send.id(), 0, send.number(), Outcome.Result.OK));
       }
-      crossed[i] = recorder.of("send").stream().filter(act -> act.number() % 2 == 1).count();
+      crossZoneSends[i] = recorder.of("send").stream().filter(act -> act.number() % 2 == 1).count();
     }
-    assertTrue(crossed[0] <= 2 && crossed[1] >= 8, crossed[0] + " dear, " + crossed[1] + " cheap");
+    assertTrue(
+        crossZoneSends[0] <= 2 && crossZoneSends[1] >= 8,
+        "cross-zone sends: %d at a high price, %d at a low price"
+            .formatted(crossZoneSends[0], crossZoneSends[1]));
   }
 
-  private static Outcome fetched(
-      PolicyFixture.Act sent, Outcome.Result result, double elapsed, double utilization) {
+  /** The outcome of a fetch, with the server's utilization in its load report. */
+  private static Outcome fetchOutcome(
+      PolicyFixture.Act send, Outcome.Result result, double elapsedSeconds, double utilization) {
     return new Outcome(
-        sent.id(),
+        send.id(),
         0,
-        sent.number(),
+        send.number(),
         result,
-        elapsed,
+        elapsedSeconds,
         result == Outcome.Result.OK,
         result == Outcome.Result.OK ? Outcome.CacheStatus.MISS : Outcome.CacheStatus.NONE,
         new LoadReport(-1, -1, utilization, -1, -1, -1, -1, -1));
@@ -251,19 +257,23 @@
 
   @Test
   void shrinksWindowWhenFetchesMissTheirLatencyObjective() {
-    for (double elapsed : new double[] {0.4, 0.6}) {
+    for (double elapsedSeconds : new double[] {0.4, 0.6}) {
       PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
-      RequestRouter one = new RequestRouter(SETTINGS, 1, recorder);
-      one.onMembershipUpdate(100, PolicyFixture.fleet(1));
+      RequestRouter otherRouter = new RequestRouter(SETTINGS, 1, recorder);
+      otherRouter.onMembershipUpdate(100, PolicyFixture.fleet(1));
       for (int i = 0; i < 40; i++) {
-        one.onRequest(100 + i * 0.7, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
-        PolicyFixture.Act sent = recorder.of("send").get(i);
-        one.onOutcome(100 + i * 0.7 + elapsed, fetched(sent, Outcome.Result.OK, elapsed, 0.1));
+        otherRouter.onRequest(100 + i * 0.7, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
+        PolicyFixture.Act send = recorder.of("send").get(i);
+        otherRouter.onOutcome(
+            100 + i * 0.7 + elapsedSeconds, fetchOutcome(send, Outcome.Result.OK, elapsedSeconds, 0.1));
       }
       for (int i = 0; i < 3; i++) {
-        one.onRequest(128, PolicyFixture.request("b" + i, "burst" + i, "safe", 1));
+        otherRouter.onRequest(128, PolicyFixture.request("b" + i, "burst" + i, "safe", 1));
       }
-      assertEquals(elapsed > 0.5 ? 1 : 3, recorder.of("send").size() - 40, "after " + elapsed);
+      assertEquals(
+          elapsedSeconds > 0.5 ? 1 : 3,
+          recorder.of("send").size() - 40,
+          "fetches that start together after fetches of " + elapsedSeconds + " s");
     }
   }
 
@@ -272,51 +282,53 @@
     router.onMembershipUpdate(100, PolicyFixture.fleet(10));
     for (int i = 0; i < 40; i++) {
       router.onRequest(100 + i * 0.3, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
-      int sends;
+      int sendCount;
       int attempt = 0;
       do {
-        sends = actions.of("send").size();
-        PolicyFixture.Act last = actions.of("send").get(sends - 1);
+        sendCount = actions.of("send").size();
+        PolicyFixture.Act lastSend = actions.of("send").get(sendCount - 1);
         router.onOutcome(
             100 + i * 0.3,
-            PolicyFixture.outcome(last.id(), attempt++, last.number(), Outcome.Result.ERROR));
-      } while (actions.of("send").size() > sends);
+            PolicyFixture.outcome(lastSend.id(), attempt++, lastSend.number(), Outcome.Result.ERROR));
+      } while (actions.of("send").size() > sendCount);
     }
-    assertTrue(actions.of("send").size() <= 43, "sends: " + actions.of("send").size());
+    assertTrue(actions.of("send").size() <= 43, "number of sends: " + actions.of("send").size());
   }
 
   @Test
-  void reducesKeysByUtilizationReportedWithFetches() {
+  void offersFewerKeysToServerThatReportsHighUtilization() {
     router.onMembershipUpdate(100, PolicyFixture.fleet(3));
-    TreeMap<Long, Integer> late = new TreeMap<>();
+    TreeMap<Long, Integer> laterSends = new TreeMap<>();
     for (int i = 0; i < 900; i++) {
       double now = 100 + i * 0.02;
       router.onRequest(now, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
-      PolicyFixture.Act sent = actions.of("send").get(i);
-      router.onOutcome(now, fetched(sent, Outcome.Result.OK, 0.01, sent.number() == 1 ? 1 : 0.2));
+      PolicyFixture.Act send = actions.of("send").get(i);
+      router.onOutcome(
+          now, fetchOutcome(send, Outcome.Result.OK, 0.01, send.number() == 1 ? 1 : 0.2));
       if (i > 450) {
-        late.merge(sent.number(), 1, Integer::sum);
+        laterSends.merge(send.number(), 1, Integer::sum);
       }
     }
-    assertTrue(late.get(1L) * 3 < late.get(2L) + late.get(3L), "sends: " + late);
+    assertTrue(
+        laterSends.get(1L) * 3 < laterSends.get(2L) + laterSends.get(3L), "sends by server: " + laterSends);
   }
 
   @Test
-  void keepsWritesInZoneWhereCrossingIsPriced() {
-    RequestRouter local = new RequestRouter(priced(0.1), 1, actions);
-    local.onMembershipUpdate(100, PolicyFixture.fleet(10));
+  void keepsWritesInZoneWhenCrossZoneAttemptsHavePrice() {
+    RequestRouter localRouter = new RequestRouter(settingsWithCrossZonePrice(0.1), 1, actions);
+    localRouter.onMembershipUpdate(100, PolicyFixture.fleet(10));
     for (int i = 0; i < 10; i++) {
-      local.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
+      localRouter.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
     }
-    Map<Boolean, Integer> inZone = new TreeMap<>();
+    Map<Boolean, Integer> sendsByInZone = new TreeMap<>();
     for (PolicyFixture.Act act : actions.of("send")) {
-      inZone.merge(act.number() % 2 == 0, 1, Integer::sum);
+      sendsByInZone.merge(act.number() % 2 == 0, 1, Integer::sum);
     }
-    assertTrue(inZone.get(true) >= 9, "in the own zone: " + inZone);
+    assertTrue(sendsByInZone.get(true) >= 9, "sends by whether they stay in the own zone: " + sendsByInZone);
   }
 
   @Test
-  void selectsServerDespiteInvalidFigures() {
+  void selectsServerWhenListAndLoadReportsHaveInvalidValues() {
     router.onMembershipUpdate(
         100,
         PolicyFixture.list(
@@ -328,50 +340,51 @@
       Request request =
           new Request("n" + i, i % 2 == 0 ? null : "k", "nobody", null, 1, -1, -1, true, false);
       router.onRequest(100 + i, request);
-      PolicyFixture.Act last = actions.acts.get(actions.acts.size() - 1);
-      assertEquals("send", last.what());
-      double odd = i % 3 == 0 ? Double.NaN : i % 3 == 1 ? -7 : 1e18;
+      PolicyFixture.Act lastSend = actions.acts.get(actions.acts.size() - 1);
+      assertEquals("send", lastSend.what());
+      double invalidValue = i % 3 == 0 ? Double.NaN : i % 3 == 1 ? -7 : 1e18;
       router.onOutcome(
           100 + i,
           new Outcome(
               "n" + i,
               0,
-              last.number(),
+              lastSend.number(),
               Outcome.Result.OK,
               0.1,
               true,
               Outcome.CacheStatus.HIT,
-              new LoadReport(odd, odd, odd, odd, odd, odd, odd, odd)));
+              new LoadReport(
+                  invalidValue, invalidValue, invalidValue, invalidValue, invalidValue, invalidValue, invalidValue, invalidValue)));
     }
   }
 
   @Test
-  void reducesKeysOfServerThatHangs() {
-    RequestRouter single = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, actions);
-    single.onMembershipUpdate(100, PolicyFixture.fleet(2));
-    TreeMap<Long, Integer> late = new TreeMap<>();
+  void offersFewerKeysToServerThatHangs() {
+    RequestRouter singleAttemptRouter = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, actions);
+    singleAttemptRouter.onMembershipUpdate(100, PolicyFixture.fleet(2));
+    TreeMap<Long, Integer> laterSends = new TreeMap<>();
     for (int i = 0; i < 600; i++) {
       double now = 100 + i * 0.02;
       String id = "q" + i;
-      single.onRequest(now, PolicyFixture.request(id, "fresh" + i, "safe", 1));
-      PolicyFixture.Act last = actions.acts.get(actions.acts.size() - 1);
-      if (last.what().equals("send")) {
-        // Server 1 hangs one in eight: too few failures to be the origin's.
-        boolean hangs = last.number() == 1 && i % 8 == 0;
-        single.onOutcome(
+      singleAttemptRouter.onRequest(now, PolicyFixture.request(id, "fresh" + i, "safe", 1));
+      PolicyFixture.Act lastSend = actions.acts.get(actions.acts.size() - 1);
+      if (lastSend.what().equals("send")) {
+        // Server 1 hangs on one in eight requests, too few to attribute them to the origin.
+        boolean isHanging = lastSend.number() == 1 && i % 8 == 0;
+        singleAttemptRouter.onOutcome(
             now,
             PolicyFixture.outcome(
-                id, 0, last.number(), hangs ? Outcome.Result.TIMEOUT : Outcome.Result.OK));
+                id, 0, lastSend.number(), isHanging ? Outcome.Result.TIMEOUT : Outcome.Result.OK));
         if (i > 200) {
-          late.merge(last.number(), 1, Integer::sum);
+          laterSends.merge(lastSend.number(), 1, Integer::sum);
         }
       }
     }
-    assertTrue(late.get(1L) < late.get(2L), "sends by server: " + late);
+    assertTrue(laterSends.get(1L) < laterSends.get(2L), "sends by server: " + laterSends);
   }
 
   @Test
-  void cancelsAttemptsOfDisconnectedClientWithoutAnswer() {
+  void cancelsAttemptsAndGivesNoAnswerWhenClientDisconnects() {
     router.onMembershipUpdate(100, PolicyFixture.fleet(3));
     router.onRequest(100, PolicyFixture.request("gone", "k", "safe", 1));
     router.onClientDisconnected(100.1, "gone");
--- a/core/src/test/java/shalepaddle/policy/RingProbingTest.java
+++ b/core/src/test/java/shalepaddle/policy/RingProbingTest.java
@@ -12,9 +12,9 @@
 import shalepaddle.policy.health.ServerHealth;
 import shalepaddle.policy.placement.ConsistentHashRing;
 
-/** The ordinary path: the key's owner, jumps past servers at their cap, and its end. */
+/** Tests the selection: the key's owner, ring jumps past servers at their cap, and the fallback. */
 class RingProbingTest {
-  private static List<Long> sends(PolicyFixture.Recorder actions) {
+  private static List<Long> serversSentTo(PolicyFixture.Recorder actions) {
     return actions.of("send").stream().map(PolicyFixture.Act::number).toList();
   }
 
@@ -34,20 +34,20 @@
           new ServerHealth(PolicyFixture.server(id), 100, PolicyFixture.settings(false, 4, true)));
     }
     ring.rebuild(servers, false);
-    long hash = Hashing.ofText("k");
-    List<Long> want = new ArrayList<>();
-    // Writes are never held for a fetch. Four load balancers: a least cap of 3, and 1.25 * 10 / 10
-    // < 3.
-    for (int attempt = 0; want.size() < 6; attempt++) {
-      long owner = ring.owner(hash, attempt).id();
-      if (!want.contains(owner)) {
-        want.addAll(List.of(owner, owner, owner));
+    long keyHash = Hashing.ofText("k");
+    List<Long> expectedServers = new ArrayList<>();
+    // The requests are writes, which are never held for a fetch. With four load balancers the
+    // minimum cap is 3, which exceeds (1 + 0.5) * 6 / 10.
+    for (int attempt = 0; expectedServers.size() < 6; attempt++) {
+      long owner = ring.owner(keyHash, attempt).id();
+      if (!expectedServers.contains(owner)) {
+        expectedServers.addAll(List.of(owner, owner, owner));
       }
     }
     for (int i = 0; i < 6; i++) {
       router.onRequest(100, PolicyFixture.request("w" + i, "k", "unsafe", 1));
     }
-    assertEquals(want, sends(actions));
+    assertEquals(expectedServers, serversSentTo(actions));
   }
 
   @Test
@@ -58,34 +58,34 @@
     for (int i = 0; i < 500; i++) {
       router.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
     }
-    assertEquals(500, sends(actions).size());
-    long first = sends(actions).stream().filter(id -> id == 1).count();
-    assertTrue(first > 150 && first < 350, "sends to one of two: " + first);
+    assertEquals(500, serversSentTo(actions).size());
+    long sendsToFirst = serversSentTo(actions).stream().filter(id -> id == 1).count();
+    assertTrue(sendsToFirst > 150 && sendsToFirst < 350, "sends to the first of two servers, of 500: " + sendsToFirst);
   }
 
   @Test
-  void sameListByDifferentUpdatesGivesSameOwners() {
-    PolicyFixture.Recorder one = new PolicyFixture.Recorder();
-    RequestRouter whole = router(one, 1);
-    whole.onMembershipUpdate(100, PolicyFixture.fleet(9));
-    PolicyFixture.Recorder two = new PolicyFixture.Recorder();
-    RequestRouter pieces = router(two, 2);
-    pieces.onMembershipUpdate(100, PolicyFixture.fleet(4));
+  void selectsSameOwnersForSameListFromDifferentUpdates() {
+    PolicyFixture.Recorder actionsOfFull = new PolicyFixture.Recorder();
+    RequestRouter fullListRouter = router(actionsOfFull, 1);
+    fullListRouter.onMembershipUpdate(100, PolicyFixture.fleet(9));
+    PolicyFixture.Recorder actionsOfIncremental = new PolicyFixture.Recorder();
+    RequestRouter incrementalRouter = router(actionsOfIncremental, 2);
+    incrementalRouter.onMembershipUpdate(100, PolicyFixture.fleet(4));
     for (long id = 12; id >= 5; id--) {
-      pieces.onMembershipUpdate(
+      incrementalRouter.onMembershipUpdate(
           100, PolicyFixture.list(MembershipUpdate.Kind.DELTA, List.of(PolicyFixture.server(id))));
     }
     for (long id = 10; id <= 12; id++) {
-      pieces.onMembershipUpdate(
+      incrementalRouter.onMembershipUpdate(
           100,
           PolicyFixture.list(
               MembershipUpdate.Kind.DELTA,
               List.of(PolicyFixture.server(id, ServerEntry.State.REMOVED, 0))));
     }
     for (int i = 0; i < 20; i++) {
-      whole.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
-      pieces.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
+      fullListRouter.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
+      incrementalRouter.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
     }
-    assertEquals(sends(one), sends(two));
+    assertEquals(serversSentTo(actionsOfFull), serversSentTo(actionsOfIncremental));
   }
 }
--- a/core/src/test/java/shalepaddle/policy/RuleChecker.java
+++ b/core/src/test/java/shalepaddle/policy/RuleChecker.java
@@ -10,9 +10,20 @@
 import shalepaddle.model.ServerEntry;
 import shalepaddle.model.Settings;
 
-/** Checks a router's actions against the four rules and records every violation. */
+/**
+ * Checks a router's actions against four rules and records violations, each with the name of the
+ * rule.
+ *
+ * <ol>
+ *   <li>"One answer": each request gets exactly one final answer, by its deadline.
+ *   <li>"No double effect": no request takes effect twice, and the limits on its attempts are
+ *       respected.
+ *   <li>"Ready servers": attempts are only sent to listed servers that are ready.
+ *   <li>"Slow start": no server in slow start is overloaded.
+ * </ol>
+ */
 final class RuleChecker extends PolicyFixture.Recorder {
-  /** An attempt as the simulated fleet knows it. */
+  /** The state of an attempt, independent of the router's own state. */
   static final class Attempt {
     final long server;
     final double sentAt;
@@ -25,17 +36,17 @@
     }
   }
 
-  /** A request as the simulated fleet knows it. */
+  /** The state of a request, independent of the router's own state. */
   static final class Tracked {
     final Request request;
-    final Settings.ServiceClass type;
+    final Settings.ServiceClass serviceClass;
     final double deadline;
     final List<Attempt> attempts = new ArrayList<>();
     boolean over;
 
-    Tracked(Request request, Settings.ServiceClass type, double deadline) {
+    Tracked(Request request, Settings.ServiceClass serviceClass, double deadline) {
       this.request = request;
-      this.type = type;
+      this.serviceClass = serviceClass;
       this.deadline = deadline;
     }
   }
@@ -44,10 +55,10 @@
   final Map<String, Tracked> requests = new LinkedHashMap<>();
   final Map<Long, ServerEntry> servers = new HashMap<>();
   final List<String> violations = new ArrayList<>();
-  final Map<Long, List<Double>> coldSends = new HashMap<>();
+  final Map<Long, List<Double>> sendsInSlowStart = new HashMap<>();
   double now;
 
-  /** Sends a second that a warm server takes. */
+  /** Attempts per second that a warm server can serve. */
   double warmRate = Double.POSITIVE_INFINITY;
 
   RuleChecker(Settings settings) {
@@ -55,12 +66,12 @@
   }
 
   void arrives(Request request) {
-    Settings.ServiceClass type =
+    Settings.ServiceClass serviceClass =
         settings.services().stream()
             .filter(s -> s.name().equals(request.serviceClass()))
             .findFirst()
             .orElseThrow();
-    requests.put(request.id(), new Tracked(request, type, now + request.budgetSeconds()));
+    requests.put(request.id(), new Tracked(request, serviceClass, now + request.budgetSeconds()));
   }
 
   void ends(String id, int attempt, Outcome.Result result) {
@@ -76,99 +87,103 @@
     requests.get(id).over = true;
   }
 
-  /** Records requests without an answer in time. */
+  /** Records a violation for each request without an answer by its deadline. */
   void checkDeadlines() {
     for (Tracked t : requests.values()) {
       if (!t.over && now > t.deadline + settings.contract().responseGraceSeconds()) {
-        violations.add("rule 1: no answer for " + t.request.id());
+        violations.add("one answer: no answer for " + t.request.id());
         t.over = true;
       }
     }
   }
 
   @Override
-  public void send(String requestId, long server, double within) {
-    super.send(requestId, server, within);
+  public void send(String requestId, long server, double withinSeconds) {
+    super.send(requestId, server, withinSeconds);
     Tracked t = requests.get(requestId);
-    ServerEntry to = servers.get(server);
+    ServerEntry target = servers.get(server);
     if (t.over) {
-      violations.add("rule 1: sent after its end " + requestId);
+      violations.add("one answer: sent after its final answer: " + requestId);
     }
-    if (to == null || to.state() != ServerEntry.State.READY) {
-      violations.add("rule 3: sent to a server that is not ready");
+    if (target == null || target.state() != ServerEntry.State.READY) {
+      violations.add("ready servers: sent to a server that is not ready");
     }
     if (t.attempts.size() >= settings.limits().maxAttempts()) {
-      violations.add("rule 2: too many attempts");
+      violations.add("no double effect: too many attempts");
     }
-    Attempt first = null;
+    Attempt firstAttempt = null;
     for (Attempt a : t.attempts) {
       if (a.out && !settings.limits().allowsParallelAttempts()) {
-        violations.add("rule 2: two attempts out together");
+        violations.add("no double effect: two attempts in flight at the same time");
       }
-      if (first == null && (a.out || a.mayHaveRun)) {
-        first = a;
+      if (firstAttempt == null && (a.out || a.mayHaveRun)) {
+        firstAttempt = a;
       }
     }
-    if (first != null && to != null) {
-      if (t.type.idempotency() == Settings.Idempotency.NOT_IDEMPOTENT) {
-        violations.add("rule 2: unsafe request sent again");
-      } else if (t.type.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY) {
-        ServerEntry was = servers.get(first.server);
-        boolean same =
-            switch (t.type.deduplicationScope()) {
+    if (firstAttempt != null && target != null) {
+      if (t.serviceClass.idempotency() == Settings.Idempotency.NOT_IDEMPOTENT) {
+        violations.add("no double effect: unsafe request sent again");
+      } else if (t.serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY) {
+        ServerEntry firstServer = servers.get(firstAttempt.server);
+        boolean isSameScope =
+            switch (t.serviceClass.deduplicationScope()) {
               case ALL -> true;
-              case ZONE -> was != null && was.zone().equals(to.zone());
-              case CELL -> was != null && was.cell() == to.cell();
+              case ZONE -> firstServer != null && firstServer.zone().equals(target.zone());
+              case CELL -> firstServer != null && firstServer.cell() == target.cell();
             };
-        if (!same || now > first.sentAt + t.type.idempotencyWindowSeconds()) {
-          violations.add("rule 2: keyed request sent where or when repeats are not dropped");
+        if (!isSameScope || now > firstAttempt.sentAt + t.serviceClass.idempotencyWindowSeconds()) {
+          violations.add("no double effect: keyed request sent outside its deduplication scope or window");
         }
-        if (now + within > first.sentAt + t.type.idempotencyWindowSeconds()) {
-          violations.add("rule 2: keyed request that may wait until repeats are not dropped");
+        if (now + withinSeconds > firstAttempt.sentAt + t.serviceClass.idempotencyWindowSeconds()) {
+          violations.add("no double effect: keyed request may be written after its deduplication window");
         }
       }
     }
     t.attempts.add(new Attempt(server, now));
     double slowStartSeconds = settings.contract().slowStartSeconds();
-    if (to != null && to.startedAtSeconds() > 0 && now - to.startedAtSeconds() < slowStartSeconds) {
-      List<Double> sends = coldSends.computeIfAbsent(server, s -> new ArrayList<>());
+    if (target != null && target.startedAtSeconds() > 0 && now - target.startedAtSeconds() < slowStartSeconds) {
+      List<Double> sends = sendsInSlowStart.computeIfAbsent(server, s -> new ArrayList<>());
       sends.add(now);
-      double window = settings.contract().overloadSeconds();
-      double from = settings.contract().slowStartMinRatio();
-      double warmth = from + (1 - from) * (now - to.startedAtSeconds()) / slowStartSeconds;
-      long recent = sends.stream().filter(at -> at > now - window).count();
-      if (recent > settings.contract().overloadRatio() * warmth * warmRate * window + 2) {
-        violations.add("rule 4: server overloaded in slow start");
+      double windowSeconds = settings.contract().overloadSeconds();
+      double minCapacityRatio = settings.contract().slowStartMinRatio();
+      double capacityRatio =
+          minCapacityRatio + (1 - minCapacityRatio) * (now - target.startedAtSeconds()) / slowStartSeconds;
+      long recentSends = sends.stream().filter(at -> at > now - windowSeconds).count();
+      double permittedSends =
+          settings.contract().overloadRatio() * capacityRatio * warmRate * windowSeconds;
+      if (recentSends > permittedSends + 2) {
+        violations.add("slow start: server overloaded in slow start");
       }
     }
   }
 
   @Override
-  public void reject(String requestId, double retryAfter) {
-    super.reject(requestId, retryAfter);
-    Tracked t = answered(requestId);
-    Attempt first = t.attempts.stream().filter(a -> a.out || a.mayHaveRun).findFirst().orElse(null);
-    boolean harmless =
-        first == null
-            || t.type.idempotency() == Settings.Idempotency.IDEMPOTENT
-            || (t.type.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
-                && t.type.deduplicationScope() == Settings.DeduplicationScope.ALL
-                && now < first.sentAt + t.type.idempotencyWindowSeconds());
-    if (!harmless) {
-      violations.add("rule 2: rejected what may have run");
+  public void reject(String requestId, double retryAfterSeconds) {
+    super.reject(requestId, retryAfterSeconds);
+    Tracked t = recordAnswer(requestId);
+    Attempt firstAttempt = t.attempts.stream().filter(a -> a.out || a.mayHaveRun).findFirst().orElse(null);
+    boolean isRetrySafe =
+        firstAttempt == null
+            || t.serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT
+            || (t.serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
+                && t.serviceClass.deduplicationScope() == Settings.DeduplicationScope.ALL
+                && now < firstAttempt.sentAt + t.serviceClass.idempotencyWindowSeconds());
+    if (!isRetrySafe) {
+      violations.add("no double effect: rejected a request that may have run");
     }
   }
 
   @Override
   public void fail(String requestId) {
     super.fail(requestId);
-    answered(requestId);
+    recordAnswer(requestId);
   }
 
-  private Tracked answered(String requestId) {
+  /** Marks a request as answered; records a violation if it was answered before. */
+  private Tracked recordAnswer(String requestId) {
     Tracked t = requests.get(requestId);
     if (t.over) {
-      violations.add("rule 1: answered twice " + requestId);
+      violations.add("one answer: answered twice: " + requestId);
     }
     t.over = true;
     return t;
--- a/core/src/test/java/shalepaddle/policy/SlowStartTest.java
+++ b/core/src/test/java/shalepaddle/policy/SlowStartTest.java
@@ -19,71 +19,79 @@
 import shalepaddle.model.ServerEntry;
 
 /**
- * What all nodes together send to a server in slow start, for fleets of any size: within the window
- * that the contract names never more than the contract permits then, within a tolerance for chance.
+ * Checks that all nodes together, in fleets of different sizes, do not send more requests to a
+ * server in slow start than it can serve without overload according to {@link
+ * shalepaddle.model.Settings.Contract}, apart from a tolerance for random fluctuations. Attempts
+ * are counted over the time for which an overload must last before a server fails.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class SlowStartTest {
   private static final int SERVERS = 20;
   private static final int KEYS = 5000;
 
-  /** The usual load of a warm server, as a part of its capacity; the routers do not know it. */
-  private static final double USUAL_LOAD = 0.75;
+  /** The usual load of a warm server, as a fraction of its capacity; unknown to the routers. */
+  private static final double USUAL_LOAD_RATIO = 0.75;
 
   /** A key whose owner is one of the servers that start. */
   private static final int HOT_KEY = 7;
 
-  private static final double START = 110;
-  private static final double END = 117;
+  private static final double START_SECONDS = 110;
+  private static final double END_SECONDS = 117;
 
-  /** How the servers start of which the test counts the requests. */
+  /**
+   * The number of servers that start, whose requests the test counts, and the interval between
+   * their starts.
+   */
   enum Start {
     ONE(1, 0),
-    TOGETHER(12, 0),
-    ONE_AFTER_THE_OTHER(12, 0.4);
+    SIMULTANEOUS(12, 0),
+    STAGGERED(12, 0.4);
 
     private final int servers;
-    private final double apart;
+    private final double intervalSeconds;
 
-    Start(int servers, double apart) {
+    Start(int servers, double intervalSeconds) {
       this.servers = servers;
-      this.apart = apart;
+      this.intervalSeconds = intervalSeconds;
     }
   }
 
-  /** What clients ask for once the servers have started; evenly at the same rate before that. */
+  /** The load after the servers have started. Before that, it is {@link #UNIFORM}. */
   enum Load {
-    EVEN(1, 0),
-    /** A fifth of the requests is for one key. */
+    UNIFORM(1, 0),
+    /** The usual rate, of which one key gets a fifth. */
     HOT_KEY(1, 0.2),
-    /** Half as much again, more than warm servers can do. */
+    /** 1.5 times the usual rate, which exceeds the capacity of warm servers. */
     BURST(1.5, 0);
 
-    private final double times;
-    private final double hotShare;
+    private final double rateRatio;
+    private final double hotKeyRatio;
 
-    Load(double times, double hotShare) {
-      this.times = times;
-      this.hotShare = hotShare;
+    Load(double rateRatio, double hotKeyRatio) {
+      this.rateRatio = rateRatio;
+      this.hotKeyRatio = hotKeyRatio;
     }
   }
 
   private final List<RequestRouter> nodes = new ArrayList<>();
   private final List<PolicyFixture.Recorder> actions = new ArrayList<>();
-  private final Map<Long, Double> startedAt = new HashMap<>();
-  private final Map<Long, ArrayDeque<Double>> recent = new HashMap<>();
+  private final Map<Long, Double> startedAtSeconds = new HashMap<>();
+
+  /** The times of the attempts in the last window, by server id. */
+  private final Map<Long, ArrayDeque<Double>> recentSends = new HashMap<>();
+
   private final Random random = new Random(11);
-  private int serial;
-  private String worst = "";
+  private int nextRequestNumber;
+  private String worstCase = "";
   private double worstExcess = Double.NEGATIVE_INFINITY;
 
   static Stream<Arguments> fleets() {
     List<Arguments> fleets = new ArrayList<>();
     for (int nodes : new int[] {1, 2, 5, 14, 30, 100, 430}) {
-      for (double rate : new double[] {1, 25}) {
+      for (double requestsPerSecond : new double[] {1, 25}) {
         for (Start start : Start.values()) {
           for (Load load : Load.values()) {
-            fleets.add(Arguments.of(nodes, rate, start, load));
+            fleets.add(Arguments.of(nodes, requestsPerSecond, start, load));
           }
         }
       }
@@ -92,83 +100,91 @@
   }
 
   /**
-   * One fleet.
+   * Starts servers of one fleet, and checks that none of them gets more attempts than it can serve.
    *
-   * @param size how many nodes
-   * @param rate requests a second that a warm server gets of all of them
+   * @param nodeCount the number of nodes
+   * @param requestsPerSecond requests per second that a warm server gets from all nodes together
    */
   @ParameterizedTest
   @MethodSource("fleets")
-  void sendsServerInSlowStartWhatContractPermits(int size, double rate, Start start, Load load) {
-    for (int number = 0; number < size; number++) {
+  void doesNotOverloadServersInSlowStart(int nodeCount, double requestsPerSecond, Start start, Load load) {
+    for (int nodeNumber = 0; nodeNumber < nodeCount; nodeNumber++) {
       PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
       actions.add(recorder);
       nodes.add(
           new RequestRouter(
-              PolicyFixture.settings(number, size, false, 4, true), number, recorder));
-      nodes.get(number).onMembershipUpdate(100, PolicyFixture.fleet(SERVERS));
+              PolicyFixture.settings(nodeNumber, nodeCount, false, 4, true), nodeNumber, recorder));
+      nodes.get(nodeNumber).onMembershipUpdate(100, PolicyFixture.fleet(SERVERS));
     }
-    play(100, START, rate, Load.EVEN);
+    sendRequests(100, START_SECONDS, requestsPerSecond, Load.UNIFORM);
     for (int i = 0; i < start.servers; i++) {
-      double at = START + i * start.apart;
-      if (i > 0 && start.apart > 0) {
-        play(at - start.apart, at, rate, load);
+      double startSeconds = START_SECONDS + i * start.intervalSeconds;
+      if (i > 0 && start.intervalSeconds > 0) {
+        sendRequests(startSeconds - start.intervalSeconds, startSeconds, requestsPerSecond, load);
       }
       long id = i + 1L;
-      startedAt.put(id, at);
-      ServerEntry entry = PolicyFixture.server(id, ServerEntry.State.READY, at);
+      startedAtSeconds.put(id, startSeconds);
+      ServerEntry entry = PolicyFixture.server(id, ServerEntry.State.READY, startSeconds);
       nodes.forEach(
           node ->
               node.onMembershipUpdate(
-                  at, PolicyFixture.list(MembershipUpdate.Kind.DELTA, List.of(entry))));
+                  startSeconds, PolicyFixture.list(MembershipUpdate.Kind.DELTA, List.of(entry))));
     }
-    play(START + (start.servers - 1) * start.apart, END, rate, load);
-    assertTrue(worstExcess <= 0, worst);
+    double lastStartSeconds = START_SECONDS + (start.servers - 1) * start.intervalSeconds;
+    sendRequests(lastStartSeconds, END_SECONDS, requestsPerSecond, load);
+    assertTrue(worstExcess <= 0, worstCase);
   }
 
-  private void play(double from, double until, double rate, Load load) {
-    double step = 1 / (load.times * rate * SERVERS);
-    for (double now = from + step; now <= until; now += step) {
-      int number = random.nextInt(nodes.size());
-      String id = "r" + serial++;
-      int key = random.nextDouble() < load.hotShare ? HOT_KEY : random.nextInt(KEYS);
-      PolicyFixture.Recorder recorder = actions.get(number);
+  /** Sends requests from random nodes, which the servers answer at once. */
+  private void sendRequests(double fromSeconds, double untilSeconds, double requestsPerSecond, Load load) {
+    double stepSeconds = 1 / (load.rateRatio * requestsPerSecond * SERVERS);
+    for (double now = fromSeconds + stepSeconds; now <= untilSeconds; now += stepSeconds) {
+      int nodeNumber = random.nextInt(nodes.size());
+      String id = "r" + nextRequestNumber++;
+      int key = random.nextDouble() < load.hotKeyRatio ? HOT_KEY : random.nextInt(KEYS);
+      PolicyFixture.Recorder recorder = actions.get(nodeNumber);
       recorder.acts.clear();
-      nodes.get(number).onRequest(now, PolicyFixture.request(id, "k" + key, "safe", 1));
+      nodes.get(nodeNumber).onRequest(now, PolicyFixture.request(id, "k" + key, "safe", 1));
       for (PolicyFixture.Act act : recorder.of("send")) {
-        sent(now, act.number(), rate);
+        recordSend(now, act.number(), requestsPerSecond);
         nodes
-            .get(number)
+            .get(nodeNumber)
             .onOutcome(now, PolicyFixture.outcome(id, 0, act.number(), Outcome.Result.OK));
       }
     }
   }
 
-  private void sent(double now, long server, double rate) {
-    Double started = startedAt.get(server);
-    if (started == null) {
+  /**
+   * Counts an attempt at a started server, and records by how much the server's recent attempts
+   * exceed what it can serve without overload according to {@link
+   * shalepaddle.model.Settings.Contract}.
+   */
+  private void recordSend(double now, long server, double requestsPerSecond) {
+    Double serverStartSeconds = startedAtSeconds.get(server);
+    if (serverStartSeconds == null) {
       return;
     }
     var contract = PolicyFixture.settings(0, 1, false, 4, true).contract();
-    double window = contract.overloadSeconds();
-    ArrayDeque<Double> sends = recent.computeIfAbsent(server, id -> new ArrayDeque<>());
+    double windowSeconds = contract.overloadSeconds();
+    ArrayDeque<Double> sends = recentSends.computeIfAbsent(server, id -> new ArrayDeque<>());
     sends.addLast(now);
-    while (sends.peekFirst() <= now - window) {
+    while (sends.peekFirst() <= now - windowSeconds) {
       sends.removeFirst();
     }
-    double age = now - started;
-    if (age < contract.slowStartSeconds()) {
-      double warmth =
+    double ageSeconds = now - serverStartSeconds;
+    if (ageSeconds < contract.slowStartSeconds()) {
+      double capacityRatio =
           contract.slowStartMinRatio()
-              + (1 - contract.slowStartMinRatio()) * age / contract.slowStartSeconds();
-      double allowed = contract.overloadRatio() * warmth * rate / USUAL_LOAD * window;
-      double tolerance = allowed < 30 ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
-      double excess = sends.size() - allowed - tolerance;
-      if (excess > worstExcess) {
-        worstExcess = excess;
-        worst =
-            "server %d at %.2f s after its start: %d in %.1f s, allowed are %.1f and %.1f"
-                .formatted(server, age, sends.size(), window, allowed, tolerance);
+              + (1 - contract.slowStartMinRatio()) * ageSeconds / contract.slowStartSeconds();
+      double allowedSends =
+          contract.overloadRatio() * capacityRatio * requestsPerSecond / USUAL_LOAD_RATIO * windowSeconds;
+      double toleratedSends = allowedSends < 30 ? 3 * Math.sqrt(allowedSends) + 3 : 2 * Math.sqrt(allowedSends) + 2;
+      double excessSends = sends.size() - allowedSends - toleratedSends;
+      if (excessSends > worstExcess) {
+        worstExcess = excessSends;
+        worstCase =
+            "server %d at %.2f s after its start: %d requests in %.1f s, allowed are %.1f + %.1f"
+                .formatted(server, ageSeconds, sends.size(), windowSeconds, allowedSends, toleratedSends);
       }
     }
   }
--- a/core/src/test/java/shalepaddle/policy/admission/OriginFetchLimiterTest.java
+++ b/core/src/test/java/shalepaddle/policy/admission/OriginFetchLimiterTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The window of fetches in flight. */
+/** Tests the window of fetches in flight and the guaranteed fetches. */
 class OriginFetchLimiterTest {
   private static final double OBJECTIVE_SECONDS = 0.5;
 
@@ -17,18 +17,18 @@
     }
   }
 
-  /** Ends a fetch; the limiter is given what is lost of all. */
+  /** Ends a fetch and updates the limiter's loss ratio by its result. */
   private static void endFetch(
       OriginFetchLimiter<Candidate> limiter,
       double now,
       Candidate request,
-      boolean good,
-      boolean bad) {
-    limiter.setLossRatio(limiter.lossRatio() + 0.1 * ((bad ? 1 : 0) - limiter.lossRatio()));
-    limiter.onFetchEnded(now, request, OBJECTIVE_SECONDS, good, bad);
+      boolean isInTime,
+      boolean isLost) {
+    limiter.setLossRatio(limiter.lossRatio() + 0.1 * ((isLost ? 1 : 0) - limiter.lossRatio()));
+    limiter.onFetchEnded(now, request, OBJECTIVE_SECONDS, isInTime, isLost);
   }
 
-  /** Lets forty fetches fail one after another; returns the time at the end. */
+  /** Runs 40 fetches, one after another, that all fail; returns the time at the end. */
   private static double failFetches(OriginFetchLimiter<Candidate> limiter) {
     double now = 100;
     for (int i = 0; i < 40; i++) {
@@ -46,52 +46,53 @@
     double now = failFetches(limiter);
     assertTrue(limiter.isOriginDegraded());
     assertFalse(limiter.isFull(now));
-    Candidate only = new Candidate();
-    limiter.onFetchStarted(99, only, 0, false);
+    Candidate request = new Candidate();
+    limiter.onFetchStarted(99, request, 0, false);
     assertTrue(limiter.isFull(now + 0.1));
-    endFetch(limiter, now + 0.1, only, true, false);
+    endFetch(limiter, now + 0.1, request, true, false);
     assertFalse(limiter.isFull(now + 0.1));
   }
 
   @Test
-  void guaranteesFewerFetchesWhileTheyFail() {
-    double[] passed = new double[2];
+  void guaranteesFewerFetchesWhileFetchesFail() {
+    double[] startedFetches = new double[2];
     for (int i = 0; i < 2; i++) {
       OriginFetchLimiter<Candidate> limiter = new OriginFetchLimiter<>();
       double now = failFetches(limiter);
-      for (int good = 0; good < 10 * i; good++) {
+      for (int successes = 0; successes < 10 * i; successes++) {
         Candidate request = new Candidate();
-        limiter.onFetchStarted(200 + good, request, 0, true);
+        limiter.onFetchStarted(200 + successes, request, 0, true);
         endFetch(limiter, now, request, true, false);
       }
       limiter.setGuaranteedPerSecond(20);
       while (!limiter.isFull(now)) {
-        limiter.onFetchStarted(1000 + (long) passed[i], new Candidate(), 0, false);
-        passed[i]++;
+        limiter.onFetchStarted(1000 + (long) startedFetches[i], new Candidate(), 0, false);
+        startedFetches[i]++;
       }
-      passed[i] = 0;
-      for (int ms = 0; ms < 1000; ms++) {
-        if (!limiter.isFull(now + ms / 1000.0)) {
-          limiter.onFetchStarted(5000 + ms, new Candidate(), 0, false);
-          passed[i]++;
+      startedFetches[i] = 0;
+      for (int elapsedMillis = 0; elapsedMillis < 1000; elapsedMillis++) {
+        if (!limiter.isFull(now + elapsedMillis / 1000.0)) {
+          limiter.onFetchStarted(5000 + elapsedMillis, new Candidate(), 0, false);
+          startedFetches[i]++;
         }
       }
     }
     assertTrue(
-        passed[0] * 3 < passed[1], passed[0] + " of failing, " + passed[1] + " of recovered");
+        startedFetches[0] * 3 < startedFetches[1],
+        "fetches started in 1 s: " + startedFetches[0] + " with a failing origin, " + startedFetches[1] + " with a recovered origin");
   }
 
   @Test
-  void guaranteesSomeFetches() {
+  void guaranteesSomeFetchesWhenWindowIsFull() {
     OriginFetchLimiter<Candidate> limiter = new OriginFetchLimiter<>();
     double now = failFetches(limiter);
     limiter.onFetchStarted(99, new Candidate(), 0, false);
     assertTrue(limiter.isFull(now + 0.01));
     limiter.setGuaranteedPerSecond(20);
     for (int i = 0; i < 10; i++) {
-      Candidate good = new Candidate();
-      limiter.onFetchStarted(200 + i, good, 0, true);
-      endFetch(limiter, now, good, true, false);
+      Candidate request = new Candidate();
+      limiter.onFetchStarted(200 + i, request, 0, true);
+      endFetch(limiter, now, request, true, false);
     }
     assertFalse(limiter.isFull(now + 0.2));
   }
--- a/core/src/test/java/shalepaddle/policy/health/ServerStartTimesTest.java
+++ b/core/src/test/java/shalepaddle/policy/health/ServerStartTimesTest.java
@@ -12,7 +12,7 @@
 import shalepaddle.model.ServerEntry;
 import shalepaddle.policy.PolicyFixture;
 
-/** Starts by the stamps of a clock that is off by an hour, either way, or by nothing. */
+/** Tests start times when the list author's clock is right, an hour ahead or an hour behind. */
 class ServerStartTimesTest {
   private static final double SLOW_START_SECONDS = 10;
   private static final double NOW = 100_000;
@@ -20,20 +20,20 @@
   private final ServerStartTimes starts = new ServerStartTimes(SLOW_START_SECONDS);
   private long version = 1;
 
-  /** An update whose servers, by id from 1 on, have these stamps. */
-  private void learn(double now, Kind kind, double... stamps) {
+  /** Applies an update with these listed start times, for servers with ids counted from 1. */
+  private void learn(double now, Kind kind, double... listedSeconds) {
     List<ServerEntry> entries = new ArrayList<>();
-    for (int i = 0; i < stamps.length; i++) {
-      entries.add(PolicyFixture.server(i + 1, ServerEntry.State.READY, stamps[i]));
+    for (int i = 0; i < listedSeconds.length; i++) {
+      entries.add(PolicyFixture.server(i + 1, ServerEntry.State.READY, listedSeconds[i]));
     }
     starts.learn(now, new MembershipUpdate(kind, version++, entries));
   }
 
   @ParameterizedTest
   @ValueSource(doubles = {0, 3600, -3600})
-  void firstListOfOldServersIsWarm(double skew) {
-    double then = NOW + skew - 600;
-    learn(NOW, Kind.CACHED, then, then + 1, then + 2, 0);
+  void countsServersOfFirstListAsWarmWhenNoneIsNew(double skewSeconds) {
+    double startSeconds = NOW + skewSeconds - 600;
+    learn(NOW, Kind.CACHED, startSeconds, startSeconds + 1, startSeconds + 2, 0);
     for (int id = 1; id <= 4; id++) {
       assertEquals(ServerStartTimes.LONG_AGO, starts.of(id));
     }
@@ -41,17 +41,18 @@
 
   @ParameterizedTest
   @ValueSource(doubles = {0, 3600, -3600})
-  void newestOfFirstListMayHaveStartedJustNow(double skew) {
-    double then = NOW + skew;
-    learn(NOW, Kind.CACHED, then - 600, then - 500, then - 4, then - 1, then - 12);
+  void countsNewestServersOfFirstListAsJustStarted(double skewSeconds) {
+    double listNowSeconds = NOW + skewSeconds;
+    learn(NOW, Kind.CACHED, listNowSeconds - 600, listNowSeconds - 500, listNowSeconds - 4, listNowSeconds - 1, listNowSeconds - 12);
     assertEquals(ServerStartTimes.LONG_AGO, starts.of(1));
-    assertEquals(NOW - 3, starts.of(3), "three seconds older than the newest");
+    assertEquals(NOW - 3, starts.of(3), "the server started 3 s before the newest");
     assertEquals(NOW, starts.of(4));
-    assertEquals(ServerStartTimes.LONG_AGO, starts.of(5), "older than the newest by the warm-up");
+    assertEquals(
+        ServerStartTimes.LONG_AGO, starts.of(5), "a server that started 11 s before the newest is warm");
   }
 
   @Test
-  void firstListOfServersStartedTogetherIsWarmingUpIfBothClocksAgree() {
+  void countsServersStartedTogetherAsWarmingUpWhenClocksAgree() {
     learn(NOW, Kind.FULL, NOW - 2, NOW - 1, NOW - 1);
     assertEquals(NOW - 1, starts.of(1));
     assertEquals(NOW, starts.of(2));
@@ -59,24 +60,24 @@
 
   @ParameterizedTest
   @ValueSource(doubles = {0, 3600, -3600})
-  void laterListedStartCountsFromItsReceipt(double step) {
+  void usesArrivalTimeForStartListedInLaterUpdate(double stepSeconds) {
     learn(NOW, Kind.FULL, NOW - 600, NOW - 900);
-    learn(NOW + 50, Kind.DELTA, NOW + 49 + step);
+    learn(NOW + 50, Kind.DELTA, NOW + 49 + stepSeconds);
     assertEquals(NOW + 50, starts.of(1));
     assertEquals(ServerStartTimes.LONG_AGO, starts.of(2));
-    learn(NOW + 90, Kind.FULL, NOW + 49 + step, NOW - 900);
-    assertEquals(NOW + 50, starts.of(1), "the same start");
+    learn(NOW + 90, Kind.FULL, NOW + 49 + stepSeconds, NOW - 900);
+    assertEquals(NOW + 50, starts.of(1), "the same listed start is not counted again");
   }
 
   @Test
-  void deltaBeforeAnyFullListCountsFromItsReceipt() {
+  void usesArrivalTimeOfDeltaForStartListedBeforeFullList() {
     learn(NOW, Kind.CACHED, NOW - 600, NOW - 700, NOW - 800);
     learn(NOW + 1, Kind.DELTA, NOW - 2);
     assertEquals(NOW + 1, starts.of(1));
   }
 
   @Test
-  void olderListHasNoNewStart() {
+  void ignoresEarlierStartInOlderList() {
     version = 5;
     learn(NOW, Kind.FULL, NOW - 60, NOW - 600);
     version = 4;
@@ -84,11 +85,11 @@
     assertEquals(ServerStartTimes.LONG_AGO, starts.of(2));
     version = 6;
     learn(NOW + 2, Kind.FULL, NOW - 60, NOW - 600);
-    assertEquals(NOW, starts.of(1), "as the first list had it");
+    assertEquals(NOW, starts.of(1), "the start in the first list");
   }
 
   @Test
-  void serverThatComesBackUnchangedHasNotRestarted() {
+  void keepsStartOfServerListedAgainWithSameStartTime() {
     learn(NOW, Kind.FULL, NOW - 600, NOW - 900);
     learn(NOW + 10, Kind.FULL);
     learn(NOW + 20, Kind.FULL, NOW - 600, NOW - 900);
@@ -96,7 +97,7 @@
   }
 
   @Test
-  void includedServerCountsAsStartedUntilAnotherStartIsListed() {
+  void countsRestartedServerAsStartedUntilAnotherStartIsListed() {
     learn(NOW, Kind.FULL, NOW - 600);
     starts.restarted(NOW + 5, 1);
     learn(NOW + 6, Kind.FULL, NOW - 600);
--- a/core/src/test/java/shalepaddle/policy/placement/ConsistentHashRingTest.java
+++ b/core/src/test/java/shalepaddle/policy/placement/ConsistentHashRingTest.java
@@ -29,64 +29,64 @@
   }
 
   @Test
-  void changeMovesOnlySlotsOfChangedServer() {
+  void movesOnlyKeysOfAddedOrRemovedServer() {
     Random random = new Random(7);
     List<ServerHealth> servers = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       servers.add(server(random.nextInt(1 << 30)));
     }
-    long[] before = owners(servers);
-    for (int change = 0; change < 30; change++) {
+    long[] ownersBefore = owners(servers);
+    for (int round = 0; round < 30; round++) {
       long id;
-      boolean added = random.nextBoolean() || servers.size() < 5;
-      if (added) {
+      boolean isAdded = random.nextBoolean() || servers.size() < 5;
+      if (isAdded) {
         id = random.nextInt(1 << 30);
         servers.add(server(id));
       } else {
         id = servers.remove(random.nextInt(servers.size())).id();
       }
-      long[] after = owners(servers);
-      int moved = 0;
-      for (int i = 0; i < before.length; i++) {
-        if (before[i] != after[i]) {
-          moved++;
-          assertEquals(id, added ? after[i] : before[i]);
+      long[] ownersAfter = owners(servers);
+      int movedKeys = 0;
+      for (int i = 0; i < ownersBefore.length; i++) {
+        if (ownersBefore[i] != ownersAfter[i]) {
+          movedKeys++;
+          assertEquals(id, isAdded ? ownersAfter[i] : ownersBefore[i]);
         }
       }
-      int size = added ? servers.size() : servers.size() + 1;
-      assertTrue(moved <= 1.6 * before.length / size, moved + " keys moved");
-      before = after;
+      int serverCount = isAdded ? servers.size() : servers.size() + 1;
+      assertTrue(movedKeys <= 1.6 * ownersBefore.length / serverCount, movedKeys + " keys moved");
+      ownersBefore = ownersAfter;
     }
   }
 
   @Test
-  void ringDoesNotDependOnServerOrder() {
+  void assignsSameOwnersForAnyServerOrder() {
     List<ServerHealth> servers = new ArrayList<>();
     for (long id = 1; id <= 30; id++) {
       servers.add(server(id * 7919));
     }
-    long[] one = owners(servers);
+    long[] ownersBefore = owners(servers);
     Collections.shuffle(servers, new Random(3));
-    long[] other = owners(servers);
-    for (int i = 0; i < one.length; i++) {
-      assertEquals(one[i], other[i]);
+    long[] ownersOfShuffled = owners(servers);
+    for (int i = 0; i < ownersBefore.length; i++) {
+      assertEquals(ownersBefore[i], ownersOfShuffled[i]);
     }
   }
 
   @Test
-  void spreadsOwnersEvenly() {
+  void assignsKeysEvenlyToServers() {
     List<ServerHealth> servers = new ArrayList<>();
     for (long id = 1; id <= 25; id++) {
       servers.add(server(id * 104729));
     }
-    int[] count = new int[26];
+    int[] keysByServer = new int[26];
     long[] owners = owners(servers);
     for (long owner : owners) {
-      count[(int) (owner / 104729)]++;
+      keysByServer[(int) (owner / 104729)]++;
     }
     for (int i = 1; i <= 25; i++) {
-      double ratio = count[i] * 25.0 / owners.length;
-      assertTrue(ratio > 0.65 && ratio < 1.4, "ratio to an equal part: " + ratio);
+      double portionRatio = keysByServer[i] * 25.0 / owners.length;
+      assertTrue(portionRatio > 0.65 && portionRatio < 1.4, "ratio of the server's keys to an equal portion: " + portionRatio);
     }
   }
 
--- a/core/src/test/java/shalepaddle/replicatedstate/ReplicatedStateTest.java
+++ b/core/src/test/java/shalepaddle/replicatedstate/ReplicatedStateTest.java
@@ -7,20 +7,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The state and the results after some entries of the log. */
+/** Tests the state and the results after applying entries of the log. */
 class ReplicatedStateTest {
   private final ReplicatedState state = new ReplicatedState();
   private long index;
 
   private CommandResult setExclusion(
-      String id, String serverId, boolean excluded, long proposedAtMillis) {
+      String id, String serverId, boolean isExcluded, long proposedAtMillis) {
     return state.apply(
         ++index,
-        new Proposal(id, proposedAtMillis, new StateCommand.SetExclusion(serverId, excluded)));
+        new Proposal(id, proposedAtMillis, new StateCommand.SetExclusion(serverId, isExcluded)));
   }
 
-  private CommandResult setExclusion(String id, String serverId, boolean excluded) {
-    return setExclusion(id, serverId, excluded, 1000);
+  private CommandResult setExclusion(String id, String serverId, boolean isExcluded) {
+    return setExclusion(id, serverId, isExcluded, 1000);
   }
 
   @Test
@@ -32,7 +32,7 @@
     assertEquals(
         new CommandResult(CommandResult.Outcome.COMMITTED, 1),
         setExclusion("a", "s-1", true),
-        "the first result");
+        "a repeated proposal gets the first result");
     assertEquals(List.of(), state.excludedServers(), "a repeated proposal has no second effect");
     assertEquals(
         new CommandResult(CommandResult.Outcome.COMMITTED, 4), setExclusion("c", "s-1", true));
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void boundsExclusionsAndRetainedResults() {
+  void rejectsExclusionsPastMaximumAndEvictsOldestResults() {
     for (int i = 0; i < ReplicatedState.MAX_EXCLUDED_SERVERS; i++) {
       setExclusion("i" + i, "s-" + i, true);
     }
@@ -57,7 +57,7 @@
     assertEquals(
         CommandResult.Outcome.COMMITTED,
         setExclusion("again", "s-0", true).outcome(),
-        "it is excluded already");
+        "at the maximum, a server that is already excluded can be excluded again");
     setExclusion("back", "s-0", false);
     assertEquals(CommandResult.Outcome.COMMITTED, setExclusion("now", "s-x", true).outcome());
     for (int i = 0; i < ReplicatedState.MAX_RETAINED_RESULTS + 10; i++) {
@@ -68,10 +68,11 @@
   }
 
   @Test
-  void retainsResultsByLogTimeThatNeverRunsBackwards() {
+  void retainsResultsByLogTimeThatNeverGoesBackwards() {
     setExclusion("a", "s-1", true, 5_000_000);
     setExclusion("b", "s-2", true, 1);
-    assertEquals(5_000_000, state.snapshot().logTimeMillis(), "an hour back changes nothing");
+    assertEquals(
+        5_000_000, state.snapshot().logTimeMillis(), "log time never goes backwards");
     setExclusion("c", "s-3", true, 5_000_000 + ReplicatedState.RESULT_RETENTION_MILLIS);
     assertEquals(1, state.retainedResult("a").index());
     setExclusion("d", "s-4", true, 5_000_001 + ReplicatedState.RESULT_RETENTION_MILLIS);
@@ -81,17 +82,17 @@
   }
 
   @Test
-  void restoresWholeStateFromSnapshot() {
+  void restoresCompleteStateFromSnapshot() {
     setExclusion("a", "s-1", true);
     setExclusion("b", "s-2", true);
-    ReplicatedState other = new ReplicatedState();
-    other.apply(1, new Proposal("z", 9, new StateCommand.SetExclusion("gone", true)));
-    other.restore(state.snapshot());
-    assertEquals(state.snapshot(), other.snapshot());
-    CommandResult repeated =
-        other.apply(3, new Proposal("a", 9, new StateCommand.SetExclusion("s-1", false)));
-    assertEquals(1, repeated.index());
-    assertEquals(List.of("s-1", "s-2"), other.excludedServers());
+    ReplicatedState restoredState = new ReplicatedState();
+    restoredState.apply(1, new Proposal("z", 9, new StateCommand.SetExclusion("gone", true)));
+    restoredState.restore(state.snapshot());
+    assertEquals(state.snapshot(), restoredState.snapshot());
+    CommandResult repeatedResult =
+        restoredState.apply(3, new Proposal("a", 9, new StateCommand.SetExclusion("s-1", false)));
+    assertEquals(1, repeatedResult.index());
+    assertEquals(List.of("s-1", "s-2"), restoredState.excludedServers());
   }
 
   @Test
