--- a/engine/src/main/java/shalepaddle/codec/meta/LoadReportParser.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/LoadReportParser.java
@@ -3,44 +3,44 @@
 import java.util.Arrays;
 import shalepaddle.model.LoadReport;
 
-/** Reads the load report in a cache server's reply. */
+/** Parses the load report in a cache server's reply. */
 final class LoadReportParser {
-  /** Larger figures are taken for faulty. */
-  private static final double MAX_FIGURE = 1e9;
+  /** Metric values from this one upwards are considered invalid. */
+  private static final double MAX_METRIC_VALUE = 1e9;
 
-  private static final int FIGURES = 8;
+  private static final int METRIC_COUNT = 8;
 
   private LoadReportParser() {}
 
-  /** Reads {@code name=value} pairs; a figure that is missing or malformed is NaN. */
+  /** Parses {@code name=value} pairs; a metric that is missing or malformed is NaN. */
   static LoadReport parse(String text) {
-    double[] figures = new double[FIGURES];
-    Arrays.fill(figures, Double.NaN);
+    double[] metrics = new double[METRIC_COUNT];
+    Arrays.fill(metrics, Double.NaN);
     for (String pair : text.split(",", 0)) {
-      int equals = pair.indexOf('=');
-      int index = index(pair.substring(0, Math.max(0, equals)));
-      if (index >= 0) {
+      int equalsIndex = pair.indexOf('=');
+      int metricIndex = metricIndexOf(pair.substring(0, Math.max(0, equalsIndex)));
+      if (metricIndex >= 0) {
         try {
-          double figure = Double.parseDouble(pair.substring(equals + 1));
-          figures[index] = figure >= 0 && figure < MAX_FIGURE ? figure : Double.NaN;
+          double value = Double.parseDouble(pair.substring(equalsIndex + 1));
+          metrics[metricIndex] = value >= 0 && value < MAX_METRIC_VALUE ? value : Double.NaN;
         } catch (NumberFormatException e) {
-          // A malformed figure counts as not reported; an earlier one of the same name stays.
+          // A malformed metric is ignored; an earlier value of the same metric is kept.
         }
       }
     }
     return new LoadReport(
-        figures[0],
-        figures[1],
-        figures[2],
-        figures[3],
-        figures[4],
-        figures[5],
-        figures[6],
-        figures[7]);
+        metrics[0],
+        metrics[1],
+        metrics[2],
+        metrics[3],
+        metrics[4],
+        metrics[5],
+        metrics[6],
+        metrics[7]);
   }
 
-  /** The place of a figure in {@link LoadReport}, by either of its names; -1 for another. */
-  private static int index(String name) {
+  /** The index of a metric in {@link LoadReport}, by any of its names; -1 for other names. */
+  private static int metricIndexOf(String name) {
     return switch (name) {
       case "inflight", "active" -> 0;
       case "queue", "waiting" -> 1;
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaClientCodec.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaClientCodec.java
@@ -8,18 +8,17 @@
 import shalepaddle.front.RequestAdmission;
 import shalepaddle.model.Settings;
 
-/** The meta protocol as clients speak it. Owned by the event loop. */
+/** The meta protocol with clients: decodes commands and encodes responses. Owned by the loop. */
 public final class MetaClientCodec implements ClientCodec {
   private final MemoryBudget writeBudget;
   private final RequestNames names;
   private final RequestAdmission admission;
 
   /**
-   * The codec of one front.
+   * Creates the codec of one front.
    *
-   * @param writeBudget bounds the values of all writes that are open
-   * @param settings names the classes and tenants; requests of other classes are rejected by the
-   *     decoder
+   * @param writeBudget limits the memory for the values of all open writes
+   * @param settings the known classes and tenants; the decoder rejects requests of other classes
    * @param admission admits or rejects each request
    */
   public MetaClientCodec(MemoryBudget writeBudget, Settings settings, RequestAdmission admission) {
@@ -29,16 +28,17 @@
   }
 
   /**
-   * From now on requests are read by these settings, on all connections. Classes that are removed
-   * are still accepted until they expire; {@link #expireRemovedClasses} is due at that time.
+   * Applies new settings on all connections. Classes that are removed are still accepted until they
+   * expire; {@link #expireRemovedClasses} must be called at that time.
    *
-   * @param now the time by the loop's clock, as is {@code expireAtNanos}
+   * @param now the present time by the loop's clock
+   * @param expireAtNanos when removed classes expire, by the same clock
    */
   public void updateSettings(Settings settings, long now, long expireAtNanos) {
     names.update(settings, now, expireAtNanos);
   }
 
-  /** Rejects removed classes from now on, if they have expired. */
+  /** Stops accepting removed classes that have expired. */
   public void expireRemovedClasses(long now) {
     names.expireRemoved(now);
   }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaCommandDecoder.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaCommandDecoder.java
@@ -11,16 +11,16 @@
 import shalepaddle.front.RequestAdmission;
 
 /**
- * Decodes the commands on one client's connection. Requests of unknown classes are answered here,
- * so that no cache server has to reject them.
+ * Decodes the commands on one client's connection. Answers requests of unknown classes with an
+ * error, so that they are not forwarded to a cache server.
  */
 final class MetaCommandDecoder extends ClientCodec.CommandDecoder {
-  /** What comes next. */
+  /** The part of the stream that is expected next. */
   private enum State {
     LINE,
     /** The value of {@link #pendingWrite} and its CRLF. */
     VALUE,
-    /** It is not known where the next command begins: all further bytes are dropped. */
+    /** The start of the next command is not known: all further bytes are dropped. */
     DESYNCHRONIZED
   }
 
@@ -30,16 +30,16 @@
   private final MetaRequestParser parser;
   private State state = State.LINE;
 
-  /** The write whose value is being read; owned here until it is passed on. Null otherwise. */
+  /** The write whose value is being read, owned by the decoder until it is passed on; or null. */
   private ClientCommand pendingWrite;
 
-  /** Receives that value, owned by the pending write; null where the value is dropped. */
+  /** The payload of the pending write, which receives the value; null if the value is dropped. */
   private MetaPayload pendingPayload;
 
-  /** Bytes of the value, with its CRLF, that are still to come. */
+  /** The remaining bytes of the value, including its CRLF. */
   private int missingBytes;
 
-  /** Whether the next line was admitted already, so that it is not counted twice. */
+  /** Whether the next line was already admitted, so that it is not counted twice. */
   private boolean isAdmitted;
 
   MetaCommandDecoder(MemoryBudget budget, RequestNames names, RequestAdmission admission) {
@@ -75,7 +75,7 @@
     } catch (MetaLine.MalformedException e) {
       releaseWrite();
       state = State.DESYNCHRONIZED;
-      // A message without a byte read would be a decoder's fault to Netty.
+      // Netty treats a message that was decoded without reading a byte as a bug of the decoder.
       in.skipBytes(in.readableBytes());
       String line = WireNames.CLIENT_ERROR + " " + e.getMessage();
       out.add(ClientCommand.answer(MetaReplies.line(ctx.alloc(), line), true, true));
@@ -85,11 +85,11 @@
   private void decodeLine(ByteBufAllocator allocator, ByteBuf in, List<Object> out)
       throws MetaLine.MalformedException {
     if (!isAdmitted && admission.mayReject()) {
-      ClientCommand rejected = reject(allocator, in);
-      if (rejected != null) {
-        out.add(rejected);
+      ClientCommand rejectedRequests = reject(allocator, in);
+      if (rejectedRequests != null) {
+        out.add(rejectedRequests);
       }
-      if (rejected != null || state == State.VALUE) {
+      if (rejectedRequests != null || state == State.VALUE) {
         return;
       }
     }
@@ -104,34 +104,35 @@
   }
 
   /**
-   * Consumes lines as long as they are requests that are rejected. Stops at the first that is not,
-   * setting {@link #isAdmitted} if it was admitted, and after a rejected write, setting {@link
-   * State#VALUE}: its value is read and dropped before it is answered.
+   * Consumes lines as long as admission rejects the requests on them. Stops at the first other
+   * line, and sets {@link #isAdmitted} if that line is an admitted request. Also stops after a
+   * rejected write, and sets {@link State#VALUE}: the value is read and dropped before the write is
+   * answered.
    *
-   * @return the answers to rejected reads, all in one buffer; null if there are none
+   * @return the answers to rejected reads in one buffer, null if there are none
    */
   private ClientCommand reject(ByteBufAllocator allocator, ByteBuf in) {
     ByteBuf answers = null;
     Rejections rejections = Rejections.NONE;
     while (state == State.LINE) {
       int start = in.readerIndex();
-      int newline =
+      int newlineOffset =
           in.bytesBefore(Math.min(in.readableBytes(), MetaLine.MAX_LINE_BYTES), (byte) '\n');
-      if (newline < 1
-          || in.getByte(start + newline - 1) != '\r'
-          || !peek.read(in, start, start + newline - 1)) {
+      if (newlineOffset < 1
+          || in.getByte(start + newlineOffset - 1) != '\r'
+          || !peek.read(in, start, start + newlineOffset - 1)) {
         break;
       }
-      long verdict =
+      long admissionResult =
           admission.admit(
               peek.serviceClassIndex(), peek.tenantIndex(), peek.keyHash(), peek.isRetry());
-      if (verdict == RequestAdmission.ADMITTED) {
+      if (admissionResult == RequestAdmission.ADMITTED) {
         isAdmitted = true;
         break;
       }
-      long retryAfterMillis = verdict & ~RequestAdmission.RETRY;
-      int retries = verdict == retryAfterMillis ? 0 : 1;
-      in.skipBytes(newline + 1);
+      long retryAfterMillis = admissionResult & ~RequestAdmission.RETRY;
+      int retries = admissionResult == retryAfterMillis ? 0 : 1;
+      in.skipBytes(newlineOffset + 1);
       if (peek.isWrite()) {
         ByteBuf answer = allocator.buffer(MetaReplies.BUSY_LINE_BYTES);
         expectValue(
@@ -180,7 +181,7 @@
     }
   }
 
-  /** The command on a line. A write is not to be passed on before its value has come. */
+  /** Parses the command on a line. A write must not be passed on before its value is read. */
   private ClientCommand parse(ByteBufAllocator allocator, MetaLine line)
       throws MetaLine.MalformedException {
     line.next();
@@ -189,34 +190,35 @@
     }
     boolean isWrite = line.is(WireNames.WRITE);
     if (!isWrite && !line.is(WireNames.READ)) {
-      return error(allocator, WireNames.UNKNOWN_COMMAND);
+      return createError(allocator, WireNames.UNKNOWN_COMMAND);
     }
     parser.parseKey(line);
-    // Needed even if the rest is malformed: it tells where the next command begins.
+    // The length is needed even if the rest of the line is malformed: the next command starts
+    // after the value.
     int valueBytes = isWrite ? line.readValueLength() : 0;
     parser.parseFlags(line);
-    ClientCommand command = command(allocator, line, isWrite);
+    ClientCommand command = createCommand(allocator, line, isWrite);
     return isWrite ? beginWrite(allocator, command, valueBytes) : command;
   }
 
-  private ClientCommand command(ByteBufAllocator allocator, MetaLine line, boolean isWrite) {
+  private ClientCommand createCommand(ByteBufAllocator allocator, MetaLine line, boolean isWrite) {
     if (parser.error() != null) {
-      return error(allocator, WireNames.CLIENT_ERROR + " " + parser.error());
+      return createError(allocator, WireNames.CLIENT_ERROR + " " + parser.error());
     }
     if (!isAdmitted) {
-      // No request is rejected now: this only counts it.
+      // No request is rejected now: this call only counts the request.
       admission.admit(parser.serviceClassIndex(), parser.tenantIndex(), 0, parser.isRetry());
     }
     return ClientCommand.of(parser.request(isWrite), parser.payload(line, budget));
   }
 
-  /** Reserves memory for the value of a write, or rejects the write if there is none. */
+  /** Reserves memory for the value of a write; rejects the write if the budget is used up. */
   private ClientCommand beginWrite(
       ByteBufAllocator allocator, ClientCommand command, int valueBytes) {
     ClientCommand write = command;
     MetaPayload payload = null;
-    if (command.payload() instanceof MetaPayload own) {
-      payload = own.reserveValue(allocator, valueBytes) ? own : null;
+    if (command.payload() instanceof MetaPayload metaPayload) {
+      payload = metaPayload.reserveValue(allocator, valueBytes) ? metaPayload : null;
     }
     if (command.request() != null && payload == null) {
       admission.rejectedAfterAdmission(command.request().serviceClass());
@@ -228,7 +230,7 @@
     return write;
   }
 
-  private static ClientCommand error(ByteBufAllocator allocator, String line) {
+  private static ClientCommand createError(ByteBufAllocator allocator, String line) {
     return ClientCommand.answer(MetaReplies.line(allocator, line), true, false);
   }
 
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaLine.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaLine.java
@@ -3,15 +3,15 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** One line of the memcache text protocol, read token by token; spaces separate the tokens. */
+/** A line of the memcache text protocol, read token by token; tokens are separated by spaces. */
 public final class MetaLine {
-  /** Longest line taken, with its CRLF; well above a key of 250 bytes with its flags. */
+  /** Maximum length of a line with its CRLF; well above a key of 250 bytes with its flags. */
   public static final int MAX_LINE_BYTES = 2048;
 
-  /** Longest value taken or passed on. */
+  /** Maximum length of a value. */
   static final int MAX_VALUE_BYTES = 4 << 20;
 
-  /** Longest value that is buffered on its way to a client; larger ones are streamed. */
+  /** Maximum length of a server's value that is buffered; larger values are streamed. */
   static final int MAX_BUFFERED_VALUE_BYTES = 1 << 16;
 
   static final int CRLF_BYTES = 2;
@@ -26,7 +26,7 @@
     this.bytes = bytes;
   }
 
-  /** Takes the next complete line off the buffer, null if it has not all come. */
+  /** Reads the next line from the buffer; returns null if it is not complete yet. */
   static MetaLine read(ByteBuf in) throws MalformedException {
     int length = in.bytesBefore(Math.min(in.readableBytes(), MAX_LINE_BYTES), (byte) '\n');
     if (length < 0) {
@@ -43,7 +43,7 @@
     return new MetaLine(bytes);
   }
 
-  /** The line without its CRLF. Not to be changed. */
+  /** The line without its CRLF. Callers must not change it. */
   byte[] bytes() {
     return bytes;
   }
@@ -52,16 +52,16 @@
     return (char) (bytes[index] & 0xFF);
   }
 
-  /** The first index of the character from one index to another, the latter if there is none. */
-  int indexOf(char character, int from, int to) {
-    int index = from;
-    while (index < to && bytes[index] != character) {
+  /** The first index of the character between two indices; {@code toIndex} if there is none. */
+  int indexOf(char character, int fromIndex, int toIndex) {
+    int index = fromIndex;
+    while (index < toIndex && bytes[index] != character) {
       index++;
     }
     return index;
   }
 
-  /** Goes to the next token; false at the line's end. */
+  /** Moves to the next token; returns false at the end of the line. */
   boolean next() {
     while (position < bytes.length && bytes[position] == ' ') {
       position++;
@@ -71,17 +71,17 @@
     return position > tokenStart;
   }
 
-  /** The index of the token's first byte. */
+  /** The index of the first byte of the token. */
   int start() {
     return tokenStart;
   }
 
-  /** The index behind the token's last byte. */
+  /** The index after the last byte of the token. */
   int end() {
     return position;
   }
 
-  /** The first character of the token: a flag's name. */
+  /** The first character of the token, which is the name of a flag. */
   char flag() {
     return (char) bytes[tokenStart];
   }
@@ -90,35 +90,35 @@
     return matches(tokenStart, position, token);
   }
 
-  /** Whether the bytes from one index to another are this ASCII text. */
-  boolean matches(int from, int to, String text) {
-    if (to - from != text.length()) {
+  /** Whether the bytes between two indices equal this ASCII text. */
+  boolean matches(int fromIndex, int toIndex, String text) {
+    if (toIndex - fromIndex != text.length()) {
       return false;
     }
     for (int i = 0; i < text.length(); i++) {
-      if (bytes[from + i] != text.charAt(i)) {
+      if (bytes[fromIndex + i] != text.charAt(i)) {
         return false;
       }
     }
     return true;
   }
 
-  /** The token from the given offset on. */
+  /** The text of the token without its first {@code offset} characters. */
   String token(int offset) {
     return text(tokenStart + offset, position);
   }
 
-  String text(int from, int to) {
-    return new String(bytes, from, to - from, StandardCharsets.ISO_8859_1);
+  String text(int fromIndex, int toIndex) {
+    return new String(bytes, fromIndex, toIndex - fromIndex, StandardCharsets.ISO_8859_1);
   }
 
-  /** The decimal number from one index to another, -1 if it is none or has over nine digits. */
-  int number(int from, int to) {
-    if (from >= to || to - from > MAX_NUMBER_DIGITS) {
+  /** The decimal number between two indices, -1 if it is malformed or has over nine digits. */
+  int number(int fromIndex, int toIndex) {
+    if (fromIndex >= toIndex || toIndex - fromIndex > MAX_NUMBER_DIGITS) {
       return -1;
     }
     int number = 0;
-    for (int i = from; i < to; i++) {
+    for (int i = fromIndex; i < toIndex; i++) {
       int digit = bytes[i] - '0';
       if (digit < 0 || digit > 9) {
         return -1;
@@ -130,14 +130,14 @@
 
   /** Reads the next token as the length of a value, in bytes. */
   int readValueLength() throws MalformedException {
-    int length = next() ? number(tokenStart, position) : -1;
-    if (length < 0 || length > MAX_VALUE_BYTES) {
+    int valueBytes = next() ? number(tokenStart, position) : -1;
+    if (valueBytes < 0 || valueBytes > MAX_VALUE_BYTES) {
       throw new MalformedException("bad data length");
     }
-    return length;
+    return valueBytes;
   }
 
-  /** Whether the token has no control characters, as a key and an id must not. */
+  /** Whether the token is not empty and has no control characters, as required for keys and ids. */
   boolean isTokenPrintable() {
     for (int i = tokenStart; i < position; i++) {
       if ((bytes[i] <= ' ' && bytes[i] >= 0) || bytes[i] == 0x7F) {
@@ -147,21 +147,21 @@
     return tokenStart < position;
   }
 
-  /** Takes the CRLF after a value off the buffer, which has at least two bytes. */
+  /** Reads the CRLF after a value from the buffer, which must have at least two bytes. */
   static void readEnd(ByteBuf in) throws MalformedException {
     if (in.readByte() != '\r' || in.readByte() != '\n') {
       throw new MalformedException("bad data chunk");
     }
   }
 
-  /** The peer broke the protocol, and it is not known where its next message begins. */
+  /** Thrown if the peer breaks the protocol and the start of its next message is not known. */
   static final class MalformedException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
-     * A fault without a stack trace: peers can cause many.
+     * Creates an exception without a stack trace, since a faulty peer can cause many of them.
      *
-     * @param message part of the answer to a client, or of the log line about a server
+     * @param message part of the answer to a client or of the log line about a server
      */
     MalformedException(String message) {
       super(message, null, false, false);
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaLinePeek.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaLinePeek.java
@@ -3,12 +3,12 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Reads from a command line in the buffer, without copying, what admission needs: class, tenant,
- * key and whether it is a retry. So a request that is rejected costs less than one that is served:
- * nothing is allocated and nothing is validated that the rejection does not need.
+ * Extracts the properties that admission needs from a command line in the buffer, without copying:
+ * class, tenant, key and whether the request is a retry. Keeps a rejected request cheaper than a
+ * served one: allocates nothing, and validates only what the rejection needs.
  *
- * <p>Belongs to one decoder; the getters tell of the line that was read last. A line whose class it
- * does not know is left to the decoder, which tells the client what is wrong.
+ * <p>Belongs to one decoder; the getters refer to the line that was read last. A line with an
+ * unknown class is left to the decoder, which reports the error to the client.
  */
 final class MetaLinePeek {
   private static final long FNV_OFFSET_BASIS = 0xCBF29CE484222325L;
@@ -27,12 +27,12 @@
     this.names = names;
   }
 
-  /** The index of the class in the settings, -1 for none that is known. */
+  /** The index of the class in the settings, -1 if it is unknown. */
   int serviceClassIndex() {
     return serviceClassIndex;
   }
 
-  /** The index of the tenant in the settings, -1 for none that is known. */
+  /** The index of the tenant in the settings, -1 if it is unknown. */
   int tenantIndex() {
     return tenantIndex;
   }
@@ -50,15 +50,15 @@
     return valueBytes != NONE;
   }
 
-  /** The length of that value without its CRLF. */
+  /** The length of the value without its CRLF. */
   int valueBytes() {
     return valueBytes;
   }
 
   /**
-   * Reads the line from one index to another, without its CRLF.
+   * Reads the line between two indices, without its CRLF.
    *
-   * @return whether it is a request of a known class
+   * @return whether the line is a request of a known class
    */
   boolean read(ByteBuf in, int start, int end) {
     serviceClassIndex = NONE;
@@ -69,21 +69,21 @@
     if (!isWrite && !startsWith(in, start, end, WireNames.READ)) {
       return false;
     }
-    int at = skipSpaces(in, start + 3, end);
-    int tokenEnd = tokenEnd(in, at, end);
-    keyHash = hash(in, at, tokenEnd);
+    int index = skipSpaces(in, start + 3, end);
+    int tokenEnd = tokenEnd(in, index, end);
+    keyHash = hash(in, index, tokenEnd);
     if (isWrite) {
-      at = skipSpaces(in, tokenEnd, end);
-      tokenEnd = tokenEnd(in, at, end);
-      valueBytes = number(in, at, tokenEnd);
+      index = skipSpaces(in, tokenEnd, end);
+      tokenEnd = tokenEnd(in, index, end);
+      valueBytes = parseNumber(in, index, tokenEnd);
       if (valueBytes < 0 || valueBytes > MetaLine.MAX_VALUE_BYTES) {
         return false;
       }
     }
-    while ((at = skipSpaces(in, tokenEnd, end)) < end) {
-      tokenEnd = tokenEnd(in, at, end);
-      if (in.getByte(at) == WireNames.PROPERTIES) {
-        readProperties(in, at + 1, tokenEnd);
+    while ((index = skipSpaces(in, tokenEnd, end)) < end) {
+      tokenEnd = tokenEnd(in, index, end);
+      if (in.getByte(index) == WireNames.PROPERTIES) {
+        readProperties(in, index + 1, tokenEnd);
       }
     }
     return serviceClassIndex >= 0;
@@ -98,54 +98,56 @@
   }
 
   private void readProperties(ByteBuf in, int start, int end) {
-    int from = start;
-    while (from < end) {
-      int to = indexOf(in, WireNames.PROPERTY_SEPARATOR, from, end);
-      if (to - from > 2 && in.getByte(from + 1) == WireNames.PROPERTY_VALUE) {
-        readProperty(in, (char) in.getByte(from), from + 2, to);
+    int propertyStart = start;
+    while (propertyStart < end) {
+      int propertyEnd = indexOf(in, WireNames.PROPERTY_SEPARATOR, propertyStart, end);
+      if (propertyEnd - propertyStart > 2
+          && in.getByte(propertyStart + 1) == WireNames.PROPERTY_VALUE) {
+        readProperty(in, (char) in.getByte(propertyStart), propertyStart + 2, propertyEnd);
       }
-      from = to + 1;
+      propertyStart = propertyEnd + 1;
     }
   }
 
-  private void readProperty(ByteBuf in, char name, int from, int to) {
+  private void readProperty(ByteBuf in, char name, int fromIndex, int toIndex) {
     switch (name) {
-      case WireNames.SERVICE_CLASS -> serviceClassIndex = names.classes().find(in, from, to);
-      case WireNames.TENANT -> tenantIndex = names.tenants().find(in, from, to);
-      case WireNames.RETRY -> isRetry = to - from == 1 && in.getByte(from) == '1';
+      case WireNames.SERVICE_CLASS ->
+          serviceClassIndex = names.classes().find(in, fromIndex, toIndex);
+      case WireNames.TENANT -> tenantIndex = names.tenants().find(in, fromIndex, toIndex);
+      case WireNames.RETRY -> isRetry = toIndex - fromIndex == 1 && in.getByte(fromIndex) == '1';
       default -> {
-        // Admission does not need it.
+        // Admission does not need other properties.
       }
     }
   }
 
-  private static int skipSpaces(ByteBuf in, int from, int end) {
-    int at = from;
-    while (at < end && in.getByte(at) == ' ') {
-      at++;
+  private static int skipSpaces(ByteBuf in, int fromIndex, int end) {
+    int index = fromIndex;
+    while (index < end && in.getByte(index) == ' ') {
+      index++;
     }
-    return at;
+    return index;
   }
 
-  private static int tokenEnd(ByteBuf in, int from, int end) {
-    return indexOf(in, ' ', from, end);
+  private static int tokenEnd(ByteBuf in, int fromIndex, int end) {
+    return indexOf(in, ' ', fromIndex, end);
   }
 
-  private static int indexOf(ByteBuf in, char character, int from, int end) {
-    int at = from;
-    while (at < end && in.getByte(at) != character) {
-      at++;
+  private static int indexOf(ByteBuf in, char character, int fromIndex, int end) {
+    int index = fromIndex;
+    while (index < end && in.getByte(index) != character) {
+      index++;
     }
-    return at;
+    return index;
   }
 
-  /** As {@link MetaLine#number}, on the buffer. */
-  private static int number(ByteBuf in, int from, int to) {
-    if (from >= to || to - from > 9) {
+  /** The decimal number between two indices of the buffer, see {@link MetaLine#number}. */
+  private static int parseNumber(ByteBuf in, int fromIndex, int toIndex) {
+    if (fromIndex >= toIndex || toIndex - fromIndex > 9) {
       return NONE;
     }
     int number = 0;
-    for (int i = from; i < to; i++) {
+    for (int i = fromIndex; i < toIndex; i++) {
       int digit = in.getByte(i) - '0';
       if (digit < 0 || digit > 9) {
         return NONE;
@@ -155,10 +157,13 @@
     return number;
   }
 
-  /** FNV-1a, 64 bits. Admission mixes it again. */
-  private static long hash(ByteBuf in, int from, int to) {
+  /**
+   * The 64-bit FNV-1a hash of the bytes between two indices. Admission hashes it again together
+   * with the service class, so its bits need not be distributed evenly.
+   */
+  private static long hash(ByteBuf in, int fromIndex, int toIndex) {
     long hash = FNV_OFFSET_BASIS;
-    for (int i = from; i < to; i++) {
+    for (int i = fromIndex; i < toIndex; i++) {
       hash = (hash ^ (in.getByte(i) & 0xFF)) * FNV_PRIME;
     }
     return hash;
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaPayload.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaPayload.java
@@ -7,8 +7,9 @@
 import shalepaddle.engine.Payload;
 
 /**
- * A meta command as its client sent it. A write keeps its value until the request has ended, for
- * retries; the budget bounds the values of all writes. Owned by the engine from the submit on.
+ * A meta command as its client sent it. The value of a write is retained until the request has
+ * ended, for retries; the budget limits the values of all writes. Owned by the engine once it is
+ * submitted.
  */
 final class MetaPayload implements Payload {
   private final byte[] line;
@@ -16,10 +17,17 @@
   private final int deadlineEnd;
   private final MemoryBudget budget;
 
-  /** The value with its CRLF, owned here; null for a read, or once it is released. */
-  private ByteBuf block;
+  /** The value with its CRLF, owned by this payload; null for a read, or once it is released. */
+  private ByteBuf valueBlock;
 
-  /** The line without its CRLF, and from where to where in it the deadline's number is. */
+  /**
+   * Creates a payload without a value.
+   *
+   * @param line the command line without its CRLF
+   * @param deadlineStart the index of the deadline's first digit in the line
+   * @param deadlineEnd the index after the deadline's last digit
+   * @param budget limits the values of all writes
+   */
   MetaPayload(byte[] line, int deadlineStart, int deadlineEnd, MemoryBudget budget) {
     this.line = line;
     this.deadlineStart = deadlineStart;
@@ -27,50 +35,54 @@
     this.budget = budget;
   }
 
-  /** Reserves memory for a value of this length; false if the budget has none left. */
-  boolean reserveValue(ByteBufAllocator allocator, int length) {
-    if (!budget.reserve(length + MetaLine.CRLF_BYTES)) {
+  /** Reserves memory for a value of this size; returns false if the budget is used up. */
+  boolean reserveValue(ByteBufAllocator allocator, int valueBytes) {
+    if (!budget.reserve(valueBytes + MetaLine.CRLF_BYTES)) {
       return false;
     }
-    block = allocator.buffer(length + MetaLine.CRLF_BYTES, length + MetaLine.CRLF_BYTES);
+    valueBlock =
+        allocator.buffer(valueBytes + MetaLine.CRLF_BYTES, valueBytes + MetaLine.CRLF_BYTES);
     return true;
   }
 
   /** Copies the next {@code bytes} bytes of the value. */
   void appendValue(ByteBuf in, int bytes) {
-    block.writeBytes(in, bytes);
+    valueBlock.writeBytes(in, bytes);
   }
 
-  /** The value is complete. */
+  /** Appends the CRLF that ends the value. */
   void endValue() {
-    block.writeShort(MetaReplies.CRLF);
+    valueBlock.writeShort(MetaReplies.CRLF);
   }
 
   @Override
   public ByteBuf value() {
-    return block == null ? null : block.slice(0, block.readableBytes() - MetaLine.CRLF_BYTES);
+    return valueBlock == null
+        ? null
+        : valueBlock.slice(0, valueBlock.readableBytes() - MetaLine.CRLF_BYTES);
   }
 
   /**
-   * The bytes for a cache server, which belong to the caller: the client's own, but with the
-   * time-out of this node as the deadline.
+   * Encodes the request for a cache server: the bytes that the client sent, with this node's
+   * time-out as the deadline. The caller owns the returned bytes.
    */
   ByteBuf encode(ByteBufAllocator allocator, long timeoutMillis) {
-    byte[] deadline = Long.toString(Math.max(1, timeoutMillis)).getBytes(StandardCharsets.US_ASCII);
-    ByteBuf head = allocator.buffer(line.length + deadline.length + MetaLine.CRLF_BYTES);
-    head.writeBytes(line, 0, deadlineStart).writeBytes(deadline);
+    byte[] deadlineDigits =
+        Long.toString(Math.max(1, timeoutMillis)).getBytes(StandardCharsets.US_ASCII);
+    ByteBuf head = allocator.buffer(line.length + deadlineDigits.length + MetaLine.CRLF_BYTES);
+    head.writeBytes(line, 0, deadlineStart).writeBytes(deadlineDigits);
     head.writeBytes(line, deadlineEnd, line.length - deadlineEnd).writeShort(MetaReplies.CRLF);
-    return block == null
+    return valueBlock == null
         ? head
-        : allocator.compositeBuffer(2).addComponents(true, head, block.retainedDuplicate());
+        : allocator.compositeBuffer(2).addComponents(true, head, valueBlock.retainedDuplicate());
   }
 
   @Override
   public void release() {
-    if (block != null) {
-      budget.release(block.capacity());
-      block.release();
-      block = null;
+    if (valueBlock != null) {
+      budget.release(valueBlock.capacity());
+      valueBlock.release();
+      valueBlock = null;
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaReplies.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaReplies.java
@@ -6,11 +6,12 @@
 import io.netty.buffer.Unpooled;
 import shalepaddle.engine.Reply;
 
-/** Encodes responses to clients. The caller owns the bytes that are returned. */
+/** Encodes responses to clients. The caller owns the returned bytes. */
 public final class MetaReplies {
   /**
-   * A value up to this size is copied behind its line: one buffer costs less than three, and the
-   * buffer that it was read into is not retained for a slow reader. A larger one is not copied.
+   * A value up to this size is copied after its line: one buffer costs less than three, and the
+   * buffer that the value was read into is not retained for a slow reader. Larger values are not
+   * copied.
    */
   private static final int MAX_COPIED_VALUE_BYTES = 2048;
 
@@ -20,22 +21,22 @@
   private static final ByteBuf CRLF_BUFFER =
       Unpooled.unreleasableBuffer(Unpooled.wrappedBuffer(new byte[] {'\r', '\n'}).asReadOnly());
 
-  /** Length of a rejection with a Retry-After of up to ten seconds. */
+  /** Length of a rejection with a Retry-After below ten seconds, in bytes. */
   static final int BUSY_LINE_BYTES = 24;
 
   private static final String BUSY = WireNames.SERVER_ERROR + " " + WireNames.BUSY;
 
   private MetaReplies() {}
 
-  /** The bytes of a reply, of a streamed value the head alone. A value in it belongs to this. */
+  /** Encodes a reply; of a streamed value only the head. Takes ownership of the reply's value. */
   public static ByteBuf encode(ByteBufAllocator allocator, String id, Reply reply) {
-    if (reply instanceof Reply.Value served) {
-      return value(allocator, id, served.value());
+    if (reply instanceof Reply.Value valueReply) {
+      return encodeValue(allocator, id, valueReply.value());
     }
-    if (reply instanceof Reply.Streamed streamed) {
-      return valueHead(allocator.buffer(id.length() + 16), id, streamed.length());
+    if (reply instanceof Reply.Streamed streamedReply) {
+      return appendValueHead(allocator.buffer(id.length() + 16), id, streamedReply.length());
     }
-    if (reply instanceof Reply.Receipt written) {
+    if (reply instanceof Reply.Receipt receiptReply) {
       return line(
           allocator,
           WireNames.STORED
@@ -44,15 +45,15 @@
               + id
               + " "
               + WireNames.RECEIPT
-              + written.receipt());
+              + receiptReply.receipt());
     }
-    if (reply instanceof Reply.Rejected rejected) {
-      return busy(allocator.buffer(BUSY_LINE_BYTES), rejected.retryAfterMillis());
+    if (reply instanceof Reply.Rejected rejection) {
+      return busy(allocator.buffer(BUSY_LINE_BYTES), rejection.retryAfterMillis());
     }
     return line(allocator, WireNames.SERVER_ERROR + " " + WireNames.FAILED);
   }
 
-  /** Appends a rejection; a Retry-After of 0 is left out. Returns the bytes given. */
+  /** Appends a rejection and returns {@code bytes}. A Retry-After of 0 is omitted. */
   static ByteBuf busy(ByteBuf bytes, long retryAfterMillis) {
     ByteBufUtil.writeAscii(bytes, BUSY);
     if (retryAfterMillis > 0) {
@@ -62,34 +63,34 @@
     return bytes.writeShort(CRLF);
   }
 
-  /** A line of ASCII text with its CRLF. */
+  /** Encodes a line of ASCII text with its CRLF. */
   public static ByteBuf line(ByteBufAllocator allocator, String text) {
     ByteBuf line = allocator.buffer(text.length() + 2);
     ByteBufUtil.writeAscii(line, text);
     return line.writeShort(CRLF);
   }
 
-  /** What follows the last chunk of a streamed value. */
+  /** Returns the bytes that follow the last chunk of a streamed value. */
   static ByteBuf streamEnd() {
     return CRLF_BUFFER.duplicate();
   }
 
-  private static ByteBuf valueHead(ByteBuf head, String id, int length) {
+  private static ByteBuf appendValueHead(ByteBuf head, String id, int valueBytes) {
     ByteBufUtil.writeAscii(head, WireNames.VALUE + " ");
-    ByteBufUtil.writeAscii(head, Integer.toString(length));
+    ByteBufUtil.writeAscii(head, Integer.toString(valueBytes));
     ByteBufUtil.writeAscii(head, " " + WireNames.REQUEST_ID);
     ByteBufUtil.writeAscii(head, id);
     return head.writeShort(CRLF);
   }
 
-  private static ByteBuf value(ByteBufAllocator allocator, String id, ByteBuf value) {
-    int length = value.readableBytes();
-    boolean isCopied = length <= MAX_COPIED_VALUE_BYTES;
-    ByteBuf head = allocator.buffer(id.length() + 16 + (isCopied ? length + 2 : 0));
-    valueHead(head, id, length);
+  private static ByteBuf encodeValue(ByteBufAllocator allocator, String id, ByteBuf value) {
+    int valueBytes = value.readableBytes();
+    boolean isCopied = valueBytes <= MAX_COPIED_VALUE_BYTES;
+    ByteBuf head = allocator.buffer(id.length() + 16 + (isCopied ? valueBytes + 2 : 0));
+    appendValueHead(head, id, valueBytes);
     if (isCopied) {
       try {
-        return head.writeBytes(value, value.readerIndex(), length).writeShort(CRLF);
+        return head.writeBytes(value, value.readerIndex(), valueBytes).writeShort(CRLF);
       } finally {
         value.release();
       }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaReplyDecoder.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaReplyDecoder.java
@@ -11,17 +11,16 @@
 import shalepaddle.upstream.ServerCodec;
 
 /**
- * Decodes the replies on one cache server's connection. A reply that is malformed in its line, its
- * length or its end corrupts the connection: nothing more is read from it, since a client could be
- * served with the bytes that follow.
+ * Decodes the replies on one cache server's connection. After a reply with a malformed line, length
+ * or end, all further bytes are dropped, since they could otherwise be served to a client.
  */
 final class MetaReplyDecoder extends ServerCodec.ReplyDecoder {
-  /** What comes next. */
+  /** The part of the stream that is expected next. */
   private enum State {
     LINE,
-    /** The value of {@link #head}, which is passed on complete. */
+    /** The value of the reply {@link #head}, which is passed on when the value is complete. */
     VALUE,
-    /** Chunks of a value that is streamed, and its CRLF. */
+    /** Chunks of a streamed value, and its CRLF. */
     STREAM,
     /** A malformed reply was read: all further bytes are dropped. */
     CORRUPTED
@@ -32,7 +31,7 @@
   /** The reply whose value is being read, without the value. */
   private ServerReply head;
 
-  /** Length of the value; the bytes missing while streaming; -1 for a reply without a value. */
+  /** Length of the value, or its remaining bytes while streaming; -1 if the reply has no value. */
   private int valueBytes;
 
   @Override
@@ -90,7 +89,7 @@
     state = State.LINE;
   }
 
-  /** Passes on what has come of a streamed value, or its end. */
+  /** Passes on the received bytes of a streamed value, or its end. */
   private void decodeChunk(ByteBuf in, List<Object> out) throws MetaLine.MalformedException {
     if (valueBytes > 0) {
       int bytes = Math.min(valueBytes, in.readableBytes());
@@ -104,7 +103,7 @@
     }
   }
 
-  /** Parses a reply's line, and sets {@link #valueBytes}. */
+  /** Parses the line of a reply and sets {@link #valueBytes}. */
   private ServerReply parse(MetaLine line) throws MetaLine.MalformedException {
     line.next();
     Outcome.Result result = Outcome.Result.OK;
@@ -125,7 +124,7 @@
 
   private static Outcome.Result parseError(MetaLine line) throws MetaLine.MalformedException {
     if (!line.next()) {
-      throw new MetaLine.MalformedException("error without a word");
+      throw new MetaLine.MalformedException("SERVER_ERROR without an error code");
     }
     return line.is(WireNames.BUSY) ? Outcome.Result.SERVER_BUSY : Outcome.Result.ERROR;
   }
@@ -133,31 +132,32 @@
   private static ServerReply parseFlags(MetaLine line, Outcome.Result result) {
     String id = null;
     String receipt = null;
-    Outcome.CacheStatus note = Outcome.CacheStatus.NONE;
+    Outcome.CacheStatus cacheStatus = Outcome.CacheStatus.NONE;
     LoadReport load = null;
     while (line.next()) {
       switch (line.flag()) {
         case WireNames.REQUEST_ID -> id = line.token(1);
         case WireNames.RECEIPT -> receipt = line.token(1);
         case WireNames.CACHE_LOOKUP ->
-            note =
+            cacheStatus =
                 line.is(WireNames.CACHE_HIT) ? Outcome.CacheStatus.HIT : Outcome.CacheStatus.MISS;
-        case WireNames.FETCH_PENDING -> note = Outcome.CacheStatus.MISS_PENDING;
+        case WireNames.FETCH_PENDING -> cacheStatus = Outcome.CacheStatus.MISS_PENDING;
         case WireNames.LOAD_REPORT -> load = LoadReportParser.parse(line.token(1));
         default -> {
-          // Not used by this node.
+          // This node does not use other flags.
         }
       }
     }
-    return new ServerReply(result, id, receipt, null, note, load);
+    return new ServerReply(result, id, receipt, null, cacheStatus, load);
   }
 
   private void checkComplete(ServerReply reply) throws MetaLine.MalformedException {
     if (reply.id() == null) {
-      throw new MetaLine.MalformedException("reply without an id");
+      throw new MetaLine.MalformedException("reply without a request id");
     }
     if (valueBytes < 0 && (reply.receipt() == null || reply.receipt().isEmpty())) {
-      throw new MetaLine.MalformedException("reply without a receipt");
+      throw new MetaLine.MalformedException(
+          "HD reply without the token that confirms the write (flag c)");
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaRequestParser.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaRequestParser.java
@@ -4,16 +4,16 @@
 import shalepaddle.model.Request;
 
 /**
- * Parses the key and flags of one command line after another. Belongs to one decoder; its getters
- * tell of the line that was parsed last.
+ * Parses the key and flags of command lines. Belongs to one decoder; the getters refer to the line
+ * that was parsed last.
  */
 final class MetaRequestParser {
-  /** Longest key, as in memcached. */
+  /** Maximum length of a key, as in memcached. */
   private static final int MAX_KEY_BYTES = 250;
 
   private static final int MAX_ID_BYTES = 64;
 
-  /** Longer deadlines are rejected: this bounds for how long a request can use memory. */
+  /** Longer deadlines are rejected, to bound how long a request can occupy memory. */
   private static final int MAX_DEADLINE_MILLIS = 60_000;
 
   private static final double MILLIS_PER_SECOND = 1e3;
@@ -38,12 +38,12 @@
     this.names = names;
   }
 
-  /** Begins a line: reads the key, which is its next token. */
+  /** Resets the parser and parses the key, which is the next token of the line. */
   void parseKey(MetaLine line) {
-    boolean isValid =
+    boolean isKeyValid =
         line.next() && line.end() - line.start() <= MAX_KEY_BYTES && line.isTokenPrintable();
-    key = isValid ? line.token(0) : null;
-    error = isValid ? null : "bad key";
+    key = isKeyValid ? line.token(0) : null;
+    error = isKeyValid ? null : "bad key";
     id = null;
     serviceClass = null;
     serviceClassIndex = -1;
@@ -57,7 +57,7 @@
     sizeBytes = 0;
   }
 
-  /** Reads the rest of the line. */
+  /** Parses the rest of the line. */
   void parseFlags(MetaLine line) {
     while (line.next()) {
       if (!line.isTokenPrintable()) {
@@ -69,12 +69,12 @@
       }
     }
     if (error == null) {
-      error = missing();
+      error = requiredPartError();
     }
   }
 
-  /** What the request lacks, null if it is complete. */
-  private String missing() {
+  /** The error if a required part of the request is missing or invalid, otherwise null. */
+  private String requiredPartError() {
     if (id == null || id.isEmpty()) {
       return "bad or missing id";
     }
@@ -86,45 +86,45 @@
   }
 
   private void parseProperties(MetaLine line) {
-    int from = line.start() + 1;
-    while (from < line.end()) {
-      int to = line.indexOf(WireNames.PROPERTY_SEPARATOR, from, line.end());
-      int nameEnd = line.indexOf(WireNames.PROPERTY_VALUE, from, to);
-      int value = Math.min(nameEnd + 1, to);
-      if (nameEnd - from == 1) {
-        parseProperty(line, line.charAt(from), value, to);
-      } else if (line.matches(from, nameEnd, WireNames.VALUE_SIZE)) {
-        sizeBytes = Math.max(0, line.number(value, to));
+    int propertyStart = line.start() + 1;
+    while (propertyStart < line.end()) {
+      int propertyEnd = line.indexOf(WireNames.PROPERTY_SEPARATOR, propertyStart, line.end());
+      int nameEnd = line.indexOf(WireNames.PROPERTY_VALUE, propertyStart, propertyEnd);
+      int valueStart = Math.min(nameEnd + 1, propertyEnd);
+      if (nameEnd - propertyStart == 1) {
+        parseProperty(line, line.charAt(propertyStart), valueStart, propertyEnd);
+      } else if (line.matches(propertyStart, nameEnd, WireNames.VALUE_SIZE)) {
+        sizeBytes = Math.max(0, line.number(valueStart, propertyEnd));
       }
-      from = to + 1;
+      propertyStart = propertyEnd + 1;
     }
   }
 
-  private void parseProperty(MetaLine line, char name, int from, int to) {
+  private void parseProperty(MetaLine line, char name, int fromIndex, int toIndex) {
     switch (name) {
       case WireNames.SERVICE_CLASS -> {
-        serviceClassIndex = names.classes().find(line.bytes(), from, to);
-        serviceClass = serviceClassIndex < 0 ? null : line.text(from, to);
+        serviceClassIndex = names.classes().find(line.bytes(), fromIndex, toIndex);
+        serviceClass = serviceClassIndex < 0 ? null : line.text(fromIndex, toIndex);
       }
       case WireNames.TENANT -> {
-        tenantIndex = names.tenants().find(line.bytes(), from, to);
-        tenant = line.text(from, to);
+        tenantIndex = names.tenants().find(line.bytes(), fromIndex, toIndex);
+        tenant = line.text(fromIndex, toIndex);
       }
       case WireNames.DEADLINE_MILLIS -> {
-        deadlineStart = from;
-        deadlineEnd = to;
-        deadlineMillis = line.number(from, to);
+        deadlineStart = fromIndex;
+        deadlineEnd = toIndex;
+        deadlineMillis = line.number(fromIndex, toIndex);
       }
-      case WireNames.RETRY -> isRetry = line.number(from, to) == 1;
+      case WireNames.RETRY -> isRetry = line.number(fromIndex, toIndex) == 1;
       case WireNames.WORK_MICROS ->
-          workSeconds = Math.max(0, line.number(from, to)) / MICROS_PER_SECOND;
+          workSeconds = Math.max(0, line.number(fromIndex, toIndex)) / MICROS_PER_SECOND;
       default -> {
-        // Meant for the cache server, which gets all of them unchanged.
+        // Other properties are meant for the cache server, which receives all of them unchanged.
       }
     }
   }
 
-  /** What is wrong with the line, for its client; null if it is a valid request. */
+  /** The error to report to the client, null if the line is a valid request. */
   String error() {
     return error;
   }
@@ -134,7 +134,7 @@
     return serviceClassIndex;
   }
 
-  /** The index of the tenant in the settings, -1 for none that is known. */
+  /** The index of the tenant in the settings, -1 if it is unknown. */
   int tenantIndex() {
     return tenantIndex;
   }
@@ -143,7 +143,7 @@
     return isRetry;
   }
 
-  /** The request; only for a line without an error. */
+  /** The request. Only valid for a line without an error. */
   Request request(boolean isWrite) {
     return new Request(
         id,
@@ -157,7 +157,7 @@
         isWrite);
   }
 
-  /** What is forwarded of the line; only for a line without an error. */
+  /** The payload to forward. Only valid for a line without an error. */
   MetaPayload payload(MetaLine line, MemoryBudget budget) {
     return new MetaPayload(line.bytes(), deadlineStart, deadlineEnd, budget);
   }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaServerCodec.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaServerCodec.java
@@ -8,7 +8,7 @@
 import shalepaddle.model.Request;
 import shalepaddle.upstream.ServerCodec;
 
-/** The meta protocol as cache servers speak it. Stateless. */
+/** The meta protocol with cache servers: encodes requests and decodes replies. Stateless. */
 public final class MetaServerCodec implements ServerCodec {
   @Override
   public ReplyDecoder decoder() {
@@ -17,12 +17,12 @@
 
   @Override
   public ByteBuf encode(ByteBufAllocator allocator, Call call, long timeoutMillis) {
-    return call.payload() instanceof MetaPayload own
-        ? own.encode(allocator, timeoutMillis)
+    return call.payload() instanceof MetaPayload metaPayload
+        ? metaPayload.encode(allocator, timeoutMillis)
         : compose(allocator, call, Math.max(1, timeoutMillis));
   }
 
-  /** Encodes a request that came in another protocol, or in none. The value is retained. */
+  /** Encodes a request that was not received in the meta protocol. Retains the value. */
   private static ByteBuf compose(ByteBufAllocator allocator, Call call, long timeoutMillis) {
     Request request = call.request();
     ByteBuf value = call.payload().value();
@@ -53,9 +53,9 @@
     if (!request.write()) {
       return head;
     }
-    ByteBuf end = allocator.buffer(2).writeShort(MetaReplies.CRLF);
-    ByteBuf block = value == null ? Unpooled.EMPTY_BUFFER : value.retainedDuplicate();
-    return allocator.compositeBuffer(3).addComponents(true, head, block, end);
+    ByteBuf crlf = allocator.buffer(2).writeShort(MetaReplies.CRLF);
+    ByteBuf valueBlock = value == null ? Unpooled.EMPTY_BUFFER : value.retainedDuplicate();
+    return allocator.compositeBuffer(3).addComponents(true, head, valueBlock, crlf);
   }
 
   private static StringBuilder appendProperty(StringBuilder line, char name) {
--- a/engine/src/main/java/shalepaddle/codec/meta/NameTable.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/NameTable.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Finds known names by their bytes, without allocating a string. Immutable. */
+/** Looks up known names by their bytes, without allocating a string. Immutable. */
 final class NameTable {
   private final byte[][] names;
 
@@ -16,29 +16,29 @@
             .toArray(byte[][]::new);
   }
 
-  /** The index of the name in the list, -1 if it is not known. */
-  int find(byte[] line, int from, int to) {
+  /** Finds the name between two indices of the line; returns its index, -1 if it is unknown. */
+  int find(byte[] line, int fromIndex, int toIndex) {
     for (int i = 0; i < names.length; i++) {
-      if (Arrays.equals(names[i], 0, names[i].length, line, from, to)) {
+      if (Arrays.equals(names[i], 0, names[i].length, line, fromIndex, toIndex)) {
         return i;
       }
     }
     return -1;
   }
 
-  /** The index of the name in the list, -1 if it is not known. */
-  int find(ByteBuf line, int from, int to) {
+  /** Finds the name between two indices of the line; returns its index, -1 if it is unknown. */
+  int find(ByteBuf line, int fromIndex, int toIndex) {
     for (int i = 0; i < names.length; i++) {
-      if (names[i].length == to - from && matches(names[i], line, from)) {
+      if (names[i].length == toIndex - fromIndex && matches(names[i], line, fromIndex)) {
         return i;
       }
     }
     return -1;
   }
 
-  private static boolean matches(byte[] name, ByteBuf line, int from) {
+  private static boolean matches(byte[] name, ByteBuf line, int fromIndex) {
     for (int i = 0; i < name.length; i++) {
-      if (line.getByte(from + i) != name[i]) {
+      if (line.getByte(fromIndex + i) != name[i]) {
         return false;
       }
     }
--- a/engine/src/main/java/shalepaddle/codec/meta/RequestNames.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/RequestNames.java
@@ -5,53 +5,53 @@
 import shalepaddle.model.Settings;
 
 /**
- * The service classes and tenants that requests may name, for all connections of one front. The
- * index of a name is that in the settings; classes that were removed lately come behind the last.
- * Owned by the event loop.
+ * The service classes and tenants that requests may specify, for all connections of one front. The
+ * index of a name is its index in the settings; recently removed classes follow the last class of
+ * the settings. Owned by the event loop.
  */
 final class RequestNames {
   private NameTable classes;
   private NameTable tenants;
-  private List<String> current;
+  private List<String> currentClasses;
 
-  /** Classes that were removed and are still accepted. */
-  private List<String> removed = List.of();
+  /** Classes that were removed but are still accepted. */
+  private List<String> removedClasses = List.of();
 
-  /** Until when, by the loop's clock. */
-  private long removedExpireAtNanos;
+  /** When removed classes are no longer accepted, by the loop's clock. */
+  private long removedClassesExpireAtNanos;
 
   RequestNames(Settings settings) {
     apply(settings);
   }
 
   private void apply(Settings settings) {
-    current = settings.services().stream().map(Settings.ServiceClass::name).toList();
+    currentClasses = settings.services().stream().map(Settings.ServiceClass::name).toList();
     tenants = new NameTable(settings.tenants().stream().map(Settings.Tenant::name).toList());
-    List<String> all = new ArrayList<>(current);
-    all.addAll(removed);
-    classes = new NameTable(all);
+    List<String> acceptedClasses = new ArrayList<>(currentClasses);
+    acceptedClasses.addAll(removedClasses);
+    classes = new NameTable(acceptedClasses);
   }
 
   /**
-   * Accepts these names from now on, and those that are removed until they expire: their clients
-   * have not all been notified.
+   * Accepts the names in these settings from now on. Classes that are removed by the settings are
+   * accepted until they expire, since some of their clients may not know the settings yet.
    */
   void update(Settings settings, long now, long expireAtNanos) {
-    List<String> before = new ArrayList<>(current);
-    if (now - removedExpireAtNanos < 0) {
-      before.addAll(removed);
+    List<String> formerClasses = new ArrayList<>(currentClasses);
+    if (now - removedClassesExpireAtNanos < 0) {
+      formerClasses.addAll(removedClasses);
     }
-    settings.services().forEach(service -> before.remove(service.name()));
-    removed = List.copyOf(before);
-    removedExpireAtNanos = expireAtNanos;
+    settings.services().forEach(service -> formerClasses.remove(service.name()));
+    removedClasses = List.copyOf(formerClasses);
+    removedClassesExpireAtNanos = expireAtNanos;
     apply(settings);
   }
 
-  /** Accepts removed classes no longer, if they have expired. */
+  /** Stops accepting removed classes that have expired. */
   void expireRemoved(long now) {
-    if (!removed.isEmpty() && now - removedExpireAtNanos >= 0) {
-      removed = List.of();
-      classes = new NameTable(current);
+    if (!removedClasses.isEmpty() && now - removedClassesExpireAtNanos >= 0) {
+      removedClasses = List.of();
+      classes = new NameTable(currentClasses);
     }
   }
 
--- a/engine/src/main/java/shalepaddle/codec/meta/WireNames.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/WireNames.java
@@ -1,13 +1,13 @@
 package shalepaddle.codec.meta;
 
-/** The names of the protocol, by the terms of the code; the package's page has the table. */
+/** The names of the protocol, by the terms of the code; see the table in the package comment. */
 final class WireNames {
   static final String READ = "mg";
   static final String WRITE = "ms";
   static final String HEALTH_CHECK = "mn";
   static final String HEALTHY = "MN";
 
-  /** Flag of a read: the response is to have the value. */
+  /** Flag of a read that requests the value in the response. */
   static final String WANTS_VALUE = "v";
 
   static final char REQUEST_ID = 'O';
--- a/engine/src/main/java/shalepaddle/codec/meta/package-info.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/package-info.java
@@ -1,9 +1,9 @@
 /**
  * The memcache meta protocol, between clients and this node and between this node and cache
- * servers. Bytes become {@link shalepaddle.front.ClientCommand} and {@link
- * shalepaddle.engine.ServerReply} here, and {@link shalepaddle.engine.Reply} and {@link
- * shalepaddle.engine.Call} become bytes. The names of the wire are mapped to the code's terms in
- * {@code WireNames} and {@code LoadReportParser} alone:
+ * servers. Decodes {@link shalepaddle.front.ClientCommand} and {@link
+ * shalepaddle.engine.ServerReply}, and encodes {@link shalepaddle.engine.Reply} and {@link
+ * shalepaddle.engine.Call}. The names on the wire are mapped to the terms of the code only in
+ * {@code WireNames} and {@code LoadReportParser}:
  *
  * <table>
  * <caption>Names on the wire</caption>
@@ -18,9 +18,11 @@
  * <tr><td>{@code r=1}</td><td>property</td><td>the request is a client's retry</td></tr>
  * <tr><td>{@code h}</td><td>property</td><td>estimated work, in microseconds</td></tr>
  * <tr><td>{@code size}</td><td>property</td><td>expected size of the value, in bytes</td></tr>
- * <tr><td>{@code VA}, {@code HD}</td><td>reply</td><td>value of a read, receipt of a write</td></tr>
+ * <tr><td>{@code VA}, {@code HD}</td><td>reply</td>
+ *     <td>value of a read, receipt (token that confirms) of a write</td></tr>
  * <tr><td>{@code c}</td><td>flag of a reply</td><td>receipt</td></tr>
- * <tr><td>{@code SERVER_ERROR busy}</td><td>reply</td><td>rejected, with Retry-After in ms</td></tr>
+ * <tr><td>{@code SERVER_ERROR busy}</td><td>reply</td>
+ *     <td>rejected, with Retry-After in ms</td></tr>
  * <tr><td>{@code SERVER_ERROR}</td><td>reply</td><td>failed</td></tr>
  * <tr><td>{@code h1}, {@code h0}</td><td>flag of a reply</td><td>cache hit, cache miss</td></tr>
  * <tr><td>{@code Z}</td><td>flag of a reply</td><td>miss with a fetch in flight</td></tr>
@@ -33,8 +35,8 @@
  * <tr><td>{@code eps}, {@code err_rps}</td><td>load</td><td>errors per second</td></tr>
  * </table>
  *
- * <p>Each decoder belongs to one connection, the codecs to one front or all pools, all on the event
- * loop. The package may call the interfaces of front and upstream, the engine's calls and replies,
- * and the model. It knows neither connections nor decisions.
+ * <p>Each decoder belongs to one connection, each codec to one front or to all pools; all are used
+ * on the event loop. The package may call the interfaces of front and upstream, the engine's calls
+ * and replies, and the model. It does not depend on connections or on the policy.
  */
 package shalepaddle.codec.meta;
--- a/engine/src/main/java/shalepaddle/diagnostics/Event.java
+++ b/engine/src/main/java/shalepaddle/diagnostics/Event.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 
 /**
- * An event of a request or of a client's connection. Events of one metric differ by their {@link
- * #reason}; an event without a metric is recorded in histories alone. Names and order are part of
- * logs and metrics.
+ * An event of a request or of a client's connection. Events of one metric are distinguished by
+ * their {@link #reason}; an event without a metric is recorded only in histories. Names and order
+ * are part of logs and metrics.
  */
 public enum Event {
   REQUEST_READ(null),
@@ -20,15 +20,22 @@
   CLIENT_DISCONNECTED(null),
   LOOP_STALLED(null),
 
-  /** Reading from a connection is suspended, or delivery of what was read. */
+  /**
+   * Reading from a connection, or delivering bytes that were read, is suspended after a protocol
+   * error of the client.
+   */
   READ_PAUSE_CLIENT_ERROR("read_pauses"),
+  /** Reading is suspended because the client sent retries before their Retry-After had passed. */
   READ_PAUSE_EARLY_RETRY("read_pauses"),
+  /** Reading is suspended because the connection exceeded its quota of requests under overload. */
   READ_PAUSE_FAIR_SHARE("read_pauses"),
+  /** Reading is suspended because too many responses on the connection are pending. */
   READ_PAUSE_ANSWERS_OWED("read_pauses"),
+  /** Reading is suspended because the client does not read its responses. */
   READ_PAUSE_ANSWERS_NOT_READ("read_pauses"),
   READ_RESUMED(null),
 
-  /** A request that has not run is rejected. */
+  /** A request is rejected before any server has run it. */
   REJECTED_ADMISSION("rejections"),
   REJECTED_MEMORY("rejections"),
   REJECTED_QUEUE("rejections"),
@@ -49,7 +56,7 @@
   CLOSE_TIMEOUT("client_closes"),
   CLOSE_FAILURE("client_closes"),
 
-  /** An invariant of requests was violated, or would have been. */
+  /** An invariant of requests was violated, or a violation of it was prevented. */
   VIOLATION_BEGUN_TWICE("violations"),
   VIOLATION_SENT_AFTER_END("violations"),
   VIOLATION_SENT_AFTER_TIME("violations"),
@@ -61,12 +68,12 @@
   VIOLATION_UNANSWERED("violations"),
   VIOLATION_CLOSED_UNANSWERED("violations");
 
-  /** Prefixes that repeat the metric's name. */
-  private static final String[] PREFIXES = {
+  /** Prefixes of event names that repeat the name of the event's metric. */
+  private static final String[] METRIC_PREFIXES = {
     "ATTEMPT_", "READ_PAUSE_", "REJECTED_", "CLOSE_", "VIOLATION_",
   };
 
-  private static final List<Event> COUNTED =
+  private static final List<Event> COUNTED_EVENTS =
       Arrays.stream(values()).filter(event -> event.metric != null).toList();
 
   private final String metric;
@@ -79,23 +86,23 @@
 
   /** The events that a metric counts, grouped by metric. */
   public static List<Event> counted() {
-    return COUNTED;
+    return COUNTED_EVENTS;
   }
 
-  /** Its name in histories. */
+  /** The name of the event in histories. */
   public String label() {
     return label;
   }
 
-  /** The metric that counts it, null for none. */
+  /** The metric that counts the event, null for none. */
   public String metric() {
     return metric;
   }
 
-  /** Its reason, as a label of its metric and in logs. */
+  /** The reason, as a label of the metric and in logs. */
   public String reason() {
     String name = name();
-    for (String prefix : PREFIXES) {
+    for (String prefix : METRIC_PREFIXES) {
       if (name.startsWith(prefix)) {
         return name.substring(prefix.length()).toLowerCase(Locale.ROOT);
       }
--- a/engine/src/main/java/shalepaddle/engine/AnswerDelivery.java
+++ b/engine/src/main/java/shalepaddle/engine/AnswerDelivery.java
@@ -5,8 +5,8 @@
 import shalepaddle.loop.Log;
 
 /**
- * Hands final answers to the sinks of calls, and counts what becomes of the calls. Owned by the
- * event loop's thread, but for {@link #deliver}.
+ * Passes final answers to the sinks of calls, and counts answered and abandoned calls. Owned by the
+ * event loop's thread, except for {@link #deliver}.
  */
 final class AnswerDelivery {
   private final FlightRecorder recorder;
@@ -19,23 +19,23 @@
     this.log = log;
   }
 
-  /** Gives an accepted call its final answer. */
+  /** Gives the final answer to an accepted call. */
   void answer(Call call, Reply reply) {
-    recorder.record(Event.ANSWERED, call.request().id(), kind(reply));
-    // A streamed value is counted at its end.
+    recorder.record(Event.ANSWERED, call.request().id(), kindOf(reply));
+    // The answer with a streamed value is counted when the value ends.
     if (!CoalescedReads.isShared(call) && !(reply instanceof Reply.Streamed)) {
       metrics.answered(call.request().serviceClass(), reply);
     }
     deliver(call, reply);
   }
 
-  private static String kind(Reply reply) {
+  private static String kindOf(Reply reply) {
     return reply instanceof Reply.Rejected
         ? "rejected"
         : reply instanceof Reply.Failed ? "failed" : "served";
   }
 
-  /** Calls the sink alone. An exception of the sink is logged: other calls must not suffer. */
+  /** Passes a reply to the sink without counting it. Logs an exception that the sink throws. */
   void deliver(Call call, Reply reply) {
     try {
       call.sink().reply(reply);
@@ -44,7 +44,7 @@
     }
   }
 
-  /** The client of this call has left before its answer. */
+  /** Counts a call whose client disconnected before the answer. */
   void clientDisconnected(Call call) {
     if (!CoalescedReads.isShared(call)) {
       metrics.clientDisconnected();
--- a/engine/src/main/java/shalepaddle/engine/Attempt.java
+++ b/engine/src/main/java/shalepaddle/engine/Attempt.java
@@ -4,32 +4,32 @@
 import shalepaddle.model.Outcome;
 
 /**
- * One forwarding of a request to one cache server. Owned by the event loop: the engine ends it, the
- * connection that carries it says when it was written.
+ * One attempt to serve a request by a cache server. Owned by the event loop: the engine ends it,
+ * and the connection that it is assigned to marks it as written.
  */
 public final class Attempt {
-  /** A connection that carries attempts. */
+  /** A connection to a cache server, which attempts are written to. */
   public interface Carrier {
     /**
-     * Nobody waits for this attempt any more; it ends right after this.
+     * Stops waiting for an attempt, which ends right after this call.
      *
-     * @param overdue whether the server has not answered it in time
+     * @param isOverdue whether the server has not answered in time
      */
-    void abandon(Attempt attempt, boolean overdue);
+    void abandon(Attempt attempt, boolean isOverdue);
   }
 
-  /** How far it has come. Each change is made by one method of this class. */
+  /** The state of the attempt. Each transition has one method of this class. */
   private enum State {
-    /** Waits for a connection, or its bytes wait for the kernel: it can not have run. */
+    /** The attempt waits for a connection or for the kernel to accept it: it cannot have run. */
     UNWRITTEN,
 
-    /** Its last byte was handed to the socket: it may run. */
+    /** The last byte was handed to the socket: the attempt may run. */
     WRITTEN,
 
-    /** Its outcome is settled; it may have run, or may yet. */
+    /** The outcome is final; the attempt may have run, or may still run. */
     ENDED,
 
-    /** Its outcome is settled and proves that it never ran. */
+    /** The outcome is final and proves that the attempt did not run. */
     ENDED_NOT_RUN
   }
 
@@ -44,22 +44,23 @@
   private State state = State.UNWRITTEN;
   private Call call;
 
-  /** Null while it waits for a connection. */
-  private Carrier carrier;
+  /** Null while the attempt waits for a connection. */
+  private Carrier connection;
 
-  private boolean abandoned;
+  private boolean isAbandoned;
   private Timers.Timer responseTimer;
 
-  /** Null where it may be written at any time before its deadline. */
+  /** Null if the attempt may be written at any time before its deadline. */
   private Timers.Timer writeTimer;
 
   /**
-   * An attempt that waits for a connection.
+   * Creates an attempt that waits for a connection.
    *
-   * @param number its place among the attempts of its exchange, from 0
-   * @param sentAtNanos when the policy decided on it, by the loop's clock
-   * @param deadlineNanos when this node stops waiting for it
-   * @param writeWithinSeconds by when it must be written complete, infinite for at any time
+   * @param number the index among the attempts of the exchange, from 0
+   * @param sentAtNanos when the policy decided to send the attempt, by the loop's clock
+   * @param deadlineNanos when this node stops waiting for the reply
+   * @param writeWithinSeconds the time from {@code sentAtNanos} within which the attempt must be
+   *     written completely; infinite for no limit
    * @param stalledBeforeNanos {@link shalepaddle.loop.LoopClock#stalledNanos} at that time
    */
   Attempt(
@@ -82,118 +83,118 @@
         hasWriteDeadline ? sentAtNanos + (long) (writeWithinSeconds * 1e9) : 0;
   }
 
-  /** The exchange that it belongs to. */
+  /** The exchange that the attempt belongs to. */
   public Exchange exchange() {
     return exchange;
   }
 
-  /** Its place among the attempts of its exchange, from 0. */
+  /** The index among the attempts of the exchange, from 0. */
   int number() {
     return number;
   }
 
-  /** The id of the cache server that it goes to. */
+  /** The id of the cache server that the attempt is sent to. */
   public long server() {
     return server;
   }
 
-  /** When the policy decided on it, by the loop's clock. */
+  /** When the policy decided to send the attempt, by the loop's clock. */
   public long sentAtNanos() {
     return sentAtNanos;
   }
 
-  /** For how long the event loop had stalled in all when it was sent. */
+  /** The total time for which the event loop had stalled when the attempt was sent. */
   long stalledBeforeNanos() {
     return stalledBeforeNanos;
   }
 
-  /** When this node stops waiting for it, by the loop's clock. */
+  /** When this node stops waiting for the reply, by the loop's clock. */
   public long deadlineNanos() {
     return deadlineNanos;
   }
 
-  /** What is written to the server, under the id of a client that waits for the answer. */
+  /** The call that is written to the server, with the id of a client that awaits the answer. */
   public Call call() {
     return call;
   }
 
-  /** The connection that it was handed to, null while it waits for one. */
+  /** The connection that the attempt is assigned to, null while it waits for one. */
   public Carrier carrier() {
-    return carrier;
+    return connection;
   }
 
-  /** Hands it to a connection, which writes it now. */
+  /** Assigns the attempt to the connection that is about to write it. */
   public void assignTo(Carrier connection) {
-    carrier = connection;
+    this.connection = connection;
   }
 
-  /** Detaches it from its connection, whose server was too busy for it: it has provably not run. */
+  /** Detaches an attempt that the server rejected as busy, and that has provably not run. */
   public void detach() {
-    carrier = null;
+    connection = null;
   }
 
-  /** Its last byte was handed to the socket. Changes nothing once it has ended. */
+  /** Records that the last byte was handed to the socket. No effect once the attempt has ended. */
   public void markWritten() {
     if (state == State.UNWRITTEN) {
       state = State.WRITTEN;
     }
   }
 
-  /** It has provably not run, and is to be written once more. */
+  /** Records that the attempt has provably not run and is to be written again. */
   void markUnwritten() {
     state = State.UNWRITTEN;
   }
 
-  /** Its outcome is settled. Called once. */
-  void end(boolean provenNotRun) {
-    state = provenNotRun ? State.ENDED_NOT_RUN : State.ENDED;
+  /** Ends the attempt with a final outcome. Called once. */
+  void end(boolean isProvenNotRun) {
+    state = isProvenNotRun ? State.ENDED_NOT_RUN : State.ENDED;
     cancelResponseTimer();
     cancelWriteTimer();
   }
 
-  /** Whether its last byte was handed to the socket and its outcome is still open. */
+  /** Whether the last byte was handed to the socket and the outcome is still open. */
   public boolean isWritten() {
     return state == State.WRITTEN;
   }
 
-  /** Whether its outcome is settled; what the server says of it after that is dropped. */
+  /** Whether the outcome is final; a later reply is dropped. */
   public boolean isEnded() {
     return state == State.ENDED || state == State.ENDED_NOT_RUN;
   }
 
-  /** Whether it may have been carried out, or may yet be. */
+  /** Whether the server may have executed the attempt, or may still execute it. */
   boolean mayHaveRun() {
     return state == State.WRITTEN || state == State.ENDED;
   }
 
-  /** Its answer is no longer wanted, though it may still come on its connection. */
+  /** Records that the reply is no longer needed, though it may still be received. */
   public void abandon() {
-    abandoned = true;
+    isAbandoned = true;
   }
 
   /** Whether {@link #abandon} was called. */
   public boolean isAbandoned() {
-    return abandoned;
+    return isAbandoned;
   }
 
-  /** From now on it goes out as this call, unless it was handed to a connection or has ended. */
-  void forwardAs(Call other) {
-    if (!isEnded() && carrier == null) {
-      call = other;
+  /** Replaces the call that will be written, unless the attempt has a connection or has ended. */
+  void forwardAs(Call newCall) {
+    if (!isEnded() && connection == null) {
+      call = newCall;
     }
   }
 
-  /** Gives it more time; its response timer is to be set anew. */
-  void extendDeadline(long nanos) {
-    deadlineNanos = nanos;
+  /** Extends the deadline; the caller must set the response timer again. */
+  void extendDeadline(long newDeadlineNanos) {
+    deadlineNanos = newDeadlineNanos;
   }
 
-  /** Keeps the timer that ends it as timed out. */
+  /** Sets the timer that ends the attempt as timed out. */
   void setResponseTimer(Timers.Timer timer) {
     responseTimer = timer;
   }
 
-  /** Keeps the timer that ends it unless it has been written complete by then. */
+  /** Sets the timer that ends the attempt unless it is written completely before. */
   void setWriteTimer(Timers.Timer timer) {
     writeTimer = timer;
   }
@@ -210,35 +211,35 @@
     }
   }
 
-  /** Nanoseconds in which it must be written; {@code Long.MAX_VALUE} where any time will do. */
+  /** Nanoseconds left to write the attempt; {@code Long.MAX_VALUE} if there is no limit. */
   long writeWithinNanos(long now) {
     return hasWriteDeadline ? writeDeadlineNanos - now : Long.MAX_VALUE;
   }
 
   /**
-   * Whether it must not be written any more: nobody would wait for its answer, or it could take
-   * effect a second time. Its timers say the same, but after a stall of the event loop a connection
-   * may come up before they run.
+   * Whether the attempt must not be written any more, since its deadline has passed or it could
+   * take effect a second time. The timers end such an attempt, but after a stall of the event loop
+   * a connection may be established before they run.
    */
   public boolean isTooLateToWrite(long now) {
     return deadlineNanos - now <= 0 || writeWithinNanos(now) <= 0;
   }
 
-  /** Whether it was sent under this id. */
+  /** Whether the attempt carries this request id. */
   public boolean hasRequestId(String id) {
     return call.request().id().equals(id);
   }
 
-  /** Whether a reply whose value is still to come can be the answer to it. */
+  /** Whether a reply whose value has not been received yet can answer this attempt. */
   public boolean matchesValue(ServerReply reply) {
     return hasRequestId(reply.id()) && !exchange.call().request().write();
   }
 
-  /** Whether a reply can be the answer to it: of its request, a value for a read alone. */
+  /** Whether a reply can answer this attempt: by its id, and with a value only for a read. */
   public boolean matches(ServerReply reply) {
-    boolean named = reply.id() == null || hasRequestId(reply.id());
-    boolean served = reply.result() == Outcome.Result.OK;
-    boolean value = reply.value() != null;
-    return named && (!served || value != exchange.call().request().write());
+    boolean matchesId = reply.id() == null || hasRequestId(reply.id());
+    boolean isServed = reply.result() == Outcome.Result.OK;
+    boolean hasValue = reply.value() != null;
+    return matchesId && (!isServed || hasValue != exchange.call().request().write());
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/AttemptDeadlines.java
+++ b/engine/src/main/java/shalepaddle/engine/AttemptDeadlines.java
@@ -4,13 +4,13 @@
 import shalepaddle.loop.Timers;
 
 /**
- * The two timers of an attempt: by when it must be written, and by when it must be answered. Owned
- * by the event loop's thread; all times are nanoseconds of the loop's clock.
+ * Sets the two timers of an attempt: the deadline for writing it and the deadline for its reply.
+ * Owned by the event loop's thread; all times are nanoseconds of the loop's clock.
  */
 final class AttemptDeadlines {
   /**
-   * An attempt times out this long before its request has to be answered, so that the policy is
-   * notified of the time-out first and the answer is in time.
+   * An attempt times out this long before the deadline of its request, so that the policy is
+   * notified of the time-out and can still answer in time.
    */
   static final long ANSWER_MARGIN_NANOS = 2_000_000;
 
@@ -20,11 +20,11 @@
   private final Consumer<Attempt> onWriteDeadline;
 
   /**
-   * Timers that have not been set.
+   * Creates an instance without timers.
    *
-   * @param tickNanos the grain of the timers
+   * @param tickNanos the resolution of the timers
    * @param onTimeout ends an attempt that was not answered in time
-   * @param onWriteDeadline takes an attempt back that was not written in time
+   * @param onWriteDeadline withdraws an attempt that was not written in time
    */
   AttemptDeadlines(
       Timers timers,
@@ -37,7 +37,7 @@
     this.onWriteDeadline = onWriteDeadline;
   }
 
-  /** When an attempt of this exchange that is sent now times out. */
+  /** The time at which an attempt of this exchange times out. */
   static long deadlineOf(Exchange exchange) {
     return exchange.deadlineNanos() - ANSWER_MARGIN_NANOS;
   }
@@ -47,26 +47,27 @@
     return deadlineNanos - now < tickNanos;
   }
 
-  /** Sets the timer by which an attempt must be answered. */
+  /** Sets the timer that ends an attempt if it is not answered by its deadline. */
   void startResponseTimer(Attempt attempt, long now) {
     attempt.setResponseTimer(
         timers.runNoLaterThan(attempt.deadlineNanos() - now, () -> onTimeout.accept(attempt)));
   }
 
-  /** Sets the timer by which an attempt must be written complete, where one is needed. */
+  /** Sets the timer by which an attempt must be written completely, if it needs one. */
   void startWriteTimer(Attempt attempt, long now) {
-    long within = attempt.writeWithinNanos(now);
-    if (within < attempt.deadlineNanos() - now) {
-      attempt.setWriteTimer(timers.runNoLaterThan(within, () -> onWriteDeadline.accept(attempt)));
+    long writeWithinNanos = attempt.writeWithinNanos(now);
+    if (writeWithinNanos < attempt.deadlineNanos() - now) {
+      attempt.setWriteTimer(
+          timers.runNoLaterThan(writeWithinNanos, () -> onWriteDeadline.accept(attempt)));
     }
   }
 
-  /** Gives an exchange, and those of its attempts that last as long as it does, a new deadline. */
+  /** Extends the deadline of an exchange, and of its attempts that share that deadline. */
   void extend(Exchange exchange, long deadlineNanos, long now) {
-    long before = deadlineOf(exchange);
+    long previousDeadlineNanos = deadlineOf(exchange);
     exchange.extendDeadline(deadlineNanos);
     for (Attempt attempt : exchange.attempts()) {
-      if (!attempt.isEnded() && attempt.deadlineNanos() == before) {
+      if (!attempt.isEnded() && attempt.deadlineNanos() == previousDeadlineNanos) {
         attempt.cancelResponseTimer();
         attempt.extendDeadline(deadlineOf(exchange));
         startResponseTimer(attempt, now);
--- a/engine/src/main/java/shalepaddle/engine/AttemptLifecycle.java
+++ b/engine/src/main/java/shalepaddle/engine/AttemptLifecycle.java
@@ -8,8 +8,8 @@
 import shalepaddle.model.Outcome;
 
 /**
- * The life of an attempt, from the policy's decision to forward a request to the outcome that the
- * policy is notified of. Every attempt ends in {@link #end}, once.
+ * The lifecycle of attempts, from the policy's decision to forward a request to the outcome
+ * reported to the policy. Every attempt is ended by {@link #end}, once.
  *
  * <p>Owned by the event loop's thread.
  */
@@ -22,7 +22,7 @@
   private ExchangeLifecycle exchanges;
   private Upstream upstream;
 
-  /** Null where no other process can take this one's place. */
+  /** Null if no other process can replace this one. */
   private WarmStartLog warmStartLog;
 
   AttemptLifecycle(
@@ -33,18 +33,18 @@
     this.metrics = metrics;
   }
 
-  /** Joins it with the exchanges that it serves; once, before the first request. */
+  /** Sets the deadlines and the exchanges of attempts. Called once, before the first request. */
   void connect(AttemptDeadlines attemptDeadlines, ExchangeLifecycle exchangeLifecycle) {
     deadlines = attemptDeadlines;
     exchanges = exchangeLifecycle;
   }
 
-  /** From now on attempts are written there. */
+  /** Sets the connections that attempts are written to. */
   void connect(Upstream servers) {
     upstream = servers;
   }
 
-  /** From now on observed outcomes are also recorded there. */
+  /** Sets the log in which observed outcomes are recorded from now on. */
   void recordObservationsIn(WarmStartLog log) {
     warmStartLog = log;
   }
@@ -52,25 +52,25 @@
   /**
    * Forwards a request to a server.
    *
-   * @param writeWithinSeconds seconds from now within which its last byte must be written, or it is
-   *     not sent; may be infinite
+   * @param writeWithinSeconds the attempt is not sent unless its last byte is written within this
+   *     time from now; may be infinite
    */
   void send(Exchange exchange, long server, double writeWithinSeconds) {
     long now = clock.now();
-    long deadline = AttemptDeadlines.deadlineOf(exchange);
+    long deadlineNanos = AttemptDeadlines.deadlineOf(exchange);
     Attempt attempt =
         new Attempt(
             exchange,
             exchange.attempts().size(),
             server,
             now,
-            deadline,
+            deadlineNanos,
             writeWithinSeconds,
             clock.stalledNanos());
     recorder.record(eventOfNextAttempt(exchange), exchange.id());
     boolean hasUsedAllAttempts = !exchange.hasAttemptLeft();
     exchange.add(attempt);
-    if (exchange.isEnded() || hasUsedAllAttempts || deadlines.isTooLateToSend(deadline, now)) {
+    if (exchange.isEnded() || hasUsedAllAttempts || deadlines.isTooLateToSend(deadlineNanos, now)) {
       end(attempt, Outcome.Result.NOT_SENT);
       return;
     }
@@ -79,7 +79,7 @@
     clock.whenBacklogRead(() -> upstream.send(attempt));
   }
 
-  /** Whether the next attempt is the first one, a hedge or a retry, as a recorded event. */
+  /** The event to record for the next attempt: the first attempt, a hedge or a retry. */
   private static Event eventOfNextAttempt(Exchange exchange) {
     if (exchange.attempts().isEmpty()) {
       return Event.ATTEMPT_FIRST;
@@ -87,7 +87,7 @@
     return exchange.hasAttemptsInFlight() ? Event.ATTEMPT_HEDGE : Event.ATTEMPT_RETRY;
   }
 
-  /** The last byte was handed to the socket: from now on it may run. */
+  /** Records that the last byte was handed to the socket: from now on the attempt may run. */
   void written(Attempt attempt) {
     attempt.markWritten();
     recorder.record(Event.ATTEMPT_WRITTEN, attempt.exchange().id());
@@ -96,8 +96,10 @@
   }
 
   /**
-   * Whether an attempt that has provably not run may be written once more to its server. It then
-   * counts as one more of its exchange, and waits for a connection.
+   * Prepares an attempt that has provably not run for being written again to its server, if its
+   * exchange has an attempt left. The rewrite counts as an attempt of the exchange.
+   *
+   * @return whether the attempt may be written again
    */
   boolean prepareRewrite(Attempt attempt) {
     Exchange exchange = attempt.exchange();
@@ -110,7 +112,7 @@
     return true;
   }
 
-  /** A complete response has come. */
+  /** Handles a complete response. */
   void responseReceived(Attempt attempt, ServerReply reply) {
     Exchange exchange = attempt.exchange();
     if (reply.result() == Outcome.Result.OK && !exchange.isEnded()) {
@@ -124,10 +126,10 @@
   }
 
   /**
-   * The head of a large value has come, which ends the attempt: there is no deadline and no further
-   * attempt from then on.
+   * Handles the head of a large value, which ends the attempt: from then on there is no deadline
+   * and no further attempt.
    *
-   * @return false if nobody wants the value
+   * @return false if the value is not needed any more
    */
   boolean responseReceived(Attempt attempt, LargeReply reply, ValueSource source) {
     Exchange exchange = attempt.exchange();
@@ -148,8 +150,9 @@
   }
 
   /**
-   * Takes an attempt back that has not been written, wherever it waits: for a connection, for
-   * capacity or behind bytes that the kernel has not accepted. It says nothing of its server.
+   * Withdraws an attempt that has not been written completely, whether it waits for a connection,
+   * for capacity or for the kernel to accept its bytes. Its outcome does not count against the
+   * server.
    */
   void returnUnwritten(Attempt attempt) {
     if (!attempt.isWritten()) {
@@ -158,27 +161,27 @@
   }
 
   /**
-   * The attempt's deadline has passed. An attempt that has no connection has provably not run, and
-   * ends as a failure to connect.
+   * Ends an attempt whose deadline has passed. An attempt without a connection has provably not
+   * run, and ends as a failure to connect.
    */
   void timeOut(Attempt attempt) {
-    boolean unsent = attempt.carrier() == null;
-    withdraw(attempt, true, unsent ? Outcome.Result.CONNECT_FAILED : Outcome.Result.TIMEOUT);
+    boolean isUnsent = attempt.carrier() == null;
+    withdraw(attempt, true, isUnsent ? Outcome.Result.CONNECT_FAILED : Outcome.Result.TIMEOUT);
   }
 
-  /** Stops waiting for an attempt, unless it has ended. */
+  /** Stops waiting for an attempt that has not ended. */
   void withdraw(Attempt attempt, Outcome.Result result) {
     withdraw(attempt, false, result);
   }
 
-  private void withdraw(Attempt attempt, boolean overdue, Outcome.Result result) {
+  private void withdraw(Attempt attempt, boolean isOverdue, Outcome.Result result) {
     if (!attempt.isEnded()) {
-      upstream.withdraw(attempt, overdue);
+      upstream.withdraw(attempt, isOverdue);
       end(attempt, result);
     }
   }
 
-  /** An attempt has ended without a response, or with one that answers nobody. */
+  /** Ends an attempt without a response, or with one that does not answer the request. */
   void end(Attempt attempt, Outcome.Result result) {
     end(attempt, result, Outcome.CacheStatus.NONE, null);
   }
@@ -192,8 +195,8 @@
     attempt.end(result.provesNotRun());
     recorder.record(Event.ATTEMPT_ENDED, exchange.id(), result.name());
     exchange.attemptEnded(result);
-    double elapsed = (clock.refresh() - attempt.sentAtNanos()) / 1e9;
-    double stalled = (clock.stalledNanos() - attempt.stalledBeforeNanos()) / 1e9;
+    double elapsedSeconds = (clock.refresh() - attempt.sentAtNanos()) / 1e9;
+    double stalledSeconds = (clock.stalledNanos() - attempt.stalledBeforeNanos()) / 1e9;
     policy.post(
         (router, now) -> {
           exchange.outcomeReported();
@@ -203,8 +206,8 @@
                   attempt.number(),
                   attempt.server(),
                   result,
-                  elapsed,
-                  stalled,
+                  elapsedSeconds,
+                  stalledSeconds,
                   exchange.isEnded(),
                   cacheStatus,
                   load);
--- a/engine/src/main/java/shalepaddle/engine/CoalescedRead.java
+++ b/engine/src/main/java/shalepaddle/engine/CoalescedRead.java
@@ -2,12 +2,12 @@
 
 import shalepaddle.coalescing.FlightWaiter;
 
-/** A read that waits for a flight. Owned by the event loop's thread. */
+/** A read that waits for the result of a flight. Owned by the event loop's thread. */
 final class CoalescedRead implements Submission {
   private final Call call;
-  private SharedExchange shared;
+  private SharedExchange sharedExchange;
   private FlightWaiter<CoalescedRead> waiter;
-  private boolean ended;
+  private boolean isEnded;
 
   CoalescedRead(Call call) {
     this.call = call;
@@ -18,35 +18,35 @@
     return call.request().id();
   }
 
-  /** What its client asked for and where its answer goes. */
+  /** The request and the sink for its answer. */
   Call call() {
     return call;
   }
 
-  /** It waits for this, at that place of the flight. Called once. */
-  void join(SharedExchange exchange, FlightWaiter<CoalescedRead> place) {
-    shared = exchange;
-    waiter = place;
+  /** Sets the exchange that this read waits for, and its waiter in the flight. Called once. */
+  void join(SharedExchange exchange, FlightWaiter<CoalescedRead> flightWaiter) {
+    sharedExchange = exchange;
+    waiter = flightWaiter;
   }
 
-  /** What it waits for. */
+  /** The exchange that this read waits for. */
   SharedExchange shared() {
-    return shared;
+    return sharedExchange;
   }
 
-  /** Its place in the flight. */
+  /** This read's waiter in the flight. */
   FlightWaiter<CoalescedRead> waiter() {
     return waiter;
   }
 
-  /** It is answered, or its client has left. */
+  /** Ends the read once it is answered or its client has disconnected. */
   void end() {
-    ended = true;
+    isEnded = true;
     call.payload().release();
   }
 
-  /** Whether it is answered, or its client has left. */
+  /** Whether the read is answered or its client has disconnected. */
   boolean isEnded() {
-    return ended;
+    return isEnded;
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
+++ b/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
@@ -18,9 +18,9 @@
 import shalepaddle.model.Settings;
 
 /**
- * Request coalescing, as {@link RequestCoalescer} decides it: reads of the same value wait for one
- * {@link SharedExchange}, and each gets an answer of its own. The policy sees one request, whose
- * deadline is the latest of theirs.
+ * Coalesces requests by the decisions of {@link RequestCoalescer}: reads of the same value wait for
+ * one {@link SharedExchange}, and each gets its own answer. The policy sees a single request, with
+ * the latest deadline of the reads.
  *
  * <p>Owned by the event loop's thread.
  */
@@ -33,11 +33,11 @@
   private final RequestCoalescer<CoalescedRead> coalescer;
   private long maxRetryAfterMillis;
 
-  /** The classes whose reads may be repeated. */
-  private Set<String> safeClasses;
+  /** The classes whose reads may be coalesced: idempotent and not streamed. */
+  private Set<String> coalescibleClasses;
 
-  /** Reads that joined a flight, by their ids; the leader of a flight is known by its exchange. */
-  private final Map<String, CoalescedRead> joined = new HashMap<>();
+  /** Reads that joined a flight, by their ids. The leader is found by the exchange's id instead. */
+  private final Map<String, CoalescedRead> joinedReads = new HashMap<>();
 
   CoalescedReads(
       ExchangeLifecycle exchanges,
@@ -56,10 +56,10 @@
     retune(settings);
   }
 
-  /** Reads are coalesced by these settings from now on. */
+  /** Applies new settings to reads that are submitted from now on. */
   void retune(Settings settings) {
     maxRetryAfterMillis = Math.round(settings.limits().maxRetryAfterSeconds() * 1e3);
-    safeClasses =
+    coalescibleClasses =
         settings.services().stream()
             .filter(
                 type -> type.idempotency() == Settings.Idempotency.IDEMPOTENT && !type.streamed())
@@ -67,26 +67,26 @@
             .collect(Collectors.toUnmodifiableSet());
   }
 
-  /** Whether a request may share its answer with others. */
+  /** Whether a request may share its answer with other requests. */
   private boolean isCoalescible(Request request) {
     return !request.write()
         && request.key() != null
-        && safeClasses.contains(request.serviceClass());
+        && coalescibleClasses.contains(request.serviceClass());
   }
 
-  /** Whether a read of this id has joined another's flight. */
+  /** Whether a read with this id has joined the flight of another read. */
   boolean hasId(String id) {
-    return joined.containsKey(id);
+    return joinedReads.containsKey(id);
   }
 
-  /** Whether this is the call of a shared exchange, and not one that a client submitted. */
+  /** Whether this is the call of a shared exchange rather than one that a client submitted. */
   static boolean isShared(Call call) {
     return call.sink() instanceof SharedExchange;
   }
 
-  /** Reads that have joined another's flight and wait. */
+  /** The number of waiting reads that have joined the flight of another read. */
   int size() {
-    return joined.size();
+    return joinedReads.size();
   }
 
   CoalescingSnapshot snapshot() {
@@ -94,13 +94,13 @@
   }
 
   /**
-   * Lets a read join a flight or begin one. A write invalidates the flights of its key: nobody
-   * joins them any more.
+   * Lets a read join a flight or start one. A write invalidates the flights of its key, so that no
+   * further read joins them.
    *
-   * @param request what it asks for, with no more time than there is
-   * @return null if it needs an exchange of its own
+   * @param request the request, with its time budget limited to the time that is left
+   * @return null if the call needs its own exchange
    */
-  CoalescedRead submit(Call call, Request request, long deadline, long now) {
+  CoalescedRead submit(Call call, Request request, long deadlineNanos, long now) {
     if (!isCoalescible(request)) {
       if (request.write()) {
         coalescer.invalidate(request.key());
@@ -110,26 +110,29 @@
     CoalescedRead read = new CoalescedRead(call);
     FlightWaiter<CoalescedRead> waiter =
         coalescer.join(
-            request.key(), request.serviceClass(), request.tenant(), read, deadline, now);
+            request.key(), request.serviceClass(), request.tenant(), read, deadlineNanos, now);
     if (waiter == null) {
       return null;
     }
     Flight<CoalescedRead> flight = waiter.flight();
     CoalescedRead leader = flight.leader().caller();
     if (leader == read) {
-      SharedExchange shared = new SharedExchange(this, exchanges, timers, flight);
-      read.join(shared, waiter);
-      shared.begin(read, request, now);
+      SharedExchange sharedExchange = new SharedExchange(this, exchanges, timers, flight);
+      read.join(sharedExchange, waiter);
+      sharedExchange.begin(read, request, now);
     } else {
-      SharedExchange shared = leader.shared();
-      read.join(shared, waiter);
-      joined.put(read.id(), read);
-      shared.extend(now);
+      SharedExchange sharedExchange = leader.shared();
+      read.join(sharedExchange, waiter);
+      joinedReads.put(read.id(), read);
+      sharedExchange.extend(now);
     }
     return read;
   }
 
-  /** An exchange of a single client is answered: reads that come now must not get older values. */
+  /**
+   * Invalidates the flights of a key after an exchange of a single client was answered: later reads
+   * must not get an older value.
+   */
   void answered(Exchange exchange) {
     String key = exchange.call().request().key();
     if (key != null && !isShared(exchange.call())) {
@@ -137,43 +140,43 @@
     }
   }
 
-  /** The client of a read has left. */
+  /** Handles a disconnect of a read's client. */
   void leave(CoalescedRead read) {
     if (read.isEnded()) {
       return;
     }
-    SharedExchange shared = read.shared();
+    SharedExchange sharedExchange = read.shared();
     end(read);
     answers.clientDisconnected(read.call());
     if (coalescer.leave(read.waiter())) {
-      shared.abandon();
+      sharedExchange.abandon();
     } else {
-      shared.updateLeader();
+      sharedExchange.updateLeader();
     }
   }
 
   private void end(CoalescedRead read) {
-    joined.remove(read.id(), read);
+    joinedReads.remove(read.id(), read);
     read.end();
   }
 
-  /** Gives one read its answer. */
+  /** Answers one read. */
   void answer(CoalescedRead read, Reply reply) {
     end(read);
     answers.answer(read.call(), reply);
   }
 
-  /** A read that had joined is the leader of its flight from now on. */
+  /** Records that a read which had joined a flight is now the leader of the flight. */
   void promote(CoalescedRead read) {
-    joined.remove(read.id(), read);
+    joinedReads.remove(read.id(), read);
   }
 
-  /** The waiters of a flight whose deadline has passed, in the order of their deadlines. */
+  /** Removes and returns the waiters whose deadline has passed, in the order of their deadlines. */
   List<FlightWaiter<CoalescedRead>> expire(Flight<CoalescedRead> flight, long now) {
     return coalescer.expire(flight, now);
   }
 
-  /** What follows for a flight from the answer of its exchange. */
+  /** Returns what to do with a flight whose exchange was answered. */
   FlightDecision<CoalescedRead> complete(
       Flight<CoalescedRead> flight, Exchange exchange, Reply reply, long now) {
     return coalescer.complete(flight, resultOf(exchange, reply), now);
@@ -183,14 +186,14 @@
     if (reply instanceof Reply.Value) {
       return FlightResult.SERVED;
     }
-    boolean rejected = reply instanceof Reply.Rejected && !drain.isClosed();
-    return rejected ? FlightResult.ofRejection(exchange.lastResult()) : FlightResult.FINAL;
+    boolean isRejected = reply instanceof Reply.Rejected && !drain.isClosed();
+    return isRejected ? FlightResult.ofRejection(exchange.lastResult()) : FlightResult.FINAL;
   }
 
-  /** Retry-After of one of several reads that are rejected together. */
-  long spreadRetryAfter(long retryAfterMillis, int position, int count) {
+  /** The Retry-After in milliseconds of one of several reads that are rejected together. */
+  long spreadRetryAfter(long retryAfterMillis, int readIndex, int readCount) {
     return RequestCoalescer.spreadRetryAfter(
-        retryAfterMillis, maxRetryAfterMillis, position, count);
+        retryAfterMillis, maxRetryAfterMillis, readIndex, readCount);
   }
 
   long now() {
--- a/engine/src/main/java/shalepaddle/engine/Dispatcher.java
+++ b/engine/src/main/java/shalepaddle/engine/Dispatcher.java
@@ -20,12 +20,12 @@
 import shalepaddle.policy.RequestRouter;
 
 /**
- * Stands between clients' connections, the policy and servers' connections, and joins the classes
- * that do the work: {@link RequestIntake} accepts requests, {@link ExchangeLifecycle} and {@link
- * AttemptLifecycle} follow them, {@link PolicyEventLoop} notifies the policy and {@link
- * PolicyActions} carries out what it decides.
+ * The entry point of the engine for client connections, server connections and the node. Delegates
+ * to the classes that do the work: {@link RequestIntake} accepts requests, {@link
+ * ExchangeLifecycle} and {@link AttemptLifecycle} track them, {@link PolicyEventLoop} notifies the
+ * policy and {@link PolicyActions} carries out the policy's decisions.
  *
- * <p>All methods are called on the event loop's thread, which owns all state behind them.
+ * <p>All methods are called on the event loop's thread, which owns all state of the engine.
  */
 public final class Dispatcher {
   private final EventLoop loop;
@@ -45,22 +45,22 @@
   private final RequestQueue queue;
   private final RequestIntake intake;
 
-  /** Null where reads are not coalesced. */
+  /** Null if reads are not coalesced. */
   private final CoalescedReads reads;
 
-  /** Where the server list comes from, from {@link #start} on. */
-  private MemberSource members;
+  /** The source of the server list, null before {@link #start}. */
+  private MemberSource memberSource;
 
   /**
-   * A dispatcher that has not started.
+   * Creates a dispatcher; {@link #start} must be called next.
    *
-   * @param settings what the policy decides by
-   * @param seed of the policy's random numbers
-   * @param loop the event loop that owns it
-   * @param loopClock that loop's clock
+   * @param settings the initial settings of the policy and the engine
+   * @param seed the seed of the policy's random numbers
+   * @param loop the event loop that owns the dispatcher
+   * @param loopClock the clock of that loop
    * @param clock the node's time
-   * @param overload admission by the node's own load
-   * @param coalescing whether and how reads share an answer
+   * @param overload admits requests by the node's own load
+   * @param coalescing whether and how reads are coalesced
    */
   public Dispatcher(
       Settings settings,
@@ -109,7 +109,7 @@
     return new CoalescedReads(exchanges, answers, drain, loopClock, timers, settings, coalescing);
   }
 
-  /** Joins those parts that call each other in both directions. */
+  /** Connects the classes that call each other in both directions. */
   private void connect(AttemptDeadlines deadlines) {
     attempts.connect(deadlines, exchanges);
     exchanges.connect(queue, reads);
@@ -118,91 +118,93 @@
   }
 
   /**
-   * Starts: decisions are carried out by the upstream, and changes of the server list come from the
-   * source. The list as it was known last is given next, by {@link #membership}.
+   * Starts the dispatcher with the connections to servers and the source of the server list. The
+   * last known list must be passed to {@link #membership} next.
    */
   public void start(Upstream upstream, MemberSource memberSource) {
-    members = memberSource;
+    this.memberSource = memberSource;
     attempts.connect(upstream);
     actions.connect(upstream, memberSource);
   }
 
-  /** From now on observed outcomes are also recorded in this log. */
+  /** Sets the log in which observed outcomes are recorded from now on. */
   public void recordObservationsIn(WarmStartLog warmStartLog) {
     attempts.recordObservationsIn(warmStartLog);
   }
 
   /**
-   * Lets the policy learn from what another process of this node has observed, before {@link
+   * Replays the observations of another process of this node to the policy. Called before {@link
    * #start}.
    *
-   * @param known the server list as it is known
-   * @param past observations in the order in which they ended
+   * @param lastUpdate the last known server list
+   * @param observations the observations, in the order in which their attempts ended
    */
-  public void replay(MembershipUpdate known, List<Observation> past) {
-    actions.replay(() -> policy.replay(known, past));
+  public void replay(MembershipUpdate lastUpdate, List<Observation> observations) {
+    actions.replay(() -> policy.replay(lastUpdate, observations));
   }
 
   /**
    * Replaces the settings for new requests. Open and queued requests keep the settings under which
-   * they were accepted; queued ones are routed first, since the queue is ordered by the old tiers.
+   * they were accepted; queued requests are routed first, since the queue is ordered by the old
+   * tiers.
    */
-  public void retune(Settings next) {
-    queue.retune(next);
-    requestSettings.replace(next);
+  public void retune(Settings newSettings) {
+    queue.retune(newSettings);
+    requestSettings.replace(newSettings);
     metrics.registerServices(requestSettings.serviceNames());
     if (reads != null) {
-      reads.retune(next);
+      reads.retune(newSettings);
     }
-    policy.post((router, now) -> router.updateSettings(next));
+    policy.post((router, now) -> router.updateSettings(newSettings));
   }
 
   /**
-   * Limits the deadlines of new requests to this time, and answers open requests shortly before it,
-   * so that none is left without an answer when the process is killed.
+   * Limits the deadlines of new requests to the given time, and answers open requests shortly
+   * before it, so that every request is answered before the process is killed.
    *
-   * @param nanos the time, by the loop's clock
+   * @param answerByNanos the given time, by the loop's clock
    */
-  public void drainBy(long nanos) {
-    drain.drainBy(nanos, exchanges::answerAll);
+  public void drainBy(long answerByNanos) {
+    drain.drainBy(answerByNanos, exchanges::answerAll);
   }
 
   /**
-   * Ends: every open request gets its one answer, a rejection where none of its attempts can have
-   * run. What is submitted from now on is rejected.
+   * Closes the engine: answers every open request, with a rejection if none of its attempts can
+   * have run, and rejects requests that are submitted from now on.
    */
   public void close() {
     if (drain.close()) {
       queue.close();
       exchanges.answerAll();
-      members.stop();
+      memberSource.stop();
       timers.close();
     }
   }
 
-  // What clients' connections call.
+  // Methods that client connections call.
 
-  /** Accepts a request of this process, sent now; see {@link #submit(Call, long)}. */
+  /** Accepts a request submitted now within this process; see {@link #submit(Call, long)}. */
   public Submission submit(Call call) {
     return submitLocal(call, loopClock.now());
   }
 
-  /** Accepts a request of this process that another thread submitted at that time. */
-  Submission submitLocal(Call call, long sentAt) {
-    return intake.submitLocal(call, sentAt);
+  /** Accepts a request that another thread of this process submitted at {@code sentAtNanos}. */
+  Submission submitLocal(Call call, long sentAtNanos) {
+    return intake.submitLocal(call, sentAtNanos);
   }
 
   /**
-   * Accepts a client's request, whose time counts from {@code sentAt}.
+   * Accepts a client's request, whose time budget starts at {@code sentAtNanos}.
    *
-   * @param sentAt the earliest time at which its client can have sent it, by the loop's clock
-   * @return null if another open request has its id; its sink is not called then
+   * @param sentAtNanos the earliest time at which the client can have sent the request, by the
+   *     loop's clock
+   * @return null if another open request has the same id; the sink is not called then
    */
-  public Submission submit(Call call, long sentAt) {
-    return intake.submitRemote(call, sentAt);
+  public Submission submit(Call call, long sentAtNanos) {
+    return intake.submitRemote(call, sentAtNanos);
   }
 
-  /** The client has closed its connection, or does not want the answer any more. */
+  /** Handles a client that closed its connection or cancelled its request. */
   public void clientDisconnected(Submission submission) {
     if (submission instanceof Exchange exchange) {
       exchanges.clientDisconnected(exchange);
@@ -211,125 +213,127 @@
     }
   }
 
-  /** Calls a sink; an exception of it is logged. */
+  /** Calls a sink and logs an exception that it throws. */
   void deliver(Call call, Reply reply) {
     answers.deliver(call, reply);
   }
 
   /**
-   * By how much an answer has to be ready before it is due, in nanoseconds, since the event loop
-   * has to be expected to stall; 0 where it does not.
+   * How long before its deadline an answer must be ready, in nanoseconds, to allow for expected
+   * stalls of the event loop; 0 if none is expected.
    */
   public long stallAllowanceNanos() {
     return AnswerMargin.allowance(loopClock.expectedStallNanos());
   }
 
-  // What servers' connections call.
+  // Methods that server connections call.
 
-  /** The last byte of an attempt was handed to the socket: from now on it may run. */
+  /** Records that an attempt's last byte was handed to the socket: from now on it may run. */
   public void attemptWritten(Attempt attempt) {
     attempts.written(attempt);
   }
 
   /**
-   * Whether an attempt that has provably not run may be written once more to its server: it then
-   * counts as one more of its request.
+   * Prepares an attempt that has provably not run for being written again to its server, if its
+   * request has an attempt left. The rewrite counts as an attempt of the request.
+   *
+   * @return whether the attempt may be written again
    */
   public boolean mayRewrite(Attempt attempt) {
     return attempts.prepareRewrite(attempt);
   }
 
-  /** An attempt ended without a response, or with one that answers nobody. */
+  /** Ends an attempt without a response, or with one that does not answer the request. */
   public void attemptEnded(Attempt attempt, Outcome.Result result) {
     attempts.end(attempt, result);
   }
 
-  /** A complete response has come. */
+  /** Handles a complete response. */
   public void responseReceived(Attempt attempt, ServerReply reply) {
     attempts.responseReceived(attempt, reply);
   }
 
   /**
-   * The head of a large value has come for an attempt, which ends with that.
+   * Handles the head of a large value, which ends its attempt.
    *
-   * @return false if nobody wants the value
+   * @return false if the value is not needed any more
    */
   public boolean responseReceived(Attempt attempt, LargeReply reply, ValueSource source) {
     return attempts.responseReceived(attempt, reply, source);
   }
 
-  /** An attempt that has not been written may not be written any more; its server is not blamed. */
+  /** Withdraws an attempt that was not written; the outcome does not count against its server. */
   public void returnUnwritten(Attempt attempt) {
     attempts.returnUnwritten(attempt);
   }
 
-  /** How long after a server is known to be draining it may still be sent requests. */
+  /** How long requests may still be sent to a server after it is known to be draining. */
   public long drainGraceNanos() {
     return requestSettings.drainGraceNanos();
   }
 
-  // What the node calls.
+  // Methods that the node calls.
 
-  /** The server list or a change of it, which the upstream knows already. */
+  /** Notifies the policy of the server list or a change of it, already applied by the upstream. */
   public void membership(MembershipUpdate update) {
     policy.post((router, now) -> router.onMembershipUpdate(now, update));
   }
 
-  /** An operator excludes a server, or includes it again. */
-  public void exclude(long server, boolean excluded) {
-    policy.post((router, now) -> router.setExcluded(now, server, excluded));
+  /** Excludes a server by an operator's command, or includes it again. */
+  public void exclude(long server, boolean isExcluded) {
+    policy.post((router, now) -> router.setExcluded(now, server, isExcluded));
   }
 
-  /** The event loop has stalled until now, for a time in nanoseconds. */
-  public void onStall(long nanos) {
-    recorder.record(Event.LOOP_STALLED, null, lengthOf(nanos));
-    policy.post((router, now) -> router.onEventLoopStall(nanos / 1e9));
+  /** Handles a stall of the event loop that has just ended, of the given length. */
+  public void onStall(long stallNanos) {
+    recorder.record(Event.LOOP_STALLED, null, stallRange(stallNanos));
+    policy.post((router, now) -> router.onEventLoopStall(stallNanos / 1e9));
   }
 
-  /** A coarse length: details of events are constants, so that recording allocates nothing. */
-  private static String lengthOf(long nanos) {
-    if (nanos < 100_000_000L) {
+  /** The range of a stall's length as a constant text: recording an event must not allocate. */
+  private static String stallRange(long stallNanos) {
+    if (stallNanos < 100_000_000L) {
       return "under 0.1 s";
     }
-    if (nanos < 300_000_000L) {
+    if (stallNanos < 300_000_000L) {
       return "0.1 to 0.3 s";
     }
-    return nanos < 1_000_000_000L ? "0.3 to 1 s" : "over 1 s";
+    return stallNanos < 1_000_000_000L ? "0.3 to 1 s" : "over 1 s";
   }
 
-  /** Requests that have not ended, or of which an attempt is in flight. */
+  /** The number of requests that have not ended or have an attempt in flight. */
   public int openRequests() {
     return exchanges.open().size() + (reads == null ? 0 : reads.size());
   }
 
-  /** Nanoseconds for which the oldest request in the queue has waited, 0 if there is none. */
+  /** How long the oldest queued request has waited in nanoseconds, 0 if there is none. */
   public long oldestQueuedNanos() {
     return queue.oldestQueuedNanos();
   }
 
-  /** Servers in the list; only those that get no requests now where {@code avoidedOnly}. */
+  /** The number of listed servers; if {@code avoidedOnly}, of those that get no requests now. */
   public int serverCount(boolean avoidedOnly) {
     return policy.serverCount(avoidedOnly);
   }
 
-  /** Counters of request coalescing, null where reads are not coalesced. */
+  /** Counters of request coalescing, null if reads are not coalesced. */
   public CoalescingSnapshot coalescingSnapshot() {
     return reads == null ? null : reads.snapshot();
   }
 
-  // What its parts share with connections.
+  // Accessors and logging for client and server connections.
 
   /** Counters of requests and attempts. */
   public RequestMetrics metrics() {
     return metrics;
   }
 
-  /** Where events of requests and of clients' connections are recorded. */
+  /** Records events of requests and of client connections. */
   public FlightRecorder recorder() {
     return recorder;
   }
 
-  /** The checks that everything sent, answered or closed passes. */
+  /** Checks the invariants before an attempt is sent, a request answered or a connection closed. */
   public InvariantGuard guard() {
     return guard;
   }
@@ -339,7 +343,7 @@
     return loopClock;
   }
 
-  /** The event loop that owns all of this. */
+  /** The event loop that owns the engine. */
   public EventLoop loop() {
     return loop;
   }
@@ -349,12 +353,12 @@
     return timers;
   }
 
-  /** Logs an unexpected exception. */
-  public void reportFailure(String where, Throwable cause) {
-    log.failure(where, cause);
+  /** Logs an unexpected exception and where it occurred. */
+  public void reportFailure(String location, Throwable cause) {
+    log.failure(location, cause);
   }
 
-  /** Writes a line to the node's log, which is made only if it is written. */
+  /** Writes a line to the node's log; the text is built only if the line is written. */
   public void log(Supplier<String> text) {
     log.line(text);
   }
--- a/engine/src/main/java/shalepaddle/engine/Engine.java
+++ b/engine/src/main/java/shalepaddle/engine/Engine.java
@@ -5,82 +5,83 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Submits calls from any thread. All else of an engine is owned by its event loop; connections that
- * run there use the {@link Dispatcher} itself.
+ * Submits calls from any thread. The rest of the engine is owned by its event loop; connections
+ * that run on that loop use the {@link Dispatcher} directly.
  *
- * <p>Each call that is submitted and not cancelled gets exactly one answer, also one that races
- * {@link #close} or comes after it. Calls that wait for the event loop are bounded; those past the
- * bound are rejected at once. Thread-safe.
+ * <p>Each call that is submitted and not cancelled gets exactly one answer, also if it is submitted
+ * during or after {@link #close}. The number of calls waiting for the event loop is bounded;
+ * further calls are rejected immediately. Thread-safe.
  */
 public final class Engine implements AutoCloseable {
-  /** A call that was submitted. */
+  /** A handle on a submitted call, by which the call can be cancelled. */
   public interface Ticket {
     /**
-     * The answer is not wanted any more. From any thread. The sink may still be called until the
-     * event loop has run this, and never after that. No effect once the answer is given.
+     * Cancels the call; its answer is no longer needed. May be called from any thread. The sink may
+     * still be called until the event loop has processed the cancellation, and never after that. No
+     * effect once the answer is given.
      */
     void cancel();
   }
 
   private final EventLoop loop;
   private final Dispatcher dispatcher;
-  private final int maxSubmitted;
-  private final AtomicInteger submitted = new AtomicInteger();
+  private final int maxWaitingCalls;
+  private final AtomicInteger waitingCalls = new AtomicInteger();
 
   /**
-   * An engine in front of a dispatcher.
+   * Creates an engine that submits calls to a dispatcher.
    *
    * @param loop the event loop that owns the dispatcher
-   * @param maxSubmitted calls that may wait for that loop
+   * @param maxWaitingCalls the maximum number of calls waiting for that loop
    */
-  public Engine(EventLoop loop, Dispatcher dispatcher, int maxSubmitted) {
+  public Engine(EventLoop loop, Dispatcher dispatcher, int maxWaitingCalls) {
     this.loop = loop;
     this.dispatcher = dispatcher;
-    this.maxSubmitted = maxSubmitted;
+    this.maxWaitingCalls = maxWaitingCalls;
   }
 
   /**
-   * Submits a call. The engine owns its payload from now on. Its sink is called on the event loop's
-   * thread, or on this one where the engine is closed or too many calls wait. A call fails, without
-   * having run, where another open call has its id.
+   * Submits a call and takes ownership of its payload. The sink is called on the event loop's
+   * thread, or on the calling thread if the engine is closed or too many calls are waiting. If
+   * another open call has the same id, the call fails without having run.
    */
   public Ticket submit(Call call) {
-    Submitted ticket = new Submitted(call);
+    SubmittedCall ticket = new SubmittedCall(call);
     if (loop.inEventLoop()) {
       ticket.start();
       return ticket;
     }
-    if (submitted.incrementAndGet() > maxSubmitted) {
-      submitted.decrementAndGet();
+    if (waitingCalls.incrementAndGet() > maxWaitingCalls) {
+      waitingCalls.decrementAndGet();
       ticket.reject();
       return ticket;
     }
     try {
       loop.execute(
           () -> {
-            submitted.decrementAndGet();
+            waitingCalls.decrementAndGet();
             ticket.start();
           });
     } catch (RejectedExecutionException e) {
-      submitted.decrementAndGet();
+      waitingCalls.decrementAndGet();
       ticket.reject();
     }
     return ticket;
   }
 
-  /** A call on its way to the dispatcher, or there. Its state is owned by the event loop. */
-  private final class Submitted implements Ticket {
+  /** A call that was submitted to the dispatcher or waits for it. Owned by the event loop. */
+  private final class SubmittedCall implements Ticket {
     private final Call call;
     private final long submittedAtNanos = loop.ticker().nanoTime();
     private Submission submission;
-    private boolean cancelled;
+    private boolean isCancelled;
 
-    Submitted(Call call) {
+    SubmittedCall(Call call) {
       this.call = call;
     }
 
     void start() {
-      if (cancelled) {
+      if (isCancelled) {
         call.payload().release();
         return;
       }
@@ -90,7 +91,7 @@
       }
     }
 
-    /** Answers a call that the event loop will never run. */
+    /** Rejects a call that the event loop will never run. */
     void reject() {
       call.payload().release();
       dispatcher.deliver(call, new Reply.Rejected(0));
@@ -105,12 +106,12 @@
       try {
         loop.execute(this::withdraw);
       } catch (RejectedExecutionException e) {
-        // The engine is closed and every call answered: there is nothing left to cancel.
+        // The engine is closed and every call is answered: there is nothing left to cancel.
       }
     }
 
     private void withdraw() {
-      cancelled = true;
+      isCancelled = true;
       if (submission != null) {
         dispatcher.clientDisconnected(submission);
       }
@@ -118,8 +119,8 @@
   }
 
   /**
-   * Closes the engine: every open call gets its one answer, a rejection where it can not have run,
-   * and calls that are submitted later are rejected. From any thread; idempotent.
+   * Closes the engine. Answers every open call, with a rejection if it cannot have run, and rejects
+   * calls that are submitted later. May be called from any thread; idempotent.
    */
   @Override
   public void close() {
@@ -130,7 +131,7 @@
     try {
       loop.submit(dispatcher::close).syncUninterruptibly();
     } catch (RejectedExecutionException e) {
-      // The loop is shut down, which the node does only after it has closed the dispatcher.
+      // The loop is shut down; the node does that only after it has closed the dispatcher.
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/EngineDrain.java
+++ b/engine/src/main/java/shalepaddle/engine/EngineDrain.java
@@ -4,8 +4,8 @@
 import shalepaddle.loop.Timers;
 
 /**
- * Whether the engine accepts requests, and by when it must have answered them: running, draining
- * towards an end that is known, or closed. Owned by the event loop's thread.
+ * Whether the engine is running, draining until a given time, or closed; limits the deadlines of
+ * requests while it drains. Owned by the event loop's thread.
  */
 final class EngineDrain {
   private enum State {
@@ -14,7 +14,7 @@
     /** Every request must be answered by a set time. */
     DRAINING,
 
-    /** Nothing is accepted any more. */
+    /** No more requests are accepted. */
     CLOSED
   }
 
@@ -31,23 +31,23 @@
   }
 
   /**
-   * Limits the deadlines of new requests to this time.
+   * Limits the deadlines of new requests to the given time.
    *
-   * @param nanos by the loop's clock
-   * @param answerOpen answers what is open; run shortly before that time
+   * @param endNanos the given time, by the loop's clock
+   * @param answerOpenRequests answers all open requests; run shortly before the given time
    */
-  void drainBy(long nanos, Runnable answerOpen) {
-    answerByNanos = nanos;
+  void drainBy(long endNanos, Runnable answerOpenRequests) {
+    answerByNanos = endNanos;
     if (state == State.RUNNING) {
       state = State.DRAINING;
     }
-    // One tick before the attempts time out, since each time-out would count as a failure of its
-    // server.
-    long early = AttemptDeadlines.ANSWER_MARGIN_NANOS + tickNanos;
-    timers.runNoLaterThan(nanos - early - clock.now(), answerOpen);
+    // Open requests are answered one tick before their attempts time out, since each time-out
+    // counts as a failure of the server.
+    long marginNanos = AttemptDeadlines.ANSWER_MARGIN_NANOS + tickNanos;
+    timers.runNoLaterThan(endNanos - marginNanos - clock.now(), answerOpenRequests);
   }
 
-  /** Accepts nothing any more; false if it was closed before. */
+  /** Accepts no more requests. Returns false if the engine was closed before. */
   boolean close() {
     boolean wasOpen = state != State.CLOSED;
     state = State.CLOSED;
@@ -58,9 +58,9 @@
     return state == State.CLOSED;
   }
 
-  /** A request's deadline, or the end of the drain where that comes first. */
+  /** Limits a request's deadline to the end of the drain, if the engine is draining. */
   long limit(long deadlineNanos) {
-    boolean later = state == State.DRAINING && deadlineNanos - answerByNanos > 0;
-    return later ? answerByNanos : deadlineNanos;
+    boolean isAfterDrain = state == State.DRAINING && deadlineNanos - answerByNanos > 0;
+    return isAfterDrain ? answerByNanos : deadlineNanos;
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/Exchange.java
+++ b/engine/src/main/java/shalepaddle/engine/Exchange.java
@@ -6,25 +6,25 @@
 import shalepaddle.model.Settings;
 
 /**
- * A request that this node has accepted, from its last byte to its final answer and the last
- * outcome of its attempts. Owned by the event loop.
+ * A request that this node has accepted, from its arrival to its final answer and the last outcome
+ * of its attempts. Owned by the event loop.
  */
 public final class Exchange implements Submission {
-  /** How far it has come. Each change is made by one method of this class. */
+  /** The state of the exchange. Each transition has one method of this class. */
   private enum State {
-    /** Accepted; the policy does not know of it yet. */
+    /** The request is accepted; the policy was not notified of it yet. */
     ACCEPTED,
 
-    /** Handed to the policy, which answers it or forwards it. */
+    /** The request was handed to the policy, which answers or forwards it. */
     ROUTED,
 
-    /** A server's value is being collected for a client that accepts complete values only. */
+    /** A server's value is being collected for a client that accepts only complete values. */
     COLLECTING,
 
-    /** Its final answer is given. */
+    /** The final answer was given. */
     ANSWERED,
 
-    /** Its client has left before the answer. */
+    /** The client disconnected before the answer. */
     DISCONNECTED
   }
 
@@ -35,19 +35,19 @@
   private State state = State.ACCEPTED;
   private long clientDeadlineNanos;
   private long deadlineNanos;
-  private int rewrites;
+  private int rewriteCount;
   private int attemptsInFlight;
   private Call upstreamCall;
   private Outcome.Result lastResult;
 
   /**
-   * An exchange that the policy does not know of yet.
+   * Creates an exchange that the policy was not notified of yet.
    *
-   * @param deadlineNanos by when it must be answered
-   * @param clientDeadlineNanos when its client stops waiting, counted from the earliest time at
+   * @param deadlineNanos when the request must be answered
+   * @param clientDeadlineNanos when the client stops waiting, counted from the earliest time at
    *     which it can have sent the request
-   * @param maxAttempts how often it may be written to servers
-   * @param idempotency what running it more than once does
+   * @param maxAttempts how many times the request may be written to servers
+   * @param idempotency the effect of running the request more than once
    */
   Exchange(
       Call call,
@@ -63,7 +63,7 @@
     this.deadlineNanos = deadlineNanos;
   }
 
-  /** What the client asked for and where its answer goes. */
+  /** The request and the sink for its answer. */
   public Call call() {
     return call;
   }
@@ -73,115 +73,115 @@
     return call.request().id();
   }
 
-  /** What running it more than once does, by the settings under which it was accepted. */
+  /** The effect of running the request more than once, by the settings at its acceptance. */
   Settings.Idempotency idempotency() {
     return idempotency;
   }
 
-  /** When its client stops waiting, by the loop's clock. */
+  /** When the client stops waiting, by the loop's clock. */
   long clientDeadlineNanos() {
     return clientDeadlineNanos;
   }
 
-  /** By when it must be answered, by the loop's clock. */
+  /** When the request must be answered, by the loop's clock. */
   long deadlineNanos() {
     return deadlineNanos;
   }
 
-  /** Sets a later deadline, since another client that shares the answer waits for longer. */
-  void extendDeadline(long nanos) {
-    deadlineNanos = nanos;
-    clientDeadlineNanos = Math.max(clientDeadlineNanos, nanos);
+  /** Sets a later deadline, since another client that shares the answer waits longer. */
+  void extendDeadline(long newDeadlineNanos) {
+    deadlineNanos = newDeadlineNanos;
+    clientDeadlineNanos = Math.max(clientDeadlineNanos, newDeadlineNanos);
   }
 
-  /** The policy is notified of it now. */
+  /** Records that the exchange is handed to the policy. */
   void route() {
     state = State.ROUTED;
   }
 
-  /** A server's value is collected from now on: it is not attempted any more. */
+  /** Records that a server's value is being collected; no further attempt is sent. */
   void collect() {
     state = State.COLLECTING;
   }
 
-  /** Its final answer is given now. */
+  /** Records that the final answer is given. */
   void answer() {
     state = State.ANSWERED;
   }
 
-  /** Its client has left. */
+  /** Records that the client has disconnected. */
   void disconnect() {
     state = State.DISCONNECTED;
   }
 
-  /** Whether the policy was notified of it and it has not ended. */
+  /** Whether the exchange was handed to the policy and has not ended. */
   boolean isRouted() {
     return state == State.ROUTED;
   }
 
   /**
-   * Whether no attempt can change its answer any more, or its client has left. Also true before the
-   * answer is given, while a value is being collected.
+   * Whether no attempt can change the answer any more, or the client has disconnected. Also true
+   * before the answer is given, while a value is being collected.
    */
   boolean isEnded() {
     return state != State.ACCEPTED && state != State.ROUTED;
   }
 
-  /** All its attempts, by their numbers; changed by {@link #add} alone. */
+  /** All attempts, by their numbers; changed only by {@link #add}. */
   List<Attempt> attempts() {
     return attempts;
   }
 
-  /** Adds an attempt, which is in flight until {@link #outcomeReported}. */
+  /** Adds an attempt, which is in flight until {@link #outcomeReported} is called. */
   void add(Attempt attempt) {
     attempts.add(attempt);
     attemptsInFlight++;
   }
 
-  /** The policy was notified of one attempt's outcome. */
+  /** Records that the policy was notified of one attempt's outcome. */
   void outcomeReported() {
     attemptsInFlight--;
   }
 
-  /** Whether there are attempts of whose outcome the policy was not notified. */
+  /** Whether there are attempts whose outcome was not reported to the policy. */
   boolean hasAttemptsInFlight() {
     return attemptsInFlight > 0;
   }
 
-  /** Whether it may be written to a server once more, by the settings when it was accepted. */
+  /** Whether the request may be written to a server again, by the settings at its acceptance. */
   boolean hasAttemptLeft() {
-    return attempts.size() + rewrites < maxAttempts;
+    return attempts.size() + rewriteCount < maxAttempts;
   }
 
-  /** An attempt is written once more, on another connection to the same server. */
+  /** Records that an attempt is written again, on another connection to the same server. */
   void countRewrite() {
-    rewrites++;
+    rewriteCount++;
   }
 
-  /** The call as which attempts are forwarded: of a client that still waits for the answer. */
+  /** The call whose id and payload attempts carry: that of a client that awaits the answer. */
   Call upstreamCall() {
     return upstreamCall;
   }
 
-  /** From now on attempts are forwarded as this call; also those that wait for a connection. */
-  void forwardAs(Call other) {
-    upstreamCall = other;
+  /** Sets the call to forward, also for attempts that already wait for a connection. */
+  void forwardAs(Call newCall) {
+    upstreamCall = newCall;
     for (Attempt attempt : attempts) {
-      attempt.forwardAs(other);
+      attempt.forwardAs(newCall);
     }
   }
 
-  /** How the attempt ended that ended last, null if none has. */
+  /** The result of the attempt that ended last, null if none has ended. */
   Outcome.Result lastResult() {
     return lastResult;
   }
 
-  /** One of its attempts has ended like this. */
+  /** Records the result of an attempt that has ended. */
   void attemptEnded(Outcome.Result result) {
     lastResult = result;
   }
 
-  /** Whether an attempt may have been carried out, or may yet be. */
+  /** Whether a server may have executed an attempt, or may still execute one. */
   boolean mayHaveRun() {
     for (Attempt attempt : attempts) {
       if (attempt.mayHaveRun()) {
--- a/engine/src/main/java/shalepaddle/engine/ExchangeLifecycle.java
+++ b/engine/src/main/java/shalepaddle/engine/ExchangeLifecycle.java
@@ -12,9 +12,8 @@
 import shalepaddle.overload.OverloadControl;
 
 /**
- * The life of an exchange, from the moment at which it is opened to its final answer and the
- * outcome of its last attempt. Every final answer passes {@link #finish}, and every exchange that
- * is forgotten passes {@link #settle}.
+ * The lifecycle of exchanges, from opening to the final answer and the outcome of the last attempt.
+ * Every final answer is given by {@link #finish}, and every exchange is removed by {@link #settle}.
  *
  * <p>Owned by the event loop's thread.
  */
@@ -29,12 +28,12 @@
   private final OverloadControl overload;
   private final RequestSettings settings;
 
-  /** Exchanges that have not ended, or of which an attempt is in flight, by their ids. */
-  private final Map<String, Exchange> open = new HashMap<>();
+  /** Exchanges that have not ended or have an attempt in flight, by their ids. */
+  private final Map<String, Exchange> openExchanges = new HashMap<>();
 
   private RequestQueue queue;
 
-  /** Null where reads are not coalesced. */
+  /** Null if reads are not coalesced. */
   private CoalescedReads reads;
 
   ExchangeLifecycle(
@@ -58,27 +57,27 @@
     this.settings = settings;
   }
 
-  /** Joins it with what it hands requests to; once, before the first request. */
+  /** Sets the queue and the request coalescing. Called once, before the first request. */
   void connect(RequestQueue requestQueue, CoalescedReads coalescedReads) {
     queue = requestQueue;
     reads = coalescedReads;
   }
 
-  /** All that are open now. */
+  /** The exchanges that are open now. */
   Collection<Exchange> open() {
-    return open.values();
+    return openExchanges.values();
   }
 
-  /** The open exchange of this id, null if there is none. */
+  /** The open exchange with this id, null if there is none. */
   Exchange find(String requestId) {
-    return open.get(requestId);
+    return openExchanges.get(requestId);
   }
 
   /**
-   * Opens an exchange, which is to be started.
+   * Opens an exchange; {@link #start} must be called next.
    *
-   * @param deadlineNanos by when it must be answered
-   * @param clientDeadlineNanos when its client stops waiting
+   * @param deadlineNanos when the request must be answered
+   * @param clientDeadlineNanos when the client stops waiting
    */
   Exchange open(Call call, long deadlineNanos, long clientDeadlineNanos) {
     Exchange exchange =
@@ -88,14 +87,14 @@
             clientDeadlineNanos,
             settings.maxAttempts(),
             settings.idempotency(call.request().serviceClass()));
-    open.put(exchange.id(), exchange);
+    openExchanges.put(exchange.id(), exchange);
     return exchange;
   }
 
   /**
-   * Starts an exchange; its answer may be given before this returns. After a stall it waits until
-   * the backlog is read, so that the policy knows what happened during the stall and no request is
-   * written to a connection that the server has closed.
+   * Starts an exchange; its answer may be given before this returns. After a stall the start is
+   * delayed until the backlog is read, so that the policy knows what happened during the stall and
+   * no request is written to a connection that the server has closed.
    */
   void start(Exchange exchange, Request request) {
     clock.whenBacklogRead(() -> queue.enter(exchange, request));
@@ -107,12 +106,12 @@
       return;
     }
     exchange.route();
-    double left = (exchange.deadlineNanos() - clock.now()) / 1e9;
-    Request routed = request.withBudget(Math.max(0, left));
+    double remainingSeconds = (exchange.deadlineNanos() - clock.now()) / 1e9;
+    Request routedRequest = request.withBudget(Math.max(0, remainingSeconds));
     policy.post(
         (router, now) -> {
           try {
-            router.onRequest(now, routed);
+            router.onRequest(now, routedRequest);
           } catch (RuntimeException | StackOverflowError e) {
             policy.logFailure(e);
             fail(exchange);
@@ -120,13 +119,13 @@
         });
   }
 
-  /** Rejects an exchange that has waited in the queue too long and was not yet routed. */
+  /** Rejects an exchange that waited too long in the queue and was not routed. */
   void rejectQueued(Exchange exchange) {
     recorder.record(Event.REJECTED_QUEUE, exchange.id());
     end(exchange, new Reply.Rejected(overload.retryAfterMillis()));
   }
 
-  /** Gives an exchange, and the attempts in flight for it, more time. */
+  /** Extends the deadline of an exchange and of its attempts in flight. */
   void extend(Exchange exchange, long deadlineNanos) {
     if (exchange.isEnded() || deadlineNanos - exchange.deadlineNanos() <= 0) {
       return;
@@ -140,14 +139,14 @@
     }
   }
 
-  /** The answer to a client whose time is up while others wait on for the same exchange. */
+  /** The answer to a client whose deadline has passed while others still await the exchange. */
   Reply expiredReply(Exchange exchange) {
     return exchange.hasAttemptsInFlight()
         ? new Reply.Failed(exchange.mayHaveRun())
         : new Reply.Rejected(overload.retryAfterMillis());
   }
 
-  /** The client has left, or all of them where several share the exchange. */
+  /** Handles a disconnect of the client, or of the last client of a shared exchange. */
   void clientDisconnected(Exchange exchange) {
     if (exchange.isEnded()) {
       return;
@@ -162,7 +161,7 @@
         });
   }
 
-  /** Gives an exchange its final answer, unless it has ended. */
+  /** Gives the final answer of an exchange that has not ended. */
   void end(Exchange exchange, Reply reply) {
     if (!exchange.isEnded()) {
       finish(exchange, reply);
@@ -170,14 +169,14 @@
     }
   }
 
-  /** Fails an exchange, unless it has ended. */
+  /** Fails an exchange that has not ended. */
   void fail(Exchange exchange) {
     end(exchange, new Reply.Failed(exchange.mayHaveRun()));
   }
 
-  /** Answers every open exchange: with a rejection where it can not have run. */
+  /** Answers every open exchange, with a rejection if it cannot have run. */
   void answerAll() {
-    for (Exchange exchange : List.copyOf(open.values())) {
+    for (Exchange exchange : List.copyOf(openExchanges.values())) {
       end(exchange, exchange.mayHaveRun() ? new Reply.Failed(true) : new Reply.Rejected(0));
       for (Attempt attempt : exchange.attempts()) {
         attempts.withdraw(attempt, Outcome.Result.CANCELLED);
@@ -186,29 +185,30 @@
   }
 
   /**
-   * Gives the final answer. The caller ensures that none was given before; {@link #settle} does the
-   * cleanup.
+   * Gives the final answer. The caller ensures that no answer was given before, and calls {@link
+   * #settle} for the cleanup.
    */
   void finish(Exchange exchange, Reply reply) {
-    Reply checked = guard.answer(exchange, reply, clock.now());
+    Reply checkedReply = guard.answer(exchange, reply, clock.now());
     exchange.answer();
     if (reads != null) {
       reads.answered(exchange);
     }
-    answers.answer(exchange.call(), checked);
+    answers.answer(exchange.call(), checkedReply);
   }
 
   /**
-   * Cleans up an exchange that has ended; removes it once no attempt is in flight. Attempts that
-   * wait for a connection are withdrawn even if the settings forbid cancellation: nothing has been
-   * sent that would have to be cancelled, and nothing may be sent for a request that is answered or
-   * whose client has left.
+   * Cleans up an exchange that has ended, and removes it once no attempt is in flight. Attempts
+   * that wait for a connection are withdrawn even if the settings forbid cancellation: they have
+   * not been sent, and must not be sent once the request is answered or its client has
+   * disconnected.
    */
   void settle(Exchange exchange) {
     if (!exchange.isEnded()) {
       return;
     }
-    // By index: the policy may respond to an outcome with one more attempt, which ends at once.
+    // Iterates by index, since the list may grow: the policy may respond to an outcome with another
+    // attempt, which ends immediately.
     for (int i = 0; i < exchange.attempts().size(); i++) {
       Attempt attempt = exchange.attempts().get(i);
       if (attempt.carrier() == null) {
@@ -217,7 +217,7 @@
     }
     exchange.call().payload().release();
     if (!exchange.hasAttemptsInFlight()) {
-      open.remove(exchange.id(), exchange);
+      openExchanges.remove(exchange.id(), exchange);
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/FailedDecisionRecovery.java
+++ b/engine/src/main/java/shalepaddle/engine/FailedDecisionRecovery.java
@@ -7,9 +7,9 @@
 import shalepaddle.loop.LoopClock;
 
 /**
- * Answers the requests that the policy may have lost track of when it failed with an exception:
- * until all that were open at that time have ended, each of them that passes its deadline without
- * an answer is failed here. Owned by the event loop's thread.
+ * Answers requests that the policy may have lost when it threw an exception: fails each request
+ * that was open at that time and passes its deadline without an answer. Owned by the event loop's
+ * thread.
  */
 final class FailedDecisionRecovery {
   private static final long CHECK_INTERVAL_MILLIS = 10;
@@ -17,7 +17,7 @@
   private final EventLoop loop;
   private final LoopClock clock;
   private final ExchangeLifecycle exchanges;
-  private boolean running;
+  private boolean isRunning;
 
   FailedDecisionRecovery(EventLoop loop, LoopClock clock, ExchangeLifecycle exchanges) {
     this.loop = loop;
@@ -25,30 +25,30 @@
     this.exchanges = exchanges;
   }
 
-  /** The policy has failed just now. Does nothing while an earlier recovery is running. */
+  /** Starts the recovery after an exception of the policy. No effect while a recovery runs. */
   void start() {
-    if (!running) {
-      running = true;
+    if (!isRunning) {
+      isRunning = true;
       scheduleCheck(new ArrayList<>(exchanges.open()));
     }
   }
 
-  private void scheduleCheck(List<Exchange> suspects) {
-    loop.schedule(() -> check(suspects), CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+  private void scheduleCheck(List<Exchange> unansweredExchanges) {
+    loop.schedule(() -> check(unansweredExchanges), CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void check(List<Exchange> suspects) {
+  private void check(List<Exchange> unansweredExchanges) {
     long now = clock.now();
-    for (Exchange exchange : suspects) {
+    for (Exchange exchange : unansweredExchanges) {
       if (!exchange.isEnded() && now - exchange.deadlineNanos() > 0) {
         exchanges.fail(exchange);
       }
     }
-    suspects.removeIf(Exchange::isEnded);
-    if (suspects.isEmpty()) {
-      running = false;
+    unansweredExchanges.removeIf(Exchange::isEnded);
+    if (unansweredExchanges.isEmpty()) {
+      isRunning = false;
     } else {
-      scheduleCheck(suspects);
+      scheduleCheck(unansweredExchanges);
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/InvariantGuard.java
+++ b/engine/src/main/java/shalepaddle/engine/InvariantGuard.java
@@ -8,30 +8,30 @@
 import shalepaddle.model.Settings.Idempotency;
 
 /**
- * Checks the invariants of every request at run time, in the places that each path passes: before a
- * request is routed, before an attempt is written, before an answer is given and before a client's
- * connection is closed.
+ * Checks the invariants of every request at run time: before a request is routed, before an attempt
+ * is written, before an answer is given and before a client's connection is closed.
  *
- * <p>A failed check is a fault of the policy or of the engine, which see to it by other means that
- * the invariants hold. It is counted by kind and logged with the request's history, and what would
- * violate the invariant is not done.
+ * <p>A failed check shows a bug in the policy or the engine, which are expected to preserve the
+ * invariants by themselves. A violation is counted by kind and logged with the request's history.
+ * Attempts and rejections that would violate an invariant are withheld; a late answer is still
+ * given.
  *
  * <p>Owned by the event loop's thread.
  */
 public final class InvariantGuard {
-  /** How late the protocol lets an answer be. */
+  /** How long after a request's deadline the protocol still permits its answer. */
   private static final long ANSWER_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** Bounds the log when one fault affects many requests. */
+  /** Bounds the size of the log when one fault affects many requests. */
   private static final int MAX_HISTORIES_PER_SECOND = 2;
 
-  private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
   private final FlightRecorder recorder;
   private final Log log;
   private final LongSupplier clock;
-  private long second;
-  private int histories;
+  private long currentSecond;
+  private int loggedHistories;
 
   InvariantGuard(FlightRecorder recorder, Log log, LongSupplier clock) {
     this.recorder = recorder;
@@ -39,25 +39,25 @@
     this.clock = clock;
   }
 
-  /** Whether a request may be handed to the policy: once, and not after its answer. */
+  /** Whether a request may be handed to the policy: only once, and not after its answer. */
   boolean mayRoute(Exchange exchange) {
     if (exchange.isEnded()) {
       return false;
     }
     if (exchange.isRouted()) {
-      violated(Event.VIOLATION_BEGUN_TWICE, exchange.id(), null);
+      reportViolation(Event.VIOLATION_BEGUN_TWICE, exchange.id(), null);
       return false;
     }
     return true;
   }
 
   /**
-   * Whether an attempt may be written now: its request is open and has time left, no other attempt
-   * of a request that is not idempotent may have run, and its server accepts requests.
+   * Whether an attempt may be written now: the request is open and its deadline has not passed; if
+   * it is not idempotent, no other attempt may have run; and the server accepts requests.
    *
-   * @param drainingPastGrace whether its server has been draining for longer than the grace
+   * @param isDrainingPastGrace whether the server has been draining for longer than the grace
    */
-  public boolean maySend(Attempt attempt, long now, boolean drainingPastGrace) {
+  public boolean maySend(Attempt attempt, long now, boolean isDrainingPastGrace) {
     Exchange exchange = attempt.exchange();
     Event violation = null;
     if (exchange.isEnded() || attempt.isEnded()) {
@@ -66,11 +66,11 @@
       violation = Event.VIOLATION_SENT_AFTER_TIME;
     } else if (exchange.idempotency() == Idempotency.NOT_IDEMPOTENT && anotherMayHaveRun(attempt)) {
       violation = Event.VIOLATION_REPEATED;
-    } else if (drainingPastGrace) {
+    } else if (isDrainingPastGrace) {
       violation = Event.VIOLATION_SENT_TO_DRAINING;
     }
     if (violation != null) {
-      violated(violation, exchange.id(), null);
+      reportViolation(violation, exchange.id(), null);
     }
     return violation == null;
   }
@@ -85,48 +85,51 @@
   }
 
   /**
-   * The answer that a request may be given. A rejection promises that the request has not run;
-   * where one that is not idempotent may have, it becomes a failure.
+   * Checks an answer and returns the answer to give. A rejection promises that the request has not
+   * run: the rejection of a request that is not idempotent and may have run is replaced by a
+   * failure.
    */
   Reply answer(Exchange exchange, Reply reply, long now) {
     if (now - exchange.clientDeadlineNanos() > ANSWER_SLACK_NANOS) {
-      violated(Event.VIOLATION_ANSWERED_LATE, exchange.id(), null);
+      reportViolation(Event.VIOLATION_ANSWERED_LATE, exchange.id(), null);
     }
-    boolean rejected = reply instanceof Reply.Rejected;
-    if (rejected && exchange.idempotency() == Idempotency.NOT_IDEMPOTENT && exchange.mayHaveRun()) {
-      violated(Event.VIOLATION_REJECTED_AFTER_RUN, exchange.id(), null);
+    boolean isRejected = reply instanceof Reply.Rejected;
+    if (isRejected
+        && exchange.idempotency() == Idempotency.NOT_IDEMPOTENT
+        && exchange.mayHaveRun()) {
+      reportViolation(Event.VIOLATION_REJECTED_AFTER_RUN, exchange.id(), null);
       return new Reply.Failed(true);
     }
     return reply;
   }
 
-  /** A second answer was given to a request; it is dropped. */
+  /** Reports a second answer to a request, which the caller drops. */
   public void answeredTwice(String requestId, String connection) {
-    violated(Event.VIOLATION_ANSWERED_TWICE, requestId, connection);
+    reportViolation(Event.VIOLATION_ANSWERED_TWICE, requestId, connection);
   }
 
-  /** A client leaves without an answer after its complete time budget. */
+  /** Reports a request without an answer whose client disconnected after the whole time budget. */
   public void unanswered(String requestId, String connection) {
-    violated(Event.VIOLATION_UNANSWERED, requestId, connection);
+    reportViolation(Event.VIOLATION_UNANSWERED, requestId, connection);
   }
 
-  /** This node closes a connection on which a request that was read has no answer. */
+  /** Reports that this node closes a connection on which a request has no answer. */
   public void closedUnanswered(String requestId, String connection) {
-    violated(Event.VIOLATION_CLOSED_UNANSWERED, requestId, connection);
+    reportViolation(Event.VIOLATION_CLOSED_UNANSWERED, requestId, connection);
   }
 
-  private boolean mayLog() {
-    long now = clock.getAsLong() / SECOND_NANOS;
-    if (now != second) {
-      second = now;
-      histories = 0;
+  private boolean mayLogHistory() {
+    long nowSeconds = clock.getAsLong() / NANOS_PER_SECOND;
+    if (nowSeconds != currentSecond) {
+      currentSecond = nowSeconds;
+      loggedHistories = 0;
     }
-    return histories++ < MAX_HISTORIES_PER_SECOND;
+    return loggedHistories++ < MAX_HISTORIES_PER_SECOND;
   }
 
-  private void violated(Event kind, String requestId, String connection) {
+  private void reportViolation(Event kind, String requestId, String connection) {
     recorder.record(kind, requestId);
-    if (!mayLog()) {
+    if (!mayLogHistory()) {
       return;
     }
     log.line(
--- a/engine/src/main/java/shalepaddle/engine/MemoryBudget.java
+++ b/engine/src/main/java/shalepaddle/engine/MemoryBudget.java
@@ -1,18 +1,18 @@
 package shalepaddle.engine;
 
 /**
- * Bytes of values that the node may hold at once, over all connections together. Owned by the event
+ * Limits the bytes that the node buffers at a time for all connections together. Owned by the event
  * loop's thread.
  */
 public final class MemoryBudget {
   private long freeBytes;
 
-  /** A budget of this size in bytes, all of them free. */
+  /** Creates a budget of this size in bytes, all of it free. */
   public MemoryBudget(long bytes) {
     this.freeBytes = bytes;
   }
 
-  /** Reserves bytes; returns false and reserves none if fewer are left. */
+  /** Reserves bytes. If fewer are left, reserves none and returns false. */
   public boolean reserve(int bytes) {
     if (bytes > freeBytes) {
       return false;
@@ -21,7 +21,7 @@
     return true;
   }
 
-  /** Returns bytes that were reserved. */
+  /** Releases bytes that were reserved. */
   public void release(int bytes) {
     freeBytes += bytes;
   }
--- a/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
+++ b/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
@@ -3,15 +3,15 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Counts the request of a streamed value when the value is complete, has failed or is cancelled.
- * Owned by the event loop's thread.
+ * Wraps the source of a streamed value, and counts its request when the value is complete, has
+ * failed or is cancelled. Owned by the event loop's thread.
  */
 final class MeteredValueSource implements ValueSource, ValueSource.Receiver {
   private final RequestMetrics metrics;
   private final String service;
   private final ValueSource source;
   private Receiver receiver;
-  private boolean ended;
+  private boolean isEnded;
 
   MeteredValueSource(RequestMetrics metrics, String service, ValueSource source) {
     this.metrics = metrics;
@@ -26,14 +26,14 @@
   }
 
   @Override
-  public void setReading(boolean on) {
-    source.setReading(on);
+  public void setReading(boolean isReading) {
+    source.setReading(isReading);
   }
 
   @Override
   public void cancel() {
-    if (!ended) {
-      ended = true;
+    if (!isEnded) {
+      isEnded = true;
       metrics.clientDisconnected();
       source.cancel();
     }
@@ -46,14 +46,14 @@
 
   @Override
   public void onComplete() {
-    ended = true;
+    isEnded = true;
     metrics.streamed(service);
     receiver.onComplete();
   }
 
   @Override
   public void onFailure() {
-    ended = true;
+    isEnded = true;
     metrics.answered(service, new Reply.Failed(true));
     receiver.onFailure();
   }
--- a/engine/src/main/java/shalepaddle/engine/Payload.java
+++ b/engine/src/main/java/shalepaddle/engine/Payload.java
@@ -3,15 +3,15 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * What a request carries beside its {@link shalepaddle.model.Request}: a write's value, and the
- * bytes that the client sent. A codec of the same protocol may know the class of a payload and
- * forward its bytes unchanged; any other uses the value.
+ * The content of a request besides its {@link shalepaddle.model.Request}: the value of a write, and
+ * the bytes that the client sent. A codec of the same protocol may know the class of a payload and
+ * forward its bytes unchanged; other codecs use the value.
  *
- * <p>Owned by the engine once it is submitted. It is released once, when no further attempt can
- * follow; attempts that are being written retain what they need.
+ * <p>Owned by the engine once it is submitted. Released once, when no further attempt can follow;
+ * attempts that are being written retain the buffers they need.
  */
 public interface Payload {
-  /** The payload of a request without one. */
+  /** The payload of a request that has no content besides its properties. */
   Payload NONE =
       new Payload() {
         @Override
@@ -25,10 +25,10 @@
         }
       };
 
-  /** The value of a write, null for a read. Callers leave its indices and its count as they are. */
+  /** The value of a write, null for a read. Callers must not change its indices or its refCnt. */
   ByteBuf value();
 
-  /** The idempotency key by which servers recognise a repeated write, null for none. */
+  /** The idempotency key by which servers recognize a repeated write, null for none. */
   default String idempotencyKey() {
     return null;
   }
--- a/engine/src/main/java/shalepaddle/engine/PolicyActions.java
+++ b/engine/src/main/java/shalepaddle/engine/PolicyActions.java
@@ -9,8 +9,8 @@
 import shalepaddle.policy.RoutingActions;
 
 /**
- * Carries out what the policy decides. While observations of another process are replayed, nothing
- * goes to servers. Owned by the event loop's thread.
+ * Carries out the policy's decisions. Sends nothing to servers while observations of another
+ * process are replayed. Owned by the event loop's thread.
  */
 final class PolicyActions implements RoutingActions {
   private final Timers timers;
@@ -21,8 +21,8 @@
   private ExchangeLifecycle exchanges;
   private AttemptLifecycle attempts;
   private Upstream upstream;
-  private MemberSource members;
-  private boolean replaying;
+  private MemberSource memberSource;
+  private boolean isReplaying;
 
   PolicyActions(Timers timers, EngineDrain drain, FlightRecorder recorder, Log log) {
     this.timers = timers;
@@ -31,7 +31,7 @@
     this.log = log;
   }
 
-  /** Joins it with what decisions are carried out by; once, before the first event. */
+  /** Sets the objects that carry out decisions. Called once, before the first event. */
   void connect(
       PolicyEventLoop policyEvents,
       ExchangeLifecycle exchangeLifecycle,
@@ -41,46 +41,46 @@
     attempts = attemptLifecycle;
   }
 
-  /** From now on there are servers and a source of their list. */
+  /** Sets the connections to servers and the source of the server list. */
   void connect(Upstream servers, MemberSource memberSource) {
     upstream = servers;
-    members = memberSource;
+    this.memberSource = memberSource;
   }
 
   /** Runs a replay, during which nothing is sent to servers. */
   void replay(Runnable replay) {
-    replaying = true;
+    isReplaying = true;
     try {
       replay.run();
     } finally {
-      replaying = false;
+      isReplaying = false;
     }
   }
 
   @Override
-  public void send(String requestId, long server, double within) {
-    if (replaying) {
+  public void send(String requestId, long server, double writeWithinSeconds) {
+    if (isReplaying) {
       return;
     }
     Exchange exchange = exchanges.find(requestId);
     if (exchange == null) {
-      log.line("send for unknown request " + requestId);
+      log.line("policy decision ignored: send for unknown request " + requestId);
       return;
     }
-    attempts.send(exchange, server, within);
+    attempts.send(exchange, server, writeWithinSeconds);
   }
 
   @Override
-  public void cancel(String requestId, int number) {
+  public void cancel(String requestId, int attemptNumber) {
     Exchange exchange = exchanges.find(requestId);
-    if (exchange != null && number < exchange.attempts().size()) {
-      attempts.withdraw(exchange.attempts().get(number), Outcome.Result.CANCELLED);
+    if (exchange != null && attemptNumber < exchange.attempts().size()) {
+      attempts.withdraw(exchange.attempts().get(attemptNumber), Outcome.Result.CANCELLED);
     }
   }
 
   @Override
-  public void reject(String requestId, double retryAfter) {
-    long retryAfterMillis = Math.round(retryAfter * 1e3);
+  public void reject(String requestId, double retryAfterSeconds) {
+    long retryAfterMillis = Math.round(retryAfterSeconds * 1e3);
     recorder.record(Event.REJECTED_POLICY, requestId);
     Exchange exchange = exchanges.find(requestId);
     if (exchange != null) {
@@ -97,26 +97,27 @@
   }
 
   @Override
-  public void scheduleTimer(long token, double delay) {
+  public void scheduleTimer(long token, double delaySeconds) {
     if (drain.isClosed()) {
       return;
     }
     timers.runNoEarlierThan(
-        (long) (delay * 1e9), () -> policy.post((router, now) -> router.onTimer(now, token)));
+        (long) (delaySeconds * 1e9),
+        () -> policy.post((router, now) -> router.onTimer(now, token)));
   }
 
   @Override
-  public void subscribe(boolean on) {
-    if (on) {
-      members.follow();
+  public void subscribe(boolean isSubscribed) {
+    if (isSubscribed) {
+      memberSource.follow();
     } else {
-      members.stop();
+      memberSource.stop();
     }
   }
 
   @Override
   public void closeIdleConnections(long server) {
-    if (!replaying) {
+    if (!isReplaying) {
       upstream.closeIdle(server);
     }
   }
--- a/engine/src/main/java/shalepaddle/engine/PolicyEventLoop.java
+++ b/engine/src/main/java/shalepaddle/engine/PolicyEventLoop.java
@@ -9,18 +9,18 @@
 import shalepaddle.policy.RequestRouter;
 
 /**
- * The queue of events towards the policy. An event that is posted while the policy handles another
- * one waits until that is done, so that the policy is never called from within one of its calls.
+ * Queues events for the policy. An event that is posted while the policy handles another event
+ * waits until the first is handled, so that the policy is never called reentrantly.
  *
- * <p>Owned by the event loop's thread, on which every event is handled before the outermost {@link
- * #post} returns.
+ * <p>Owned by the event loop's thread. Every event is handled before the outermost {@link #post}
+ * returns.
  */
 final class PolicyEventLoop {
-  /** One event, applied to the policy. */
+  /** An event for the policy. */
   @FunctionalInterface
   interface PolicyEvent {
     /**
-     * Notifies the policy.
+     * Notifies the policy of the event.
      *
      * @param nowSeconds the node's time, in seconds since 1970
      */
@@ -31,7 +31,7 @@
   private final Clock clock;
   private final Log log;
   private final ArrayDeque<PolicyEvent> events = new ArrayDeque<>();
-  private boolean handling;
+  private boolean isHandling;
   private Runnable failureHandler = () -> {};
 
   PolicyEventLoop(RequestRouter router, Clock clock, Log log) {
@@ -40,24 +40,24 @@
     this.log = log;
   }
 
-  /** Sets what is run after an event that the policy has failed on. */
+  /** Sets the handler that is run after the policy has thrown an exception. */
   void onFailure(Runnable handler) {
     failureHandler = handler;
   }
 
-  /** Handles an event, and then those that the policy's own actions cause. */
+  /** Handles an event and all events that are posted meanwhile. */
   void post(PolicyEvent event) {
     events.add(event);
-    if (handling) {
+    if (isHandling) {
       return;
     }
-    handling = true;
+    isHandling = true;
     try {
-      for (PolicyEvent next = events.poll(); next != null; next = events.poll()) {
-        handle(next);
+      for (PolicyEvent nextEvent = events.poll(); nextEvent != null; nextEvent = events.poll()) {
+        handle(nextEvent);
       }
     } finally {
-      handling = false;
+      isHandling = false;
     }
   }
 
@@ -72,25 +72,25 @@
 
   /** Logs an exception of the policy. */
   void logFailure(Throwable cause) {
-    log.failure("decision module", cause);
+    log.failure("policy", cause);
   }
 
   /**
-   * Replays what another process of this node has observed, before the first event.
+   * Replays the observations of another process of this node. Called before the first event.
    *
-   * @param known the server list as it is known
-   * @param past observations in the order in which they ended
+   * @param lastUpdate the last known server list
+   * @param observations the observations, in the order in which their attempts ended
    */
-  void replay(MembershipUpdate known, List<Observation> past) {
+  void replay(MembershipUpdate lastUpdate, List<Observation> observations) {
     try {
-      WarmStartLog.replay(router, known, WarmStartLog.inTime(clock.now(), past));
+      WarmStartLog.replay(router, lastUpdate, WarmStartLog.inTime(clock.now(), observations));
     } catch (RuntimeException e) {
-      // The node starts with what was replayed before the failure.
-      log.failure("decision module, replaying", e);
+      // The node starts with the observations that were replayed before the failure.
+      log.failure("policy, while replaying observations", e);
     }
   }
 
-  /** Servers in the list; only those that get no requests now where {@code avoidedOnly}. */
+  /** The number of listed servers; if {@code avoidedOnly}, of those that get no requests now. */
   int serverCount(boolean avoidedOnly) {
     return router.serverCount(avoidedOnly);
   }
--- a/engine/src/main/java/shalepaddle/engine/RequestIntake.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestIntake.java
@@ -9,9 +9,9 @@
 import shalepaddle.overload.OverloadControl;
 
 /**
- * Accepts requests: gives each its deadline, rejects those that come too late or after the end, and
- * opens an exchange for the others or lets them share one. Owned by the event loop's thread; all
- * times are nanoseconds of the loop's clock.
+ * Accepts requests: computes each deadline, rejects requests that have expired or arrive after the
+ * engine was closed, and opens an exchange for the others or lets them share one. Owned by the
+ * event loop's thread; all times are nanoseconds of the loop's clock.
  */
 final class RequestIntake {
   private final EventLoop loop;
@@ -22,7 +22,7 @@
   private final FlightRecorder recorder;
   private final RequestMetrics metrics;
 
-  /** Null where reads are not coalesced. */
+  /** Null if reads are not coalesced. */
   private final CoalescedReads reads;
 
   RequestIntake(
@@ -45,28 +45,29 @@
   }
 
   /**
-   * Accepts a request of a client elsewhere. A part of its time is reserved for a stall of the
+   * Accepts a request from a remote client. Part of its time budget is reserved for a stall of the
    * event loop.
    *
-   * @param sentAt the earliest time at which its client can have sent it
+   * @param sentAtNanos the earliest time at which the client can have sent the request
    * @return null if another open request has its id
    */
-  Submission submitRemote(Call call, long sentAt) {
-    long budget = RequestSettings.nanos(call.request().budgetSeconds());
-    return submit(call, sentAt, AnswerMargin.of(budget, clock.expectedStallNanos()));
+  Submission submitRemote(Call call, long sentAtNanos) {
+    long budgetNanos = RequestSettings.nanos(call.request().budgetSeconds());
+    return submit(call, sentAtNanos, AnswerMargin.of(budgetNanos, clock.expectedStallNanos()));
   }
 
   /**
-   * Accepts a request of this process, whose caller stalls together with the event loop.
+   * Accepts a request submitted within this process. No time is reserved for stalls, since its
+   * caller stalls together with the event loop.
    *
-   * @param sentAt when it was submitted
+   * @param sentAtNanos when the request was submitted
    * @return null if another open request has its id
    */
-  Submission submitLocal(Call call, long sentAt) {
-    return submit(call, sentAt, 0);
+  Submission submitLocal(Call call, long sentAtNanos) {
+    return submit(call, sentAtNanos, 0);
   }
 
-  private Submission submit(Call call, long sentAt, long margin) {
+  private Submission submit(Call call, long sentAtNanos, long marginNanos) {
     Request request = call.request();
     String id = request.id();
     metrics.requestReceived();
@@ -77,23 +78,27 @@
     }
     long now = clock.refresh();
     recorder.record(Event.REQUEST_READ, id);
-    long clientDeadline = sentAt + RequestSettings.nanos(request.budgetSeconds());
+    long clientDeadlineNanos = sentAtNanos + RequestSettings.nanos(request.budgetSeconds());
     if (drain.isClosed()) {
-      return reject(call, clientDeadline, Event.REJECTED_SHUTDOWN, 0);
+      return reject(call, clientDeadlineNanos, Event.REJECTED_SHUTDOWN, 0);
     }
-    long deadline = drain.limit(clientDeadline - margin);
-    if (deadline - now <= AttemptDeadlines.ANSWER_MARGIN_NANOS) {
-      return reject(call, clientDeadline, Event.REJECTED_EXPIRED, overload.retryAfterMillis());
+    long deadlineNanos = drain.limit(clientDeadlineNanos - marginNanos);
+    if (deadlineNanos - now <= AttemptDeadlines.ANSWER_MARGIN_NANOS) {
+      return reject(call, clientDeadlineNanos, Event.REJECTED_EXPIRED, overload.retryAfterMillis());
     }
-    Submission waiter = reads == null ? null : reads.submit(call, request, deadline, now);
-    return waiter != null ? waiter : open(call, sentAt, deadline, clientDeadline, now);
+    Submission waiter = reads == null ? null : reads.submit(call, request, deadlineNanos, now);
+    return waiter != null
+        ? waiter
+        : open(call, sentAtNanos, deadlineNanos, clientDeadlineNanos, now);
   }
 
-  private Exchange open(Call call, long sentAt, long deadline, long clientDeadline, long now) {
-    Exchange exchange = exchanges.open(call, deadline, clientDeadline);
-    if (now - sentAt > LoopClock.STALL_THRESHOLD_NANOS) {
-      // It waited unread, and so may the end of its connection, which is read in a turn of its own
-      // and handled after that turn's reads.
+  private Exchange open(
+      Call call, long sentAtNanos, long deadlineNanos, long clientDeadlineNanos, long now) {
+    Exchange exchange = exchanges.open(call, deadlineNanos, clientDeadlineNanos);
+    if (now - sentAtNanos > LoopClock.STALL_THRESHOLD_NANOS) {
+      // The request waited unread in the socket, and its client may have disconnected meanwhile. A
+      // disconnect is read in a separate turn and handled after that turn's reads: starting later
+      // avoids working for a client that is gone.
       clock.afterNextPoll(() -> loop.execute(() -> exchanges.start(exchange, call.request())));
     } else {
       exchanges.start(exchange, call.request());
@@ -101,12 +106,14 @@
     return exchange;
   }
 
-  /** Rejects a request that has not run, without notifying the policy of it. */
-  private Exchange reject(Call call, long clientDeadline, Event reason, long retryAfterMillis) {
+  /** Rejects a request that has not run, without notifying the policy. */
+  private Exchange reject(
+      Call call, long clientDeadlineNanos, Event reason, long retryAfterMillis) {
     recorder.record(reason, call.request().id());
-    Exchange rejected =
-        new Exchange(call, clientDeadline, clientDeadline, 0, Settings.Idempotency.IDEMPOTENT);
-    exchanges.end(rejected, new Reply.Rejected(retryAfterMillis));
-    return rejected;
+    Exchange rejectedExchange =
+        new Exchange(
+            call, clientDeadlineNanos, clientDeadlineNanos, 0, Settings.Idempotency.IDEMPOTENT);
+    exchanges.end(rejectedExchange, new Reply.Rejected(retryAfterMillis));
+    return rejectedExchange;
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/RequestMetrics.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestMetrics.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * Counters of requests and attempts since the start. At any time received = succeeded + rejected +
- * failed + disconnected + {@link #outstanding}.
+ * Counters of requests and attempts since the start of the process. At any time received =
+ * succeeded + rejected + failed + disconnected + {@link #outstanding}.
  *
  * <p>A service class that is removed from the settings keeps its counters, and continues with them
- * if it returns. Classes past {@value #MAX_CLASSES} share the counters of one without a name, so
- * that settings with ever new classes do not fill the memory.
+ * if it is added again. Classes beyond {@value #MAX_CLASSES} share the counters of one class with
+ * an empty name, so that settings with ever new classes do not exhaust the memory.
  *
  * <p>Owned by the event loop's thread.
  */
@@ -20,75 +20,75 @@
   private static final String OTHER_CLASSES = "";
 
   private static final class Counts {
-    private long succeeded;
-    private long rejected;
-    private long failed;
+    private long succeededRequests;
+    private long rejectedRequests;
+    private long failedRequests;
   }
 
   private final Map<String, Counts> classes = new LinkedHashMap<>();
-  private long received;
-  private long disconnected;
-  private long answered;
-  private long forwards;
+  private long receivedRequests;
+  private long disconnectedRequests;
+  private long answeredRequests;
+  private long forwardedAttempts;
 
-  /** Registers service classes, which are reported from now on, with zeros at first. */
+  /** Registers service classes, so that they are reported before their first request. */
   public void registerServices(List<String> services) {
     services.forEach(this::countsOf);
   }
 
   private Counts countsOf(String service) {
-    Counts known = classes.get(service);
-    if (known == null) {
+    Counts knownCounts = classes.get(service);
+    if (knownCounts == null) {
       String name = classes.size() < MAX_CLASSES ? service : OTHER_CLASSES;
-      known = classes.computeIfAbsent(name, any -> new Counts());
+      knownCounts = classes.computeIfAbsent(name, any -> new Counts());
     }
-    return known;
+    return knownCounts;
   }
 
-  /** A complete request was read from its connection. */
+  /** Counts a request that was received completely. */
   void requestReceived() {
-    received++;
+    receivedRequests++;
   }
 
-  /** A request that was received has its final answer. */
+  /** Counts the final answer to a request. */
   void answered(String service, Reply reply) {
-    answered++;
+    answeredRequests++;
     Counts counts = countsOf(service);
     if (reply instanceof Reply.Rejected) {
-      counts.rejected++;
+      counts.rejectedRequests++;
     } else if (reply instanceof Reply.Failed) {
-      counts.failed++;
+      counts.failedRequests++;
     } else {
-      counts.succeeded++;
+      counts.succeededRequests++;
     }
   }
 
-  /** The last byte of a streamed answer has come. */
+  /** Counts a streamed answer whose last byte was received. */
   void streamed(String service) {
-    answered++;
-    countsOf(service).succeeded++;
+    answeredRequests++;
+    countsOf(service).succeededRequests++;
   }
 
-  /** A request was rejected before it was parsed: received and answered at once. */
+  /** Counts a request that was rejected before it was parsed, as received and as answered. */
   public void rejectedBeforeParsing(String service) {
-    received++;
-    answered++;
-    countsOf(service).rejected++;
+    receivedRequests++;
+    answeredRequests++;
+    countsOf(service).rejectedRequests++;
   }
 
-  /** The client of a request that was received has left before its answer. */
+  /** Counts a request whose client disconnected before the answer. */
   void clientDisconnected() {
-    disconnected++;
+    disconnectedRequests++;
   }
 
-  /** An attempt's last byte was handed to the socket. */
+  /** Counts an attempt whose last byte was handed to the socket. */
   void forwarded() {
-    forwards++;
+    forwardedAttempts++;
   }
 
-  /** Requests received and not ended. */
+  /** The number of requests that were received and have not ended. */
   public long outstanding() {
-    return received - answered - disconnected;
+    return receivedRequests - answeredRequests - disconnectedRequests;
   }
 
   /** All counters as they are now. */
@@ -98,8 +98,15 @@
         (name, counts) ->
             results.add(
                 new RequestMetricsSnapshot.Results(
-                    name, counts.succeeded, counts.rejected, counts.failed)));
+                    name,
+                    counts.succeededRequests,
+                    counts.rejectedRequests,
+                    counts.failedRequests)));
     return new RequestMetricsSnapshot(
-        received, disconnected, outstanding(), forwards, List.copyOf(results));
+        receivedRequests,
+        disconnectedRequests,
+        outstanding(),
+        forwardedAttempts,
+        List.copyOf(results));
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/RequestQueue.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestQueue.java
@@ -11,39 +11,40 @@
 import shalepaddle.overload.OverloadControl;
 
 /**
- * Requests that wait for a turn of the event loop in which they are handed to the policy. Owned by
- * the event loop's thread.
+ * Queues requests until a turn of the event loop has time to hand them to the policy. Owned by the
+ * event loop's thread.
  */
 final class RequestQueue {
   /**
-   * For how long one turn of the event loop routes requests; the rest waits for the next turn.
-   * Keeps responses, timers and new requests from waiting longer for theirs.
+   * Maximum time for which one turn of the event loop routes requests; the remaining requests wait
+   * for the next turn. Bounds the delay of responses, timers and new requests.
    */
   private static final long MAX_ROUTING_NANOS = 3_000_000;
 
-  /** Requests in the queue; above it, the oldest of the lowest priority is rejected. */
-  private static final int MAX_QUEUED = 1024;
+  /** Maximum number of queued requests; above it, the oldest of the lowest priority is rejected. */
+  private static final int MAX_QUEUED_REQUESTS = 1024;
 
   /** A request in the queue. */
-  private record Queued(Exchange exchange, Request request) {}
+  private record QueuedRequest(Exchange exchange, Request request) {}
 
   private final EventLoop loop;
   private final LoopClock clock;
   private final OverloadControl overload;
   private final BiConsumer<Exchange, Request> route;
   private final Consumer<Exchange> reject;
-  private AdmissionQueue<Queued> queue;
+  private AdmissionQueue<QueuedRequest> queue;
 
-  /** The turn in which requests were routed last, and since when. */
-  private long turn = -1;
+  /** The turn in which requests were routed last. */
+  private long routingTurn = -1;
 
-  private long turnSinceNanos;
+  /** When the routing began in {@link #routingTurn}, by the loop's clock. */
+  private long turnRoutingSinceNanos;
 
   /**
-   * An empty queue.
+   * Creates an empty queue.
    *
    * @param route hands a request to the policy
-   * @param reject rejects one that has waited too long
+   * @param reject rejects a request that has waited too long
    */
   RequestQueue(
       EventLoop loop,
@@ -59,24 +60,27 @@
     this.queue = newQueue();
   }
 
-  private AdmissionQueue<Queued> newQueue() {
-    return overload.newAdmissionQueue(MAX_QUEUED, queued -> reject.accept(queued.exchange()));
+  private AdmissionQueue<QueuedRequest> newQueue() {
+    return overload.newAdmissionQueue(
+        MAX_QUEUED_REQUESTS, queuedRequest -> reject.accept(queuedRequest.exchange()));
   }
 
-  /** Routes what is queued by the old tiers; what comes next is queued by these settings. */
-  void retune(Settings next) {
+  /** Routes all queued requests, then applies new settings to the queue. */
+  void retune(Settings newSettings) {
     long now = clock.now();
-    for (Queued queued = queue.poll(now); queued != null; queued = queue.poll(now)) {
-      route(queued, now);
+    for (QueuedRequest queuedRequest = queue.poll(now);
+        queuedRequest != null;
+        queuedRequest = queue.poll(now)) {
+      route(queuedRequest, now);
     }
-    overload.updateSettings(next);
+    overload.updateSettings(newSettings);
     queue = newQueue();
   }
 
-  /** Routes a request now, or queues it where this turn has routed for long enough. */
+  /** Routes a request now, or queues it if this turn has used up its routing time. */
   void enter(Exchange exchange, Request request) {
     long now = clock.now();
-    if (queue.size() == 0 && !isTurnSpent(now)) {
+    if (queue.size() == 0 && !hasUsedRoutingTime(now)) {
       route.accept(exchange, request);
       return;
     }
@@ -84,37 +88,39 @@
       scheduleRouting();
     }
     queue.offer(
-        new Queued(exchange, request), overload.tier(request.serviceClass(), request.retry()), now);
+        new QueuedRequest(exchange, request),
+        overload.tier(request.serviceClass(), request.retry()),
+        now);
   }
 
-  /** Nanoseconds for which the oldest request has waited, 0 if there is none. */
+  /** How long the oldest queued request has waited in nanoseconds, 0 if there is none. */
   long oldestQueuedNanos() {
     return queue.oldestWaitNanos(clock.now());
   }
 
-  /** Empties the queue; each request in it is rejected. */
+  /** Rejects all queued requests. */
   void close() {
     queue.rejectAll();
   }
 
-  private boolean isTurnSpent(long now) {
-    if (turn != clock.turn()) {
-      turn = clock.turn();
-      turnSinceNanos = now;
+  private boolean hasUsedRoutingTime(long now) {
+    if (routingTurn != clock.turn()) {
+      routingTurn = clock.turn();
+      turnRoutingSinceNanos = now;
     }
-    return now - turnSinceNanos > MAX_ROUTING_NANOS;
+    return now - turnRoutingSinceNanos > MAX_ROUTING_NANOS;
   }
 
-  /** Routes what is queued, for as long as one turn may. */
+  /** Routes queued requests for up to {@link #MAX_ROUTING_NANOS}. */
   private void routeQueued() {
-    long since = clock.now();
-    long now = since;
-    while (now - since <= MAX_ROUTING_NANOS) {
-      Queued next = queue.poll(now);
-      if (next == null) {
+    long routingSinceNanos = clock.now();
+    long now = routingSinceNanos;
+    while (now - routingSinceNanos <= MAX_ROUTING_NANOS) {
+      QueuedRequest queuedRequest = queue.poll(now);
+      if (queuedRequest == null) {
         return;
       }
-      route(next, now);
+      route(queuedRequest, now);
       now = clock.now();
     }
     if (queue.size() > 0) {
@@ -122,14 +128,16 @@
     }
   }
 
-  private void route(Queued next, long now) {
-    double left = (next.exchange().deadlineNanos() - now) / 1e9;
-    route.accept(next.exchange(), next.request().withBudgetAtMost(Math.max(0, left)));
+  private void route(QueuedRequest queuedRequest, long now) {
+    double remainingSeconds = (queuedRequest.exchange().deadlineNanos() - now) / 1e9;
+    route.accept(
+        queuedRequest.exchange(),
+        queuedRequest.request().withBudgetAtMost(Math.max(0, remainingSeconds)));
   }
 
   /**
-   * Routes in the next turn. Uses schedule, as a task given to execute would still run in this
-   * turn, before the next poll for I/O.
+   * Schedules routing for the next turn. Uses {@code schedule}, since a task passed to {@code
+   * execute} would still run in this turn, before the next poll for I/O.
    */
   private void scheduleRouting() {
     loop.schedule(this::routeQueued, 1, TimeUnit.NANOSECONDS);
--- a/engine/src/main/java/shalepaddle/engine/RequestSettings.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestSettings.java
@@ -4,9 +4,8 @@
 import shalepaddle.model.Settings;
 
 /**
- * The deployment's settings as far as the engine applies them itself: to requests that are accepted
- * from now on. What is open keeps those under which it was accepted. Owned by the event loop's
- * thread.
+ * The settings that the engine itself applies to newly accepted requests. Open requests keep the
+ * settings under which they were accepted. Owned by the event loop's thread.
  */
 final class RequestSettings {
   private static final double MIN_TICK_SECONDS = 0.001;
@@ -18,21 +17,21 @@
     this.settings = settings;
   }
 
-  /** From now on these settings apply. */
-  void replace(Settings next) {
-    settings = next;
+  /** Replaces the settings for requests that are accepted from now on. */
+  void replace(Settings newSettings) {
+    settings = newSettings;
   }
 
-  /** How often a request may be written to servers. */
+  /** How many times a request may be written to servers. */
   int maxAttempts() {
     return settings.limits().maxAttempts();
   }
 
-  /** What running a request of this class more than once does; of unknown classes the worst. */
+  /** The effect of repeating a request of this class; an unknown class is not idempotent. */
   Settings.Idempotency idempotency(String serviceClass) {
-    for (Settings.ServiceClass known : settings.services()) {
-      if (known.name().equals(serviceClass)) {
-        return known.idempotency();
+    for (Settings.ServiceClass knownClass : settings.services()) {
+      if (knownClass.name().equals(serviceClass)) {
+        return knownClass.idempotency();
       }
     }
     return Settings.Idempotency.NOT_IDEMPOTENT;
@@ -43,12 +42,12 @@
     return settings.services().stream().map(Settings.ServiceClass::name).toList();
   }
 
-  /** How long after a server is known to be draining it may still be sent requests. */
+  /** How long requests may still be sent to a server after it is known to be draining. */
   long drainGraceNanos() {
     return nanos(settings.contract().drainGraceSeconds());
   }
 
-  /** The settings' tick, within bounds that suit a real clock. */
+  /** The timer resolution of the settings, limited to a range that suits a real clock. */
   static long tickNanos(Settings settings) {
     return (long)
         (1e9
@@ -56,7 +55,7 @@
                 MIN_TICK_SECONDS, Math.min(MAX_TICK_SECONDS, settings.timerResolutionSeconds())));
   }
 
-  /** Seconds as nanoseconds. */
+  /** Converts seconds to nanoseconds. */
   static long nanos(double seconds) {
     return (long) (seconds * 1e9);
   }
--- a/engine/src/main/java/shalepaddle/engine/ServerReply.java
+++ b/engine/src/main/java/shalepaddle/engine/ServerReply.java
@@ -7,12 +7,13 @@
 /**
  * A cache server's response to an attempt, independent of any protocol.
  *
- * @param result the outcome that it stands for
- * @param id the request's id as the server repeats it, null where it does not
- * @param receipt a write's receipt, null for another reply
- * @param value a read's value, null for another reply; released by the connection that read it
- * @param note what it says of the server's cache
- * @param load the server's load report, null if none came along
+ * @param result the outcome of the attempt
+ * @param id the request id in the reply, null if it has none
+ * @param receipt the token that confirms a write, null for other replies
+ * @param value the value of a read, null for other replies; released by the connection it was read
+ *     from
+ * @param note the cache status in the reply: hit, miss or none
+ * @param load the server's load report, null if the reply has none
  */
 public record ServerReply(
     Outcome.Result result,
--- a/engine/src/main/java/shalepaddle/engine/SharedExchange.java
+++ b/engine/src/main/java/shalepaddle/engine/SharedExchange.java
@@ -9,8 +9,8 @@
 import shalepaddle.model.Request;
 
 /**
- * The exchange that the reads of one flight wait for, or one exchange after the other where it is
- * retried. What goes to a server bears the id of the flight's leader, which still waits.
+ * The exchange that the reads of one flight wait for, or several in sequence if it is retried.
+ * Attempts carry the request id of the flight's leader, a read that still waits.
  *
  * <p>Owned by the event loop's thread; all times are nanoseconds of the loop's clock.
  */
@@ -21,13 +21,13 @@
   private final Flight<CoalescedRead> flight;
   private Exchange exchange;
 
-  /** Under whose id the exchange is forwarded. */
+  /** The read whose id attempts carry. */
   private CoalescedRead leader;
 
-  /** Set for the next deadline of a read before that of the exchange, null for none. */
+  /** Runs at the next deadline of a read before the exchange's deadline; null if there is none. */
   private Timers.Timer expiryTimer;
 
-  private long expiryNanos = Long.MAX_VALUE;
+  private long expiryAtNanos = Long.MAX_VALUE;
 
   SharedExchange(
       CoalescedReads reads,
@@ -40,64 +40,66 @@
     this.flight = flight;
   }
 
-  /** Opens and starts an exchange under the id of a read. */
+  /** Opens and starts an exchange with the id of a read. */
   void begin(CoalescedRead read, Request request, long now) {
     leader = read;
     Call call = new Call(request, read.call().payload(), this);
     exchange = exchanges.open(call, flight.deadline(), flight.deadline());
     updateExpiryTimer(now);
-    // Last: it may be answered at once, and begin anew for the next leader.
+    // This call is the last: the exchange may be answered immediately and started again for the
+    // next leader.
     exchanges.start(exchange, request);
   }
 
-  /** A read has joined, which may wait longer than all before. */
+  /** Extends the exchange for a read that has joined, if the read's deadline is the latest. */
   void extend(long now) {
     exchanges.extend(exchange, flight.deadline());
     updateExpiryTimer(now);
   }
 
-  /** Continues under the id of the first read that still waits. */
+  /** Forwards further attempts with the id of the first read that still waits. */
   void updateLeader() {
-    FlightWaiter<CoalescedRead> first = flight.leader();
-    if (first != null && first.caller() != leader) {
-      leader = first.caller();
+    FlightWaiter<CoalescedRead> firstWaiter = flight.leader();
+    if (firstWaiter != null && firstWaiter.caller() != leader) {
+      leader = firstWaiter.caller();
       exchange.forwardAs(leader.call());
     }
   }
 
-  /** Nobody waits any more. */
+  /** Ends the exchange when no read waits for it any more. */
   void abandon() {
     cancelExpiryTimer();
     exchanges.clientDisconnected(exchange);
   }
 
   private void updateExpiryTimer(long now) {
-    long next = flight.nextDue();
-    if (next != expiryNanos) {
+    long nextDueNanos = flight.nextDue();
+    if (nextDueNanos != expiryAtNanos) {
       cancelExpiryTimer();
-      expiryNanos = next;
-      if (next != Long.MAX_VALUE) {
-        expiryTimer = timers.runNoLaterThan(next - now, () -> expire(next));
+      expiryAtNanos = nextDueNanos;
+      if (nextDueNanos != Long.MAX_VALUE) {
+        expiryTimer = timers.runNoLaterThan(nextDueNanos - now, () -> expire(nextDueNanos));
       }
     }
   }
 
   private void cancelExpiryTimer() {
-    expiryNanos = Long.MAX_VALUE;
+    expiryAtNanos = Long.MAX_VALUE;
     if (expiryTimer != null) {
       expiryTimer.cancel();
       expiryTimer = null;
     }
   }
 
-  /** Answers the reads whose time is up by what is known now; the others wait on. */
-  private void expire(long at) {
+  /** Answers the reads whose deadline has passed; the others continue to wait. */
+  private void expire(long dueNanos) {
     cancelExpiryTimer();
     long now = reads.now();
-    // A timer runs within the tick before its time.
-    List<FlightWaiter<CoalescedRead>> expired = reads.expire(flight, now - at > 0 ? now : at);
-    for (FlightWaiter<CoalescedRead> waiter : expired) {
-      // A sink that is called may cancel other reads.
+    // The timer may run up to one tick early.
+    List<FlightWaiter<CoalescedRead>> expiredWaiters =
+        reads.expire(flight, now - dueNanos > 0 ? now : dueNanos);
+    for (FlightWaiter<CoalescedRead> waiter : expiredWaiters) {
+      // A sink may cancel other reads when it is called.
       if (!waiter.caller().isEnded()) {
         reads.answer(waiter.caller(), exchanges.expiredReply(exchange));
       }
@@ -116,19 +118,19 @@
     long now = reads.now();
     FlightDecision<CoalescedRead> decision = reads.complete(flight, exchange, reply, now);
     answer(decision.recipients(), reply);
-    // A sink that was called may have cancelled the others.
+    // A sink may have cancelled the other reads when it was called.
     if (decision.retries() && !flight.isClosed()) {
       retry(flight.leader().caller(), now);
     }
   }
 
-  private void retry(CoalescedRead next, long now) {
-    reads.promote(next);
-    begin(next, next.call().request().withBudget((flight.deadline() - now) / 1e9), now);
+  private void retry(CoalescedRead newLeader, long now) {
+    reads.promote(newLeader);
+    begin(newLeader, newLeader.call().request().withBudget((flight.deadline() - now) / 1e9), now);
   }
 
   private void answer(List<FlightWaiter<CoalescedRead>> recipients, Reply reply) {
-    ByteBuf value = reply instanceof Reply.Value served ? served.value() : null;
+    ByteBuf value = reply instanceof Reply.Value valueReply ? valueReply.value() : null;
     try {
       for (int i = 0; i < recipients.size(); i++) {
         CoalescedRead read = recipients.get(i).caller();
@@ -143,14 +145,14 @@
     }
   }
 
-  /** The answer of one of several recipients. */
-  private Reply replyOf(Reply reply, ByteBuf value, int position, int count) {
+  /** The answer for one of several recipients. */
+  private Reply replyOf(Reply reply, ByteBuf value, int readIndex, int readCount) {
     if (value != null) {
       return new Reply.Value(value.retainedDuplicate());
     }
-    if (reply instanceof Reply.Rejected rejected) {
+    if (reply instanceof Reply.Rejected rejection) {
       return new Reply.Rejected(
-          reads.spreadRetryAfter(rejected.retryAfterMillis(), position, count));
+          reads.spreadRetryAfter(rejection.retryAfterMillis(), readIndex, readCount));
     }
     return reply;
   }
--- a/engine/src/main/java/shalepaddle/engine/Submission.java
+++ b/engine/src/main/java/shalepaddle/engine/Submission.java
@@ -1,7 +1,7 @@
 package shalepaddle.engine;
 
 /**
- * A call that the engine has accepted, for {@link Dispatcher#clientDisconnected}: one with an
- * exchange of its own, or a read that waits for a shared one.
+ * A call that the engine has accepted, as passed to {@link Dispatcher#clientDisconnected}: an
+ * exchange of its own, or a read that waits for a shared exchange.
  */
 public sealed interface Submission permits Exchange, CoalescedRead {}
--- a/engine/src/main/java/shalepaddle/engine/ValueAggregator.java
+++ b/engine/src/main/java/shalepaddle/engine/ValueAggregator.java
@@ -5,16 +5,16 @@
 import java.util.function.Consumer;
 
 /**
- * Collects a large value for a sink that does not accept streams. Bounded by the value's length,
- * which the protocol limits.
+ * Collects a large value for a sink that does not accept streams. Its memory is bounded by the
+ * maximum length of a value in the protocol.
  */
 final class ValueAggregator implements ValueSource.Receiver {
   private final Consumer<Reply> onAnswer;
   private final ByteBuf value;
 
-  ValueAggregator(int length, Consumer<Reply> onAnswer) {
+  ValueAggregator(int valueBytes, Consumer<Reply> onAnswer) {
     this.onAnswer = onAnswer;
-    this.value = Unpooled.buffer(length, length);
+    this.value = Unpooled.buffer(valueBytes, valueBytes);
   }
 
   @Override
--- a/engine/src/main/java/shalepaddle/engine/ValueSource.java
+++ b/engine/src/main/java/shalepaddle/engine/ValueSource.java
@@ -3,28 +3,31 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A large value that is still arriving from a cache server. All methods are called on the event
- * loop's thread.
+ * A large value that is still being received from a cache server. All methods are called on the
+ * event loop's thread.
  */
 public interface ValueSource {
   /** Receives the value as it arrives. */
   interface Receiver {
-    /** The next chunk, which the receiver owns. */
+    /** Receives the next chunk and takes ownership of it. */
     void onChunk(ByteBuf bytes);
 
-    /** The value is complete. */
+    /** Called when the value is complete. */
     void onComplete();
 
-    /** The server broke off: the value will never be complete. */
+    /** Called when the server's connection is lost, so that the value stays incomplete. */
     void onFailure();
   }
 
-  /** Gives what has arrived, and from now on what arrives, to the receiver. Called once. */
+  /** Passes the bytes received so far and all further bytes to the receiver. Called once. */
   void start(Receiver receiver);
 
-  /** Whether to read on: what the receiver can not take stays with the server. */
-  void setReading(boolean enabled);
+  /** Starts or stops reading from the server, for backpressure from the receiver. */
+  void setReading(boolean isReading);
 
-  /** The rest is not wanted; the receiver is not called any more. No effect once it is over. */
+  /**
+   * Discards the rest of the value and calls the receiver no more. No effect after the end of the
+   * value.
+   */
   void cancel();
 }
