--- a/engine/src/main/java/shalepaddle/engine/WarmStartLog.java
+++ b/engine/src/main/java/shalepaddle/engine/WarmStartLog.java
@@ -12,94 +12,104 @@
 import shalepaddle.policy.RequestRouter;
 
 /**
- * The outcomes of this process's latest attempts, for a process that takes its place, and their
- * replay there.
+ * Records the outcomes of this process's latest attempts for a process that replaces it, and
+ * replays them there.
  *
  * <p>The design is event sourcing: observations are handed over, not the policy's conclusions. The
- * new process's policy is notified of them, with the times at which they were made, before its
- * first request, and draws its own conclusions about servers, the origin and cached keys. So two
- * versions of the program need not agree on internal figures.
+ * policy of the new process is notified of them, with their original times, before its first
+ * request, and derives its own state of servers, the origin and cached keys. Different versions of
+ * the program therefore need not agree on internal figures.
  *
  * <p>Bounded to {@value #MAX_OBSERVATIONS} observations no older than {@value #MAX_AGE_SECONDS}
  * seconds. Thread-safe.
  */
 public final class WarmStartLog {
-  /** Observations that are retained. */
+  /** The maximum number of observations that are retained. */
   public static final int MAX_OBSERVATIONS = 2048;
 
-  /** Older observations say nothing of the present state of servers and caches. */
+  /** Observations that are older do not reflect the present state of servers and caches. */
   static final double MAX_AGE_SECONDS = 10;
 
-  private final ArrayDeque<Observation> latest = new ArrayDeque<>();
+  private final ArrayDeque<Observation> latestObservations = new ArrayDeque<>();
 
-  /** One more attempt has ended. */
+  /** Adds the observation of an attempt that has ended. */
   synchronized void add(Observation observation) {
-    latest.addLast(observation);
-    while (latest.size() > MAX_OBSERVATIONS
-        || observation.endedAt() - latest.peekFirst().endedAt() > MAX_AGE_SECONDS) {
-      latest.removeFirst();
+    latestObservations.addLast(observation);
+    while (latestObservations.size() > MAX_OBSERVATIONS
+        || observation.endedAt() - latestObservations.peekFirst().endedAt() > MAX_AGE_SECONDS) {
+      latestObservations.removeFirst();
     }
   }
 
-  /** All that is retained now, in the order in which the attempts ended. */
+  /** The retained observations, in the order in which the attempts ended. */
   public synchronized List<Observation> all() {
-    return List.copyOf(latest);
+    return List.copyOf(latestObservations);
   }
 
   /**
-   * Observations of another process, in this one's time. Each process sets its clock by the wall
-   * clock as it starts, and that may have been stepped since: observations from the future, or from
-   * long ago, are moved so that the last ended just now.
+   * Converts observations of another process to this process's time. Each process sets its clock by
+   * the wall clock when it starts, and the wall clock may have been stepped since: observations
+   * from the future or older than {@value #MAX_AGE_SECONDS} seconds are shifted so that the last
+   * one ended now.
    *
    * @param nowSeconds this process's time, in seconds since 1970
    */
   static List<Observation> inTime(double nowSeconds, List<Observation> observations) {
-    double lastEnd =
+    double lastEndSeconds =
         observations.stream().mapToDouble(Observation::endedAt).max().orElse(nowSeconds);
-    double age = nowSeconds - lastEnd;
-    if (age >= 0 && age <= MAX_AGE_SECONDS) {
+    double ageSeconds = nowSeconds - lastEndSeconds;
+    if (ageSeconds >= 0 && ageSeconds <= MAX_AGE_SECONDS) {
       return observations;
     }
     return observations.stream()
-        .map(each -> new Observation(each.endedAt() + age, each.request(), each.outcome()))
+        .map(
+            observation ->
+                new Observation(
+                    observation.endedAt() + ageSeconds,
+                    observation.request(),
+                    observation.outcome()))
         .toList();
   }
 
   /**
-   * Notifies a policy that has observed nothing yet of what another process observed.
+   * Replays another process's observations to a policy that has not observed anything yet.
    *
-   * @param known the server list
-   * @param observations in the order in which they ended
+   * @param lastUpdate the last known server list
+   * @param observations the observations, in the order in which their attempts ended
    */
-  static void replay(RequestRouter router, MembershipUpdate known, List<Observation> observations) {
+  static void replay(
+      RequestRouter router, MembershipUpdate lastUpdate, List<Observation> observations) {
     List<Observation> bySendTime = new ArrayList<>(observations);
     bySendTime.sort(Comparator.comparingDouble(Observation::sentAt));
-    router.onMembershipUpdate(bySendTime.get(0).sentAt(), known);
-    PriorityQueue<InFlight> inFlight =
-        new PriorityQueue<>(Comparator.comparingDouble(InFlight::endedAt));
-    long number = 0;
-    for (Observation next : bySendTime) {
-      // An attempt that ends at the time at which another is sent ends first.
-      endUntil(router, inFlight, next.sentAt());
-      Request request = withId(next.request(), "~" + number++);
-      router.observeAttempt(next.sentAt(), request, next.outcome().server());
-      inFlight.add(new InFlight(next.endedAt(), withId(next.outcome(), request.id())));
+    router.onMembershipUpdate(bySendTime.get(0).sentAt(), lastUpdate);
+    PriorityQueue<ReplayedAttempt> inFlightAttempts =
+        new PriorityQueue<>(Comparator.comparingDouble(ReplayedAttempt::endedAtSeconds));
+    long requestNumber = 0;
+    for (Observation observation : bySendTime) {
+      // If an attempt ends at the same time as another is sent, the end is replayed first.
+      endUntil(router, inFlightAttempts, observation.sentAt());
+      Request request = withId(observation.request(), "~" + requestNumber++);
+      router.observeAttempt(observation.sentAt(), request, observation.outcome().server());
+      inFlightAttempts.add(
+          new ReplayedAttempt(
+              observation.endedAt(), withId(observation.outcome(), request.id())));
     }
-    endUntil(router, inFlight, Double.POSITIVE_INFINITY);
+    endUntil(router, inFlightAttempts, Double.POSITIVE_INFINITY);
   }
 
-  /** An attempt that the policy knows of, and how it will end. */
-  private record InFlight(double endedAt, Outcome outcome) {}
+  /** A replayed attempt in flight: when it will end, and with which outcome. */
+  private record ReplayedAttempt(double endedAtSeconds, Outcome outcome) {}
 
   private static void endUntil(
-      RequestRouter router, PriorityQueue<InFlight> inFlight, double until) {
-    while (!inFlight.isEmpty() && inFlight.peek().endedAt() <= until) {
-      InFlight ended = inFlight.poll();
-      router.onOutcome(ended.endedAt(), ended.outcome());
+      RequestRouter router, PriorityQueue<ReplayedAttempt> inFlightAttempts, double untilSeconds) {
+    while (!inFlightAttempts.isEmpty()
+        && inFlightAttempts.peek().endedAtSeconds() <= untilSeconds) {
+      ReplayedAttempt endedAttempt = inFlightAttempts.poll();
+      router.onOutcome(endedAttempt.endedAtSeconds(), endedAttempt.outcome());
     }
   }
 
-  /** With an id of its own; all of them have ended before the first request of a client. */
+  /** Copies a request with a new id. All replayed requests end before the first client request. */
   private static Request withId(Request request, String id) {
     return new Request(
         id,
--- a/engine/src/main/java/shalepaddle/engine/package-info.java
+++ b/engine/src/main/java/shalepaddle/engine/package-info.java
@@ -1,11 +1,11 @@
 /**
- * The way of a request between its client's connection and its cache servers: calls, exchanges,
- * attempts and their deadlines. It notifies the policy of what happens and carries out what the
- * policy decides; it knows no protocol and no socket.
+ * Processes requests between client connections and cache servers: calls, exchanges, attempts and
+ * their deadlines. Notifies the policy of events and carries out the policy's decisions.
+ * Independent of protocols and sockets.
  *
- * <p>{@link shalepaddle.engine.Dispatcher} joins the parts. One event loop's thread owns the state
- * of all classes here, but for {@link shalepaddle.engine.Engine}, which other threads submit calls
- * by, and {@link shalepaddle.engine.WarmStartLog}; both are thread-safe.
+ * <p>{@link shalepaddle.engine.Dispatcher} connects the classes of this package. Their state is
+ * owned by one event loop's thread, except for {@link shalepaddle.engine.Engine}, which submits
+ * calls from other threads, and {@link shalepaddle.engine.WarmStartLog}; both are thread-safe.
  *
  * <p>May call {@code coalescing}, {@code diagnostics}, {@code loop}, {@code membership}, {@code
  * model}, {@code overload} and {@code policy}. Connections on both sides call it: {@code front}
--- a/engine/src/main/java/shalepaddle/front/ArrivalTracker.java
+++ b/engine/src/main/java/shalepaddle/front/ArrivalTracker.java
@@ -3,12 +3,12 @@
 import shalepaddle.loop.LoopClock;
 
 /**
- * The earliest time at which the bytes that are read from one connection can have arrived.
+ * Tracks the earliest time at which the bytes that are read from one connection can have arrived.
  *
- * <p>A request's time counts from when its client sends it, and a node may read it later: its event
- * loop was busy or stalled, or reading was suspended. The socket does not say when bytes arrived.
- * What is known is the latest time at which it was empty: it was read until then, or a poll did not
- * report it while it was being polled.
+ * <p>The time budget of a request starts when its client sends it, but the node may read it later:
+ * the event loop was busy or stalled, or reading was suspended. The socket does not provide arrival
+ * times. However, the latest time at which the socket was empty is known: it was read until it was
+ * empty, or a poll that included it did not report it.
  *
  * <p>Owned by its connection, on the event loop; all times are by the loop's clock.
  */
@@ -18,9 +18,10 @@
   /** The latest time at which the socket is known to have been empty. */
   private long emptyAtNanos;
 
-  /** Whether the socket is polled, and since when without a break. */
-  private boolean isPolled;
+  /** Whether the event loop polls the socket for bytes. */
+  private boolean isSocketPolled;
 
+  /** Since when the socket has been polled without interruption. */
   private long polledSinceNanos;
 
   private boolean isReading;
@@ -28,7 +29,8 @@
   private long arrivalNanos;
 
   /**
-   * For a connection that has just been accepted: unread bytes can be as old as the connection.
+   * Creates a tracker for a connection that was just accepted. Unread bytes can be as old as the
+   * connection.
    *
    * @param connectedSinceNanos the earliest time at which the client can have connected
    */
@@ -39,31 +41,32 @@
   }
 
   /** Sets whether the event loop polls the socket for bytes from now on. */
-  void setPolled(boolean on) {
-    if (on && !isPolled) {
+  void setPolled(boolean isNowPolled) {
+    if (isNowPolled && !isSocketPolled) {
       polledSinceNanos = clock.now();
     }
-    isPolled = on;
+    isSocketPolled = isNowPolled;
   }
 
-  /** Bytes have been read; returns the earliest time at which they can have arrived. */
+  /** Records a read, and returns the earliest time at which its bytes can have arrived. */
   long bytesRead() {
     if (!isReading) {
       isReading = true;
       readingSinceNanos = clock.refresh();
-      boolean wasPolledBefore = isPolled && polledSinceNanos - clock.previousPollAt() <= 0;
-      arrivalNanos = wasPolledBefore ? later(emptyAtNanos, clock.earliestArrival()) : emptyAtNanos;
+      boolean wasPolledBefore = isSocketPolled && polledSinceNanos - clock.previousPollAt() <= 0;
+      arrivalNanos = wasPolledBefore ? latest(emptyAtNanos, clock.earliestArrival()) : emptyAtNanos;
     }
     return arrivalNanos;
   }
 
   /**
-   * Reading ends for this turn.
+   * Records the end of reading in this turn.
    *
-   * @param isEmpty whether the socket was read until it was empty; otherwise more may wait in it
+   * @param isSocketEmpty whether the socket was read until it was empty; otherwise it may have more
+   *     bytes
    */
-  void readComplete(boolean isEmpty) {
-    if (isReading && isEmpty) {
+  void readComplete(boolean isSocketEmpty) {
+    if (isReading && isSocketEmpty) {
       emptyAtNanos = readingSinceNanos;
     } else if (isReading) {
       emptyAtNanos = arrivalNanos;
@@ -71,7 +74,7 @@
     isReading = false;
   }
 
-  private static long later(long one, long other) {
-    return one - other > 0 ? one : other;
+  private static long latest(long firstNanos, long secondNanos) {
+    return firstNanos - secondNanos > 0 ? firstNanos : secondNanos;
   }
 }
--- a/engine/src/main/java/shalepaddle/front/ClientCodec.java
+++ b/engine/src/main/java/shalepaddle/front/ClientCodec.java
@@ -6,34 +6,34 @@
 import shalepaddle.engine.Reply;
 
 /**
- * A protocol that clients speak, in which responses come in the order of the commands. Used on the
- * event loop alone; the caller owns the bytes that are returned.
+ * A client protocol in which responses are sent in the order of the commands. Used only on the
+ * event loop; the caller owns the bytes that are returned.
  */
 public interface ClientCodec {
-  /** A decoder of the commands on one new connection. */
+  /** Creates a decoder for the commands on one connection. */
   CommandDecoder decoder();
 
   /**
-   * The bytes of the response to the request with this id; of a streamed value the head alone. A
-   * value in the reply belongs to this, also where this throws.
+   * Encodes the response to the request with this id; for a streamed value only the head. Takes
+   * ownership of a value in the reply, even if this throws.
    */
   ByteBuf encode(ByteBufAllocator allocator, String id, Reply reply);
 
-  /** The bytes behind the last chunk of a streamed value. */
+  /** Encodes the end of a streamed value, which follows its last chunk. */
   ByteBuf encodeStreamEnd();
 
-  /** The bytes of the response to a request whose id belongs to another that is open. */
+  /** Encodes the response to a request whose id is in use by another open request. */
   ByteBuf encodeDuplicateId(ByteBufAllocator allocator);
 
-  /** Decodes {@link ClientCommand}s, however their bytes are cut. */
+  /** Decodes {@link ClientCommand}s from a byte stream. */
   abstract class CommandDecoder extends ByteToMessageDecoder {
-    /** Whether a command has begun and not ended. */
+    /** Whether a command was received in part. */
     public abstract boolean isMidCommand();
 
-    /** Whether the value of a command is being read, whose line is complete. */
+    /** Whether the line of a command is complete and its value is being read. */
     public abstract boolean isReadingValue();
 
-    /** Whether nothing more is taken: it is not known where the next command begins. */
+    /** Whether all further bytes are dropped, since the start of the next command is not known. */
     public abstract boolean isDesynchronized();
   }
 }
--- a/engine/src/main/java/shalepaddle/front/ClientCommand.java
+++ b/engine/src/main/java/shalepaddle/front/ClientCommand.java
@@ -5,16 +5,16 @@
 import shalepaddle.model.Request;
 
 /**
- * A command as it was read from a client's connection. Its receiver owns its buffers.
+ * A command that was read from a client's connection. The receiver owns its buffers.
  *
- * @param answer the bytes to answer at once, null for a request that goes to a cache server
- * @param isProtocolError whether that answer says that the client broke the protocol
- * @param isDesynchronized whether it is not known where the next command begins, so that the
+ * @param answer the answer to send immediately, null for a request to the engine
+ * @param isProtocolError whether the answer reports a protocol error of the client
+ * @param isDesynchronized whether the start of the next command is not known, so that the
  *     connection must be closed
- * @param rejections the requests that this is the answer to, of which no more was read than it
- *     takes to reject them; {@link Rejections#NONE} where it is no such answer
- * @param request what it asks for, null where it is answered at once
- * @param payload what is forwarded, null where it is answered at once
+ * @param rejections the requests that the answer rejects, which were parsed only as far as needed
+ *     to reject them; {@link Rejections#NONE} for other commands
+ * @param request the request, null if the command is answered immediately
+ * @param payload the content to forward, null if the command is answered immediately
  */
 public record ClientCommand(
     ByteBuf answer,
@@ -25,30 +25,30 @@
     Payload payload) {
 
   /**
-   * Consecutive requests that were rejected.
+   * Consecutive requests that were rejected before parsing.
    *
-   * @param count how many
-   * @param retries how many of them were retries, as far as is known
-   * @param retryAfterMillis the Retry-After of the last of them, 0 for none
+   * @param count the number of requests
+   * @param retries the number of requests that were known to be retries
+   * @param retryAfterMillis the Retry-After of the last request, 0 for none
    */
   public record Rejections(int count, int retries, long retryAfterMillis) {
     /** No request was rejected. */
     public static final Rejections NONE = new Rejections(0, 0, 0);
   }
 
-  /** A request for the engine. */
+  /** Creates a command for a request to the engine. */
   public static ClientCommand of(Request request, Payload payload) {
     return new ClientCommand(null, false, false, Rejections.NONE, request, payload);
   }
 
-  /** A command that is answered at once. */
+  /** Creates a command that is answered immediately. */
   public static ClientCommand answer(
       ByteBuf answer, boolean isProtocolError, boolean isDesynchronized) {
     return new ClientCommand(
         answer, isProtocolError, isDesynchronized, Rejections.NONE, null, null);
   }
 
-  /** Consecutive requests with the answers that reject them. */
+  /** Creates a command for consecutive rejected requests and their answers. */
   public static ClientCommand rejected(ByteBuf answers, Rejections rejections) {
     return new ClientCommand(answers, false, false, rejections, null, null);
   }
--- a/engine/src/main/java/shalepaddle/front/ClientConnections.java
+++ b/engine/src/main/java/shalepaddle/front/ClientConnections.java
@@ -11,21 +11,21 @@
 import shalepaddle.loop.LoopClock;
 
 /**
- * All connections of clients by their status: how many there may be, which are closed after a time
- * without use, and which are closed to make room for new ones.
+ * All client connections by their status. Limits their number, closes connections that have not
+ * been used for some time, and closes others so that new ones can be admitted.
  *
- * <p>Bounds what clients can take that connect and make no use of it: silent ones, incomplete
- * commands, connections kept open for good, floods of connections. Cost: a client that connects
- * long before its first request has to connect again.
+ * <p>Bounds the resources of connections that are not used: silent connections, incomplete
+ * commands, connections that are kept open forever, and floods of connections. Cost: a client that
+ * connects long before its first request has to connect again.
  *
- * <p>Time in a status is measured in the event loop's active time, and no connection is ended
- * between two requests while the kernel has unread bytes of it: what a client sent while the event
- * loop was stalled is a request. All of it runs on the event loop.
+ * <p>The time in a status is measured in the event loop's active time, and no connection is ended
+ * between two requests while the kernel has unread bytes of it: bytes that a client sent while the
+ * event loop was stalled are a request. Called only on the event loop.
  */
 public final class ClientConnections {
   /** What a connection waits for. */
   enum Status {
-    /** Its first request, which has not begun. */
+    /** The first request, of which no bytes were received. */
     UNUSED,
     /** The rest of a command; no response is pending. */
     MID_COMMAND,
@@ -33,101 +33,118 @@
     IDLE,
     /** A pending response. */
     AWAITING_RESPONSE,
-    /** The last bytes to go out; nothing more is taken from it. */
+    /** The last bytes to be sent; no more commands are handled. */
     CLOSING,
     /** The client's close; this node has closed its own end of the stream. */
     HALF_CLOSED
   }
 
-  /** How long a client may take for its first command, or for any command. */
+  /** Maximum time until a client starts its first command, and for the transfer of a command. */
   private static final long MAX_COMMAND_NANOS = 2_100_000_000L;
 
-  /** How long it may take for a command with a large value, while it goes on sending. */
+  /** Maximum time for a command with a large value, while the client continues to send. */
   private static final long MAX_VALUE_NANOS = 30_000_000_000L;
 
-  /** How long a connection is kept between requests. */
+  /** How long a connection is kept open between requests. */
   private static final long MAX_IDLE_NANOS = 4_000_000_000L;
 
-  /** How long the last responses on a connection may take to go out. */
+  /** Maximum time to send the last responses on a connection. */
   private static final long MAX_CLOSING_NANOS = 1_000_000_000L;
 
-  /** How long a client may take to close its end once this node has closed its own. */
+  /** Maximum time until a client closes its end after this node has closed its own end. */
   private static final long MAX_HALF_CLOSED_NANOS = 250_000_000L;
 
-  /** Each step of a drain closes one idle connection and a 64th of those left. */
+  /** Each step of a drain closes one idle connection plus 1/64 of those that are idle then. */
   private static final int DRAIN_STEPS = 64;
 
   private static final long DRAIN_STEP_MILLIS = 1;
 
-  /** An idle connection may be closed after this time while many are in use. */
+  /** An idle connection may be closed after this time while many are open. */
   private static final long MIN_IDLE_WHEN_CROWDED_NANOS = 300_000_000L;
 
-  /** A connection within a command may be closed for a new one after this time of silence. */
+  /**
+   * A connection within a command may be closed for a new connection once no bytes of the command
+   * were received for this time.
+   */
   private static final long MIN_COMMAND_SILENCE_NANOS = 600_000_000L;
 
   /**
-   * An unused connection may be closed for a new one after this time: a client that connects to
-   * send a request does so sooner. The same holds for any other where nearly all capacity is in
-   * use.
+   * An unused connection may be closed for a new connection after this time: a client that connects
+   * to send a request sends it sooner. If nearly all capacity is in use, idle connections and
+   * silent connections within a command may be closed after this time too.
    */
   private static final long MIN_UNUSED_NANOS = 50_000_000L;
 
-  /** Unused connections past this part of the limit are closed first, the oldest first. */
+  /**
+   * Above this ratio of unused connections to the limit, the oldest unused connection is closed for
+   * a new connection, however short it has been open.
+   */
   private static final double MAX_UNUSED_RATIO = 0.25;
 
-  /** The part from which on idle ones are closed after MIN_IDLE_WHEN_CROWDED_NANOS. */
+  /**
+   * Above this ratio of idle and used connections to the limit, idle connections are closed after
+   * {@link #MIN_IDLE_WHEN_CROWDED_NANOS}.
+   */
   private static final double CROWDED_RATIO = 0.5;
 
-  /** The part from which on they are closed after {@link #MIN_UNUSED_NANOS}. */
+  /**
+   * Above this ratio of idle and used connections to the limit, idle connections are closed after
+   * {@link #MIN_UNUSED_NANOS}.
+   */
   private static final double NEARLY_FULL_RATIO = 0.6;
 
-  /** Connections looked at for one that can be closed; those with unread bytes can not. */
+  /** Maximum number of connections examined to find one without unread bytes. */
   private static final int MAX_CANDIDATES = 16;
 
   private int maxConnections;
   private final LoopClock clock;
 
-  /** By status, those that entered it first at the front; with the time of that. */
-  private final Map<Status, LinkedHashMap<ClientHandler, Long>> open = new EnumMap<>(Status.class);
+  /**
+   * The connections that have each status, in the order in which they entered the status, with the
+   * active time at which they entered it, in nanoseconds.
+   */
+  private final Map<Status, LinkedHashMap<ClientHandler, Long>> connectionsByStatus =
+      new EnumMap<>(Status.class);
 
   private boolean isListenerClosed;
   private boolean isDraining;
 
-  /** Run once a drain has ended all connections; null if none is to be run. */
+  /** The task to run once a drain has ended all connections; null if there is none. */
   private Runnable whenDrained;
 
-  private long namesGiven;
+  private long nameCount;
 
-  /** No connections yet. */
+  /** Creates an instance without connections. */
   public ClientConnections(int maxConnections, LoopClock clock) {
     this.maxConnections = maxConnections;
     this.clock = clock;
     for (Status status : Status.values()) {
-      open.put(status, new LinkedHashMap<>());
+      connectionsByStatus.put(status, new LinkedHashMap<>());
     }
   }
 
-  /** A name for one more connection, new in this process. */
+  /** Returns a name for a new connection, unique in this process. */
   String nextName() {
-    return "c" + namesGiven++;
+    return "c" + nameCount++;
   }
 
-  /** Changes the limit; connections past it stay open. */
+  /** Changes the limit; connections beyond it stay open. */
   public void setMaxConnections(int connections) {
     maxConnections = Math.max(1, connections);
   }
 
   /**
-   * Makes room for one more connection.
+   * Admits a new connection, closing another one if the limit is reached.
    *
-   * @return false if the limit is reached and no other can be closed
+   * @return false if the limit is reached and no other connection can be closed
    */
   public boolean admit() {
     if (connectionCount() < maxConnections) {
       return true;
     }
     long now = clock.activeNanos();
-    boolean isFlooded = open.get(Status.UNUSED).size() > MAX_UNUSED_RATIO * maxConnections;
+    boolean isFlooded =
+        connectionsByStatus.get(Status.UNUSED).size() > MAX_UNUSED_RATIO * maxConnections;
     return endOldest(Status.HALF_CLOSED, now)
         || endOldest(Status.UNUSED, isFlooded ? now : now - MIN_UNUSED_NANOS)
         || endOldest(Status.IDLE, now - MIN_UNUSED_NANOS)
@@ -137,24 +154,29 @@
   }
 
   /**
-   * Ends the connection that has been silent for longest within a command, at least since the given
-   * time. A slow client goes on sending; one that never completes its command does not.
+   * Ends the connection that has been silent for the longest time within a command, at least since
+   * the given time. A slow client continues to send; a client that never completes its command does
+   * not.
    */
-  private boolean endSilent(long before) {
-    ClientHandler silent = null;
-    for (ClientHandler client : open.get(Status.MID_COMMAND).keySet()) {
-      if (silent == null || client.receivedAtActiveNanos() - silent.receivedAtActiveNanos() < 0) {
-        silent = client;
+  private boolean endSilent(long beforeNanos) {
+    ClientHandler longestSilent = null;
+    for (ClientHandler client : connectionsByStatus.get(Status.MID_COMMAND).keySet()) {
+      if (longestSilent == null
+          || client.receivedAtActiveNanos() - longestSilent.receivedAtActiveNanos() < 0) {
+        longestSilent = client;
       }
     }
-    return silent != null
-        && silent.receivedAtActiveNanos() - before <= 0
-        && silent.endIfNothingUnread(Event.CLOSE_CROWDED, true);
+    return longestSilent != null
+        && longestSilent.receivedAtActiveNanos() - beforeNanos <= 0
+        && longestSilent.endIfNothingUnread(Event.CLOSE_CROWDED, true);
   }
 
-  /** Ends one connection that has had this status since the given time; false if none can be. */
-  private boolean endOldest(Status status, long before) {
-    for (ClientHandler client : enteredBefore(status, before, MAX_CANDIDATES)) {
+  /**
+   * Ends one connection that has had this status since the given time. Returns false if there is no
+   * connection that can be ended.
+   */
+  private boolean endOldest(Status status, long beforeNanos) {
+    for (ClientHandler client : enteredBefore(status, beforeNanos, MAX_CANDIDATES)) {
       if (status == Status.HALF_CLOSED) {
         client.abort(Event.CLOSE_CROWDED);
         return true;
@@ -167,62 +189,64 @@
   }
 
   /**
-   * No more connections come, so idle ones are kept: their clients could not come back, and would
-   * crowd other nodes.
+   * Called when the listener was closed. Idle connections are kept open from then on: their clients
+   * could not reconnect to this node, and would overload other nodes.
    */
   public void listenerClosed() {
     isListenerClosed = true;
   }
 
-  /** A connection has opened, where {@code from} is null, or changed its status. */
-  void statusChanged(ClientHandler client, Status from, Status to) {
-    if (from != null) {
-      open.get(from).remove(client);
+  /**
+   * Records the status change of a connection; {@code previousStatus} is null for a new connection.
+   */
+  void statusChanged(ClientHandler client, Status previousStatus, Status newStatus) {
+    if (previousStatus != null) {
+      connectionsByStatus.get(previousStatus).remove(client);
     }
-    open.get(to).put(client, clock.activeNanos());
-    if (to == Status.AWAITING_RESPONSE) {
+    connectionsByStatus.get(newStatus).put(client, clock.activeNanos());
+    if (newStatus == Status.AWAITING_RESPONSE) {
       closeIdleIfCrowded();
     }
-    if (isDraining && to == Status.IDLE) {
+    if (isDraining && newStatus == Status.IDLE) {
       client.endIfNothingUnread(Event.CLOSE_DRAIN, false);
     }
   }
 
   /**
-   * Half-closed connections are waited for as well: a process that ends before them resets what
-   * their clients are sending.
+   * Runs the callback of a drain if all connections are closed. Half-closed connections count as
+   * open: if the process ended before them, requests that their clients are sending would be reset.
    */
   private void notifyIfDrained() {
     if (isDraining && whenDrained != null && connectionCount() == 0) {
-      Runnable step = whenDrained;
+      Runnable callback = whenDrained;
       whenDrained = null;
-      step.run();
+      callback.run();
     }
   }
 
-  /** A connection with this status is closed. */
-  void closed(ClientHandler client, Status from) {
-    open.get(from).remove(client);
+  /** Removes a connection that was closed in this status. */
+  void closed(ClientHandler client, Status status) {
+    connectionsByStatus.get(status).remove(client);
     notifyIfDrained();
   }
 
-  /** Connections with a pending response. */
+  /** The number of connections with a pending response. */
   public int connectionsAwaitingResponse() {
-    return open.get(Status.AWAITING_RESPONSE).size();
+    return connectionsByStatus.get(Status.AWAITING_RESPONSE).size();
   }
 
-  /** Connections that are open. */
+  /** The number of open connections. */
   public int connectionCount() {
-    int size = 0;
-    for (var clients : open.values()) {
-      size += clients.size();
+    int connectionCount = 0;
+    for (var clients : connectionsByStatus.values()) {
+      connectionCount += clients.size();
     }
-    return size;
+    return connectionCount;
   }
 
   /**
-   * Closes connections that have exceeded the time allowed in their status. Not to be called while
-   * the clock has a backlog, which may hold their requests.
+   * Closes connections that have exceeded the maximum time in their status. Must not be called
+   * while the clock has a backlog, which may include their requests.
    */
   public void closeExpired() {
     long now = clock.activeNanos();
@@ -230,7 +254,7 @@
     for (ClientHandler client :
         enteredBefore(Status.MID_COMMAND, now - MAX_COMMAND_NANOS, Integer.MAX_VALUE)) {
       boolean isPastMaxValueTime =
-          open.get(Status.MID_COMMAND).get(client) - (now - MAX_VALUE_NANOS) <= 0;
+          connectionsByStatus.get(Status.MID_COMMAND).get(client) - (now - MAX_VALUE_NANOS) <= 0;
       if (isPastMaxValueTime || !client.hasSentValueSince(now - MAX_COMMAND_NANOS)) {
         client.endIfNothingUnread(Event.CLOSE_PARTIAL_COMMAND, false);
       }
@@ -246,23 +270,23 @@
     }
   }
 
-  private void endAll(Status status, Event reason, long before) {
-    for (ClientHandler client : enteredBefore(status, before, Integer.MAX_VALUE)) {
+  private void endAll(Status status, Event reason, long beforeNanos) {
+    for (ClientHandler client : enteredBefore(status, beforeNanos, Integer.MAX_VALUE)) {
       client.endIfNothingUnread(reason, false);
     }
   }
 
-  private void abortAll(Status status, long before) {
-    for (ClientHandler client : enteredBefore(status, before, Integer.MAX_VALUE)) {
+  private void abortAll(Status status, long beforeNanos) {
+    for (ClientHandler client : enteredBefore(status, beforeNanos, Integer.MAX_VALUE)) {
       client.abort(Event.CLOSE_TIMEOUT);
     }
   }
 
   /**
-   * Closes the connections that have been idle for longest while many are in use, sooner the more
-   * there are. Prevents clients that send one request and keep the connection from using up the
-   * limit, and keeps capacity for a burst. Cost: clients that come back after a pause have to
-   * connect again.
+   * Closes the connections that have been idle for the longest time while many are open; the more
+   * are open, the sooner. Prevents clients that send one request and keep the connection from using
+   * up the limit, and reserves capacity for bursts. Cost: clients that send their next request
+   * after a pause have to connect again.
    */
   private void closeIdleIfCrowded() {
     if (isListenerClosed) {
@@ -274,25 +298,33 @@
   }
 
   /**
-   * Closes connections that have been idle since {@code before}, as many as idle and used ones
-   * together exceed {@code maxOpen}. The number is computed once, not after each close: a
-   * connection whose client has just disconnected stays in the map, and a loop would not end.
+   * Closes connections that have been idle since {@code beforeNanos}, if idle and used connections
+   * together are more than {@code maxOpenConnections}: as many as exceed that number. The excess is
+   * computed once, not after each close: a connection whose client has just disconnected stays in
+   * the map, and a loop would not end.
    */
-  private void closeIdle(long before, double maxOpen) {
-    int used = open.get(Status.MID_COMMAND).size() + open.get(Status.AWAITING_RESPONSE).size();
-    double excess = open.get(Status.IDLE).size() + used - maxOpen;
+  private void closeIdle(long beforeNanos, double maxOpenConnections) {
+    int usedConnections =
+        connectionsByStatus.get(Status.MID_COMMAND).size()
+            + connectionsByStatus.get(Status.AWAITING_RESPONSE).size();
+    double excess =
+        connectionsByStatus.get(Status.IDLE).size() + usedConnections - maxOpenConnections;
     if (excess > 0) {
-      for (ClientHandler client : enteredBefore(Status.IDLE, before, (int) Math.ceil(excess))) {
+      for (ClientHandler client :
+          enteredBefore(Status.IDLE, beforeNanos, (int) Math.ceil(excess))) {
         client.endIfNothingUnread(Event.CLOSE_CROWDED, true);
       }
     }
   }
 
-  /** At most {@code max} connections with this status since the given time, oldest first. */
-  private List<ClientHandler> enteredBefore(Status status, long before, int max) {
+  /**
+   * Returns up to {@code maxCount} connections that have had this status since the given time,
+   * oldest first.
+   */
+  private List<ClientHandler> enteredBefore(Status status, long beforeNanos, int maxCount) {
     List<ClientHandler> clients = new ArrayList<>();
-    for (var entry : open.get(status).entrySet()) {
-      if (entry.getValue() - before > 0 || clients.size() == max) {
+    for (var entry : connectionsByStatus.get(status).entrySet()) {
+      if (entry.getValue() - beforeNanos > 0 || clients.size() == maxCount) {
         break;
       }
       clients.add(entry.getKey());
@@ -301,48 +333,50 @@
   }
 
   /**
-   * From now on closes each connection as it becomes idle, right behind its last response, and
-   * after a time those that are idle already, the longest idle first: they are the least likely to
-   * send a request in the very moment in which they are closed.
+   * Drains all connections. From now on each connection is closed as soon as it becomes idle, right
+   * after its last response. Connections that are idle already are closed after a delay, the
+   * longest idle first: they are the least likely to send a request just as they are closed.
    *
-   * @param restMillis after how long the closing of idle connections begins
-   * @param lastCallMillis how long after that reading stops on all connections, so that each closes
-   *     after the responses that are pending then
-   * @param then run once when no connection is left
+   * @param idleCloseDelayMillis the delay until idle connections are closed
+   * @param readStopDelayMillis the further delay until reading stops on all connections, so that
+   *     each closes after the responses that are pending by then
+   * @param onDrained run once when no connection is left
    */
-  public void drain(EventLoop loop, long restMillis, long lastCallMillis, Runnable then) {
+  public void drain(
+      EventLoop loop, long idleCloseDelayMillis, long readStopDelayMillis, Runnable onDrained) {
     isDraining = true;
-    whenDrained = then;
+    whenDrained = onDrained;
     notifyIfDrained();
     if (connectionCount() > 0) {
-      loop.schedule(() -> closeIdleStep(loop), restMillis, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> closeIdleStep(loop), idleCloseDelayMillis, TimeUnit.MILLISECONDS);
       loop.schedule(
-          () -> clock.whenBacklogRead(this::lastCall),
-          restMillis + lastCallMillis,
+          () -> clock.whenBacklogRead(this::stopReadingOnAll),
+          idleCloseDelayMillis + readStopDelayMillis,
           TimeUnit.MILLISECONDS);
     }
   }
 
   /**
-   * Stops reading on all connections; each closes after its pending responses. Requests read later
-   * could be lost when the process is killed; unread ones are sent again elsewhere.
+   * Stops reading on all connections; each closes after its pending responses. Requests that are
+   * read later could be lost when the process is killed; clients send unread requests again to
+   * other nodes.
    */
-  private void lastCall() {
+  private void stopReadingOnAll() {
     for (Status status : Status.values()) {
-      List.copyOf(open.get(status).keySet()).forEach(ClientHandler::lastCall);
+      List.copyOf(connectionsByStatus.get(status).keySet()).forEach(ClientHandler::lastCall);
     }
   }
 
   /**
-   * Ends idle connections in steps; one with unread bytes is ended after its response. Between two
-   * steps the event loop reads what has come. Each step closes a share of those left, so that the
-   * number of steps grows slowly with how many there are.
+   * Ends idle connections in steps; a connection with unread bytes is ended after its response.
+   * Between two steps the event loop reads received bytes. Each step closes a fraction of the
+   * remaining connections, so that the number of steps grows only slowly with their number.
    */
   private void closeIdleStep(EventLoop loop) {
-    int idle = open.get(Status.IDLE).size();
-    if (idle > 0) {
+    int idleConnections = connectionsByStatus.get(Status.IDLE).size();
+    if (idleConnections > 0) {
       for (ClientHandler client :
-          enteredBefore(Status.IDLE, clock.activeNanos(), 1 + idle / DRAIN_STEPS)) {
+          enteredBefore(Status.IDLE, clock.activeNanos(), 1 + idleConnections / DRAIN_STEPS)) {
         client.endIfNothingUnread(Event.CLOSE_DRAIN, false);
       }
       loop.schedule(() -> closeIdleStep(loop), DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS);
--- a/engine/src/main/java/shalepaddle/front/ClientFront.java
+++ b/engine/src/main/java/shalepaddle/front/ClientFront.java
@@ -12,21 +12,21 @@
 
 /**
  * The front of one client protocol: sets up each connection that a listener accepts, or closes it
- * where the limit is reached. All of it runs on the dispatcher's event loop.
+ * if the limit is reached. Called only on the dispatcher's event loop.
  */
 public final class ClientFront extends ChannelInitializer<Channel> {
   private final Dispatcher dispatcher;
   private final ClientCodec codec;
   private final ClientConnections clients;
-  private final FairReadScheduler fairness;
+  private final FairReadScheduler fairReadScheduler;
   private final MemoryBudget inboundBudget;
 
   /**
-   * A front without connections.
+   * Creates a front without connections.
    *
-   * @param maxConnections connections that may be open at once
+   * @param maxConnections the maximum number of open connections
    * @param degradation the limits under the present load
-   * @param inboundBudget bounds what is buffered of commands that are not taken yet
+   * @param inboundBudget limits the bytes buffered while the handling of commands is suspended
    */
   public ClientFront(
       Dispatcher dispatcher,
@@ -37,7 +37,7 @@
     this.inboundBudget = inboundBudget;
     this.dispatcher = dispatcher;
     this.codec = codec;
-    this.fairness = new FairReadScheduler(degradation);
+    this.fairReadScheduler = new FairReadScheduler(degradation);
     this.clients = new ClientConnections(maxConnections, dispatcher.clock());
   }
 
@@ -51,14 +51,15 @@
       return;
     }
     long connectedSinceNanos = ClientListener.waitingSince(channel, clock);
-    InboundBuffer inbound = new InboundBuffer(inboundBudget, clock, connectedSinceNanos);
+    InboundBuffer inboundBuffer = new InboundBuffer(inboundBudget, clock, connectedSinceNanos);
     ClientCodec.CommandDecoder decoder = codec.decoder();
     channel
         .pipeline()
         .addLast(
-            inbound,
+            inboundBuffer,
             decoder,
-            new ClientHandler(dispatcher, clients, codec, inbound, decoder, fairness));
+            new ClientHandler(
+                dispatcher, clients, codec, inboundBuffer, decoder, fairReadScheduler));
   }
 
   /** See {@link ClientConnections#closeExpired}. */
@@ -66,33 +67,34 @@
     clients.closeExpired();
   }
 
-  /** No more connections come: idle ones are kept open from now on. */
+  /** Called when the listener was closed; see {@link ClientConnections#listenerClosed}. */
   public void listenerClosed() {
     clients.listenerClosed();
   }
 
-  /** Connections with a pending response. */
+  /** The number of connections with a pending response. */
   public int connectionsAwaitingResponse() {
     return clients.connectionsAwaitingResponse();
   }
 
-  /** Connections that are open. */
+  /** The number of open connections. */
   public int connectionCount() {
     return clients.connectionCount();
   }
 
   /**
-   * Ends all connections, each behind its pending responses; see {@link ClientConnections#drain}.
+   * Ends all connections, each after its pending responses; see {@link ClientConnections#drain}.
    *
-   * @param restMillis after how long the closing of idle connections begins
-   * @param lastCallMillis how long after that reading stops on all connections
-   * @param then run once when no connection is left
+   * @param idleCloseDelayMillis the delay until idle connections are closed
+   * @param readStopDelayMillis the further delay until reading stops on all connections
+   * @param onDrained run once when no connection is left
    */
-  public void drain(EventLoop loop, long restMillis, long lastCallMillis, Runnable then) {
-    clients.drain(loop, restMillis, lastCallMillis, then);
+  public void drain(
+      EventLoop loop, long idleCloseDelayMillis, long readStopDelayMillis, Runnable onDrained) {
+    clients.drain(loop, idleCloseDelayMillis, readStopDelayMillis, onDrained);
   }
 
-  /** Changes the limit; connections past it stay open. */
+  /** Changes the limit; connections beyond it stay open. */
   public void setMaxConnections(int connections) {
     clients.setMaxConnections(connections);
   }
--- a/engine/src/main/java/shalepaddle/front/ClientHandler.java
+++ b/engine/src/main/java/shalepaddle/front/ClientHandler.java
@@ -16,30 +16,30 @@
 import shalepaddle.loop.LoopClock;
 
 /**
- * A client's connection: submits its commands to the engine, and knows when it may be closed.
- * {@link ResponseQueue} writes the responses, {@link ReadControl} suspends reading. All of it runs
- * on the event loop.
+ * A client's connection: submits its commands to the engine and closes the connection. {@link
+ * ResponseQueue} writes the responses, {@link ReadControl} suspends reading. Called only on the
+ * event loop.
  */
 final class ClientHandler extends ChannelInboundHandlerAdapter {
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** How long a connection may stay unwritable because its client reads nothing, in active time. */
+  /** How long a connection may stay unwritable because the client does not read, in active time. */
   private static final long MAX_WRITE_STALL_NANOS = 10_000_000_000L;
 
   /**
-   * How long reading is suspended after the half-close: requests that the client sends before it
-   * sees that must stay unread, see {@link #endIfNothingUnread}.
+   * How long reading is suspended after the half-close. Requests that the client sends before it
+   * notices the half-close must stay unread, see {@link #endIfNothingUnread}.
    */
   private static final long HALF_CLOSE_SUSPEND_MILLIS = 100;
 
   /** The stages of closing, in order; the last two are alternatives. */
   private enum State {
     OPEN,
-    /** Reads nothing more; is half-closed once all requests that were read are answered. */
+    /** No more bytes are read; half-closed once all requests that were read are answered. */
     STOPPED_READING,
-    /** Takes no commands; closes once all that was written has gone out. */
+    /** No more commands are handled; closed once all written bytes are sent. */
     CLOSING,
-    /** All is answered and the sending end is closed, so that the client closes its own. */
+    /** All requests are answered and output is shut down, so that the client closes its end. */
     HALF_CLOSED
   }
 
@@ -49,22 +49,22 @@
   private final ClientConnections connections;
   private final ClientCodec codec;
   private final ClientCodec.CommandDecoder decoder;
-  private final InboundBuffer inbound;
+  private final InboundBuffer inboundBuffer;
   private final ResponseQueue responses;
-  private final ReadControl reads;
+  private final ReadControl readControl;
 
-  /** Names this connection in the history of its requests. */
+  /** The connection's name in the history of its requests. */
   private final String name;
 
   private Channel channel;
   private State state = State.OPEN;
 
-  /** The status last reported to {@link ClientConnections}, null before the channel is active. */
+  /** The last status reported to {@link ClientConnections}, null before the channel is active. */
   private ClientConnections.Status status;
 
-  private boolean hasRequested;
+  private boolean hasSentRequest;
 
-  /** Whether, in the present MID_COMMAND status, unread bytes have prevented a close once. */
+  /** Whether unread bytes have prevented a close in the present MID_COMMAND status. */
   private boolean hasSkippedClose;
 
   private long receivedAtActiveNanos;
@@ -74,26 +74,27 @@
       Dispatcher dispatcher,
       ClientConnections connections,
       ClientCodec codec,
-      InboundBuffer inbound,
+      InboundBuffer inboundBuffer,
       ClientCodec.CommandDecoder decoder,
-      FairReadScheduler fairness) {
+      FairReadScheduler fairReadScheduler) {
     this.dispatcher = dispatcher;
     this.recorder = dispatcher.recorder();
     this.clock = dispatcher.clock();
     this.connections = connections;
     this.codec = codec;
     this.decoder = decoder;
-    this.inbound = inbound;
+    this.inboundBuffer = inboundBuffer;
     this.name = connections.nextName();
     this.responses = new ResponseQueue(this, codec, dispatcher);
-    this.reads = new ReadControl(responses, inbound, decoder, fairness, dispatcher, name);
+    this.readControl =
+        new ReadControl(responses, inboundBuffer, decoder, fairReadScheduler, dispatcher, name);
   }
 
   String name() {
     return name;
   }
 
-  /** Whether no more commands are taken and no more responses go out. */
+  /** Whether no more commands are handled and no more responses are written. */
   boolean isClosing() {
     return state == State.CLOSING || state == State.HALF_CLOSED;
   }
@@ -102,7 +103,7 @@
   public void handlerAdded(ChannelHandlerContext ctx) {
     channel = ctx.channel();
     responses.setChannel(channel);
-    reads.setChannel(channel);
+    readControl.setChannel(channel);
   }
 
   @Override
@@ -110,7 +111,7 @@
     updateStatus();
   }
 
-  /** Takes a command, which this owns until its payload is submitted or its answer is given. */
+  /** Handles a command and owns it until its payload is submitted or its answer is queued. */
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     ClientCommand command = (ClientCommand) message;
@@ -120,7 +121,7 @@
     }
     responses.beginBatch();
     int requests = command.answer() == null ? 1 : command.rejections().count();
-    hasRequested |= requests > 0;
+    hasSentRequest |= requests > 0;
     ResponseSlot slot = responses.add();
     updateStatus();
     ByteBuf answer = command.answer();
@@ -133,16 +134,16 @@
       answerAtOnce(slot, answer, isError, command.isDesynchronized());
     }
     if (requests > 0) {
-      reads.requestsRead(requests, command.rejections());
+      readControl.requestsRead(requests, command.rejections());
     }
-    if (reads.hasTooManyPending()) {
-      reads.update();
+    if (readControl.hasTooManyPending()) {
+      readControl.update();
     }
   }
 
-  /** Submits a request; false if its id belongs to another that is open. */
+  /** Submits a request. Returns false if its id is in use by another open request. */
   private boolean submit(ClientCommand command, ResponseSlot slot) {
-    long arrivalNanos = inbound.arrivalNanos();
+    long arrivalNanos = inboundBuffer.arrivalNanos();
     slot.setRequest(
         command.request().id(),
         clock.now(),
@@ -156,9 +157,9 @@
   private void answerAtOnce(
       ResponseSlot slot, ByteBuf answer, boolean isError, boolean isDesynchronized) {
     if (isError) {
-      reads.clientError();
+      readControl.clientError();
     }
-    if (isDesynchronized || reads.hasTooManyErrors()) {
+    if (isDesynchronized || readControl.hasTooManyErrors()) {
       slot.setClosesConnection();
     }
     slot.complete(answer);
@@ -175,7 +176,7 @@
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     unwritableSinceActiveNanos = clock.activeNanos();
     responses.writabilityChanged();
-    reads.update();
+    readControl.update();
   }
 
   @Override
@@ -195,19 +196,19 @@
     ctx.close();
   }
 
-  /** Suspends or resumes reading, by the reasons that hold now. */
+  /** Suspends or resumes reading by the present state, see {@link ReadControl#update}. */
   void updateReading() {
-    reads.update();
+    readControl.update();
   }
 
   /** Notifies {@link ClientConnections} if the status has changed. */
   void updateStatus() {
-    ClientConnections.Status current = currentStatus();
-    if (current != status && channel.isActive()) {
-      ClientConnections.Status previous = status;
-      status = current;
+    ClientConnections.Status newStatus = currentStatus();
+    if (newStatus != status && channel.isActive()) {
+      ClientConnections.Status previousStatus = status;
+      status = newStatus;
       hasSkippedClose = false;
-      connections.statusChanged(this, previous, current);
+      connections.statusChanged(this, previousStatus, newStatus);
     }
     halfCloseIfAllAnswered();
   }
@@ -225,10 +226,10 @@
     if (decoder.isMidCommand()) {
       return ClientConnections.Status.MID_COMMAND;
     }
-    return hasRequested ? ClientConnections.Status.IDLE : ClientConnections.Status.UNUSED;
+    return hasSentRequest ? ClientConnections.Status.IDLE : ClientConnections.Status.UNUSED;
   }
 
-  /** Closes the connection once all that was written has gone out. */
+  /** Closes the connection once all written bytes are sent. */
   void close(Event reason) {
     if (!isClosing()) {
       responses.checkAnswered();
@@ -238,30 +239,31 @@
     }
   }
 
-  /** Does the step once all that was written has gone out: a plain close would drop it. */
+  /** Runs a step once all written bytes are sent: closing immediately would drop them. */
   private void whenFlushed(ChannelFutureListener step) {
     updateStatus();
     channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(step);
   }
 
   /**
-   * Ends a connection with no pending responses, unless the kernel has bytes of it that were not
-   * read: those may be a request, and a close with unread bytes resets the connection. One that is
-   * within a command is left open for that reason only once.
+   * Ends a connection without pending responses, unless the kernel has unread bytes of the
+   * connection: the bytes may be a request, and a close with unread bytes resets the connection. A
+   * connection within a command is left open for that reason only once.
    *
-   * <p>A request may still arrive between that look and the moment at which the client sees the
-   * end. By the protocol the client then sends it again on another connection, if this node has not
-   * read it; so nothing is read for {@value #HALF_CLOSE_SUSPEND_MILLIS} ms. What came is discarded
-   * after that, since unread bytes would make the kernel reset the connection.
+   * <p>A request may still arrive after that check and before the client notices the end of the
+   * stream. By the protocol the client then sends the request again on another connection, provided
+   * that this node has not read it. Reading is therefore suspended for {@value
+   * #HALF_CLOSE_SUSPEND_MILLIS} ms. After that, received bytes are discarded, since unread bytes
+   * would make the kernel reset the connection.
    *
-   * @param isDescriptorNeeded whether to close at once, without waiting for the client to close
-   * @return whether it ends
+   * @param isDescriptorNeeded whether to close immediately, without waiting for the client to close
+   * @return whether the connection is ended
    */
   boolean endIfNothingUnread(Event reason, boolean isDescriptorNeeded) {
     if (isClosing()) {
       return false;
     }
-    if (!hasSkippedClose && (inbound.hasBytes() || ClientListener.hasUnread(channel))) {
+    if (!hasSkippedClose && (inboundBuffer.hasBytes() || ClientListener.hasUnread(channel))) {
       hasSkippedClose = status == ClientConnections.Status.MID_COMMAND;
       return false;
     }
@@ -274,56 +276,58 @@
   }
 
   /**
-   * Stops reading, and ends the connection once the requests that were read are answered. For
-   * clients that always have a request in flight, so that their connections never become idle: the
-   * last requests would be lost when the process ends. By the protocol a client sends again
-   * elsewhere what this node has not read.
+   * Stops reading, and ends the connection once the requests that were read are answered. This is
+   * needed for clients that always have a request in flight, so that their connections never become
+   * idle: their last requests would be lost when the process ends. By the protocol a client sends
+   * requests that this node has not read again to another node.
    */
   void lastCall() {
     if (!isClosing()) {
       state = State.STOPPED_READING;
-      reads.stop();
+      readControl.stop();
       halfCloseIfAllAnswered();
     }
   }
 
   private void halfCloseIfAllAnswered() {
-    if (state == State.STOPPED_READING && responses.isEmpty() && !inbound.hasBytes()) {
+    if (state == State.STOPPED_READING && responses.isEmpty() && !inboundBuffer.hasBytes()) {
       halfClose(Event.CLOSE_DRAIN);
     }
   }
 
-  /** Closes this node's end of the stream, so that the client closes its own. */
+  /** Closes this node's end of the stream, so that the client closes its own end. */
   private void halfClose(Event reason) {
-    if (!(channel instanceof DuplexChannel duplex) || !channel.isActive()) {
+    if (!(channel instanceof DuplexChannel duplexChannel) || !channel.isActive()) {
       close(reason);
       return;
     }
     responses.checkAnswered();
     recorder.record(reason, name);
     state = State.HALF_CLOSED;
-    reads.stop();
-    whenFlushed(done -> duplex.shutdownOutput());
-    channel.eventLoop().schedule(reads::discard, HALF_CLOSE_SUSPEND_MILLIS, TimeUnit.MILLISECONDS);
+    readControl.stop();
+    whenFlushed(done -> duplexChannel.shutdownOutput());
+    channel
+        .eventLoop()
+        .schedule(readControl::discard, HALF_CLOSE_SUSPEND_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Whether a value is being received, and bytes of it came after the given active time. */
+  /** Whether a value is being received, with bytes of it since the given active time. */
   boolean hasSentValueSince(long activeNanos) {
     return decoder.isReadingValue() && receivedAtActiveNanos - activeNanos > 0;
   }
 
-  /** When bytes came last, in the event loop's active time. */
+  /** When bytes were last received, in the event loop's active time. */
   long receivedAtActiveNanos() {
     return receivedAtActiveNanos;
   }
 
-  /** Closes the connection at once; bytes that were not yet sent are dropped. */
+  /** Closes the connection immediately; unsent bytes are dropped. */
   void abort(Event reason) {
     recorder.record(reason, name);
     channel.close();
   }
 
-  /** Aborts the connection if it was unwritable for longer than the limit. */
+  /** Aborts the connection if it has been unwritable for longer than the limit. */
   void abortIfWriteStalled() {
     if (!channel.isWritable()
         && clock.activeNanos() - unwritableSinceActiveNanos > MAX_WRITE_STALL_NANOS) {
--- a/engine/src/main/java/shalepaddle/front/ClientListener.java
+++ b/engine/src/main/java/shalepaddle/front/ClientListener.java
@@ -11,29 +11,30 @@
 import shalepaddle.sockets.TcpListener;
 
 /**
- * Accepts clients' connections, and knows the earliest time at which each can have arrived. Owned
- * by its event loop.
+ * Accepts client connections, and tracks the earliest time at which each can have arrived. Owned by
+ * its event loop.
  */
 public final class ClientListener extends TcpListener {
   private final boolean isInherited;
 
-  /** Shared by connections accepted in a row, until the accept queue is seen empty. */
+  /** The backlog of connections accepted now; replaced once the accept queue was seen empty. */
   private Backlog backlog = new Backlog();
 
-  /** One that is to be bound. */
+  /** Creates a listener that is not bound yet. */
   public ClientListener() {
     isInherited = false;
   }
 
-  /** One that listens already; it is shared with other processes and so never closed. */
-  public ClientListener(ServerSocketChannel listening) {
-    super(listening);
+  /** Wraps a listening socket that is shared with other processes and therefore never closed. */
+  public ClientListener(ServerSocketChannel listeningSocket) {
+    super(listeningSocket);
     isInherited = true;
   }
 
   /**
-   * Accepts no more connections. An inherited listener is taken off the event loop and not closed:
-   * its socket lives on in another process, and closing it here loses requests on new connections.
+   * Stops accepting connections. An inherited listener is only deregistered from the event loop:
+   * its socket is still in use by another process, and closing it here would lose requests on new
+   * connections.
    */
   public void stop() {
     if (isInherited) {
@@ -44,14 +45,14 @@
     }
   }
 
-  /** Accepts the whole backlog: closing would reset it, with the requests that may wait on it. */
+  /** Accepts all queued connections: closing the listener would reset them and their requests. */
   private void acceptAll() {
-    List<Object> waiting = new ArrayList<>();
-    // Where accepting fails the rest is reset.
-    while (doReadMessages(waiting) > 0) {
-      // Each call accepts some.
+    List<Object> acceptedConnections = new ArrayList<>();
+    // If accepting fails, the close of the listener resets the remaining connections.
+    while (doReadMessages(acceptedConnections) > 0) {
+      // Each call of doReadMessages accepts one connection; the loop has no other step.
     }
-    waiting.forEach(pipeline()::fireChannelRead);
+    acceptedConnections.forEach(pipeline()::fireChannelRead);
     pipeline().fireChannelReadComplete();
   }
 
@@ -74,39 +75,41 @@
 
   @Override
   protected void acceptFailed() {
-    backlog.failed(eventLoop().ticker().nanoTime());
+    backlog.acceptFailed(eventLoop().ticker().nanoTime());
   }
 
   /**
-   * Connections that may all have waited since the same time. A turn accepts a part of many, and
-   * none while accepting fails, so the last of them can be as old as the first.
+   * The earliest arrival time of consecutively accepted connections. A turn accepts only some of
+   * many queued connections, and none while accepting fails, so the last one can be as old as the
+   * first.
    */
   private static final class Backlog {
-    private boolean isKnown;
+    private boolean isSinceKnown;
     private long sinceNanos;
     private long lastTurn;
 
-    /** Whether accepting has failed, and the listener has not been polled since. */
+    /** Whether accepting has failed and the listener has not been polled since. */
     private boolean isUnpolled;
 
-    /** The earliest time at which the connection that is accepted in this turn can have come. */
-    long since(long polledNanos, long turn) {
-      // A poll in between that reported nothing has seen it empty.
+    /** The earliest time at which a connection that is accepted in this turn can have arrived. */
+    long earliestArrivalNanos(long polledNanos, long turn) {
+      // A poll between the two turns that did not report the listener shows that its queue was
+      // empty.
       boolean wasSeenEmpty = !isUnpolled && turn - lastTurn > 1;
-      if (!isKnown || wasSeenEmpty || polledNanos - sinceNanos < 0) {
+      if (!isSinceKnown || wasSeenEmpty || polledNanos - sinceNanos < 0) {
         sinceNanos = polledNanos;
       }
-      isKnown = true;
+      isSinceKnown = true;
       isUnpolled = false;
       lastTurn = turn;
       return sinceNanos;
     }
 
-    void failed(long now) {
-      if (!isKnown) {
+    void acceptFailed(long now) {
+      if (!isSinceKnown) {
         sinceNanos = now;
       }
-      isKnown = true;
+      isSinceKnown = true;
       isUnpolled = true;
     }
   }
@@ -126,18 +129,19 @@
   }
 
   /**
-   * Since when a connection that was accepted in this turn may have waited, by the loop's clock.
+   * The earliest time at which a connection that was accepted in this turn can have arrived, by the
+   * loop's clock.
    */
   static long waitingSince(Channel channel, LoopClock clock) {
     long polledNanos = clock.earliestArrival();
     return channel instanceof Connection connection
-        ? connection.backlog.since(polledNanos, clock.turn())
+        ? connection.backlog.earliestArrivalNanos(polledNanos, clock.turn())
         : polledNanos;
   }
 
   /**
-   * Whether the kernel has unread bytes of this connection. Asks the kernel itself, since the event
-   * loop may not have polled for a while.
+   * Whether the kernel has unread bytes of this connection. Queries the kernel, since the event
+   * loop may not have polled the connection for some time.
    */
   static boolean hasUnread(Channel channel) {
     try {
--- a/engine/src/main/java/shalepaddle/front/DeadlineScanner.java
+++ b/engine/src/main/java/shalepaddle/front/DeadlineScanner.java
@@ -4,12 +4,12 @@
 import java.util.function.IntConsumer;
 
 /**
- * Finds the deadlines, in milliseconds, that commands name in bytes which have not been decoded,
- * however the bytes are cut: a number after {@code d=} at the beginning of a property. Reports also
- * what looks like one within a value. Owned by its connection, on the event loop.
+ * Finds the deadlines of commands, in milliseconds, in a stream of undecoded bytes: a number after
+ * {@code d=} at the start of a property. Also reports bytes within a value that look like a
+ * deadline. Owned by its connection, on the event loop.
  */
 final class DeadlineScanner {
-  /** Larger numbers count as this; the decoder rejects such deadlines. */
+  /** Larger deadlines are reported as this value; the decoder rejects such deadlines. */
   private static final int MAX_DEADLINE_MILLIS = 1_000_000;
 
   private enum State {
@@ -20,35 +20,38 @@
   }
 
   private State state = State.NONE;
-  private int number;
+  private int deadlineMillis;
 
-  /** Looks through the readable bytes, whose reader index stays, and reports each deadline. */
-  void scan(ByteBuf bytes, IntConsumer found) {
+  /**
+   * Scans the readable bytes without changing the reader index, and passes each deadline to the
+   * consumer, in milliseconds.
+   */
+  void scan(ByteBuf bytes, IntConsumer onDeadlineMillis) {
     for (int i = bytes.readerIndex(); i < bytes.writerIndex(); i++) {
-      next(bytes.getByte(i), found);
+      scanByte(bytes.getByte(i), onDeadlineMillis);
     }
   }
 
-  private void next(byte b, IntConsumer found) {
+  private void scanByte(byte b, IntConsumer onDeadlineMillis) {
     switch (state) {
       case NUMBER -> {
         if (b >= '0' && b <= '9') {
-          number = Math.min(MAX_DEADLINE_MILLIS, number * 10 + b - '0');
+          deadlineMillis = Math.min(MAX_DEADLINE_MILLIS, deadlineMillis * 10 + b - '0');
           return;
         }
-        found.accept(number);
-        state = begin(b);
+        onDeadlineMillis.accept(deadlineMillis);
+        state = stateAfter(b);
       }
       case NAME -> {
-        state = b == '=' ? State.NUMBER : begin(b);
-        number = 0;
+        state = b == '=' ? State.NUMBER : stateAfter(b);
+        deadlineMillis = 0;
       }
-      case PROPERTY -> state = b == 'd' ? State.NAME : begin(b);
-      default -> state = begin(b);
+      case PROPERTY -> state = b == 'd' ? State.NAME : stateAfter(b);
+      default -> state = stateAfter(b);
     }
   }
 
-  private static State begin(byte b) {
+  private static State stateAfter(byte b) {
     return b == ',' || b == 'P' ? State.PROPERTY : State.NONE;
   }
 }
--- a/engine/src/main/java/shalepaddle/front/FairReadScheduler.java
+++ b/engine/src/main/java/shalepaddle/front/FairReadScheduler.java
@@ -4,17 +4,17 @@
 import shalepaddle.overload.DegradationPolicy;
 
 /**
- * Shares reading between connections while the processor is overloaded: one that has sent more than
- * its quota of all requests in an interval is not read from until the next. Prevents one client
- * from using up the event loop. What it sent waits in its own socket, so that TCP slows it down;
- * nothing is rejected or closed.
+ * Divides reading among connections while the processor is overloaded: a connection that has sent
+ * more than its quota of all requests in an interval is not read until the next interval. Prevents
+ * one client from using up the event loop. Its further requests wait in the socket, so that TCP
+ * flow control slows the client down; no request is rejected and no connection closed.
  *
- * <p>One for all connections of a front, owned by the event loop.
+ * <p>Shared by all connections of a front, owned by the event loop.
  */
 final class FairReadScheduler {
   static final long INTERVAL_NANOS = 100_000_000L;
 
-  /** Requests of one connection in an interval that never exceed its quota. */
+  /** Minimum quota of a connection, in requests per interval. */
   private static final int MIN_QUOTA_REQUESTS = 8;
 
   private final Supplier<DegradationPolicy> policy;
@@ -26,46 +26,46 @@
     this.policy = policy;
   }
 
-  /** Responses that may be pending on one connection before no more is read from it. */
+  /** Number of pending responses on one connection at which reading from it stops. */
   int maxPendingResponses() {
     return policy.get().maxPendingResponses();
   }
 
-  /** The requests that one connection has sent in the present interval. */
+  /** The number of requests that one connection has sent in the present interval. */
   static final class RequestCount {
     private long interval;
     private int requests;
 
-    /** Adds requests that came in this interval; returns all of them. */
-    private int add(long currentInterval, int more) {
+    /** Adds requests of the given interval and returns their total. */
+    private int add(long currentInterval, int newRequests) {
       if (interval != currentInterval) {
         interval = currentInterval;
         requests = 0;
       }
-      requests += more;
+      requests += newRequests;
       return requests;
     }
   }
 
   /**
-   * A connection has sent more requests.
+   * Counts further requests of a connection.
    *
-   * @return for how long to read no more from it, 0 to go on
+   * @return how long to pause reading from the connection, 0 for no pause
    */
-  long pauseNanos(RequestCount connection, int more, long now) {
-    long current = now / INTERVAL_NANOS;
-    if (current != interval) {
-      requestsInPreviousInterval = current == interval + 1 ? requests : 0;
+  long pauseNanos(RequestCount requestCount, int newRequests, long now) {
+    long currentInterval = now / INTERVAL_NANOS;
+    if (currentInterval != interval) {
+      requestsInPreviousInterval = currentInterval == interval + 1 ? requests : 0;
       requests = 0;
-      interval = current;
+      interval = currentInterval;
     }
-    requests += more;
-    int sent = connection.add(current, more);
+    requests += newRequests;
+    int requestsOfConnection = requestCount.add(currentInterval, newRequests);
     double quotaRatio = policy.get().heavyReaderRatio();
     boolean exceedsQuota =
         quotaRatio < 1
-            && sent > MIN_QUOTA_REQUESTS
-            && sent > quotaRatio * Math.max(requests, requestsInPreviousInterval);
-    return exceedsQuota ? (current + 1) * INTERVAL_NANOS - now : 0;
+            && requestsOfConnection > MIN_QUOTA_REQUESTS
+            && requestsOfConnection > quotaRatio * Math.max(requests, requestsInPreviousInterval);
+    return exceedsQuota ? (currentInterval + 1) * INTERVAL_NANOS - now : 0;
   }
 }
--- a/engine/src/main/java/shalepaddle/front/InboundBuffer.java
+++ b/engine/src/main/java/shalepaddle/front/InboundBuffer.java
@@ -12,44 +12,46 @@
 import shalepaddle.loop.LoopClock;
 
 /**
- * The first handler of a client's connection: decides how much is read from it, and knows the
- * earliest time at which the bytes that it delivers can have arrived.
+ * The first handler of a client's connection. Limits how much is read from the connection, and
+ * tracks the earliest time at which the bytes that it delivers can have arrived.
  *
- * <p>While commands are not taken, up to {@value #MAX_BUFFERED_BYTES} bytes are read all the same
- * and buffered undecoded, for two reasons. A socket that is not read shows no disconnect, so that
- * the node would go on working for a client that has left. And a request's time counts from when
- * its client sends it: the buffered deadlines tell by when to deliver. A memory budget bounds all
- * buffers together; a single read may exceed either limit. The rest waits in the socket.
+ * <p>While the handling of commands is suspended, up to {@value #MAX_BUFFERED_BYTES} bytes are
+ * still read and buffered undecoded, for two reasons. A socket that is not read does not report a
+ * disconnect, so that the node would continue to work for a disconnected client. And the time
+ * budget of a request starts when its client sends it: the buffered deadlines determine when
+ * commands must be delivered. A memory budget limits all buffers together; a single read may exceed
+ * either limit. Further bytes wait in the socket.
  *
- * <p>All of it runs on the connection's event loop. It owns what it has read until it passes it on.
+ * <p>Called only on the connection's event loop. Owns the bytes that were read until they are
+ * delivered.
  */
 final class InboundBuffer extends ChannelDuplexHandler {
-  /** Reading from a connection stops while at least this many of its bytes are buffered. */
+  /** Reading stops while at least this many bytes are buffered. */
   static final int MAX_BUFFERED_BYTES = 16 << 10;
 
-  /** Buffered bytes delivered before the mode is checked again: some tens of commands. */
+  /** Maximum bytes delivered before the mode is checked again: some tens of commands. */
   private static final int MAX_DELIVERY_BYTES = 4 << 10;
 
-  /** Netty's maximum of reads per event: after as many, the socket may still hold bytes. */
+  /** Netty's maximum number of reads per event; after these reads, bytes may still be unread. */
   private static final int MAX_READS_PER_TURN = 16;
 
-  /** Bytes that arrived less than this after a segment's first are appended to that segment. */
-  private static final long MERGE_NANOS = 5_000_000;
+  /** Bytes that arrived less than this after the first byte of a segment are appended to it. */
+  private static final long MERGE_WINDOW_NANOS = 5_000_000;
 
-  /** Whether bytes are read from the socket, and whether they are passed on. */
+  /** Whether bytes are read from the socket, and whether they are delivered. */
   enum Mode {
-    /** It is read and delivered. */
+    /** Bytes are read and delivered. */
     DELIVER,
-    /** It is read and buffered. */
+    /** Bytes are read and buffered. */
     BUFFER,
-    /** It is not read. What was buffered before is delivered. */
+    /** No bytes are read; bytes that were buffered before are delivered. */
     SUSPEND
   }
 
-  /** Is notified of the time by which the buffered commands have to be delivered. */
+  /** A listener for the deadlines of buffered commands. */
   @FunctionalInterface
   interface DeadlineListener {
-    /** The earliest deadline among the buffered commands, by the loop's clock. */
+    /** Called with the earliest deadline among the buffered commands, by the loop's clock. */
     void deadlineFound(long deadlineNanos);
   }
 
@@ -63,22 +65,22 @@
       this.arrivalNanos = arrivalNanos;
     }
 
-    void append(ByteBufAllocator allocator, ByteBuf more) {
-      bytes = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(allocator, bytes, more);
+    void append(ByteBufAllocator allocator, ByteBuf addedBytes) {
+      bytes = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(allocator, bytes, addedBytes);
     }
   }
 
   private final MemoryBudget budget;
-  private final ArrivalTracker arrivals;
+  private final ArrivalTracker arrivalTracker;
   private final ArrayDeque<Segment> segments = new ArrayDeque<>();
-  private DeadlineScanner deadlines = new DeadlineScanner();
+  private DeadlineScanner deadlineScanner = new DeadlineScanner();
   private DeadlineListener listener = deadlineNanos -> {};
   private ChannelHandlerContext ctx;
   private Mode mode = Mode.DELIVER;
   private int bufferedBytes;
   private int reservedBytes;
 
-  /** Whether the budget did not cover all that is buffered. */
+  /** Whether the memory budget does not cover all buffered bytes. */
   private boolean exceedsBudget;
 
   private boolean isDelivering;
@@ -92,14 +94,14 @@
   private long deadlineNanos;
 
   /**
-   * Nothing has been read.
+   * Creates an empty buffer.
    *
-   * @param budget over all connections
-   * @param connectedSinceNanos since when the client may have sent something
+   * @param budget the memory budget of all connections
+   * @param connectedSinceNanos the earliest time at which the client can have sent bytes
    */
   InboundBuffer(MemoryBudget budget, LoopClock clock, long connectedSinceNanos) {
     this.budget = budget;
-    this.arrivals = new ArrivalTracker(clock, connectedSinceNanos);
+    this.arrivalTracker = new ArrivalTracker(clock, connectedSinceNanos);
   }
 
   void setListener(DeadlineListener listener) {
@@ -109,15 +111,15 @@
   @Override
   public void handlerAdded(ChannelHandlerContext ctx) {
     this.ctx = ctx;
-    arrivals.setPolled(true);
+    arrivalTracker.setPolled(true);
   }
 
-  /** Whether something is buffered. */
+  /** Whether any bytes are buffered. */
   boolean hasBytes() {
     return !segments.isEmpty();
   }
 
-  /** Whether a limit of the buffer is reached, so that more bytes may be unread in the socket. */
+  /** Whether a limit of the buffer is reached, so that the socket may have unread bytes. */
   boolean isFull() {
     return hasBytes() && (bufferedBytes >= MAX_BUFFERED_BYTES || exceedsBudget);
   }
@@ -128,14 +130,14 @@
   }
 
   /**
-   * Changes the mode. If it now permits, buffered bytes are delivered in a task of the event loop,
-   * not within this call.
+   * Changes the mode. If the new mode permits it, buffered bytes are delivered by a task of the
+   * event loop, not within this call.
    */
-  void setMode(Mode next) {
-    if (next == mode) {
+  void setMode(Mode newMode) {
+    if (newMode == mode) {
       return;
     }
-    mode = next;
+    mode = newMode;
     updateReading();
     if (hasBytes() && mode != Mode.BUFFER) {
       ctx.executor().execute(this::deliverBuffered);
@@ -144,12 +146,12 @@
 
   private void updateReading() {
     Channel channel = ctx.channel();
-    boolean reads = mode != Mode.SUSPEND && !isFull();
-    arrivals.setPolled(reads);
-    channel.config().setAutoRead(reads);
+    boolean isReading = mode != Mode.SUSPEND && !isFull();
+    arrivalTracker.setPolled(isReading);
+    channel.config().setAutoRead(isReading);
   }
 
-  /** Prevents a decoder with an incomplete command from reading on by itself. */
+  /** Suppresses the reads that a decoder requests for an incomplete command while suspended. */
   @Override
   public void read(ChannelHandlerContext ctx) {
     if (mode != Mode.SUSPEND) {
@@ -161,7 +163,7 @@
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     ByteBuf bytes = (ByteBuf) message;
     readsInTurn++;
-    long readArrivalNanos = arrivals.bytesRead();
+    long readArrivalNanos = arrivalTracker.bytesRead();
     if (!hasBytes() && mode != Mode.BUFFER) {
       arrivalNanos = readArrivalNanos;
       ctx.fireChannelRead(bytes);
@@ -172,17 +174,17 @@
   }
 
   private void buffer(ChannelHandlerContext ctx, ByteBuf bytes, long bytesArrivalNanos) {
-    int more = bytes.readableBytes();
-    if (budget.reserve(more)) {
-      reservedBytes += more;
+    int newBytes = bytes.readableBytes();
+    if (budget.reserve(newBytes)) {
+      reservedBytes += newBytes;
     } else {
       exceedsBudget = true;
     }
-    bufferedBytes += more;
+    bufferedBytes += newBytes;
     scan(bytes, bytesArrivalNanos);
-    Segment last = segments.peekLast();
-    if (last != null && bytesArrivalNanos - last.arrivalNanos < MERGE_NANOS) {
-      last.append(ctx.alloc(), bytes);
+    Segment lastSegment = segments.peekLast();
+    if (lastSegment != null && bytesArrivalNanos - lastSegment.arrivalNanos < MERGE_WINDOW_NANOS) {
+      lastSegment.append(ctx.alloc(), bytes);
     } else {
       segments.add(new Segment(bytes, bytesArrivalNanos));
     }
@@ -192,38 +194,38 @@
   }
 
   private void scan(ByteBuf bytes, long bytesArrivalNanos) {
-    deadlines.scan(
+    deadlineScanner.scan(
         bytes, millis -> addDeadline(bytesArrivalNanos + TimeUnit.MILLISECONDS.toNanos(millis)));
   }
 
-  /** Notifies the listener of the earliest deadline among what is buffered, if there is one. */
+  /** Notifies the listener of the earliest deadline in the buffered bytes, if there is one. */
   void reportDeadline() {
     hasDeadline = false;
-    deadlines = new DeadlineScanner();
+    deadlineScanner = new DeadlineScanner();
     segments.forEach(segment -> scan(segment.bytes, segment.arrivalNanos));
     if (hasDeadline) {
       listener.deadlineFound(deadlineNanos);
     }
   }
 
-  private void addDeadline(long nanos) {
-    if (!hasDeadline || nanos - deadlineNanos < 0) {
+  private void addDeadline(long newDeadlineNanos) {
+    if (!hasDeadline || newDeadlineNanos - deadlineNanos < 0) {
       hasDeadline = true;
-      deadlineNanos = nanos;
+      deadlineNanos = newDeadlineNanos;
     }
   }
 
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    boolean reads = ctx.channel().config().isAutoRead();
-    arrivals.readComplete(reads && readsInTurn < MAX_READS_PER_TURN);
+    boolean isReading = ctx.channel().config().isAutoRead();
+    arrivalTracker.readComplete(isReading && readsInTurn < MAX_READS_PER_TURN);
     readsInTurn = 0;
     if (!hasBytes()) {
       ctx.fireChannelReadComplete();
     }
   }
 
-  /** Delivers what was buffered, until the mode forbids it. */
+  /** Delivers buffered bytes while the mode permits it. */
   private void deliverBuffered() {
     if (isDelivering || !hasBytes()) {
       return;
@@ -231,9 +233,9 @@
     isDelivering = true;
     try {
       while (hasBytes() && mode != Mode.BUFFER) {
-        Segment first = segments.peek();
-        arrivalNanos = first.arrivalNanos;
-        ctx.fireChannelRead(takeDelivery(first));
+        Segment firstSegment = segments.peek();
+        arrivalNanos = firstSegment.arrivalNanos;
+        ctx.fireChannelRead(takeDelivery(firstSegment));
       }
     } finally {
       isDelivering = false;
@@ -244,28 +246,28 @@
     }
   }
 
-  /** The next bytes to deliver, which belong to the next handler. */
-  private ByteBuf takeDelivery(Segment first) {
-    if (first.bytes.readableBytes() > MAX_DELIVERY_BYTES) {
+  /** Removes and returns the next bytes to deliver, which the next handler owns. */
+  private ByteBuf takeDelivery(Segment firstSegment) {
+    if (firstSegment.bytes.readableBytes() > MAX_DELIVERY_BYTES) {
       bufferedBytes -= MAX_DELIVERY_BYTES;
-      return first.bytes.readRetainedSlice(MAX_DELIVERY_BYTES);
+      return firstSegment.bytes.readRetainedSlice(MAX_DELIVERY_BYTES);
     }
-    bufferedBytes -= first.bytes.readableBytes();
+    bufferedBytes -= firstSegment.bytes.readableBytes();
     segments.poll();
     if (segments.isEmpty()) {
       reset();
     }
-    return first.bytes;
+    return firstSegment.bytes;
   }
 
-  /** Clears the accounting once the last segment is gone. */
+  /** Resets the accounting after the last segment was removed. */
   private void reset() {
     exceedsBudget = false;
     budget.release(reservedBytes);
     reservedBytes = 0;
     bufferedBytes = 0;
     hasDeadline = false;
-    deadlines = new DeadlineScanner();
+    deadlineScanner = new DeadlineScanner();
   }
 
   private void releaseAll() {
--- a/engine/src/main/java/shalepaddle/front/ReadControl.java
+++ b/engine/src/main/java/shalepaddle/front/ReadControl.java
@@ -9,118 +9,123 @@
 import shalepaddle.overload.RetryStormDetector;
 
 /**
- * Decides whether commands are taken from one client's connection: not while the client does not
- * read its responses or too many are pending, and for a time after an error, an early retry or more
- * than its quota of requests. Owned by the connection, on the event loop.
+ * Decides whether commands are read from a client's connection. Reading is suspended while the
+ * client does not read its responses or too many responses are pending, and for some time after an
+ * error, an early retry or requests beyond the connection's quota. Owned by the connection, on the
+ * event loop.
  */
 final class ReadControl {
-  /** Errors after which a connection is closed: its client does not speak the protocol. */
+  /** Number of errors after which the connection is closed: the client breaks the protocol. */
   private static final int MAX_ERRORS = 8;
 
   /**
-   * How long nothing is read after an error. Prevents a client that repeats a malformed command at
-   * full speed from using up the event loop.
+   * How long reading is suspended after an error. Prevents a client that repeats a malformed
+   * command at full speed from using up the event loop.
    */
   private static final long ERROR_PAUSE_MILLIS = 250;
 
   /**
    * How long before its deadline a buffered command is delivered despite a pause, so that the node
-   * has time to reject it.
+   * can reject it in time.
    */
   private static final long DELIVERY_MARGIN_NANOS = 5_000_000L;
 
   /**
-   * How long a pause lasts at most once the buffer is full: the deadlines of what waits behind that
-   * in the socket are not known.
+   * Maximum length of a pause once the buffer is full: the deadlines of the commands that wait in
+   * the socket are not known.
    */
   private static final long MAX_PAUSE_WITH_FULL_BUFFER_NANOS = 50_000_000L;
 
-  /** Whether commands are read; from TAKING to STOPPED to DISCARDING, never back. */
+  /** Whether commands are read. Changes from READING to STOPPED to DISCARDING, never back. */
   private enum State {
-    /** Commands are taken, unless one of the reasons in the class comment suspends that. */
-    TAKING,
-    /** Nothing more is read; what was read before is still delivered. */
+    /** Commands are read, unless suspended for one of the reasons in the class comment. */
+    READING,
+    /** No more bytes are read; bytes that were read before are still delivered. */
     STOPPED,
-    /** The connection is closing: what comes is read, so that the kernel does not reset it. */
+    /** Bytes are read and discarded, so that the kernel does not reset the closing connection. */
     DISCARDING
   }
 
   private final ResponseQueue responses;
-  private final InboundBuffer inbound;
+  private final InboundBuffer inboundBuffer;
   private final ClientCodec.CommandDecoder decoder;
-  private final FairReadScheduler fairness;
+  private final FairReadScheduler fairReadScheduler;
   private final FairReadScheduler.RequestCount requestCount = new FairReadScheduler.RequestCount();
-  private final RetryStormDetector retryStorm = new RetryStormDetector();
-  private final ReadPause pause = new ReadPause();
+  private final RetryStormDetector retryStormDetector = new RetryStormDetector();
+  private final ReadPause readPause = new ReadPause();
   private final Dispatcher dispatcher;
   private final LoopClock clock;
   private final String connectionName;
   private Channel channel;
-  private State state = State.TAKING;
-  private int errors;
+  private State state = State.READING;
+  private int errorCount;
 
-  /** The task that ends the pause, null before the first. */
-  private Future<?> resumption;
+  /** The task that ends the pause, null before the first pause. */
+  private Future<?> resumeTask;
 
-  /** The reasons at the last {@link #update}, so that each is recorded once when it begins. */
+  /**
+   * Whether too many responses were pending at the last {@link #update}, so that each suspension is
+   * recorded once.
+   */
   private boolean hadTooManyPending;
 
+  /** Whether the channel was unwritable at the last {@link #update}. */
   private boolean wasUnwritable;
 
   ReadControl(
       ResponseQueue responses,
-      InboundBuffer inbound,
+      InboundBuffer inboundBuffer,
       ClientCodec.CommandDecoder decoder,
-      FairReadScheduler fairness,
+      FairReadScheduler fairReadScheduler,
       Dispatcher dispatcher,
       String connectionName) {
     this.responses = responses;
-    this.inbound = inbound;
+    this.inboundBuffer = inboundBuffer;
     this.decoder = decoder;
-    this.fairness = fairness;
+    this.fairReadScheduler = fairReadScheduler;
     this.dispatcher = dispatcher;
     this.clock = dispatcher.clock();
     this.connectionName = connectionName;
   }
 
-  /** Begins; called once, before anything else. */
+  /** Sets the channel. Called once, before all other methods. */
   void setChannel(Channel channel) {
     this.channel = channel;
-    inbound.setListener(this::deadlineFound);
+    inboundBuffer.setListener(this::deadlineFound);
   }
 
   /**
-   * Sets the mode of the inbound buffer from the present state. To be called after each change of
-   * writability, of pending responses or of the pause.
+   * Sets the mode of the inbound buffer by the present state. Must be called after each change of
+   * the channel's writability, the pending responses or the pause.
    */
   void update() {
     boolean hasTooManyPending = hasTooManyPending();
-    boolean takes =
+    boolean mayDeliver =
         channel.isWritable()
             && !hasTooManyPending
-            && !pause.isActive()
+            && !readPause.isActive()
             && !decoder.isDesynchronized();
     recordSuspension(hasTooManyPending, !channel.isWritable());
-    inbound.setMode(
+    inboundBuffer.setMode(
         switch (state) {
-          case TAKING -> takes ? InboundBuffer.Mode.DELIVER : InboundBuffer.Mode.BUFFER;
+          case READING -> mayDeliver ? InboundBuffer.Mode.DELIVER : InboundBuffer.Mode.BUFFER;
           case STOPPED -> InboundBuffer.Mode.SUSPEND;
           case DISCARDING -> InboundBuffer.Mode.DELIVER;
         });
   }
 
-  /** Whether as many responses are pending as one connection may have. */
+  /** Whether the limit of pending responses on one connection is reached. */
   boolean hasTooManyPending() {
-    return responses.size() >= fairness.maxPendingResponses();
+    return responses.size() >= fairReadScheduler.maxPendingResponses();
   }
 
-  /** From now on reads nothing more. */
+  /** Stops reading for good. */
   void stop() {
     state = State.STOPPED;
     update();
   }
 
-  /** The connection is closing: from now on reads what comes, for its handler to discard. */
+  /** Reads again on a closing connection, whose handler discards the commands. */
   void discard() {
     state = State.DISCARDING;
     update();
@@ -137,69 +142,74 @@
     wasUnwritable = isUnwritable;
   }
 
-  /** Counts a protocol error of the client, and pauses reading. */
+  /** Counts a protocol error of the client and pauses reading. */
   void clientError() {
-    errors++;
+    errorCount++;
     pause(Event.READ_PAUSE_CLIENT_ERROR, TimeUnit.MILLISECONDS.toNanos(ERROR_PAUSE_MILLIS));
   }
 
-  /** Whether the client broke the protocol so often that its connection is to be closed. */
+  /** Whether the client has made so many protocol errors that its connection must be closed. */
   boolean hasTooManyErrors() {
-    return errors >= MAX_ERRORS;
+    return errorCount >= MAX_ERRORS;
   }
 
-  /** Requests were read, of which these were rejected before they were parsed. */
+  /** Pauses reading if requests, some of them rejected before parsing, exceed a limit. */
   void requestsRead(int requests, ClientCommand.Rejections rejections) {
-    pause(Event.READ_PAUSE_FAIR_SHARE, fairness.pauseNanos(requestCount, requests, clock.now()));
+    pause(
+        Event.READ_PAUSE_FAIR_SHARE,
+        fairReadScheduler.pauseNanos(requestCount, requests, clock.now()));
     pause(Event.READ_PAUSE_EARLY_RETRY, retryPauseNanos(rejections));
   }
 
   private long retryPauseNanos(ClientCommand.Rejections rejections) {
     long retryAfterNanos = TimeUnit.MILLISECONDS.toNanos(rejections.retryAfterMillis());
-    long nanos = 0;
+    long pauseNanos = 0;
     for (int i = 0; i < rejections.count(); i++) {
-      nanos = retryStorm.recordRejection(i < rejections.retries(), retryAfterNanos, clock.now());
+      pauseNanos =
+          retryStormDetector.recordRejection(
+              i < rejections.retries(), retryAfterNanos, clock.now());
     }
-    return nanos;
+    return pauseNanos;
   }
 
-  /** Reads nothing for at least the given time; 0 changes nothing. */
-  private void pause(Event reason, long nanos) {
-    if (nanos <= 0) {
+  /** Pauses reading for at least the given time; no effect if that is 0. */
+  private void pause(Event reason, long pauseNanos) {
+    if (pauseNanos <= 0) {
       return;
     }
     dispatcher.recorder().record(reason, connectionName);
-    if (pause.extend(clock.now(), nanos)) {
+    if (readPause.extend(clock.now(), pauseNanos)) {
       update();
-      resumeIn(nanos);
+      resumeIn(pauseNanos);
     }
-    if (inbound.hasBytes()) {
-      inbound.reportDeadline();
+    if (inboundBuffer.hasBytes()) {
+      inboundBuffer.reportDeadline();
     }
   }
 
-  /** Buffered commands have this deadline: the pause ends in time for it. */
+  /** Ends the pause in time for the earliest deadline among the buffered commands. */
   private void deadlineFound(long deadlineNanos) {
     long marginNanos = DELIVERY_MARGIN_NANOS + dispatcher.stallAllowanceNanos();
     long latestNanos = deadlineNanos - marginNanos;
-    if (inbound.isFull() && clock.now() + MAX_PAUSE_WITH_FULL_BUFFER_NANOS - latestNanos < 0) {
+    if (inboundBuffer.isFull()
+        && clock.now() + MAX_PAUSE_WITH_FULL_BUFFER_NANOS - latestNanos < 0) {
       latestNanos = clock.now() + MAX_PAUSE_WITH_FULL_BUFFER_NANOS;
     }
-    if (pause.endBy(latestNanos)) {
+    if (readPause.endBy(latestNanos)) {
       resumeIn(Math.max(0, latestNanos - clock.now()));
     }
   }
 
-  /** Schedules the end of the pause, in place of what was scheduled before. */
-  private void resumeIn(long nanos) {
-    if (resumption != null) {
-      resumption.cancel(false);
+  /** Schedules the end of the pause, replacing an earlier schedule. */
+  private void resumeIn(long delayNanos) {
+    if (resumeTask != null) {
+      resumeTask.cancel(false);
     }
-    resumption = channel.eventLoop().schedule(this::resume, nanos, TimeUnit.NANOSECONDS);
+    resumeTask = channel.eventLoop().schedule(this::resume, delayNanos, TimeUnit.NANOSECONDS);
   }
 
   private void resume() {
-    long remainingNanos = pause.remainingNanos(clock.now());
+    long remainingNanos = readPause.remainingNanos(clock.now());
     if (remainingNanos > 0) {
       resumeIn(remainingNanos);
     } else {
--- a/engine/src/main/java/shalepaddle/front/ReadPause.java
+++ b/engine/src/main/java/shalepaddle/front/ReadPause.java
@@ -1,49 +1,49 @@
 package shalepaddle.front;
 
 /**
- * Until when nothing is read from a connection. Of several reasons the one that lasts longest
- * holds: a penalty for an error is not shortened by a pause that had begun before it. Owned by its
- * connection, on the event loop; times are by the loop's clock.
+ * A pause in reading from a connection. If there are several reasons, the longest pause applies: a
+ * pause after an error is not shortened by another one that began before. Owned by its connection,
+ * on the event loop; times are by the loop's clock.
  */
 final class ReadPause {
   private boolean isActive;
-  private long untilNanos;
+  private long endNanos;
 
-  /** Whether nothing is read now. */
+  /** Whether reading is paused now. */
   boolean isActive() {
     return isActive;
   }
 
   /**
-   * Extends the pause to at least the given time from now.
+   * Starts a pause of the given length, or extends the active pause to at least that length.
    *
-   * @return whether the pause begins with it: the caller must then ask {@link #remainingNanos} when
-   *     it ends
+   * @return whether a pause was started: the caller must then call {@link #remainingNanos} at its
+   *     end
    */
-  boolean extend(long now, long nanos) {
-    untilNanos = isActive ? Math.max(untilNanos, now + nanos) : now + nanos;
-    boolean begins = !isActive;
+  boolean extend(long now, long pauseNanos) {
+    endNanos = isActive ? Math.max(endNanos, now + pauseNanos) : now + pauseNanos;
+    boolean isNewPause = !isActive;
     isActive = true;
-    return begins;
+    return isNewPause;
   }
 
   /**
-   * Ends it by then at the latest, since an answer is due.
+   * Limits the end of the pause to the given time, when a command has to be delivered.
    *
-   * @return whether that is sooner than it would have ended
+   * @return whether the pause was shortened
    */
   boolean endBy(long latestNanos) {
-    if (!isActive || untilNanos - latestNanos <= 0) {
+    if (!isActive || endNanos - latestNanos <= 0) {
       return false;
     }
-    untilNanos = latestNanos;
+    endNanos = latestNanos;
     return true;
   }
 
-  /** What is left of it; at 0 it has ended. */
+  /** The remaining length of the pause; ends the pause if that is 0. */
   long remainingNanos(long now) {
-    long remaining = Math.max(0, untilNanos - now);
-    isActive = remaining > 0;
-    return remaining;
+    long remainingNanos = Math.max(0, endNanos - now);
+    isActive = remainingNanos > 0;
+    return remainingNanos;
   }
 }
--- a/engine/src/main/java/shalepaddle/front/RequestAdmission.java
+++ b/engine/src/main/java/shalepaddle/front/RequestAdmission.java
@@ -3,19 +3,19 @@
 import shalepaddle.overload.OverloadControl;
 
 /**
- * Admits or rejects each request before more of it is read than its class, tenant, key and whether
- * it is a retry, and before anything is allocated that a rejected request does not need.
+ * Admits or rejects each request by its class, tenant, key and whether it is a retry, before the
+ * rest of it is parsed and before anything is allocated that a rejected request does not need.
  *
- * <p>Called on the event loop alone.
+ * <p>Called only on the event loop.
  */
 public interface RequestAdmission {
-  /** What {@link #admit} returns for a request that is admitted. */
+  /** The result of {@link #admit} for a request that is admitted. */
   long ADMITTED = OverloadControl.ADMITTED;
 
-  /** Added to the Retry-After of a rejected request that is a retry, as far as is known. */
+  /** Added to the Retry-After of a rejected request that is known to be a retry. */
   long RETRY = OverloadControl.RETRY_FLAG;
 
-  /** Admits all and counts nothing. */
+  /** Admits all requests and counts none. */
   RequestAdmission ADMIT_ALL =
       new RequestAdmission() {
         @Override
@@ -29,21 +29,21 @@
         }
       };
 
-  /** Whether any request may be rejected now: while not, none needs to be looked at early. */
+  /** Whether any request may be rejected now; if not, requests need no check before parsing. */
   boolean mayReject();
 
   /**
-   * A request has come. Called once for each, also while none may be rejected.
+   * Admits or rejects a request. Called once for each request, also while none may be rejected.
    *
-   * @param serviceClass the index of its class in the settings
-   * @param tenant the index of its tenant there, -1 for none that is known
-   * @param keyHash a hash of its key, 0 where it is admitted in any case
-   * @param isRetry whether its client marked it as a retry
+   * @param serviceClass the index of the service class in the settings
+   * @param tenant the index of the tenant in the settings, -1 for no known tenant
+   * @param keyHash a hash of the key, 0 if the request is admitted in any case
+   * @param isRetry whether the client marked the request as a retry
    * @return {@link #ADMITTED}, or the Retry-After in milliseconds, 0 for none, with {@link #RETRY}
-   *     added where it is a retry
+   *     added if the request is a retry
    */
   long admit(int serviceClass, int tenant, long keyHash, boolean isRetry);
 
-  /** An admitted request of this class was rejected all the same, for lack of memory. */
+  /** Called when an admitted request of this class was rejected for lack of memory. */
   default void rejectedAfterAdmission(String serviceClass) {}
 }
--- a/engine/src/main/java/shalepaddle/front/ResponseQueue.java
+++ b/engine/src/main/java/shalepaddle/front/ResponseQueue.java
@@ -8,8 +8,8 @@
 import shalepaddle.engine.Reply;
 
 /**
- * The responses that are pending on one client's connection, and their writing in the order of the
- * commands. Owned by the connection, on the event loop.
+ * The pending responses of one client's connection, which are written in the order of the commands.
+ * Owned by the connection, on the event loop.
  */
 final class ResponseQueue {
   private final ClientHandler connection;
@@ -18,7 +18,7 @@
   private final ArrayDeque<ResponseSlot> slots = new ArrayDeque<>();
   private Channel channel;
 
-  /** Whether commands are being read: responses are flushed together once they have been. */
+  /** Whether commands are being read: their responses are flushed together afterwards. */
   private boolean isBatching;
 
   private boolean hasUnflushed;
@@ -29,7 +29,7 @@
     this.dispatcher = dispatcher;
   }
 
-  /** The channel to write to; called once, before anything else. */
+  /** Sets the channel to write to. Called once, before all other methods. */
   void setChannel(Channel channel) {
     this.channel = channel;
   }
@@ -42,7 +42,7 @@
     return slots.isEmpty();
   }
 
-  /** Adds the slot of the command that was read last. */
+  /** Adds a slot for the command that was read last. */
   ResponseSlot add() {
     ResponseSlot slot = new ResponseSlot(this);
     slots.add(slot);
@@ -53,7 +53,7 @@
     return slots.peek() == slot;
   }
 
-  /** Whether responses still go out. */
+  /** Whether responses can still be written. */
   boolean isOpen() {
     return !connection.isClosing() && channel.isActive();
   }
@@ -62,7 +62,7 @@
     return channel.isWritable();
   }
 
-  /** Encodes a reply, and takes ownership of a value in it. */
+  /** Encodes a reply and takes ownership of a value in it. */
   ByteBuf encode(String requestId, Reply reply) {
     return codec.encode(channel.alloc(), requestId, reply);
   }
@@ -71,17 +71,17 @@
     return codec.encodeStreamEnd();
   }
 
-  /** Writes bytes, which belong to the channel from here on. */
+  /** Writes bytes and passes their ownership to the channel. */
   void write(ByteBuf bytes) {
     channel.write(bytes, channel.voidPromise());
   }
 
-  /** Writes and flushes bytes, which belong to the channel from here on. */
+  /** Writes and flushes bytes and passes their ownership to the channel. */
   void writeAndFlush(ByteBuf bytes) {
     channel.writeAndFlush(bytes, channel.voidPromise());
   }
 
-  /** From now on responses wait for {@link #endBatch} to be flushed. */
+  /** Delays the flush of responses until {@link #endBatch}. */
   void beginBatch() {
     isBatching = true;
   }
@@ -94,7 +94,7 @@
     }
   }
 
-  /** The first response is complete: writes it, and those behind it that are complete. */
+  /** Writes the first response, which is complete, and the complete responses that follow it. */
   void firstCompleted() {
     writeCompleted();
     if (isBatching) {
@@ -113,32 +113,32 @@
         connection.close(Event.CLOSE_PROTOCOL_ERROR);
       }
     }
-    ResponseSlot next = slots.peek();
-    if (next != null && next.isStreamReady()) {
-      next.startStream();
+    ResponseSlot nextSlot = slots.peek();
+    if (nextSlot != null && nextSlot.isStreamReady()) {
+      nextSlot.startStream();
     }
     connection.updateReading();
   }
 
-  /** Resumes or pauses the stream of the first response, by whether the channel is writable. */
+  /** Resumes or pauses the stream of the first response by the channel's writability. */
   void writabilityChanged() {
-    ResponseSlot first = slots.peek();
-    if (first != null) {
-      first.setReading(channel.isWritable());
+    ResponseSlot firstSlot = slots.peek();
+    if (firstSlot != null) {
+      firstSlot.setReading(channel.isWritable());
     }
   }
 
-  /** A value that the client has a part of will never be complete. */
+  /** Aborts the connection, since the client has received only a part of a value. */
   void streamFailed() {
     connection.abort(Event.CLOSE_VALUE_CUT_OFF);
   }
 
-  /** A request got a second response, which is a fault of this node's. */
+  /** Reports a second response to a request, which is a bug of this node. */
   void reportSecondResponse(ResponseSlot slot) {
     dispatcher.guard().answeredTwice(slot.requestId(), connection.name());
   }
 
-  /** Reports a fault if this node is about to close the connection with requests unanswered. */
+  /** Reports the unanswered requests of a connection that this node is about to close. */
   void checkAnswered() {
     for (ResponseSlot slot : slots) {
       if (slot.isUnanswered()) {
@@ -147,7 +147,7 @@
     }
   }
 
-  /** The client has disconnected: discards pending responses and cancels their requests. */
+  /** Discards pending responses and cancels their requests after a client's disconnect. */
   void disconnected() {
     for (ResponseSlot slot = slots.poll(); slot != null; slot = slots.poll()) {
       slot.discard();
@@ -158,7 +158,7 @@
     }
   }
 
-  /** Logs the history of a request whose client has waited for long and left without an answer. */
+  /** Logs a request whose client waited for over half its time budget and disconnected. */
   private void reportUnanswered(ResponseSlot slot) {
     long now = dispatcher.clock().now();
     if (slot.isPastBudget(now)) {
--- a/engine/src/main/java/shalepaddle/front/ResponseSlot.java
+++ b/engine/src/main/java/shalepaddle/front/ResponseSlot.java
@@ -8,19 +8,19 @@
 import shalepaddle.engine.ValueSource;
 
 /**
- * The place of one response in the order of a connection's responses, and the sink of its request's
- * reply. Owned by its {@link ResponseQueue}, on the event loop.
+ * One response in the sequence of a connection's responses, and the sink for the reply to its
+ * request. Owned by its {@link ResponseQueue}, on the event loop.
  */
 final class ResponseSlot implements ReplySink, ValueSource.Receiver {
-  /** What there is of the response. */
+  /** The progress of the response. */
   private enum State {
-    /** No bytes of it are encoded, or its stream has ended and the end is not queued yet. */
+    /** The response is not encoded yet, or the end of a streamed value is not encoded yet. */
     PENDING,
-    /** A large value is its response, of which the encoded head waits for its turn. */
+    /** The head of a streamed value is encoded and waits for earlier responses. */
     STREAM_READY,
-    /** The value's chunks go out as they come. */
+    /** Chunks of the value are written as they arrive. */
     STREAMING,
-    /** All of it, or its end, is encoded and goes out once it is its turn. */
+    /** All remaining bytes of the response are encoded; earlier responses are written first. */
     COMPLETE
   }
 
@@ -31,13 +31,13 @@
   private long arrivalNanos;
   private long budgetNanos;
 
-  /** Null where the command was answered at once. */
+  /** Null if the command was answered without the engine. */
   private Submission submission;
 
-  /** Owned here until it is written or released; null if nothing waits. */
-  private ByteBuf encoded;
+  /** Encoded bytes that wait to be written, owned by this slot; null if there are none. */
+  private ByteBuf encodedBytes;
 
-  /** Set while {@link State#STREAM_READY} or {@link State#STREAMING}. */
+  /** Not null in {@link State#STREAM_READY} and {@link State#STREAMING}. */
   private ValueSource source;
 
   private boolean closesConnection;
@@ -47,11 +47,11 @@
   }
 
   /**
-   * Names the request that it is for.
+   * Sets the request that this response belongs to.
    *
-   * @param readAtNanos when it was read, by the loop's clock
+   * @param readAtNanos when the request was read, by the loop's clock
    * @param arrivalNanos the earliest time at which its last byte can have arrived
-   * @param budgetNanos how long its client waits from the arrival
+   * @param budgetNanos how long the client waits from the arrival
    */
   void setRequest(String id, long readAtNanos, long arrivalNanos, long budgetNanos) {
     this.requestId = id;
@@ -60,12 +60,12 @@
     this.budgetNanos = budgetNanos;
   }
 
-  /** The engine has taken the request. The reply may have come before. */
+  /** Sets the engine's submission of the request, whose reply may have been given already. */
   void setSubmission(Submission submission) {
     this.submission = submission;
   }
 
-  /** The connection is closed behind this response. */
+  /** Lets the connection be closed after this response. */
   void setClosesConnection() {
     closesConnection = true;
   }
@@ -78,7 +78,7 @@
     return requestId;
   }
 
-  /** Null where the command was answered at once. */
+  /** The engine's submission, null if the command was answered without the engine. */
   Submission submission() {
     return submission;
   }
@@ -95,17 +95,17 @@
     return state == State.STREAM_READY;
   }
 
-  /** Whether a request of the engine's has no complete response. */
+  /** Whether a submitted request has no complete response. */
   boolean isUnanswered() {
     return submission != null && state != State.COMPLETE;
   }
 
-  /** Whether it is incomplete, and the request's time has passed since its earliest arrival. */
+  /** Whether the response is incomplete and the time budget since the arrival is used up. */
   boolean isPastBudget(long now) {
     return state != State.COMPLETE && now - arrivalNanos >= budgetNanos;
   }
 
-  /** Whether it is incomplete, and over half the request's time has passed since it was read. */
+  /** Whether the response is incomplete and over half the time budget has passed since reading. */
   boolean isPastHalfBudget(long now) {
     return state != State.COMPLETE && now - readAtNanos > budgetNanos / 2;
   }
@@ -117,37 +117,37 @@
 
   @Override
   public void reply(Reply reply) {
-    if (reply instanceof Reply.Streamed streamed) {
-      streamReceived(streamed);
+    if (reply instanceof Reply.Streamed streamedReply) {
+      streamReceived(streamedReply);
     } else {
       complete(responses.encode(requestId, reply));
     }
   }
 
-  private void streamReceived(Reply.Streamed streamed) {
+  private void streamReceived(Reply.Streamed streamedReply) {
     if (!responses.isOpen()) {
-      streamed.source().cancel();
+      streamedReply.source().cancel();
       return;
     }
-    source = streamed.source();
-    encoded = responses.encode(requestId, streamed);
+    source = streamedReply.source();
+    encodedBytes = responses.encode(requestId, streamedReply);
     state = State.STREAM_READY;
     if (responses.isFirst(this)) {
       startStream();
     }
   }
 
-  /** It is this response's turn: passes on the head, and the chunks from now on. */
+  /** Writes the head and starts writing chunks, once all earlier responses are written. */
   void startStream() {
     state = State.STREAMING;
     responses.write(takeEncoded());
     source.start(this);
   }
 
-  /** The encoded bytes, which belong to the caller. */
+  /** Removes and returns the encoded bytes, which the caller owns. */
   ByteBuf takeEncoded() {
-    ByteBuf bytes = encoded;
-    encoded = null;
+    ByteBuf bytes = encodedBytes;
+    encodedBytes = null;
     return bytes;
   }
 
@@ -157,10 +157,10 @@
     setReading(responses.isWritable());
   }
 
-  /** Resumes or pauses reading the value from the server; no effect unless it is streaming. */
-  void setReading(boolean on) {
+  /** Resumes or pauses reading the value from the server; no effect unless streaming. */
+  void setReading(boolean isReading) {
     if (state == State.STREAMING) {
-      source.setReading(on);
+      source.setReading(isReading);
     }
   }
 
@@ -171,7 +171,7 @@
     complete(responses.streamEnd());
   }
 
-  /** The client can tell by the length that the value is not complete. */
+  /** Closes the connection: the client detects by the length that the value is incomplete. */
   @Override
   public void onFailure() {
     source = null;
@@ -179,7 +179,7 @@
     responses.streamFailed();
   }
 
-  /** Sets the complete response, and takes ownership of it; a second one is reported. */
+  /** Sets the complete response and takes ownership of it. A second response is reported. */
   void complete(ByteBuf bytes) {
     if (!responses.isOpen()) {
       bytes.release();
@@ -188,23 +188,23 @@
       bytes.release();
     } else {
       state = State.COMPLETE;
-      encoded = bytes;
+      encodedBytes = bytes;
       if (responses.isFirst(this)) {
         responses.firstCompleted();
       }
     }
   }
 
-  /** The client has disconnected: releases the encoded bytes and cancels the streamed value. */
+  /** Releases the encoded bytes and cancels the streamed value after a client's disconnect. */
   void discard() {
-    if (encoded != null) {
+    if (encodedBytes != null) {
       takeEncoded().release();
     }
     if (source != null) {
-      ValueSource cancelled = source;
+      ValueSource cancelledSource = source;
       source = null;
       state = State.PENDING;
-      cancelled.cancel();
+      cancelledSource.cancel();
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/front/package-info.java
+++ b/engine/src/main/java/shalepaddle/front/package-info.java
@@ -1,11 +1,11 @@
 /**
- * Clients' connections: {@link shalepaddle.front.ClientFront} builds the pipeline of each, from
- * {@link shalepaddle.front.InboundBuffer} (how much is read) over the codec's decoder to {@link
- * shalepaddle.front.ClientHandler} (submits commands, closes). {@link
- * shalepaddle.front.ClientConnections} limits how many there are and for how long.
+ * Client connections: {@link shalepaddle.front.ClientFront} builds the pipeline of each connection:
+ * {@link shalepaddle.front.InboundBuffer}, which limits reading, the codec's decoder, and {@link
+ * shalepaddle.front.ClientHandler}, which submits commands and closes the connection. {@link
+ * shalepaddle.front.ClientConnections} limits the number of connections and their lifetime.
  *
- * <p>All state belongs to the event loop of the {@link shalepaddle.engine.Dispatcher}; nothing here
- * is safe from another thread. The package may call the engine, the loop's clock, the overload
- * control, the flight recorder and the model. It knows no cache server and no decision.
+ * <p>All state is owned by the event loop of the {@link shalepaddle.engine.Dispatcher}; no class is
+ * thread-safe. The package may call the engine, the loop's clock, the overload control, the flight
+ * recorder and the model. It does not depend on cache servers or on the policy.
  */
 package shalepaddle.front;
--- a/engine/src/main/java/shalepaddle/loop/Log.java
+++ b/engine/src/main/java/shalepaddle/loop/Log.java
@@ -5,23 +5,23 @@
 import java.util.function.Supplier;
 
 /**
- * The node's log for operators. At most {@value #MAX_LINES_PER_SECOND} lines a second are written,
- * so that a failure that repeats costs little; the others are dropped. Not thread-safe.
+ * The node's log for operators. At most {@value #MAX_LINES_PER_SECOND} lines per second are
+ * written, so that a recurring failure costs little; further lines are dropped. Not thread-safe.
  */
 public final class Log {
   private static final int MAX_LINES_PER_SECOND = 10;
 
   private final Ticker ticker;
   private final Consumer<String> out;
-  private long second;
-  private int lines;
+  private long currentSecond;
+  private int linesInSecond;
 
-  /** A log to standard error. */
+  /** Creates a log that writes to standard error. */
   public Log() {
     this(Ticker.systemTicker(), System.err::println);
   }
 
-  /** A log to this output. */
+  /** Creates a log that writes to this output. */
   public Log(Ticker ticker, Consumer<String> out) {
     this.ticker = ticker;
     this.out = out;
@@ -32,21 +32,21 @@
     line(() -> text);
   }
 
-  /** Writes a line, which is made only if it is not dropped. */
+  /** Writes a line; the text is built only if the line is not dropped. */
   public void line(Supplier<String> text) {
-    long now = ticker.nanoTime() / 1_000_000_000L;
-    if (now != second) {
-      second = now;
-      lines = 0;
+    long nowSeconds = ticker.nanoTime() / 1_000_000_000L;
+    if (nowSeconds != currentSecond) {
+      currentSecond = nowSeconds;
+      linesInSecond = 0;
     }
-    if (lines++ < MAX_LINES_PER_SECOND) {
+    if (linesInSecond++ < MAX_LINES_PER_SECOND) {
       out.accept(text.get());
     }
   }
 
-  /** Writes a line on an unexpected exception: where, what, and its first stack frame. */
-  public void failure(String where, Throwable cause) {
+  /** Logs an unexpected exception: where it occurred, its text and its first stack frame. */
+  public void failure(String location, Throwable cause) {
     StackTraceElement[] trace = cause.getStackTrace();
-    line(where + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
+    line(location + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
   }
 }
--- a/engine/src/main/java/shalepaddle/loop/LoopClock.java
+++ b/engine/src/main/java/shalepaddle/loop/LoopClock.java
@@ -5,80 +5,84 @@
 import java.util.List;
 
 /**
- * Detects stalls of the event loop, and postpones decisions that must not be made before the
- * backlog of a stall is read.
+ * Detects stalls of the event loop, and delays decisions that must not be made before the backlog
+ * of a stall is read.
  *
- * <p>A process that is stopped, or gets no processor, reads nothing, while the kernel goes on
- * receiving for it. A time-out measured by the wall clock would then blame the peer for the loop's
- * own stall. So the loop runs a turn at least every {@link #MAX_SLEEP_NANOS}, and a longer gap
- * between two reads of the clock is a stall, with two consequences. {@link #activeNanos} does not
- * advance in a stall: silence is measured by it. And the loop {@linkplain #hasBacklog has a
- * backlog} until it has read what arrived meanwhile: time-outs of peers and of requests wait for
- * that, see {@link #whenBacklogRead}. Clients' deadlines are not measured in active time.
+ * <p>A process that is stopped or not scheduled reads nothing, while the kernel continues to
+ * receive bytes for it. A time-out measured by the wall clock would then attribute the loop's stall
+ * to the peer. The loop therefore runs a turn at least every {@link #MAX_SLEEP_NANOS}, and a gap of
+ * more than {@link #STALL_THRESHOLD_NANOS} between two reads of the clock is a stall, with two
+ * consequences. First, {@link #activeNanos} does not advance during a stall; the silence of peers
+ * is measured by it. Second, the loop {@linkplain #hasBacklog has a backlog} until it has read the
+ * bytes that arrived meanwhile; time-outs of peers and of requests are delayed until then, see
+ * {@link #whenBacklogRead}. Clients' deadlines are not measured in active time.
  *
- * <p>Prevents that connections with requests are closed, and servers ejected, for a stall of this
- * process. Cost: where every turn is as long as a stall, silence is found out some turns later.
+ * <p>Prevents connections with requests from being closed, and servers from being ejected, because
+ * of a stall of this process. Cost: if every turn is as long as a stall, silence is detected some
+ * turns later.
  *
  * <p>Owned by the event loop's thread. All times are nanoseconds of the loop's {@link Ticker}.
  */
 public final class LoopClock {
-  /** How long the loop sleeps at most while nothing happens. */
+  /** Maximum time that the loop sleeps while there are no events. */
   static final long MAX_SLEEP_NANOS = 10_000_000L;
 
-  /** A longer gap between two reads of the clock is a stall; a long turn counts like one. */
+  /** A longer gap between two reads of the clock is a stall, also if a long turn causes it. */
   public static final long STALL_THRESHOLD_NANOS = 30_000_000L;
 
   /**
-   * The most turns that the backlog of a stall takes: one turn accepts waiting connections, the
-   * next reads what was sent on them. Bounds the delay where stalls follow one another, or more
-   * arrives than can be read.
+   * Maximum number of turns for the backlog of a stall: one turn accepts waiting connections, the
+   * next reads the bytes sent on them. Bounds the delay if stalls follow one another, or if more
+   * bytes arrive than can be read.
    */
   private static final int MAX_BACKLOG_TURNS = 8;
 
   /**
-   * A backlog ends with the first turn that ends later than this after the stall: under overload
+   * The backlog ends with the first turn that ends later than this after the stall. Under overload,
    * {@link #MAX_BACKLOG_TURNS} turns would take longer.
    */
   static final long MAX_BACKLOG_NANOS = 60_000_000L;
 
-  /** Is notified of stalls and turns, on the event loop's thread. */
+  /** A listener for stalls and turns, which is called on the event loop's thread. */
   public interface Listener {
-    /** The loop has stalled for this many nanoseconds, until now. */
-    void onStall(long nanos);
+    /** Called at the end of a stall of the loop, with its length. */
+    void onStall(long stallNanos);
 
-    /** A task that had waited for the backlog to be read has failed. */
+    /** Called when a task that was delayed by this clock has thrown an exception. */
     void onTaskFailure(RuntimeException cause);
 
     /**
-     * A turn ends: it began to handle events at one time, and polls again at the other. The two are
-     * equal where there were no events.
+     * Called at the end of a turn.
+     *
+     * @param startedAtNanos when the turn began to handle events; {@code now} if there were none
+     * @param now when the loop polls again
      */
-    default void onTurnEnd(long begunAt, long now) {}
+    default void onTurnEnd(long startedAtNanos, long now) {}
   }
 
   private final Ticker ticker;
   private final Listener listener;
-  private final PollTimes polls;
-  private final StallHistory stalls = new StallHistory();
-  private final List<Runnable> whenBacklogRead = new ArrayList<>();
-  private final List<Runnable> afterNextPoll = new ArrayList<>();
-  private final List<Runnable> afterThisPoll = new ArrayList<>();
-  private long refreshedAt;
+  private final PollTimes pollTimes;
+  private final StallHistory stallHistory = new StallHistory();
+  private final List<Runnable> tasksWhenBacklogRead = new ArrayList<>();
+  private final List<Runnable> tasksAfterNextPoll = new ArrayList<>();
+  private final List<Runnable> tasksAfterThisPoll = new ArrayList<>();
+  private long refreshedAtNanos;
   private long stalledNanos;
   private long turn;
 
-  /** Turns in which the backlog may still be read, 0 where there is none. */
+  /** Number of turns in which the backlog may still be read, 0 if there is no backlog. */
   private int backlogTurnsLeft;
 
-  private long backlogSince;
-  private boolean stalledInTurn;
+  private long backlogSinceNanos;
+  private boolean hasStalledInTurn;
 
-  /** When the first event of this turn was handled, where one was. */
-  private long busySince;
+  /** When the first event of this turn was handled; valid only if {@link #isBusy}. */
+  private long busySinceNanos;
 
-  private boolean busy;
+  private boolean isBusy;
 
-  /** The clock of a loop that begins now. */
+  /** Creates the clock of a loop that starts now. */
   public LoopClock(Ticker ticker, Listener listener) {
     this(ticker, ticker.nanoTime(), listener);
   }
@@ -89,68 +93,68 @@
 
   private LoopClock(Ticker ticker, long now, Listener listener) {
     this.ticker = ticker;
-    this.refreshedAt = now;
-    this.polls = new PollTimes(now);
+    this.refreshedAtNanos = now;
+    this.pollTimes = new PollTimes(now);
     this.listener = listener;
   }
 
-  /** The time, without a check for a stall. */
+  /** The present time, without a check for a stall. */
   public long now() {
     return ticker.nanoTime();
   }
 
-  /** Reads the clock, and notices a stall that has just ended. */
+  /** Reads the clock and detects a stall that has just ended. */
   public long refresh() {
     return refresh(ticker.nanoTime());
   }
 
-  /** The same at a time that was read before; returns that time. */
+  /** Same as {@link #refresh()}, with a time that was already read; returns that time. */
   public long refresh(long now) {
-    long gap = now - refreshedAt;
-    refreshedAt = now;
-    polls.eventHandled(now);
-    if (!busy) {
-      busy = true;
-      busySince = now;
+    long gapNanos = now - refreshedAtNanos;
+    refreshedAtNanos = now;
+    pollTimes.eventHandled(now);
+    if (!isBusy) {
+      isBusy = true;
+      busySinceNanos = now;
     }
-    if (gap > STALL_THRESHOLD_NANOS) {
-      stalled(gap - MAX_SLEEP_NANOS, now);
+    if (gapNanos > STALL_THRESHOLD_NANOS) {
+      recordStall(gapNanos - MAX_SLEEP_NANOS, now);
     }
     return now;
   }
 
-  private void stalled(long nanos, long now) {
-    stalledNanos += nanos;
-    stalledInTurn = true;
+  private void recordStall(long stallNanos, long now) {
+    stalledNanos += stallNanos;
+    hasStalledInTurn = true;
     if (backlogTurnsLeft == 0) {
       backlogTurnsLeft = MAX_BACKLOG_TURNS;
-      backlogSince = now;
+      backlogSinceNanos = now;
     }
-    stalls.add(nanos, now);
-    listener.onStall(nanos);
+    stallHistory.add(stallNanos, now);
+    listener.onStall(stallNanos);
   }
 
   /**
    * The earliest time at which bytes that are read in this turn can have arrived, on a connection
-   * that has been polled all along and was empty when it was read last.
+   * that was included in all recent polls and was empty when it was last read.
    */
   public long earliestArrival() {
-    return polls.earliestArrival();
+    return pollTimes.earliestArrival();
   }
 
-  /** When the poll of the turn before the present one had returned. */
+  /** When the poll of the previous turn returned. */
   public long previousPollAt() {
-    return polls.previousPollAt();
+    return pollTimes.previousPollAt();
   }
 
-  /** The length of a stall that is to be expected, from recent ones; 0 where there are none. */
+  /** The length of the stall to expect, by recent stalls; 0 for none. */
   public long expectedStallNanos() {
-    return stalls.expected(refreshedAt);
+    return stallHistory.expected(refreshedAtNanos);
   }
 
-  /** Forgets past stalls: those of a start say nothing of what follows. */
+  /** Forgets all stalls: stalls at the start of a process do not predict later stalls. */
   public void forgetStalls() {
-    stalls.clear();
+    stallHistory.clear();
   }
 
   /** The number of the present turn. */
@@ -158,25 +162,25 @@
     return turn;
   }
 
-  /** Nanoseconds in which the loop was able to read, from an arbitrary start. */
+  /** Time in nanoseconds during which the loop was able to read, from an arbitrary origin. */
   public long activeNanos() {
-    return refreshedAt - stalledNanos;
+    return refreshedAtNanos - stalledNanos;
   }
 
-  /** Nanoseconds in all in which the loop was stalled. */
+  /** The total length of all stalls, in nanoseconds. */
   public long stalledNanos() {
     return stalledNanos;
   }
 
-  /** Whether there was a stall after which not all that waited has been read. */
+  /** Whether bytes that arrived during a stall may still be unread. */
   public boolean hasBacklog() {
     return backlogTurnsLeft > 0;
   }
 
-  /** Runs a task once the backlog of a stall is read; at once where there is none. */
+  /** Runs a task once the backlog of a stall is read, or immediately if there is no backlog. */
   public void whenBacklogRead(Runnable task) {
     if (hasBacklog()) {
-      whenBacklogRead.add(task);
+      tasksWhenBacklogRead.add(task);
     } else {
       task.run();
     }
@@ -184,67 +188,68 @@
 
   /** Runs a task at the end of the next turn, after all sockets have been polled again. */
   public void afterNextPoll(Runnable task) {
-    afterNextPoll.add(task);
+    tasksAfterNextPoll.add(task);
   }
 
   /** Whether the next poll must not sleep. */
   boolean pollsAtOnce() {
-    return hasBacklog() || !afterThisPoll.isEmpty();
+    return hasBacklog() || !tasksAfterThisPoll.isEmpty();
   }
 
-  /** A turn begins with its poll. */
+  /** Called at the start of a turn, before its poll. */
   void turnBegins(long now) {
     refresh(now);
-    afterThisPoll.addAll(afterNextPoll);
-    afterNextPoll.clear();
-    polls.pollBegins(now);
-    listener.onTurnEnd(busySince, now);
-    // What was handled up to here belongs to the turn that ends.
-    busy = false;
+    tasksAfterThisPoll.addAll(tasksAfterNextPoll);
+    tasksAfterNextPoll.clear();
+    pollTimes.pollBegins(now);
+    listener.onTurnEnd(busySinceNanos, now);
+    // Events that were handled before this call belong to the previous turn.
+    isBusy = false;
     turn++;
-    stalledInTurn = false;
+    hasStalledInTurn = false;
   }
 
-  /** The poll of this turn may sleep until an event comes. */
+  /** Called if the poll of this turn may sleep until an event occurs. */
   void pollMayBlock() {
-    polls.pollMayBlock();
+    pollTimes.pollMayBlock();
   }
 
   /**
-   * The poll has returned, and its events are handled next. Not to be inferred from the first event
-   * that refreshes the clock: accepting connections before it would count as sleep.
+   * Called when the poll has returned, before its events are handled. The first refresh of the
+   * clock by an event would be too late: the time to accept connections before that refresh would
+   * count as sleep.
    */
   void pollEnds(long now) {
     refresh(now);
   }
 
   /**
-   * The events of this turn are handled. Runs the tasks that waited for that.
+   * Called after the events of this turn were handled. Runs the delayed tasks that are due.
    *
-   * @param handled channels that had events, 0 if nothing was ready
+   * @param handledChannels the number of channels that had events
    */
-  void turnEnds(long now, int handled) {
+  void turnEnds(long now, int handledChannels) {
     refresh(now);
     if (hasBacklog()) {
-      boolean waitedLongEnough = now - backlogSince > MAX_BACKLOG_NANOS;
-      boolean allRead = handled == 0 && !stalledInTurn;
-      backlogTurnsLeft = allRead || waitedLongEnough ? 0 : backlogTurnsLeft - 1;
+      boolean hasWaitedLongEnough = now - backlogSinceNanos > MAX_BACKLOG_NANOS;
+      boolean isAllRead = handledChannels == 0 && !hasStalledInTurn;
+      backlogTurnsLeft = isAllRead || hasWaitedLongEnough ? 0 : backlogTurnsLeft - 1;
       if (!hasBacklog()) {
-        runAll(whenBacklogRead);
+        runAll(tasksWhenBacklogRead);
       }
     }
-    runAll(afterThisPoll);
+    runAll(tasksAfterThisPoll);
   }
 
   private void runAll(List<Runnable> tasks) {
     if (!tasks.isEmpty()) {
-      List<Runnable> due = List.copyOf(tasks);
+      List<Runnable> dueTasks = List.copyOf(tasks);
       tasks.clear();
-      due.forEach(this::run);
+      dueTasks.forEach(this::run);
     }
   }
 
-  /** Reports the failure of a task: thrown on, it would be taken for one of the loop's I/O. */
+  /** Reports an exception of a task; if it were rethrown, it would appear as an I/O failure. */
   private void run(Runnable task) {
     try {
       task.run();
--- a/engine/src/main/java/shalepaddle/loop/PollTimes.java
+++ b/engine/src/main/java/shalepaddle/loop/PollTimes.java
@@ -1,64 +1,64 @@
 package shalepaddle.loop;
 
 /**
- * When the polls of an event loop began and returned, which bounds the time at which bytes that it
- * reads have arrived. Owned by the event loop's thread; all times are nanoseconds of its clock.
+ * Tracks when the polls of an event loop began and returned, to bound the arrival time of the bytes
+ * that it reads. Owned by the event loop's thread; all times are nanoseconds of its clock.
  */
 final class PollTimes {
-  /** A poll that took longer had slept: nothing was ready as it began. */
+  /** A poll that took longer has slept: no event was ready when it began. */
   private static final long MIN_SLEEP_NANOS = 500_000L;
 
-  /** How long a wake-up from a sleep takes at most. */
+  /** Maximum time for the wake-up from a sleep. */
   private static final long MAX_WAKE_UP_NANOS = 1_000_000L;
 
-  private long beganAt;
-  private long returnedAt;
-  private boolean returned;
+  private long beganAtNanos;
+  private long returnedAtNanos;
+  private boolean hasReturned;
 
-  /** Whether the poll may sleep; if not, it takes long only where the process is held up in it. */
+  /** Whether the poll may sleep; otherwise it takes long only if the process is not scheduled. */
   private boolean mayBlock;
 
-  private long previousReturnedAt;
+  private long previousReturnedAtNanos;
 
   PollTimes(long now) {
-    beganAt = now;
-    returnedAt = now;
-    previousReturnedAt = now;
+    beganAtNanos = now;
+    returnedAtNanos = now;
+    previousReturnedAtNanos = now;
   }
 
-  /** The poll of a new turn begins. */
+  /** Called when the poll of a new turn begins. */
   void pollBegins(long now) {
-    previousReturnedAt = returnedAt;
-    beganAt = now;
-    returnedAt = now;
-    returned = false;
+    previousReturnedAtNanos = returnedAtNanos;
+    beganAtNanos = now;
+    returnedAtNanos = now;
+    hasReturned = false;
     mayBlock = false;
   }
 
-  /** The poll that has begun may sleep until an event comes. */
+  /** Called if the present poll may sleep until an event occurs. */
   void pollMayBlock() {
     mayBlock = true;
   }
 
-  /** An event is handled at this time; the first one of a turn shows that its poll has returned. */
+  /** Called when an event is handled; the first event of a turn shows that the poll returned. */
   void eventHandled(long now) {
-    if (!returned) {
-      returned = true;
-      // After a stall the poll may have returned long before.
-      returnedAt = now - beganAt > LoopClock.STALL_THRESHOLD_NANOS ? beganAt : now;
+    if (!hasReturned) {
+      hasReturned = true;
+      // After a stall, the poll may have returned long before this event is handled.
+      returnedAtNanos = now - beganAtNanos > LoopClock.STALL_THRESHOLD_NANOS ? beganAtNanos : now;
     }
   }
 
   /** See {@link LoopClock#previousPollAt}. */
   long previousPollAt() {
-    return previousReturnedAt;
+    return previousReturnedAtNanos;
   }
 
   /** See {@link LoopClock#earliestArrival}. */
   long earliestArrival() {
-    boolean hasSlept = mayBlock && returned && returnedAt - beganAt >= MIN_SLEEP_NANOS;
+    boolean hasSlept = mayBlock && hasReturned && returnedAtNanos - beganAtNanos >= MIN_SLEEP_NANOS;
     return hasSlept
-        ? Math.max(previousReturnedAt, returnedAt - MAX_WAKE_UP_NANOS)
-        : previousReturnedAt;
+        ? Math.max(previousReturnedAtNanos, returnedAtNanos - MAX_WAKE_UP_NANOS)
+        : previousReturnedAtNanos;
   }
 }
--- a/engine/src/main/java/shalepaddle/loop/StallHistory.java
+++ b/engine/src/main/java/shalepaddle/loop/StallHistory.java
@@ -1,54 +1,56 @@
 package shalepaddle.loop;
 
 /**
- * Predicts an event loop's stalls: the second longest stall of the last {@value #WINDOW_NANOS} ns
- * or more. A single stall, such as a garbage collection, predicts nothing.
+ * Predicts the stalls of an event loop by the second longest stall in the last {@value
+ * #WINDOW_NANOS} to twice as many nanoseconds. A single stall, such as a garbage collection, is not
+ * expected to recur.
  *
  * <p>All times are nanoseconds of one clock. Not thread-safe.
  */
 final class StallHistory {
-  /** Two windows are kept: the present one and the one before. */
+  /** Length of a window; the present window and the previous one are retained. */
   private static final long WINDOW_NANOS = 15_000_000_000L;
 
-  private final long[] longest = new long[2];
-  private final long[] secondLongest = new long[2];
-  private long window = Long.MIN_VALUE;
+  private final long[] longestNanos = new long[2];
+  private final long[] secondLongestNanos = new long[2];
+  private long latestWindow = Long.MIN_VALUE;
 
-  /** The loop has stalled for this many nanoseconds, until now. */
-  void add(long nanos, long now) {
+  /** Adds a stall that has just ended. */
+  void add(long stallNanos, long now) {
     advance(now);
-    if (nanos > longest[0]) {
-      secondLongest[0] = longest[0];
-      longest[0] = nanos;
+    if (stallNanos > longestNanos[0]) {
+      secondLongestNanos[0] = longestNanos[0];
+      longestNanos[0] = stallNanos;
     } else {
-      secondLongest[0] = Math.max(secondLongest[0], nanos);
+      secondLongestNanos[0] = Math.max(secondLongestNanos[0], stallNanos);
     }
   }
 
-  /** The length of a stall that is to be expected, 0 for none. */
+  /** The length in nanoseconds of the stall to expect, 0 for none. */
   long expected(long now) {
     advance(now);
-    long shorterOfLongest = Math.min(longest[0], longest[1]);
-    return Math.max(shorterOfLongest, Math.max(secondLongest[0], secondLongest[1]));
+    long shorterOfLongestNanos = Math.min(longestNanos[0], longestNanos[1]);
+    return Math.max(shorterOfLongestNanos, Math.max(secondLongestNanos[0], secondLongestNanos[1]));
   }
 
+  /** Forgets all stalls. */
   void clear() {
     for (int i = 0; i < 2; i++) {
-      longest[i] = 0;
-      secondLongest[i] = 0;
+      longestNanos[i] = 0;
+      secondLongestNanos[i] = 0;
     }
   }
 
   private void advance(long now) {
-    long current = Math.floorDiv(now, WINDOW_NANOS);
-    if (current == window) {
+    long currentWindow = Math.floorDiv(now, WINDOW_NANOS);
+    if (currentWindow == latestWindow) {
       return;
     }
-    boolean adjacent = current == window + 1;
-    longest[1] = adjacent ? longest[0] : 0;
-    secondLongest[1] = adjacent ? secondLongest[0] : 0;
-    longest[0] = 0;
-    secondLongest[0] = 0;
-    window = current;
+    boolean isAdjacent = currentWindow == latestWindow + 1;
+    longestNanos[1] = isAdjacent ? longestNanos[0] : 0;
+    secondLongestNanos[1] = isAdjacent ? secondLongestNanos[0] : 0;
+    longestNanos[0] = 0;
+    secondLongestNanos[0] = 0;
+    latestWindow = currentWindow;
   }
 }
--- a/engine/src/main/java/shalepaddle/loop/Timers.java
+++ b/engine/src/main/java/shalepaddle/loop/Timers.java
@@ -10,9 +10,9 @@
 import shalepaddle.sockets.ConnectCompletion;
 
 /**
- * Timers that run in ticks. Prevents an event loop that never sleeps: with several timers for each
- * request one is always about to run, and the loop would poll its sockets until it does. Cost: a
- * timer runs up to one tick early or late, by its method.
+ * Timers that run at ticks of a fixed length. With several timers for each request, there is always
+ * one that is about to run; without ticks the event loop would wake up for each and never sleep.
+ * Cost: a timer runs up to one tick early or late, depending on the method that set it.
  *
  * <p>Owned by the event loop's thread. An exception of a task is logged.
  */
@@ -21,13 +21,13 @@
   private final LoopClock clock;
   private final Log log;
   private final long tickNanos;
-  private final long start;
-  private final TreeMap<Long, List<Timer>> due = new TreeMap<>();
-  private long armedFor = Long.MAX_VALUE;
-  private Future<?> armed;
+  private final long startNanos;
+  private final TreeMap<Long, List<Timer>> timersByTick = new TreeMap<>();
+  private long scheduledTick = Long.MAX_VALUE;
+  private Future<?> wakeUp;
 
   /**
-   * No timers.
+   * Creates an instance without timers.
    *
    * @param tickNanos the resolution, above 0
    */
@@ -36,10 +36,10 @@
     this.clock = clock;
     this.log = log;
     this.tickNanos = tickNanos;
-    this.start = clock.now();
+    this.startNanos = clock.now();
   }
 
-  /** A task that runs once, unless it is cancelled before. */
+  /** A task that runs once, unless it is cancelled before it runs. */
   public static final class Timer {
     private Runnable task;
 
@@ -47,109 +47,110 @@
       this.task = task;
     }
 
-    /** The task does not run any more. Idempotent; no effect once it has run. */
+    /** Cancels the task. Idempotent; no effect once the task has run. */
     public void cancel() {
       task = null;
     }
   }
 
-  /** Runs a task in the last tick that is not after the delay; soon if that has passed. */
+  /** Runs a task at the last tick before the end of the delay, or soon if that tick has passed. */
   public Timer runNoLaterThan(long delayNanos, Runnable task) {
-    return schedule(Math.floorDiv(clock.now() - start + delayNanos, tickNanos), task);
+    return schedule(Math.floorDiv(clock.now() - startNanos + delayNanos, tickNanos), task);
   }
 
-  /** Runs a task in the first tick that is not before the delay; after the backlog of a stall. */
+  /** Runs a task at the first tick after the delay, once the backlog of a stall is read. */
   public Timer runNoEarlierThan(long delayNanos, Runnable task) {
-    return schedule(-Math.floorDiv(-(clock.now() - start + delayNanos), tickNanos), task);
+    return schedule(-Math.floorDiv(-(clock.now() - startNanos + delayNanos), tickNanos), task);
   }
 
   /**
-   * Runs a task once the event loop was {@linkplain LoopClock#activeNanos active} for the given
-   * time: for time-outs of a silent peer.
+   * Runs a task once the event loop has been {@linkplain LoopClock#activeNanos active} for the
+   * given time. Used for time-outs of silent peers.
    */
-  public Timer afterActiveTime(long nanos, Runnable task) {
+  public Timer afterActiveTime(long delayNanos, Runnable task) {
     Timer timer = new Timer(task);
-    runAfterActive(clock.activeNanos() + nanos, timer);
+    runAfterActive(clock.activeNanos() + delayNanos, timer);
     return timer;
   }
 
   /**
-   * Closes a connection that is not established after the given active time; its future then fails
-   * with a {@link java.nio.channels.ClosedChannelException}. The bootstrap's own time-out is not
-   * used: after a stall it may run before an established connection is noticed, and a peer that is
-   * up would be taken for one that is down.
+   * Closes a connection that is not established after the given active time; the future of the
+   * connection then fails with a {@link java.nio.channels.ClosedChannelException}. The time-out of
+   * Netty's bootstrap is not used: after a stall it may run before an established connection is
+   * noticed, so that a peer that is up would be considered down.
    */
-  public void limitConnect(ChannelFuture connecting, long nanos) {
-    Timer timeout = afterActiveTime(nanos, () -> ConnectCompletion.close(connecting.channel()));
-    ConnectCompletion.whenDone(connecting, loop, done -> timeout.cancel());
+  public void limitConnect(ChannelFuture connectFuture, long timeoutNanos) {
+    Timer timeoutTimer =
+        afterActiveTime(timeoutNanos, () -> ConnectCompletion.close(connectFuture.channel()));
+    ConnectCompletion.whenDone(connectFuture, loop, done -> timeoutTimer.cancel());
   }
 
-  private void runAfterActive(long until, Timer timer) {
+  private void runAfterActive(long untilActiveNanos, Timer timer) {
     runNoEarlierThan(
-        until - clock.activeNanos(),
+        untilActiveNanos - clock.activeNanos(),
         () -> {
           if (timer.task == null) {
             return;
           }
-          if (clock.activeNanos() - until < 0) {
-            runAfterActive(until, timer);
+          if (clock.activeNanos() - untilActiveNanos < 0) {
+            runAfterActive(untilActiveNanos, timer);
           } else {
             timer.task.run();
           }
         });
   }
 
-  /** Timers that are set and not cancelled. */
+  /** The number of timers that are set and not cancelled. */
   public int size() {
     int size = 0;
-    for (List<Timer> tick : due.values()) {
-      for (Timer timer : tick) {
+    for (List<Timer> timersOfTick : timersByTick.values()) {
+      for (Timer timer : timersOfTick) {
         size += timer.task == null ? 0 : 1;
       }
     }
     return size;
   }
 
-  /** Cancels all timers. Those that are set later run as usual. */
+  /** Cancels all timers. Timers that are set later run as usual. */
   public void close() {
-    due.clear();
-    armedFor = Long.MAX_VALUE;
-    if (armed != null) {
-      armed.cancel(false);
+    timersByTick.clear();
+    scheduledTick = Long.MAX_VALUE;
+    if (wakeUp != null) {
+      wakeUp.cancel(false);
     }
   }
 
   private Timer schedule(long tick, Runnable task) {
     Timer timer = new Timer(task);
-    due.computeIfAbsent(tick, t -> new ArrayList<>()).add(timer);
-    arm(tick);
+    timersByTick.computeIfAbsent(tick, t -> new ArrayList<>()).add(timer);
+    scheduleWakeUp(tick);
     return timer;
   }
 
-  private void arm(long tick) {
-    if (tick < armedFor) {
-      armedFor = tick;
-      long delay = start + tick * tickNanos - clock.now();
-      // Or alarms would accumulate: each sets a further one while there are timers, as there are at
-      // all times under load.
-      if (armed != null) {
-        armed.cancel(false);
+  private void scheduleWakeUp(long tick) {
+    if (tick < scheduledTick) {
+      scheduledTick = tick;
+      long delayNanos = startNanos + tick * tickNanos - clock.now();
+      // The earlier wake-up is cancelled, as wake-ups would accumulate: each wake-up schedules
+      // another one while there are timers, and under load there always are.
+      if (wakeUp != null) {
+        wakeUp.cancel(false);
       }
-      armed = loop.schedule(this::alarm, Math.max(0, delay), TimeUnit.NANOSECONDS);
+      wakeUp = loop.schedule(this::onWakeUp, Math.max(0, delayNanos), TimeUnit.NANOSECONDS);
     }
   }
 
-  /** A timer is due. After a stall, what came in time and is not read yet is read first. */
-  private void alarm() {
+  /** Runs due timers. After a stall, bytes that arrived in time are read first. */
+  private void onWakeUp() {
     clock.refresh();
     clock.whenBacklogRead(this::runDue);
   }
 
   private void runDue() {
-    long now = (clock.now() - start) / tickNanos;
-    armedFor = Long.MAX_VALUE;
-    while (!due.isEmpty() && due.firstKey() <= now) {
-      for (Timer timer : due.pollFirstEntry().getValue()) {
+    long currentTick = (clock.now() - startNanos) / tickNanos;
+    scheduledTick = Long.MAX_VALUE;
+    while (!timersByTick.isEmpty() && timersByTick.firstKey() <= currentTick) {
+      for (Timer timer : timersByTick.pollFirstEntry().getValue()) {
         if (timer.task != null) {
           try {
             timer.task.run();
@@ -159,8 +160,8 @@
         }
       }
     }
-    if (!due.isEmpty()) {
-      arm(due.firstKey());
+    if (!timersByTick.isEmpty()) {
+      scheduleWakeUp(timersByTick.firstKey());
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/loop/WatchedIoHandler.java
+++ b/engine/src/main/java/shalepaddle/loop/WatchedIoHandler.java
@@ -7,8 +7,8 @@
 import io.netty.channel.IoRegistration;
 
 /**
- * Wraps a transport's I/O handler, and notifies a {@link LoopClock} of each turn and its poll. It
- * bounds the loop's sleep to {@link LoopClock#MAX_SLEEP_NANOS}, and prevents it while there is a
+ * Wraps the I/O handler of a transport, and notifies a {@link LoopClock} of each turn and its poll.
+ * Limits the loop's sleep to {@link LoopClock#MAX_SLEEP_NANOS}, and prevents sleep while there is a
  * backlog or a task that waits for the poll. Owned by the event loop's thread.
  */
 public final class WatchedIoHandler implements IoHandler {
@@ -20,7 +20,7 @@
     this.clock = clock;
   }
 
-  /** A factory of handlers for the one event loop whose clock this is. */
+  /** Creates a factory of handlers for the event loop to which the clock belongs. */
   public static IoHandlerFactory factory(IoHandlerFactory transport, LoopClock clock) {
     return executor -> new WatchedIoHandler(transport.newHandler(executor), clock);
   }
@@ -28,13 +28,13 @@
   @Override
   public int run(IoHandlerContext context) {
     clock.turnBegins(clock.now());
-    int handled = handler.run(new BoundedSleep(context, clock));
-    clock.turnEnds(clock.now(), handled);
-    return handled;
+    int handledChannels = handler.run(new BoundedSleepContext(context, clock));
+    clock.turnEnds(clock.now(), handledChannels);
+    return handledChannels;
   }
 
-  /** A turn whose sleep is bounded. */
-  private record BoundedSleep(IoHandlerContext context, LoopClock clock)
+  /** The context of a turn, with the sleep limited. */
+  private record BoundedSleepContext(IoHandlerContext context, LoopClock clock)
       implements IoHandlerContext {
     @Override
     public boolean canBlock() {
@@ -56,11 +56,11 @@
     }
 
     @Override
-    public void reportActiveIoTime(long nanos) {
-      context.reportActiveIoTime(nanos);
+    public void reportActiveIoTime(long activeNanos) {
+      context.reportActiveIoTime(activeNanos);
     }
 
-    /** Called by the transport between its poll and the handling of events. */
+    /** Called by the transport after its poll and before it handles events. */
     @Override
     public boolean shouldReportActiveIoTime() {
       clock.pollEnds(clock.now());
--- a/engine/src/main/java/shalepaddle/sockets/AcceptBackoff.java
+++ b/engine/src/main/java/shalepaddle/sockets/AcceptBackoff.java
@@ -1,26 +1,26 @@
 package shalepaddle.sockets;
 
 /**
- * The delay before accepting again after a failure. Short at first: connections wait in the
- * kernel's queue, and the deadlines of their requests run. It doubles with each further failure: a
- * listener with queued connections is always ready and would keep the event loop busy. Not
+ * The delay before accepting again after a failure. Short at first, since connections wait in the
+ * kernel's queue while the deadlines of their requests approach. Doubles with each further failure,
+ * since a listener with queued connections is always ready and would keep the event loop busy. Not
  * thread-safe.
  */
 final class AcceptBackoff {
   static final long INITIAL_MILLIS = 2;
   static final long MAX_MILLIS = 50;
 
-  private long nextMillis = INITIAL_MILLIS;
+  private long nextDelayMillis = INITIAL_MILLIS;
 
-  /** Accepting has failed; returns the milliseconds until the next attempt. */
+  /** Returns the delay in milliseconds until the next attempt, after a failure to accept. */
   long nextDelayMillis() {
-    long delayMillis = nextMillis;
-    nextMillis = Math.min(MAX_MILLIS, 2 * nextMillis);
+    long delayMillis = nextDelayMillis;
+    nextDelayMillis = Math.min(MAX_MILLIS, 2 * nextDelayMillis);
     return delayMillis;
   }
 
-  /** Accepting has succeeded. */
+  /** Resets the delay after a connection was accepted. */
   void reset() {
-    nextMillis = INITIAL_MILLIS;
+    nextDelayMillis = INITIAL_MILLIS;
   }
 }
--- a/engine/src/main/java/shalepaddle/sockets/TcpConnection.java
+++ b/engine/src/main/java/shalepaddle/sockets/TcpConnection.java
@@ -5,30 +5,30 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.nio.channels.SocketChannel;
 
-/** A TCP connection on which an interrupted read is retried. On its event loop alone. */
+/** A TCP connection that retries interrupted reads. Used only on its event loop. */
 public class TcpConnection extends NioSocketChannel {
   /** The result of a read at the end of the stream. */
   private static final int END_OF_STREAM = -1;
 
   private static final int NOTHING_READ = 0;
 
-  /** One that is to be connected. */
+  /** Creates a connection that is not connected yet. */
   public TcpConnection() {}
 
-  /** One that a listener has accepted. */
+  /** Creates a connection that a listener has accepted. */
   public TcpConnection(Channel listener, SocketChannel socket) {
     super(listener, socket);
   }
 
   /**
-   * Reads the available bytes. The Java platform returns a negative number of its own for a read
-   * that ended with EINTR, and the transport takes every negative number for the end of the stream:
-   * the connection would be closed with requests on it. Nothing was read then, and the next poll
-   * reports the socket again.
+   * Reads the available bytes. If a read is interrupted (EINTR), the JDK returns a negative number
+   * other than -1. Netty's transport treats every negative number as the end of the stream, and
+   * would close the connection with requests on it. No bytes were read in that case, and the next
+   * poll reports the socket again.
    */
   @Override
   protected int doReadBytes(ByteBuf bytes) throws Exception {
-    int read = super.doReadBytes(bytes);
-    return read < END_OF_STREAM ? NOTHING_READ : read;
+    int readBytes = super.doReadBytes(bytes);
+    return readBytes < END_OF_STREAM ? NOTHING_READ : readBytes;
   }
 }
--- a/engine/src/main/java/shalepaddle/sockets/TcpListener.java
+++ b/engine/src/main/java/shalepaddle/sockets/TcpListener.java
@@ -8,34 +8,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accepts connections, and retries soon after a failure. A failure is not passed to the transport,
- * which would then accept nothing for a second. On its event loop alone.
+ * Accepts connections, and retries shortly after a failure. Failures are not passed to Netty's
+ * transport, which would then stop accepting for a second. Used only on its event loop.
  */
 public class TcpListener extends NioServerSocketChannel {
   private final AcceptBackoff backoff = new AcceptBackoff();
 
-  /** One that is to be bound. */
+  /** Creates a listener that is not bound yet. */
   public TcpListener() {}
 
-  /** One whose socket listens already. */
-  public TcpListener(ServerSocketChannel listening) {
-    super(listening);
+  /** Creates a listener for a socket that is already listening. */
+  public TcpListener(ServerSocketChannel listeningSocket) {
+    super(listeningSocket);
   }
 
-  /** The channel of a connection that was accepted. */
+  /** Creates the channel of an accepted connection. */
   protected TcpConnection connection(SocketChannel socket) {
     return new TcpConnection(this, socket);
   }
 
-  /** No connection waits to be accepted. */
+  /** Called when no connection waits to be accepted. */
   protected void backlogEmpty() {}
 
-  /** Accepting has failed: connections may wait from now on. */
+  /** Called when accepting has failed: connections may wait from now on. */
   protected void acceptFailed() {}
 
   /** Accepts one connection, if any waits. */
   @Override
-  protected int doReadMessages(List<Object> accepted) {
+  protected int doReadMessages(List<Object> acceptedConnections) {
     SocketChannel socket;
     try {
       socket = javaChannel().accept();
@@ -49,9 +49,9 @@
     }
     backoff.reset();
     try {
-      accepted.add(connection(socket));
+      acceptedConnections.add(connection(socket));
     } catch (RuntimeException e) {
-      // It ended before it could be set up.
+      // The connection ended before it could be set up.
       closeQuietly(socket);
     }
     return 1;
@@ -61,7 +61,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // The connection is gone already.
+      // The socket is closed already.
     }
   }
 
--- a/engine/src/main/java/shalepaddle/sockets/package-info.java
+++ b/engine/src/main/java/shalepaddle/sockets/package-info.java
@@ -1,6 +1,6 @@
 /**
- * TCP sockets whose system calls may fail for a moment: what the transport takes for the end of a
- * connection, or answers with a long pause, is retried here. Each socket is owned by its event
- * loop. This package calls Netty alone.
+ * TCP sockets that retry transient failures of system calls. Netty's transport would treat such a
+ * failure as the end of a connection, or stop accepting for a second. Each socket is owned by its
+ * event loop. The package depends only on Netty.
  */
 package shalepaddle.sockets;
--- a/engine/src/main/java/shalepaddle/upstream/ConnectionBudget.java
+++ b/engine/src/main/java/shalepaddle/upstream/ConnectionBudget.java
@@ -1,53 +1,54 @@
 package shalepaddle.upstream;
 
 /**
- * How many connections to cache servers the node may have at once, over all servers and all of its
- * processes. Owned by the event loop.
+ * Limits the connections to cache servers, over all servers and all processes of the node. Owned by
+ * the event loop.
  */
 final class ConnectionBudget {
   private final int maxConnections;
-  private int taken;
+  private int openConnections;
 
-  /** Connections of other processes of this node, and how many such processes there are. */
-  private int takenByPeers;
+  /** The number of connections of the other processes of this node. */
+  private int peerConnections;
 
+  /** The number of other processes of this node. */
   private int peerProcesses;
 
   ConnectionBudget(int maxConnections) {
     this.maxConnections = maxConnections;
   }
 
-  /** Whether a server may have more than its first connection, which is always allowed. */
+  /** Whether a further connection to a server is allowed; the first to each server always is. */
   boolean hasCapacity() {
-    return taken + takenByPeers < maxConnections;
+    return openConnections + peerConnections < maxConnections;
   }
 
-  /** Connections of this process that are open or being opened. */
+  /** The number of connections of this process that are open or being opened. */
   int taken() {
-    return taken;
+    return openConnections;
   }
 
-  /** Sets how many connections this node's other processes have together. */
+  /** Sets the number of other processes of this node and the number of their connections. */
   void setPeerProcessUsage(int processes, int connections) {
     peerProcesses = processes;
-    takenByPeers = connections;
+    peerConnections = connections;
   }
 
   /**
-   * This process's even share of the node's connections to one server, at least one: the server
-   * counts those of all processes of the node together.
+   * This process's equal share of the node's connections to one server, at least one. The server's
+   * limit applies to all processes of the node together.
    */
   int share(int connections) {
     return Math.max(1, connections / (1 + peerProcesses));
   }
 
-  /** A connection is being opened; {@link #release} is due once it is closed or has failed. */
+  /** Counts a connection that is being opened; {@link #release} must follow after its end. */
   void take() {
-    taken++;
+    openConnections++;
   }
 
-  /** A connection was closed or not established; once for each {@link #take}. */
+  /** Releases a connection that was closed or failed to open; once for each {@link #take}. */
   void release() {
-    taken--;
+    openConnections--;
   }
 }
--- a/engine/src/main/java/shalepaddle/upstream/ConnectionLimit.java
+++ b/engine/src/main/java/shalepaddle/upstream/ConnectionLimit.java
@@ -3,22 +3,23 @@
 import shalepaddle.loop.LoopClock;
 
 /**
- * How many connections one cache server accepts, as far as is known: it is lowered when the server
- * rejects a connection, and recovers by one after each recovery period.
+ * The observed limit on the number of connections to one cache server. It is lowered when a
+ * connection fails or the server rejects one, and raised by one after each recovery period.
  *
- * <p>The recovery prevents a network that breaks new connections now and then from being taken for
- * the server's limit: all requests would share one connection, where they wait for one another and
- * one reset ends them all. Cost: where the limit is real, a connection is rejected every so often.
+ * <p>The recovery prevents sporadic connection failures of the network from being taken for a limit
+ * of the server: all requests would then share one connection, where they wait for one another and
+ * one reset ends them all. Cost: if the limit is real, a connection is rejected after each period.
  *
- * <p>Owned by its pool, on the event loop.
+ * <p>Owned by the server's pool, on the event loop.
  */
 final class ConnectionLimit {
-  /** Recovery period after a connection did not come up. */
+  /** Recovery period after a connection could not be established. */
   private static final long CONNECT_FAILED_RECOVERY_NANOS = 2_000_000_000L;
 
   /**
-   * The same where the server rejected the connection with a message: no request is lost by it, and
-   * the capacity may be in use by a process that is about to end.
+   * Recovery period after the server rejected a connection with a reply. It is shorter, since no
+   * request is lost by a rejection, and since the capacity may be in use by a process that is about
+   * to end.
    */
   private static final long REJECTED_RECOVERY_NANOS = 250_000_000L;
 
@@ -26,13 +27,13 @@
   private final ConnectionBudget budget;
   private final int maxConnections;
 
-  /** Lowered by failures, raised again by one after each recovery time. */
+  /** The limit, which failures lower and which rises by one after each recovery period. */
   private int observedLimit;
 
   private long changedAtNanos;
   private long recoveryNanos = CONNECT_FAILED_RECOVERY_NANOS;
 
-  /** No limit is known but the configured maximum. */
+  /** Creates a limit that starts at the configured maximum. */
   ConnectionLimit(LoopClock clock, ConnectionBudget budget, int maxConnections) {
     this.clock = clock;
     this.budget = budget;
@@ -40,7 +41,7 @@
     this.observedLimit = maxConnections;
   }
 
-  /** Connections that this process may have to the server now; at least one. */
+  /** The number of connections that this process may have to the server now; at least one. */
   int current() {
     while (observedLimit < maxConnections && clock.refresh() - changedAtNanos > recoveryNanos) {
       observedLimit++;
@@ -54,19 +55,22 @@
     return budget.share(maxConnections);
   }
 
-  /** A connection was not established while {@code usable} others can be used. */
-  void connectFailed(int usable) {
-    lower(Math.max(Math.max(1, usable), current() - 1), CONNECT_FAILED_RECOVERY_NANOS);
+  /**
+   * Lowers the limit by one after a connection could not be established, but not below the number
+   * of usable connections.
+   */
+  void connectFailed(int usableConnections) {
+    lower(Math.max(Math.max(1, usableConnections), current() - 1), CONNECT_FAILED_RECOVERY_NANOS);
   }
 
-  /** The server rejected a connection while {@code usable} others can be used. */
-  void connectionRejected(int usable) {
-    lower(Math.max(1, Math.min(current(), usable)), REJECTED_RECOVERY_NANOS);
+  /** Lowers the limit to the usable connections after the server rejected a further connection. */
+  void connectionRejected(int usableConnections) {
+    lower(Math.max(1, Math.min(current(), usableConnections)), REJECTED_RECOVERY_NANOS);
   }
 
-  private void lower(int connections, long nanos) {
-    observedLimit = connections;
+  private void lower(int newLimit, long newRecoveryNanos) {
+    observedLimit = newLimit;
     changedAtNanos = clock.refresh();
-    recoveryNanos = nanos;
+    recoveryNanos = newRecoveryNanos;
   }
 }
--- a/engine/src/main/java/shalepaddle/upstream/InFlightAttempts.java
+++ b/engine/src/main/java/shalepaddle/upstream/InFlightAttempts.java
@@ -5,7 +5,7 @@
 import shalepaddle.engine.ServerReply;
 
 /**
- * The attempts that were written to one connection and are not answered, oldest first: replies come
+ * The unanswered attempts that were written to one connection, oldest first, since replies are sent
  * in the order of the requests. Owned by the connection, on its event loop; all times are by the
  * loop's clock.
  */
@@ -13,20 +13,20 @@
   /** See {@link #takeIdlePeriodNanos}. */
   static final long NO_IDLE_PERIOD = -1;
 
-  /** What a reply answers. */
+  /** The request that a reply answers. */
   enum Match {
-    /** The oldest attempt. */
+    /** The reply answers the oldest attempt in flight. */
     OLDEST,
-    /** The request that was answered last: the reply can be ignored. */
+    /** The reply answers the request that was answered last, and can be ignored. */
     DUPLICATE,
-    /** No request: what comes on the connection can't be trusted. */
+    /** The reply answers no request: further bytes on the connection cannot be trusted. */
     NONE
   }
 
   private final ArrayDeque<Attempt> attempts = new ArrayDeque<>();
 
-  /** Those of them that are not abandoned. */
-  private int awaited;
+  /** The number of attempts that are not abandoned. */
+  private int awaitedAttempts;
 
   private long changedAtNanos;
   private long idlePeriodNanos = NO_IDLE_PERIOD;
@@ -38,13 +38,13 @@
     changedAtNanos = openedAtNanos;
   }
 
-  /** An attempt is being written. */
+  /** Adds an attempt that is being written. */
   void add(Attempt attempt, long now) {
     if (attempts.isEmpty()) {
       idlePeriodNanos = now - changedAtNanos;
     }
     attempts.add(attempt);
-    awaited++;
+    awaitedAttempts++;
     markChanged(now);
   }
 
@@ -56,17 +56,17 @@
     return attempts.isEmpty();
   }
 
-  /** The attempt that the next reply answers, null if there is none. */
+  /** The attempt that the next reply should answer, null if there is none. */
   Attempt oldest() {
     return attempts.peek();
   }
 
-  /** Whether any of them is not abandoned. */
+  /** Whether any attempt is not abandoned. */
   boolean isAnyAwaited() {
-    return awaited != 0;
+    return awaitedAttempts != 0;
   }
 
-  /** When the connection was opened, or last got a request or completed a reply. */
+  /** When the connection was opened, last wrote a request or last completed a reply. */
   long changedAtNanos() {
     return changedAtNanos;
   }
@@ -76,8 +76,8 @@
   }
 
   /**
-   * For how long the connection was idle before the oldest attempt was written; {@link
-   * #NO_IDLE_PERIOD} if it was not idle then, or this was called since.
+   * How long the connection was idle before the oldest attempt was written; {@link #NO_IDLE_PERIOD}
+   * if the connection was not idle then, or if this method was called after that write.
    */
   long takeIdlePeriodNanos() {
     long idleNanos = idlePeriodNanos;
@@ -86,38 +86,39 @@
   }
 
   /**
-   * Tells what a reply answers.
+   * Returns which request a reply answers.
    *
-   * @param isLarge whether its value is still to come
+   * @param isLarge whether the value follows the reply as a stream
    */
   Match match(ServerReply reply, boolean isLarge) {
-    Attempt oldest = attempts.peek();
+    Attempt oldestAttempt = attempts.peek();
     if (reply.id() != null
         && reply.id().equals(lastReplyId)
-        && (oldest == null || !oldest.hasRequestId(lastReplyId))) {
+        && (oldestAttempt == null || !oldestAttempt.hasRequestId(lastReplyId))) {
       return Match.DUPLICATE;
     }
-    if (oldest == null || !(isLarge ? oldest.matchesValue(reply) : oldest.matches(reply))) {
+    if (oldestAttempt == null
+        || !(isLarge ? oldestAttempt.matchesValue(reply) : oldestAttempt.matches(reply))) {
       return Match.NONE;
     }
-    lastReplyId = oldest.exchange().id();
+    lastReplyId = oldestAttempt.exchange().id();
     return Match.OLDEST;
   }
 
-  /** The result of this one is no longer needed; it stays until its reply has come. */
+  /** Marks an attempt whose result is no longer needed; it remains until its reply is received. */
   void abandon(Attempt attempt) {
     attempt.abandon();
-    awaited--;
+    awaitedAttempts--;
   }
 
-  /** The reply to the oldest is complete. There must be one. */
+  /** Removes the oldest attempt after its reply is complete. There must be one. */
   void completeOldest() {
     if (!attempts.poll().isAbandoned()) {
-      awaited--;
+      awaitedAttempts--;
     }
   }
 
-  /** Takes the oldest off a closed connection, null once there is none. */
+  /** Removes and returns the oldest attempt of a closed connection, null if there is none. */
   Attempt removeOldest() {
     return attempts.poll();
   }
--- a/engine/src/main/java/shalepaddle/upstream/ReceiveActivity.java
+++ b/engine/src/main/java/shalepaddle/upstream/ReceiveActivity.java
@@ -2,15 +2,15 @@
 
 import shalepaddle.loop.LoopClock;
 
-/** When one connection last received something, or could have. Owned by its event loop. */
+/** Tracks when a connection last received bytes, to detect stalled replies. Owned by its loop. */
 final class ReceiveActivity {
-  /** How long a server may pause within a reply that is not streamed, in active time. */
+  /** Maximum pause of a server within a reply that is not streamed, in active time. */
   private static final long MAX_REPLY_PAUSE_NANOS = 250_000_000L;
 
-  /** The same within a large value that is still buffered, so that its attempt can be retried. */
+  /** Maximum pause within a large value that is still buffered: its attempt can be retried. */
   private static final long MAX_BUFFERED_STREAM_PAUSE_NANOS = 1_000_000_000L;
 
-  /** The same within a large value of which the client may have a part. */
+  /** Maximum pause within a large value of which the client may have received a part. */
   private static final long MAX_STREAM_PAUSE_NANOS = 2_500_000_000L;
 
   private final LoopClock clock;
@@ -22,19 +22,19 @@
     mark();
   }
 
-  /** Something was received now, or reading begins now. */
+  /** Records that bytes were received now, or that reading was enabled or disabled. */
   void mark() {
     receivedAtNanos = clock.refresh();
     receivedAtActiveNanos = clock.activeNanos();
   }
 
-  /** When something was received last, by the loop's clock. */
+  /** When bytes were last received, by the loop's clock. */
   long receivedAtNanos() {
     return receivedAtNanos;
   }
 
   /**
-   * Whether nothing was received for longer than a server may pause within a reply.
+   * Whether no bytes were received for longer than a server may pause within a reply.
    *
    * @param stream the large value that is being received, null if there is none
    */
--- a/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
@@ -17,22 +17,22 @@
 import shalepaddle.model.Outcome;
 
 /**
- * One connection to a cache server. Replies come in the order of the requests, so each is matched
- * with the oldest attempt in flight. All of it runs on the event loop.
+ * A connection to a cache server. Replies are sent in the order of the requests, so each is matched
+ * with the oldest attempt in flight. Called only on the event loop.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter implements Attempt.Carrier {
   /**
-   * A server with no capacity for a connection rejects the first request on it and closes it at
-   * once. A rejection that is not followed by the close within this time was meant for the request.
+   * A server without capacity for a connection rejects the first request on it and closes it
+   * immediately. If no close follows within this time, the server has rejected only the request.
    */
   private static final long REJECTED_CONNECTION_CLOSE_NANOS = 5_000_000L;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** Whether what comes on the connection can be used. */
+  /** Whether received bytes can be used. */
   private enum State {
     OPEN,
-    /** A reply was malformed or matched no request: is being closed, and ignores further bytes. */
+    /** A reply was malformed or matched no request: the connection ignores bytes and closes. */
     CORRUPTED,
     CLOSED
   }
@@ -42,24 +42,24 @@
   private final ServerCodec codec;
   private final ServerCodec.ReplyDecoder decoder;
   private final LoopClock clock;
-  private final InFlightAttempts inFlight;
-  private final ReceiveActivity received;
+  private final InFlightAttempts inFlightAttempts;
+  private final ReceiveActivity receiveActivity;
   private final long openedAtNanos;
   private Channel channel;
   private State state = State.OPEN;
   private ReplyPhase phase = ReplyPhase.AWAITING_REPLY;
 
-  /** Whether it gets no more requests, and closes once no reply on it is awaited. */
+  /** Whether no more requests are written, and the connection closes after the last reply. */
   private boolean isDraining;
 
   /** Whether bytes read in this turn are still being decoded. */
   private boolean isReadInProgress;
 
-  /** Whether the kernel has not taken all bytes of the last request; no other is written then. */
+  /** Whether the kernel has not accepted all bytes of the last request; blocks further writes. */
   private boolean isWritePending;
 
-  /** Whether a request got any other answer than a rejection: the server has accepted it. */
-  private boolean isAccepted;
+  /** Whether the server has accepted the connection, shown by any reply except a rejection. */
+  private boolean isAcceptedByServer;
 
   ServerConnection(ServerPool pool, ServerCodec codec, Dispatcher dispatcher) {
     this.pool = pool;
@@ -68,11 +68,11 @@
     this.dispatcher = dispatcher;
     clock = dispatcher.clock();
     openedAtNanos = clock.refresh();
-    inFlight = new InFlightAttempts(openedAtNanos);
-    received = new ReceiveActivity(clock);
+    inFlightAttempts = new InFlightAttempts(openedAtNanos);
+    receiveActivity = new ReceiveActivity(clock);
   }
 
-  /** Begins to connect. The pool closes it, or gives it up, if that does not succeed. */
+  /** Starts to connect. The pool handles a failure or a time-out. */
   ChannelFuture open(Bootstrap bootstrap, SocketAddress address) {
     ChannelFuture future = bootstrap.clone().handler(this).connect(address);
     channel = future.channel();
@@ -84,19 +84,19 @@
     ctx.pipeline().addBefore(ctx.name(), null, decoder);
   }
 
-  /** When it began to connect, by the loop's clock. */
+  /** When the connection was created, by the loop's clock. */
   long openedAtNanos() {
     return openedAtNanos;
   }
 
-  /** When something was received last, by the loop's clock. */
+  /** When bytes were last received, by the loop's clock. */
   long receivedAtNanos() {
-    return received.receivedAtNanos();
+    return receiveActivity.receivedAtNanos();
   }
 
-  /** When it last got a request or completed a reply, by the loop's clock. */
+  /** When a request was last written or a reply last completed, by the loop's clock. */
   long usedAtNanos() {
-    return inFlight.changedAtNanos();
+    return inFlightAttempts.changedAtNanos();
   }
 
   boolean isDraining() {
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Attempts in flight; {@code Integer.MAX_VALUE} while nothing may be written. Behind a large
-   * value a request would wait for the value's client.
+   * The number of attempts in flight; {@code Integer.MAX_VALUE} while no request may be written. A
+   * request behind a large value would wait for the client that reads the value.
    */
   int load() {
     boolean isUnavailable =
@@ -114,15 +114,15 @@
             || isReadInProgress
             || isWritePending
             || phase != ReplyPhase.AWAITING_REPLY;
-    return isUnavailable ? Integer.MAX_VALUE : inFlight.size();
+    return isUnavailable ? Integer.MAX_VALUE : inFlightAttempts.size();
   }
 
-  /** Whether its first request is in flight: the server may still reject the connection. */
+  /** Whether the first request is in flight, so that the server may still reject the connection. */
   boolean isUnproven() {
-    return !isAccepted && !inFlight.isEmpty();
+    return !isAcceptedByServer && !inFlightAttempts.isEmpty();
   }
 
-  /** Writes an attempt, or returns it to the dispatcher if it must not be written any more. */
+  /** Writes an attempt, or has the dispatcher withdraw it if it must not be written any more. */
   void write(Attempt attempt) {
     long now = clock.refresh();
     if (attempt.isTooLateToWrite(now)
@@ -131,15 +131,15 @@
       return;
     }
     attempt.assignTo(this);
-    inFlight.add(attempt, now);
+    inFlightAttempts.add(attempt, now);
     long timeoutMillis = (attempt.deadlineNanos() - now + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI;
     // The channel owns the encoded bytes from here on.
-    ChannelFuture written =
+    ChannelFuture writeFuture =
         channel.writeAndFlush(codec.encode(channel.alloc(), attempt.call(), timeoutMillis));
-    if (!written.isDone()) {
+    if (!writeFuture.isDone()) {
       isWritePending = true;
-      written.addListener(done -> pendingWriteDone(attempt, done.isSuccess()));
-    } else if (written.isSuccess()) {
+      writeFuture.addListener(done -> pendingWriteDone(attempt, done.isSuccess()));
+    } else if (writeFuture.isSuccess()) {
       dispatcher.attemptWritten(attempt);
     }
   }
@@ -153,34 +153,34 @@
   }
 
   /**
-   * The result of this attempt is no longer needed. Closing the connection cancels it at the
-   * server, but also breaks the other attempts: where there are any, its reply is read and dropped.
-   * Nothing more is written, since the reply may never come.
+   * Stops waiting for an attempt. Closing the connection cancels the attempt at the server, but
+   * also breaks the other attempts in flight: if there are any, the reply is read and dropped
+   * instead. No more requests are written, since the reply may never be received.
    */
   @Override
-  public void abandon(Attempt attempt, boolean overdue) {
-    inFlight.abandon(attempt);
+  public void abandon(Attempt attempt, boolean isOverdue) {
+    inFlightAttempts.abandon(attempt);
     drain();
     if (!attempt.isWritten() && attempt.isTooLateToWrite(clock.refresh())) {
-      // Otherwise the rest of it would go out once the kernel takes more.
+      // Otherwise the rest of the request would be sent once the kernel accepts more bytes.
       channel.close();
     }
-    if (overdue && received.receivedAtNanos() - attempt.sentAtNanos() < 0) {
+    if (isOverdue && receiveActivity.receivedAtNanos() - attempt.sentAtNanos() < 0) {
       pool.suspectSilence(attempt.sentAtNanos());
     }
   }
 
-  /** Takes what the decoder made; a buffer in it belongs to this handler. */
+  /** Handles a decoded message, and takes ownership of a buffer in it. */
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
-    received.mark();
+    receiveActivity.mark();
     isReadInProgress = true;
     if (message instanceof ByteBuf chunk) {
       chunkReceived(chunk);
     } else if (message == LargeReply.END) {
       streamCompleted();
-    } else if (message instanceof LargeReply large) {
-      streamStarted(large);
+    } else if (message instanceof LargeReply largeReply) {
+      streamStarted(largeReply);
     } else {
       ServerReply reply = (ServerReply) message;
       try {
@@ -194,68 +194,70 @@
   }
 
   private void replyReceived(ServerReply reply) {
-    Attempt oldest = match(reply, false);
-    if (oldest == null) {
+    Attempt oldestAttempt = match(reply, false);
+    if (oldestAttempt == null) {
       return;
     }
     boolean isFirstRejected =
-        reply.result() == Outcome.Result.SERVER_BUSY && !isAccepted && inFlight.size() == 1;
-    isAccepted |= !isFirstRejected;
-    if (isFirstRejected && !oldest.isEnded() && pool.hasOtherUsable(this)) {
+        reply.result() == Outcome.Result.SERVER_BUSY
+            && !isAcceptedByServer
+            && inFlightAttempts.size() == 1;
+    isAcceptedByServer |= !isFirstRejected;
+    if (isFirstRejected && !oldestAttempt.isEnded() && pool.hasOtherUsable(this)) {
       completeOldest();
-      // It has provably not run, whatever becomes of it.
-      oldest.detach();
-      phase = new ReplyPhase.FirstRequestRejected(oldest);
+      // The attempt has provably not run, whether the request or the connection was rejected.
+      oldestAttempt.detach();
+      phase = new ReplyPhase.FirstRequestRejected(oldestAttempt);
       dispatcher
           .timers()
           .runNoEarlierThan(REJECTED_CONNECTION_CLOSE_NANOS, () -> connectionStayedOpen(reply));
       return;
     }
-    if (!oldest.isEnded()) {
-      dispatcher.responseReceived(oldest, reply);
+    if (!oldestAttempt.isEnded()) {
+      dispatcher.responseReceived(oldestAttempt, reply);
     }
     completeOldest();
   }
 
-  /** The connection has outlived its first answer: that rejected the request alone. */
+  /** Called if the server has not closed the connection: it has rejected only the request. */
   private void connectionStayedOpen(ServerReply reply) {
-    if (phase instanceof ReplyPhase.FirstRequestRejected rejected) {
+    if (phase instanceof ReplyPhase.FirstRequestRejected rejectedPhase) {
       phase = ReplyPhase.AWAITING_REPLY;
-      isAccepted = true;
-      dispatcher.responseReceived(rejected.attempt(), reply);
+      isAcceptedByServer = true;
+      dispatcher.responseReceived(rejectedPhase.attempt(), reply);
       pool.connectionAvailable(this);
     }
   }
 
-  /** The attempt that a reply answers; null if it answers none, which is then dealt with here. */
+  /** Returns the attempt that a reply answers; if there is none, handles the reply as unmatched. */
   private Attempt match(ServerReply reply, boolean isLarge) {
     if (state != State.OPEN) {
       return null;
     }
-    switch (inFlight.match(reply, isLarge)) {
+    switch (inFlightAttempts.match(reply, isLarge)) {
       case OLDEST -> {
         reportIdlePeriod(false);
-        return inFlight.oldest();
+        return inFlightAttempts.oldest();
       }
       case DUPLICATE -> drain();
-      case NONE -> corrupted("a reply matches no request");
+      case NONE -> closeCorrupted("reply matches no request in flight");
     }
     return null;
   }
 
-  /** The reply to the oldest attempt is complete. */
+  /** Called when the reply to the oldest attempt is complete. */
   private void completeOldest() {
-    inFlight.completeOldest();
-    inFlight.markChanged(clock.refresh());
+    inFlightAttempts.completeOldest();
+    inFlightAttempts.markChanged(clock.refresh());
     if (isDraining) {
       drain();
     }
   }
 
   private void streamStarted(LargeReply reply) {
-    Attempt oldest = match(reply.head(), true);
-    if (oldest != null) {
-      phase = new StreamedReply(this, dispatcher, oldest, reply);
+    Attempt oldestAttempt = match(reply.head(), true);
+    if (oldestAttempt != null) {
+      phase = new StreamedReply(this, dispatcher, oldestAttempt, reply);
     }
   }
 
@@ -276,43 +278,43 @@
   }
 
   /**
-   * The rest of a value is no longer needed. Closes the connection, unless other requests wait
-   * behind it: then the rest is read and dropped.
+   * Called when the rest of a value is no longer needed. Closes the connection, unless other
+   * requests wait behind the value: then the rest is read and dropped.
    */
   void streamCancelled(StreamedReply reply) {
-    if (phase == reply && inFlight.size() <= 1) {
+    if (phase == reply && inFlightAttempts.size() <= 1) {
       channel.close();
     } else {
       setReading(true);
     }
   }
 
-  /** Reads from the server or leaves what it sends in the socket. */
-  void setReading(boolean on) {
-    if (channel.config().isAutoRead() != on) {
-      received.mark();
-      channel.config().setAutoRead(on);
+  /** Enables or disables reading from the socket. */
+  void setReading(boolean isReading) {
+    if (channel.config().isAutoRead() != isReading) {
+      receiveActivity.mark();
+      channel.config().setAutoRead(isReading);
     }
   }
 
-  /** The first request after an idle period is answered, or its connection broke. */
-  private void reportIdlePeriod(boolean broke) {
-    long idleNanos = inFlight.takeIdlePeriodNanos();
+  /** Reports whether the connection broke or replied to the first request after an idle period. */
+  private void reportIdlePeriod(boolean isBroken) {
+    long idleNanos = inFlightAttempts.takeIdlePeriodNanos();
     if (idleNanos != InFlightAttempts.NO_IDLE_PERIOD) {
-      pool.idlePeriodEnded(idleNanos, broke);
+      pool.idlePeriodEnded(idleNanos, isBroken);
     }
   }
 
   /**
-   * All that came is looked at, so the connection can be used again. No request is written earlier:
-   * surplus bytes behind a reply would be taken for the answer to the next request.
+   * Makes the connection available again after all received bytes are decoded. If a request were
+   * written earlier, surplus bytes after a reply would be taken for the answer to that request.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    received.mark();
+    receiveActivity.mark();
     isReadInProgress = false;
-    if (inFlight.isEmpty() && decoder.isMidReply()) {
-      corrupted("bytes behind the last reply");
+    if (inFlightAttempts.isEmpty() && decoder.isMidReply()) {
+      closeCorrupted("unexpected bytes after the last reply");
     }
     if (state == State.OPEN && !isDraining) {
       pool.connectionAvailable(this);
@@ -320,34 +322,35 @@
   }
 
   /**
-   * Closes a connection on which a reply began and does not go on. Prevents a line without an end,
-   * or a length that is too great, from blocking all requests behind it until they time out. Cost:
-   * a server that pauses within a reply for longer loses the connection.
+   * Closes the connection if a reply has begun but makes no progress. Prevents an unterminated
+   * line, or a length that is too large, from blocking all requests behind it until they time out.
+   * Cost: a server that pauses within a reply for longer than the maximum loses the connection.
    */
   void closeIfStalled() {
-    StreamedReply stream = phase instanceof StreamedReply streamed ? streamed : null;
+    StreamedReply stream = phase instanceof StreamedReply streamedReply ? streamedReply : null;
     if (stream != null && !channel.config().isAutoRead()) {
-      // This node itself does not read; the client's stall has a limit of its own.
+      // Reading is disabled by this node; a client that does not read has a separate time limit.
       return;
     }
-    if (decoder.isMidReply() && received.isStalled(stream)) {
-      corrupted("a reply that does not end");
+    if (decoder.isMidReply() && receiveActivity.isStalled(stream)) {
+      closeCorrupted("reply incomplete: no bytes received within the maximum pause");
     }
   }
 
-  /** Takes no more requests; closes once no reply is awaited. May be called more than once. */
+  /** Writes no more requests, and closes once no reply is awaited. Idempotent. */
   void drain() {
     isDraining = true;
-    if (!inFlight.isAnyAwaited()) {
+    if (!inFlightAttempts.isAnyAwaited()) {
       channel.close();
     }
   }
 
   /**
-   * What came can't be trusted, nor can anything after it: prevents serving one request with
-   * another's answer. The attempts in flight may have run. The server is not taken for faulty.
+   * Closes the connection after invalid bytes, since no further bytes can be trusted. Prevents one
+   * request from being served with another's answer. The attempts in flight may have run. The
+   * server is not considered failed.
    */
-  private void corrupted(String reason) {
+  private void closeCorrupted(String reason) {
     if (state == State.OPEN) {
       state = State.CORRUPTED;
       dispatcher.log(channel.remoteAddress() + ": " + reason);
@@ -359,21 +362,21 @@
   public void channelInactive(ChannelHandlerContext ctx) {
     boolean wasCorrupted = state == State.CORRUPTED;
     state = State.CLOSED;
-    if (phase instanceof ReplyPhase.FirstRequestRejected rejected) {
+    if (phase instanceof ReplyPhase.FirstRequestRejected rejectedPhase) {
       isDraining = true;
       phase = ReplyPhase.AWAITING_REPLY;
-      pool.connectionRejected(rejected.attempt());
+      pool.connectionRejected(rejectedPhase.attempt());
     }
-    if (!inFlight.isEmpty() && !wasCorrupted && !decoder.isMidReply()) {
+    if (!inFlightAttempts.isEmpty() && !wasCorrupted && !decoder.isMidReply()) {
       reportIdlePeriod(true);
     }
     if (phase instanceof StreamedReply stream) {
       phase = ReplyPhase.AWAITING_REPLY;
       stream.fail();
     }
-    for (Attempt attempt = inFlight.removeOldest();
+    for (Attempt attempt = inFlightAttempts.removeOldest();
         attempt != null;
-        attempt = inFlight.removeOldest()) {
+        attempt = inFlightAttempts.removeOldest()) {
       dispatcher.attemptEnded(attempt, resultOfClose(attempt, wasCorrupted));
     }
     pool.connectionClosed(this);
@@ -390,7 +393,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof DecoderException && cause.getCause() != null) {
-      corrupted(cause.getCause().getMessage());
+      closeCorrupted(cause.getCause().getMessage());
     } else if (!(cause instanceof IOException)) {
       dispatcher.reportFailure("server connection", cause);
     }
--- a/engine/src/main/java/shalepaddle/upstream/ServerEndpoint.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerEndpoint.java
@@ -6,8 +6,8 @@
 import shalepaddle.model.Settings;
 
 /**
- * What the endpoint list says of one cache server: its address, state and start. Owned by the
- * server's pool, on the event loop.
+ * The latest information from the endpoint list about one cache server: its address, state and
+ * start time. Owned by the server's pool, on the event loop.
  */
 final class ServerEndpoint {
   private final LoopClock clock;
@@ -30,66 +30,70 @@
   }
 
   /**
-   * Takes the latest entry.
+   * Applies the latest entry.
    *
    * @param nowSeconds the time by the list's clock
-   * @return which of the server's connections lead nowhere from now on
+   * @return which of the server's connections are obsolete from now on
    */
-  Obsolete update(SocketAddress newAddress, ServerEntry update, double nowSeconds) {
+  Obsolete update(SocketAddress newAddress, ServerEntry newEntry, double nowSeconds) {
     boolean hasMoved = !newAddress.equals(address);
-    hasChangedCell |= entry != null && !Settings.DeduplicationScope.CELL.spans(entry, update);
-    if (update.state() != ServerEntry.State.READY && !isDraining()) {
+    hasChangedCell |= entry != null && !Settings.DeduplicationScope.CELL.spans(entry, newEntry);
+    if (newEntry.state() != ServerEntry.State.READY && !isDraining()) {
       drainingSinceNanos = clock.now();
     }
     boolean hasRestarted =
         entry != null
-            && update.startedAtSeconds() > 0
-            && update.startedAtSeconds() != entry.startedAtSeconds();
-    long startedAtNanos = hasRestarted ? startedAtNanos(update, nowSeconds) : 0;
-    entry = update;
+            && newEntry.startedAtSeconds() > 0
+            && newEntry.startedAtSeconds() != entry.startedAtSeconds();
+    long startedAtNanos = hasRestarted ? startedAtNanos(newEntry, nowSeconds) : 0;
+    entry = newEntry;
     address = newAddress;
     updatedAtNanos = clock.now();
     return new Obsolete(hasMoved, hasRestarted, startedAtNanos);
   }
 
   /**
-   * Connections to an earlier address of the server, or to an earlier process.
+   * Describes which connections are obsolete: those to an earlier address or to an earlier process
+   * of the server.
    *
-   * @param startedAtNanos when the present process started, by the loop's clock; 0 where it has not
+   * @param hasMoved whether the address has changed
+   * @param hasRestarted whether the server process has restarted
+   * @param startedAtNanos when the present process started, by the loop's clock; 0 if it has not
    *     restarted
    */
   record Obsolete(boolean hasMoved, boolean hasRestarted, long startedAtNanos) {
-    /** Whether a connection that was opened at this time, by the loop's clock, is one of them. */
+    /** Whether connections that were opened at this time, by the loop's clock, are obsolete. */
     boolean contains(long openedAtNanos) {
       return hasMoved || (hasRestarted && openedAtNanos - startedAtNanos < 0);
     }
   }
 
   /**
-   * When the server started, by the loop's clock. The list's clock may be off from that, but the
-   * start lies between the previous update and now.
+   * When the server started, by the loop's clock. The list's clock may differ from the loop's, but
+   * the start lies between the previous update and now.
    */
-  private long startedAtNanos(ServerEntry update, double nowSeconds) {
+  private long startedAtNanos(ServerEntry newEntry, double nowSeconds) {
     long now = clock.refresh();
     double ageSeconds =
-        Math.min((now - updatedAtNanos) / 1e9, Math.max(0, nowSeconds - update.startedAtSeconds()));
+        Math.min(
+            (now - updatedAtNanos) / 1e9, Math.max(0, nowSeconds - newEntry.startedAtSeconds()));
     return now - (long) (ageSeconds * 1e9);
   }
 
-  /** Whether the list says that the server wants no new requests. */
+  /** Whether the server accepts no new requests, by the list. */
   boolean isDraining() {
     return entry != null && entry.state() != ServerEntry.State.READY;
   }
 
-  /** Whether it has said so for longer than the grace. */
+  /** Whether the server has been draining for longer than the grace. */
   boolean isDrainingPast(long graceNanos, long now) {
     return isDraining() && now - drainingSinceNanos > graceNanos;
   }
 
-  /** Whether the server has changed its cell since this was asked last. */
+  /** Whether the server has changed its cell since the last call of this method. */
   boolean takeCellChange() {
-    boolean changed = hasChangedCell;
+    boolean hasChanged = hasChangedCell;
     hasChangedCell = false;
-    return changed;
+    return hasChanged;
   }
 }
