--- a/engine/src/main/java/shalepaddle/upstream/ServerPool.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPool.java
@@ -15,18 +15,20 @@
 import shalepaddle.sockets.ConnectCompletion;
 
 /**
- * This process's connections to one cache server, and the attempts that wait for one. All of it
- * runs on the event loop; {@link Dispatcher} calls may lead back here before they return.
+ * This process's connections to one cache server, and the attempts that wait for a connection.
+ * Called only on the event loop. Calls of the {@link Dispatcher} may call this pool again before
+ * they return.
  */
 public final class ServerPool {
   /**
-   * What bounds the connections to each server.
+   * Limits of the connections to each server.
    *
-   * @param maxPerServer connections that the node opens to one server at most
-   * @param maxTotal connections to all servers together, except for the first to each
-   * @param maxInFlight attempts that may be in flight on one connection
-   * @param maxIdleNanos how long an unused connection is kept
-   * @param connectTimeoutNanos how long one may take to come up, in the event loop's active time
+   * @param maxPerServer the maximum number of connections of the node to one server
+   * @param maxTotal the maximum number of connections to all servers together; the first connection
+   *     to each server is allowed beyond it
+   * @param maxInFlight the maximum number of attempts in flight on one connection
+   * @param maxIdleNanos how long an unused connection is kept open
+   * @param connectTimeoutNanos how long connecting may take, in the event loop's active time
    */
   public record Limits(
       int maxPerServer,
@@ -45,16 +47,16 @@
   private final ConnectionLimit connectionLimit;
   private final StaleConnectionEstimator staleConnections = new StaleConnectionEstimator();
 
-  /** Connections that came up and have not closed, oldest first. */
+  /** Established connections, oldest first. */
   private final List<ServerConnection> connections = new ArrayList<>();
 
-  /** Attempts without a connection, oldest first. */
+  /** Attempts that wait for a connection, oldest first. */
   private final ArrayDeque<Attempt> queue = new ArrayDeque<>();
 
-  private int connecting;
+  private int connectingCount;
 
-  /** Calls of {@link #drain}: shows whether one came while a connection was being opened. */
-  private int drains;
+  /** The number of calls of {@link #drain}, to detect a call while a connection is opened. */
+  private int drainCount;
 
   ServerPool(
       Bootstrap bootstrap,
@@ -73,7 +75,7 @@
     this.connectionLimit = new ConnectionLimit(clock, budget, limits.maxPerServer());
   }
 
-  /** Takes the server's latest entry; drains connections to an earlier address or process. */
+  /** Applies the server's latest entry, and drains connections to an earlier address or process. */
   void update(SocketAddress address, ServerEntry entry, double nowSeconds) {
     ServerEndpoint.Obsolete obsolete = endpoint.update(address, entry, nowSeconds);
     for (ServerConnection connection : List.copyOf(connections)) {
@@ -84,11 +86,11 @@
   }
 
   /**
-   * The server was removed or excluded: queued attempts fail, those in flight may end, and no
-   * connection that is open or being opened gets another.
+   * Called when the server was removed or excluded. Fails queued attempts; attempts in flight
+   * continue. Connections that are open or being opened get no further attempts.
    */
   void drain() {
-    drains++;
+    drainCount++;
     failQueued();
     for (ServerConnection connection : List.copyOf(connections)) {
       connection.drain();
@@ -96,9 +98,9 @@
   }
 
   /**
-   * Fails the queued attempts if the server is draining, or has changed its cell since. They were
-   * decided on before that was known, and a connection may become available as late as their
-   * deadline: past the drain's grace, or in a cell that does not drop their duplicates.
+   * Fails the queued attempts if the server is draining or has changed its cell. The policy decided
+   * on them before this was known. A connection may become available as late as their deadline,
+   * when the grace has passed, or in a cell that does not drop duplicates of their writes.
    */
   void failUnroutable() {
     boolean hasChangedCell = endpoint.takeCellChange();
@@ -107,7 +109,7 @@
     }
   }
 
-  /** Whether the list has said for longer than the grace that the server is draining. */
+  /** Whether the server has been draining for longer than the grace. */
   boolean isDrainingPastGrace(long now) {
     return endpoint.isDrainingPast(dispatcher.drainGraceNanos(), now);
   }
@@ -119,95 +121,97 @@
   }
 
   /**
-   * Writes an attempt to a free connection, the most recently used one so that others become idle;
-   * if none is free, opens one more; at the limit, writes it behind the fewest others.
+   * Writes an attempt to a free connection, preferring the most recently used one so that others
+   * become idle. If none is free, opens another connection; at the limit, writes to the connection
+   * with the fewest attempts in flight.
    */
   void send(Attempt attempt) {
     if (attempt.isEnded()) {
       return;
     }
-    ServerConnection best = bestConnection();
-    if (best != null && best.load() == 0) {
-      best.write(attempt);
+    ServerConnection bestConnection = bestConnection();
+    if (bestConnection != null && bestConnection.load() == 0) {
+      bestConnection.write(attempt);
       return;
     }
-    int usableOrConnecting = usableConnections() + connecting;
-    if (usableOrConnecting < connectionLimit.current()
-        && (usableOrConnecting == 0 || budget.hasCapacity())) {
+    int usableOrConnectingCount = usableConnections() + connectingCount;
+    if (usableOrConnectingCount < connectionLimit.current()
+        && (usableOrConnectingCount == 0 || budget.hasCapacity())) {
       queue.add(attempt);
-      if (connecting < queue.size()) {
+      if (connectingCount < queue.size()) {
         connect();
       }
-    } else if (best != null) {
-      best.write(attempt);
+    } else if (bestConnection != null) {
+      bestConnection.write(attempt);
     } else {
       queue.add(attempt);
       connectIfNoneIsUsable();
     }
   }
 
-  /** An attempt that waits for a connection is withdrawn. */
+  /** Removes an attempt that waits for a connection. */
   void withdraw(Attempt attempt) {
     queue.remove(attempt);
   }
 
-  /** The connection that an attempt is best written to now, null if there is none for it. */
+  /** The preferred connection for the next attempt, null if none can be written to. */
   private ServerConnection bestConnection() {
-    ServerConnection best = null;
+    ServerConnection bestConnection = null;
     long now = clock.refresh();
     for (ServerConnection connection : List.copyOf(connections)) {
       if (connection.load() == 0
           && staleConnections.isLikelyStale(now - connection.usedAtNanos(), now)) {
         connection.drain();
       }
-      if (connection.load() < limits.maxInFlight() && isPreferred(connection, best)) {
-        best = connection;
+      if (connection.load() < limits.maxInFlight() && isPreferred(connection, bestConnection)) {
+        bestConnection = connection;
       }
     }
-    return best;
+    return bestConnection;
   }
 
   /**
-   * Whether an attempt is better written to the candidate: fewer in flight, or used more recently.
+   * Whether the candidate is preferred: it has fewer attempts in flight, or was used more recently.
    * Connections whose first request is in flight come last: if the server rejects such a
    * connection, it is not known whether a second request on it ran.
    */
-  private static boolean isPreferred(ServerConnection candidate, ServerConnection best) {
-    if (best == null) {
+  private static boolean isPreferred(ServerConnection candidate, ServerConnection bestConnection) {
+    if (bestConnection == null) {
       return true;
     }
-    if (candidate.isUnproven() != best.isUnproven()) {
-      return best.isUnproven();
+    if (candidate.isUnproven() != bestConnection.isUnproven()) {
+      return bestConnection.isUnproven();
     }
-    return candidate.load() < best.load()
-        || (candidate.load() == best.load() && candidate.usedAtNanos() - best.usedAtNanos() > 0);
+    return candidate.load() < bestConnection.load()
+        || (candidate.load() == bestConnection.load()
+            && candidate.usedAtNanos() - bestConnection.usedAtNanos() > 0);
   }
 
-  /** Connections that are not draining. */
+  /** The number of connections that are not draining. */
   private int usableConnections() {
-    int usable = 0;
+    int usableCount = 0;
     for (ServerConnection connection : connections) {
-      usable += connection.isDraining() ? 0 : 1;
+      usableCount += connection.isDraining() ? 0 : 1;
     }
-    return usable;
+    return usableCount;
   }
 
-  /** Whether there is a usable connection other than this. */
+  /** Whether a connection other than the given one is usable. */
   boolean hasOtherUsable(ServerConnection connection) {
     return usableConnections() > (connection.isDraining() ? 0 : 1);
   }
 
   private void connectIfNoneIsUsable() {
-    if (usableConnections() == 0 && connecting == 0) {
+    if (usableConnections() == 0 && connectingCount == 0) {
       connect();
     }
   }
 
   private void connect() {
-    connecting++;
+    connectingCount++;
     budget.take();
     long startedAtNanos = clock.refresh();
-    int drainsBefore = drains;
+    int drainCountBefore = drainCount;
     SocketAddress address = endpoint.address();
     ServerConnection connection = new ServerConnection(this, codec, dispatcher);
     ChannelFuture future = connection.open(bootstrap, address);
@@ -216,20 +220,21 @@
         future,
         dispatcher.loop(),
         done -> {
-          connecting--;
+          connectingCount--;
           if (done.isSuccess()) {
-            boolean isCurrent = drainsBefore == drains && address.equals(endpoint.address());
+            boolean isCurrent =
+                drainCountBefore == drainCount && address.equals(endpoint.address());
             connected(connection, isCurrent);
           } else {
             budget.release();
-            // A time-out closes the channel; nothing else closes one that has not come up.
+            // Only the time-out closes a channel that is not established yet.
             connectFailed(startedAtNanos, done.cause() instanceof ClosedChannelException);
           }
         });
   }
 
   /**
-   * A connection came up.
+   * Adds a connection that was established.
    *
    * @param isCurrent whether the server has neither moved nor been removed meanwhile
    */
@@ -243,29 +248,30 @@
   }
 
   /**
-   * A connection did not come up. If others are usable, that shows the server's limit: queued
-   * attempts go on those, since a failure would tell the policy that the server is down. But a
-   * time-out beside silent connections shows a machine that has vanished.
+   * Handles a connection that was not established. If other connections are usable, the failure is
+   * taken for the server's connection limit: queued attempts are written to the other connections,
+   * since failed attempts would signal to the policy that the server is down. However, a time-out
+   * while the other connections are silent shows that the machine is unreachable.
    */
   private void connectFailed(long startedAtNanos, boolean hasTimedOut) {
     if (hasTimedOut) {
       suspectSilence(startedAtNanos);
     }
-    boolean hasUsable = bestConnection() != null;
-    if (hasUsable) {
+    boolean hasUsableConnection = bestConnection() != null;
+    if (hasUsableConnection) {
       connectionLimit.connectFailed(usableConnections());
-    } else if (connecting > 0) {
+    } else if (connectingCount > 0) {
       return;
     }
     for (Attempt attempt : takeQueue()) {
-      ServerConnection best = bestConnection();
+      ServerConnection bestConnection = bestConnection();
       if (attempt.isEnded()) {
-        // Completing an earlier one can end it, see the class comment.
+        // The handling of an earlier attempt can end this attempt, see the class comment.
         continue;
       }
-      if (best != null) {
-        best.write(attempt);
-      } else if (hasUsable) {
+      if (bestConnection != null) {
+        bestConnection.write(attempt);
+      } else if (hasUsableConnection) {
         send(attempt);
       } else {
         dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
@@ -274,44 +280,44 @@
   }
 
   /**
-   * The server has no capacity for one more connection, and has closed a new one on which this
-   * attempt was first. The attempt has not run. It is written once more to a connection that is
-   * open, within the attempts that its request may have: the server is busy, not faulty.
+   * Handles a new connection that the server has closed for lack of capacity. The first attempt on
+   * it has not run: it is written again to an open connection if its request has an attempt left,
+   * since the server is busy, not faulty.
    */
   void connectionRejected(Attempt attempt) {
     connectionLimit.connectionRejected(usableConnections());
-    // No connection is opened for it: the server may be excluded by now.
-    ServerConnection best = endpoint.isDraining() ? null : bestConnection();
-    if (best != null && !attempt.isEnded() && dispatcher.mayRewrite(attempt)) {
-      best.write(attempt);
+    // Opens no connection for the attempt, since the server may be excluded by now.
+    ServerConnection bestConnection = endpoint.isDraining() ? null : bestConnection();
+    if (bestConnection != null && !attempt.isEnded() && dispatcher.mayRewrite(attempt)) {
+      bestConnection.write(attempt);
     } else {
       dispatcher.attemptEnded(attempt, Outcome.Result.CONNECTION_LIMIT_REACHED);
     }
   }
 
-  /** A connection can be used: it gets the attempts that have waited longest. */
+  /** Writes queued attempts, oldest first, to a connection that has become available. */
   void connectionAvailable(ServerConnection connection) {
     while (connection.load() == 0 && !queue.isEmpty()) {
       connection.write(queue.poll());
     }
-    if (connecting == 0 && !queue.isEmpty()) {
+    if (connectingCount == 0 && !queue.isEmpty()) {
       takeQueue().forEach(this::send);
     }
   }
 
   /** Empties the queue into a list, so that a loop over it ends if attempts are queued again. */
   private List<Attempt> takeQueue() {
-    List<Attempt> taken = new ArrayList<>(queue);
+    List<Attempt> takenAttempts = new ArrayList<>(queue);
     queue.clear();
-    return taken;
+    return takenAttempts;
   }
 
-  /** A request was written after this idle period; its connection then broke or replied. */
-  void idlePeriodEnded(long idleNanos, boolean broke) {
-    staleConnections.record(idleNanos, broke, clock.refresh());
+  /** Records whether the connection broke or replied to a request after this idle period. */
+  void idlePeriodEnded(long idleNanos, boolean isBroken) {
+    staleConnections.record(idleNanos, isBroken, clock.refresh());
   }
 
-  /** A connection that had come up is closed. */
+  /** Removes an established connection that was closed. */
   void connectionClosed(ServerConnection connection) {
     connections.remove(connection);
     budget.release();
@@ -321,9 +327,9 @@
   }
 
   /**
-   * Drains all connections if none has received anything since the given time, though a reply was
-   * due. The connections of a machine that vanished stay open and silent: the next attempt opens a
-   * new one and learns of it within the connect time-out.
+   * Drains all connections if none has received bytes since the given time, though a reply was due.
+   * Connections to a machine that is unreachable stay open and silent: after the drain, the next
+   * attempt opens a new connection and detects the failure within the connect time-out.
    */
   void suspectSilence(long sinceNanos) {
     for (ServerConnection connection : connections) {
@@ -336,34 +342,35 @@
     }
   }
 
-  /** Closes connections on which a reply began and does not go on. */
+  /** Closes connections on which a reply has begun but makes no progress. */
   void closeStalled() {
     for (ServerConnection connection : List.copyOf(connections)) {
       connection.closeIfStalled();
     }
   }
 
-  /** Closes idle connections past this process's share, the least recently used first. */
+  /** Closes idle connections beyond this process's share, the least recently used first. */
   void closeSurplus() {
     int surplus = usableConnections() - connectionLimit.share();
     while (surplus-- > 0) {
-      ServerConnection oldest = leastRecentlyUsedIdle();
-      if (oldest == null) {
+      ServerConnection oldestConnection = leastRecentlyUsedIdle();
+      if (oldestConnection == null) {
         return;
       }
-      oldest.drain();
+      oldestConnection.drain();
     }
   }
 
   private ServerConnection leastRecentlyUsedIdle() {
-    ServerConnection oldest = null;
+    ServerConnection oldestConnection = null;
     for (ServerConnection connection : connections) {
       if (connection.load() == 0
-          && (oldest == null || connection.usedAtNanos() - oldest.usedAtNanos() < 0)) {
-        oldest = connection;
+          && (oldestConnection == null
+              || connection.usedAtNanos() - oldestConnection.usedAtNanos() < 0)) {
+        oldestConnection = connection;
       }
     }
-    return oldest;
+    return oldestConnection;
   }
 
   /** Closes all idle connections. */
@@ -375,10 +382,10 @@
     }
   }
 
-  /** Closes connections that were not used since the given time, by the loop's clock. */
-  void closeIdleSince(long nanos) {
+  /** Closes idle connections that were not used since the given time, by the loop's clock. */
+  void closeIdleSince(long sinceNanos) {
     for (ServerConnection connection : List.copyOf(connections)) {
-      if (connection.load() == 0 && connection.usedAtNanos() - nanos < 0) {
+      if (connection.load() == 0 && connection.usedAtNanos() - sinceNanos < 0) {
         connection.drain();
       }
     }
--- a/engine/src/main/java/shalepaddle/upstream/ServerPools.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPools.java
@@ -14,17 +14,17 @@
 import shalepaddle.model.ServerEntry;
 
 /**
- * The connections to all cache servers, by the ids that the policy uses. All of it runs on the
- * event loop.
+ * The connection pools of all cache servers, by the server ids that the policy uses. Called only on
+ * the event loop.
  */
 public final class ServerPools implements Upstream {
   private final Map<Long, ServerPool> pools = new HashMap<>();
 
-  /** Servers that an operator has excluded, also such as are not listed for now. */
-  private final Set<Long> excluded = new HashSet<>();
+  /** Servers that an operator has excluded, including those that are not listed now. */
+  private final Set<Long> excludedServers = new HashSet<>();
 
-  /** Servers that the list no longer has, until {@link #failUnroutable}. */
-  private final Set<Long> removed = new HashSet<>();
+  /** Servers that are no longer listed, until {@link #failUnroutable} is called. */
+  private final Set<Long> removedServers = new HashSet<>();
 
   private final Bootstrap bootstrap;
   private final ServerCodec codec;
@@ -33,11 +33,12 @@
   private final Dispatcher dispatcher;
 
   /**
-   * No connections yet.
+   * Creates an instance without servers.
    *
    * @param bootstrap opens connections on the dispatcher's event loop
-   * @param codec the servers' protocol
-   * @param dispatcher is notified how attempts end
+   * @param codec the protocol of the servers
+   * @param limits the limits of the connections to each server
+   * @param dispatcher is notified of the outcomes of attempts
    */
   public ServerPools(
       Bootstrap bootstrap, ServerCodec codec, ServerPool.Limits limits, Dispatcher dispatcher) {
@@ -49,22 +50,22 @@
   }
 
   /**
-   * Takes the servers' latest addresses and states. Attempts that are queued for servers that were
-   * removed or are draining fail in {@link #failUnroutable}.
+   * Applies the servers' latest addresses and states. Attempts that are queued for servers that
+   * were removed or are draining are failed by {@link #failUnroutable}.
    *
    * @param nowSeconds the time by the list's clock
    */
   public void update(MemberList list, double nowSeconds) {
     if (list.full()) {
-      removed.addAll(pools.keySet());
+      removedServers.addAll(pools.keySet());
     }
     for (MemberList.Member member : list.members()) {
       ServerEntry entry = member.entry();
       if (entry.state() == ServerEntry.State.REMOVED) {
-        removed.add(entry.id());
+        removedServers.add(entry.id());
         continue;
       }
-      removed.remove(entry.id());
+      removedServers.remove(entry.id());
       ServerPool pool =
           pools.computeIfAbsent(
               entry.id(),
@@ -74,14 +75,14 @@
   }
 
   /**
-   * Fails what is queued for servers that were removed, are draining or have changed their cell. To
-   * be called once the policy knows of that: it would otherwise choose the same server again until
-   * the request has used up its attempts.
+   * Fails the attempts that are queued for servers that were removed, are draining or have changed
+   * their cell. Must be called after the policy was notified of the update: it would otherwise
+   * choose the same server again until the request has used up its attempts.
    */
   public void failUnroutable() {
-    List<Long> ids = List.copyOf(removed);
-    removed.clear();
-    for (long id : ids) {
+    List<Long> removedIds = List.copyOf(removedServers);
+    removedServers.clear();
+    for (long id : removedIds) {
       ServerPool pool = pools.remove(id);
       if (pool != null) {
         pool.drain();
@@ -92,17 +93,18 @@
 
   /** Whether the server is listed, or excluded by an operator. */
   public boolean isKnown(long server) {
-    return pools.containsKey(server) || excluded.contains(server);
+    return pools.containsKey(server) || excludedServers.contains(server);
   }
 
   /**
-   * An operator excludes a server, or includes it again. An exclusion fails what is queued for the
-   * server; what is in flight may end, and no connection is used again.
+   * Excludes a server by an operator's command, or includes it again. An exclusion fails the
+   * attempts that are queued for the server. Attempts in flight continue, but no connection is used
+   * again.
    */
   public void setExcluded(long server, boolean isExcluded) {
     if (!isExcluded) {
-      excluded.remove(server);
-    } else if (excluded.add(server) && pools.containsKey(server)) {
+      excludedServers.remove(server);
+    } else if (excludedServers.add(server) && pools.containsKey(server)) {
       pools.get(server).drain();
     }
   }
@@ -112,8 +114,10 @@
     if (attempt.isEnded()) {
       return;
     }
-    // The policy may have decided before the exclusion: sends wait while the loop has a backlog.
-    ServerPool pool = excluded.contains(attempt.server()) ? null : pools.get(attempt.server());
+    // Sends are delayed while the loop has a backlog: the policy may have decided before the
+    // exclusion.
+    ServerPool pool =
+        excludedServers.contains(attempt.server()) ? null : pools.get(attempt.server());
     if (pool == null) {
       dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
     } else {
@@ -122,9 +126,9 @@
   }
 
   @Override
-  public void withdraw(Attempt attempt, boolean overdue) {
+  public void withdraw(Attempt attempt, boolean isOverdue) {
     if (attempt.carrier() != null) {
-      attempt.carrier().abandon(attempt, overdue);
+      attempt.carrier().abandon(attempt, isOverdue);
     } else {
       ServerPool pool = pools.get(attempt.server());
       if (pool != null) {
@@ -141,23 +145,23 @@
     }
   }
 
-  /** Sends nothing to any server from now on; what is in flight may end. */
+  /** Sends no further attempts to any server; attempts in flight continue. */
   public void close() {
     pools.values().forEach(ServerPool::drain);
     pools.clear();
   }
 
-  /** Connections to all servers that are open or being opened. */
+  /** The number of connections to all servers that are open or being opened. */
   public int connections() {
     return budget.taken();
   }
 
-  /** Sets the number of this node's other processes, and of the connections they have together. */
+  /** Sets the number of other processes of this node and the number of their connections. */
   public void setPeerProcessUsage(int processes, int connections) {
     budget.setPeerProcessUsage(processes, connections);
   }
 
-  /** Closes connections on which a reply began and does not go on. */
+  /** Closes connections on which a reply has begun but makes no progress. */
   public void closeStalled() {
     for (ServerPool pool : pools.values()) {
       pool.closeStalled();
@@ -165,8 +169,9 @@
   }
 
   /**
-   * Closes idle connections past the configured time, after which a server may close them itself,
-   * or past the time given; and those past this process's share.
+   * Closes connections that have been idle for longer than the configured time, after which a
+   * server may close them itself, or for longer than {@code maxIdleNanos}. Also closes idle
+   * connections beyond this process's share.
    *
    * @param now the time by the loop's clock
    */
--- a/engine/src/main/java/shalepaddle/upstream/StaleConnectionEstimator.java
+++ b/engine/src/main/java/shalepaddle/upstream/StaleConnectionEstimator.java
@@ -1,57 +1,60 @@
 package shalepaddle.upstream;
 
 /**
- * How often connections break when a request is written to them after an idle period, by the length
- * of the period.
+ * Estimates how often connections break when a request is written to them after an idle period, by
+ * the length of the period.
  *
- * <p>Prevents losses where the server, or an address translator on the way, drops idle connections
- * sooner than the settings say and without a message: a request that may not be retried is lost
- * when it finds out. Cost: where connections break for other reasons, requests after an idle period
- * wait for a new one.
+ * <p>Prevents losses if the server, or a NAT device on the path, drops idle connections silently
+ * and sooner than the configured idle time: a request written to such a connection is lost if it
+ * must not be retried. Cost: if connections break for other reasons, requests after an idle period
+ * wait for a new connection.
  *
  * <p>Owned by the server's pool, on the event loop.
  */
 final class StaleConnectionEstimator {
-  /** Shorter idle periods are not considered. */
+  /** Idle periods that are shorter are not considered. */
   private static final long MIN_IDLE_NANOS = 16_000_000L;
 
-  /** Idle periods are told apart by powers of two of the shortest. */
-  private static final int BUCKETS = 12;
+  /** Number of buckets; their lower bounds are the minimum idle period times powers of two. */
+  private static final int BUCKET_COUNT = 12;
 
   /** The weight of one observation in the moving average. */
-  private static final double SMOOTHING = 0.05;
+  private static final double SMOOTHING_FACTOR = 0.05;
 
-  /** Above this share of broken connections a new one is better. */
+  /**
+   * Above this ratio of connections that broke after an idle period, connections with such an idle
+   * period are not used.
+   */
   private static final double MAX_BROKEN_RATIO = 0.25;
 
-  /** After this time without observations the connections are used again. */
+  /** Connections are used again once their idle period has not been observed for this time. */
   private static final long OBSERVATION_LIFETIME_NANOS = 10_000_000_000L;
 
-  private final double[] brokenRatio = new double[BUCKETS];
-  private final long[] observedAtNanos = new long[BUCKETS];
+  private final double[] brokenRatios = new double[BUCKET_COUNT];
+  private final long[] observedAtNanos = new long[BUCKET_COUNT];
 
-  private static int bucket(long idleNanos) {
+  private static int bucketOf(long idleNanos) {
     int doublings = 63 - Long.numberOfLeadingZeros(Math.max(1, idleNanos / MIN_IDLE_NANOS));
-    return Math.min(BUCKETS - 1, doublings);
+    return Math.min(BUCKET_COUNT - 1, doublings);
   }
 
-  /** A request was written after this idle period; its connection then broke or replied. */
-  void record(long idleNanos, boolean broke, long now) {
+  /** Records whether the connection broke or replied to a request after this idle period. */
+  void record(long idleNanos, boolean isBroken, long now) {
     if (idleNanos >= MIN_IDLE_NANOS) {
-      int bucket = bucket(idleNanos);
-      brokenRatio[bucket] += SMOOTHING * ((broke ? 1 : 0) - brokenRatio[bucket]);
+      int bucket = bucketOf(idleNanos);
+      brokenRatios[bucket] += SMOOTHING_FACTOR * ((isBroken ? 1 : 0) - brokenRatios[bucket]);
       observedAtNanos[bucket] = now;
     }
   }
 
-  /** Whether too many connections break after such an idle period, or a shorter one. */
+  /** Whether too many connections break after an idle period of this length or shorter. */
   boolean isLikelyStale(long idleNanos, long now) {
-    for (int i = 0; idleNanos >= MIN_IDLE_NANOS && i <= bucket(idleNanos); i++) {
-      if (brokenRatio[i] > MAX_BROKEN_RATIO) {
+    for (int i = 0; idleNanos >= MIN_IDLE_NANOS && i <= bucketOf(idleNanos); i++) {
+      if (brokenRatios[i] > MAX_BROKEN_RATIO) {
         if (now - observedAtNanos[i] < OBSERVATION_LIFETIME_NANOS) {
           return true;
         }
-        brokenRatio[i] = MAX_BROKEN_RATIO;
+        brokenRatios[i] = MAX_BROKEN_RATIO;
       }
     }
     return false;
--- a/engine/src/main/java/shalepaddle/upstream/StreamedReply.java
+++ b/engine/src/main/java/shalepaddle/upstream/StreamedReply.java
@@ -8,25 +8,25 @@
 import shalepaddle.engine.ValueSource;
 
 /**
- * A large value on its way from a cache server to a client. The first {@value #MAX_BUFFERED_BYTES}
- * bytes are buffered, so that the attempt can be retried until then; after that each chunk goes on
- * as it comes and as fast as the client takes it.
+ * Streams a large value from a cache server to a client. The first {@value #MAX_BUFFERED_BYTES}
+ * bytes are buffered, so that the attempt can still be retried; after that, chunks are forwarded as
+ * they arrive, at the rate at which the client reads them.
  *
- * <p>Owned by its connection, on the event loop. It owns each chunk from {@link #add} until it
- * hands it to the receiver or releases it.
+ * <p>Owned by its connection, on the event loop. Owns each chunk from {@link #add} until the chunk
+ * is passed to the receiver or released.
  */
 final class StreamedReply implements ReplyPhase, ValueSource {
   static final int MAX_BUFFERED_BYTES = 16 << 10;
 
-  /** Where chunks of the value go. */
+  /** How chunks of the value are handled. */
   private enum State {
-    /** They are buffered; the value was not yet offered to the engine. */
+    /** Chunks are buffered; the value was not offered to the engine yet. */
     BUFFERING,
-    /** They stay buffered until earlier responses on the client's connection are complete. */
+    /** Chunks are buffered until earlier responses on the client's connection are complete. */
     OFFERED,
-    /** They are passed to the receiver as they come. */
+    /** Chunks are passed to the receiver as they arrive. */
     RECEIVED,
-    /** They are released. */
+    /** Chunks are released. */
     CANCELLED
   }
 
@@ -34,7 +34,7 @@
   private final Dispatcher dispatcher;
   private final Attempt attempt;
   private final LargeReply reply;
-  private final ArrayDeque<ByteBuf> buffered = new ArrayDeque<>();
+  private final ArrayDeque<ByteBuf> bufferedChunks = new ArrayDeque<>();
   private int bufferedBytes;
   private State state = State.BUFFERING;
   private boolean isComplete;
@@ -50,12 +50,12 @@
     this.reply = reply;
   }
 
-  /** Whether the value was offered to the engine: from then on its attempt can't be retried. */
+  /** Whether the value was offered to the engine: from then on its attempt cannot be retried. */
   boolean hasBeenOffered() {
     return state != State.BUFFERING;
   }
 
-  /** Adds the next chunk, and takes ownership of it. */
+  /** Adds the next chunk and takes ownership of it. */
   void add(ByteBuf chunk) {
     if (state == State.CANCELLED) {
       chunk.release();
@@ -65,18 +65,18 @@
       receiver.onChunk(chunk);
       return;
     }
-    buffered.add(chunk);
+    bufferedChunks.add(chunk);
     bufferedBytes += chunk.readableBytes();
     if (state == State.BUFFERING && bufferedBytes >= MAX_BUFFERED_BYTES) {
       offer();
     }
     if (state == State.OFFERED) {
-      // Prevents more from being read than can be passed on.
+      // Stops reading, since no receiver accepts the bytes yet.
       setReading(false);
     }
   }
 
-  /** The engine may start or cancel this before it returns. */
+  /** Offers the value to the engine, which may start or cancel it before this returns. */
   private void offer() {
     state = State.OFFERED;
     if (!dispatcher.responseReceived(attempt, reply, this)) {
@@ -90,7 +90,7 @@
     this.receiver = receiver;
     state = State.RECEIVED;
     setReading(true);
-    for (ByteBuf chunk = buffered.poll(); chunk != null; chunk = buffered.poll()) {
+    for (ByteBuf chunk = bufferedChunks.poll(); chunk != null; chunk = bufferedChunks.poll()) {
       receiver.onChunk(chunk);
     }
     if (isComplete) {
@@ -99,8 +99,8 @@
   }
 
   @Override
-  public void setReading(boolean on) {
-    connection.setReading(on);
+  public void setReading(boolean isReading) {
+    connection.setReading(isReading);
   }
 
   @Override
@@ -115,7 +115,7 @@
     connection.streamCancelled(this);
   }
 
-  /** The last byte has come. */
+  /** Called when the last byte was received. */
   void complete() {
     isComplete = true;
     if (receiver != null) {
@@ -123,7 +123,7 @@
     }
   }
 
-  /** The connection broke: the rest will never come. */
+  /** Called when the connection was lost before the end of the value. */
   void fail() {
     release();
     if (state == State.RECEIVED) {
@@ -132,7 +132,7 @@
   }
 
   private void release() {
-    buffered.forEach(ByteBuf::release);
-    buffered.clear();
+    bufferedChunks.forEach(ByteBuf::release);
+    bufferedChunks.clear();
   }
 }
--- a/engine/src/test/java/shalepaddle/diagnostics/FlightRecorderTest.java
+++ b/engine/src/test/java/shalepaddle/diagnostics/FlightRecorderTest.java
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void totalsListCountsAboveZero() {
+  void totalsListNonZeroCounts() {
     recorder.record(Event.REJECTED_POLICY, "a");
     recorder.count(Event.REJECTED_ADMISSION, 3);
     recorder.record(Event.REQUEST_READ, "a");
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void everyCountedEventHasReason() {
+  void countedEventsHaveMetricAndReason() {
     Event.counted()
         .forEach(
             event -> {
--- a/engine/src/test/java/shalepaddle/engine/AnswerMarginTest.java
+++ b/engine/src/test/java/shalepaddle/engine/AnswerMarginTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class AnswerMarginTest {
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   @ParameterizedTest
   @CsvSource({
-    // budget, expected stall, margin, in ms
+    // Columns: time budget, expected stall and margin, in milliseconds.
     "2000, 0, 100",
     "800, 0, 100",
     "400, 0, 50",
@@ -20,7 +20,11 @@
     "400, 900, 100",
     "400, 30, 50",
   })
-  void reservesPartOfTheTimeBudgetForStalls(long budget, long expectedStall, long margin) {
-    assertEquals(margin * MILLI, AnswerMargin.of(budget * MILLI, expectedStall * MILLI));
+  void reservesPartOfTimeBudgetForStalls(
+      long budgetMillis, long expectedStallMillis, long marginMillis) {
+    assertEquals(
+        marginMillis * NANOS_PER_MILLI,
+        AnswerMargin.of(
+            budgetMillis * NANOS_PER_MILLI, expectedStallMillis * NANOS_PER_MILLI));
   }
 }
--- a/engine/src/test/java/shalepaddle/engine/InvariantGuardTest.java
+++ b/engine/src/test/java/shalepaddle/engine/InvariantGuardTest.java
@@ -15,45 +15,51 @@
 import shalepaddle.model.Request;
 import shalepaddle.model.Settings.Idempotency;
 
-/**
- * Violates each invariant once, as a fault elsewhere would: it is counted, logged and prevented.
- */
+/** Violates each invariant once, and expects that it is counted, logged and prevented. */
 class InvariantGuardTest {
-  private static final long DEADLINE = 1_000_000_000L;
-  private static final long SLACK = 50_000_000L;
+  private static final long DEADLINE_NANOS = 1_000_000_000L;
+  private static final long SLACK_NANOS = 50_000_000L;
 
-  private final List<String> lines = new ArrayList<>();
+  private final List<String> logLines = new ArrayList<>();
   private final FlightRecorder recorder = new FlightRecorder(() -> 0);
   private final InvariantGuard guard =
-      new InvariantGuard(recorder, new Log(Ticker.systemTicker(), lines::add), () -> 0);
+      new InvariantGuard(recorder, new Log(Ticker.systemTicker(), logLines::add), () -> 0);
 
-  private static Exchange exchange(Idempotency effect) {
+  private static Exchange exchange(Idempotency idempotency) {
     Request request = new Request("id1", "key", "put", null, 1, 0, 0, false, true);
-    return new Exchange(new Call(request, null, null), DEADLINE, DEADLINE, 3, effect);
+    return new Exchange(
+        new Call(request, null, null), DEADLINE_NANOS, DEADLINE_NANOS, 3, idempotency);
   }
 
   private static Attempt attempt(Exchange exchange) {
     Attempt attempt =
         new Attempt(
-            exchange, exchange.attempts().size(), 1, 0, DEADLINE, Double.POSITIVE_INFINITY, 0);
+            exchange,
+            exchange.attempts().size(),
+            1,
+            0,
+            DEADLINE_NANOS,
+            Double.POSITIVE_INFINITY,
+            0);
     exchange.add(attempt);
     return attempt;
   }
 
   private void assertViolated(Event kind) {
     assertEquals(1, recorder.count(kind));
-    assertEquals(1, lines.size());
-    assertTrue(lines.get(0).contains("kind=" + kind.reason() + " request_id=id1"), lines.get(0));
+    assertEquals(1, logLines.size());
+    assertTrue(
+        logLines.get(0).contains("kind=" + kind.reason() + " request_id=id1"), logLines.get(0));
   }
 
   @Test
-  void permitsWhatViolatesNoInvariant() {
+  void permitsActionsThatViolateNoInvariant() {
     Exchange exchange = exchange(Idempotency.NOT_IDEMPOTENT);
     assertTrue(guard.mayRoute(exchange));
-    assertTrue(guard.maySend(attempt(exchange), DEADLINE, false));
+    assertTrue(guard.maySend(attempt(exchange), DEADLINE_NANOS, false));
     Reply reply = new Reply.Rejected(0);
-    assertEquals(reply, guard.answer(exchange, reply, DEADLINE + SLACK));
-    assertEquals(List.of(), lines);
+    assertEquals(reply, guard.answer(exchange, reply, DEADLINE_NANOS + SLACK_NANOS));
+    assertEquals(List.of(), logLines);
   }
 
   @Test
@@ -67,9 +73,9 @@
   @Test
   void permitsSecondAttemptWhenFirstHasProvablyNotRun() {
     Exchange exchange = exchange(Idempotency.NOT_IDEMPOTENT);
-    Attempt first = attempt(exchange);
-    first.markWritten();
-    first.end(true);
+    Attempt firstAttempt = attempt(exchange);
+    firstAttempt.markWritten();
+    firstAttempt.end(true);
     assertTrue(guard.maySend(attempt(exchange), 0, false));
   }
 
@@ -84,19 +90,21 @@
 
   @Test
   void withholdsAttemptAfterDeadline() {
-    assertFalse(guard.maySend(attempt(exchange(Idempotency.IDEMPOTENT)), DEADLINE + 1, false));
+    assertFalse(
+        guard.maySend(attempt(exchange(Idempotency.IDEMPOTENT)), DEADLINE_NANOS + 1, false));
     assertViolated(Event.VIOLATION_SENT_AFTER_TIME);
   }
 
   /**
-   * So that an attempt whose time ran out while it waited is returned before the guard is asked.
+   * A connection calls {@code isTooLateToWrite} before it calls the guard: an attempt that expired
+   * while it was queued is returned to the dispatcher, which is no violation.
    */
   @Test
-  void attemptIsTooLateToWriteAtItsDeadline() {
+  void isTooLateToWriteAtDeadlineOfAttempt() {
     Attempt attempt = attempt(exchange(Idempotency.IDEMPOTENT));
-    assertFalse(attempt.isTooLateToWrite(DEADLINE - 1));
-    assertTrue(attempt.isTooLateToWrite(DEADLINE));
-    assertEquals(0, lines.size());
+    assertFalse(attempt.isTooLateToWrite(DEADLINE_NANOS - 1));
+    assertTrue(attempt.isTooLateToWrite(DEADLINE_NANOS));
+    assertEquals(0, logLines.size());
   }
 
   @Test
@@ -106,7 +114,7 @@
   }
 
   @Test
-  void turnsRejectionIntoFailureWhenRequestMayHaveRun() {
+  void replacesRejectionByFailureWhenRequestMayHaveRun() {
     Exchange exchange = exchange(Idempotency.NOT_IDEMPOTENT);
     attempt(exchange).markWritten();
     assertInstanceOf(Reply.Failed.class, guard.answer(exchange, new Reply.Rejected(0), 0));
@@ -114,24 +122,29 @@
   }
 
   @Test
-  void countsLateAnswerAndGivesIt() {
+  void countsLateAnswerAndStillReturnsIt() {
     Reply reply = new Reply.Failed(false);
     assertEquals(
-        reply, guard.answer(exchange(Idempotency.IDEMPOTENT), reply, DEADLINE + SLACK + 1));
+        reply,
+        guard.answer(
+            exchange(Idempotency.IDEMPOTENT), reply, DEADLINE_NANOS + SLACK_NANOS + 1));
     assertViolated(Event.VIOLATION_ANSWERED_LATE);
   }
 
   @Test
   void countsAllViolationsAndLogsTwoHistoriesPerSecond() {
     for (int i = 0; i < 100; i++) {
-      guard.answer(exchange(Idempotency.IDEMPOTENT), new Reply.Failed(false), DEADLINE + SLACK + 1);
+      guard.answer(
+          exchange(Idempotency.IDEMPOTENT),
+          new Reply.Failed(false),
+          DEADLINE_NANOS + SLACK_NANOS + 1);
     }
     assertEquals(100, recorder.count(Event.VIOLATION_ANSWERED_LATE));
-    assertEquals(2, lines.size());
+    assertEquals(2, logLines.size());
   }
 
   @Test
-  void routesRequestOnce() {
+  void mayRouteRequestOnlyOnce() {
     Exchange exchange = exchange(Idempotency.IDEMPOTENT);
     exchange.route();
     assertFalse(guard.mayRoute(exchange));
--- a/engine/src/test/java/shalepaddle/engine/WarmStartLogTest.java
+++ b/engine/src/test/java/shalepaddle/engine/WarmStartLogTest.java
@@ -11,32 +11,38 @@
 import shalepaddle.model.Outcome;
 import shalepaddle.model.Request;
 
-/** Observations of one process in the time of the next, whose wall clock may differ. */
+/** Conversion of observations to the time of a process whose wall clock may differ. */
 class WarmStartLogTest {
-  private static final double NOW = 10_000;
+  private static final double NOW_SECONDS = 10_000;
 
-  private static Observation endedAt(double time) {
+  private static Observation endedAt(double timeSeconds) {
     Request request = new Request("", "key", "read", null, 1, 0, 0, false, false);
     Outcome outcome =
         new Outcome("", 0, 1, Outcome.Result.OK, 0.5, 0, true, Outcome.CacheStatus.NONE, null);
-    return new Observation(time, request, outcome);
+    return new Observation(timeSeconds, request, outcome);
   }
 
-  private static List<Double> endsInTime(double... times) {
+  private static List<Double> convertedEndTimes(double... endTimesSeconds) {
     List<Observation> observations =
-        Arrays.stream(times).mapToObj(WarmStartLogTest::endedAt).toList();
-    return WarmStartLog.inTime(NOW, observations).stream().map(Observation::endedAt).toList();
+        Arrays.stream(endTimesSeconds).mapToObj(WarmStartLogTest::endedAt).toList();
+    return WarmStartLog.inTime(NOW_SECONDS, observations).stream()
+        .map(Observation::endedAt)
+        .toList();
   }
 
   @Test
   void keepsTimesOfRecentObservations() {
-    assertEquals(List.of(NOW - 9, NOW - 3), endsInTime(NOW - 9, NOW - 3));
-    assertEquals(List.of(), endsInTime());
+    assertEquals(
+        List.of(NOW_SECONDS - 9, NOW_SECONDS - 3),
+        convertedEndTimes(NOW_SECONDS - 9, NOW_SECONDS - 3));
+    assertEquals(List.of(), convertedEndTimes());
   }
 
   @ParameterizedTest
   @ValueSource(doubles = {3600, -3600, 5, -30})
-  void movesObservationsOfADifferentClockToNow(double offset) {
-    assertEquals(List.of(NOW - 6, NOW), endsInTime(NOW - 6 + offset, NOW + offset));
+  void shiftsObservationsOfDifferentClockToNow(double offsetSeconds) {
+    assertEquals(
+        List.of(NOW_SECONDS - 6, NOW_SECONDS),
+        convertedEndTimes(NOW_SECONDS - 6 + offsetSeconds, NOW_SECONDS + offsetSeconds));
   }
 }
--- a/engine/src/test/java/shalepaddle/front/DeadlineScannerTest.java
+++ b/engine/src/test/java/shalepaddle/front/DeadlineScannerTest.java
@@ -17,24 +17,25 @@
       mg d=1 v Oid3 Pc=read\r
       """;
 
-  private static List<Integer> found(String text, int cut) {
+  private static List<Integer> deadlinesMillis(String text, int splitAt) {
     DeadlineScanner scanner = new DeadlineScanner();
-    List<Integer> found = new ArrayList<>();
+    List<Integer> deadlinesMillis = new ArrayList<>();
     byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
-    scanner.scan(Unpooled.wrappedBuffer(bytes, 0, cut), found::add);
-    scanner.scan(Unpooled.wrappedBuffer(bytes, cut, bytes.length - cut), found::add);
-    return found;
+    scanner.scan(Unpooled.wrappedBuffer(bytes, 0, splitAt), deadlinesMillis::add);
+    scanner.scan(
+        Unpooled.wrappedBuffer(bytes, splitAt, bytes.length - splitAt), deadlinesMillis::add);
+    return deadlinesMillis;
   }
 
   @Test
-  void findsDeadlinesAtEveryCut() {
-    for (int cut = 0; cut <= COMMANDS.length(); cut++) {
-      assertEquals(List.of(480, 70), found(COMMANDS, cut), "cut at " + cut);
+  void findsDeadlinesWhereverBytesAreSplit() {
+    for (int splitAt = 0; splitAt <= COMMANDS.length(); splitAt++) {
+      assertEquals(List.of(480, 70), deadlinesMillis(COMMANDS, splitAt), "split at " + splitAt);
     }
   }
 
   @Test
-  void limitsNumbersThatAreOutOfRange() {
-    assertEquals(List.of(1_000_000), found("mg k v Pd=99999999999999999999 x", 0));
+  void limitsDeadlineAboveMaximum() {
+    assertEquals(List.of(1_000_000), deadlinesMillis("mg k v Pd=99999999999999999999 x", 0));
   }
 }
--- a/engine/src/test/java/shalepaddle/front/ReadFairnessTest.java
+++ b/engine/src/test/java/shalepaddle/front/ReadFairnessTest.java
@@ -8,72 +8,84 @@
 import shalepaddle.overload.DegradationPolicy;
 import shalepaddle.overload.PressureLevel;
 
-/** Half of all traffic comes from one connection; time is an argument. */
+/** Simulates one connection that sends half of all requests, in virtual time. */
 class ReadFairnessTest {
-  private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
-  private static final int OTHERS = 50;
+  private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+  private static final int OTHER_CONNECTIONS = 50;
 
   private DegradationPolicy policy = DegradationPolicy.CALM;
   private final FairReadScheduler scheduler = new FairReadScheduler(() -> policy);
-  private final FairReadScheduler.RequestCount heavy = new FairReadScheduler.RequestCount();
-  private final FairReadScheduler.RequestCount[] others =
-      new FairReadScheduler.RequestCount[OTHERS];
-  private long othersPaused;
-  private int read;
+  private final FairReadScheduler.RequestCount heavySenderCount =
+      new FairReadScheduler.RequestCount();
+  private final FairReadScheduler.RequestCount[] otherCounts =
+      new FairReadScheduler.RequestCount[OTHER_CONNECTIONS];
+  private long otherConnectionsPauseNanos;
+  private int requestsReadFromHeavySender;
 
   ReadFairnessTest() {
-    for (int i = 0; i < OTHERS; i++) {
-      others[i] = new FairReadScheduler.RequestCount();
+    for (int i = 0; i < OTHER_CONNECTIONS; i++) {
+      otherCounts[i] = new FairReadScheduler.RequestCount();
     }
   }
 
-  /** A second in which one connection would send as much as fifty others together. */
-  private void second(long from) {
-    long pausedUntil = 0;
-    read = 0;
-    for (long now = from; now < from + 1000 * MILLI; now += MILLI) {
+  /**
+   * Simulates a second in which one connection sends as many requests as fifty other connections
+   * together.
+   */
+  private void simulateSecond(long startNanos) {
+    long pausedUntilNanos = 0;
+    requestsReadFromHeavySender = 0;
+    for (long now = startNanos; now < startNanos + 1000 * NANOS_PER_MILLI; now += NANOS_PER_MILLI) {
       for (int i = 0; i < 5; i++) {
-        othersPaused += scheduler.pauseNanos(others[(int) (now / MILLI * 5 + i) % OTHERS], 1, now);
-        if (now >= pausedUntil) {
-          read++;
-          pausedUntil = now + scheduler.pauseNanos(heavy, 1, now);
+        otherConnectionsPauseNanos +=
+            scheduler.pauseNanos(
+                otherCounts[(int) (now / NANOS_PER_MILLI * 5 + i) % OTHER_CONNECTIONS], 1, now);
+        if (now >= pausedUntilNanos) {
+          requestsReadFromHeavySender++;
+          pausedUntilNanos = now + scheduler.pauseNanos(heavySenderCount, 1, now);
         }
       }
     }
   }
 
   @Test
-  void pausesNobodyWhileProcessorIsNotOverloaded() {
-    second(0);
-    assertEquals(5000, read);
-    assertEquals(0, othersPaused);
+  void pausesNoConnectionWhileProcessorIsNotOverloaded() {
+    simulateSecond(0);
+    assertEquals(5000, requestsReadFromHeavySender);
+    assertEquals(0, otherConnectionsPauseNanos);
   }
 
   @Test
   void pausesHeavySenderWhileProcessorIsOverloaded() {
     policy = DegradationPolicy.of(PressureLevel.BUSY, PressureLevel.CALM, PressureLevel.CALM);
-    second(0);
-    assertTrue(read >= 400 && read <= 1500, "read of 5000: " + read);
-    assertEquals(0, othersPaused, "the others send a hundredth each");
+    simulateSecond(0);
+    assertTrue(
+        requestsReadFromHeavySender >= 400 && requestsReadFromHeavySender <= 1500,
+        "requests read from the heavy sender of 5000 sent: " + requestsReadFromHeavySender);
+    assertEquals(
+        0,
+        otherConnectionsPauseNanos,
+        "no other connection is paused: each sends 1% of the requests");
     policy = DegradationPolicy.CALM;
-    second(1000 * MILLI);
-    assertEquals(5000, read, "no pause once the overload is over");
+    simulateSecond(1000 * NANOS_PER_MILLI);
+    assertEquals(
+        5000, requestsReadFromHeavySender, "the heavy sender is not paused after the overload");
   }
 
   @Test
-  void endsPauseWithItsInterval() {
+  void pauseNanosEndsPauseAtEndOfInterval() {
     policy = DegradationPolicy.of(PressureLevel.FULL, PressureLevel.CALM, PressureLevel.CALM);
-    long now = 30 * MILLI;
-    long pause = 0;
-    for (int i = 0; i < 100 && pause == 0; i++) {
-      pause = scheduler.pauseNanos(heavy, 1, now);
+    long now = 30 * NANOS_PER_MILLI;
+    long pauseNanos = 0;
+    for (int i = 0; i < 100 && pauseNanos == 0; i++) {
+      pauseNanos = scheduler.pauseNanos(heavySenderCount, 1, now);
     }
-    assertEquals(70 * MILLI, pause);
-    assertEquals(0, scheduler.pauseNanos(heavy, 1, now + pause));
+    assertEquals(70 * NANOS_PER_MILLI, pauseNanos);
+    assertEquals(0, scheduler.pauseNanos(heavySenderCount, 1, now + pauseNanos));
   }
 
   @Test
-  void lowersPendingResponsesWhenMemoryIsShort() {
+  void lowersMaxPendingResponsesUnderMemoryPressure() {
     assertEquals(64, scheduler.maxPendingResponses());
     policy = DegradationPolicy.of(PressureLevel.CALM, PressureLevel.BUSY, PressureLevel.CALM);
     assertEquals(16, scheduler.maxPendingResponses());
--- a/engine/src/test/java/shalepaddle/front/ReadPauseTest.java
+++ b/engine/src/test/java/shalepaddle/front/ReadPauseTest.java
@@ -10,9 +10,9 @@
   private final ReadPause readPause = new ReadPause();
 
   @Test
-  void extendsActivePauseByLongerReason() {
-    assertTrue(readPause.extend(1000, 100), "a quota was exceeded");
-    assertFalse(readPause.extend(1090, 250), "an error: the end is scheduled already");
+  void extendLengthensActivePauseWhenNewPauseEndsLater() {
+    assertTrue(readPause.extend(1000, 100), "an exceeded quota starts a pause");
+    assertFalse(readPause.extend(1090, 250), "an error extends the active pause and starts none");
     assertEquals(240, readPause.remainingNanos(1100));
     assertTrue(readPause.isActive());
     assertEquals(0, readPause.remainingNanos(1340));
@@ -20,14 +20,14 @@
   }
 
   @Test
-  void keepsLongerPauseWhenShorterReasonFollows() {
+  void extendKeepsActivePauseWhenNewPauseEndsEarlier() {
     readPause.extend(0, 250);
     readPause.extend(10, 20);
     assertEquals(200, readPause.remainingNanos(50));
   }
 
   @Test
-  void beginsAnewAfterPauseHasEnded() {
+  void startsNewPauseAfterPauseHasEnded() {
     readPause.extend(0, 250);
     assertEquals(0, readPause.remainingNanos(300));
     assertTrue(readPause.extend(301, 5));
--- a/engine/src/test/java/shalepaddle/loop/LoopClockTest.java
+++ b/engine/src/test/java/shalepaddle/loop/LoopClockTest.java
@@ -11,18 +11,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Stalls of the event loop, in virtual time. */
+/** Detection of event loop stalls, in virtual time. */
 class LoopClockTest {
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Records its notifications. */
+  /** Records the notifications of a clock. */
   static final class Recorder implements LoopClock.Listener {
-    final List<Long> stalls = new ArrayList<>();
+    final List<Long> stallNanos = new ArrayList<>();
     final List<RuntimeException> failures = new ArrayList<>();
 
     @Override
-    public void onStall(long nanos) {
-      stalls.add(nanos);
+    public void onStall(long lengthNanos) {
+      stallNanos.add(lengthNanos);
     }
 
     @Override
@@ -35,188 +35,205 @@
   private final LoopClock clock = new LoopClock(0, recorder);
   private long now;
 
-  /** A turn that sleeps first, and then reads from so many connections for so long. */
-  private void turn(long asleep, int handled, long reading) {
+  /** Runs a turn that sleeps first and then handles events of some connections. */
+  private void runTurn(long sleepNanos, int handledConnections, long handlingNanos) {
     clock.turnBegins(now);
-    now += asleep;
+    now += sleepNanos;
     clock.refresh(now);
-    now += reading;
-    clock.turnEnds(now, handled);
+    now += handlingNanos;
+    clock.turnEnds(now, handledConnections);
   }
 
-  /** What a turn reads came after the poll before it, or as the loop woke up from a sleep. */
+  /**
+   * The bytes that a turn reads can have arrived at any time since the previous poll; if the loop
+   * slept until they woke it up, only in the last millisecond.
+   */
   @Test
-  void bytesAreNoOlderThanThePollThatDidNotReportThem() {
-    turn(0, 1, 0);
-    now = 7 * MILLI;
-    turn(0, 1, 20 * MILLI);
-    long firstPoll = 7 * MILLI;
+  void earliestArrivalIsPreviousPollOrWakeUpFromSleep() {
+    runTurn(0, 1, 0);
+    now = 7 * NANOS_PER_MILLI;
+    runTurn(0, 1, 20 * NANOS_PER_MILLI);
+    long firstPollNanos = 7 * NANOS_PER_MILLI;
     clock.turnBegins(now);
     clock.refresh(now);
-    assertEquals(firstPoll, clock.earliestArrival(), "busy: since the poll of the turn before");
+    assertEquals(
+        firstPollNanos,
+        clock.earliestArrival(),
+        "the loop was busy since the poll of the previous turn");
     clock.turnEnds(now, 1);
     clock.turnBegins(now);
     clock.pollMayBlock();
-    now += 5 * MILLI;
+    now += 5 * NANOS_PER_MILLI;
     clock.refresh(now);
-    assertEquals(now - MILLI, clock.earliestArrival(), "it slept until they came");
+    assertEquals(
+        now - NANOS_PER_MILLI, clock.earliestArrival(), "the loop slept until the bytes arrived");
     clock.turnEnds(now, 1);
-    long thirdPoll = now;
+    long thirdPollNanos = now;
     clock.turnBegins(now);
-    now += 5 * MILLI;
+    now += 5 * NANOS_PER_MILLI;
     clock.refresh(now);
     assertEquals(
-        thirdPoll, clock.earliestArrival(), "it was held up in a poll that must not sleep");
+        thirdPollNanos,
+        clock.earliestArrival(),
+        "the process was stopped in a poll that cannot sleep");
   }
 
-  /** Accepting many connections takes longer than a short sleep. */
+  /**
+   * Between the poll and the turn's first call of {@code refresh}, the loop may have accepted many
+   * connections.
+   */
   @Test
-  void workBeforeFirstRefreshIsNoSleep() {
-    turn(0, 1, 0);
-    long before = now;
-    now += 20 * MILLI;
+  void earliestArrivalIsPreviousPollWhenFirstRefreshIsLongAfterPoll() {
+    runTurn(0, 1, 0);
+    long previousPollNanos = now;
+    now += 20 * NANOS_PER_MILLI;
     clock.turnBegins(now);
     clock.pollEnds(now);
-    now += 5 * MILLI;
+    now += 5 * NANOS_PER_MILLI;
     clock.refresh(now);
-    assertEquals(before, clock.earliestArrival());
+    assertEquals(previousPollNanos, clock.earliestArrival());
   }
 
   @Test
-  void bytesReadAfterStallMayBeAsOldAsIt() {
-    turn(0, 0, 0);
-    long before = now;
+  void earliestArrivalAfterStallIsBeforeStall() {
+    runTurn(0, 0, 0);
+    long stallStartNanos = now;
     clock.turnBegins(now);
-    now += 300 * MILLI;
+    now += 300 * NANOS_PER_MILLI;
     clock.refresh(now);
-    assertEquals(before, clock.earliestArrival());
+    assertEquals(stallStartNanos, clock.earliestArrival());
     clock.turnEnds(now, 1);
-    // A second turn reads what the first had no room for: not older than the first one's poll.
-    turn(0, 1, 0);
-    assertTrue(clock.earliestArrival() <= before + 300 * MILLI);
+    // A second turn reads the remaining bytes, which can be as old as the first turn's poll.
+    runTurn(0, 1, 0);
+    assertTrue(clock.earliestArrival() <= stallStartNanos + 300 * NANOS_PER_MILLI);
   }
 
-  /** The end of a connection is read in a turn of its own, after what came before it. */
+  /** A disconnect is read in a separate turn, after the bytes that arrived before it. */
   @Test
-  void taskAfterNextPollRunsAtEndOfNextTurn() {
-    List<String> ran = new ArrayList<>();
+  void afterNextPollRunsTaskAtEndOfNextTurn() {
+    List<String> ranTasks = new ArrayList<>();
     clock.turnBegins(now);
-    clock.afterNextPoll(() -> ran.add("late request"));
+    clock.afterNextPoll(() -> ranTasks.add("late request"));
     clock.turnEnds(now, 1);
-    assertEquals(List.of(), ran);
+    assertEquals(List.of(), ranTasks);
     assertFalse(clock.pollsAtOnce());
     clock.turnBegins(now);
     assertTrue(clock.pollsAtOnce());
-    assertEquals(List.of(), ran);
+    assertEquals(List.of(), ranTasks);
     clock.turnEnds(now, 1);
-    assertEquals(List.of("late request"), ran);
-    turn(0, 0, 0);
-    assertEquals(1, ran.size());
+    assertEquals(List.of("late request"), ranTasks);
+    runTurn(0, 0, 0);
+    assertEquals(1, ranTasks.size());
   }
 
   @Test
   void delaysTasksForBoundedTimeUnderLastingOverload() {
-    turn(0, 1, 0);
-    List<Long> ran = new ArrayList<>();
-    long longest = 0;
+    runTurn(0, 1, 0);
+    List<Long> ranAtNanos = new ArrayList<>();
+    long longestDelayNanos = 0;
     for (int i = 0; i < 50; i++) {
-      long asked = now;
-      int before = ran.size();
-      clock.whenBacklogRead(() -> ran.add(now));
-      while (ran.size() == before) {
-        turn(0, 5, 50 * MILLI);
+      long delayedSinceNanos = now;
+      int ranBefore = ranAtNanos.size();
+      clock.whenBacklogRead(() -> ranAtNanos.add(now));
+      while (ranAtNanos.size() == ranBefore) {
+        runTurn(0, 5, 50 * NANOS_PER_MILLI);
       }
-      longest = Math.max(longest, now - asked);
+      longestDelayNanos = Math.max(longestDelayNanos, now - delayedSinceNanos);
     }
-    // The bound and two turns.
-    assertTrue(longest <= LoopClock.MAX_BACKLOG_NANOS + 100 * MILLI, "put off for " + longest);
+    // The delay is at most MAX_BACKLOG_NANOS, after which a backlog ends, plus two 50 ms turns.
+    assertTrue(
+        longestDelayNanos <= LoopClock.MAX_BACKLOG_NANOS + 100 * NANOS_PER_MILLI,
+        "a task was delayed by " + longestDelayNanos + " ns");
   }
 
   @Test
-  void longestSleepIsNoStall() {
+  void refreshReportsNoStallAfterLongestSleep() {
     for (int i = 0; i < 1000; i++) {
-      turn(LoopClock.MAX_SLEEP_NANOS, i % 3, MILLI);
+      runTurn(LoopClock.MAX_SLEEP_NANOS, i % 3, NANOS_PER_MILLI);
     }
-    assertEquals(0, recorder.stalls.size());
+    assertEquals(0, recorder.stallNanos.size());
     assertEquals(now, clock.activeNanos());
     assertFalse(clock.hasBacklog());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {50, 300, 1000, 3000})
-  void activeTimeDoesNotAdvanceInStall(int millis) {
-    turn(MILLI, 1, MILLI);
-    long before = clock.activeNanos();
-    now += millis * MILLI;
-    turn(0, 5, MILLI);
-    assertEquals(1, recorder.stalls.size());
-    assertEquals(List.of(millis * MILLI - LoopClock.MAX_SLEEP_NANOS), recorder.stalls);
-    assertEquals(millis * MILLI - LoopClock.MAX_SLEEP_NANOS, clock.stalledNanos());
-    assertTrue(clock.activeNanos() - before <= LoopClock.MAX_SLEEP_NANOS + MILLI);
+  void activeNanosDoesNotAdvanceDuringStall(int stallMillis) {
+    runTurn(NANOS_PER_MILLI, 1, NANOS_PER_MILLI);
+    long activeBeforeNanos = clock.activeNanos();
+    now += stallMillis * NANOS_PER_MILLI;
+    runTurn(0, 5, NANOS_PER_MILLI);
+    assertEquals(1, recorder.stallNanos.size());
+    assertEquals(
+        List.of(stallMillis * NANOS_PER_MILLI - LoopClock.MAX_SLEEP_NANOS), recorder.stallNanos);
+    assertEquals(stallMillis * NANOS_PER_MILLI - LoopClock.MAX_SLEEP_NANOS, clock.stalledNanos());
+    assertTrue(
+        clock.activeNanos() - activeBeforeNanos <= LoopClock.MAX_SLEEP_NANOS + NANOS_PER_MILLI);
   }
 
   @Test
   void runsTasksOnceTurnFindsNothingMoreToRead() {
-    List<String> done = new ArrayList<>();
-    now += 300 * MILLI;
+    List<String> ranTasks = new ArrayList<>();
+    now += 300 * NANOS_PER_MILLI;
     clock.turnBegins(now);
-    clock.whenBacklogRead(() -> done.add("first"));
+    clock.whenBacklogRead(() -> ranTasks.add("first"));
     clock.turnEnds(now, 7);
     assertTrue(clock.hasBacklog());
-    clock.whenBacklogRead(() -> done.add("second"));
-    turn(0, 2, MILLI);
-    assertEquals(List.of(), done);
-    turn(0, 0, MILLI);
-    assertEquals(List.of("first", "second"), done);
+    clock.whenBacklogRead(() -> ranTasks.add("second"));
+    runTurn(0, 2, NANOS_PER_MILLI);
+    assertEquals(List.of(), ranTasks);
+    runTurn(0, 0, NANOS_PER_MILLI);
+    assertEquals(List.of("first", "second"), ranTasks);
     assertFalse(clock.hasBacklog());
-    clock.whenBacklogRead(() -> done.add("at once"));
-    assertEquals(3, done.size());
+    clock.whenBacklogRead(() -> ranTasks.add("third"));
+    assertEquals(3, ranTasks.size());
   }
 
   @Test
-  void noticesStallWithinTurnBeforeTasksRun() {
-    List<String> done = new ArrayList<>();
-    // Stopped after it looked for what had come: nothing found then says nothing of the pause.
+  void detectsStallWithinTurnBeforeRunningTasks() {
+    List<String> ranTasks = new ArrayList<>();
+    // The process is stopped after the poll, so that the poll does not show the stall.
     clock.turnBegins(now);
-    now += 500 * MILLI;
+    now += 500 * NANOS_PER_MILLI;
     clock.turnEnds(now, 0);
-    clock.whenBacklogRead(() -> done.add("ran"));
+    clock.whenBacklogRead(() -> ranTasks.add("ran"));
     assertTrue(clock.hasBacklog());
-    turn(0, 0, MILLI);
-    assertEquals(List.of("ran"), done);
+    runTurn(0, 0, NANOS_PER_MILLI);
+    assertEquals(List.of("ran"), ranTasks);
   }
 
   @Test
-  void runsTasksThoughStallsNeverEnd() {
+  void runsTasksDespiteContinuousStalls() {
     SplittableRandom random = new SplittableRandom(7);
-    int[] runs = {0};
+    int[] runCount = {0};
     int turns = 2000;
     for (int i = 0; i < turns; i++) {
-      clock.whenBacklogRead(() -> runs[0]++);
-      // Run for 10 ms, stopped for 90, wherever that falls.
+      clock.whenBacklogRead(() -> runCount[0]++);
+      // The process runs for 10 ms and is stopped for 90 ms, between turns or in a poll.
       if (random.nextBoolean()) {
-        now += 90 * MILLI;
-        turn(0, 1 + random.nextInt(50), 10 * MILLI);
+        now += 90 * NANOS_PER_MILLI;
+        runTurn(0, 1 + random.nextInt(50), 10 * NANOS_PER_MILLI);
       } else {
-        turn(90 * MILLI, 1 + random.nextInt(50), 10 * MILLI);
+        runTurn(90 * NANOS_PER_MILLI, 1 + random.nextInt(50), 10 * NANOS_PER_MILLI);
       }
     }
-    assertTrue(runs[0] > turns - 10, runs[0] + " of " + turns);
-    assertTrue(clock.stalledNanos() > 0.7 * now, clock.stalledNanos() + " of " + now);
+    assertTrue(runCount[0] > turns - 10, runCount[0] + " of " + turns + " tasks ran");
+    assertTrue(
+        clock.stalledNanos() > 0.7 * now, clock.stalledNanos() + " of " + now + " ns stalled");
   }
 
   @Test
-  void failingTaskKeepsNoOtherFromRunning() {
-    List<String> done = new ArrayList<>();
-    now += 300 * MILLI;
+  void runsRemainingTasksAfterTaskFails() {
+    List<String> ranTasks = new ArrayList<>();
+    now += 300 * NANOS_PER_MILLI;
     clock.refresh(now);
     clock.whenBacklogRead(
         () -> {
-          throw new IllegalStateException("on purpose");
+          throw new IllegalStateException("expected by the test");
         });
-    clock.whenBacklogRead(() -> done.add("next"));
-    turn(0, 0, 0);
-    assertEquals(List.of("next"), done);
+    clock.whenBacklogRead(() -> ranTasks.add("next"));
+    runTurn(0, 0, 0);
+    assertEquals(List.of("next"), ranTasks);
     assertEquals(1, recorder.failures.size());
   }
 }
--- a/engine/src/test/java/shalepaddle/loop/StallHistoryTest.java
+++ b/engine/src/test/java/shalepaddle/loop/StallHistoryTest.java
@@ -5,34 +5,34 @@
 import org.junit.jupiter.api.Test;
 
 class StallHistoryTest {
-  private static final long MILLI = 1_000_000;
-  private static final long SECOND = 1000 * MILLI;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
 
   private final StallHistory history = new StallHistory();
 
   @Test
-  void expectsNothingAfterSingleStall() {
-    history.add(400 * MILLI, SECOND);
-    assertEquals(0, history.expected(2 * SECOND));
+  void expectsNoStallAfterSingleStall() {
+    history.add(400 * NANOS_PER_MILLI, NANOS_PER_SECOND);
+    assertEquals(0, history.expected(2 * NANOS_PER_SECOND));
   }
 
   @Test
   void expectsSecondLongestStall() {
-    history.add(400 * MILLI, SECOND);
-    history.add(50 * MILLI, 2 * SECOND);
-    history.add(120 * MILLI, 3 * SECOND);
-    assertEquals(120 * MILLI, history.expected(4 * SECOND));
+    history.add(400 * NANOS_PER_MILLI, NANOS_PER_SECOND);
+    history.add(50 * NANOS_PER_MILLI, 2 * NANOS_PER_SECOND);
+    history.add(120 * NANOS_PER_MILLI, 3 * NANOS_PER_SECOND);
+    assertEquals(120 * NANOS_PER_MILLI, history.expected(4 * NANOS_PER_SECOND));
   }
 
   @Test
-  void retainsStallsAcrossWindowsAndForgetsThem() {
-    history.add(400 * MILLI, 14 * SECOND);
-    history.add(70 * MILLI, 16 * SECOND);
-    assertEquals(70 * MILLI, history.expected(29 * SECOND));
-    assertEquals(0, history.expected(31 * SECOND));
-    history.add(90 * MILLI, 100 * SECOND);
-    history.add(90 * MILLI, 101 * SECOND);
+  void forgetsStallsAfterTwoWindowsAndWhenCleared() {
+    history.add(400 * NANOS_PER_MILLI, 14 * NANOS_PER_SECOND);
+    history.add(70 * NANOS_PER_MILLI, 16 * NANOS_PER_SECOND);
+    assertEquals(70 * NANOS_PER_MILLI, history.expected(29 * NANOS_PER_SECOND));
+    assertEquals(0, history.expected(31 * NANOS_PER_SECOND));
+    history.add(90 * NANOS_PER_MILLI, 100 * NANOS_PER_SECOND);
+    history.add(90 * NANOS_PER_MILLI, 101 * NANOS_PER_SECOND);
     history.clear();
-    assertEquals(0, history.expected(101 * SECOND));
+    assertEquals(0, history.expected(101 * NANOS_PER_SECOND));
   }
 }
--- a/engine/src/test/java/shalepaddle/loop/TimersTest.java
+++ b/engine/src/test/java/shalepaddle/loop/TimersTest.java
@@ -18,10 +18,10 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 class TimersTest {
-  private static final long TICK = 20_000_000;
+  private static final long TICK_NANOS = 20_000_000;
 
-  /** One event loop that ends with the test. */
-  private static final class Group implements AutoCloseable {
+  /** An event loop that is shut down at the end of a test. */
+  private static final class SingleEventLoop implements AutoCloseable {
     private final LoopClock clock = new LoopClock(System.nanoTime(), new LoopClockTest.Recorder());
     private final MultiThreadIoEventLoopGroup threads =
         new MultiThreadIoEventLoopGroup(
@@ -36,124 +36,130 @@
 
   @Test
   void wakesLoopOncePerTickWithManyTimers() throws Exception {
-    try (Group group = new Group()) {
-      var loop = group.loop;
-      List<Long> early = new ArrayList<>();
+    try (SingleEventLoop fixture = new SingleEventLoop()) {
+      var loop = fixture.loop;
+      List<Long> earlyTimerDelaysNanos = new ArrayList<>();
       Set<Long> turns = new HashSet<>();
-      int timers = 1000;
-      CountDownLatch done = new CountDownLatch(timers);
-      long[] turn = {0};
+      int timerCount = 1000;
+      CountDownLatch allTimersRan = new CountDownLatch(timerCount);
+      long[] currentTurn = {0};
       loop.submit(
               () -> {
-                Timers under = new Timers(loop, group.clock, new Log(), TICK);
-                long began = System.nanoTime();
-                for (int i = 0; i < timers; i++) {
-                  long delay = i * 200_000L;
-                  under.runNoEarlierThan(
-                      delay,
+                Timers timers = new Timers(loop, fixture.clock, new Log(), TICK_NANOS);
+                long startNanos = System.nanoTime();
+                for (int i = 0; i < timerCount; i++) {
+                  long delayNanos = i * 200_000L;
+                  timers.runNoEarlierThan(
+                      delayNanos,
                       () -> {
-                        // Tasks that this turn of the loop still runs come before the next one.
-                        if (turns.add(turn[0])) {
-                          loop.execute(() -> turn[0]++);
+                        // The task runs after this turn's timers and before the next turn.
+                        if (turns.add(currentTurn[0])) {
+                          loop.execute(() -> currentTurn[0]++);
                         }
-                        if (System.nanoTime() - began < delay) {
-                          early.add(delay);
+                        if (System.nanoTime() - startNanos < delayNanos) {
+                          earlyTimerDelaysNanos.add(delayNanos);
                         }
-                        done.countDown();
+                        allTimersRan.countDown();
                       });
                 }
               })
           .sync();
-      assertTrue(done.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
-      assertEquals(List.of(), early);
-      // 200 ms hold ten ticks; without ticks each of the 1000 would wake the loop by itself.
-      assertTrue(turns.size() <= 12, turns.size() + " turns");
+      assertTrue(allTimersRan.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+      assertEquals(List.of(), earlyTimerDelaysNanos);
+      // 200 ms are ten ticks; without ticks each of the 1000 timers would wake up the loop.
+      assertTrue(turns.size() <= 12, turns.size() + " turns ran timers");
     }
   }
 
+  /** The tasks are due 2 ms apart; a cancelled task does not run. */
   @Test
-  void runsTimersDueByTimeBeforeTimersDueAfterIt() throws Exception {
-    try (Group group = new Group()) {
-      var loop = group.loop;
+  void runNoLaterThanRunsTaskBeforeThatOfRunNoEarlierThan() throws Exception {
+    try (SingleEventLoop fixture = new SingleEventLoop()) {
+      var loop = fixture.loop;
       List<String> order = new ArrayList<>();
-      CountDownLatch done = new CountDownLatch(1);
+      CountDownLatch allTimersRan = new CountDownLatch(1);
       loop.submit(
               () -> {
-                Timers timers = new Timers(loop, group.clock, new Log(), TICK);
+                Timers timers = new Timers(loop, fixture.clock, new Log(), TICK_NANOS);
                 timers.runNoEarlierThan(
-                    3 * TICK,
+                    3 * TICK_NANOS,
                     () -> {
                       order.add("after");
-                      done.countDown();
+                      allTimersRan.countDown();
                     });
-                timers.runNoLaterThan(3 * TICK - 2_000_000, () -> order.add("by"));
-                timers.runNoLaterThan(TICK, () -> order.add("cancelled")).cancel();
+                timers.runNoLaterThan(3 * TICK_NANOS - 2_000_000, () -> order.add("by"));
+                timers.runNoLaterThan(TICK_NANOS, () -> order.add("cancelled")).cancel();
               })
           .sync();
-      assertTrue(done.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+      assertTrue(allTimersRan.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
       assertEquals(List.of("by", "after"), order);
     }
   }
 
   @Test
-  void schedulesNoMoreAlarmsThanTimers() throws Exception {
-    try (Group group = new Group()) {
-      AtomicInteger alarms = new AtomicInteger();
-      EventLoop counted =
+  void schedulesAtMostTwoWakeUpsPerTimer() throws Exception {
+    try (SingleEventLoop fixture = new SingleEventLoop()) {
+      AtomicInteger wakeUps = new AtomicInteger();
+      EventLoop countingLoop =
           (EventLoop)
               Proxy.newProxyInstance(
                   EventLoop.class.getClassLoader(),
                   new Class<?>[] {EventLoop.class},
                   (proxy, method, args) -> {
                     if (method.getName().equals("schedule")) {
-                      alarms.incrementAndGet();
+                      wakeUps.incrementAndGet();
                     }
-                    return method.invoke(group.loop, args);
+                    return method.invoke(fixture.loop, args);
                   });
-      int timers = 100;
-      CountDownLatch done = new CountDownLatch(timers);
-      group
+      int timerCount = 100;
+      CountDownLatch allTimersRan = new CountDownLatch(timerCount);
+      fixture
           .loop
           .submit(
               () -> {
-                Timers under = new Timers(counted, group.clock, new Log(), TICK / 10);
-                // Each is due before all that were set, so that each needs an earlier alarm.
-                for (int i = timers; i > 0; i--) {
-                  under.runNoEarlierThan(i * TICK / 10, done::countDown);
+                Timers timers = new Timers(countingLoop, fixture.clock, new Log(), TICK_NANOS / 10);
+                // Each timer is due before all timers that were set before it, and needs an earlier
+                // wake-up.
+                for (int i = timerCount; i > 0; i--) {
+                  timers.runNoEarlierThan(i * TICK_NANOS / 10, allTimersRan::countDown);
                 }
               })
           .sync();
-      assertTrue(done.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
-      // One for each timer as it is set and one as it comes due; alarms that set further ones as
-      // long as anything is due would come to thousands.
-      assertTrue(alarms.get() <= 2 * timers, alarms + " alarms");
+      assertTrue(allTimersRan.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+      // One wake-up is scheduled when a timer is set and one when the timer is due. If each wake-up
+      // scheduled another one while timers are set, there would be thousands of wake-ups.
+      assertTrue(
+          wakeUps.get() <= 2 * timerCount, wakeUps + " wake-ups for " + timerCount + " timers");
     }
   }
 
   @Test
-  void measuresSilenceInActiveTime() throws Exception {
-    try (Group group = new Group()) {
-      CountDownLatch silent = new CountDownLatch(1);
-      CountDownLatch over = new CountDownLatch(1);
-      group
+  void runsActiveTimeTimerLaterAfterStall() throws Exception {
+    try (SingleEventLoop fixture = new SingleEventLoop()) {
+      CountDownLatch activeTimeTimerRan = new CountDownLatch(1);
+      CountDownLatch realTimeTimerRan = new CountDownLatch(1);
+      fixture
           .loop
           .submit(
               () -> {
-                Timers timers = new Timers(group.loop, group.clock, new Log(), TICK);
-                timers.afterActiveTime(300_000_000, silent::countDown);
-                timers.runNoEarlierThan(300_000_000, over::countDown);
+                Timers timers = new Timers(fixture.loop, fixture.clock, new Log(), TICK_NANOS);
+                timers.afterActiveTime(300_000_000, activeTimeTimerRan::countDown);
+                timers.runNoEarlierThan(300_000_000, realTimeTimerRan::countDown);
                 pause(400);
               })
           .sync();
-      assertTrue(over.await(100, TimeUnit.MILLISECONDS), "a deadline was delayed");
-      assertEquals(1, silent.getCount(), "a stall of the loop was counted as a peer's silence");
-      assertTrue(silent.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+      assertTrue(
+          realTimeTimerRan.await(100, TimeUnit.MILLISECONDS),
+          "a timer in real time was delayed by a stall");
+      assertEquals(
+          1, activeTimeTimerRan.getCount(), "a stall of the loop was counted as active time");
+      assertTrue(activeTimeTimerRan.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
 
-  private static void pause(long millis) {
+  private static void pause(long pauseMillis) {
     try {
-      Thread.sleep(millis);
+      Thread.sleep(pauseMillis);
     } catch (InterruptedException e) {
       throw new AssertionError(e);
     }
--- a/engine/src/test/java/shalepaddle/sockets/AcceptBackoffTest.java
+++ b/engine/src/test/java/shalepaddle/sockets/AcceptBackoffTest.java
@@ -8,14 +8,16 @@
   private final AcceptBackoff backoff = new AcceptBackoff();
 
   @Test
-  void doublesDelayUpToMaximum() {
-    long last = 0;
+  void nextDelayDoublesUpToMaximumUntilReset() {
+    long previousDelayMillis = 0;
     for (int i = 0; i < 20; i++) {
-      long delay = backoff.nextDelayMillis();
-      assertEquals(i == 0 ? AcceptBackoff.INITIAL_MILLIS : Math.min(50, 2 * last), delay);
-      last = delay;
+      long delayMillis = backoff.nextDelayMillis();
+      assertEquals(
+          i == 0 ? AcceptBackoff.INITIAL_MILLIS : Math.min(50, 2 * previousDelayMillis),
+          delayMillis);
+      previousDelayMillis = delayMillis;
     }
-    assertEquals(AcceptBackoff.MAX_MILLIS, last);
+    assertEquals(AcceptBackoff.MAX_MILLIS, previousDelayMillis);
     backoff.reset();
     assertEquals(AcceptBackoff.INITIAL_MILLIS, backoff.nextDelayMillis());
   }
--- a/engine/src/test/java/shalepaddle/upstream/ConnectionLimitTest.java
+++ b/engine/src/test/java/shalepaddle/upstream/ConnectionLimitTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 import shalepaddle.loop.LoopClock;
 
-/** The learned limit of a server's connections, by a clock that the test moves. */
+/** The observed limit of a server's connections, with a mock clock. */
 class ConnectionLimitTest {
   private static final int MAX_CONNECTIONS = 4;
 
-  /** The test moves the clock by jumps, which look like stalls. */
+  /** Ignores stalls: the steps of the mock clock look like stalls. */
   private static final class IgnoringListener implements LoopClock.Listener {
     @Override
-    public void onStall(long nanos) {}
+    public void onStall(long stallNanos) {}
 
     @Override
     public void onTaskFailure(RuntimeException cause) {}
@@ -33,7 +33,7 @@
     limit.connectFailed(1);
     assertEquals(2, limit.current());
     ticker.advance(2000, TimeUnit.MILLISECONDS);
-    assertEquals(2, limit.current(), "only past the period");
+    assertEquals(2, limit.current(), "the limit recovers only after the recovery period");
     ticker.advance(1, TimeUnit.MILLISECONDS);
     assertEquals(3, limit.current());
     ticker.advance(2000, TimeUnit.MILLISECONDS);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void recoversSoonerWhenServerRejectedTheConnection() {
+  void recoversSoonerAfterServerRejectedConnection() {
     limit.connectionRejected(2);
     assertEquals(2, limit.current());
     ticker.advance(251, TimeUnit.MILLISECONDS);
@@ -49,19 +49,19 @@
   }
 
   @Test
-  void neverFallsBelowUsableConnectionsOrOne() {
+  void currentLimitIsAtLeastOneAndAtLeastUsableConnections() {
     limit.connectionRejected(0);
     assertEquals(1, limit.current());
     limit.connectFailed(3);
-    assertEquals(3, limit.current(), "so many are usable");
+    assertEquals(3, limit.current(), "three connections are usable");
   }
 
   @Test
-  void sharesTheMaximumWithOtherProcesses() {
+  void dividesMaximumAmongProcesses() {
     budget.setPeerProcessUsage(1, 7);
     assertEquals(2, limit.current());
     assertEquals(2, limit.share());
     budget.setPeerProcessUsage(9, 7);
-    assertEquals(1, limit.current(), "at least one");
+    assertEquals(1, limit.current(), "at least one connection is allowed");
   }
 }
