--- a/daemon/src/test/java/shalepaddle/daemon/JarIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/JarIT.java
@@ -90,7 +90,7 @@
       String valid = Files.readString(config).replace(":9\"", ":10\"");
       Files.writeString(config, valid.substring(0, valid.length() / 2));
       DeployFile.signal(process, "HUP");
-      awaitLine(log, "configuration not taken");
+      awaitLine(log, "configuration rejected, keeping the current one: ");
       Files.writeString(config, valid);
       DeployFile.signal(process, "HUP");
       awaitLine(log, "discovery at /127.0.0.1:10");
--- a/daemon/src/test/java/shalepaddle/daemon/UpgradeIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/UpgradeIT.java
@@ -116,7 +116,7 @@
           assertTrue(awaitEnd(node.process(), 2700), "the old process goes on");
           mostEnding = Math.max(mostEnding, usedAtLast - before);
           assertTrue(log(i).contains("handing over") && log(i).endsWith("drained\n"), log(i));
-          assertTrue(log(i + 1).contains("learned from "), log(i + 1));
+          assertTrue(log(i + 1).contains("warm start: replayed "), log(i + 1));
           node = next;
         }
         callers.finish();
--- a/engine/src/main/java/shalepaddle/admin/AdminOperations.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminOperations.java
@@ -2,19 +2,19 @@
 
 import java.util.function.Consumer;
 
-/** What the admin server calls. All methods may be called from any thread, and return at once. */
+/** The operations that the admin server calls. All are thread-safe and do not block. */
 public interface AdminOperations {
   /** The result of a command. */
   enum Result {
-    /** It is in force from now on. */
+    /** The command has been applied. */
     DONE,
     /** No such cache server is known. */
     UNKNOWN_MEMBER,
-    /** The process ends, or cannot run the command. */
+    /** The command cannot be run, since the process is shutting down. */
     UNAVAILABLE
   }
 
-  /** Whether a request that came now would be accepted and served. */
+  /** Whether the node accepts and serves new requests. */
   boolean isReady();
 
   /** The metrics that were published last. */
@@ -23,15 +23,19 @@
   /**
    * Excludes a cache server, or includes it again.
    *
-   * @param member its id in discovery's list
-   * @param done receives the result once, on any thread, unless the command is revoked first
+   * @param member the server's id in discovery's list
+   * @param isExcluded true to exclude the server, false to include it
+   * @param onResult receives the result once, on any thread, unless the command is revoked first
    * @return a handle to revoke the command
    */
-  Revocable exclude(String member, boolean excluded, Consumer<Result> done);
+  Revocable exclude(String member, boolean isExcluded, Consumer<Result> onResult);
 
-  /** A command that may not have run yet. */
+  /** A command that can be revoked until it has run. */
   interface Revocable {
-    /** Revokes it: true if it has not run, and never will; false if its result is delivered. */
+    /**
+     * Revokes the command. Returns true if the command has not run and never will, false if its
+     * result is delivered.
+     */
     boolean revoke();
   }
 }
--- a/engine/src/main/java/shalepaddle/admin/AdminRequestHandler.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminRequestHandler.java
@@ -19,18 +19,18 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One HTTP request and its response. On the admin server's event loop alone. */
+/** Handles one HTTP request. Used on the admin server's event loop only. */
 final class AdminRequestHandler extends SimpleChannelInboundHandler<HttpObject> {
-  /** No request needs a body; a longer one is rejected before it is complete. */
+  /** No request needs a body; a body longer than this is rejected before it is complete. */
   private static final int MAX_BODY_BYTES = 4096;
 
-  private static final int MAX_MEMBER_LENGTH = 256;
+  private static final int MAX_MEMBER_ID_LENGTH = 256;
 
   private final AdminServer server;
   private final AdminOperations operations;
   private HttpRequest request;
   private int bodyBytes;
-  private boolean responded;
+  private boolean hasResponded;
 
   AdminRequestHandler(AdminServer server, AdminOperations operations) {
     this.server = server;
@@ -39,15 +39,15 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-    if (responded) {
+    if (hasResponded) {
       return;
     }
     if (message.decoderResult().isFailure()) {
       respond(ctx, HttpResponseStatus.BAD_REQUEST, "not an HTTP/1.1 call that can be read\n");
       return;
     }
-    if (message instanceof HttpRequest head) {
-      request = head;
+    if (message instanceof HttpRequest requestHead) {
+      request = requestHead;
     }
     if (message instanceof HttpContent content) {
       bodyBytes += content.content().readableBytes();
@@ -73,16 +73,16 @@
     }
     switch (path) {
       case "/api/ready" -> {
-        if (hasMethod(ctx, HttpMethod.GET)) {
-          boolean ready = operations.isReady();
+        if (checkMethod(ctx, HttpMethod.GET)) {
+          boolean isReady = operations.isReady();
           respond(
               ctx,
-              ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-              ready ? "ready\n" : "not ready\n");
+              isReady ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+              isReady ? "ready\n" : "not ready\n");
         }
       }
       case "/api/telemetry" -> {
-        if (hasMethod(ctx, HttpMethod.GET)) {
+        if (checkMethod(ctx, HttpMethod.GET)) {
           respond(ctx, HttpResponseStatus.OK, PrometheusExposition.of(operations.telemetry()));
         }
       }
@@ -92,7 +92,7 @@
     }
   }
 
-  private boolean hasMethod(ChannelHandlerContext ctx, HttpMethod method) {
+  private boolean checkMethod(ChannelHandlerContext ctx, HttpMethod method) {
     if (request.method().equals(method)) {
       return true;
     }
@@ -101,24 +101,26 @@
     return false;
   }
 
-  private void exclude(ChannelHandlerContext ctx, List<String> members, boolean excluded) {
-    if (!hasMethod(ctx, HttpMethod.PUT)) {
+  private void exclude(ChannelHandlerContext ctx, List<String> members, boolean isExcluded) {
+    if (!checkMethod(ctx, HttpMethod.PUT)) {
       return;
     }
     if (members.size() != 1
         || members.get(0).isEmpty()
-        || members.get(0).length() > MAX_MEMBER_LENGTH) {
+        || members.get(0).length() > MAX_MEMBER_ID_LENGTH) {
       respond(ctx, HttpResponseStatus.BAD_REQUEST, "one member=ID is needed\n");
       return;
     }
     String member = members.get(0);
     AdminOperations.Revocable command =
         operations.exclude(
-            member, excluded, result -> ctx.executor().execute(() -> respondWith(ctx, result)));
+            member,
+            isExcluded,
+            result -> ctx.executor().execute(() -> respondWithResult(ctx, result)));
     ctx.executor()
         .schedule(
             () -> {
-              if (!responded && command.revoke()) {
+              if (!hasResponded && command.revoke()) {
                 respond(
                     ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "too busy: nothing was done\n");
               }
@@ -127,7 +129,7 @@
             TimeUnit.MILLISECONDS);
   }
 
-  private void respondWith(ChannelHandlerContext ctx, AdminOperations.Result result) {
+  private void respondWithResult(ChannelHandlerContext ctx, AdminOperations.Result result) {
     switch (result) {
       case DONE -> respond(ctx, HttpResponseStatus.OK, "done\n");
       case UNKNOWN_MEMBER -> respond(ctx, HttpResponseStatus.NOT_FOUND, "no such member\n");
@@ -141,11 +143,11 @@
   }
 
   private void respond(
-      ChannelHandlerContext ctx, HttpResponseStatus status, String text, HttpMethod allowed) {
-    if (responded) {
+      ChannelHandlerContext ctx, HttpResponseStatus status, String text, HttpMethod allowedMethod) {
+    if (hasResponded) {
       return;
     }
-    responded = true;
+    hasResponded = true;
     server.requestComplete(ctx.channel());
     var response =
         new DefaultFullHttpResponse(
@@ -155,8 +157,8 @@
         .set(HttpHeaderNames.CONTENT_TYPE, PrometheusExposition.CONTENT_TYPE)
         .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
         .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    if (allowed != null) {
-      response.headers().set(HttpHeaderNames.ALLOW, allowed.name());
+    if (allowedMethod != null) {
+      response.headers().set(HttpHeaderNames.ALLOW, allowedMethod.name());
     }
     ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
   }
--- a/engine/src/main/java/shalepaddle/admin/AdminServer.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminServer.java
@@ -18,21 +18,21 @@
 import shalepaddle.sockets.TcpListener;
 
 /**
- * The admin server: HTTP/1.1, one request to a connection, on an event loop and a thread of its
- * own, so that a flood of client requests never delays a response.
+ * The admin server: HTTP/1.1 with one request per connection, on a separate event loop and thread,
+ * so that a flood of client requests never delays a response.
  *
- * <p>Bounded in connections, in the bytes of a request, and in its time. Past {@link
- * #MAX_CONNECTIONS} the connection that has waited longest for its complete request is closed, so
- * that silent callers cannot block others. Cost: with more callers than that in the middle of a
- * request, one of them is closed.
+ * <p>Limits the number of connections, and the size and duration of a request. If {@link
+ * #MAX_CONNECTIONS} are open, a new connection closes the oldest one whose request is incomplete,
+ * or the oldest of all if there is none, so that silent callers cannot block others. Cost: with
+ * more concurrent callers than {@link #MAX_CONNECTIONS}, a connection in use is closed.
  */
 public final class AdminServer implements AutoCloseable {
   static final int MAX_CONNECTIONS = 16;
 
-  /** How long a connection lasts, from its begin to the end of the response. */
-  static final long CONNECTION_MILLIS = 5000;
+  /** The maximum duration of a connection, from its accept to the end of the response. */
+  static final long MAX_CONNECTION_MILLIS = 5000;
 
-  /** How long the node's event loop has for a command; a response is due within a second. */
+  /** The time limit for a command on the node's event loop; a response is due within 1 s. */
   static final long COMMAND_MILLIS = 800;
 
   private static final int MAX_LINE_BYTES = 1024;
@@ -44,16 +44,16 @@
   private final Channel listener;
 
   /** Connections without a complete request, the oldest first. */
-  private final Set<Channel> incomplete = new LinkedHashSet<>();
+  private final Set<Channel> callersSendingRequest = new LinkedHashSet<>();
 
   /** Connections with a complete request, the oldest first. */
-  private final Set<Channel> complete = new LinkedHashSet<>();
+  private final Set<Channel> callersAwaitingResponse = new LinkedHashSet<>();
 
   /**
    * Opens the server.
    *
-   * @param operations what its requests call
-   * @throws IOException if it cannot listen there, with the address
+   * @param operations the operations that requests call
+   * @throws IOException if the server cannot listen at the address, which the message names
    */
   public AdminServer(
       InetSocketAddress address, ByteBufAllocator allocator, AdminOperations operations)
@@ -62,7 +62,7 @@
     group =
         new MultiThreadIoEventLoopGroup(
             1, new DefaultThreadFactory("admin-server", true), NioIoHandler.newFactory());
-    ChannelFuture bound =
+    ChannelFuture bindFuture =
         new ServerBootstrap()
             .group(group)
             .channel(TcpListener.class)
@@ -79,50 +79,51 @@
                 })
             .bind(address)
             .await();
-    listener = bound.channel();
-    if (!bound.isSuccess()) {
+    listener = bindFuture.channel();
+    if (!bindFuture.isSuccess()) {
       group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
       throw new IOException(
-          "cannot listen on " + address + " for management: " + bound.cause().getMessage());
+          "cannot listen on " + address + " for management: " + bindFuture.cause().getMessage());
     }
   }
 
-  /** Where it listens. */
+  /** The address on which the server listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.localAddress();
   }
 
   private void accept(Channel caller) {
-    if (incomplete.size() + complete.size() >= MAX_CONNECTIONS) {
-      Set<Channel> evictable = incomplete.isEmpty() ? complete : incomplete;
-      Channel oldest = evictable.iterator().next();
-      evictable.remove(oldest);
-      oldest.close();
+    if (callersSendingRequest.size() + callersAwaitingResponse.size() >= MAX_CONNECTIONS) {
+      Set<Channel> evictableCallers =
+          callersSendingRequest.isEmpty() ? callersAwaitingResponse : callersSendingRequest;
+      Channel oldestCaller = evictableCallers.iterator().next();
+      evictableCallers.remove(oldestCaller);
+      oldestCaller.close();
     }
-    incomplete.add(caller);
+    callersSendingRequest.add(caller);
     caller
         .closeFuture()
         .addListener(
             closed -> {
-              incomplete.remove(caller);
-              complete.remove(caller);
+              callersSendingRequest.remove(caller);
+              callersAwaitingResponse.remove(caller);
             });
     caller
         .pipeline()
         .addLast(
             new HttpServerCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES),
             new AdminRequestHandler(this, operations));
-    caller.eventLoop().schedule(() -> caller.close(), CONNECTION_MILLIS, TimeUnit.MILLISECONDS);
+    caller.eventLoop().schedule(() -> caller.close(), MAX_CONNECTION_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** The request of this connection is complete. */
+  /** Records that the request of this connection is complete. */
   void requestComplete(Channel caller) {
-    if (incomplete.remove(caller)) {
-      complete.add(caller);
+    if (callersSendingRequest.remove(caller)) {
+      callersAwaitingResponse.add(caller);
     }
   }
 
-  /** Closes it with all connections; waits for its thread. */
+  /** Closes the server and all connections, and waits for its event loop to end. */
   @Override
   public void close() {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
--- a/engine/src/main/java/shalepaddle/admin/Telemetry.java
+++ b/engine/src/main/java/shalepaddle/admin/Telemetry.java
@@ -6,12 +6,13 @@
 /**
  * The metrics of one process at one moment. Immutable.
  *
- * @param requestMetrics what became of requests and attempts
- * @param events how often each event was counted
- * @param discovered cache servers in the list
- * @param ejected those of them that receive no new requests now, ejected or excluded
- * @param reloadsApplied configurations that were applied at SIGHUP
- * @param reloadsRejected those that were rejected
+ * @param requestMetrics the counts of requests and attempts by outcome
+ * @param events the counts of events
+ * @param discovered the number of cache servers in the endpoint list
+ * @param ejected the number of cache servers in the endpoint list that currently receive no new
+ *     requests, since they are ejected or excluded
+ * @param reloadsApplied the number of configurations applied at SIGHUP
+ * @param reloadsRejected the number of configurations rejected at SIGHUP
  */
 public record Telemetry(
     RequestMetricsSnapshot requestMetrics,
--- a/engine/src/main/java/shalepaddle/config/NodeConfig.java
+++ b/engine/src/main/java/shalepaddle/config/NodeConfig.java
@@ -16,15 +16,15 @@
  * The platform's configuration of a node, from the file that {@code ROUTER_CONFIG} names.
  * Immutable.
  *
- * @param listen the address for clients
- * @param adminAddress the address for the admin server, null for none
+ * @param listen the listen address for clients
+ * @param adminAddress the listen address of the admin server, null for none
  * @param discovery the address of the discovery service
- * @param seed for random numbers
- * @param maxDescriptors file descriptors that the process may hold
- * @param memoryMb memory that the process may hold, in MiB
- * @param cores processor time that the process may use, in cores
- * @param knownMembers the list of servers that this node knew last
- * @param settings the settings of the decisions, in the form that the simulator has as well
+ * @param seed the seed of random numbers
+ * @param maxDescriptors the number of file descriptors that the process may open
+ * @param memoryMb the memory that the process may use, in MiB
+ * @param cores the number of cores that the process may use
+ * @param knownMembers the endpoint list that this node knew last
+ * @param settings the settings of the policy, in the same format as for the simulator
  */
 public record NodeConfig(
     InetSocketAddress listen,
@@ -38,47 +38,48 @@
     Settings settings) {
 
   /**
-   * Reads and checks the file of this name.
+   * Reads and validates a file.
    *
-   * @throws FormatException names the file, and what is wrong with it
+   * @throws FormatException if the file cannot be used; the message names the file and the problem
    */
   public static NodeConfig load(String file) throws FormatException {
     return read(file, readJson(file));
   }
 
   /**
-   * Checks the content of the file of this name, as {@link #readJson} returned it.
+   * Validates the content of a file, as returned by {@link #readJson}.
    *
-   * @throws FormatException names the file, and what is wrong with it
+   * @throws FormatException if the file cannot be used; the message names the file and the problem
    */
   public static NodeConfig read(String file, JsonObject content) throws FormatException {
     try {
       return parse(content);
     } catch (FormatException e) {
-      throw inFile(file, e);
+      throw withFileName(file, e);
     }
   }
 
   /**
-   * Reads and checks the file as it is now, for a node that runs.
+   * Reads and validates the current content of a file, for a running node.
    *
-   * @param startupContent what the file contained when the node started: each of its keys is needed
-   * @throws FormatException names the file, and what is wrong with it
+   * @param startupContent the file's content when the node started; the new content must have all
+   *     keys of the content at startup
+   * @throws FormatException if the file cannot be used; the message names the file and the problem
    */
   public static NodeConfig reload(String file, JsonObject startupContent) throws FormatException {
-    JsonObject next = readJson(file);
+    JsonObject newContent = readJson(file);
     try {
-      SettingsUpdateValidator.check(startupContent, next);
+      SettingsUpdateValidator.check(startupContent, newContent);
     } catch (FormatException e) {
-      throw inFile(file, e);
+      throw withFileName(file, e);
     }
-    return read(file, next);
+    return read(file, newContent);
   }
 
   /**
-   * Reads the file of this name, and checks only that it is JSON.
+   * Reads a file, and checks only that it is a JSON object.
    *
-   * @throws FormatException names the file, and what is wrong with it
+   * @throws FormatException if the file cannot be used; the message names the file and the problem
    */
   public static JsonObject readJson(String file) throws FormatException {
     if (file == null || file.isEmpty()) {
@@ -89,15 +90,15 @@
     } catch (IOException | InvalidPathException e) {
       throw new FormatException("cannot read " + file);
     } catch (FormatException e) {
-      throw inFile(file, e);
+      throw withFileName(file, e);
     }
   }
 
-  private static FormatException inFile(String file, FormatException e) {
+  private static FormatException withFileName(String file, FormatException e) {
     return new FormatException(file + ": " + e.getMessage());
   }
 
-  /** A configuration for a start without a platform: local addresses, and no discovery service. */
+  /** A configuration for a start without a platform: local addresses and no discovery service. */
   public static NodeConfig rehearsal() throws FormatException {
     return parse(
         JsonObject.parse(
@@ -115,21 +116,21 @@
   }
 
   /**
-   * Checks a configuration's content.
+   * Validates the content of a configuration.
    *
-   * @throws FormatException if a key is missing or has a wrong value
+   * @throws FormatException if a key is missing or has an invalid value
    */
   public static NodeConfig parse(JsonObject config) throws FormatException {
     JsonObject limits = config.requiredNested("limits");
     Settings settings = SettingsFormat.read(config.requiredNested("settings"));
     if (settings.services().isEmpty()) {
-      throw new FormatException("settings without services");
+      throw new FormatException("settings.services is missing or empty");
     }
     return new NodeConfig(
         MemberList.parseAddress(config.requiredText("listen")),
-        adminAddress(config),
+        readAdminAddress(config),
         MemberList.parseAddress(config.requiredText("discovery")),
-        seed(config.requiredText("seed")),
+        parseSeed(config.requiredText("seed")),
         (int) limits.requiredNumber("sockets"),
         (int) limits.requiredNumber("memory_mb"),
         limits.number("cores", 1),
@@ -137,29 +138,38 @@
         settings);
   }
 
-  private static InetSocketAddress adminAddress(JsonObject config) throws FormatException {
+  private static InetSocketAddress readAdminAddress(JsonObject config) throws FormatException {
     return config.has("management")
         ? MemberList.parseAddress(config.requiredText("management"))
         : null;
   }
 
-  /** The same with this list of servers as the known one. */
+  /** This configuration with another known endpoint list. */
   public NodeConfig withKnownMembers(MemberList list) {
     return new NodeConfig(
         listen, adminAddress, discovery, seed, maxDescriptors, memoryMb, cores, list, settings);
   }
 
-  /** The same with other settings. */
-  public NodeConfig withSettings(Settings next) {
+  /** This configuration with other settings. */
+  public NodeConfig withSettings(Settings newSettings) {
     return new NodeConfig(
-        listen, adminAddress, discovery, seed, maxDescriptors, memoryMb, cores, knownMembers, next);
+        listen,
+        adminAddress,
+        discovery,
+        seed,
+        maxDescriptors,
+        memoryMb,
+        cores,
+        knownMembers,
+        newSettings);
   }
 
   /**
-   * The same with this address for the admin server, which the environment gives one process: it
-   * takes precedence over the file's, which is for the node. Null or empty changes nothing.
+   * This configuration with another address of the admin server, from the environment of a single
+   * process. The address takes precedence over the one in the file, which is shared by all
+   * processes of the node. A null or empty text changes nothing.
    *
-   * @throws FormatException if that is not an IP address and port
+   * @throws FormatException if the text is not an IP address and port
    */
   public NodeConfig withAdminAddress(String address) throws FormatException {
     if (address == null || address.isEmpty()) {
@@ -177,7 +187,7 @@
         settings);
   }
 
-  private static long seed(String text) throws FormatException {
+  private static long parseSeed(String text) throws FormatException {
     try {
       return Long.parseUnsignedLong(text, 16);
     } catch (NumberFormatException e) {
--- a/engine/src/main/java/shalepaddle/hotrestart/HotRestart.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/HotRestart.java
@@ -9,37 +9,45 @@
 import shalepaddle.model.Observation;
 
 /**
- * Exchanges state between the processes of one node while one replaces the other: reads the others'
- * files every {@link #POLL_MILLIS}, and publishes this process's state when it has changed or some
- * time has passed. Thread-safe; polls on a thread of its own from {@link #start} until {@link
- * #close}.
+ * Exchanges state between the processes of one node while one replaces the other: reads the files
+ * of the other processes every {@link #POLL_INTERVAL_MILLIS}, and publishes this process's state on
+ * changes and periodically. Thread-safe; polls on a separate thread from {@link #start} until
+ * {@link #close}.
  */
 public final class HotRestart implements AutoCloseable {
-  /** From the end of one poll to the begin of the next. */
-  static final long POLL_MILLIS = 50;
+  /** The time from the end of one poll to the start of the next. */
+  static final long POLL_INTERVAL_MILLIS = 50;
 
-  /** Polls after which an unchanged state is published again, as a heartbeat: about 0.5 s. */
+  /**
+   * The number of polls after which an unchanged state is published as a heartbeat, about 0.5 s.
+   */
   private static final int HEARTBEAT_POLLS = 10;
 
-  /** Polls between publications of observations while another process starts: about 0.25 s. */
+  /**
+   * The number of polls between publications of observations to a starting process, about 0.25 s.
+   */
   private static final int OBSERVATIONS_POLLS = 5;
 
-  /** Receives the state of the other processes, on the thread that polls. */
+  /** Receives the state of the other processes, on the polling thread. */
   public interface Listener {
     /**
-     * After each poll, also where nothing has changed.
+     * Receives what the other processes have published, after each poll, even if nothing has
+     * changed.
      *
-     * @param exclusions those that the others know
-     * @param partners how many other processes live
-     * @param clients client connections that they hold
-     * @param serverConnections connections to cache servers that they hold
+     * @param exclusions the exclusions that the other processes know
+     * @param processCount the number of other live processes
+     * @param clientConnections the total number of client connections of those processes
+     * @param serverConnections the total number of connections of those processes to cache servers
      */
-    void onPartnersChanged(
-        List<ServerExclusion> exclusions, int partners, int clients, int serverConnections);
+    void onPoll(
+        List<ServerExclusion> exclusions,
+        int processCount,
+        int clientConnections,
+        int serverConnections);
   }
 
   private final ProcessFiles files;
-  private final Supplier<ProcessState> self;
+  private final Supplier<ProcessState> ownState;
   private final Supplier<List<Observation>> observations;
   private final Listener listener;
   private final ScheduledExecutorService poller =
@@ -51,60 +59,68 @@
           });
   private ProcessState lastPublished;
   private int pollsSincePublished;
-  private int pollsWithStartingPartner;
+  private int pollsWhileOtherStarts;
 
   /**
-   * Polls nothing yet.
+   * Creates an instance; polling begins with {@link #start}.
    *
-   * @param self the newest state of this process, from any thread
-   * @param observations what this process has observed lately, from any thread
+   * @param files the files shared with the other processes
+   * @param ownState returns the newest state of this process; called from any thread
+   * @param observations returns this process's latest observations; called from any thread
+   * @param listener receives the state of the other processes
    */
   public HotRestart(
       ProcessFiles files,
-      Supplier<ProcessState> self,
+      Supplier<ProcessState> ownState,
       Supplier<List<Observation>> observations,
       Listener listener) {
     this.observations = observations;
     this.files = files;
-    this.self = self;
+    this.ownState = ownState;
     this.listener = listener;
   }
 
-  /** Begins to poll and to publish. */
+  /** Starts polling and publishing. */
   public void start() {
-    poller.scheduleWithFixedDelay(this::poll, 0, POLL_MILLIS, TimeUnit.MILLISECONDS);
+    poller.scheduleWithFixedDelay(this::poll, 0, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Publishes this process's state and passes that of the others to the listener, as of now. */
+  /** Publishes this process's state, and passes the states of the others to the listener. */
   public synchronized void poll() {
     try {
       publish();
-      Others others = files.readOthers();
-      int clients = 0;
-      int connections = 0;
-      boolean hasStartingPartner = false;
-      for (ProcessState partner : others.partners()) {
-        clients += partner.clients();
-        connections += partner.serverConnections();
-        hasStartingPartner |= partner.stage() == ProcessState.Stage.STARTING;
+      Others otherProcesses = files.readOthers();
+      int clientConnections = 0;
+      int serverConnections = 0;
+      boolean isOtherStarting = false;
+      for (ProcessState other : otherProcesses.partners()) {
+        clientConnections += other.clients();
+        serverConnections += other.serverConnections();
+        isOtherStarting |= other.stage() == ProcessState.Stage.STARTING;
       }
-      listener.onPartnersChanged(
-          others.exclusions(), others.partners().size(), clients, connections);
-      if (hasStartingPartner && self.get().stage() == ProcessState.Stage.READY) {
-        if (pollsWithStartingPartner++ % OBSERVATIONS_POLLS == 0) {
+      listener.onPoll(
+          otherProcesses.exclusions(),
+          otherProcesses.partners().size(),
+          clientConnections,
+          serverConnections);
+      if (isOtherStarting && ownState.get().stage() == ProcessState.Stage.READY) {
+        if (pollsWhileOtherStarts++ % OBSERVATIONS_POLLS == 0) {
           files.publishObservations(observations.get());
         }
       } else {
-        pollsWithStartingPartner = 0;
+        pollsWhileOtherStarts = 0;
       }
     } catch (RuntimeException e) {
-      // A failure must not end the polling; the files log their own.
+      // A failure must not end the polling; ProcessFiles logs its own failures.
     }
   }
 
-  /** Publishes this process's state if it has changed; returns when it is published or failed. */
+  /**
+   * Publishes this process's state if it has changed or a heartbeat is due. Returns when the
+   * publication has completed or failed.
+   */
   public synchronized void publish() {
-    ProcessState state = self.get();
+    ProcessState state = ownState.get();
     if (!state.equals(lastPublished) || ++pollsSincePublished >= HEARTBEAT_POLLS) {
       pollsSincePublished = 0;
       lastPublished = state;
@@ -112,10 +128,10 @@
     }
   }
 
-  /** Whether another process of this node is ready for clients, as of now. */
+  /** Whether another process of this node is currently ready for clients. */
   public boolean isSuccessorReady() {
     return files.readOthers().partners().stream()
-        .anyMatch(partner -> partner.stage() == ProcessState.Stage.READY);
+        .anyMatch(other -> other.stage() == ProcessState.Stage.READY);
   }
 
   @Override
--- a/engine/src/main/java/shalepaddle/hotrestart/ObservationFormat.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ObservationFormat.java
@@ -16,7 +16,7 @@
 
 /**
  * The file format of {@link Observation}s: a JSON array of arrays in a {@link Frame}. Request ids
- * are not stored. Elements that a later version adds at the end of an array are skipped.
+ * are not stored. Elements that a later version appends to the array of an observation are skipped.
  */
 final class ObservationFormat {
   private static final String VERSION = "shalepaddle-seen-1";
@@ -29,14 +29,15 @@
     try (JsonGenerator json = FACTORY.createGenerator(text)) {
       json.writeStartArray();
       for (Observation observation : observations) {
-        write(json, observation);
+        writeObservation(json, observation);
       }
       json.writeEndArray();
     }
     return Frame.wrap(VERSION, text.toString());
   }
 
-  private static void write(JsonGenerator json, Observation observation) throws IOException {
+  private static void writeObservation(JsonGenerator json, Observation observation)
+      throws IOException {
     Request request = observation.request();
     Outcome outcome = observation.outcome();
     json.writeStartArray();
@@ -67,7 +68,7 @@
             load.extra0(),
             load.extra1()
           }) {
-        json.writeNumber(value); // As text where it is not finite.
+        json.writeNumber(value); // The generator writes a value that is not finite as a string.
       }
     }
     json.writeEndArray();
@@ -75,56 +76,66 @@
 
   static List<Observation> read(byte[] file) throws FormatException {
     try (JsonParser json = FACTORY.createParser(Frame.unwrap(VERSION, file))) {
-      expect(json, JsonToken.START_ARRAY);
+      requireToken(json, JsonToken.START_ARRAY);
       List<Observation> observations = new ArrayList<>();
       while (json.nextToken() != JsonToken.END_ARRAY) {
-        observations.add(observation(json));
+        observations.add(readObservation(json));
       }
       return observations;
     } catch (IOException | IllegalArgumentException e) {
-      throw new FormatException("not what it should be: " + e.getMessage());
+      throw new FormatException("malformed observations: " + e.getMessage());
     }
   }
 
-  private static Observation observation(JsonParser json) throws IOException {
-    double endedAt = number(json);
+  private static Observation readObservation(JsonParser json) throws IOException {
+    double endedAtSeconds = readNumber(json);
     json.nextToken();
     long server = json.getLongValue();
     Outcome.Result result = resultOf(json.nextTextValue());
     Outcome.CacheStatus cacheStatus = Outcome.CacheStatus.valueOf(json.nextTextValue());
-    double elapsed = number(json);
-    double stalled = number(json);
+    double elapsedSeconds = readNumber(json);
+    double stalledSeconds = readNumber(json);
     String key = json.nextTextValue();
     String service = json.nextTextValue();
     String tenant = json.nextTextValue();
-    double budget = number(json);
-    double work = number(json);
-    double size = number(json);
-    boolean repeat = Boolean.TRUE.equals(json.nextBooleanValue());
-    boolean write = Boolean.TRUE.equals(json.nextBooleanValue());
+    double budgetSeconds = readNumber(json);
+    double workSeconds = readNumber(json);
+    double sizeBytes = readNumber(json);
+    boolean isRetry = Boolean.TRUE.equals(json.nextBooleanValue());
+    boolean isWrite = Boolean.TRUE.equals(json.nextBooleanValue());
     LoadReport load = null;
     if (json.nextToken() != JsonToken.END_ARRAY) {
       load =
           new LoadReport(
-              currentNumber(json),
-              number(json),
-              number(json),
-              number(json),
-              number(json),
-              number(json),
-              number(json),
-              number(json));
+              readCurrentNumber(json),
+              readNumber(json),
+              readNumber(json),
+              readNumber(json),
+              readNumber(json),
+              readNumber(json),
+              readNumber(json),
+              readNumber(json));
       while (json.nextToken() != JsonToken.END_ARRAY) {
         json.skipChildren();
       }
     }
     return new Observation(
-        endedAt,
-        new Request("", key, service, tenant, budget, work, size, repeat, write),
-        new Outcome("", 0, server, result, elapsed, stalled, true, cacheStatus, load));
+        endedAtSeconds,
+        new Request(
+            "",
+            key,
+            service,
+            tenant,
+            budgetSeconds,
+            workSeconds,
+            sizeBytes,
+            isRetry,
+            isWrite),
+        new Outcome(
+            "", 0, server, result, elapsedSeconds, stalledSeconds, true, cacheStatus, load));
   }
 
-  /** The name of a result in the file, the same in all versions of the program. */
+  /** The name of a result in the file, which is the same in all versions of the program. */
   private static String storedName(Outcome.Result result) {
     return switch (result) {
       case SERVER_BUSY -> "FULL";
@@ -137,7 +148,7 @@
   }
 
   /**
-   * The result of a name in the file.
+   * The result with this name in the file.
    *
    * @throws IllegalArgumentException if no result has this name
    */
@@ -150,18 +161,18 @@
     throw new IllegalArgumentException("unknown result '" + storedName + "'");
   }
 
-  private static void expect(JsonParser json, JsonToken token) throws IOException {
+  private static void requireToken(JsonParser json, JsonToken token) throws IOException {
     if (json.nextToken() != token) {
-      throw new IOException("no " + token);
+      throw new IOException("expected " + token);
     }
   }
 
-  private static double number(JsonParser json) throws IOException {
+  private static double readNumber(JsonParser json) throws IOException {
     json.nextToken();
-    return currentNumber(json);
+    return readCurrentNumber(json);
   }
 
-  private static double currentNumber(JsonParser json) throws IOException {
+  private static double readCurrentNumber(JsonParser json) throws IOException {
     return json.currentToken() == JsonToken.VALUE_STRING
         ? Double.parseDouble(json.getText())
         : json.getDoubleValue();
--- a/engine/src/main/java/shalepaddle/hotrestart/ProcessFiles.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ProcessFiles.java
@@ -17,98 +17,108 @@
 import shalepaddle.settings.FormatException;
 
 /**
- * The files by which the processes of one node publish their state to each other, in a folder that
- * they share. Each process writes its own files and reads the others'; a file is replaced
+ * The files in a shared folder by which the processes of one node publish their state to each
+ * other. Each process writes its own files and reads those of the others; a file is replaced
  * atomically, by a rename.
  *
- * <p>No process waits for another. A file that cannot be read is skipped. Of a process that has
- * ended, or was silent for {@link #SILENT_MILLIS}, only the operators' exclusions count. Reads at
- * most {@link #MAX_FILES} files of {@link #MAX_FILE_BYTES} each. Thread-safe; all methods block for
- * the file system.
+ * <p>No process waits for another. A file that cannot be read is skipped. If a process has ended,
+ * or has not written its file for {@link #SILENT_MILLIS}, only its exclusions are used. At most
+ * {@link #MAX_FILES} files of at most {@link #MAX_FILE_BYTES} are read. Thread-safe; all methods
+ * block on the file system.
  */
 public final class ProcessFiles {
-  /** A process that lives writes its file several times in this. */
+  /** A process that has not written its file for this time is ignored; others write sooner. */
   static final long SILENT_MILLIS = 2000;
 
   private static final int MAX_FILES = 16;
   private static final long MAX_FILE_BYTES = 1 << 20;
-  private static final String PREFIX = "shalepaddle-";
-  private static final String SUFFIX = ".process";
+  private static final String FILE_PREFIX = "shalepaddle-";
+  private static final String STATE_SUFFIX = ".process";
   private static final String OBSERVATIONS_SUFFIX = ".seen";
 
   private final Path folder;
   private final long pid;
-  private final LongSupplier wallMillis;
+  private final LongSupplier wallClockMillis;
   private final LongPredicate isAlive;
   private final Consumer<String> log;
   private final List<String> loggedFailures = new ArrayList<>();
 
   /**
-   * The files of one process.
+   * Creates the files of one process.
    *
-   * @param pid its own process id
-   * @param wallMillis the time since 1970, as in the modification times of files
-   * @param isAlive whether there is a process of that id
+   * @param folder the folder that the processes share
+   * @param pid the id of this process
+   * @param wallClockMillis returns the wall-clock time in milliseconds since 1970, comparable with
+   *     the modification times of files
+   * @param isAlive returns whether a process with this id exists
    * @param log receives one line for each new failure
    */
   public ProcessFiles(
-      Path folder, long pid, LongSupplier wallMillis, LongPredicate isAlive, Consumer<String> log) {
+      Path folder,
+      long pid,
+      LongSupplier wallClockMillis,
+      LongPredicate isAlive,
+      Consumer<String> log) {
     this.folder = folder;
     this.pid = pid;
-    this.wallMillis = wallMillis;
+    this.wallClockMillis = wallClockMillis;
     this.isAlive = isAlive;
     this.log = log;
   }
 
-  private Path stateFile(long process) {
-    return folder.resolve(PREFIX + process + SUFFIX);
+  private Path stateFile(long processId) {
+    return folder.resolve(FILE_PREFIX + processId + STATE_SUFFIX);
   }
 
-  private Path observationsFile(long process) {
-    return folder.resolve(PREFIX + process + OBSERVATIONS_SUFFIX);
+  private Path observationsFile(long processId) {
+    return folder.resolve(FILE_PREFIX + processId + OBSERVATIONS_SUFFIX);
   }
 
-  /** Publishes the state of this process; false, with a line in the log, if that fails. */
+  /** Publishes the state of this process; logs a failure and returns false. */
   public synchronized boolean publish(ProcessState state) {
-    return replace(stateFile(pid), () -> StateFormat.write(state));
+    return replaceFile(stateFile(pid), () -> StateFormat.write(state));
   }
 
-  /** Publishes observations for a process that starts; false if that fails. */
+  /** Publishes observations for a starting process; logs a failure and returns false. */
   public synchronized boolean publishObservations(List<Observation> observations) {
-    return replace(observationsFile(pid), () -> ObservationFormat.write(observations));
+    return replaceFile(observationsFile(pid), () -> ObservationFormat.write(observations));
   }
 
   private interface Content {
     byte[] bytes() throws IOException;
   }
 
-  private boolean replace(Path file, Content content) {
-    Path next = folder.resolve(PREFIX + pid + ".next");
+  private boolean replaceFile(Path file, Content content) {
+    Path temporaryFile = folder.resolve(FILE_PREFIX + pid + ".next");
     try {
       byte[] bytes = content.bytes();
       if (bytes.length > MAX_FILE_BYTES) {
-        throw new IOException(bytes.length + " bytes are too many");
+        throw new IOException(bytes.length + " bytes exceed the limit of " + MAX_FILE_BYTES);
       }
-      Files.write(next, bytes);
-      Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+      Files.write(temporaryFile, bytes);
+      Files.move(
+          temporaryFile,
+          file,
+          StandardCopyOption.ATOMIC_MOVE,
+          StandardCopyOption.REPLACE_EXISTING);
       return true;
     } catch (IOException e) {
-      logOnce("cannot tell other processes of this node: " + e);
+      logOnce("cannot publish to other processes of this node: " + e);
       return false;
     }
   }
 
   /**
-   * Reads and removes the observations that living processes have published: they are for one
-   * start. Empty where none can be read.
+   * Reads the observations that live processes have published, and removes their files: they are
+   * published for a single starting process. Returns an empty list if no file can be read.
    */
   public synchronized List<Observation> takeObservations() {
-    List<Observation> all = new ArrayList<>();
-    for (ProcessState partner : readOthers().partners()) {
-      Path file = observationsFile(partner.pid());
+    List<Observation> allObservations = new ArrayList<>();
+    for (ProcessState other : readOthers().partners()) {
+      Path file = observationsFile(other.pid());
       try {
         if (Files.exists(file) && Files.size(file) <= MAX_FILE_BYTES) {
-          all.addAll(ObservationFormat.read(Files.readAllBytes(file)));
+          allObservations.addAll(ObservationFormat.read(Files.readAllBytes(file)));
           Files.deleteIfExists(file);
         }
       } catch (FormatException e) {
@@ -117,17 +127,17 @@
         logOnce(file.getFileName() + ": " + e);
       }
     }
-    return all;
+    return allObservations;
   }
 
   /**
-   * What the other processes have published.
+   * The data that the other processes have published.
    *
-   * @param partners the state of those that live
-   * @param exclusions operators' exclusions, also from processes that have ended
+   * @param partners the states of the live processes
+   * @param exclusions operators' exclusions, including those from processes that have ended
    */
   public record Others(List<ProcessState> partners, List<ServerExclusion> exclusions) {
-    /** The newest list that a living process has, null if there is none. */
+    /** The newest endpoint list of a live process, null if there is none. */
     public MemberList newestMemberList() {
       return partners.stream()
           .map(ProcessState::list)
@@ -137,61 +147,64 @@
     }
   }
 
-  /** Reads what the others have published; removes files of processes that have ended. */
+  /** Reads the files of the other processes; removes files of processes that have ended. */
   public synchronized Others readOthers() {
-    List<ProcessState> partners = new ArrayList<>();
+    List<ProcessState> liveProcesses = new ArrayList<>();
     List<ServerExclusion> exclusions = new ArrayList<>();
-    try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*" + SUFFIX)) {
-      int count = 0;
+    try (DirectoryStream<Path> files =
+        Files.newDirectoryStream(folder, FILE_PREFIX + "*" + STATE_SUFFIX)) {
+      int fileCount = 0;
       for (Path file : files) {
-        if (!file.equals(stateFile(pid)) && ++count <= MAX_FILES) {
-          readOther(file, partners, exclusions);
+        if (!file.equals(stateFile(pid)) && ++fileCount <= MAX_FILES) {
+          readStateFile(file, liveProcesses, exclusions);
         }
       }
     } catch (IOException e) {
-      logOnce("cannot look for other processes of this node: " + e);
+      logOnce("cannot list the files of other processes of this node: " + e);
     }
-    return new Others(partners, exclusions);
+    return new Others(liveProcesses, exclusions);
   }
 
-  /** Reads one file, and adds to the lists what it contains. */
-  private void readOther(Path file, List<ProcessState> partners, List<ServerExclusion> exclusions) {
+  /** Reads the state file of another process, and adds its content to the lists. */
+  private void readStateFile(
+      Path file, List<ProcessState> liveProcesses, List<ServerExclusion> exclusions) {
     try {
       if (Files.size(file) > MAX_FILE_BYTES) {
-        throw new FormatException("too long");
+        throw new FormatException("longer than " + MAX_FILE_BYTES + " bytes");
       }
-      long silentMillis = wallMillis.getAsLong() - Files.getLastModifiedTime(file).toMillis();
+      long sinceWrittenMillis =
+          wallClockMillis.getAsLong() - Files.getLastModifiedTime(file).toMillis();
       ProcessState state = StateFormat.read(Files.readAllBytes(file));
       exclusions.addAll(state.exclusions());
       if (!isAlive.test(state.pid())) {
-        removeFilesOfEnded(file, state, silentMillis);
-      } else if (silentMillis < SILENT_MILLIS) {
-        partners.add(state);
+        removeFilesOfEndedProcess(file, state, sinceWrittenMillis);
+      } else if (sinceWrittenMillis < SILENT_MILLIS) {
+        liveProcesses.add(state);
       }
     } catch (FormatException e) {
       logOnce(file.getFileName() + ": " + e.getMessage());
     } catch (IOException e) {
-      // Replaced or removed at this moment: it is read at the next poll.
+      // The file is being replaced or removed; the next poll reads it.
     }
   }
 
   /**
-   * Removes the files of a process that has ended; one with exclusions only when the other
-   * processes have had time to read and publish them.
+   * Removes the files of a process that has ended. A file with exclusions is removed only after the
+   * other processes have had time to read and publish them.
    */
-  private void removeFilesOfEnded(Path file, ProcessState state, long silentMillis)
+  private void removeFilesOfEndedProcess(Path file, ProcessState state, long sinceWrittenMillis)
       throws IOException {
     Files.deleteIfExists(observationsFile(state.pid()));
-    if (state.exclusions().isEmpty() || silentMillis > 2 * SILENT_MILLIS) {
+    if (state.exclusions().isEmpty() || sinceWrittenMillis > 2 * SILENT_MILLIS) {
       Files.deleteIfExists(file);
     }
   }
 
-  /** Logs each failure once: a file that is unreadable now is unreadable at the next poll. */
-  private void logOnce(String text) {
-    if (loggedFailures.size() < MAX_FILES && !loggedFailures.contains(text)) {
-      loggedFailures.add(text);
-      log.accept(text);
+  /** Logs each failure once, since an unreadable file fails again at each poll. */
+  private void logOnce(String message) {
+    if (loggedFailures.size() < MAX_FILES && !loggedFailures.contains(message)) {
+      loggedFailures.add(message);
+      log.accept(message);
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/hotrestart/ProcessState.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ProcessState.java
@@ -4,14 +4,14 @@
 import shalepaddle.membership.MemberList;
 
 /**
- * What one process of a node publishes to the others about itself. Immutable.
+ * The state that one process of a node publishes to the others. Immutable.
  *
- * @param pid its process id
- * @param stage what it does for clients now
- * @param clients its open client connections
- * @param serverConnections its open connections to cache servers
- * @param exclusions operators' exclusions and inclusions that it knows
- * @param list the complete list of servers that it knows, null if it has none yet
+ * @param pid the process id
+ * @param stage the stage of the process's service to clients
+ * @param clients the number of the process's open client connections
+ * @param serverConnections the number of the process's open connections to cache servers
+ * @param exclusions the operators' exclusions and inclusions that the process knows
+ * @param list the complete endpoint list that the process knows, null if it has no list yet
  */
 public record ProcessState(
     long pid,
@@ -20,7 +20,7 @@
     int serverConnections,
     List<ServerExclusion> exclusions,
     MemberList list) {
-  /** What a process does for clients. */
+  /** The stage of a process's service to clients. */
   public enum Stage {
     STARTING,
     READY,
--- a/engine/src/main/java/shalepaddle/hotrestart/ServerExclusions.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ServerExclusions.java
@@ -7,39 +7,42 @@
 import java.util.Map;
 
 /**
- * The latest exclusion or inclusion of each server, whichever process of the node received it.
- * Merging is commutative, associative and idempotent (a map of last-writer-wins registers): two
- * processes that read each other's records in any order, once or often, have the same in the end.
+ * The latest exclusion or inclusion of each server, received by any process of the node. Merging is
+ * commutative, associative and idempotent (a map of last-writer-wins registers): processes that
+ * read each other's records converge, regardless of the order and the number of reads.
  *
- * <p>Bounded: past {@link #MAX_EXCLUSIONS} the oldest inclusion is removed, which only matters for
- * a process that has not read it yet. Not thread-safe.
+ * <p>Above {@link #MAX_EXCLUSIONS} entries the oldest inclusion is removed, which affects only
+ * processes that have not read it yet. Not thread-safe.
  */
 public final class ServerExclusions {
   private static final int MAX_EXCLUSIONS = 4096;
 
-  private final Map<Long, ServerExclusion> latest = new LinkedHashMap<>();
+  private final Map<Long, ServerExclusion> latestByServer = new LinkedHashMap<>();
 
-  /** Records one; returns whether it changes what is in force. */
+  /** Records an exclusion or inclusion; returns whether the server's state changes. */
   public boolean record(ServerExclusion exclusion) {
-    ServerExclusion before = latest.get(exclusion.server());
-    if (!exclusion.supersedes(before)) {
+    ServerExclusion previous = latestByServer.get(exclusion.server());
+    if (!exclusion.supersedes(previous)) {
       return false;
     }
-    latest.remove(exclusion.server());
-    latest.put(exclusion.server(), exclusion);
-    if (latest.size() > MAX_EXCLUSIONS) {
-      latest.values().stream()
-          .filter(old -> !old.excluded())
+    latestByServer.remove(exclusion.server());
+    latestByServer.put(exclusion.server(), exclusion);
+    if (latestByServer.size() > MAX_EXCLUSIONS) {
+      latestByServer.values().stream()
+          .filter(entry -> !entry.excluded())
           .findFirst()
-          .ifPresent(old -> latest.remove(old.server()));
+          .ifPresent(entry -> latestByServer.remove(entry.server()));
     }
-    return before == null ? exclusion.excluded() : before.excluded() != exclusion.excluded();
+    return previous == null ? exclusion.excluded() : previous.excluded() != exclusion.excluded();
   }
 
-  /** Records those of another process; returns those that change what is in force. */
-  public List<ServerExclusion> merge(Collection<ServerExclusion> others) {
+  /**
+   * Records the exclusions and inclusions that another process knows; returns those records
+   * that change a server's state.
+   */
+  public List<ServerExclusion> merge(Collection<ServerExclusion> otherExclusions) {
     List<ServerExclusion> changes = new ArrayList<>();
-    for (ServerExclusion exclusion : others) {
+    for (ServerExclusion exclusion : otherExclusions) {
       if (record(exclusion)) {
         changes.add(exclusion);
       }
@@ -47,8 +50,8 @@
     return changes;
   }
 
-  /** The latest of each server, those recorded first in front. */
+  /** The latest exclusion or inclusion of each server, in the order in which they were recorded. */
   public List<ServerExclusion> all() {
-    return List.copyOf(latest.values());
+    return List.copyOf(latestByServer.values());
   }
 }
--- a/engine/src/main/java/shalepaddle/hotrestart/StateFormat.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/StateFormat.java
@@ -40,7 +40,7 @@
         json.writeNumberField("version", state.list().version());
         json.writeArrayFieldStart("servers");
         for (MemberList.Member member : state.list().members()) {
-          write(json, member);
+          writeMember(json, member);
         }
         json.writeEndArray();
       }
@@ -49,7 +49,8 @@
     return Frame.wrap(VERSION, text.toString());
   }
 
-  private static void write(JsonGenerator json, MemberList.Member member) throws IOException {
+  private static void writeMember(JsonGenerator json, MemberList.Member member)
+      throws IOException {
     ServerEntry entry = member.entry();
     InetSocketAddress address = (InetSocketAddress) member.address();
     json.writeStartObject();
@@ -81,26 +82,26 @@
           (int) json.requiredInteger("clients"),
           (int) json.requiredInteger("connections"),
           List.copyOf(exclusions),
-          json.has("servers") ? list(json) : null);
+          json.has("servers") ? readList(json) : null);
     } catch (IllegalArgumentException e) {
       throw new FormatException(e.getMessage());
     }
   }
 
-  private static MemberList list(JsonObject json) throws FormatException {
+  private static MemberList readList(JsonObject json) throws FormatException {
     List<MemberList.Member> members = new ArrayList<>();
-    for (JsonObject line : json.objects("servers")) {
+    for (JsonObject server : json.objects("servers")) {
       members.add(
           new MemberList.Member(
               new ServerEntry(
-                  line.requiredInteger("server"),
-                  line.requiredText("zone"),
-                  line.requiredText("kind"),
-                  (int) line.requiredInteger("cell"),
-                  ServerEntry.State.valueOf(line.requiredText("state")),
-                  line.requiredNumber("weight"),
-                  line.requiredNumber("started")),
-              MemberList.parseAddress(line.requiredText("addr"))));
+                  server.requiredInteger("server"),
+                  server.requiredText("zone"),
+                  server.requiredText("kind"),
+                  (int) server.requiredInteger("cell"),
+                  ServerEntry.State.valueOf(server.requiredText("state")),
+                  server.requiredNumber("weight"),
+                  server.requiredNumber("started")),
+              MemberList.parseAddress(server.requiredText("addr"))));
     }
     return new MemberList(true, json.requiredInteger("version"), List.copyOf(members));
   }
--- a/engine/src/main/java/shalepaddle/membership/DiscoveryCall.java
+++ b/engine/src/main/java/shalepaddle/membership/DiscoveryCall.java
@@ -27,20 +27,20 @@
 import shalepaddle.sockets.ConnectCompletion;
 
 /**
- * One HTTP call to discovery and its answer, a stream of lists. It ends once: with a failure, with
- * the connection, or by {@link #close}. On the event loop alone.
+ * One HTTP request to discovery and its response, a stream of lists. The call ends once: by a
+ * failure, when the connection is closed, or by {@link #close}. Used on the event loop only.
  */
 final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject> {
-  private static final String PATH = "/catalog/members";
+  private static final String MEMBERS_PATH = "/catalog/members";
 
   /**
-   * How long discovery may be silent. A watch carries at least an empty line every 2 s, and a poll
-   * is queued for about as long. The node has to follow a list 6 s after its watch fell silent: a
-   * backoff and another queued call fit into that.
+   * How long discovery may send nothing. A watch carries at least an empty line every 2 s, and a
+   * poll is queued for about 2 s. The node has to follow a list again within 6 s after its watch
+   * became silent, which leaves time for a backoff and another queued call.
    */
   private static final long MAX_SILENCE_MILLIS = 3250;
 
-  /** Receives the lists of a call and its end; {@link #onEnd} is the last notification. */
+  /** Receives the lists of a call, and finally the end of the call in {@link #onEnd}. */
   interface Observer {
     void onList(MemberList list);
 
@@ -51,25 +51,26 @@
   /**
    * Why a call ended.
    *
-   * @param reason for the log
-   * @param isConnectionClosed whether the service closed the connection, without an error
-   * @param mayRetryAtOnce whether another call needs no backoff, since this one took long enough
+   * @param reason the reason to log
+   * @param isConnectionClosed whether the service closed the connection without an error
+   * @param mayRetryAtOnce whether the next call needs no backoff, since this call ended by its
+   *     time limit
    */
   record End(String reason, boolean isConnectionClosed, boolean mayRetryAtOnce) {}
 
   /**
-   * How long a call waits, in milliseconds.
+   * The time limits of a call.
    *
-   * @param connectMillis for its connection
-   * @param answerMillis for the begin of the answer
+   * @param connectTimeoutMillis the time limit of the connection attempt, in milliseconds
+   * @param answerTimeoutMillis the time limit of the start of the response, in milliseconds
    */
-  record Limits(long connectMillis, long answerMillis) {
-    /** A call that is queued at the service until the list changes. */
-    static Limits ofPoll(long connectMillis) {
-      return new Limits(connectMillis, MAX_SILENCE_MILLIS);
+  record Limits(long connectTimeoutMillis, long answerTimeoutMillis) {
+    /** The limits of a call that is queued at the service until the list changes. */
+    static Limits ofPoll(long connectTimeoutMillis) {
+      return new Limits(connectTimeoutMillis, MAX_SILENCE_MILLIS);
     }
 
-    /** A call to an agent, which answers at once. */
+    /** The limits of a call to an agent, which responds at once. */
     static Limits ofWatch(long agentTimeoutMillis) {
       return new Limits(agentTimeoutMillis, agentTimeoutMillis);
     }
@@ -81,17 +82,17 @@
   private final long knownVersion;
   private final Limits limits;
   private final Observer observer;
-  private final MemberListDecoder lists;
+  private final MemberListDecoder listDecoder;
   private final Channel channel;
 
   /**
-   * The time of the latest data. Not {@link LoopClock#activeNanos}: the kernel receives during a
-   * stall.
+   * When the latest data was received, in nanoseconds of the event loop's time. The time includes
+   * stalls, unlike {@link LoopClock#activeNanos}, since the kernel receives data during a stall.
    */
-  private long receivedAt;
+  private long receivedAtNanos;
 
-  private boolean answerBegun;
-  private boolean ended;
+  private boolean hasResponseStarted;
+  private boolean hasEnded;
 
   DiscoveryCall(
       Bootstrap bootstrap,
@@ -108,37 +109,37 @@
     this.knownVersion = knownVersion;
     this.limits = limits;
     this.observer = observer;
-    receivedAt = clock.now();
-    lists = new MemberListDecoder(() -> receivedAt);
-    var connecting = bootstrap.clone().handler(pipeline()).connect(address);
-    channel = connecting.channel();
-    timers.limitConnect(connecting, limits.connectMillis() * 1_000_000);
+    receivedAtNanos = clock.now();
+    listDecoder = new MemberListDecoder(() -> receivedAtNanos);
+    var connectFuture = bootstrap.clone().handler(channelInitializer()).connect(address);
+    channel = connectFuture.channel();
+    timers.limitConnect(connectFuture, limits.connectTimeoutMillis() * 1_000_000);
     ConnectCompletion.whenDone(
-        connecting,
+        connectFuture,
         loop,
         done -> {
           if (done.isSuccess()) {
             writeRequest();
           } else {
-            fail("no connection");
+            fail("cannot connect");
           }
         });
     watchForSilence();
   }
 
-  private ChannelInitializer<Channel> pipeline() {
+  private ChannelInitializer<Channel> channelInitializer() {
     return new ChannelInitializer<>() {
       @Override
-      protected void initChannel(Channel opened) {
-        opened
+      protected void initChannel(Channel newChannel) {
+        newChannel
             .pipeline()
-            .addLast(new HttpClientCodec(), DiscoveryCall.this, lists, new ListHandler());
+            .addLast(new HttpClientCodec(), DiscoveryCall.this, listDecoder, new ListHandler());
       }
     };
   }
 
   private void writeRequest() {
-    String path = PATH + "?follow=1&since=" + knownVersion;
+    String path = MEMBERS_PATH + "?follow=1&since=" + knownVersion;
     var request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
@@ -148,19 +149,22 @@
   }
 
   /**
-   * Ends the call when discovery is silent, though its connection stays open, or does not complete
-   * a list. A stall of this node extends no limit: what came in it was read before a timer runs,
-   * and what the node missed is binding all the same.
+   * Ends the call if discovery sends nothing while its connection stays open, or does not complete
+   * a list. A stall of this node extends no limit: data that arrived in the stall is read before a
+   * timer runs, and the node has to follow the list even if a stall kept it from reading.
    */
   private void watchForSilence() {
     timers.runNoEarlierThan(
-        Math.max(1, silentSince() + maxSilenceNanos() - clock.now()),
+        Math.max(1, silentSinceNanos() + maxSilenceNanos() - clock.now()),
         () -> {
-          if (ended) {
+          if (hasEnded) {
             return;
           }
-          if (clock.now() - silentSince() >= maxSilenceNanos()) {
-            String reason = lists.isInsideList() ? "a list that does not end" : "silent";
+          if (clock.now() - silentSinceNanos() >= maxSilenceNanos()) {
+            String reason =
+                listDecoder.isInsideList()
+                    ? "list not completed in time"
+                    : "no data received in time";
             end(new End(reason, false, true));
           } else {
             watchForSilence();
@@ -168,29 +172,29 @@
         });
   }
 
-  private long silentSince() {
-    return lists.isInsideList() ? lists.listBegunAt() : receivedAt;
+  private long silentSinceNanos() {
+    return listDecoder.isInsideList() ? listDecoder.listBegunAt() : receivedAtNanos;
   }
 
   private long maxSilenceNanos() {
-    return (answerBegun ? MAX_SILENCE_MILLIS : limits.answerMillis()) * 1_000_000;
+    return (hasResponseStarted ? MAX_SILENCE_MILLIS : limits.answerTimeoutMillis()) * 1_000_000;
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-    if (ended) {
+    if (hasEnded) {
       return;
     }
     clock.refresh();
-    receivedAt = clock.now();
+    receivedAtNanos = clock.now();
     if (message.decoderResult().isFailure()) {
-      fail("malformed answer");
+      fail("malformed HTTP response");
       return;
     }
     if (message instanceof HttpResponse response) {
-      answerBegun = true;
+      hasResponseStarted = true;
       if (!response.status().equals(HttpResponseStatus.OK)) {
-        fail("answered " + response.status().code());
+        fail("HTTP status " + response.status().code());
         return;
       }
     }
@@ -198,15 +202,15 @@
       if (content.content().isReadable()) {
         ctx.fireChannelRead(content.content().retain());
       }
-      if (message instanceof LastHttpContent && !ended) {
-        fail("watch ended");
+      if (message instanceof LastHttpContent && !hasEnded) {
+        fail("response ended");
       }
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    end(new End("connection ended", true, false));
+    end(new End("connection closed", true, false));
   }
 
   @Override
@@ -214,16 +218,16 @@
     fail(cause.getMessage());
   }
 
-  /** Parses each list and passes it on, until the call ends. */
+  /** Parses each list and passes it to the observer, until the call ends. */
   private final class ListHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf text) throws FormatException {
-      if (ended) {
+    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf json) throws FormatException {
+      if (hasEnded) {
         return;
       }
-      MemberList list = MemberList.parse(JsonObject.parse(text.toString(StandardCharsets.UTF_8)));
+      MemberList list = MemberList.parse(JsonObject.parse(json.toString(StandardCharsets.UTF_8)));
       list.requireDistinct();
-      lists.listComplete();
+      listDecoder.listComplete();
       observer.onList(list);
     }
 
@@ -238,15 +242,15 @@
   }
 
   private void end(End end) {
-    if (!ended) {
+    if (!hasEnded) {
       close();
       observer.onEnd(this, end);
     }
   }
 
-  /** Ends the call without a report. */
+  /** Ends the call without notifying the observer. */
   void close() {
-    ended = true;
+    hasEnded = true;
     ConnectCompletion.close(channel);
   }
 }
--- a/engine/src/main/java/shalepaddle/membership/DiscoveryClient.java
+++ b/engine/src/main/java/shalepaddle/membership/DiscoveryClient.java
@@ -8,17 +8,17 @@
 import shalepaddle.loop.Timers;
 
 /**
- * Follows discovery's list of cache servers in one of two modes. Where the list is polled, each
- * {@link #follow} makes one call, and each failure is reported. Where it is pushed, a watch is kept
- * open: a call that ends is made again after a backoff.
+ * Follows discovery's list of cache servers in one of two modes. If the list is polled, each {@link
+ * #follow} makes one call, and each failure is reported. If it is pushed, a watch stays open: a
+ * call that ends is repeated after a backoff.
  *
- * <p>On the event loop alone.
+ * <p>Used on the event loop only.
  */
 public final class DiscoveryClient implements MemberSource {
-  /** The longest time-out of a call to an agent, which runs on the node's own machine. */
+  /** The maximum time-out of a call to an agent, which runs on the node's own machine. */
   private static final long MAX_AGENT_TIMEOUT_MILLIS = 1000;
 
-  /** The shortest time-out and backoff: limits the rate of calls where the grace is short. */
+  /** The minimum time-out and backoff, which limits the rate of calls if the grace is short. */
   private static final long MIN_AGENT_TIMEOUT_MILLIS = 200;
 
   private static final long CONNECT_TIMEOUT_MILLIS = 2000;
@@ -31,32 +31,32 @@
   private final boolean isPolled;
 
   /**
-   * The time-out of a connect to an agent and of its answer, and the longest backoff. An agent
-   * answers at once, or not at all while discovery is down. The grace of a drain begins when the
-   * agent gets the list, so a time-out and the backoff together have to fit into it: half of the
-   * grace each.
+   * The time-out of a connection attempt to an agent and of its response, and the maximum backoff.
+   * An agent responds at once, or not at all while discovery is down. The grace of a drain begins
+   * when the agent receives the list, so a time-out and a backoff together must not exceed the
+   * grace: each is limited to half of the grace.
    */
   private final long agentTimeoutMillis;
 
   private final MemberListener listener;
   private InetSocketAddress address;
 
-  /** The version of the list that is known. */
-  private long version;
+  /** The version of the latest list that was received. */
+  private long knownVersion;
 
-  /** The call that is open, null for none. */
+  /** The open call, null if there is none. */
   private DiscoveryCall call;
 
-  private boolean stopped = true;
+  private boolean isStopped = true;
 
   /**
-   * A client that makes no call yet.
+   * Creates a client that makes no call yet.
    *
    * @param bootstrap opens connections on the loop
-   * @param isPolled whether each call is made by {@link #follow}, and each failure reported; else a
-   *     watch is kept open from the first {@link #follow} on
-   * @param graceSeconds for how long requests may be sent to a draining server, 0 for no such limit
-   * @param version the version of the list that is known
+   * @param isPolled whether each {@link #follow} makes one call and each failure is reported; if
+   *     not, a watch stays open from the first {@link #follow} on
+   * @param graceSeconds how long requests may be sent to a draining server, 0 for no limit
+   * @param knownVersion the version of the known list
    */
   public DiscoveryClient(
       Bootstrap bootstrap,
@@ -66,7 +66,7 @@
       InetSocketAddress address,
       boolean isPolled,
       double graceSeconds,
-      long version,
+      long knownVersion,
       MemberListener listener) {
     this.bootstrap = bootstrap;
     this.loop = loop;
@@ -75,56 +75,65 @@
     this.address = address;
     this.isPolled = isPolled;
     this.agentTimeoutMillis =
-        graceSeconds > 0 ? agentTimeoutMillis(graceSeconds) : MAX_AGENT_TIMEOUT_MILLIS;
-    this.version = version;
+        graceSeconds > 0 ? agentTimeoutForGrace(graceSeconds) : MAX_AGENT_TIMEOUT_MILLIS;
+    this.knownVersion = knownVersion;
     this.listener = listener;
   }
 
-  private static long agentTimeoutMillis(double graceSeconds) {
+  private static long agentTimeoutForGrace(double graceSeconds) {
     long halfGraceMillis = (long) (graceSeconds * 500);
     return Math.max(MIN_AGENT_TIMEOUT_MILLIS, Math.min(MAX_AGENT_TIMEOUT_MILLIS, halfGraceMillis));
   }
 
   /**
-   * Makes a call, unless one is open: that one is queued at the service and would lose its place.
+   * Makes a call, unless one is open: the open call is queued at the service, and a new call would
+   * lose the place in the queue.
    */
   @Override
   public void follow() {
-    stopped = false;
+    isStopped = false;
     if (call == null) {
       call =
-          new DiscoveryCall(bootstrap, loop, timers, clock, address, version, limits(), observer());
+          new DiscoveryCall(
+              bootstrap,
+              loop,
+              timers,
+              clock,
+              address,
+              knownVersion,
+              callLimits(),
+              newObserver());
     }
   }
 
-  private DiscoveryCall.Limits limits() {
+  private DiscoveryCall.Limits callLimits() {
     return isPolled
         ? DiscoveryCall.Limits.ofPoll(CONNECT_TIMEOUT_MILLIS)
         : DiscoveryCall.Limits.ofWatch(agentTimeoutMillis);
   }
 
-  private DiscoveryCall.Observer observer() {
+  private DiscoveryCall.Observer newObserver() {
     return new DiscoveryCall.Observer() {
       @Override
       public void onList(MemberList list) {
-        version = list.full() ? list.version() : Math.max(version, list.version());
+        knownVersion = list.full() ? list.version() : Math.max(knownVersion, list.version());
         listener.onList(list);
       }
 
       @Override
-      public void onEnd(DiscoveryCall ended, DiscoveryCall.End end) {
-        callEnded(ended, end);
+      public void onEnd(DiscoveryCall endedCall, DiscoveryCall.End end) {
+        handleEnd(endedCall, end);
       }
     };
   }
 
   /**
-   * Goes on with the service at this address, at once: changes known to the old one may never come,
-   * and its last failure says nothing of the new one.
+   * Switches to the service at this address at once, without a backoff: the old service may never
+   * deliver its pending changes, and its last failure says nothing about the new service.
    */
-  public void switchTo(InetSocketAddress next) {
-    if (!next.equals(address)) {
-      address = next;
+  public void switchTo(InetSocketAddress newAddress) {
+    if (!newAddress.equals(address)) {
+      address = newAddress;
       stop();
       follow();
     }
@@ -132,18 +141,18 @@
 
   @Override
   public void stop() {
-    stopped = true;
+    isStopped = true;
     if (call != null) {
       call.close();
       call = null;
     }
   }
 
-  private void callEnded(DiscoveryCall ended, DiscoveryCall.End end) {
-    if (ended == call) {
+  private void handleEnd(DiscoveryCall endedCall, DiscoveryCall.End end) {
+    if (endedCall == call) {
       call = null;
     }
-    // An agent closes its watches when it restarts: a new call is made without a report.
+    // An agent closes its watches when it restarts, which is not reported as a failure.
     if (isPolled || !end.isConnectionClosed()) {
       listener.onFailure(end.reason());
     }
@@ -151,7 +160,7 @@
       long backoffMillis = end.mayRetryAtOnce() ? 0 : Math.min(BACKOFF_MILLIS, agentTimeoutMillis);
       loop.schedule(
           () -> {
-            if (!stopped) {
+            if (!isStopped) {
               follow();
             }
           },
--- a/engine/src/main/java/shalepaddle/membership/MemberList.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberList.java
@@ -20,100 +20,101 @@
 import shalepaddle.settings.JsonObject;
 
 /**
- * The list of cache servers, or a change of it, as discovery sends it. Immutable.
+ * The list of cache servers, or a change of it, as received from discovery. Immutable.
  *
  * @param full whether it is the complete list
- * @param version its version
- * @param members its entries
+ * @param version the list's version
+ * @param members the list's entries
  */
 public record MemberList(boolean full, long version, List<Member> members) {
 
   /**
    * One cache server.
    *
-   * @param entry its entry for the decisions
-   * @param address where this node connects to it; null for one that was removed
+   * @param entry the server as the policy sees it
+   * @param address the address to connect to; null for a removed server
    */
   public record Member(ServerEntry entry, SocketAddress address) {}
 
   /**
-   * The complete list after this list or change of it.
+   * The complete list that results from applying this list or change.
    *
-   * @param known the complete list before, null for none
+   * @param knownList the previous complete list, null for none
    */
-  public MemberList appliedTo(MemberList known) {
-    Map<Long, Member> complete = new TreeMap<>();
-    if (known != null && !full) {
-      known.members.forEach(member -> complete.put(member.entry().id(), member));
+  public MemberList appliedTo(MemberList knownList) {
+    Map<Long, Member> membersByNumber = new TreeMap<>();
+    if (knownList != null && !full) {
+      knownList.members.forEach(member -> membersByNumber.put(member.entry().id(), member));
     }
     for (Member member : members) {
       if (member.address() == null) {
-        complete.remove(member.entry().id());
+        membersByNumber.remove(member.entry().id());
       } else {
-        complete.put(member.entry().id(), member);
+        membersByNumber.put(member.entry().id(), member);
       }
     }
-    return new MemberList(true, version, List.copyOf(complete.values()));
+    return new MemberList(true, version, List.copyOf(membersByNumber.values()));
   }
 
   /**
    * Checks that no server has two entries.
    *
-   * @throws FormatException if one has
+   * @throws FormatException if a server has two entries
    */
   public void requireDistinct() throws FormatException {
-    Set<Long> seen = new HashSet<>();
+    Set<Long> seenNumbers = new HashSet<>();
     for (Member member : members) {
-      if (!seen.add(member.entry().id())) {
-        throw new FormatException("the list names an entry twice");
+      if (!seenNumbers.add(member.entry().id())) {
+        throw new FormatException("the endpoint list has two entries for one server");
       }
     }
   }
 
   /**
-   * This list, without servers that a list of an older version brings back from draining. Another
-   * older list is applied as it is: discovery may have been restored to an older state, while a
-   * replica that lags must do no harm.
+   * This list, in which servers that are known to drain keep draining if this list is of an older
+   * version. A lagging replica of discovery can send such a list, and must not make a draining
+   * server ready again. A server that was restarted since then is ready. Otherwise an older list
+   * is applied unchanged, since discovery may have been restored to an older state.
    *
-   * @param known the complete list as it is known, null for none
+   * @param knownList the known complete list, null for none
    */
-  public MemberList withKnownDrains(MemberList known) {
-    if (known == null || version >= known.version) {
+  public MemberList withKnownDrains(MemberList knownList) {
+    if (knownList == null || version >= knownList.version) {
       return this;
     }
-    Map<Long, Member> draining = new HashMap<>();
-    for (Member member : known.members) {
+    Map<Long, Member> drainingMembers = new HashMap<>();
+    for (Member member : knownList.members) {
       if (member.entry().state() == ServerEntry.State.DRAINING) {
-        draining.put(member.entry().id(), member);
+        drainingMembers.put(member.entry().id(), member);
       }
     }
-    List<Member> result = new ArrayList<>();
+    List<Member> mergedMembers = new ArrayList<>();
     for (Member member : members) {
-      Member drained = draining.get(member.entry().id());
-      boolean revived =
-          drained != null
+      Member drainingMember = drainingMembers.get(member.entry().id());
+      boolean isOutdated =
+          drainingMember != null
               && member.entry().state() == ServerEntry.State.READY
-              && member.entry().startedAtSeconds() <= drained.entry().startedAtSeconds();
-      result.add(revived ? drained : member);
+              && member.entry().startedAtSeconds() <= drainingMember.entry().startedAtSeconds();
+      mergedMembers.add(isOutdated ? drainingMember : member);
     }
-    return new MemberList(full, version, List.copyOf(result));
+    return new MemberList(full, version, List.copyOf(mergedMembers));
   }
 
-  /** The same for the decisions. */
+  /** This list as an update for the policy. */
   public MembershipUpdate toUpdate(MembershipUpdate.Kind kind) {
     return new MembershipUpdate(kind, version, members.stream().map(Member::entry).toList());
   }
 
   /**
-   * Reads a list as discovery sends it.
+   * Parses a list in discovery's JSON format.
    *
-   * @throws FormatException if a key is missing or has another type
+   * @throws FormatException if a key is missing or has the wrong type
    */
   public static MemberList parse(JsonObject list) throws FormatException {
     List<Member> members = new ArrayList<>();
-    for (JsonObject line : list.objects("servers")) {
+    for (JsonObject server : list.objects("servers")) {
       ServerEntry.State state =
-          switch (line.requiredText("state")) {
+          switch (server.requiredText("state")) {
             case "active" -> ServerEntry.State.READY;
             case "left" -> ServerEntry.State.REMOVED;
             default -> ServerEntry.State.DRAINING;
@@ -121,42 +122,46 @@
       members.add(
           new Member(
               new ServerEntry(
-                  serverNumber(line.requiredText("id")),
-                  line.text("zone", ""),
-                  line.text("kind", ""),
-                  (int) line.number("cell", 0),
+                  serverNumber(server.requiredText("id")),
+                  server.text("zone", ""),
+                  server.text("kind", ""),
+                  (int) server.number("cell", 0),
                   state,
-                  line.number("weight", 1),
-                  line.number("started_ms", 0) / 1e3),
-              state == ServerEntry.State.REMOVED ? null : parseAddress(line.requiredText("addr"))));
+                  server.number("weight", 1),
+                  server.number("started_ms", 0) / 1e3),
+              state == ServerEntry.State.REMOVED
+                  ? null
+                  : parseAddress(server.requiredText("addr"))));
     }
     return new MemberList(list.flag("full"), (long) list.requiredNumber("version"), members);
   }
 
   /**
-   * The number by which the decisions know a server: a hash of the id alone, so that all nodes
-   * agree on a key's ring owner, and wide enough that no two ids of a fleet collide.
+   * The number that identifies a server in the policy: a hash of its id only, so that all nodes
+   * agree on a key's ring owner, and wide enough to make collisions within a fleet improbable.
    */
   public static long serverNumber(String id) {
     return UUID.nameUUIDFromBytes(id.getBytes(StandardCharsets.UTF_8)).getMostSignificantBits();
   }
 
   /**
-   * Parses an IP address and a port. Names are not resolved: there is no DNS.
+   * Parses an IP address and a port. Host names are not resolved, since there is no DNS.
    *
-   * @throws FormatException if the text is anything else
+   * @throws FormatException if the text is not an IP address and port
    */
   public static InetSocketAddress parseAddress(String text) throws FormatException {
-    int colon = text.lastIndexOf(':');
+    int colonIndex = text.lastIndexOf(':');
     byte[] ip =
-        colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+        colonIndex < 0
+            ? null
+            : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colonIndex));
     try {
-      int port = Integer.parseInt(text.substring(colon + 1));
+      int port = Integer.parseInt(text.substring(colonIndex + 1));
       if (ip != null && port >= 0 && port < 1 << 16) {
         return new InetSocketAddress(InetAddress.getByAddress(ip), port);
       }
     } catch (NumberFormatException | UnknownHostException e) {
-      // Rejected below.
+      // The invalid address is rejected below.
     }
     throw new FormatException("'" + text + "' is not an IP address and port");
   }
--- a/engine/src/main/java/shalepaddle/membership/MemberListDecoder.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberListDecoder.java
@@ -5,49 +5,50 @@
 import java.util.function.LongSupplier;
 
 /**
- * Splits a stream into JSON objects, however they are laid out in lines, and knows since when one
- * is incomplete. On the event loop alone.
+ * Splits a stream into JSON objects, independent of line breaks, and records since when an object
+ * is incomplete. Used on the event loop only.
  */
 final class MemberListDecoder extends JsonObjectDecoder {
-  /** The longest list, for thousands of servers. */
+  /** The maximum length of a list, sufficient for thousands of servers. */
   private static final int MAX_LIST_BYTES = 4 << 20;
 
-  private final LongSupplier receivedAt;
-  private long listBegunAt;
-  private boolean insideList;
+  private final LongSupplier receivedAtNanos;
+  private long listStartedAtNanos;
+  private boolean isInsideList;
 
   /**
-   * For one stream.
+   * Creates the decoder of one stream.
    *
-   * @param receivedAt the event loop's time, in nanoseconds, at which the present data came
+   * @param receivedAtNanos returns when the data being decoded was received, by the event loop's
+   *     clock
    */
-  MemberListDecoder(LongSupplier receivedAt) {
+  MemberListDecoder(LongSupplier receivedAtNanos) {
     super(MAX_LIST_BYTES);
-    this.receivedAt = receivedAt;
+    this.receivedAtNanos = receivedAtNanos;
   }
 
-  /** Whether a list has begun and is not complete. */
+  /** Whether a list has been received partially. */
   boolean isInsideList() {
-    return insideList;
+    return isInsideList;
   }
 
-  /** When the incomplete list began, in nanoseconds of the event loop's time. */
+  /** When the incomplete list started, in nanoseconds of the event loop's time. */
   long listBegunAt() {
-    return listBegunAt;
+    return listStartedAtNanos;
   }
 
-  /** A list was read: what follows in the same data begins another. */
+  /** Records that a list is complete; any remaining data starts the next one. */
   void listComplete() {
-    insideList = false;
+    isInsideList = false;
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
     super.channelRead(ctx, message);
     boolean hasMore = actualReadableBytes() > 0;
-    if (hasMore && !insideList) {
-      listBegunAt = receivedAt.getAsLong();
+    if (hasMore && !isInsideList) {
+      listStartedAtNanos = receivedAtNanos.getAsLong();
     }
-    insideList = hasMore;
+    isInsideList = hasMore;
   }
 }
--- a/engine/src/main/java/shalepaddle/membership/MemberListener.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberListener.java
@@ -1,14 +1,14 @@
 package shalepaddle.membership;
 
-/** Receives what a {@link MemberSource} learns, in order, on the event loop. */
+/** Receives the lists and failures of a {@link MemberSource}, in order, on the event loop. */
 public interface MemberListener {
-  /** A complete list, or a change of it. */
+  /** Receives a complete list, or a change of the complete list. */
   void onList(MemberList list);
 
   /**
-   * The list could not be read, or is no longer followed.
+   * Called if the list could not be read, or is no longer followed.
    *
-   * @param reason for the log
+   * @param reason the reason to log
    */
   void onFailure(String reason);
 }
--- a/engine/src/main/java/shalepaddle/membership/MemberSource.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberSource.java
@@ -1,8 +1,8 @@
 package shalepaddle.membership;
 
 /**
- * A source of the list of cache servers. It passes what it learns to a {@link MemberListener}, on
- * the event loop, where its methods are called as well.
+ * A source of the list of cache servers. It passes lists and failures to a {@link MemberListener}
+ * on the event loop. The methods of the source are called on the event loop, too.
  */
 public interface MemberSource {
   /** A list that never changes. */
@@ -10,16 +10,16 @@
       new MemberSource() {
         @Override
         public void follow() {
-          // Nothing will change.
+          // There is nothing to follow: the list never changes.
         }
 
         @Override
         public void stop() {
-          // Nothing is followed.
+          // There is nothing to stop: the list never changes.
         }
       };
 
-  /** Follows the changes from the version known last; without effect while it does so already. */
+  /** Follows changes after the latest known version; no effect if they are followed already. */
   void follow();
 
   /** Stops following: the listener is not called again. */
--- a/engine/src/main/java/shalepaddle/node/AdmissionFilter.java
+++ b/engine/src/main/java/shalepaddle/node/AdmissionFilter.java
@@ -10,8 +10,8 @@
 import shalepaddle.overload.OverloadControl;
 
 /**
- * Decides whether a request is admitted, by the overload control and the descriptors in use, and
- * counts each rejection. On the event loop alone, once or twice for each request.
+ * Admits or rejects requests based on overload control and the descriptors in use, and counts each
+ * rejection. Called on the event loop only, once or twice for each request.
  */
 final class AdmissionFilter implements RequestAdmission {
   private final OverloadControl overload;
@@ -19,14 +19,14 @@
   private final LoopClock clock;
   private final DescriptorBudget descriptors;
   private final Supplier<Settings> settings;
-  private final IntSupplier openRequests;
+  private final IntSupplier connectionsAwaitingResponse;
 
   /**
-   * For one node.
+   * Creates the filter of one node.
    *
-   * @param settings those in force now
-   * @param openRequests client connections with an open request now; of other processes of this
-   *     node all client connections
+   * @param settings returns the current settings
+   * @param connectionsAwaitingResponse returns the current number of client connections with an
+   *     open request, plus all client connections of this node's other processes
    */
   AdmissionFilter(
       OverloadControl overload,
@@ -34,31 +34,32 @@
       LoopClock clock,
       DescriptorBudget descriptors,
       Supplier<Settings> settings,
-      IntSupplier openRequests) {
+      IntSupplier connectionsAwaitingResponse) {
     this.overload = overload;
     this.dispatcher = dispatcher;
     this.clock = clock;
     this.descriptors = descriptors;
     this.settings = settings;
-    this.openRequests = openRequests;
+    this.connectionsAwaitingResponse = connectionsAwaitingResponse;
   }
 
   @Override
   public boolean mayReject() {
-    overload.onConnectionSlotUsage(descriptors.requestRatio(openRequests.getAsInt()));
+    overload.onConnectionSlotUsage(
+        descriptors.requestRatio(connectionsAwaitingResponse.getAsInt()));
     return overload.isShedding();
   }
 
   @Override
-  public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
-    long advice = overload.admit(serviceClass, tenant, subject, repeat, clock.now());
-    if (advice != ADMITTED) {
+  public long admit(int serviceClass, int tenant, long keyHash, boolean isRetry) {
+    long decision = overload.admit(serviceClass, tenant, keyHash, isRetry, clock.now());
+    if (decision != ADMITTED) {
       dispatcher.recorder().count(Event.REJECTED_ADMISSION, 1);
       dispatcher
           .metrics()
           .rejectedBeforeParsing(settings.get().services().get(serviceClass).name());
     }
-    return advice;
+    return decision;
   }
 
   @Override
--- a/engine/src/main/java/shalepaddle/node/CoalescingMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/CoalescingMetrics.java
@@ -12,37 +12,44 @@
  *
  * <table>
  * <caption>Meters</caption>
- * <tr><td>{@code shalepaddle.joining.reads}</td><td>reads; tag {@code as}: {@code first} began a
- *     flight, {@code joined} joined one, {@code alone} found no capacity</td></tr>
- * <tr><td>{@code shalepaddle.joining.shared}</td><td>reads served by another's attempt</td></tr>
- * <tr><td>{@code shalepaddle.joining.left}</td><td>callers that left while others waited</td></tr>
- * <tr><td>{@code shalepaddle.joining.retried}</td><td>failed attempts that were retried; {@code .spent}
- *     those that were not, for lack of retry budget</td></tr>
- * <tr><td>{@code shalepaddle.joining.open}, {@code .waiting}</td><td>flights, callers now</td></tr>
+ * <tr><td>{@code shalepaddle.joining.reads}</td><td>reads; tag {@code as}: {@code first} started a
+ *     flight, {@code joined} joined one, {@code alone} was not coalesced since
+ *     too many flights were open</td></tr>
+ * <tr><td>{@code shalepaddle.joining.shared}</td><td>
+ *     reads served by another read's attempt</td></tr>
+ * <tr><td>{@code shalepaddle.joining.left}</td><td>
+ *     callers that disconnected or expired while others waited</td></tr>
+ * <tr><td>{@code shalepaddle.joining.retried}</td><td>
+ *     failed attempts that were retried; {@code .spent}
+ *     those not retried because the retry budget was spent</td></tr>
+ * <tr><td>{@code shalepaddle.joining.open}, {@code .waiting}</td><td>
+ *     current flights, waiting callers</td></tr>
  * </table>
  */
 public final class CoalescingMetrics implements MeterBinder {
   private static final String PREFIX = "shalepaddle.joining.";
-  private static final CoalescingSnapshot NONE = new CoalescingSnapshot(0, 0, 0, 0, 0, 0, 0, 0, 0);
+  private static final CoalescingSnapshot ZERO_SNAPSHOT =
+      new CoalescingSnapshot(0, 0, 0, 0, 0, 0, 0, 0, 0);
 
-  private final Supplier<CoalescingSnapshot> latest;
+  private final Supplier<CoalescingSnapshot> latestSnapshot;
   private final Tags tags;
 
   /**
-   * Meters of one load balancer.
+   * Creates the meters of one load balancer.
    *
-   * @param latest the newest snapshot, from any thread; null where reads are not coalesced, which
-   *     is shown as zeros
+   * @param latestSnapshot returns the newest snapshot; called from any thread; null if reads are
+   *     not coalesced, for which the meters show zeros
    * @param tags distinguish this load balancer's meters from another's in the same registry
    */
-  public CoalescingMetrics(Supplier<CoalescingSnapshot> latest, Tags tags) {
-    this.latest = latest;
+  public CoalescingMetrics(Supplier<CoalescingSnapshot> latestSnapshot, Tags tags) {
+    this.latestSnapshot = latestSnapshot;
     this.tags = tags;
   }
 
   @Override
   public void bindTo(MeterRegistry registry) {
-    SnapshotMeters<CoalescingSnapshot> meters = new SnapshotMeters<>(registry, PREFIX, this::read);
+    SnapshotMeters<CoalescingSnapshot> meters =
+        new SnapshotMeters<>(registry, PREFIX, this::snapshotOrZero);
     meters.counter("reads", "reads", tags.and("as", "first"), CoalescingSnapshot::flights);
     meters.counter("reads", "reads", tags.and("as", "joined"), CoalescingSnapshot::joined);
     meters.counter("reads", "reads", tags.and("as", "alone"), CoalescingSnapshot::uncoalesced);
@@ -54,8 +61,8 @@
     meters.gauge("waiting", "reads", tags, CoalescingSnapshot::waiters);
   }
 
-  private CoalescingSnapshot read() {
-    CoalescingSnapshot snapshot = latest.get();
-    return snapshot == null ? NONE : snapshot;
+  private CoalescingSnapshot snapshotOrZero() {
+    CoalescingSnapshot snapshot = latestSnapshot.get();
+    return snapshot == null ? ZERO_SNAPSHOT : snapshot;
   }
 }
--- a/engine/src/main/java/shalepaddle/node/EventLoopThreads.java
+++ b/engine/src/main/java/shalepaddle/node/EventLoopThreads.java
@@ -5,9 +5,8 @@
 import shalepaddle.loop.Log;
 
 /**
- * Creates the threads of event loops, and detects a loop that ends before {@link #allowShutdown}:
- * its process has failed, since it looks healthy and answers nobody, and must be restarted.
- * Thread-safe.
+ * Creates the threads of event loops, and reports a loop that ends before {@link #allowShutdown} as
+ * failed: the process would look healthy but answer no request, and must be restarted. Thread-safe.
  */
 final class EventLoopThreads implements ThreadFactory {
   /** The exit code of a process whose event loop has failed. */
@@ -15,36 +14,36 @@
 
   private final Log log;
   private final Runnable onFailure;
-  private volatile boolean shutdownAllowed;
+  private volatile boolean isShutdownAllowed;
 
   /**
-   * For one group of loops.
+   * Creates a factory for the threads of one group of loops.
    *
-   * @param onFailure runs on the thread that has failed, after the failure was logged
+   * @param onFailure runs on the failed thread, after the failure was logged
    */
   EventLoopThreads(Log log, Runnable onFailure) {
     this.log = log;
     this.onFailure = onFailure;
   }
 
-  /** From now on a loop that ends has not failed. */
+  /** From now on the end of a loop is not a failure. */
   void allowShutdown() {
-    shutdownAllowed = true;
+    isShutdownAllowed = true;
   }
 
   @Override
   public Thread newThread(Runnable loop) {
-    return new FastThreadLocalThread(() -> run(loop), "event-loop");
+    return new FastThreadLocalThread(() -> runLoop(loop), "event-loop");
   }
 
-  private void run(Runnable loop) {
+  private void runLoop(Runnable loop) {
     Throwable cause = null;
     try {
       loop.run();
     } catch (Throwable e) {
       cause = e;
     }
-    if (!shutdownAllowed) {
+    if (!isShutdownAllowed) {
       try {
         log.line("event=event_loop_failed cause=" + cause);
       } finally {
--- a/engine/src/main/java/shalepaddle/node/GracefulShutdown.java
+++ b/engine/src/main/java/shalepaddle/node/GracefulShutdown.java
@@ -12,38 +12,39 @@
 import shalepaddle.loop.LoopClock;
 
 /**
- * The end of a node's service: a planned restart without a successor ({@link #drain}) or with one
- * that has taken over ({@link #handOver}). Owns the clients' listener, so as to stop it.
+ * Ends a node's service at a planned restart, without a successor ({@link #drain}) or with one that
+ * has taken over ({@link #handOver}). Owns the client listener, in order to stop it.
  *
  * <p>By the protocol, the platform kills a node no sooner than the longest deadline plus {@link
- * #KILL_MILLIS} after the signal that ends it. All requests are to be answered {@link
- * #ANSWERED_BEFORE_KILL_MILLIS} before that. This time counts from the signal even if the process
- * was stalled when it came; the steps of a drain before it are timers, set when the loop handles
- * it.
+ * #KILL_AFTER_DEADLINE_MILLIS} after the signal that ends it. All requests are to be answered
+ * {@link #ANSWERED_BEFORE_KILL_MILLIS} before that. This time counts from the signal, even if the
+ * process was stalled when the signal came. The earlier steps of a drain are timers that start when
+ * the loop handles the signal.
  *
- * <p>On the event loop alone.
+ * <p>Used on the event loop only.
  */
 final class GracefulShutdown {
   /** How long after the start of a planned restart the platform still sends new connections. */
-  private static final long ACCEPT_MILLIS = 500;
+  private static final long MIN_ACCEPT_MILLIS = 500;
 
-  /** How long after the longest deadline the platform kills a node, at the earliest. */
-  private static final long KILL_MILLIS = 700;
+  /** The minimum time from the longest deadline to the kill by the platform. */
+  private static final long KILL_AFTER_DEADLINE_MILLIS = 700;
 
-  /** The longest deadline that the platform waits for; requests with longer ones are cut short. */
+  /** The longest deadline that the platform waits for; longer ones are limited to the time left. */
   private static final long MAX_DEADLINE_MILLIS = 3000;
 
-  /** How long idle client connections stay open after another process took over. */
-  private static final long HAND_OVER_IDLE_MILLIS = 1000;
+  /** How long idle client connections stay open after another process has taken over. */
+  private static final long MAX_HAND_OVER_IDLE_MILLIS = 1000;
 
-  /** How long before the kill all requests are answered. */
+  /** All requests are to be answered this long before the kill. */
   private static final long ANSWERED_BEFORE_KILL_MILLIS = 150;
 
-  /** How long before the time for the last answer the closing of idle connections begins. */
+  /** Idle connections are closed from this long before the last response is due. */
   private static final long CLOSE_IDLE_BEFORE_ANSWERED_MILLIS = 450;
 
   /**
-   * How long before the time for the last answer reading stops: left for the requests read last.
+   * Reading stops this long before the last response is due, so that the requests that were read
+   * last can be answered.
    */
   private static final long STOP_READING_BEFORE_ANSWERED_MILLIS = 80;
 
@@ -55,13 +56,13 @@
   private final Log log;
   private final DoubleSupplier longestDeadlineSeconds;
 
-  /** Null before the node listens. */
+  /** The client listener, null before the node listens. */
   private Channel listener;
 
   /**
-   * For one node.
+   * Creates the shutdown of one node.
    *
-   * @param longestDeadlineSeconds the longest time that a client may wait, by the settings in force
+   * @param longestDeadlineSeconds the longest deadline in the current settings
    */
   GracefulShutdown(
       EventLoop loop,
@@ -80,7 +81,7 @@
     this.longestDeadlineSeconds = longestDeadlineSeconds;
   }
 
-  /** Sets the channel that accepts clients, until {@link #stopAccepting}. */
+  /** Sets the channel that accepts clients, which {@link #stopAccepting} stops. */
   void listensOn(Channel channel) {
     listener = channel;
   }
@@ -89,70 +90,81 @@
     return listener != null;
   }
 
-  /** The longest duration of a drain in ms, unless clients do not read their answers. */
+  /** The maximum duration of a drain in ms, unless clients do not read their responses. */
   long maxDrainMillis() {
-    long deadline =
+    long maxDeadlineMillis =
         Math.min(MAX_DEADLINE_MILLIS, (long) (longestDeadlineSeconds.getAsDouble() * 1e3));
-    return deadline + KILL_MILLIS - ANSWERED_BEFORE_KILL_MILLIS;
+    return maxDeadlineMillis + KILL_AFTER_DEADLINE_MILLIS - ANSWERED_BEFORE_KILL_MILLIS;
   }
 
-  /** See {@link LoadBalancer#drain}. */
+  /** Drains without a successor, as {@link LoadBalancer#drain} describes. */
   void drain(Runnable onDrained) {
-    long answeredMillis = begin();
-    long closeIdleMillis =
-        Math.max(ACCEPT_MILLIS, answeredMillis - CLOSE_IDLE_BEFORE_ANSWERED_MILLIS);
-    // After a stall these timers run only once its backlog has been accepted and read.
+    long untilAnsweredMillis = beginShutdown();
+    long untilCloseIdleMillis =
+        Math.max(MIN_ACCEPT_MILLIS, untilAnsweredMillis - CLOSE_IDLE_BEFORE_ANSWERED_MILLIS);
+    // After a stall, timers run only once the backlog of the stall has been accepted and read.
     dispatcher
         .timers()
-        .runNoEarlierThan(TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS), this::stopAccepting);
+        .runNoEarlierThan(TimeUnit.MILLISECONDS.toNanos(MIN_ACCEPT_MILLIS), this::stopAccepting);
     dispatcher
         .timers()
         .runNoEarlierThan(
-            TimeUnit.MILLISECONDS.toNanos(closeIdleMillis),
+            TimeUnit.MILLISECONDS.toNanos(untilCloseIdleMillis),
             () -> {
               log.line("draining " + front.connectionCount() + " client connections");
-              front.drain(loop, 0, stopReadingMillis(answeredMillis - closeIdleMillis), onDrained);
+              front.drain(
+                  loop,
+                  0,
+                  untilStopReadingMillis(untilAnsweredMillis - untilCloseIdleMillis),
+                  onDrained);
             });
   }
 
-  /** See {@link LoadBalancer#handOver}. */
+  /** Drains after a successor has taken over, as {@link LoadBalancer#handOver} describes. */
   void handOver(Runnable onDrained) {
-    long answeredMillis = begin();
+    long untilAnsweredMillis = beginShutdown();
     stopAccepting();
     log.line("handing over " + front.connectionCount() + " client connections");
-    // With short deadlines the process would be killed before HAND_OVER_IDLE_MILLIS have passed.
-    long idleMillis =
+    // With short deadlines, the process may be killed before MAX_HAND_OVER_IDLE_MILLIS have passed.
+    long maxIdleMillis =
         Math.min(
-            HAND_OVER_IDLE_MILLIS, Math.max(0, answeredMillis - CLOSE_IDLE_BEFORE_ANSWERED_MILLIS));
-    long closeIdleMillis = Math.min(answeredMillis - idleMillis, CLOSE_IDLE_BEFORE_ANSWERED_MILLIS);
-    front.drain(loop, idleMillis, stopReadingMillis(closeIdleMillis), onDrained);
+            MAX_HAND_OVER_IDLE_MILLIS,
+            Math.max(0, untilAnsweredMillis - CLOSE_IDLE_BEFORE_ANSWERED_MILLIS));
+    long closingMillis =
+        Math.min(untilAnsweredMillis - maxIdleMillis, CLOSE_IDLE_BEFORE_ANSWERED_MILLIS);
+    front.drain(loop, maxIdleMillis, untilStopReadingMillis(closingMillis), onDrained);
   }
 
-  /** When reading stops, in ms, if all requests are to be answered within the given time. */
-  private static long stopReadingMillis(long answeredMillis) {
-    return Math.max(0, answeredMillis - STOP_READING_BEFORE_ANSWERED_MILLIS);
+  /**
+   * The time in ms until reading stops, if all requests are to be answered within the given time.
+   */
+  private static long untilStopReadingMillis(long untilAnsweredMillis) {
+    return Math.max(0, untilAnsweredMillis - STOP_READING_BEFORE_ANSWERED_MILLIS);
   }
 
   /**
-   * Publishes the stage, logs the totals and cuts the requests' deadlines to the time that is left.
+   * Publishes the stage, logs the totals and limits the requests' deadlines to the time left.
    *
-   * @return in how many milliseconds from now all requests are to be answered
+   * @return the milliseconds from now until all requests are to be answered
    */
-  private long begin() {
+  private long beginShutdown() {
     snapshots.enter(ProcessState.Stage.DRAINING);
     snapshots.publishState();
     log.line("event=totals " + dispatcher.recorder().totals());
     long sinceSignalMillis = TimeUnit.NANOSECONDS.toMillis(clock.now() - clock.earliestArrival());
-    long answeredMillis = Math.max(0, maxDrainMillis() - sinceSignalMillis);
-    dispatcher.drainBy(clock.now() + TimeUnit.MILLISECONDS.toNanos(answeredMillis));
-    return answeredMillis;
+    long untilAnsweredMillis = Math.max(0, maxDrainMillis() - sinceSignalMillis);
+    dispatcher.drainBy(clock.now() + TimeUnit.MILLISECONDS.toNanos(untilAnsweredMillis));
+    return untilAnsweredMillis;
   }
 
-  /** Closes the listener, or takes a shared one off the loop; open connections are still served. */
+  /**
+   * Closes the listener, or deregisters a shared one from the event loop. Open connections are
+   * still served.
+   */
   void stopAccepting() {
     front.listenerClosed();
-    if (listener instanceof ClientListener shared) {
-      shared.stop();
+    if (listener instanceof ClientListener clientListener) {
+      clientListener.stop();
     } else if (listener != null) {
       listener.close();
     }
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -31,22 +31,23 @@
 import shalepaddle.upstream.ServerPools;
 
 /**
- * One load balancer on one event loop, whatever transport that runs: wires the clients' front, the
- * request engine, the connections to cache servers and discovery. It knows nothing of processes and
- * signals, so that the same code runs in a daemon, in another program, and in virtual time.
+ * One load balancer on one event loop, independent of the transport: wires the client front, the
+ * request engine, the connections to cache servers and discovery. It does not depend on processes
+ * and signals, so that the same code runs in a daemon, embedded in another program, and in virtual
+ * time.
  *
- * <p>All methods are to be called on the event loop, but for {@link #engine}, {@link
+ * <p>All methods are to be called on the event loop, except {@link #engine}, {@link
  * #awaitPushedList}, {@link #isReady} and the snapshots, which say so.
  */
 public final class LoadBalancer {
-  /** How long a removed service class is still accepted: clients may not have the new settings. */
-  private static final long REMOVED_CLASS_NANOS = 1_200_000_000L;
+  /** How long a removed service class is still accepted: clients may still use the old settings. */
+  private static final long REMOVED_CLASS_GRACE_NANOS = 1_200_000_000L;
 
-  /** All memory divided by this is the budget of the clients' inbound buffers. */
+  /** The memory limit divided by this is the budget of the clients' inbound buffers. */
   private static final int INBOUND_BUFFER_DIVISOR = 64;
 
-  /** The most calls from other threads that may wait for the event loop. */
-  private static final int MAX_SUBMITTED = 4096;
+  /** The maximum number of calls from other threads that wait for the event loop. */
+  private static final int MAX_SUBMITTED_CALLS = 4096;
 
   private final EventLoop loop;
   private final LoopClock clock;
@@ -66,19 +67,25 @@
   private final ResourceMonitor monitor;
   private final GracefulShutdown shutdown;
 
-  /** The configuration that the node was started with, with the settings in force. */
+  /** The configuration at startup, with the settings of the latest reload. */
   private NodeConfig config;
 
-  /** Open client connections of this node's other processes, which share its limits. */
+  /**
+   * The number of open client connections of this node's other processes, which share the node's
+   * limits.
+   */
   private int peerClientConnections;
 
-  /** A load balancer with its share of the connections that each server allows the whole tier. */
+  /**
+   * Creates a load balancer with its share of the connections that all nodes may open to each
+   * server.
+   */
   public LoadBalancer(
       NodeConfig config,
       OperatorFile operator,
       EventLoop loop,
       LoopClock clock,
-      Clock time,
+      Clock nodeClock,
       Transport transport,
       Log log) {
     this(
@@ -87,19 +94,22 @@
         DescriptorBudget.connectionsPerServer(config),
         loop,
         clock,
-        time,
+        nodeClock,
         transport,
         log);
   }
 
-  /** A load balancer that opens at most {@code connectionsPerServer} to each server. */
+  /**
+   * Creates a load balancer that opens at most {@code connectionsPerServer} connections to a
+   * server.
+   */
   LoadBalancer(
       NodeConfig config,
       OperatorFile operator,
       int connectionsPerServer,
       EventLoop loop,
       LoopClock clock,
-      Clock time,
+      Clock nodeClock,
       Transport transport,
       Log log) {
     this.config = config;
@@ -114,18 +124,18 @@
             settings, operator.overload(), config.seed(), ResourceMonitor.levelLog(log));
     dispatcher =
         new Dispatcher(
-            settings, config.seed(), loop, clock, time, log, overload, operator.coalescing());
-    engine = new Engine(loop, dispatcher, MAX_SUBMITTED);
+            settings, config.seed(), loop, clock, nodeClock, log, overload, operator.coalescing());
+    engine = new Engine(loop, dispatcher, MAX_SUBMITTED_CALLS);
     pools =
         new ServerPools(
             transport.connector(loop),
             new MetaServerCodec(),
             descriptors.serverLimits(settings.limits(), connectionsPerServer),
             dispatcher);
-    members = new MemberTracker(pools, dispatcher, time, log);
-    exclusions = new OperatorExclusions(pools, dispatcher, time, log, this::publishState);
-    discovery = discoveryClient();
-    codec = new MetaClientCodec(valueMemory(), settings, admissionFilter());
+    members = new MemberTracker(pools, dispatcher, nodeClock, log);
+    exclusions = new OperatorExclusions(pools, dispatcher, nodeClock, log, this::publishState);
+    discovery = newDiscoveryClient();
+    codec = new MetaClientCodec(newValueMemory(), settings, newAdmissionFilter());
     front =
         new ClientFront(
             dispatcher,
@@ -157,7 +167,7 @@
             () -> this.config.longestDeadlineSeconds());
   }
 
-  private DiscoveryClient discoveryClient() {
+  private DiscoveryClient newDiscoveryClient() {
     Settings settings = config.settings();
     return new DiscoveryClient(
         transport.connector(loop),
@@ -171,13 +181,13 @@
         members);
   }
 
-  /** The memory that values of requests and answers may take. */
-  private MemoryBudget valueMemory() {
-    long quarterOfAll = (long) config.memoryMb() << 18;
-    return new MemoryBudget(Math.min(quarterOfAll, transport.maxBufferBytes() / 2));
+  /** The memory that values of requests and responses may occupy. */
+  private MemoryBudget newValueMemory() {
+    long quarterMemoryBytes = (long) config.memoryMb() << 18;
+    return new MemoryBudget(Math.min(quarterMemoryBytes, transport.maxBufferBytes() / 2));
   }
 
-  private AdmissionFilter admissionFilter() {
+  private AdmissionFilter newAdmissionFilter() {
     return new AdmissionFilter(
         overload,
         dispatcher,
@@ -187,7 +197,10 @@
         this::connectionsAwaitingResponse);
   }
 
-  /** Those of this process; and all of other processes, which do not publish how many wait. */
+  /**
+   * The number of client connections with a pending response in this process, plus all client
+   * connections of the other processes, which do not publish how many have a pending response.
+   */
   private int connectionsAwaitingResponse() {
     return front.connectionsAwaitingResponse() + peerClientConnections;
   }
@@ -196,20 +209,21 @@
     snapshots.publishState();
   }
 
-  /** From now on the outcomes of attempts are recorded there, for a process that takes over. */
+  /** Records the outcomes of attempts from now on, for a process that replaces this one. */
   void recordObservations(WarmStartLog observations) {
     dispatcher.recordObservationsIn(observations);
   }
 
-  /** Begins with the list as it was last known, and follows it. */
+  /** Starts with the endpoint list of the configuration, and follows its changes. */
   public void start() {
     startAfter(List.of());
   }
 
-  /** As {@link #start}, but first replays what another process of this node has observed. */
-  void startAfter(List<Observation> past) {
-    if (!past.isEmpty()) {
-      dispatcher.replay(config.knownMembers().toUpdate(MembershipUpdate.Kind.CACHED), past);
+  /** Like {@link #start}, but first replays what another process of this node has observed. */
+  void startAfter(List<Observation> pastObservations) {
+    if (!pastObservations.isEmpty()) {
+      dispatcher.replay(
+          config.knownMembers().toUpdate(MembershipUpdate.Kind.CACHED), pastObservations);
     }
     dispatcher.start(pools, discovery);
     members.apply(config.knownMembers(), MembershipUpdate.Kind.CACHED);
@@ -219,12 +233,13 @@
   }
 
   /**
-   * Where lists are pushed, waits for the first one, at most {@code millis}: from the first request
-   * on, the node has to follow the agent's list. From any thread but the event loop.
+   * If discovery pushes its lists, waits for the first one, for at most {@code timeoutMillis}: from
+   * the first request on, the node has to follow the agent's list. May be called from any thread
+   * except the event loop.
    */
-  void awaitPushedList(long millis) throws InterruptedException {
+  void awaitPushedList(long timeoutMillis) throws InterruptedException {
     if (!config.settings().pollsEndpointList()) {
-      members.awaitFirstList(millis);
+      members.awaitFirstList(timeoutMillis);
     }
   }
 
@@ -233,72 +248,78 @@
     return serveWhenBound(transport.acceptor(loop).childHandler(front).bind(address));
   }
 
-  /** Accepts clients from a socket that listens already, and is shared with other processes. */
-  public ChannelFuture listen(ServerSocketChannel listening) {
-    return serveWhenBound(transport.acceptor(loop, listening).childHandler(front).register());
+  /** Accepts clients from a listening socket that is shared with other processes. */
+  public ChannelFuture listen(ServerSocketChannel listeningSocket) {
+    return serveWhenBound(transport.acceptor(loop, listeningSocket).childHandler(front).register());
   }
 
-  private ChannelFuture serveWhenBound(ChannelFuture bound) {
-    bound.addListener(
+  private ChannelFuture serveWhenBound(ChannelFuture bindFuture) {
+    bindFuture.addListener(
         done -> {
           if (done.isSuccess()) {
-            shutdown.listensOn(bound.channel());
+            shutdown.listensOn(bindFuture.channel());
             snapshots.enter(ProcessState.Stage.READY);
             clock.forgetStalls();
             monitor.start();
           }
         });
-    return bound;
+    return bindFuture;
   }
 
-  /** The state of overload control, as it was some milliseconds ago. From any thread. */
+  /** The state of overload control, a few milliseconds old. May be called from any thread. */
   public OverloadSnapshot overloadSnapshot() {
     return snapshots.overload();
   }
 
   /**
-   * What request coalescing has done, as it was some milliseconds ago; null where reads are not
-   * coalesced. From any thread.
+   * The counters of request coalescing, a few milliseconds old; null if reads are not coalesced.
+   * May be called from any thread.
    */
   public CoalescingSnapshot coalescingSnapshot() {
     return snapshots.coalescing();
   }
 
-  /** The state for other processes of this node, as it was some milliseconds ago. Any thread. */
+  /**
+   * The state for other processes of this node, a few milliseconds old. May be called from any
+   * thread.
+   */
   public ProcessState processState() {
     return snapshots.processState();
   }
 
-  /** The metrics for operators, as they were some milliseconds ago. From any thread. */
+  /** The metrics for operators, a few milliseconds old. May be called from any thread. */
   public Telemetry telemetry() {
     return snapshots.telemetry();
   }
 
-  /** Whether a request that came now would be accepted and served. From any thread. */
+  /** Whether the load balancer accepts and serves new requests. May be called from any thread. */
   public boolean isReady() {
     return snapshots.isReady();
   }
 
-  /** What became of requests and attempts, as of now. */
+  /** The current counts of requests and attempts by outcome. */
   public RequestMetricsSnapshot requestMetrics() {
     return dispatcher.metrics().snapshot();
   }
 
   /**
-   * Applies what other processes of this node have published. All limits are for the processes of a
+   * Applies what other processes of this node have published. Limits apply to all processes of a
    * node together.
    *
-   * @param partners how many processes there are besides this one
-   * @param exclusions the cache servers that operators have excluded there
-   * @param clients their open client connections
-   * @param serverConnections their connections to cache servers
+   * @param exclusions the exclusions and inclusions of cache servers that the other processes know
+   * @param processCount the number of other processes
+   * @param clientConnections the number of open client connections of the other processes
+   * @param serverConnections the number of connections of the other processes to cache servers
    */
   public void updatePartners(
-      List<ServerExclusion> exclusions, int partners, int clients, int serverConnections) {
+      List<ServerExclusion> exclusions,
+      int processCount,
+      int clientConnections,
+      int serverConnections) {
     this.exclusions.merge(exclusions);
-    peerClientConnections = clients;
-    front.setMaxConnections(descriptors.maxClientConnections() - clients);
-    pools.setPeerProcessUsage(partners, serverConnections);
+    peerClientConnections = clientConnections;
+    front.setMaxConnections(descriptors.maxClientConnections() - clientConnections);
+    pools.setPeerProcessUsage(processCount, serverConnections);
   }
 
   /** The cache servers that operators have excluded. */
@@ -307,72 +328,73 @@
   }
 
   /**
-   * Applies new settings to all requests to come, and follows discovery at the address that they
-   * give. Limits, addresses to listen on and the seed change at the next start.
+   * Applies new settings to all future requests, and follows discovery at the configured address.
+   * New limits, listen addresses and seeds take effect only at the next start.
    */
-  public void applyConfiguration(NodeConfig next) {
-    log.line("configuration taken, discovery at " + next.discovery());
-    Settings settings = next.settings();
+  public void applyConfiguration(NodeConfig newConfig) {
+    log.line("configuration applied, discovery at " + newConfig.discovery());
+    Settings settings = newConfig.settings();
     dispatcher.retune(settings);
     long now = clock.now();
-    codec.updateSettings(settings, now, now + REMOVED_CLASS_NANOS);
+    codec.updateSettings(settings, now, now + REMOVED_CLASS_GRACE_NANOS);
     dispatcher
         .timers()
-        .runNoEarlierThan(REMOVED_CLASS_NANOS, () -> codec.expireRemovedClasses(clock.now()));
+        .runNoEarlierThan(REMOVED_CLASS_GRACE_NANOS, () -> codec.expireRemovedClasses(clock.now()));
     config = config.withSettings(settings);
-    discovery.switchTo(next.discovery());
+    discovery.switchTo(newConfig.discovery());
     snapshots.countReloadApplied();
   }
 
-  /** Logs and counts a configuration that was rejected; the one in force stays. */
+  /** Logs and counts a configuration that was rejected; the current one remains in force. */
   public void rejectConfiguration(String reason) {
-    log.line("configuration not taken, the old one holds: " + reason);
+    log.line("configuration rejected, keeping the current one: " + reason);
     snapshots.countReloadRejected();
   }
 
-  /** A turn of the loop ends that began then, see {@link LoopClock.Listener#onTurnEnd}. */
-  public void recordLoopTurn(long begunAt, long now) {
-    // Not while it starts: loading and compiling its classes is one long turn after the other.
+  /** Records the end of a turn of the loop, see {@link LoopClock.Listener#onTurnEnd}. */
+  public void recordLoopTurn(long startedAtNanos, long now) {
+    // Turns during startup are not recorded: loading and compiling classes makes them all long.
     if (shutdown.isListening()) {
-      overload.onLoopTurnEnd(begunAt, now, dispatcher.oldestQueuedNanos());
+      overload.onLoopTurnEnd(startedAtNanos, now, dispatcher.oldestQueuedNanos());
     }
   }
 
-  /** The loop has been stalled for this many nanoseconds, until now. */
-  public void recordStall(long nanos) {
-    overload.onEventLoopStall(nanos, clock.now());
-    dispatcher.onStall(nanos);
+  /** Records a stall of the loop that lasted this many nanoseconds and has just ended. */
+  public void recordStall(long stallNanos) {
+    overload.onEventLoopStall(stallNanos, clock.now());
+    dispatcher.onStall(stallNanos);
   }
 
-  /** The longest that a {@link #drain} takes, but for clients that do not read their answers. */
+  /** The maximum duration of a {@link #drain}, unless clients do not read their responses. */
   public long maxDrainMillis() {
     return shutdown.maxDrainMillis();
   }
 
   /**
-   * A planned restart: accepts connections for as long as they may come, and serves until the end
-   * is near; then closes each connection as it becomes idle, and runs the step when all requests
-   * are answered. New requests get no more time than is left.
+   * Drains for a planned restart: accepts connections for as long as the platform sends them, and
+   * serves until shortly before the platform kills the process; then closes each connection as it
+   * becomes idle, and runs the given step when all requests are answered. Deadlines of new requests
+   * are limited to the time that is left.
    *
-   * <p>Prevents that clients are sent away while other nodes restart too and nobody serves them.
-   * Cost: a restart takes its full time, also where it could have been quicker.
+   * <p>Clients that are disconnected early would find no node if the other nodes restart at the
+   * same time. Cost: a restart always takes its full time, even if no request is open.
    */
   public void drain(Runnable onDrained) {
     shutdown.drain(onDrained);
   }
 
   /**
-   * Another process of this node has taken over: accepts no more from now on, closes each
-   * connection right after its next answer and idle ones after a while, and runs the step when all
-   * requests are answered. Takes no longer than needed: meanwhile both processes use memory and
-   * connections.
+   * Drains after another process of this node has taken over: accepts no more connections, closes
+   * each one right after its next response and idle ones after a delay, and runs the given step
+   * when all requests are answered. Takes no longer than needed, since both processes use memory
+   * and connections meanwhile.
    */
   public void handOver(Runnable onDrained) {
     monitor.closeIdleConnections();
     shutdown.handOver(onDrained);
   }
 
-  /** Ends at once: every open request gets its one answer, and nothing new is accepted or sent. */
+  /** Closes at once: answers every open request, and accepts and sends nothing new. */
   public void close() {
     monitor.stop();
     snapshots.enter(ProcessState.Stage.DRAINING);
@@ -381,7 +403,7 @@
     pools.close();
   }
 
-  /** Submits calls from other threads. From any thread. */
+  /** The engine, to which other threads submit calls. May be called from any thread. */
   public Engine engine() {
     return engine;
   }
@@ -390,22 +412,22 @@
     return dispatcher;
   }
 
-  /** Client connections that are open. */
+  /** The number of open client connections. */
   public int clientConnections() {
     return front.connectionCount();
   }
 
-  /** Connections to cache servers that are open or being opened. */
+  /** The number of connections to cache servers that are open or being opened. */
   public int serverConnections() {
     return pools.connections();
   }
 
-  /** Requests that are not complete, or of which an attempt is open. */
+  /** The number of requests that have not ended, or of which an attempt is in flight. */
   public int openRequests() {
     return dispatcher.openRequests();
   }
 
-  /** Timers that have not fired. */
+  /** The number of timers that have not fired. */
   public int pendingTimers() {
     return dispatcher.timers().size();
   }
--- a/engine/src/main/java/shalepaddle/node/MemberTracker.java
+++ b/engine/src/main/java/shalepaddle/node/MemberTracker.java
@@ -12,28 +12,28 @@
 import shalepaddle.upstream.ServerPools;
 
 /**
- * Owns the list of cache servers as this node knows it, and passes each change first to the
- * connections and then to the policy.
+ * Owns this node's current endpoint list, and passes each change first to the connection pools and
+ * then to the policy.
  *
- * <p>On the event loop alone, but for {@link #awaitFirstList}.
+ * <p>Used on the event loop only, except {@link #awaitFirstList}.
  */
 final class MemberTracker implements MemberListener {
   private final ServerPools pools;
   private final Dispatcher dispatcher;
-  private final Clock time;
+  private final Clock nodeClock;
   private final Log log;
-  private final CountDownLatch firstList = new CountDownLatch(1);
+  private final CountDownLatch firstListLatch = new CountDownLatch(1);
 
-  /** The complete list, null before {@link #apply} ran for the first time. */
+  /** The complete list, null before the first call of {@link #apply}. */
   private MemberList current;
 
-  /** The failure logged last, null since the last list. */
+  /** The failure that was logged last, null if a list has arrived since. */
   private String loggedFailure;
 
-  MemberTracker(ServerPools pools, Dispatcher dispatcher, Clock time, Log log) {
+  MemberTracker(ServerPools pools, Dispatcher dispatcher, Clock nodeClock, Log log) {
     this.pools = pools;
     this.dispatcher = dispatcher;
-    this.time = time;
+    this.nodeClock = nodeClock;
     this.log = log;
   }
 
@@ -41,12 +41,12 @@
   public void onList(MemberList list) {
     loggedFailure = null;
     apply(list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.DELTA);
-    firstList.countDown();
+    firstListLatch.countDown();
   }
 
   @Override
   public void onFailure(String reason) {
-    // Logged once until the next list: while discovery is down it is polled again and again.
+    // A failure is logged once until the next list: discovery is polled repeatedly while down.
     if (!reason.equals(loggedFailure)) {
       loggedFailure = reason;
       log.line("discovery: " + reason);
@@ -54,26 +54,26 @@
     dispatcher.membership(new MembershipUpdate(MembershipUpdate.Kind.FAILED, 0, List.of()));
   }
 
-  /** Applies a complete list or a change. */
+  /** Applies a complete list, or a change of the current list. */
   void apply(MemberList update, MembershipUpdate.Kind kind) {
     MemberList list = update.withKnownDrains(current);
     current = list.appliedTo(current);
-    pools.update(list, time.now());
+    pools.update(list, nodeClock.now());
     dispatcher.membership(list.toUpdate(kind));
     pools.failUnroutable();
   }
 
-  /** The complete list, null before the first one. */
+  /** The complete list, null before the first call of {@link #apply}. */
   MemberList current() {
     return current;
   }
 
   /**
-   * Waits for the first list from discovery, for at most {@code millis}. From any thread but the
-   * event loop.
+   * Waits for the first list from discovery, for at most {@code timeoutMillis}. May be called
+   * from any thread except the event loop.
    */
-  void awaitFirstList(long millis) throws InterruptedException {
-    // Going on without it is correct: the list of the configuration is used then.
-    boolean ignored = firstList.await(millis, TimeUnit.MILLISECONDS);
+  void awaitFirstList(long timeoutMillis) throws InterruptedException {
+    // A time-out is no failure: the list of the configuration is used then.
+    boolean ignored = firstListLatch.await(timeoutMillis, TimeUnit.MILLISECONDS);
   }
 }
--- a/engine/src/main/java/shalepaddle/node/NettyLog.java
+++ b/engine/src/main/java/shalepaddle/node/NettyLog.java
@@ -6,10 +6,10 @@
 import shalepaddle.loop.Log;
 
 /**
- * Writes the transport's warnings and errors as lines of the node's log. The transport's default,
- * the Java platform's logger, opens files when it writes its first line. That fails while
- * descriptors are short, with an {@link Error} that ends the event loop. This logger needs no
- * descriptor. Thread-safe, as the node's log is.
+ * Writes Netty's warnings and errors as lines of the node's log. Netty's default, {@code
+ * java.util.logging}, opens files when it writes its first line. If the process has run out of
+ * descriptors, this fails with an {@link Error} that ends the event loop. This logger needs no
+ * descriptor. Thread-safe, like the node's log.
  */
 final class NettyLog extends WarningsOnlyLogger {
   private static final long serialVersionUID = 1;
@@ -21,7 +21,7 @@
     this.log = log;
   }
 
-  /** From now on each class of the transport that is loaded logs there. */
+  /** Makes each Netty class that is loaded from now on write to this log. */
   static void install(Log log) {
     InternalLoggerFactory.setDefaultFactory(
         new InternalLoggerFactory() {
@@ -48,8 +48,8 @@
   }
 
   @Override
-  public void warn(String format, Object first, Object second) {
-    write("warn", format, first, second);
+  public void warn(String format, Object firstArgument, Object secondArgument) {
+    write("warn", format, firstArgument, secondArgument);
   }
 
   @Override
@@ -73,8 +73,8 @@
   }
 
   @Override
-  public void error(String format, Object first, Object second) {
-    write("error", format, first, second);
+  public void error(String format, Object firstArgument, Object secondArgument) {
+    write("error", format, firstArgument, secondArgument);
   }
 
   @Override
--- a/engine/src/main/java/shalepaddle/node/Node.java
+++ b/engine/src/main/java/shalepaddle/node/Node.java
@@ -30,27 +30,27 @@
 import shalepaddle.settings.JsonObject;
 
 /**
- * One load balancer with its own event loop thread and, where the configuration has an address for
- * it, its admin server: start, configuration reload, and an orderly end. {@link NodeProcess} runs
- * it as a process.
+ * One load balancer with its own event loop thread and, if the configuration has an address for it,
+ * an admin server. Covers startup, configuration reload and shutdown. {@link NodeProcess} runs a
+ * node as a process.
  *
- * <p>Methods may be called from any thread but the event loop, for which most of them wait.
+ * <p>Methods may be called from any thread except the event loop, since most of them wait for it.
  */
 public final class Node implements AutoCloseable {
-  /** Added to the longest drain: the time in which clients may read the last answers. */
+  /** This time is added to the maximum drain time, so that clients can read the last responses. */
   private static final long LINGER_MILLIS = 2000;
 
   /**
-   * How long a start waits for an agent's list. An agent answers at once, unless discovery is down
-   * and it has nothing new.
+   * How long a start waits for the discovery agent's list. The agent answers at once, unless
+   * discovery is down and the agent has nothing new.
    */
-  private static final long FIRST_LIST_MILLIS = 250;
+  private static final long FIRST_LIST_TIMEOUT_MILLIS = 250;
 
-  /** How often {@link #awaitDrained(long)} checks: the most of its time that one stall uses up. */
+  /** The step of {@link #awaitDrained(long)}: a stall of any length counts as one step at most. */
   private static final long DRAIN_STEP_MILLIS = 50;
 
   /** Stalls longer than this are logged. */
-  private static final long LOGGED_STALL_NANOS = 250_000_000L;
+  private static final long MIN_LOGGED_STALL_NANOS = 250_000_000L;
 
   private final NodeConfig config;
   private final Log log = new Log();
@@ -60,112 +60,113 @@
   private final EventLoop loop;
   private final LoopClock clock;
   private final LoadBalancer balancer;
-  private final CountDownLatch drained = new CountDownLatch(1);
+  private final CountDownLatch drainedLatch = new CountDownLatch(1);
 
-  /** The clients' listener that the platform opened, null where the node opens its own. */
-  private final ServerSocketChannel inherited;
+  /** The client listener that the platform opened, null if the node opens its own. */
+  private final ServerSocketChannel inheritedListener;
 
-  /** Shared with other processes of this node, null where there can be none. */
+  /** The files shared with other processes of this node, null if there are none. */
   private final ProcessFiles files;
 
-  /** Null without an address for it. */
+  /** The admin server, null before it opens or if the configuration has no address for it. */
   private AdminServer adminServer;
 
-  /** Null where {@link #files} is. */
+  /** Exchanges state with other processes; null before {@link #prepare}, or without files. */
   private HotRestart hotRestart;
 
-  private volatile boolean listening;
+  private volatile boolean isListening;
   private volatile boolean haltsOnLoopFailure;
 
-  /** A node that is not listening yet. */
+  /** Creates a node that is not listening yet. */
   public Node(NodeConfig config, OperatorFile operator) {
     this(config, operator, DescriptorBudget.connectionsPerServer(config));
   }
 
-  /** A node that opens at most {@code connections} to each server. */
-  Node(NodeConfig config, OperatorFile operator, int connections) {
-    this(config, operator, connections, null, null);
+  /** Creates a node that opens at most {@code connectionsPerServer} connections to each server. */
+  Node(NodeConfig config, OperatorFile operator, int connectionsPerServer) {
+    this(config, operator, connectionsPerServer, null, null);
   }
 
   /**
-   * A node that is not listening yet.
+   * Creates a node that is not listening yet.
    *
-   * @param connections the most that it opens to each server
-   * @param inherited the clients' listener, null to open one
-   * @param files shared with other processes of this node, null where there can be none
+   * @param connectionsPerServer the maximum number of connections to each server
+   * @param inheritedListener the client listener, null to open one
+   * @param files the files shared with other processes of this node, null if there are none
    */
   Node(
       NodeConfig config,
       OperatorFile operator,
-      int connections,
-      ServerSocketChannel inherited,
+      int connectionsPerServer,
+      ServerSocketChannel inheritedListener,
       ProcessFiles files) {
-    this.inherited = inherited;
+    this.inheritedListener = inheritedListener;
     this.files = files;
     this.config = config;
-    // Before any class of the transport is loaded: each keeps the logger that it finds then.
+    // This call precedes the loading of any Netty class: each obtains its logger when it is loaded.
     NettyLog.install(log);
     transport = Transport.sockets();
     clock = new LoopClock(Ticker.systemTicker(), new StallListener());
-    threads = new EventLoopThreads(log, this::loopFailed);
-    group = group(clock, threads);
+    threads = new EventLoopThreads(log, this::handleLoopFailure);
+    group = newLoopGroup(clock, threads);
     loop = group.next();
     balancer =
-        new LoadBalancer(config, operator, connections, loop, clock, clock(), transport, log);
+        new LoadBalancer(
+            config, operator, connectionsPerServer, loop, clock, newClock(), transport, log);
   }
 
-  /** The event loop has ended by itself: no request can be answered any more. */
-  private void loopFailed() {
-    listening = false;
+  /** Handles an event loop that ended unexpectedly: no request can be answered any more. */
+  private void handleLoopFailure() {
+    isListening = false;
     if (haltsOnLoopFailure) {
       Runtime.getRuntime().halt(EventLoopThreads.EXIT_CODE);
     }
   }
 
-  private static MultiThreadIoEventLoopGroup group(LoopClock clock, ThreadFactory threads) {
+  private static MultiThreadIoEventLoopGroup newLoopGroup(LoopClock clock, ThreadFactory threads) {
     return new MultiThreadIoEventLoopGroup(
         1, threads, WatchedIoHandler.factory(NioIoHandler.newFactory(), clock));
   }
 
-  private static Clock clock() {
+  private static Clock newClock() {
     return new Clock(Ticker.systemTicker(), System.currentTimeMillis());
   }
 
-  /** Logs the event loop's stalls and passes them on. */
+  /** Logs the event loop's stalls, and passes stalls and turns to the load balancer. */
   private final class StallListener implements LoopClock.Listener {
     @Override
-    public void onStall(long nanos) {
-      // Not while it starts: loading and compiling its classes is one long turn after the other.
-      if (nanos > LOGGED_STALL_NANOS && listening) {
-        log.line("stood still for " + nanos / 1_000_000 + " ms");
+    public void onStall(long stallNanos) {
+      // Stalls during startup are not logged: loading and compiling classes causes many.
+      if (stallNanos > MIN_LOGGED_STALL_NANOS && isListening) {
+        log.line("event loop stalled for " + stallNanos / 1_000_000 + " ms");
       }
-      balancer.recordStall(nanos);
+      balancer.recordStall(stallNanos);
     }
 
     @Override
-    public void onTurnEnd(long begunAt, long now) {
-      balancer.recordLoopTurn(begunAt, now);
+    public void onTurnEnd(long startedAtNanos, long now) {
+      balancer.recordLoopTurn(startedAtNanos, now);
     }
 
     @Override
     public void onTaskFailure(RuntimeException cause) {
-      log.failure("after an event-loop stall", cause);
+      log.failure("task after an event-loop stall", cause);
     }
   }
 
   /**
-   * From now on a failed event loop ends the process, with {@link EventLoopThreads#EXIT_CODE}: one
-   * that lives on without its loop looks healthy and answers nobody.
+   * From now on a failed event loop ends the process, with {@link EventLoopThreads#EXIT_CODE}: a
+   * process without its event loop looks healthy but answers no request.
    */
   void haltOnLoopFailure() {
     haltsOnLoopFailure = true;
   }
 
   /**
-   * Opens the admin server, where there is an address for it: before all else, so that operators
-   * can see the start.
+   * Opens the admin server if it has an address. Called before all other steps of a start, so that
+   * operators can observe the start.
    *
-   * @throws IOException if it cannot listen there
+   * @throws IOException if the admin server cannot listen at its address
    */
   void openAdminServer() throws IOException, InterruptedException {
     if (config.adminAddress() != null) {
@@ -173,28 +174,29 @@
           new AdminServer(
               config.adminAddress(),
               transport.allocator(),
-              new NodeAdminOperations(loop, balancer, () -> listening && balancer.isReady()));
+              new NodeAdminOperations(loop, balancer, () -> isListening && balancer.isReady()));
     }
   }
 
   /**
-   * Applies the configuration file as it is now, completely or not at all: the one in force stays
-   * where the file is half written or wrong. Synchronized, so that the newest file wins.
+   * Reads the configuration file again and applies it completely or not at all: if the file is
+   * incomplete or invalid, the current configuration remains in force. Synchronized, so that the
+   * newest file wins.
    *
-   * @param startupJson what the file contained at the start: each of its keys is still needed
+   * @param startupJson the file's content at startup; the new file must have all of its keys
    */
   synchronized void reload(String configFile, JsonObject startupJson) {
-    // Read and checked on the caller's thread: the event loop must not wait for a disk.
+    // The file is read on the caller's thread: the event loop must not wait for a disk.
     try {
-      NodeConfig next = NodeConfig.reload(configFile, startupJson);
-      loop.execute(() -> balancer.applyConfiguration(next));
+      NodeConfig newConfig = NodeConfig.reload(configFile, startupJson);
+      loop.execute(() -> balancer.applyConfiguration(newConfig));
     } catch (FormatException e) {
       loop.execute(() -> balancer.rejectConfiguration(e.getMessage()));
     }
   }
 
   /**
-   * Gets ready and listens; returns the address.
+   * Prepares the node and listens for clients; returns the address.
    *
    * @throws IOException if it cannot listen at the configured address
    */
@@ -204,7 +206,7 @@
     return listen();
   }
 
-  /** Gets ready for requests: warms up, and learns from a process that this one replaces. */
+  /** Warms up the node's code, and replays the observations of the process that it replaces. */
   void prepare() throws InterruptedException {
     if (files == null) {
       Warmup.run(config, transport, log);
@@ -217,23 +219,28 @@
             files,
             balancer::processState,
             observations::all,
-            (exclusions, partners, clients, servers) ->
+            (exclusions, processCount, clientConnections, serverConnections) ->
                 loop.execute(
-                    () -> balancer.updatePartners(exclusions, partners, clients, servers)));
-    // Before the warm-up: the other process publishes its observations meanwhile.
+                    () ->
+                        balancer.updatePartners(
+                            exclusions, processCount, clientConnections, serverConnections)));
+    // Polling starts before the warm-up: the other process publishes observations meanwhile.
     hotRestart.start();
     Warmup.run(config, transport, log);
-    List<Observation> past = files.takeObservations();
+    List<Observation> pastObservations = files.takeObservations();
     loop.submit(
             () -> {
               balancer.recordObservations(observations);
-              balancer.startAfter(past);
+              balancer.startAfter(pastObservations);
             })
         .await();
-    if (!past.isEmpty()) {
-      log.line("learned from " + past.size() + " attempts of the process before");
+    if (!pastObservations.isEmpty()) {
+      log.line(
+          "warm start: replayed "
+              + pastObservations.size()
+              + " attempts of the previous process");
     }
-    // Before the first request: exclusions are in force in every process of the node.
+    // This poll applies the other processes' exclusions before the first request.
     hotRestart.poll();
     loop.submit(() -> {}).await();
   }
@@ -244,38 +251,41 @@
    * @throws IOException if it cannot listen at the configured address
    */
   InetSocketAddress listen() throws IOException, InterruptedException {
-    balancer.awaitPushedList(FIRST_LIST_MILLIS);
-    ChannelFuture bound =
-        (inherited == null ? balancer.listen(config.listen()) : balancer.listen(inherited)).await();
-    if (!bound.isSuccess()) {
-      throw new IOException(bound.cause().getMessage());
+    balancer.awaitPushedList(FIRST_LIST_TIMEOUT_MILLIS);
+    ChannelFuture bindFuture =
+        (inheritedListener == null
+                ? balancer.listen(config.listen())
+                : balancer.listen(inheritedListener))
+            .await();
+    if (!bindFuture.isSuccess()) {
+      throw new IOException(bindFuture.cause().getMessage());
     }
-    // The future is done before its listener has run, which makes the balancer ready.
+    // The empty task runs after the listener of the future, which makes the balancer ready.
     loop.submit(() -> {}).await();
     if (hotRestart != null) {
-      // Before this node says that it is ready: the platform may end the other process as soon as
-      // it reads that.
+      // The state is published before the admin server reports readiness: the platform may end
+      // the other process as soon as it sees the readiness.
       hotRestart.publish();
     }
-    listening = true;
-    return (InetSocketAddress) bound.channel().localAddress();
+    isListening = true;
+    return (InetSocketAddress) bindFuture.channel().localAddress();
   }
 
-  /** A planned restart; returns when all requests are answered, or after a bounded time. */
+  /** Drains the node; returns when all requests are answered, or after a bounded time. */
   void drain() {
-    boolean successor = hotRestart != null && hotRestart.isSuccessorReady();
+    boolean isSuccessorReady = hotRestart != null && hotRestart.isSuccessorReady();
     loop.execute(
         () -> {
-          if (successor) {
-            balancer.handOver(drained::countDown);
+          if (isSuccessorReady) {
+            balancer.handOver(drainedLatch::countDown);
           } else {
-            balancer.drain(drained::countDown);
+            balancer.drain(drainedLatch::countDown);
           }
         });
     try {
-      boolean complete = awaitDrained(balancer.maxDrainMillis() + LINGER_MILLIS);
+      boolean isDrainComplete = awaitDrained(balancer.maxDrainMillis() + LINGER_MILLIS);
       log.line(
-          complete
+          isDrainComplete
               ? "drained"
               : "event=drain_timeout client_connections=" + balancer.clientConnections());
     } catch (InterruptedException e) {
@@ -284,13 +294,15 @@
   }
 
   /**
-   * Waits until all requests are answered; false after {@code millis} in which the process ran. The
-   * time is counted in steps, and a stall of any length takes one, so that a stall does not use up
-   * the time.
+   * Waits until all requests are answered; returns false after {@code timeoutMillis} in which the
+   * process ran. The time is counted in steps, and a stall of any length counts as one step at
+   * most, so that a stall does not use up the time.
    */
-  private boolean awaitDrained(long millis) throws InterruptedException {
-    for (long left = millis; left > 0; left -= DRAIN_STEP_MILLIS) {
-      if (drained.await(DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS)) {
+  private boolean awaitDrained(long timeoutMillis) throws InterruptedException {
+    for (long remainingMillis = timeoutMillis;
+        remainingMillis > 0;
+        remainingMillis -= DRAIN_STEP_MILLIS) {
+      if (drainedLatch.await(DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS)) {
         return true;
       }
     }
@@ -299,10 +311,10 @@
 
   /** Blocks until a {@link #drain} has ended. */
   void awaitDrained() throws InterruptedException {
-    drained.await();
+    drainedLatch.await();
   }
 
-  /** Where the admin server listens, null without one. */
+  /** The address on which the admin server listens, null if there is none. */
   public InetSocketAddress adminAddress() {
     return adminServer == null ? null : adminServer.address();
   }
@@ -323,17 +335,17 @@
     return balancer;
   }
 
-  /** See {@link LoadBalancer#overloadSnapshot}. From any thread. */
+  /** The state of overload control, a few milliseconds old. May be called from any thread. */
   public OverloadSnapshot overloadSnapshot() {
     return balancer.overloadSnapshot();
   }
 
-  /** Submits calls from other threads. From any thread. */
+  /** The engine, to which other threads submit calls. May be called from any thread. */
   public Engine engine() {
     return balancer.engine();
   }
 
-  /** Ends at once: every open request gets its one answer. Does nothing the second time. */
+  /** Closes the node at once, after answering every open request. Idempotent. */
   @Override
   public void close() {
     if (!group.isShuttingDown()) {
--- a/engine/src/main/java/shalepaddle/node/NodeAdminOperations.java
+++ b/engine/src/main/java/shalepaddle/node/NodeAdminOperations.java
@@ -15,17 +15,17 @@
 final class NodeAdminOperations implements AdminOperations {
   private final EventLoop loop;
   private final LoadBalancer balancer;
-  private final BooleanSupplier readiness;
+  private final BooleanSupplier isNodeReady;
 
-  NodeAdminOperations(EventLoop loop, LoadBalancer balancer, BooleanSupplier readiness) {
-    this.readiness = readiness;
+  NodeAdminOperations(EventLoop loop, LoadBalancer balancer, BooleanSupplier isNodeReady) {
+    this.isNodeReady = isNodeReady;
     this.loop = loop;
     this.balancer = balancer;
   }
 
   @Override
   public boolean isReady() {
-    return readiness.getAsBoolean();
+    return isNodeReady.getAsBoolean();
   }
 
   @Override
@@ -34,23 +34,23 @@
   }
 
   @Override
-  public Revocable exclude(String member, boolean excluded, Consumer<Result> done) {
-    // Set first by the loop, which then runs the command, or by the caller, who revokes it.
-    AtomicBoolean claimed = new AtomicBoolean();
+  public Revocable exclude(String member, boolean isExcluded, Consumer<Result> onResult) {
+    // The flag is set by the event loop, which then runs the command, or by the revoking caller.
+    AtomicBoolean isClaimed = new AtomicBoolean();
     try {
       loop.execute(
           () -> {
-            if (claimed.compareAndSet(false, true)) {
-              done.accept(
-                  balancer.exclusions().setExcluded(member, excluded)
+            if (isClaimed.compareAndSet(false, true)) {
+              onResult.accept(
+                  balancer.exclusions().setExcluded(member, isExcluded)
                       ? Result.DONE
                       : Result.UNKNOWN_MEMBER);
             }
           });
     } catch (RejectedExecutionException e) {
-      claimed.set(true);
-      done.accept(Result.UNAVAILABLE);
+      isClaimed.set(true);
+      onResult.accept(Result.UNAVAILABLE);
     }
-    return () -> claimed.compareAndSet(false, true);
+    return () -> isClaimed.compareAndSet(false, true);
   }
 }
--- a/engine/src/main/java/shalepaddle/node/NodeProcess.java
+++ b/engine/src/main/java/shalepaddle/node/NodeProcess.java
@@ -16,35 +16,39 @@
 import shalepaddle.settings.JsonObject;
 
 /**
- * Runs a {@link Node} as a process of its own: reads its environment and files, sets its signal
- * handlers and turns failures into exit codes. Errors before the node listens go to standard error.
+ * Runs a {@link Node} as a separate process: reads the environment and the configuration files,
+ * installs signal handlers and maps failures to exit codes. Errors that occur before the node
+ * listens are written to standard error.
  */
 public final class NodeProcess {
   private static final int EXIT_FAILED = 1;
   private static final int EXIT_BAD_CONFIGURATION = 2;
 
   private static final String RELOAD_SIGNAL_IGNORED =
-      "SIGHUP is ignored, as under nohup, and no later one will be taken; start with setsid instead";
+      "SIGHUP is ignored, as under nohup, so no reload will be applied; start with setsid instead";
 
-  /** One call of each kind, so that a rehearsal loads the admin server's classes. */
+  /** One admin call of each kind, so that {@link #rehearse} loads the admin server's classes. */
   private static final List<String> REHEARSED_CALLS =
       List.of("GET /api/ready", "GET /api/telemetry", "PUT /api/include?member=a");
 
   private NodeProcess() {}
 
   /**
-   * What a process is started with.
+   * The inputs of a process start.
    *
-   * @param config the configuration, with what the environment and other processes add to it
-   * @param configJson the configuration file's content, whose keys a reload needs all
-   * @param inherited the clients' listener from the platform, null where the node opens its own
-   * @param files those shared with other processes of this node, null for none
+   * @param config the configuration, including values from the environment and the newest endpoint
+   *     list that another process of this node has published
+   * @param configJson the configuration file's content; a reloaded file must have all of its keys
+   * @param operator the operator's settings
+   * @param inheritedListener the client listener that the platform opened, null if the node opens
+   *     its own
+   * @param files the files shared with other processes of this node, null if there are none
    */
   private record Startup(
       NodeConfig config,
       JsonObject configJson,
       OperatorFile operator,
-      ServerSocketChannel inherited,
+      ServerSocketChannel inheritedListener,
       ProcessFiles files) {
 
     static Startup load(String configFile, String operatorFile)
@@ -53,19 +57,20 @@
       NodeConfig config =
           NodeConfig.read(configFile, json).withAdminAddress(System.getenv("ROUTER_MANAGEMENT"));
       OperatorFile operator = OperatorFile.load(operatorFile);
-      ServerSocketChannel inherited =
+      ServerSocketChannel inheritedListener =
           InheritedListener.fromDescriptor(System.getenv("ROUTER_LISTEN_FD"));
-      ProcessFiles files = inherited == null ? null : sharedFiles(System.getenv("TMPDIR"));
-      MemberList newer = files == null ? null : files.readOthers().newestMemberList();
+      ProcessFiles files =
+          inheritedListener == null ? null : newSharedFiles(System.getenv("TMPDIR"));
+      MemberList newestList = files == null ? null : files.readOthers().newestMemberList();
       return new Startup(
-          newer == null ? config : config.withKnownMembers(newer),
+          newestList == null ? config : config.withKnownMembers(newestList),
           json,
           operator,
-          inherited,
+          inheritedListener,
           files);
     }
 
-    private static ProcessFiles sharedFiles(String folder) {
+    private static ProcessFiles newSharedFiles(String folder) {
       if (folder == null || folder.isEmpty()) {
         System.err.println("event=hot_restart_disabled reason=no_tmpdir");
         return null;
@@ -82,7 +87,7 @@
   /**
    * Runs a node until a signal ends it; returns the exit code.
    *
-   * @param configFile the platform's configuration, null where the environment names none
+   * @param configFile the platform's configuration, null if the environment names none
    * @param operatorFile the operator's settings, null for the defaults
    */
   public static int serve(String configFile, String operatorFile) throws InterruptedException {
@@ -90,41 +95,42 @@
     try {
       startup = Startup.load(configFile, operatorFile);
     } catch (FormatException | IOException e) {
-      return failed(e.getMessage());
+      return reportStartFailure(e.getMessage());
     }
     Node node =
         new Node(
             startup.config(),
             startup.operator(),
             DescriptorBudget.connectionsPerServer(startup.config()),
-            startup.inherited(),
+            startup.inheritedListener(),
             startup.files());
     try {
       node.openAdminServer();
     } catch (IOException e) {
-      int exitCode = failed(e.getMessage());
+      int exitCode = reportStartFailure(e.getMessage());
       node.close();
       return exitCode;
     }
     node.haltOnLoopFailure();
     node.prepare();
-    // Before it listens: once a node answers, the platform may signal it at any time.
+    // Signals are handled before the node listens: from then on the platform may send them.
     Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain"));
     installReload(node, configFile, startup.configJson());
     try {
       node.listen();
     } catch (IOException e) {
       int exitCode =
-          failed("cannot listen on " + startup.config().listen() + ": " + e.getMessage());
+          reportStartFailure(
+              "cannot listen on " + startup.config().listen() + ": " + e.getMessage());
       node.close();
-      // Not by way of the shutdown hook: there is nothing to drain.
+      // Halting skips the shutdown hook: there is nothing to drain.
       Runtime.getRuntime().halt(exitCode);
     }
     node.awaitDrained();
     return 0;
   }
 
-  private static int failed(String reason) {
+  private static int reportStartFailure(String reason) {
     System.err.println("serve: " + reason);
     return EXIT_BAD_CONFIGURATION;
   }
@@ -141,15 +147,15 @@
   }
 
   /**
-   * Starts a node that knows no servers, and ends it: at the build, so that the virtual machine can
-   * archive the classes that a start loads, those that read the operator's file among them. Returns
-   * the exit code.
+   * Starts a node with an empty endpoint list, calls its admin server and closes it. The build runs
+   * this so that the virtual machine can archive the classes that a start loads, including those
+   * that read the operator's file. Returns the exit code.
    */
   public static int rehearse(String operatorFile) throws InterruptedException {
     try (Node node = new Node(NodeConfig.rehearsal(), OperatorFile.load(operatorFile))) {
       node.start();
-      for (String call : REHEARSED_CALLS) {
-        callAdminServer(node.adminAddress(), call);
+      for (String methodAndPath : REHEARSED_CALLS) {
+        callAdminServer(node.adminAddress(), methodAndPath);
       }
       return 0;
     } catch (IOException | FormatException e) {
@@ -158,13 +164,14 @@
     }
   }
 
-  private static void callAdminServer(InetSocketAddress address, String call) throws IOException {
-    try (Socket caller = new Socket()) {
-      caller.connect(address);
-      caller
+  private static void callAdminServer(InetSocketAddress address, String methodAndPath)
+      throws IOException {
+    try (Socket socket = new Socket()) {
+      socket.connect(address);
+      socket
           .getOutputStream()
-          .write((call + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-      caller.getInputStream().readAllBytes();
+          .write((methodAndPath + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+      socket.getInputStream().readAllBytes();
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
+++ b/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
@@ -10,30 +10,30 @@
 import shalepaddle.upstream.ServerPools;
 
 /**
- * Applies operators' exclusions of cache servers to the connections and the decisions, whether they
- * come from this process's admin server or from another process of this node. The latest exclusion
- * or inclusion of a server is in force.
+ * Applies operators' exclusions of cache servers to the connection pools and the policy, whether
+ * they come from this process's admin server or from another process of this node. The latest
+ * exclusion or inclusion of a server is in force.
  *
- * <p>On the event loop alone.
+ * <p>Used on the event loop only.
  */
 final class OperatorExclusions {
-  private final ServerExclusions latest = new ServerExclusions();
+  private final ServerExclusions latestExclusions = new ServerExclusions();
   private final ServerPools pools;
   private final Dispatcher dispatcher;
-  private final Clock time;
+  private final Clock nodeClock;
   private final Log log;
   private final Runnable onChange;
 
   /**
-   * Nothing is excluded yet.
+   * Creates an instance with no server excluded.
    *
    * @param onChange runs after each exclusion or inclusion that was applied
    */
   OperatorExclusions(
-      ServerPools pools, Dispatcher dispatcher, Clock time, Log log, Runnable onChange) {
+      ServerPools pools, Dispatcher dispatcher, Clock nodeClock, Log log, Runnable onChange) {
     this.pools = pools;
     this.dispatcher = dispatcher;
-    this.time = time;
+    this.nodeClock = nodeClock;
     this.log = log;
     this.onChange = onChange;
   }
@@ -42,12 +42,12 @@
    * Excludes a server for an operator of this process, or includes it again. Returns false, and
    * does nothing, if no such server is known.
    */
-  boolean setExcluded(String member, boolean excluded) {
+  boolean setExcluded(String member, boolean isExcluded) {
     if (!isKnown(member)) {
       return false;
     }
-    log.line("event=" + (excluded ? "server_excluded" : "server_included") + " member=" + member);
-    record(MemberList.serverNumber(member), excluded);
+    log.line("event=" + (isExcluded ? "server_excluded" : "server_included") + " member=" + member);
+    recordAndApply(MemberList.serverNumber(member), isExcluded);
     return true;
   }
 
@@ -56,22 +56,22 @@
     return pools.isKnown(MemberList.serverNumber(member));
   }
 
-  /** Merges what other processes of this node know; the later one of each server wins. */
-  void merge(List<ServerExclusion> theirs) {
-    latest.merge(theirs).forEach(this::apply);
+  /** Merges the exclusions of this node's other processes; the latest of each server wins. */
+  void merge(List<ServerExclusion> otherExclusions) {
+    latestExclusions.merge(otherExclusions).forEach(this::apply);
   }
 
-  private void record(long server, boolean excluded) {
-    // Later than all that is known of this server, whatever the clock of another process was.
-    long knownMillis =
-        latest.all().stream()
+  private void recordAndApply(long server, boolean isExcluded) {
+    // The time is later than that of the known record, even if another process's clock is ahead.
+    long latestKnownMillis =
+        latestExclusions.all().stream()
             .filter(known -> known.server() == server)
             .mapToLong(ServerExclusion::atMillis)
             .findAny()
             .orElse(0);
-    long atMillis = Math.max((long) (time.now() * 1e3), knownMillis + 1);
-    ServerExclusion exclusion = new ServerExclusion(server, excluded, atMillis);
-    latest.record(exclusion);
+    long commandMillis = Math.max((long) (nodeClock.now() * 1e3), latestKnownMillis + 1);
+    ServerExclusion exclusion = new ServerExclusion(server, isExcluded, commandMillis);
+    latestExclusions.record(exclusion);
     apply(exclusion);
   }
 
@@ -81,8 +81,8 @@
     onChange.run();
   }
 
-  /** The latest of each server, those recorded first in front. */
+  /** The latest exclusion or inclusion of each server, in the order in which they were recorded. */
   List<ServerExclusion> all() {
-    return latest.all();
+    return latestExclusions.all();
   }
 }
--- a/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
@@ -9,75 +9,85 @@
 
 /**
  * Meters of a load balancer's own overload, for the registry of a program that embeds it. The
- * deployed daemon has no registry, and its jar no Micrometer: it logs its levels.
+ * deployed daemon has no registry and its jar contains no Micrometer: it logs its overload levels.
  *
  * <table>
- * <caption>What is bound</caption>
+ * <caption>Meters</caption>
  * <tr><th>name</th><th>meaning</th></tr>
- * <tr><td>{@code shalepaddle.overload.level}</td><td>0 calm, 1 busy, 2 full; tag {@code resource}</td></tr>
- * <tr><td>{@code shalepaddle.overload.delay}</td><td>queueing delay in the event loop, in seconds</td></tr>
- * <tr><td>{@code shalepaddle.overload.use}</td><td>part of the limit in use; tag {@code resource}</td></tr>
- * <tr><td>{@code shalepaddle.overload.limit}</td><td>requests a second admitted, NaN for no limit</td></tr>
- * <tr><td>{@code shalepaddle.overload.passing}</td><td>part admitted; tag {@code tier}, 0 has the highest priority</td></tr>
- * <tr><td>{@code shalepaddle.overload.offered}, {@code .refused}</td><td>requests; tag {@code tier}</td></tr>
- * <tr><td>{@code shalepaddle.overload.repeats.refused}</td><td>retries rejected for lack of first attempts</td></tr>
+ * <tr><td>{@code shalepaddle.overload.level}</td><td>0 calm, 1 busy, 2 full;
+ *     tag {@code resource}</td></tr>
+ * <tr><td>{@code shalepaddle.overload.delay}</td><td>queueing delay in the event loop,
+ *     in seconds</td></tr>
+ * <tr><td>{@code shalepaddle.overload.use}</td><td>fraction of the limit in use;
+ *     tag {@code resource}</td></tr>
+ * <tr><td>{@code shalepaddle.overload.limit}</td><td>requests admitted per second,
+ *     NaN for no limit</td></tr>
+ * <tr><td>{@code shalepaddle.overload.passing}</td><td>fraction admitted; tag {@code tier},
+ *     0 has the highest priority</td></tr>
+ * <tr><td>{@code shalepaddle.overload.offered}, {@code .refused}</td><td>requests offered,
+ *     requests rejected; tag {@code tier}</td></tr>
+ * <tr><td>{@code shalepaddle.overload.repeats.refused}</td><td>retries rejected for their ratio
+ *     to first attempts</td></tr>
  * </table>
  *
- * <p>Snapshots are read on the registry's thread: they must be published ones, see {@link
- * LoadBalancer#overloadSnapshot}.
+ * <p>Snapshots are read on the registry's thread, so they must come from a thread-safe source, such
+ * as {@link LoadBalancer#overloadSnapshot}.
  */
 public final class OverloadMetrics implements MeterBinder {
   private static final String PREFIX = "shalepaddle.overload.";
 
-  private final Supplier<OverloadSnapshot> latest;
+  private final Supplier<OverloadSnapshot> latestSnapshot;
   private final Tags tags;
 
   /**
-   * Meters of one load balancer.
+   * Creates the meters of one load balancer.
    *
-   * @param latest the newest snapshot, from any thread
+   * @param latestSnapshot returns the newest snapshot; called from any thread
    * @param tags distinguish this load balancer's meters from another's in the same registry
    */
-  public OverloadMetrics(Supplier<OverloadSnapshot> latest, Tags tags) {
-    this.latest = latest;
+  public OverloadMetrics(Supplier<OverloadSnapshot> latestSnapshot, Tags tags) {
+    this.latestSnapshot = latestSnapshot;
     this.tags = tags;
   }
 
   @Override
   public void bindTo(MeterRegistry registry) {
-    SnapshotMeters<OverloadSnapshot> meters = new SnapshotMeters<>(registry, PREFIX, latest);
-    level(meters, "processor", snapshot -> snapshot.processorLevel().severity());
-    level(meters, "memory", snapshot -> snapshot.memoryLevel().severity());
-    level(meters, "descriptors", snapshot -> snapshot.descriptorLevel().severity());
-    use(meters, "processor", OverloadSnapshot::processorRatio);
-    use(meters, "memory", OverloadSnapshot::memoryRatio);
-    use(meters, "descriptors", OverloadSnapshot::descriptorRatio);
+    SnapshotMeters<OverloadSnapshot> meters =
+        new SnapshotMeters<>(registry, PREFIX, latestSnapshot);
+    registerLevel(meters, "processor", snapshot -> snapshot.processorLevel().severity());
+    registerLevel(meters, "memory", snapshot -> snapshot.memoryLevel().severity());
+    registerLevel(meters, "descriptors", snapshot -> snapshot.descriptorLevel().severity());
+    registerUsedRatio(meters, "processor", OverloadSnapshot::processorRatio);
+    registerUsedRatio(meters, "memory", OverloadSnapshot::memoryRatio);
+    registerUsedRatio(meters, "descriptors", OverloadSnapshot::descriptorRatio);
     meters.gauge("delay", "seconds", tags, OverloadSnapshot::delaySeconds);
-    meters.gauge("limit", "requests/second", tags, snapshot -> finite(snapshot.limitPerSecond()));
+    meters.gauge(
+        "limit", "requests/second", tags, snapshot -> nanIfInfinite(snapshot.limitPerSecond()));
     meters.counter("repeats.refused", "requests", tags, OverloadSnapshot::rejectedRetryCount);
-    for (int i = 0; i < latest.get().tiers().size(); i++) {
+    for (int i = 0; i < latestSnapshot.get().tiers().size(); i++) {
       int tier = i;
-      Tags tagged = tags.and("tier", Integer.toString(tier));
-      meters.gauge("passing", null, tagged, snapshot -> snapshot.tiers().get(tier).admittedRatio());
+      Tags tierTags = tags.and("tier", Integer.toString(tier));
+      meters.gauge(
+          "passing", null, tierTags, snapshot -> snapshot.tiers().get(tier).admittedRatio());
       meters.counter(
-          "offered", "requests", tagged, snapshot -> snapshot.tiers().get(tier).offeredCount());
+          "offered", "requests", tierTags, snapshot -> snapshot.tiers().get(tier).offeredCount());
       meters.counter(
-          "refused", "requests", tagged, snapshot -> snapshot.tiers().get(tier).rejectedCount());
+          "refused", "requests", tierTags, snapshot -> snapshot.tiers().get(tier).rejectedCount());
     }
   }
 
-  private static double finite(double limit) {
+  private static double nanIfInfinite(double limit) {
     return Double.isInfinite(limit) ? Double.NaN : limit;
   }
 
-  private void level(
+  private void registerLevel(
       SnapshotMeters<OverloadSnapshot> meters,
       String resource,
       ToDoubleFunction<OverloadSnapshot> value) {
     meters.gauge("level", null, tags.and("resource", resource), value);
   }
 
-  private void use(
+  private void registerUsedRatio(
       SnapshotMeters<OverloadSnapshot> meters,
       String resource,
       ToDoubleFunction<OverloadSnapshot> value) {
--- a/engine/src/main/java/shalepaddle/node/ProcessorUse.java
+++ b/engine/src/main/java/shalepaddle/node/ProcessorUse.java
@@ -6,63 +6,65 @@
 import java.time.Duration;
 
 /**
- * Measures which part of its cores this process uses. On Linux it reads a file that stays open, by
- * one system call; {@link ProcessHandle#info}, which is used elsewhere, opens several files each
- * time. The Java platform's management beans would load more classes at a start.
+ * Measures the fraction of its cores that this process uses. On Linux it reads a file that stays
+ * open, with one system call. On other systems it uses {@link ProcessHandle#info}, which on Linux
+ * would open several files for each call. The Java platform's management beans are not used, since
+ * they load more classes at startup.
  *
  * <p>Owned by one event loop.
  */
 final class ProcessorUse {
-  /** How often the use is read, which takes a system call. */
+  /** The minimum time between two reads of the processor time, each of which is a system call. */
   private static final long MIN_INTERVAL_NANOS = 500_000_000L;
 
-  /** Linux's statistics of this process, with times in hundredths of a second. */
+  /** Linux's statistics of this process, with times in ticks of 10 ms. */
   private static final String STAT_PATH = "/proc/self/stat";
 
-  /** One for the process; null where the system has no such file. */
-  private static final RandomAccessFile STAT_FILE = open();
+  /** The open file, shared by all instances in the process; null if the system has no such file. */
+  private static final RandomAccessFile STAT_FILE = openStatFile();
 
   private static final long TICK_NANOS = 10_000_000L;
 
-  /** Positions of the times in user and system mode, after the name in parentheses. */
-  private static final int USER_FIELD = 11;
+  /** The index of the time in user mode, among the fields after the name in parentheses. */
+  private static final int USER_TIME_INDEX = 11;
 
-  private static final int SYSTEM_FIELD = 12;
+  /** The index of the time in system mode, among the fields after the name in parentheses. */
+  private static final int SYSTEM_TIME_INDEX = 12;
 
   private final double cores;
   private final byte[] buffer = new byte[1024];
-  private long readAtNanos;
-  private long usedNanos = -1;
-  private double usedRatio = Double.NaN;
+  private long lastReadAtNanos;
+  private long lastUsedNanos = -1;
+  private double lastUsedRatio = Double.NaN;
 
-  /** The use of a process that may use the given number of cores. */
+  /** Creates a meter for a process that may use the given number of cores. */
   ProcessorUse(double cores) {
     this.cores = Math.max(0.01, cores);
   }
 
-  private static RandomAccessFile open() {
+  private static RandomAccessFile openStatFile() {
     try {
       return new RandomAccessFile(STAT_PATH, "r");
     } catch (IOException e) {
-      // Another system than Linux: the Java platform is asked instead.
+      // The system is not Linux: usedNanos() asks ProcessHandle instead.
       return null;
     }
   }
 
-  /** Nanoseconds of processor time that this process has used, -1 if unknown. */
+  /** The processor time that this process has used, in nanoseconds; -1 if unknown. */
   long usedNanos() {
     if (STAT_FILE == null) {
       return ProcessHandle.current().info().totalCpuDuration().map(Duration::toNanos).orElse(-1L);
     }
     try {
-      int length;
+      int byteCount;
       synchronized (STAT_FILE) {
         STAT_FILE.seek(0);
-        length = STAT_FILE.read(buffer);
+        byteCount = STAT_FILE.read(buffer);
       }
-      String line = new String(buffer, 0, Math.max(0, length), StandardCharsets.ISO_8859_1);
+      String line = new String(buffer, 0, Math.max(0, byteCount), StandardCharsets.ISO_8859_1);
       String[] fields = line.substring(line.lastIndexOf(')') + 2).split(" ", 0);
-      return (Long.parseLong(fields[USER_FIELD]) + Long.parseLong(fields[SYSTEM_FIELD]))
+      return (Long.parseLong(fields[USER_TIME_INDEX]) + Long.parseLong(fields[SYSTEM_TIME_INDEX]))
           * TICK_NANOS;
     } catch (IOException | RuntimeException e) {
       return -1;
@@ -70,19 +72,21 @@
   }
 
   /**
-   * From 0 to about 1, measured over the last half second or more; NaN before it is known.
+   * The fraction of its cores that the process uses, from 0 to about 1, averaged over at least half
+   * a second; NaN before it is known.
    *
    * @param nowNanos the event loop's time
    */
   double usedRatio(long nowNanos) {
-    if (usedNanos < 0 || nowNanos - readAtNanos >= MIN_INTERVAL_NANOS) {
-      long total = usedNanos();
-      if (usedNanos >= 0 && total >= 0) {
-        usedRatio = (total - usedNanos) / (cores * Math.max(1, nowNanos - readAtNanos));
+    if (lastUsedNanos < 0 || nowNanos - lastReadAtNanos >= MIN_INTERVAL_NANOS) {
+      long totalNanos = usedNanos();
+      if (lastUsedNanos >= 0 && totalNanos >= 0) {
+        lastUsedRatio =
+            (totalNanos - lastUsedNanos) / (cores * Math.max(1, nowNanos - lastReadAtNanos));
       }
-      usedNanos = total;
-      readAtNanos = nowNanos;
+      lastUsedNanos = totalNanos;
+      lastReadAtNanos = nowNanos;
     }
-    return usedRatio;
+    return lastUsedRatio;
   }
 }
--- a/engine/src/main/java/shalepaddle/node/ReloadSignal.java
+++ b/engine/src/main/java/shalepaddle/node/ReloadSignal.java
@@ -9,28 +9,28 @@
 import java.nio.file.Path;
 
 /**
- * SIGHUP, by which the platform asks for a configuration reload. Without a handler it would end the
- * process.
+ * Handles SIGHUP, the platform's request for a configuration reload. Without a handler the signal
+ * would end the process.
  */
 final class ReloadSignal {
-  private static final Path STATUS = Path.of("/proc/self/status");
-  private static final String IGNORED_SIGNALS = "SigIgn:";
+  private static final Path STATUS_FILE = Path.of("/proc/self/status");
+  private static final String IGNORED_SIGNALS_PREFIX = "SigIgn:";
 
-  /** The bit of SIGHUP, which is signal 1, in a mask of signals. */
+  /** The bit of SIGHUP (signal 1) in a signal mask. */
   private static final long SIGHUP_MASK = 1;
 
   private ReloadSignal() {}
 
   /**
-   * Whether the process was started with the signal ignored, as by nohup. The virtual machine
-   * leaves it so without an error, and the handler never runs. False where the system has no such
-   * file.
+   * Whether the process was started with SIGHUP ignored, as by nohup. The virtual machine then
+   * keeps SIGHUP ignored without reporting an error, and the handler never runs. False if the
+   * system has no {@code /proc/self/status}.
    */
   static boolean isIgnored() {
     try {
-      return Files.readAllLines(STATUS).stream()
-          .filter(line -> line.startsWith(IGNORED_SIGNALS))
-          .map(line -> line.substring(IGNORED_SIGNALS.length()).trim())
+      return Files.readAllLines(STATUS_FILE).stream()
+          .filter(line -> line.startsWith(IGNORED_SIGNALS_PREFIX))
+          .map(line -> line.substring(IGNORED_SIGNALS_PREFIX.length()).trim())
           .anyMatch(mask -> (Long.parseUnsignedLong(mask, 16) & SIGHUP_MASK) != 0);
     } catch (IOException | NumberFormatException e) {
       return false;
@@ -38,13 +38,14 @@
   }
 
   /**
-   * Runs the handler, on a thread of the virtual machine's, at each SIGHUP. The classes are reached
-   * by name: every virtual machine for Java 17 has them, yet the compiler warns of each use.
+   * Runs the handler at each SIGHUP, on a thread of the virtual machine. The {@code sun.misc}
+   * classes are accessed by reflection: every virtual machine for Java 17 has them, but the
+   * compiler warns of each use.
    *
-   * @throws ReflectiveOperationException if this virtual machine has no such classes
+   * @throws ReflectiveOperationException if this virtual machine does not have these classes
    */
   static void install(Runnable handler) throws ReflectiveOperationException {
-    Class<?> signal = Class.forName("sun.misc.Signal");
+    Class<?> signalType = Class.forName("sun.misc.Signal");
     Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
     MethodHandle run =
         MethodHandles.lookup()
@@ -52,9 +53,9 @@
             .bindTo(handler);
     Object proxy =
         MethodHandleProxies.asInterfaceInstance(
-            handlerType, MethodHandles.dropArguments(run, 0, signal));
-    signal
-        .getMethod("handle", signal, handlerType)
-        .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
+            handlerType, MethodHandles.dropArguments(run, 0, signalType));
+    signalType
+        .getMethod("handle", signalType, handlerType)
+        .invoke(null, signalType.getConstructor(String.class).newInstance("HUP"), proxy);
   }
 }
--- a/engine/src/main/java/shalepaddle/node/ResourceMonitor.java
+++ b/engine/src/main/java/shalepaddle/node/ResourceMonitor.java
@@ -13,41 +13,41 @@
 import shalepaddle.upstream.ServerPools;
 
 /**
- * Measures periodically how much of its limits the process uses, reports it to the overload
- * control, publishes the snapshots, and closes connections that have been idle for too long. On the
- * event loop alone, from {@link #start} until {@link #stop}.
+ * Periodically measures the process's resource usage, reports it to overload control, publishes the
+ * snapshots, and closes connections that have been idle for too long. Used on the event loop only;
+ * active from {@link #start} until {@link #stop}.
  */
 final class ResourceMonitor {
-  /** From one check for expired connections to the next. */
+  /** The time between checks for expired connections. */
   private static final long SWEEP_INTERVAL_MILLIS = 100;
 
-  /** From one measurement of resources, and publication of snapshots, to the next. */
+  /** The time between measurements of resources, after each of which snapshots are published. */
   private static final long MEASURE_INTERVAL_NANOS = 25_000_000L;
 
-  /** The shortest time between releases of cached buffers: they have to be allocated again. */
+  /** The minimum time between releases of cached buffers, which have to be allocated again. */
   private static final long MIN_RELEASE_INTERVAL_NANOS = 1_000_000_000L;
 
   private final EventLoop loop;
   private final LoopClock clock;
   private final Transport transport;
   private final DescriptorBudget descriptors;
-  private final ProcessorUse processor;
+  private final ProcessorUse processorUse;
   private final OverloadControl overload;
   private final Dispatcher dispatcher;
   private final ClientFront front;
   private final ServerPools pools;
   private final SnapshotPublisher snapshots;
 
-  private long releasedAtNanos;
+  private long buffersReleasedAtNanos;
   private boolean closesIdleConnections;
-  private boolean stopped;
+  private boolean isStopped;
 
   ResourceMonitor(
       EventLoop loop,
       LoopClock clock,
       Transport transport,
       DescriptorBudget descriptors,
-      ProcessorUse processor,
+      ProcessorUse processorUse,
       OverloadControl overload,
       Dispatcher dispatcher,
       ClientFront front,
@@ -57,7 +57,7 @@
     this.clock = clock;
     this.transport = transport;
     this.descriptors = descriptors;
-    this.processor = processor;
+    this.processorUse = processorUse;
     this.overload = overload;
     this.dispatcher = dispatcher;
     this.front = front;
@@ -65,65 +65,69 @@
     this.snapshots = snapshots;
   }
 
-  /** Logs one line for each change of a resource's level. */
+  /** A listener that logs one line for each change of a resource's pressure level. */
   static OverloadMeter.Listener levelLog(Log log) {
-    return (resource, before, now, value) -> {
+    return (resource, previousLevel, level, value) -> {
       String cause =
           resource == Resource.CPU
-              ? String.format(Locale.ROOT, "%.1f ms stand in the event loop", value * 1e3)
+              ? String.format(Locale.ROOT, "%.1f ms queueing delay in the event loop", value * 1e3)
               : String.format(Locale.ROOT, "%.0f%% in use", value * 100);
-      log.line("overload: " + resource + " " + before + " -> " + now + ", " + cause);
+      log.line("overload: " + resource + " " + previousLevel + " -> " + level + ", " + cause);
     };
   }
 
   void start() {
     scheduleSweep();
-    measure();
+    measureResources();
   }
 
   void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
-  /** From now on idle connections to servers are closed at once: a successor needs them. */
+  /**
+   * From now on closes idle connections to servers at once, so that a successor may open as many:
+   * the limits apply to both processes together.
+   */
   void closeIdleConnections() {
     closesIdleConnections = true;
   }
 
-  private void measure() {
-    if (stopped) {
+  private void measureResources() {
+    if (isStopped) {
       return;
     }
-    Runtime heap = Runtime.getRuntime();
-    double heapRatio = (double) (heap.totalMemory() - heap.freeMemory()) / heap.maxMemory();
+    Runtime runtime = Runtime.getRuntime();
+    double heapRatio =
+        (double) (runtime.totalMemory() - runtime.freeMemory()) / runtime.maxMemory();
     double bufferRatio = transport.bufferMemoryRatio();
     long now = clock.now();
     overload.onResourceUsage(
-        processor.usedRatio(now),
+        processorUse.usedRatio(now),
         Double.isNaN(bufferRatio) ? heapRatio : Math.max(heapRatio, bufferRatio),
         descriptors.usedRatio(front.connectionCount(), pools.connections()),
         now);
     snapshots.publishMetrics();
     if (overload.degradationPolicy().shrinksBuffers()
-        && now - releasedAtNanos > MIN_RELEASE_INTERVAL_NANOS) {
-      releasedAtNanos = now;
+        && now - buffersReleasedAtNanos > MIN_RELEASE_INTERVAL_NANOS) {
+      buffersReleasedAtNanos = now;
       transport.releaseCachedBuffers();
     }
-    dispatcher.timers().runNoEarlierThan(MEASURE_INTERVAL_NANOS, this::measure);
+    dispatcher.timers().runNoEarlierThan(MEASURE_INTERVAL_NANOS, this::measureResources);
   }
 
   private void scheduleSweep() {
     loop.schedule(
         () -> {
           clock.refresh();
-          clock.whenBacklogRead(this::sweep);
+          clock.whenBacklogRead(this::closeExpiredConnections);
         },
         SWEEP_INTERVAL_MILLIS,
         TimeUnit.MILLISECONDS);
   }
 
-  private void sweep() {
-    if (stopped) {
+  private void closeExpiredConnections() {
+    if (isStopped) {
       return;
     }
     scheduleSweep();
--- a/engine/src/main/java/shalepaddle/node/SnapshotMeters.java
+++ b/engine/src/main/java/shalepaddle/node/SnapshotMeters.java
@@ -8,32 +8,33 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Registers meters whose values come from a published snapshot. A registry references what its
- * meters observe weakly; here the functions reference it, so that a meter lives as long as its
- * registry.
+ * Registers meters whose values come from a published snapshot. A registry holds only weak
+ * references to the objects that its meters observe. Here the value functions hold strong
+ * references, so that a meter lives as long as its registry.
  *
- * @param prefix begins each meter's name
- * @param latest the newest snapshot, from any thread
- * @param <S> the snapshot
+ * @param registry where the meters are registered
+ * @param prefix the start of each meter's name
+ * @param latest returns the newest snapshot; called from any thread
+ * @param <S> the type of the snapshot
  */
 record SnapshotMeters<S>(MeterRegistry registry, String prefix, Supplier<S> latest) {
-  /** A value that only grows. */
+  /** Registers a value that never decreases. */
   void counter(String name, String unit, Tags tags, ToDoubleFunction<S> value) {
-    FunctionCounter.builder(prefix + name, latest, ignored -> read(value))
+    FunctionCounter.builder(prefix + name, latest, ignored -> readLatest(value))
         .baseUnit(unit)
         .tags(tags)
         .register(registry);
   }
 
-  /** A value that may fall; without a unit where that is null. */
+  /** Registers a value that may decrease; {@code unit} is null for a value without unit. */
   void gauge(String name, String unit, Tags tags, ToDoubleFunction<S> value) {
-    Gauge.builder(prefix + name, latest, ignored -> read(value))
+    Gauge.builder(prefix + name, latest, ignored -> readLatest(value))
         .baseUnit(unit)
         .tags(tags)
         .register(registry);
   }
 
-  private double read(ToDoubleFunction<S> value) {
+  private double readLatest(ToDoubleFunction<S> value) {
     return value.applyAsDouble(latest.get());
   }
 }
--- a/engine/src/main/java/shalepaddle/node/SnapshotPublisher.java
+++ b/engine/src/main/java/shalepaddle/node/SnapshotPublisher.java
@@ -48,14 +48,17 @@
     publishMetrics();
   }
 
-  /** Publishes everything. On the event loop. */
+  /** Publishes all snapshots. Called on the event loop only. */
   void publishMetrics() {
     overload = overloadControl.snapshot();
     coalescing = dispatcher.coalescingSnapshot();
     publishState();
   }
 
-  /** Publishes telemetry and the process's state, not the metrics of admission. Event loop. */
+  /**
+   * Publishes telemetry and the process's state, but no metrics of overload and coalescing. Called
+   * on the event loop only.
+   */
   void publishState() {
     telemetry =
         new Telemetry(
@@ -75,18 +78,21 @@
             members.current());
   }
 
-  /** Enters a stage; other processes learn of it when the state is published next. Event loop. */
-  void enter(ProcessState.Stage next) {
-    stage = next;
+  /**
+   * Enters a stage, which other processes see at the next publication. Called on the event loop
+   * only.
+   */
+  void enter(ProcessState.Stage newStage) {
+    stage = newStage;
   }
 
-  /** Counts a configuration that was applied, and publishes it. On the event loop. */
+  /** Counts an applied configuration, and publishes the count. Called on the event loop only. */
   void countReloadApplied() {
     reloadsApplied++;
     publishState();
   }
 
-  /** Counts a configuration that was rejected, and publishes it. On the event loop. */
+  /** Counts a rejected configuration, and publishes the count. Called on the event loop only. */
   void countReloadRejected() {
     reloadsRejected++;
     publishState();
--- a/engine/src/main/java/shalepaddle/node/SocketTransport.java
+++ b/engine/src/main/java/shalepaddle/node/SocketTransport.java
@@ -13,7 +13,7 @@
 import shalepaddle.front.ClientListener;
 import shalepaddle.sockets.TcpConnection;
 
-/** TCP sockets by the Java platform's selector, with one pool of direct buffers. Thread-safe. */
+/** TCP sockets on the Java platform's selector, with one pool of direct buffers. Thread-safe. */
 final class SocketTransport implements Transport {
   private final PooledByteBufAllocator allocator =
       new PooledByteBufAllocator(true, 0, 1, 8192, 6, 64, 16, true);
@@ -46,7 +46,7 @@
         .option(ChannelOption.ALLOCATOR, allocator)
         .option(ChannelOption.TCP_NODELAY, true)
         .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(64, 2048, 32768))
-        // Timers.limit bounds the time to connect instead, and allows for stalls.
+        // Timers.limitConnect limits the time to connect instead, and does not count stalls.
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0);
   }
 
@@ -56,14 +56,15 @@
   }
 
   @Override
-  public ServerBootstrap acceptor(EventLoop loop, ServerSocketChannel listening) {
-    return acceptor(loop, () -> new ClientListener(listening));
+  public ServerBootstrap acceptor(EventLoop loop, ServerSocketChannel listeningSocket) {
+    return acceptor(loop, () -> new ClientListener(listeningSocket));
   }
 
-  private ServerBootstrap acceptor(EventLoop loop, ChannelFactory<ClientListener> listener) {
+  private ServerBootstrap acceptor(
+      EventLoop loop, ChannelFactory<ClientListener> listenerFactory) {
     return new ServerBootstrap()
         .group(loop)
-        .channelFactory(listener)
+        .channelFactory(listenerFactory)
         .option(ChannelOption.SO_BACKLOG, 1024)
         .childOption(ChannelOption.ALLOCATOR, allocator)
         .childOption(ChannelOption.TCP_NODELAY, true)
--- a/engine/src/main/java/shalepaddle/node/Transport.java
+++ b/engine/src/main/java/shalepaddle/node/Transport.java
@@ -6,41 +6,41 @@
 import io.netty.channel.EventLoop;
 import java.nio.channels.ServerSocketChannel;
 
-/** How a node opens connections and accepts them: over sockets, or within one process. */
+/** Opens and accepts a node's connections, over sockets or within one process. */
 public interface Transport {
-  /** Allocates all buffers. */
+  /** The allocator of all buffers. */
   ByteBufAllocator allocator();
 
-  /** The part of direct memory that buffers in use take, from 0 to 1; NaN if unknown. */
+  /** The fraction of direct memory that buffers in use occupy, from 0 to 1; NaN if unknown. */
   default double bufferMemoryRatio() {
     return Double.NaN;
   }
 
-  /** Bytes that buffers may take together. */
+  /** The maximum number of bytes that all buffers together may occupy. */
   default long maxBufferBytes() {
     return Long.MAX_VALUE;
   }
 
-  /** Releases memory that is cached for later buffers, as far as the allocator can. */
+  /** Releases as much as possible of the memory that the allocator caches for later buffers. */
   default void releaseCachedBuffers() {}
 
-  /** Opens connections to cache servers and to discovery. */
+  /** A bootstrap for connections to cache servers and to discovery. */
   Bootstrap connector(EventLoop loop);
 
-  /** Accepts clients; the caller sets the handler of connections. */
+  /** A bootstrap that accepts clients; the caller sets the handler of their connections. */
   ServerBootstrap acceptor(EventLoop loop);
 
   /**
-   * Accepts clients from a socket that listens already: the bootstrap is to be registered, not
-   * bound.
+   * A bootstrap that accepts clients from a listening socket; the bootstrap is to be registered,
+   * not bound.
    *
    * @throws UnsupportedOperationException if this transport has no sockets
    */
-  default ServerBootstrap acceptor(EventLoop loop, ServerSocketChannel listening) {
+  default ServerBootstrap acceptor(EventLoop loop, ServerSocketChannel listeningSocket) {
     throw new UnsupportedOperationException("this transport has no sockets");
   }
 
-  /** TCP sockets by the Java platform's selector. */
+  /** A transport of TCP sockets on the Java platform's selector. */
   static Transport sockets() {
     return new SocketTransport();
   }
