--- a/engine/src/main/java/shalepaddle/node/Warmup.java
+++ b/engine/src/main/java/shalepaddle/node/Warmup.java
@@ -39,22 +39,22 @@
 import shalepaddle.upstream.ServerPools;
 
 /**
- * Sends requests through the node's own code before clients come, so that its classes are loaded
- * and partly compiled. Without it the first clients' requests timed out, while a part of a core
- * both compiled and served. Runs within the process, on an event loop of its own: it needs no
- * socket, file or port for which it might have to wait. The system calls of sockets are not warmed
- * up.
+ * Sends requests through the node's own code before clients connect, so that its classes are loaded
+ * and partly compiled. Without a warm-up, the first clients' requests timed out, since a fraction
+ * of a core had to compile and serve at the same time. Runs within the process on a separate event
+ * loop and uses no socket, file or port that the warm-up might have to wait for, so the system
+ * calls of sockets are not warmed up.
  *
  * <p>Called from the thread that starts the node, which it blocks for {@link #MAX_MILLIS} at most.
  */
 final class Warmup {
   /**
-   * Enough to load the classes, and for the compiler to begin, which it does at 200 calls of a
-   * method. More of them would delay a restarted node's service.
+   * The number of requests, enough to load the classes and to start the compiler, which compiles a
+   * method after 200 calls. More requests would delay a restarted node's service.
    */
   static final int REQUEST_COUNT = 150;
 
-  /** Requests that are open at the same time. */
+  /** The number of requests that are open at the same time. */
   static final int CONCURRENT_REQUESTS = 4;
 
   /** The warm-up is cut short after this time. */
@@ -78,33 +78,34 @@
     this.log = log;
   }
 
-  /** Returns how many requests were answered. */
+  /** Runs the warm-up; returns how many requests were answered. */
   static int run(NodeConfig config, Transport transport, Log log) throws InterruptedException {
-    LoopClock clock = new LoopClock(Ticker.systemTicker(), new StallsIgnored(log));
+    LoopClock clock = new LoopClock(Ticker.systemTicker(), new StallIgnoringListener(log));
     var group =
         new MultiThreadIoEventLoopGroup(
             1, WatchedIoHandler.factory(LocalIoHandler.newFactory(), clock));
     try {
       return new Warmup(config, group.next(), clock, transport.allocator(), log).run();
     } finally {
-      // Ends its connections too. Not waited for, since nothing depends on it.
+      // This also closes the connections of the warm-up. Nothing depends on the end of the
+      // shutdown, so it is not awaited.
       group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
   }
 
   private int run() throws InterruptedException {
-    // Unique in the process: several nodes may start in it at once.
-    LocalAddress servers = new LocalAddress(WarmupCacheServer.class);
-    LocalAddress clients = new LocalAddress(ClientFront.class);
-    listen(servers, new WarmupCacheServer(config.settings(), VALUE_MEMORY_BYTES));
-    Clock time = new Clock(loop.ticker(), System.currentTimeMillis());
-    Dispatcher dispatcher = dispatcher(time);
-    ServerPools pools = serverPools(dispatcher);
+    // The addresses are unique in the process, since several nodes may start at the same time.
+    LocalAddress serverAddress = new LocalAddress(WarmupCacheServer.class);
+    LocalAddress clientAddress = new LocalAddress(ClientFront.class);
+    listen(serverAddress, new WarmupCacheServer(config.settings(), VALUE_MEMORY_BYTES));
+    Clock nodeClock = new Clock(loop.ticker(), System.currentTimeMillis());
+    Dispatcher dispatcher = newDispatcher(nodeClock);
+    ServerPools pools = newServerPools(dispatcher);
     loop.submit(() -> dispatcher.start(pools, MemberSource.FIXED)).await();
-    announce(serverList(servers), dispatcher, pools, time);
-    listen(clients, clientFront(dispatcher));
+    applyList(newServerList(serverAddress), dispatcher, pools, nodeClock);
+    listen(clientAddress, newClientFront(dispatcher));
     WarmupClient client = new WarmupClient(config.settings());
-    connect(client, clients);
+    connect(client, clientAddress);
     if (!client.awaitAllAnswered(MAX_MILLIS)) {
       log.line("event=warmup_cut_short answered=" + client.answered());
     }
@@ -117,19 +118,19 @@
     return client.answered();
   }
 
-  private Dispatcher dispatcher(Clock time) {
+  private Dispatcher newDispatcher(Clock nodeClock) {
     return new Dispatcher(
         withPushedList(config.settings()),
         config.seed(),
         loop,
         clock,
-        time,
+        nodeClock,
         log,
-        withoutLoadShedding(),
+        newNonSheddingControl(),
         CoalescingConfig.OFF);
   }
 
-  private ServerPools serverPools(Dispatcher dispatcher) {
+  private ServerPools newServerPools(Dispatcher dispatcher) {
     Bootstrap connector =
         new Bootstrap()
             .group(loop)
@@ -141,8 +142,8 @@
     return new ServerPools(connector, new MetaServerCodec(), limits, dispatcher);
   }
 
-  /** Several cache servers at one address. */
-  private MemberList serverList(LocalAddress address) {
+  /** An endpoint list of several cache servers at one address. */
+  private MemberList newServerList(LocalAddress address) {
     List<MemberList.Member> members = new ArrayList<>();
     for (int i = 0; i < SERVER_COUNT; i++) {
       members.add(
@@ -153,22 +154,22 @@
     return new MemberList(true, 1, members);
   }
 
-  private void announce(MemberList list, Dispatcher dispatcher, ServerPools pools, Clock time)
+  private void applyList(MemberList list, Dispatcher dispatcher, ServerPools pools, Clock nodeClock)
       throws InterruptedException {
     loop.submit(
             () -> {
-              pools.update(list, time.now());
+              pools.update(list, nodeClock.now());
               dispatcher.membership(list.toUpdate(MembershipUpdate.Kind.FULL));
             })
         .await();
   }
 
-  private ClientFront clientFront(Dispatcher dispatcher) {
-    MemoryBudget values = new MemoryBudget(VALUE_MEMORY_BYTES);
+  private ClientFront newClientFront(Dispatcher dispatcher) {
+    MemoryBudget valueMemory = new MemoryBudget(VALUE_MEMORY_BYTES);
     MetaClientCodec codec =
-        new MetaClientCodec(values, config.settings(), RequestAdmission.ADMIT_ALL);
+        new MetaClientCodec(valueMemory, config.settings(), RequestAdmission.ADMIT_ALL);
     return new ClientFront(
-        dispatcher, codec, CONCURRENT_REQUESTS, () -> DegradationPolicy.CALM, values);
+        dispatcher, codec, CONCURRENT_REQUESTS, () -> DegradationPolicy.CALM, valueMemory);
   }
 
   private void listen(LocalAddress address, ChannelHandler connectionHandler)
@@ -192,16 +193,16 @@
         .await();
   }
 
-  /** Sheds nothing: an event loop whose code is being compiled is late, as is to be expected. */
-  private OverloadControl withoutLoadShedding() {
+  /** Overload control that sheds nothing, since a loop whose code is being compiled is slow. */
+  private OverloadControl newNonSheddingControl() {
     return new OverloadControl(
         config.settings(),
         OverloadConfig.DISABLED,
         config.seed(),
-        (resource, before, now, figure) -> {});
+        (resource, previousLevel, level, value) -> {});
   }
 
-  /** The same settings, with a list of servers that is not polled for. */
+  /** The same settings, with an endpoint list that is not polled. */
   private static Settings withPushedList(Settings settings) {
     return new Settings(
         settings.zone(),
@@ -222,11 +223,11 @@
         settings.timerResolutionSeconds());
   }
 
-  /** Ignores stalls: a loop whose code is being compiled is late, and serves no clients. */
-  private record StallsIgnored(Log log) implements LoopClock.Listener {
+  /** Ignores stalls, which are expected while code is being compiled and delay no client. */
+  private record StallIgnoringListener(Log log) implements LoopClock.Listener {
     @Override
-    public void onStall(long nanos) {
-      // No client waits.
+    public void onStall(long stallNanos) {
+      // Stalls are expected, see the comment of the type.
     }
 
     @Override
--- a/engine/src/main/java/shalepaddle/node/WarmupCacheServer.java
+++ b/engine/src/main/java/shalepaddle/node/WarmupCacheServer.java
@@ -12,7 +12,7 @@
 import shalepaddle.front.RequestAdmission;
 import shalepaddle.model.Settings;
 
-/** Answers every command of a {@link Warmup}, as a cache server that has each key cached. */
+/** Answers every command of a {@link Warmup} like a cache server that has all keys cached. */
 final class WarmupCacheServer extends ChannelInitializer<Channel> {
   private final MetaClientCodec codec;
 
@@ -27,7 +27,7 @@
     channel.pipeline().addLast(codec.decoder(), new CommandHandler());
   }
 
-  /** Writes an answer after the present call, see {@link WarmupClient#writeLater}. */
+  /** Responds after the current call, for the reason stated at {@link WarmupClient#writeLater}. */
   private static final class CommandHandler extends SimpleChannelInboundHandler<ClientCommand> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ClientCommand command) {
--- a/engine/src/main/java/shalepaddle/node/WarmupClient.java
+++ b/engine/src/main/java/shalepaddle/node/WarmupClient.java
@@ -11,32 +11,33 @@
 import shalepaddle.model.Settings;
 
 /**
- * Sends the requests of a {@link Warmup}, a few at the same time, and counts the answers. On its
- * event loop, but for {@link #awaitAllAnswered} and {@link #answered}.
+ * Sends the requests of a {@link Warmup}, a few at the same time, and counts the responses. Runs on
+ * the event loop of the warm-up, except {@link #awaitAllAnswered} and {@link #answered}.
  */
 final class WarmupClient extends SimpleChannelInboundHandler<ByteBuf> {
   /**
-   * The deadline of each request. It outlasts the warm-up: where the first classes take over a
-   * second to load, requests that expire would end it and be logged as a client's.
+   * The deadline of each request, longer than the warm-up. If loading the first classes takes over
+   * a second, requests with a shorter deadline would expire, end the warm-up and be logged like
+   * requests of a client.
    */
   private static final long DEADLINE_MILLIS = 40 * Warmup.MAX_MILLIS;
 
-  private static final int DISTINCT_KEYS = 100;
+  private static final int DISTINCT_KEY_COUNT = 100;
 
   private final CountDownLatch allAnswered = new CountDownLatch(1);
   private final List<Settings.ServiceClass> services;
-  private int sent;
+  private int sentCount;
 
-  /** Counted by the event loop, read by any thread. */
+  /** The number of responses, incremented by the event loop and read by any thread. */
   private final AtomicInteger answered = new AtomicInteger();
 
   WarmupClient(Settings settings) {
     services = settings.services();
   }
 
-  /** Waits until all requests are answered; false if that takes longer than {@code millis}. */
-  boolean awaitAllAnswered(long millis) throws InterruptedException {
-    return allAnswered.await(millis, TimeUnit.MILLISECONDS);
+  /** Waits until all requests are answered; returns false after {@code timeoutMillis}. */
+  boolean awaitAllAnswered(long timeoutMillis) throws InterruptedException {
+    return allAnswered.await(timeoutMillis, TimeUnit.MILLISECONDS);
   }
 
   int answered() {
@@ -44,9 +45,9 @@
   }
 
   /**
-   * Writes in a later task of the event loop. Both ends of a local connection are on one loop,
-   * where a write is read by the other end within the call: such reentrancy, which sockets do not
-   * have, would stall the node.
+   * Writes the bytes in a later task of the event loop. Both ends of a local channel run on one
+   * loop, and the other end would read a direct write within the call. This reentrancy, which
+   * sockets do not have, would stall the node.
    */
   static void writeLater(ChannelHandlerContext ctx, ByteBuf bytes) {
     ctx.executor().execute(() -> ctx.writeAndFlush(bytes));
@@ -60,22 +61,23 @@
   }
 
   private void send(ChannelHandlerContext ctx) {
-    Settings.ServiceClass service = services.get(sent % services.size());
+    Settings.ServiceClass service = services.get(sentCount % services.size());
     boolean isWrite = service.idempotency() == Settings.Idempotency.NOT_IDEMPOTENT;
-    String flags = " Owarm" + sent + " Pc=" + service.name() + ",d=" + DEADLINE_MILLIS + "\r\n";
-    String key = "warm" + sent % DISTINCT_KEYS;
+    String flags =
+        " Owarm" + sentCount + " Pc=" + service.name() + ",d=" + DEADLINE_MILLIS + "\r\n";
+    String key = "warm" + sentCount % DISTINCT_KEY_COUNT;
     String command = isWrite ? "ms " + key + " 1" + flags + "x\r\n" : "mg " + key + " v" + flags;
-    sent++;
+    sentCount++;
     writeLater(ctx, ctx.alloc().buffer().writeBytes(command.getBytes(StandardCharsets.US_ASCII)));
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
     while (bytes.isReadable()) {
-      // Each answer has this letter once, in the flag with its id; its value has none.
+      // Each response contains this letter once, in its request id token, and not in its value.
       if (bytes.readByte() == 'O') {
         answered.incrementAndGet();
-        if (sent < Warmup.REQUEST_COUNT) {
+        if (sentCount < Warmup.REQUEST_COUNT) {
           send(ctx);
         }
       }
--- a/engine/src/main/java/shalepaddle/node/WarningsOnlyLogger.java
+++ b/engine/src/main/java/shalepaddle/node/WarningsOnlyLogger.java
@@ -2,7 +2,7 @@
 
 import io.netty.util.internal.logging.AbstractInternalLogger;
 
-/** A logger of the transport's whose levels below a warning are off: their methods do nothing. */
+/** A Netty logger with all levels below warning disabled: their methods do nothing. */
 abstract class WarningsOnlyLogger extends AbstractInternalLogger {
   private static final long serialVersionUID = 1;
 
@@ -42,7 +42,7 @@
   public void trace(String format, Object argument) {}
 
   @Override
-  public void trace(String format, Object first, Object second) {}
+  public void trace(String format, Object firstArgument, Object secondArgument) {}
 
   @Override
   public void trace(String format, Object... arguments) {}
@@ -57,7 +57,7 @@
   public void debug(String format, Object argument) {}
 
   @Override
-  public void debug(String format, Object first, Object second) {}
+  public void debug(String format, Object firstArgument, Object secondArgument) {}
 
   @Override
   public void debug(String format, Object... arguments) {}
@@ -72,7 +72,7 @@
   public void info(String format, Object argument) {}
 
   @Override
-  public void info(String format, Object first, Object second) {}
+  public void info(String format, Object firstArgument, Object secondArgument) {}
 
   @Override
   public void info(String format, Object... arguments) {}
--- a/engine/src/test/java/shalepaddle/hotrestart/HotRestartTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/HotRestartTest.java
@@ -9,19 +9,21 @@
 import org.junit.jupiter.api.io.TempDir;
 import shalepaddle.hotrestart.ProcessState.Stage;
 
-/** What the two processes of a node learn of each other, and when. */
+/** The state that the processes of one node exchange. */
 class HotRestartTest {
   @TempDir private Path folder;
 
   private final long now = System.currentTimeMillis();
-  private final List<Reported> reported = new ArrayList<>();
+  private final List<ListenerCall> listenerCalls = new ArrayList<>();
 
-  /** One call of the listener. */
-  private record Reported(
-      List<ServerExclusion> exclusions, int partners, int clients, int connections) {}
+  private record ListenerCall(
+      List<ServerExclusion> exclusions,
+      int processCount,
+      int clientConnections,
+      int serverConnections) {}
 
-  private ProcessFiles files(long pid) {
-    return new ProcessFiles(folder, pid, () -> now, alive -> true, line -> {});
+  private ProcessFiles filesOf(long pid) {
+    return new ProcessFiles(folder, pid, () -> now, process -> true, line -> {});
   }
 
   private static ProcessState state(long pid, Stage stage, List<ServerExclusion> exclusions) {
@@ -29,23 +31,27 @@
   }
 
   /**
-   * A process that starts polls once more before its first request. If it learned of the exclusions
-   * alone, it would assume to be the only one and open all connections that both may open together.
+   * A starting process polls once more before its first request. If that poll reported only the
+   * exclusions, the process would assume that it is the only process, and open all the connections
+   * that both processes may open together.
    */
   @Test
-  void pollReportsPartnersConnectionsAndExclusionsTogether() {
+  void pollReportsExclusionsProcessCountAndConnections() {
     List<ServerExclusion> exclusions = List.of(new ServerExclusion(5, true, now));
-    files(2).publish(state(2, Stage.READY, exclusions));
+    filesOf(2).publish(state(2, Stage.READY, exclusions));
     try (HotRestart hotRestart =
         new HotRestart(
-            files(1),
+            filesOf(1),
             () -> state(1, Stage.STARTING, List.of()),
             List::of,
-            (theirs, partners, clients, servers) ->
-                reported.add(new Reported(theirs, partners, clients, servers)))) {
+            (otherExclusions, processCount, clientConnections, serverConnections) ->
+                listenerCalls.add(
+                    new ListenerCall(
+                        otherExclusions, processCount, clientConnections, serverConnections)))) {
       hotRestart.poll();
     }
-    assertEquals(List.of(new Reported(exclusions, 1, 12, 34)), reported);
-    assertEquals(1, files(2).readOthers().partners().size(), "it has not reported of itself");
+    assertEquals(List.of(new ListenerCall(exclusions, 1, 12, 34)), listenerCalls);
+    assertEquals(
+        1, filesOf(2).readOthers().partners().size(), "poll() must publish this process's state");
   }
 }
--- a/engine/src/test/java/shalepaddle/hotrestart/ProcessFilesTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ProcessFilesTest.java
@@ -21,16 +21,16 @@
 import shalepaddle.model.ServerEntry;
 import shalepaddle.settings.FormatException;
 
-/** What one process of a node reads from the others' files. */
+/** The state that one process of a node reads from the files of the others. */
 class ProcessFilesTest {
   @TempDir private Path folder;
 
-  private final Set<Long> alive = new HashSet<>(Set.of(1L, 2L, 3L));
+  private final Set<Long> livePids = new HashSet<>(Set.of(1L, 2L, 3L));
   private final List<String> log = new ArrayList<>();
   private long now = System.currentTimeMillis();
 
-  private ProcessFiles of(long pid) {
-    return new ProcessFiles(folder, pid, () -> now, alive::contains, log::add);
+  private ProcessFiles filesOf(long pid) {
+    return new ProcessFiles(folder, pid, () -> now, livePids::contains, log::add);
   }
 
   private static ProcessState state(
@@ -48,59 +48,63 @@
   }
 
   @Test
-  void readsPublishedState() throws Exception {
-    ProcessState published =
+  void readOthersReturnsPublishedState() throws Exception {
+    ProcessState publishedState =
         state(2, ProcessState.Stage.READY, new ServerExclusion(Long.MAX_VALUE, true, now));
-    assertTrue(of(2).publish(published));
-    assertEquals(List.of(published), of(1).readOthers().partners());
-    assertEquals(List.of(), of(2).readOthers().partners(), "not of itself");
-    assertEquals(published.list(), of(1).readOthers().newestMemberList());
-    assertNull(of(2).readOthers().newestMemberList());
+    assertTrue(filesOf(2).publish(publishedState));
+    assertEquals(List.of(publishedState), filesOf(1).readOthers().partners());
+    assertEquals(
+        List.of(), filesOf(2).readOthers().partners(), "a process must not read its own file");
+    assertEquals(publishedState.list(), filesOf(1).readOthers().newestMemberList());
+    assertNull(filesOf(2).readOthers().newestMemberList());
   }
 
   @Test
   void rejectsFileThatIsTruncatedOrChangedAnywhere() throws Exception {
-    byte[] whole =
+    byte[] completeFile =
         StateFormat.write(state(2, ProcessState.Stage.READY, new ServerExclusion(5, true, 9)));
-    for (int length = 0; length < whole.length; length++) {
-      byte[] cut = Arrays.copyOf(whole, length);
-      assertThrows(FormatException.class, () -> StateFormat.read(cut));
-      byte[] changed = whole.clone();
-      changed[length] ^= 1;
-      assertThrows(FormatException.class, () -> StateFormat.read(changed));
+    for (int length = 0; length < completeFile.length; length++) {
+      byte[] truncatedFile = Arrays.copyOf(completeFile, length);
+      assertThrows(FormatException.class, () -> StateFormat.read(truncatedFile));
+      byte[] changedFile = completeFile.clone();
+      changedFile[length] ^= 1;
+      assertThrows(FormatException.class, () -> StateFormat.read(changedFile));
     }
     Files.write(
         folder.resolve("shalepaddle-2.process"),
         "shalepaddle-process-9 0 0\n".getBytes(StandardCharsets.US_ASCII));
     Files.write(folder.resolve("shalepaddle-3.process"), new byte[2 << 20]);
-    ProcessFiles own = of(1);
+    ProcessFiles files = filesOf(1);
     for (int i = 0; i < 100; i++) {
-      assertEquals(List.of(), own.readOthers().partners());
+      assertEquals(List.of(), files.readOthers().partners());
     }
-    assertEquals(2, log.size(), "each is logged once: " + log);
+    assertEquals(2, log.size(), "each unreadable file must be logged once: " + log);
   }
 
   @Test
-  void countsOnlyExclusionsOfSilentOrEndedProcess() throws Exception {
+  void readsOnlyExclusionsOfProcessThatStoppedPublishingOrEnded() throws Exception {
     ServerExclusion exclusion = new ServerExclusion(5, true, now);
-    of(2).publish(state(2, ProcessState.Stage.READY, exclusion));
+    filesOf(2).publish(state(2, ProcessState.Stage.READY, exclusion));
     Path file = folder.resolve("shalepaddle-2.process");
     Files.setLastModifiedTime(file, FileTime.fromMillis(now - ProcessFiles.SILENT_MILLIS));
-    assertEquals(List.of(), of(1).readOthers().partners());
-    assertEquals(List.of(exclusion), of(1).readOthers().exclusions());
-    alive.remove(2L);
-    assertEquals(List.of(exclusion), of(1).readOthers().exclusions());
+    assertEquals(List.of(), filesOf(1).readOthers().partners());
+    assertEquals(List.of(exclusion), filesOf(1).readOthers().exclusions());
+    livePids.remove(2L);
+    assertEquals(List.of(exclusion), filesOf(1).readOthers().exclusions());
     now += 3 * ProcessFiles.SILENT_MILLIS;
-    assertEquals(List.of(exclusion), of(1).readOthers().exclusions());
-    assertFalse(Files.exists(file), "the processes that read its exclusions publish them");
+    assertEquals(List.of(exclusion), filesOf(1).readOthers().exclusions());
+    assertFalse(
+        Files.exists(file),
+        "an ended process's file must be removed once others can have published its exclusions");
   }
 
   @Test
-  void worksWithoutFolder() {
-    ProcessFiles lost =
-        new ProcessFiles(folder.resolve("none"), 1, () -> now, alive::contains, log::add);
-    assertEquals(List.of(), lost.readOthers().partners());
-    assertFalse(lost.publish(new ProcessState(1, ProcessState.Stage.READY, 0, 0, List.of(), null)));
+  void readsAndPublishesNothingWithoutFolder() {
+    ProcessFiles files =
+        new ProcessFiles(folder.resolve("none"), 1, () -> now, livePids::contains, log::add);
+    assertEquals(List.of(), files.readOthers().partners());
+    assertFalse(
+        files.publish(new ProcessState(1, ProcessState.Stage.READY, 0, 0, List.of(), null)));
     assertEquals(2, log.size());
   }
 }
--- a/engine/src/test/java/shalepaddle/hotrestart/ServerExclusionsTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ServerExclusionsTest.java
@@ -10,44 +10,54 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/**
- * Two processes have the same exclusions in the end, in whatever order and how often they merge.
- */
+/** The exclusions of two processes converge, regardless of the order and the number of merges. */
 class ServerExclusionsTest {
   @Test
   void mergeIsCommutativeAndIdempotent() {
     Random random = new Random(7);
     for (int round = 0; round < 500; round++) {
-      List<ServerExclusion> recorded = new ArrayList<>();
+      List<ServerExclusion> recordedExclusions = new ArrayList<>();
       for (int i = 0; i < 12; i++) {
-        recorded.add(
+        recordedExclusions.add(
             new ServerExclusion(random.nextInt(4), random.nextBoolean(), random.nextInt(6)));
       }
-      ServerExclusions one = new ServerExclusions();
-      recorded.forEach(one::record);
-      Collections.shuffle(recorded, random);
-      ServerExclusions other = new ServerExclusions();
-      other.merge(recorded);
-      other.merge(one.all());
-      one.merge(other.all());
-      assertEquals(new HashSet<>(one.all()), new HashSet<>(other.all()));
-      assertTrue(one.merge(other.all()).isEmpty(), "nothing is news twice");
+      ServerExclusions firstExclusions = new ServerExclusions();
+      recordedExclusions.forEach(firstExclusions::record);
+      Collections.shuffle(recordedExclusions, random);
+      ServerExclusions secondExclusions = new ServerExclusions();
+      secondExclusions.merge(recordedExclusions);
+      secondExclusions.merge(firstExclusions.all());
+      firstExclusions.merge(secondExclusions.all());
+      assertEquals(new HashSet<>(firstExclusions.all()), new HashSet<>(secondExclusions.all()));
+      assertTrue(
+          firstExclusions.merge(secondExclusions.all()).isEmpty(),
+          "a repeated merge must report no changes");
     }
   }
 
   @Test
-  void latestIsInForceAndReportsChanges() {
+  void recordReturnsWhetherStateOfServerChanges() {
     ServerExclusions exclusions = new ServerExclusions();
     assertTrue(exclusions.record(new ServerExclusion(1, true, 10)));
-    assertEquals(false, exclusions.record(new ServerExclusion(1, true, 20)), "twice out");
     assertEquals(
-        false, exclusions.record(new ServerExclusion(1, false, 15)), "older than the last");
-    assertTrue(exclusions.record(new ServerExclusion(1, false, 30)), "one call back undoes both");
-    assertEquals(false, exclusions.record(new ServerExclusion(2, false, 30)), "it was never out");
+        false,
+        exclusions.record(new ServerExclusion(1, true, 20)),
+        "server 1 is excluded already");
+    assertEquals(
+        false,
+        exclusions.record(new ServerExclusion(1, false, 15)),
+        "the inclusion is older than the latest exclusion");
+    assertTrue(
+        exclusions.record(new ServerExclusion(1, false, 30)),
+        "one inclusion must revert both exclusions");
+    assertEquals(
+        false,
+        exclusions.record(new ServerExclusion(2, false, 30)),
+        "server 2 was never excluded");
   }
 
   @Test
-  void neverRemovesExclusion() {
+  void keepsExclusionWhenLimitIsExceeded() {
     ServerExclusions exclusions = new ServerExclusions();
     exclusions.record(new ServerExclusion(-1, true, 1));
     for (int i = 0; i < 10_000; i++) {
--- a/settings/src/main/java/shalepaddle/settings/FormatException.java
+++ b/settings/src/main/java/shalepaddle/settings/FormatException.java
@@ -1,10 +1,10 @@
 package shalepaddle.settings;
 
-/** The input violates its format; the message says where and how. */
+/** Thrown if an input violates its format; the message says where and how. */
 public final class FormatException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** An exception with a message for whoever wrote the input. */
+  /** Creates an exception with a message for the author of the input. */
   public FormatException(String message) {
     super(message);
   }
--- a/settings/src/main/java/shalepaddle/settings/JsonObject.java
+++ b/settings/src/main/java/shalepaddle/settings/JsonObject.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 
 /**
- * One JSON object, with typed access to its fields: a message of the simulator's wire, a node's
+ * A JSON object with typed access to its fields: a message of the simulator's protocol, a node's
  * configuration, or an endpoint list. Unknown fields are ignored. Immutable.
  */
 public final class JsonObject {
@@ -21,13 +21,13 @@
     this.fields = fields;
   }
 
-  /** Parses one JSON object, which must be all of the text. */
-  public static JsonObject parse(String line) throws FormatException {
-    try (JsonParser parser = FACTORY.createParser(line)) {
+  /** Parses a text that consists of exactly one JSON object. */
+  public static JsonObject parse(String json) throws FormatException {
+    try (JsonParser parser = FACTORY.createParser(json)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
         throw new FormatException("not a JSON object");
       }
-      JsonObject object = new JsonObject(object(parser));
+      JsonObject object = new JsonObject(readObject(parser));
       if (parser.nextToken() != null) {
         throw new FormatException("more than one JSON value");
       }
@@ -37,20 +37,20 @@
     }
   }
 
-  private static Map<String, Object> object(JsonParser parser) throws IOException {
-    Map<String, Object> map = new HashMap<>();
+  private static Map<String, Object> readObject(JsonParser parser) throws IOException {
+    Map<String, Object> fieldsByName = new HashMap<>();
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String name = parser.currentName();
       parser.nextToken();
-      map.put(name, value(parser));
+      fieldsByName.put(name, readValue(parser));
     }
-    return map;
+    return fieldsByName;
   }
 
-  private static Object value(JsonParser parser) throws IOException {
+  private static Object readValue(JsonParser parser) throws IOException {
     return switch (parser.currentToken()) {
-      case START_OBJECT -> new JsonObject(object(parser));
-      case START_ARRAY -> list(parser);
+      case START_OBJECT -> new JsonObject(readObject(parser));
+      case START_ARRAY -> readList(parser);
       case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
       case VALUE_TRUE -> true;
       case VALUE_FALSE -> false;
@@ -59,77 +59,77 @@
     };
   }
 
-  private static List<Object> list(JsonParser parser) throws IOException {
+  private static List<Object> readList(JsonParser parser) throws IOException {
     List<Object> list = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
-      list.add(value(parser));
+      list.add(readValue(parser));
     }
     return list;
   }
 
-  private FormatException invalid(String name) {
+  private FormatException fieldError(String name) {
     String type = fields.get("type") instanceof String text ? text + " " : "";
-    String what = fields.get(name) == null ? "without" : "with a wrong value of";
-    return new FormatException(type + "message " + what + " field '" + name + "'");
+    String problem = fields.get(name) == null ? "without" : "with an invalid value of";
+    return new FormatException(type + "message " + problem + " field '" + name + "'");
   }
 
-  /** A text that must be there. */
+  /** A required text. */
   public String requiredText(String name) throws FormatException {
     if (fields.get(name) instanceof String text) {
       return text;
     }
-    throw invalid(name);
+    throw fieldError(name);
   }
 
-  /** A number that must be there. */
+  /** A required number. */
   public double requiredNumber(String name) throws FormatException {
     if (fields.get(name) instanceof Number number) {
       return number.doubleValue();
     }
-    throw invalid(name);
+    throw fieldError(name);
   }
 
-  /** An integer that must be there. */
+  /** A required number, truncated to an integer. */
   public long requiredInteger(String name) throws FormatException {
     if (fields.get(name) instanceof Number number) {
       return number.longValue();
     }
-    throw invalid(name);
+    throw fieldError(name);
   }
 
-  /** A text, or a number as text. */
-  public String text(String name, String absent) {
+  /** A text, or a number as text; the default value if the field is neither. */
+  public String text(String name, String defaultValue) {
     Object value = fields.get(name);
     if (value instanceof String text) {
       return text;
     }
-    return value instanceof Number number ? number.toString() : absent;
+    return value instanceof Number number ? number.toString() : defaultValue;
   }
 
-  /** A number. */
-  public double number(String name, double absent) {
-    return fields.get(name) instanceof Number number ? number.doubleValue() : absent;
+  /** A number; the default value if the field is not a number. */
+  public double number(String name, double defaultValue) {
+    return fields.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
   }
 
-  /** Whether the field is true. */
+  /** Whether the field has the value true. */
   public boolean flag(String name) {
     return Boolean.TRUE.equals(fields.get(name));
   }
 
-  /** The nested object of this name, an empty one where it is absent. */
+  /** A nested object; an empty one if the field is not an object. */
   public JsonObject nested(String name) {
     return fields.get(name) instanceof JsonObject object ? object : new JsonObject(Map.of());
   }
 
-  /** A nested object that must be there. */
+  /** A required nested object. */
   public JsonObject requiredNested(String name) throws FormatException {
     if (fields.get(name) instanceof JsonObject object) {
       return object;
     }
-    throw invalid(name);
+    throw fieldError(name);
   }
 
-  /** Whether the field is there, and not null. */
+  /** Whether the field is present and not null. */
   public boolean has(String name) {
     return fields.get(name) != null;
   }
@@ -138,32 +138,32 @@
     return fields;
   }
 
-  /** How many items an array has, 0 where it is absent. */
+  /** The number of items of an array; 0 if the field is not an array. */
   int size(String name) {
     return fields.get(name) instanceof List<?> list ? list.size() : 0;
   }
 
-  /** The objects of an array, none where it is absent. */
+  /** The items of an array that are objects; none if the field is not an array. */
   public List<JsonObject> objects(String name) {
-    List<JsonObject> found = new ArrayList<>();
+    List<JsonObject> objectItems = new ArrayList<>();
     if (fields.get(name) instanceof List<?> list) {
       for (Object item : list) {
         if (item instanceof JsonObject object) {
-          found.add(object);
+          objectItems.add(object);
         }
       }
     }
-    return found;
+    return objectItems;
   }
 
-  /** The items of an array as text, none where it is absent. */
+  /** The items of an array as text; none if the field is not an array. */
   public List<String> texts(String name) {
-    List<String> found = new ArrayList<>();
+    List<String> textItems = new ArrayList<>();
     if (fields.get(name) instanceof List<?> list) {
       for (Object item : list) {
-        found.add(String.valueOf(item));
+        textItems.add(String.valueOf(item));
       }
     }
-    return found;
+    return textItems;
   }
 }
--- a/settings/src/main/java/shalepaddle/settings/SettingsFormat.java
+++ b/settings/src/main/java/shalepaddle/settings/SettingsFormat.java
@@ -5,15 +5,15 @@
 import shalepaddle.model.Settings;
 
 /**
- * Reads {@link Settings} from JSON: the object that the simulator's first message gives an
- * instance, and that a real node finds in its configuration, with the same names and units. The
- * table of names is in the package's description. Stateless.
+ * Reads {@link Settings} from JSON. The simulator's {@code LAUNCH} message and a real node's
+ * configuration contain the same object, with the same names and units. The package description
+ * lists the names. Stateless.
  */
 public final class SettingsFormat {
   private SettingsFormat() {}
 
   /**
-   * Reads the settings of an instance; what is absent has a default.
+   * Reads the settings of an instance; absent fields have defaults.
    *
    * @throws FormatException if a service class or a tenant has no name
    */
@@ -28,18 +28,18 @@
         Math.max(1, (int) conf.number("instances", 1)),
         conf.text("discovery", "push").equals("ask"),
         conf.nested("clients").flag("marks-retry"),
-        weights(conf.text("weight-kind", "silent")),
-        cacheMode(cache, kinds),
-        limits(conf.nested("caps")),
-        contract(conf.nested("contract")),
-        prices(conf.nested("prices")),
-        serviceClasses(conf),
-        tenants(conf),
+        parseWeights(conf.text("weight-kind", "silent")),
+        readCacheMode(cache, kinds),
+        readLimits(conf.nested("caps")),
+        readContract(conf.nested("contract")),
+        readPrices(conf.nested("prices")),
+        readServiceClasses(conf),
+        readTenants(conf),
         conf.number("over-share-worth", 1),
         conf.number("period", 0));
   }
 
-  private static Settings.Weights weights(String name) {
+  private static Settings.Weights parseWeights(String name) {
     return switch (name) {
       case "nominal" -> Settings.Weights.NOMINAL;
       case "rough" -> Settings.Weights.ROUGH;
@@ -48,16 +48,16 @@
     };
   }
 
-  private static Settings.CacheMode cacheMode(JsonObject cache, List<String> kinds) {
-    int origin = (int) cache.number("origin-kind", -1);
+  private static Settings.CacheMode readCacheMode(JsonObject cache, List<String> kinds) {
+    int originKindIndex = (int) cache.number("origin-kind", -1);
     return new Settings.CacheMode(
         cache.text("mode", "through").equals("aside"),
-        origin >= 0 && origin < kinds.size() ? kinds.get(origin) : null,
+        originKindIndex >= 0 && originKindIndex < kinds.size() ? kinds.get(originKindIndex) : null,
         cache.number("origin-fall-multiple", 0),
         cache.number("origin-fall", 0));
   }
 
-  private static Settings.Limits limits(JsonObject caps) {
+  private static Settings.Limits readLimits(JsonObject caps) {
     return new Settings.Limits(
         (int) caps.number("attempts-cap", 1),
         caps.flag("parallel-tries"),
@@ -71,7 +71,7 @@
         (int) caps.number("multiplex", 1));
   }
 
-  private static Settings.Contract contract(JsonObject contract) {
+  private static Settings.Contract readContract(JsonObject contract) {
     return new Settings.Contract(
         contract.number("grace-to-answer", 0),
         contract.number("ask-within", 0),
@@ -82,7 +82,7 @@
         contract.number("overload-for", 0));
   }
 
-  private static Settings.Prices prices(JsonObject prices) {
+  private static Settings.Prices readPrices(JsonObject prices) {
     return new Settings.Prices(
         prices.number("cross-zone", 0),
         prices.number("waste", 0),
@@ -95,16 +95,16 @@
         prices.number("discovery", 0));
   }
 
-  private static List<Settings.ServiceClass> serviceClasses(JsonObject conf)
+  private static List<Settings.ServiceClass> readServiceClasses(JsonObject conf)
       throws FormatException {
     List<Settings.ServiceClass> serviceClasses = new ArrayList<>();
     for (JsonObject service : conf.objects("services")) {
-      serviceClasses.add(serviceClass(service));
+      serviceClasses.add(readServiceClass(service));
     }
     return List.copyOf(serviceClasses);
   }
 
-  private static List<Settings.Tenant> tenants(JsonObject conf) throws FormatException {
+  private static List<Settings.Tenant> readTenants(JsonObject conf) throws FormatException {
     List<Settings.Tenant> tenants = new ArrayList<>();
     for (JsonObject tenant : conf.objects("tenants")) {
       tenants.add(
@@ -116,7 +116,7 @@
     return List.copyOf(tenants);
   }
 
-  private static Settings.ServiceClass serviceClass(JsonObject service) throws FormatException {
+  private static Settings.ServiceClass readServiceClass(JsonObject service) throws FormatException {
     return new Settings.ServiceClass(
         service.requiredText("name"),
         service.number("slo", 0),
@@ -124,13 +124,13 @@
         service.number("give-up", 0),
         service.number("credit", 1),
         service.number("late-share", 0),
-        idempotency(service.text("effect", "fragile")),
-        deduplicationScope(service.text("group", "cell")),
+        parseIdempotency(service.text("effect", "fragile")),
+        parseDeduplicationScope(service.text("group", "cell")),
         service.number("repeat-window", 0),
         service.flag("streamed"));
   }
 
-  private static Settings.Idempotency idempotency(String effect) {
+  private static Settings.Idempotency parseIdempotency(String effect) {
     return switch (effect) {
       case "retryable" -> Settings.Idempotency.IDEMPOTENT;
       case "dedup" -> Settings.Idempotency.IDEMPOTENT_WITH_KEY;
@@ -138,7 +138,7 @@
     };
   }
 
-  private static Settings.DeduplicationScope deduplicationScope(String group) {
+  private static Settings.DeduplicationScope parseDeduplicationScope(String group) {
     return switch (group) {
       case "all" -> Settings.DeduplicationScope.ALL;
       case "zone" -> Settings.DeduplicationScope.ZONE;
--- a/settings/src/main/java/shalepaddle/settings/SettingsUpdateValidator.java
+++ b/settings/src/main/java/shalepaddle/settings/SettingsUpdateValidator.java
@@ -6,13 +6,17 @@
 import java.util.Set;
 
 /**
- * Whether a configuration may replace the one in force, beyond what it takes to read it. A missing
- * key would silently fall back to its default; here it rejects the whole file. So every key that
- * the node was started with has to be there, with a value of the same kind. What comes and goes is
- * not checked: the endpoint list, peers, prices. Stateless.
+ * Checks whether a configuration may replace the current one. This is stricter than reading it: a
+ * missing key would silently fall back to its default, so here the file is invalid without the key.
+ * Every key of the configuration at startup must be present, with a value of the same type. The
+ * contents of the endpoint list and of the prices are not checked, nor are items of arrays, except
+ * the service classes. Stateless.
  */
 public final class SettingsUpdateValidator {
-  /** Objects whose keys may differ: the endpoint list, and prices that a site may not have. */
+  /**
+   * Objects whose keys may differ from those at startup: the endpoint list, and the prices of
+   * resources, of which a site may have only some.
+   */
   private static final Set<String> UNCHECKED_OBJECTS = Set.of("known", "prices");
 
   /** Keys of a service class that may be absent. */
@@ -25,63 +29,70 @@
   private SettingsUpdateValidator() {}
 
   /**
-   * Checks a file against the one that the node was started with.
+   * Checks a new configuration against the one at startup.
    *
-   * @throws FormatException if it must not; the message names the key and the remedy
+   * @param startupJson the configuration that the node was started with
+   * @param newJson the configuration that may replace the current one
+   * @throws FormatException if {@code newJson} must not be applied; the message names the key and
+   *     the problem
    */
-  public static void check(JsonObject present, JsonObject next) throws FormatException {
-    checkSameKeys("", present, next);
-    JsonObject settings = next.requiredNested("settings");
-    checkServices(present.requiredNested("settings"), settings);
+  public static void check(JsonObject startupJson, JsonObject newJson) throws FormatException {
+    checkSameKeys("", startupJson, newJson);
+    JsonObject settings = newJson.requiredNested("settings");
+    checkServices(startupJson.requiredNested("settings"), settings);
     JsonObject caps = settings.nested("caps");
     if (caps.has("attempts-cap")) {
-      double attempts =
+      double attemptsCap =
           checkPositive("settings.caps.attempts-cap", caps.requiredNumber("attempts-cap"));
-      if (attempts != Math.rint(attempts) || attempts > Integer.MAX_VALUE) {
+      if (attemptsCap != Math.rint(attemptsCap) || attemptsCap > Integer.MAX_VALUE) {
         throw new FormatException("settings.caps.attempts-cap is not an integer");
       }
     }
   }
 
-  private static void checkSameKeys(String path, JsonObject present, JsonObject next)
+  private static void checkSameKeys(String path, JsonObject startupJson, JsonObject newJson)
       throws FormatException {
-    for (Map.Entry<String, Object> field : present.fields().entrySet()) {
+    for (Map.Entry<String, Object> field : startupJson.fields().entrySet()) {
       String key = path + field.getKey();
-      Object was = field.getValue();
-      Object is = next.fields().get(field.getKey());
-      if (was == null) {
+      Object startupValue = field.getValue();
+      Object newValue = newJson.fields().get(field.getKey());
+      if (startupValue == null) {
         continue;
       }
-      if (is == null) {
-        throw new FormatException(key + " is missing, it was there at the start");
+      if (newValue == null) {
+        throw new FormatException(key + " is missing, but was present at startup");
       }
-      if (kind(was) != kind(is)) {
-        throw new FormatException(key + " has a value of another kind than at the start");
+      if (jsonType(startupValue) != jsonType(newValue)) {
+        throw new FormatException(key + " has a value of another type than at startup");
       }
-      if (was instanceof JsonObject one
-          && is instanceof JsonObject other
+      if (startupValue instanceof JsonObject startupObject
+          && newValue instanceof JsonObject newObject
           && !UNCHECKED_OBJECTS.contains(field.getKey())) {
-        checkSameKeys(key + ".", one, other);
+        checkSameKeys(key + ".", startupObject, newObject);
       }
     }
   }
 
-  private static Class<?> kind(Object value) {
+  private static Class<?> jsonType(Object value) {
     if (value instanceof Number) {
       return Number.class;
     }
     return value instanceof List<?> ? List.class : value.getClass();
   }
 
-  /** Each service class must have the keys that all had at the start. */
-  private static void checkServices(JsonObject present, JsonObject next) throws FormatException {
-    Set<String> required = requiredServiceKeys(present);
-    List<JsonObject> services = next.objects("services");
+  /** Checks that each service class has the keys that all service classes had at startup. */
+  private static void checkServices(JsonObject startupJson, JsonObject newJson)
+      throws FormatException {
+    Set<String> requiredKeys = requiredServiceKeys(startupJson);
+    List<JsonObject> services = newJson.objects("services");
     if (services.isEmpty() || services.size() > MAX_SERVICE_CLASSES) {
       throw new FormatException(
-          "settings.services has " + services.size() + " classes, 1 to 64 are right");
+          "settings.services has "
+              + services.size()
+              + " classes, must have 1 to "
+              + MAX_SERVICE_CLASSES);
     }
-    if (services.size() != next.size("services")) {
+    if (services.size() != newJson.size("services")) {
       throw new FormatException("settings.services has an item that is not an object");
     }
     Set<String> names = new HashSet<>();
@@ -90,26 +101,26 @@
       String path = "settings.services." + name + ".";
       if (name.isEmpty() || !names.add(name)) {
         throw new FormatException(
-            "settings.services names '" + name + "' twice, or without a name");
+            "settings.services has a duplicate or empty name: '" + name + "'");
       }
-      checkService(service, path, required);
+      checkService(service, path, requiredKeys);
     }
   }
 
-  private static Set<String> requiredServiceKeys(JsonObject present) {
-    Set<String> common = null;
-    for (JsonObject service : present.objects("services")) {
-      if (common == null) {
-        common = new HashSet<>(service.fields().keySet());
+  private static Set<String> requiredServiceKeys(JsonObject startupJson) {
+    Set<String> commonKeys = null;
+    for (JsonObject service : startupJson.objects("services")) {
+      if (commonKeys == null) {
+        commonKeys = new HashSet<>(service.fields().keySet());
       }
-      common.retainAll(service.fields().keySet());
+      commonKeys.retainAll(service.fields().keySet());
     }
-    return common == null ? Set.of() : common;
+    return commonKeys == null ? Set.of() : commonKeys;
   }
 
-  private static void checkService(JsonObject service, String path, Set<String> required)
+  private static void checkService(JsonObject service, String path, Set<String> requiredKeys)
       throws FormatException {
-    for (String key : required) {
+    for (String key : requiredKeys) {
       if (!service.has(key) && !OPTIONAL_SERVICE_KEYS.contains(key)) {
         throw new FormatException(path + key + " is missing");
       }
@@ -129,15 +140,15 @@
 
   private static double checkPositive(String key, double value) throws FormatException {
     if (!(value > 0) || Double.isInfinite(value)) {
-      throw new FormatException(key + " is " + value + ", and has to be above 0");
+      throw new FormatException(key + " is " + value + ", must be finite and above 0");
     }
     return value;
   }
 
-  private static void checkOneOf(String key, String value, Set<String> right)
+  private static void checkOneOf(String key, String value, Set<String> allowed)
       throws FormatException {
-    if (!right.contains(value)) {
-      throw new FormatException(key + " is '" + value + "', right are " + right);
+    if (!allowed.contains(value)) {
+      throw new FormatException(key + " is '" + value + "', must be one of " + allowed);
     }
   }
 }
--- a/settings/src/main/java/shalepaddle/settings/package-info.java
+++ b/settings/src/main/java/shalepaddle/settings/package-info.java
@@ -1,9 +1,10 @@
 /**
- * The form of the settings in configuration files and in the simulator's first message. Stateless;
- * may call {@link shalepaddle.model} alone. These names stand nowhere else in the code:
+ * The format of the settings in configuration files and in the simulator's {@code LAUNCH} message.
+ * Stateless; may call only {@link shalepaddle.model}. The table maps external names to components
+ * of {@code Settings}:
  *
  * <table>
- *   <caption>Name in the file or message, and the component of {@code Settings} that it is</caption>
+ *   <caption>Name in the file or message, and the component of {@code Settings}</caption>
  *   <tr><td>azs</td><td>zones</td></tr>
  *   <tr><td>my-number</td><td>instanceNumber</td></tr>
  *   <tr><td>discovery: ask</td><td>pollsEndpointList</td></tr>
@@ -49,6 +50,6 @@
  *   <tr><td>tenants.quota-per-s</td><td>tenants.quotaPerSecond</td></tr>
  * </table>
  *
- * <p>Names that are not listed are the same in both. Times are in seconds.
+ * <p>All other names are the same in both. Times are in seconds.
  */
 package shalepaddle.settings;
--- a/settings/src/test/java/shalepaddle/settings/SettingsUpdateValidatorTest.java
+++ b/settings/src/test/java/shalepaddle/settings/SettingsUpdateValidatorTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which configurations may replace the one that a node was started with. */
+/** Which configurations may replace the configuration that a running node was started with. */
 class SettingsUpdateValidatorTest {
-  private static final String FILE =
+  private static final String STARTUP_CONFIG =
       """
       {"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
        "limits":{"cores":1.0,"sockets":256},"known":{"version":1,"servers":[]},
@@ -20,25 +20,30 @@
          {"name":"put","effect":"fragile","group":"all","slo":0.3,"give-up":1,"aim-stretch":1}]}}
       """;
 
-  private static void check(String next) throws FormatException {
-    SettingsUpdateValidator.check(JsonObject.parse(FILE), JsonObject.parse(next));
+  private static void checkUpdate(String newConfig) throws FormatException {
+    SettingsUpdateValidator.check(JsonObject.parse(STARTUP_CONFIG), JsonObject.parse(newConfig));
   }
 
-  private static String with(String part, String other) {
-    assertTrue(FILE.contains(part), part);
-    return FILE.replace(part, other);
+  private static String startupConfigWith(String replacedText, String replacement) {
+    assertTrue(STARTUP_CONFIG.contains(replacedText), replacedText);
+    return STARTUP_CONFIG.replace(replacedText, replacement);
   }
 
   @Test
-  void acceptsOtherClassesLimitsListsAndPrices() {
-    String added =
-        "\"services\":[{\"name\":\"new\",\"effect\":\"dedup\",\"group\":\"cell\",\"slo\":1,\"give-up\":2},";
-    assertDoesNotThrow(() -> check(FILE));
-    assertDoesNotThrow(() -> check(with("\"services\":[", added)));
-    assertDoesNotThrow(() -> check(with("\"attempts-cap\":6", "\"attempts-cap\":2")));
-    assertDoesNotThrow(() -> check(with("{\"fleet\":1}", "{\"origin\":0.5}")));
-    assertDoesNotThrow(() -> check(with("\"version\":1,", "\"version\":9,\"full\":true,")));
-    assertDoesNotThrow(() -> check(with("\"effect\":\"retryable\"", "\"effect\":\"fragile\"")));
+  void acceptsChangedClassesLimitsMembersAndPrices() {
+    String servicesWithAddedClass =
+        "\"services\":[{\"name\":\"new\",\"effect\":\"dedup\",\"group\":\"cell\","
+            + "\"slo\":1,\"give-up\":2},";
+    assertDoesNotThrow(() -> checkUpdate(STARTUP_CONFIG));
+    assertDoesNotThrow(
+        () -> checkUpdate(startupConfigWith("\"services\":[", servicesWithAddedClass)));
+    assertDoesNotThrow(
+        () -> checkUpdate(startupConfigWith("\"attempts-cap\":6", "\"attempts-cap\":2")));
+    assertDoesNotThrow(() -> checkUpdate(startupConfigWith("{\"fleet\":1}", "{\"origin\":0.5}")));
+    assertDoesNotThrow(
+        () -> checkUpdate(startupConfigWith("\"version\":1,", "\"version\":9,\"full\":true,")));
+    assertDoesNotThrow(
+        () -> checkUpdate(startupConfigWith("\"effect\":\"retryable\"", "\"effect\":\"fragile\"")));
   }
 
   @ParameterizedTest
@@ -63,25 +68,27 @@
         "\"name\":\"put\"|\"name\":\"read\"|settings.services",
         "\"name\":\"put\"|\"name\":\"\"|settings.services",
       })
-  void rejectsInvalidFileAndNamesTheKey(String part, String other, String key) {
-    String next = with(part, other == null ? "" : other);
-    FormatException e = assertThrows(FormatException.class, () -> check(next));
+  void rejectsInvalidFileAndNamesKey(String replacedText, String replacement, String key) {
+    String newConfig = startupConfigWith(replacedText, replacement == null ? "" : replacement);
+    FormatException e = assertThrows(FormatException.class, () -> checkUpdate(newConfig));
     assertTrue(e.getMessage().contains(key), e.getMessage());
   }
 
   @Test
-  void rejectsEveryTruncatedFile() {
-    String whole = FILE.strip();
-    for (int length = 0; length < whole.length(); length++) {
-      String cut = whole.substring(0, length);
-      assertThrows(FormatException.class, () -> check(cut), cut);
+  void rejectsTruncatedFile() {
+    String completeFile = STARTUP_CONFIG.strip();
+    for (int length = 0; length < completeFile.length(); length++) {
+      String truncatedFile = completeFile.substring(0, length);
+      assertThrows(FormatException.class, () -> checkUpdate(truncatedFile), truncatedFile);
     }
   }
 
   @Test
   void rejectsFileWithoutServiceClasses() {
-    String none = FILE.substring(0, FILE.indexOf("\"services\":[") + 12) + "]}}";
-    assertThrows(FormatException.class, () -> check(none));
-    assertThrows(FormatException.class, () -> check(none.replace("[]", "[7]")));
+    String configWithoutClasses =
+        STARTUP_CONFIG.substring(0, STARTUP_CONFIG.indexOf("\"services\":[") + 12) + "]}}";
+    assertThrows(FormatException.class, () -> checkUpdate(configWithoutClasses));
+    assertThrows(
+        FormatException.class, () -> checkUpdate(configWithoutClasses.replace("[]", "[7]")));
   }
 }
--- a/simhost/src/main/java/shalepaddle/sim/ActionWriter.java
+++ b/simhost/src/main/java/shalepaddle/sim/ActionWriter.java
@@ -5,27 +5,27 @@
 import java.io.UncheckedIOException;
 import shalepaddle.policy.RoutingActions;
 
-/** Writes the actions of one instance as messages of the simulator's wire. */
+/** Writes the actions of one instance as messages of the simulator's protocol. */
 final class ActionWriter implements RoutingActions {
   private final JsonGenerator out;
-  private final long instance;
+  private final long instanceNumber;
 
-  ActionWriter(JsonGenerator out, long instance) {
+  ActionWriter(JsonGenerator out, long instanceNumber) {
     this.out = out;
-    this.instance = instance;
+    this.instanceNumber = instanceNumber;
   }
 
-  /** The fields of one action. */
-  private interface Fields {
+  /** Writes the fields of one action. */
+  private interface FieldWriter {
     void write() throws IOException;
   }
 
-  private void action(String type, Fields fields) {
+  private void writeAction(String type, FieldWriter fieldWriter) {
     try {
       out.writeStartObject();
       out.writeStringField("type", type);
-      out.writeNumberField("i", instance);
-      fields.write();
+      out.writeNumberField("i", instanceNumber);
+      fieldWriter.write();
       out.writeEndObject();
       out.writeRaw('\n');
     } catch (IOException e) {
@@ -35,8 +35,8 @@
 
   @Override
   public void send(String requestId, long server, double withinSeconds) {
-    // The simulator sends at once.
-    action(
+    // The simulator sends the attempt at once, so withinSeconds is not used.
+    writeAction(
         "PASS_ON",
         () -> {
           out.writeStringField("handle", requestId);
@@ -46,7 +46,7 @@
 
   @Override
   public void cancel(String requestId, int attempt) {
-    action(
+    writeAction(
         "REVOKE",
         () -> {
           out.writeStringField("handle", requestId);
@@ -56,7 +56,7 @@
 
   @Override
   public void reject(String requestId, double retryAfterSeconds) {
-    action(
+    writeAction(
         "BUSY",
         () -> {
           out.writeStringField("handle", requestId);
@@ -68,12 +68,12 @@
 
   @Override
   public void fail(String requestId) {
-    action("ERROR", () -> out.writeStringField("handle", requestId));
+    writeAction("ERROR", () -> out.writeStringField("handle", requestId));
   }
 
   @Override
   public void scheduleTimer(long token, double delaySeconds) {
-    action(
+    writeAction(
         "WAKE_ME",
         () -> {
           out.writeNumberField("key-back", token);
@@ -82,17 +82,17 @@
   }
 
   @Override
-  public void subscribe(boolean on) {
-    action("SUBSCRIBE", () -> out.writeBooleanField("active", on));
+  public void subscribe(boolean isActive) {
+    writeAction("SUBSCRIBE", () -> out.writeBooleanField("active", isActive));
   }
 
   @Override
   public void closeIdleConnections(long server) {
-    action("SHUT_IDLE", () -> out.writeNumberField("server", server));
+    writeAction("SHUT_IDLE", () -> out.writeNumberField("server", server));
   }
 
   /** Reports that the policy threw an exception. */
   void exception(String text) {
-    action("EXCEPTION", () -> out.writeStringField("text", text));
+    writeAction("EXCEPTION", () -> out.writeStringField("text", text));
   }
 }
--- a/simhost/src/main/java/shalepaddle/sim/Dialect.java
+++ b/simhost/src/main/java/shalepaddle/sim/Dialect.java
@@ -11,28 +11,28 @@
 import shalepaddle.settings.JsonObject;
 
 /**
- * Reads events of the simulator's wire as values of the model; the names are listed in the
- * package's description. Stateless.
+ * Converts events of the simulator's protocol to model types. The package description lists the
+ * names. Stateless.
  */
 final class Dialect {
   private Dialect() {}
 
   static MembershipUpdate membership(JsonObject event) throws FormatException {
     List<ServerEntry> entries = new ArrayList<>();
-    for (JsonObject line : event.objects("lines")) {
+    for (JsonObject server : event.objects("lines")) {
       entries.add(
           new ServerEntry(
-              line.requiredInteger("server"),
-              line.text("zone", ""),
-              line.text("machine", ""),
-              (int) line.number("unit-group", 0),
-              switch (line.text("health", "ready")) {
+              server.requiredInteger("server"),
+              server.text("zone", ""),
+              server.text("machine", ""),
+              (int) server.number("unit-group", 0),
+              switch (server.text("health", "ready")) {
                 case "ready" -> ServerEntry.State.READY;
                 case "gone" -> ServerEntry.State.REMOVED;
                 default -> ServerEntry.State.DRAINING;
               },
-              line.number("heft", 1),
-              line.number("up-since", 0)));
+              server.number("heft", 1),
+              server.number("up-since", 0)));
     }
     String form = event.requiredText("form");
     return new MembershipUpdate(
@@ -78,8 +78,8 @@
   }
 
   static Outcome.Result result(JsonObject event) throws FormatException {
-    String result = event.requiredText("ending");
-    return switch (result) {
+    String ending = event.requiredText("ending");
+    return switch (ending) {
       case "completed" -> Outcome.Result.OK;
       case "errored" -> Outcome.Result.ERROR;
       case "saturated" -> Outcome.Result.SERVER_BUSY;
@@ -89,7 +89,7 @@
       case "recalled" -> Outcome.Result.CANCELLED;
       case "superseded" -> Outcome.Result.NOT_SENT;
       case "lookup_miss" -> Outcome.Result.CACHE_MISS;
-      default -> throw new FormatException("unknown ending '" + result + "'");
+      default -> throw new FormatException("unknown ending '" + ending + "'");
     };
   }
 
--- a/simhost/src/main/java/shalepaddle/sim/SimHost.java
+++ b/simhost/src/main/java/shalepaddle/sim/SimHost.java
@@ -18,159 +18,160 @@
 import shalepaddle.settings.SettingsFormat;
 
 /**
- * Hosts many request routers on the simulator's wire; they share nothing. One thread reads, decides
- * and writes.
+ * Hosts many independent request routers for a simulator, which sends events and receives actions
+ * as lines of JSON. A single thread reads, decides and writes.
  */
 public final class SimHost {
-  /** A router and the writer of its actions. */
+  /** A hosted router and the writer of its actions. */
   private record Instance(RequestRouter router, ActionWriter actions) {}
 
   private final BufferedReader in;
   private final JsonGenerator out;
   private final Map<Long, Instance> instances = new HashMap<>();
-  private boolean inBatch;
-  private boolean sawBatch;
-  private double now;
-  private long sequence;
+  private boolean isInBatch;
+  private boolean hasSeenBatch;
+  private double nowSeconds;
+  private long lastSequence;
 
-  /** A host that reads batches from {@code in} and writes replies to {@code out}. */
+  /** Creates a host that reads batches from {@code in} and writes replies to {@code out}. */
   public SimHost(InputStream in, OutputStream out) throws IOException {
     this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
     this.out = new JsonFactory().createGenerator(out, JsonEncoding.UTF8);
     this.out.setPrettyPrinter(new MinimalPrettyPrinter(""));
   }
 
-  /** Answers batches until the input ends. */
+  /** Processes batches until the input ends. */
   public void run() throws IOException, FormatException {
-    long number = 0;
+    long lineNumber = 0;
     for (String line = in.readLine(); line != null; line = in.readLine()) {
-      number++;
+      lineNumber++;
       if (line.isBlank()) {
         continue;
       }
       try {
-        handle(JsonObject.parse(line));
+        handleMessage(JsonObject.parse(line));
       } catch (FormatException e) {
-        throw new FormatException("line " + number + ": " + e.getMessage());
+        throw new FormatException("line " + lineNumber + ": " + e.getMessage());
       }
     }
-    if (inBatch) {
-      throw new FormatException("line " + number + ": input ends inside a batch");
+    if (isInBatch) {
+      throw new FormatException("line " + lineNumber + ": input ends inside a batch");
     }
   }
 
-  private void handle(JsonObject message) throws IOException, FormatException {
+  private void handleMessage(JsonObject message) throws IOException, FormatException {
     String type = message.requiredText("type");
     if (type.equals("BATCH")) {
-      begin(message);
+      beginBatch(message);
       return;
     }
-    if (!inBatch) {
+    if (!isInBatch) {
       throw new FormatException(type + " message outside a batch");
     }
     if (type.equals("OVER_TO_YOU")) {
-      inBatch = false;
+      isInBatch = false;
       out.writeStartObject();
       out.writeStringField("type", "DONE");
-      out.writeNumberField("seq", sequence);
+      out.writeNumberField("seq", lastSequence);
       out.writeEndObject();
       out.writeRaw('\n');
       out.flush();
       return;
     }
-    event(type, message);
+    handleEvent(type, message);
   }
 
-  private void begin(JsonObject message) throws FormatException {
-    if (inBatch) {
+  private void beginBatch(JsonObject message) throws FormatException {
+    if (isInBatch) {
       throw new FormatException("BATCH message inside a batch");
     }
-    double time = message.requiredNumber("time");
-    long seq = message.requiredInteger("seq");
-    if (sawBatch && (time < now || seq <= sequence)) {
+    double timeSeconds = message.requiredNumber("time");
+    long batchSequence = message.requiredInteger("seq");
+    if (hasSeenBatch && (timeSeconds < nowSeconds || batchSequence <= lastSequence)) {
       throw new FormatException("BATCH message out of order");
     }
-    now = time;
-    sequence = seq;
-    inBatch = true;
-    sawBatch = true;
+    nowSeconds = timeSeconds;
+    lastSequence = batchSequence;
+    isInBatch = true;
+    hasSeenBatch = true;
   }
 
-  private void event(String type, JsonObject message) throws FormatException {
-    long number = message.requiredInteger("i");
+  private void handleEvent(String type, JsonObject message) throws FormatException {
+    long instanceNumber = message.requiredInteger("i");
     if (type.equals("LAUNCH")) {
-      launch(number, message);
+      launchInstance(instanceNumber, message);
       return;
     }
-    Instance instance = instances.get(number);
+    Instance instance = instances.get(instanceNumber);
     if (instance == null) {
-      throw new FormatException(type + " message for unknown instance " + number);
+      throw new FormatException(type + " message for unknown instance " + instanceNumber);
     }
     if (type.equals("DETACH")) {
-      instances.remove(number);
+      instances.remove(instanceNumber);
     } else {
-      event(type, message, instance.router(), instance.actions());
+      handleEvent(type, message, instance.router(), instance.actions());
     }
   }
 
-  private void launch(long number, JsonObject message) throws FormatException {
+  private void launchInstance(long instanceNumber, JsonObject message) throws FormatException {
     long seed = message.requiredInteger("nonce64");
-    ActionWriter actions = new ActionWriter(out, number);
+    ActionWriter actions = new ActionWriter(out, instanceNumber);
     var settings = SettingsFormat.read(message.requiredNested("conf"));
-    guarded(
+    reportExceptions(
         actions,
         () ->
             instances.put(
-                number, new Instance(new RequestRouter(settings, seed, actions), actions)));
+                instanceNumber, new Instance(new RequestRouter(settings, seed, actions), actions)));
   }
 
-  private void event(String type, JsonObject message, RequestRouter router, ActionWriter actions)
+  private void handleEvent(
+      String type, JsonObject message, RequestRouter router, ActionWriter actions)
       throws FormatException {
     switch (type) {
       case "SYNC" -> {
         var update = Dialect.membership(message);
-        guarded(actions, () -> router.onMembershipUpdate(now, update));
+        reportExceptions(actions, () -> router.onMembershipUpdate(nowSeconds, update));
       }
       case "REQUEST" -> {
         var request = Dialect.request(message);
-        guarded(actions, () -> router.onRequest(now, request));
+        reportExceptions(actions, () -> router.onRequest(nowSeconds, request));
       }
       case "FLOWING" -> {
         String id = message.requiredText("handle");
         int attempt = (int) message.number("trial", 0);
-        guarded(actions, () -> router.onStreamStarted(now, id, attempt));
+        reportExceptions(actions, () -> router.onStreamStarted(nowSeconds, id, attempt));
       }
       case "FINISHED" -> {
         var outcome = Dialect.outcome(message);
-        guarded(actions, () -> router.onOutcome(now, outcome));
+        reportExceptions(actions, () -> router.onOutcome(nowSeconds, outcome));
       }
       case "DROPPED" -> {
         String id = message.requiredText("handle");
-        guarded(actions, () -> router.onClientDisconnected(now, id));
+        reportExceptions(actions, () -> router.onClientDisconnected(nowSeconds, id));
       }
       case "DEADLINE_HIT" -> {
         long token = message.requiredInteger("key-back");
-        guarded(actions, () -> router.onTimer(now, token));
+        reportExceptions(actions, () -> router.onTimer(nowSeconds, token));
       }
       case "HEALTH_RESULT" -> {
-        // The policy sends no health checks: trial requests take their place.
+        // The message is only validated: the policy uses trial requests instead of health checks.
         message.requiredInteger("server");
         Dialect.result(message);
       }
       case "WHISPER" ->
-          // Routers exchange no gossip: each decides by its own observations.
+          // The message is only validated: routers exchange no gossip.
           message.requiredInteger("by");
       default -> throw new FormatException("unknown message type '" + type + "'");
     }
   }
 
-  /** Reports an exception of the policy as the wire provides. */
-  private static void guarded(ActionWriter actions, Runnable step) {
+  /** Runs a step of the policy, and reports an exception of the step as an action. */
+  private static void reportExceptions(ActionWriter actions, Runnable step) {
     try {
       step.run();
     } catch (RuntimeException e) {
-      StackTraceElement[] trace = e.getStackTrace();
-      actions.exception(e + (trace.length > 0 ? " at " + trace[0] : ""));
+      StackTraceElement[] stackTrace = e.getStackTrace();
+      actions.exception(e + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
     }
   }
 }
