--- a/engine/src/test/java/shalepaddle/node/AdminServerTest.java
+++ b/engine/src/test/java/shalepaddle/node/AdminServerTest.java
@@ -26,18 +26,19 @@
 import shalepaddle.settings.JsonObject;
 import shalepaddle.testkit.ScriptedPeer;
 
-/** The admin server of a node that serves, over loopback sockets. */
+/** The admin server of a running node, over loopback sockets. */
 @Timeout(60)
 class AdminServerTest {
-  private static final String ADMIN_SERVER = "},\"management\":\"127.0.0.1:0\",\"unused\":{";
+  private static final String ADMIN_SERVER_SETTING =
+      "},\"management\":\"127.0.0.1:0\",\"unused\":{";
 
   private NodeFixture rig;
-  private String member;
+  private String serverId;
 
   @BeforeEach
   void start() throws Exception {
-    rig = new NodeFixture(ADMIN_SERVER);
-    member = "s-" + rig.cache.getLocalPort();
+    rig = new NodeFixture(ADMIN_SERVER_SETTING);
+    serverId = "s-" + rig.cache.getLocalPort();
   }
 
   @AfterEach
@@ -45,46 +46,46 @@
     rig.close();
   }
 
-  private record Answer(int status, String body) {}
+  private record Response(int status, String body) {}
 
-  private ScriptedPeer caller() throws IOException {
+  private ScriptedPeer connectCaller() throws IOException {
     return ScriptedPeer.connect(rig.node.adminAddress());
   }
 
-  private Answer call(String method, String target) throws IOException {
-    try (ScriptedPeer caller = caller()) {
+  private Response call(String method, String target) throws IOException {
+    try (ScriptedPeer caller = connectCaller()) {
       caller.write(method + " " + target + " HTTP/1.1\r\nHost: node\r\n\r\n");
-      return answer(caller);
+      return readResponse(caller);
     }
   }
 
-  private static Answer answer(ScriptedPeer caller) throws IOException {
+  private static Response readResponse(ScriptedPeer caller) throws IOException {
     int status = Integer.parseInt(caller.line().split(" ", 0)[1]);
-    int length = 0;
+    int contentLength = 0;
     for (String line = caller.line(); !line.isEmpty(); line = caller.line()) {
       if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
-        length = Integer.parseInt(line.substring(15).strip());
+        contentLength = Integer.parseInt(line.substring(15).strip());
       }
     }
-    String body = new String(caller.bytes(length), StandardCharsets.UTF_8);
-    assertTrue(caller.ended(), "one call to a connection");
-    return new Answer(status, body);
+    String body = new String(caller.bytes(contentLength), StandardCharsets.UTF_8);
+    assertTrue(caller.ended(), "the connection is not closed after one call");
+    return new Response(status, body);
   }
 
-  private long metric(String name) throws Exception {
+  private long readMetric(String name) throws Exception {
     for (String line : call("GET", "/api/telemetry").body().lines().toList()) {
       if (line.startsWith(name + " ")) {
         return Long.parseLong(line.substring(name.length() + 1));
       }
     }
-    throw new AssertionError("no " + name);
+    throw new AssertionError("the telemetry has no metric " + name);
   }
 
-  /** Metrics may be some milliseconds old. */
+  /** Waits until a metric has this value: published snapshots are some milliseconds old. */
   private void awaitMetric(String name, long value) throws Exception {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-    while (metric(name) != value) {
-      assertTrue(System.nanoTime() < until, name + " is " + metric(name));
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+    while (readMetric(name) != value) {
+      assertTrue(System.nanoTime() < deadlineNanos, name + " is " + readMetric(name));
     }
   }
 
@@ -107,21 +108,22 @@
     "PUT, /api/exclude?member=s-1, 404",
     "PUT, /api/include?member=s-1, 404",
   })
-  void answersEachCall(String method, String target, int status) throws Exception {
+  void answersWithStatusForMethodAndTarget(String method, String target, int status)
+      throws Exception {
     assertEquals(status, call(method, target).status());
   }
 
   @Test
-  void answersMalformedRequests() throws Exception {
+  void answersMalformedRequestsWithClientError() throws Exception {
     for (String text :
         List.of(
             "nonsense\r\n\r\n",
             "GET /" + "x".repeat(2000) + " HTTP/1.1\r\n\r\n",
             "GET /api/ready HTTP/1.1\r\nA: " + "x".repeat(9000) + "\r\n\r\n",
             "PUT /api/include HTTP/1.1\r\nContent-Length: 9000\r\n\r\n" + "x".repeat(9000))) {
-      try (ScriptedPeer caller = caller()) {
+      try (ScriptedPeer caller = connectCaller()) {
         caller.write(text);
-        assertTrue(answer(caller).status() / 100 == 4);
+        assertTrue(readResponse(caller).status() / 100 == 4);
       }
     }
     assertEquals(200, call("GET", "/api/ready").status());
@@ -129,16 +131,16 @@
 
   @Test
   void answersWhileOtherCallersKeepConnectionsOpen() throws Exception {
-    List<ScriptedPeer> stuck = new ArrayList<>();
+    List<ScriptedPeer> openCallers = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
-      stuck.add(caller().write(i % 2 == 0 ? "" : "PUT /api/exclude?memb"));
+      openCallers.add(connectCaller().write(i % 2 == 0 ? "" : "PUT /api/exclude?memb"));
       if (i % 10 == 9) {
-        long before = System.nanoTime();
+        long startedAtNanos = System.nanoTime();
         assertEquals(200, call("GET", "/api/ready").status());
-        assertTrue(System.nanoTime() - before < 1_000_000_000L);
+        assertTrue(System.nanoTime() - startedAtNanos < 1_000_000_000L);
       }
     }
-    for (ScriptedPeer peer : stuck) {
+    for (ScriptedPeer peer : openCallers) {
       peer.close();
     }
   }
@@ -150,22 +152,22 @@
         () -> {
           assertEquals(200, call("GET", "/api/ready").status());
           assertEquals(200, call("GET", "/api/telemetry").status());
-          // A command that was not run in time is never run.
-          assertEquals(503, call("PUT", "/api/exclude?member=" + member).status());
+          // A command that times out is never run.
+          assertEquals(503, call("PUT", "/api/exclude?member=" + serverId).status());
         });
     rig.settled();
-    assertEquals(0, metric("app_ejected"));
+    assertEquals(0, readMetric("app_ejected"));
   }
 
   @Test
-  void countsEachRequestOnceAndEachAttempt() throws Exception {
-    assertEquals(0, metric("app_results{service=\"read\",disposition=\"succeeded\"}"));
+  void metricsCountEachRequestAndEachAttemptOnce() throws Exception {
+    assertEquals(0, readMetric("app_results{service=\"read\",disposition=\"succeeded\"}"));
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     awaitMetric("app_outstanding", 1);
-    assertEquals(1, metric("app_forwards"));
+    assertEquals(1, readMetric("app_forwards"));
     cache.write("VA 1 Oa1\r\nx\r\n");
     client.line();
     client.line();
@@ -183,14 +185,14 @@
     cache.write("SERVER_ERROR busy\r\n");
     client.line();
     awaitMetric("app_results{service=\"put\",disposition=\"declined\"}", 1);
-    // A request whose client disconnects ends as well.
+    // A request also ends when its client disconnects.
     client.write(NodeFixture.get("a4", 2000));
     cache.line();
     awaitMetric("app_outstanding", 1);
     client.close();
     awaitMetric("app_outstanding", 0);
-    assertEquals(4, metric("app_forwards"));
-    assertEquals(1, metric("app_discovered"));
+    assertEquals(4, readMetric("app_forwards"));
+    assertEquals(1, readMetric("app_discovered"));
   }
 
   @Test
@@ -199,38 +201,38 @@
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
-    assertEquals(200, call("PUT", "/api/exclude?member=" + member).status());
-    assertEquals(200, call("PUT", "/api/exclude?member=" + member).status());
-    assertEquals(1, metric("app_ejected"));
-    // An open attempt ends; its connection is not used again.
+    assertEquals(200, call("PUT", "/api/exclude?member=" + serverId).status());
+    assertEquals(200, call("PUT", "/api/exclude?member=" + serverId).status());
+    assertEquals(1, readMetric("app_ejected"));
+    // The attempt in flight completes; its connection is not used again.
     cache.write("VA 1 Oa1\r\nx\r\n");
     assertEquals("VA 1 Oa1", client.line());
     client.line();
     assertTrue(cache.ended());
     client.write(NodeFixture.get("a2", 2000));
     assertEquals("SERVER_ERROR busy", client.line());
-    // The list changes nothing, whether it removes the server or adds it again.
+    // The exclusion outlasts lists that remove the server and add it again.
     ScriptedPeer discovery = rig.acceptDiscovery();
     while (!discovery.line().isEmpty()) {}
     discovery.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     discovery.write(NodeFixture.chunk(NodeFixture.members(8, true) + "\n"));
     awaitMetric("app_discovered", 0);
-    assertEquals(200, call("PUT", "/api/exclude?member=" + member).status());
+    assertEquals(200, call("PUT", "/api/exclude?member=" + serverId).status());
     discovery.write(
         NodeFixture.chunk(NodeFixture.members(9, true, rig.cache.getLocalPort()) + "\n"));
     awaitMetric("app_discovered", 1);
     client.write(NodeFixture.get("a3", 2000));
     assertEquals("SERVER_ERROR busy", client.line());
-    assertEquals(200, call("PUT", "/api/include?member=" + member).status());
-    assertEquals(0, metric("app_ejected"));
-    // It is in slow start: within a second it may get nothing from a node without load.
+    assertEquals(200, call("PUT", "/api/include?member=" + serverId).status());
+    assertEquals(0, readMetric("app_ejected"));
+    // The server is in slow start: for a second, a node without load may send it nothing.
     for (int i = 0; ; i++) {
       client.write(NodeFixture.get("b" + i, 2000) + "mn\r\n");
       rig.cache.setSoTimeout(100);
       try {
-        ScriptedPeer again = rig.acceptCache();
-        assertTrue(again.line().contains("Ob" + i + " "));
-        again.write("VA 1 Ob" + i + "\r\nx\r\n");
+        ScriptedPeer newConnection = rig.acceptCache();
+        assertTrue(newConnection.line().contains("Ob" + i + " "));
+        newConnection.write("VA 1 Ob" + i + "\r\nx\r\n");
         assertEquals("VA 1 Ob" + i, client.line());
         break;
       } catch (SocketTimeoutException e) {
@@ -244,58 +246,58 @@
   @Test
   void doesNotSendQueuedRequestToExcludedServer() throws Exception {
     ScriptedPeer client = rig.client();
-    ScriptedPeer[] caches = new ScriptedPeer[1];
+    ScriptedPeer[] serverConnections = new ScriptedPeer[1];
     rig.pausedWhile(
         1,
         () -> {
           client.write(NodeFixture.get("a1", 2000));
-          Thread call =
+          Thread excludeThread =
               new Thread(
                   () -> {
                     try {
-                      call("PUT", "/api/exclude?member=" + member);
+                      call("PUT", "/api/exclude?member=" + serverId);
                     } catch (IOException e) {
                       throw new IllegalStateException(e);
                     }
                   });
-          call.start();
-          call.join(300);
+          excludeThread.start();
+          excludeThread.join(300);
         });
     assertEquals("SERVER_ERROR busy", client.line());
     rig.cache.setSoTimeout(200);
     try {
-      caches[0] = rig.acceptCache();
-      assertTrue(caches[0].ended(), "nothing was sent on it");
+      serverConnections[0] = rig.acceptCache();
+      assertTrue(serverConnections[0].ended(), "a request was sent to the excluded server");
     } catch (IOException e) {
-      // No connection at all.
+      // No connection was opened.
     }
   }
 
   @Test
-  void appliesNewSettingsToNewRequestsAlone(@TempDir Path folder) throws Exception {
+  void appliesNewSettingsToNewRequestsOnly(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("config.json");
-    String text = rig.configText(ADMIN_SERVER);
-    JsonObject shape = JsonObject.parse(text);
+    String text = rig.configText(ADMIN_SERVER_SETTING);
+    JsonObject startupJson = JsonObject.parse(text);
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.put("a1", 2000, "v"));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.line();
-    // The class is idempotent from now on, has two attempts, and another class is added.
-    String next =
+    // The new settings make the class idempotent, with two attempts, and add another class.
+    String newText =
         text.replace(
                 "{\"name\":\"put\",\"effect\":\"fragile\"",
                 "{\"name\":\"more\",\"effect\":\"fragile\",\"slo\":1,\"give-up\":1},"
                     + "{\"name\":\"put\",\"effect\":\"retryable\"")
             .replace("\"attempts-cap\":1", "\"attempts-cap\":2");
-    Files.writeString(file, next.substring(0, next.length() - 40));
-    rig.node.reload(file.toString(), shape);
+    Files.writeString(file, newText.substring(0, newText.length() - 40));
+    rig.node.reload(file.toString(), startupJson);
     awaitMetric("app_sighup_rejected", 1);
-    Files.writeString(file, next);
-    rig.node.reload(file.toString(), shape);
+    Files.writeString(file, newText);
+    rig.node.reload(file.toString(), startupJson);
     awaitMetric("app_sighup_applied", 1);
-    assertEquals(0, metric("app_results{service=\"more\",disposition=\"succeeded\"}"));
-    // An open request is not idempotent as before: it may have run, so it has failed.
+    assertEquals(0, readMetric("app_results{service=\"more\",disposition=\"succeeded\"}"));
+    // An open request keeps its settings: it is not idempotent and may have run, so it fails.
     cache.write("SERVER_ERROR failed\r\n");
     assertEquals("SERVER_ERROR failed", client.line());
     client.write(NodeFixture.put("a2", 2000, "v"));
@@ -310,9 +312,9 @@
     cache.write("VA 1 Oa3\r\nx\r\n");
     assertEquals("VA 1 Oa3", client.line());
     client.line();
-    // A removed class is accepted for a moment, then rejected, and its metrics stay.
+    // A removed class is still accepted for a short time, then rejected; its metrics stay.
     Files.writeString(file, text);
-    rig.node.reload(file.toString(), shape);
+    rig.node.reload(file.toString(), startupJson);
     awaitMetric("app_sighup_applied", 2);
     client.write("mg key v Oa4 Pc=more,d=900\r\n");
     cache.line();
@@ -341,27 +343,27 @@
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
-    Thread drain = new Thread(rig.node::drain);
-    drain.start();
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+    Thread drainThread = new Thread(rig.node::drain);
+    drainThread.start();
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
     while (call("GET", "/api/ready").status() != 503) {
-      assertTrue(System.nanoTime() < until);
+      assertTrue(System.nanoTime() < deadlineNanos);
     }
     awaitMetric("app_outstanding", 1);
     cache.write("VA 1 Oa1\r\nx\r\n");
     client.line();
     client.close();
-    drain.join();
+    drainThread.join();
   }
 
   @Test
-  void namesAddressThatIsInUse() throws Exception {
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      String port = ":" + taken.getLocalPort();
-      String settings = ADMIN_SERVER.replace(":0\"", port + "\"");
+  void startFailureNamesAddressInUse() throws Exception {
+    try (ServerSocket socketInUse = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      String portSuffix = ":" + socketInUse.getLocalPort();
+      String settings = ADMIN_SERVER_SETTING.replace(":0\"", portSuffix + "\"");
       try (Node node = new Node(rig.config(settings), OperatorFile.DEFAULTS)) {
         IOException e = assertThrows(IOException.class, node::start);
-        assertTrue(e.getMessage().contains(port) && e.getMessage().contains("management"));
+        assertTrue(e.getMessage().contains(portSuffix) && e.getMessage().contains("management"));
       }
     }
   }
--- a/engine/src/test/java/shalepaddle/node/ClientConnectionsTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientConnectionsTest.java
@@ -12,9 +12,10 @@
 import org.junit.jupiter.api.Test;
 import shalepaddle.testkit.ScriptedPeer;
 
-/** Which connections of clients a node keeps, over loopback sockets. */
+/** Which client connections a node closes and which it keeps, over loopback sockets. */
 class ClientConnectionsTest {
-  private static void serveOne(NodeFixture rig, ScriptedPeer client, String id) throws Exception {
+  private static void serveRequest(NodeFixture rig, ScriptedPeer client, String id)
+      throws Exception {
     client.write(NodeFixture.get(id, 5000));
     try (ScriptedPeer cache = rig.acceptCache()) {
       assertTrue(cache.line().contains("O" + id + " "));
@@ -25,53 +26,53 @@
   }
 
   @Test
-  void servesANewClientWhereSilentOnesTookEveryPlace() throws Exception {
+  void servesNewClientWhenSilentClientsUseUpConnectionLimit() throws Exception {
     try (NodeFixture rig = new NodeFixture(1, 128)) {
-      List<ScriptedPeer> silent = new ArrayList<>();
+      List<ScriptedPeer> silentClients = new ArrayList<>();
       for (int i = 0; i < 128; i++) {
-        silent.add(rig.client());
+        silentClients.add(rig.client());
       }
-      serveOne(rig, rig.client(), "a1");
-      // More than half of the descriptors are not for clients: the first of them had to give way.
-      for (ScriptedPeer client : silent.subList(0, 64)) {
+      serveRequest(rig, rig.client(), "a1");
+      // At most half of the descriptors are for clients: the oldest connections were closed.
+      for (ScriptedPeer client : silentClients.subList(0, 64)) {
         assertTrue(client.ended());
       }
     }
   }
 
   @Test
-  void keepsAClientThatIsOwedAnAnswerWhereOthersCrowdIn() throws Exception {
+  void keepsClientWithPendingResponseWhenConnectionLimitIsReached() throws Exception {
     try (NodeFixture rig = new NodeFixture(1, 128)) {
-      ScriptedPeer owed = rig.client();
-      owed.write(NodeFixture.get("a1", 60_000));
+      ScriptedPeer waitingClient = rig.client();
+      waitingClient.write(NodeFixture.get("a1", 60_000));
       ScriptedPeer cache = rig.acceptCache();
       assertTrue(cache.line().contains("Oa1 "));
       for (int i = 0; i < 128; i++) {
         rig.client().write("mg ke");
       }
       cache.write("VA 1 Oa1\r\nx\r\n");
-      assertEquals("VA 1 Oa1", owed.line());
+      assertEquals("VA 1 Oa1", waitingClient.line());
     }
   }
 
   @Test
-  void clientsThatAskForNothingGiveWayBeforeOneThatPauses() throws Exception {
+  void closesClientsWithoutRequestsBeforeIdleClientWithRequest() throws Exception {
     try (NodeFixture rig = new NodeFixture(1, 128)) {
-      ScriptedPeer usual = rig.client();
-      serveOne(rig, usual, "a1");
-      // A pause after which it would give way, were there no others.
+      ScriptedPeer activeClient = rig.client();
+      serveRequest(rig, activeClient, "a1");
+      // A connection that is idle for 300 ms may be closed when many connections are in use.
       Thread.sleep(400);
       for (int i = 0; i < 128; i++) {
         rig.client().write("mn\r\n");
       }
-      serveOne(rig, usual, "a2");
+      serveRequest(rig, activeClient, "a2");
     }
   }
 
   @Test
-  void clientsThatAskOnceAndStayGiveWayWhereManyDo() throws Exception {
+  void closesIdleClientsSoonerWhenManyAreConnected() throws Exception {
     try (NodeFixture rig = new NodeFixture(1, 128)) {
-      long began = System.nanoTime();
+      long startedAtNanos = System.nanoTime();
       List<ScriptedPeer> clients = new ArrayList<>();
       ScriptedPeer cache = null;
       for (int i = 0; i < 40; i++) {
@@ -84,20 +85,22 @@
       }
       assertEquals("x", clients.get(0).line());
       assertTrue(clients.get(0).ended());
-      long millis = (System.nanoTime() - began) / 1_000_000;
-      assertTrue(millis < 3000, "closed after " + millis + " ms");
+      long closedAfterMillis = (System.nanoTime() - startedAtNanos) / 1_000_000;
+      assertTrue(
+          closedAfterMillis < 3000,
+          "the idle client was closed after " + closedAfterMillis + " ms");
     }
   }
 
   @Test
-  void closesAClientThatSaysNothing() throws Exception {
+  void closesClientThatSendsNothing() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
       assertTrue(rig.client().ended());
     }
   }
 
   @Test
-  void closesAClientThatAskedOnceAndStays() throws Exception {
+  void closesClientThatStaysIdleAfterOneRequest() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
       ScriptedPeer client = rig.client();
       client.write("mn\r\n");
@@ -107,12 +110,12 @@
   }
 
   /**
-   * A request that was sent as its connection ended: the client must see the end and no reset, or
-   * it could not know that it may ask once more. A write after a reset fails, one after an end does
-   * not.
+   * A client that sends a request while the node closes its connection must see the end of the
+   * stream and no reset: only then does it know that it may send the request again. A write after
+   * a reset fails, one after the end of the stream does not.
    */
   @Test
-  void doesNotResetARequestThatCrossesTheEndOfItsConnection() throws Exception {
+  void doesNotResetConnectionWhenRequestArrivesAfterClose() throws Exception {
     try (NodeFixture rig = new NodeFixture();
         SocketChannel client = SocketChannel.open(rig.address)) {
       client.write(ByteBuffer.wrap("mn\r\n".getBytes(StandardCharsets.US_ASCII)));
@@ -120,61 +123,62 @@
       while (answer.position() < 4) {
         client.read(answer);
       }
-      Thread drain = new Thread(rig.node::drain);
-      drain.start();
+      Thread drainThread = new Thread(rig.node::drain);
+      drainThread.start();
       assertEquals(-1, client.read(answer));
       client.write(
           ByteBuffer.wrap(NodeFixture.get("a1", 2000).getBytes(StandardCharsets.US_ASCII)));
-      drain.join();
+      drainThread.join();
       assertEquals(1, client.write(ByteBuffer.wrap(new byte[1])));
     }
   }
 
   @Test
-  void aCommandThatGoesOnGivesWayAfterThoseThatStandStill() throws Exception {
+  void closesClientsSilentWithinCommandBeforeSlowClient() throws Exception {
     try (NodeFixture rig = new NodeFixture(1, 128)) {
-      ScriptedPeer slow = rig.client();
+      ScriptedPeer slowClient = rig.client();
       String command = NodeFixture.get("a1", 5000);
-      slow.write(command.substring(0, 3));
+      slowClient.write(command.substring(0, 3));
       for (int i = 3; i < command.length(); i++) {
-        // Halves of commands come all the while, more than there are places.
+        // Meanwhile more clients connect and send incomplete commands than the limit allows.
         for (int j = 0; j < 4; j++) {
           rig.client().write("mg ke");
         }
         Thread.sleep(40);
-        slow.write(command.substring(i, i + 1));
+        slowClient.write(command.substring(i, i + 1));
       }
       ScriptedPeer cache = rig.acceptCache();
       assertTrue(cache.line().contains("Oa1 "));
       cache.write("VA 1 Oa1\r\nx\r\n");
-      assertEquals("VA 1 Oa1", slow.line());
+      assertEquals("VA 1 Oa1", slowClient.line());
     }
   }
 
-  /** The platform kills a node 3.7 s after it was told to end, however long a class may wait. */
+  /** The platform kills a node 3.7 s after the signal to end, also with longer deadlines. */
   @Test
   void endsInTimeWhereAClassMayWaitForLonger() throws Exception {
-    String waits =
+    String settings =
         ",\"services\":[{\"name\":\"read\",\"effect\":\"retryable\",\"slo\":1,\"give-up\":6}]";
-    try (NodeFixture rig = new NodeFixture(waits)) {
+    try (NodeFixture rig = new NodeFixture(settings)) {
       ScriptedPeer client = rig.client();
       client.write(NodeFixture.get("a1", 6000));
       ScriptedPeer cache = rig.acceptCache();
       cache.line();
-      long began = System.nanoTime();
-      Thread drain = new Thread(rig.node::drain);
-      drain.start();
+      long startedAtNanos = System.nanoTime();
+      Thread drainThread = new Thread(rig.node::drain);
+      drainThread.start();
       Thread.sleep(600);
-      // One that comes while it ends has no more time than is left.
+      // The deadline of a request that comes during the drain is shortened to the time left.
       client.write(NodeFixture.get("a2", 6000));
-      // Nor has one that was open before: it may have run, so that it has failed.
+      // The deadline of a1, which was open before the drain, is shortened too: a1 fails, since it
+      // may have run.
       assertEquals("SERVER_ERROR failed", client.line());
       assertEquals("SERVER_ERROR failed", client.line());
       assertNull(client.line());
       client.close();
-      drain.join();
-      long millis = (System.nanoTime() - began) / 1_000_000;
-      assertTrue(millis < 3700, "ended after " + millis + " ms");
+      drainThread.join();
+      long endedAfterMillis = (System.nanoTime() - startedAtNanos) / 1_000_000;
+      assertTrue(endedAfterMillis < 3700, "the drain ended after " + endedAfterMillis + " ms");
     }
   }
 }
--- a/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
@@ -21,71 +21,73 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
- * A request whose client has left while it waited is not sent on. Each way of waiting is met by
- * 1,000 requests whose clients leave; what reaches the server after that, and before a request that
- * is asked later, is counted. Attempts may not be called off in this deployment: what has not gone
- * out needs no calling off.
+ * Requests whose clients disconnect while they wait are not forwarded. For each reason to wait,
+ * the clients of 1,000 requests disconnect; the requests that still reach the server before a later
+ * request are counted. Most tests run with settings under which attempts may not be cancelled: a
+ * request that was not written needs no cancelling.
  */
 @Timeout(60)
 class ClientDisconnectTest {
-  private static final int BATCHES = 5;
-  private static final int BATCH = 200;
+  private static final int BATCH_COUNT = 5;
+  private static final int BATCH_SIZE = 200;
 
-  /** One connection to the server, with one request at a time, which may come up late. */
-  private static final String ONE_PLACE =
+  /** Permits one connection to the server with one attempt in flight, and 8 s to connect. */
+  private static final String ONE_IN_FLIGHT_SETTINGS =
       """
       ,"instances":28,"caps":{"attempts-cap":3,"cancel":false,"parallel-tries":false,\
       "multiplex":1,"connect-timeout":8,"conn-idle":60}""";
 
-  /** Many requests to a connection, and more than one attempt. */
-  private static final String SHARED =
+  /** Permits 400 attempts in flight on a connection, and 3 attempts for a request. */
+  private static final String MULTIPLEXED_SETTINGS =
       """
       ,"instances":28,"caps":{"attempts-cap":3,"cancel":%b,"parallel-tries":true,\
       "multiplex":400,"connect-timeout":8,"conn-idle":60}""";
 
-  private static final int MILLIS = 30_000;
+  private static final int DEADLINE_MILLIS = 30_000;
 
   private NodeFixture rig;
-  private int asked;
+  private int requestCount;
 
   @AfterEach
-  void end() throws IOException {
+  void closeNode() throws IOException {
     rig.close();
   }
 
   /**
-   * A node that sheds no load: a request that is shed does not wait, and could not be forwarded.
+   * Starts a node that sheds no load: a request that is shed does not wait, and could not be
+   * forwarded.
    */
-  private static NodeFixture fixture(String settings) throws Exception {
+  private static NodeFixture startWithoutShedding(String settings) throws Exception {
     return new NodeFixture(
         settings, new OperatorFile(OverloadConfig.DISABLED, CoalescingConfig.OFF));
   }
 
-  private String next() {
-    return "r" + asked++;
+  private String nextId() {
+    return "r" + requestCount++;
   }
 
-  /** So many clients with a request each. */
-  private List<ScriptedPeer> ask(int many) throws IOException {
+  /** Sends one request from each of the given number of new clients. */
+  private List<ScriptedPeer> sendFromNewClients(int count) throws IOException {
     List<ScriptedPeer> clients = new ArrayList<>();
-    for (int i = 0; i < many; i++) {
-      clients.add(rig.client().write(NodeFixture.get(next(), MILLIS)));
+    for (int i = 0; i < count; i++) {
+      clients.add(rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS)));
     }
     return clients;
   }
 
-  private void leave(List<ScriptedPeer> clients) throws Exception {
+  private void disconnect(List<ScriptedPeer> clients) throws Exception {
     for (ScriptedPeer client : clients) {
       client.close();
     }
-    noticed();
+    awaitDisconnectsNoticed();
   }
 
-  /** Returns once the node knows that they have left, or after the time in which it has to. */
-  private void noticed() throws Exception {
-    long since = System.nanoTime();
-    Callable<Integer> open = rig.node.dispatcher()::openRequests;
-    while (rig.node.loop().submit(open).get() > 1 && System.nanoTime() - since < 300_000_000) {
+  /** Waits until the node has noticed the disconnects, at most 300 ms. */
+  private void awaitDisconnectsNoticed() throws Exception {
+    long startedAtNanos = System.nanoTime();
+    Callable<Integer> openRequests = rig.node.dispatcher()::openRequests;
+    while (rig.node.loop().submit(openRequests).get() > 1
+        && System.nanoTime() - startedAtNanos < 300_000_000) {
       rig.settled();
     }
   }
@@ -95,237 +97,247 @@
     cache.write("VA 1 O" + id + "\r\nx\r\n");
   }
 
-  /** Asks once more; how many others reach the server before that does. */
-  private int sentBefore(ScriptedPeer cache) throws Exception {
-    String last = next();
-    ScriptedPeer client = rig.client().write(NodeFixture.get(last, MILLIS));
-    int others = 0;
+  /** Sends one more request, and returns how many other requests reach the server before it. */
+  private int countForwardedBeforeNewRequest(ScriptedPeer cache) throws Exception {
+    String lastId = nextId();
+    ScriptedPeer client = rig.client().write(NodeFixture.get(lastId, DEADLINE_MILLIS));
+    int otherRequests = 0;
     for (String line = cache.line(); ; line = cache.line()) {
-      assertTrue(line != null, "the connection ended");
+      assertTrue(line != null, "the server connection ended before the new request");
       serve(cache, line);
-      if (line.contains("O" + last + " ")) {
-        assertEquals("VA 1 O" + last, client.line());
+      if (line.contains("O" + lastId + " ")) {
+        assertEquals("VA 1 O" + lastId, client.line());
         client.close();
-        return others;
+        return otherRequests;
       }
-      others++;
+      otherRequests++;
     }
   }
 
   @Test
-  void noneThatWaitsForAPlaceIsSentOn() throws Exception {
-    rig = fixture(ONE_PLACE);
-    int sent = 0;
+  void doesNotForwardRequestsWaitingForFreeConnection() throws Exception {
+    rig = startWithoutShedding(ONE_IN_FLIGHT_SETTINGS);
+    int forwardedCount = 0;
     ScriptedPeer cache = null;
-    for (int batch = 0; batch < BATCHES; batch++) {
-      ScriptedPeer first = rig.client().write(NodeFixture.get(next(), MILLIS));
+    for (int batch = 0; batch < BATCH_COUNT; batch++) {
+      ScriptedPeer firstClient = rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
       cache = cache == null ? rig.acceptCache() : cache;
-      String underWay = cache.line();
-      List<ScriptedPeer> waiting = ask(BATCH);
+      String inFlightLine = cache.line();
+      List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
       rig.settled();
-      leave(waiting);
-      serve(cache, underWay);
-      first.line();
-      sent += sentBefore(cache);
+      disconnect(waitingClients);
+      serve(cache, inFlightLine);
+      firstClient.line();
+      forwardedCount += countForwardedBeforeNewRequest(cache);
     }
-    assertEquals(0, sent, "of " + BATCHES * BATCH);
+    assertEquals(0, forwardedCount, "requests forwarded of " + BATCH_COUNT * BATCH_SIZE);
   }
 
-  /** Connections that nobody accepts, until one more would have to wait as well. */
-  private static List<Socket> fill(ServerSocket server) throws IOException {
-    List<Socket> fillers = new ArrayList<>();
+  /** Fills the accept backlog of a server, until one more connect would wait. */
+  private static List<Socket> fillBacklog(ServerSocket server) throws IOException {
+    List<Socket> backlogSockets = new ArrayList<>();
     while (true) {
-      Socket filler = new Socket();
+      Socket socket = new Socket();
       try {
-        filler.connect(server.getLocalSocketAddress(), 100);
-        fillers.add(filler);
+        socket.connect(server.getLocalSocketAddress(), 100);
+        backlogSockets.add(socket);
       } catch (SocketTimeoutException e) {
-        return fillers;
+        return backlogSockets;
       }
     }
   }
 
   @Test
-  void noneThatWaitsForAConnectionThatComesUpLateIsSentOn() throws Exception {
-    rig = fixture(ONE_PLACE);
-    List<Socket> fillers = fill(rig.cache);
-    List<ScriptedPeer> waiting = ask(BATCH);
-    // One that leaves after it has waited, the same as one that leaves at once.
+  void doesNotForwardRequestsWaitingForSlowConnect() throws Exception {
+    rig = startWithoutShedding(ONE_IN_FLIGHT_SETTINGS);
+    List<Socket> backlogSockets = fillBacklog(rig.cache);
+    List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
+    // The clients disconnect only after their requests have waited for some turns.
     rig.settled();
-    for (int batch = 1; batch < BATCHES; batch++) {
-      leave(waiting);
-      waiting = ask(BATCH);
+    for (int batch = 1; batch < BATCH_COUNT; batch++) {
+      disconnect(waitingClients);
+      waitingClients = sendFromNewClients(BATCH_SIZE);
       rig.settled();
     }
-    leave(waiting);
-    for (Socket filler : fillers) {
+    disconnect(waitingClients);
+    for (Socket socket : backlogSockets) {
       rig.cache.accept().close();
-      filler.close();
+      socket.close();
     }
-    // Those that came before the node's own are ended by now.
+    // All connections ahead of the node's connection in the server's accept backlog are closed.
     ScriptedPeer cache = rig.acceptCache();
-    assertEquals(0, sentBefore(cache), "of " + BATCHES * BATCH);
+    assertEquals(
+        0,
+        countForwardedBeforeNewRequest(cache),
+        "requests forwarded of " + BATCH_COUNT * BATCH_SIZE);
   }
 
   @Test
-  void noneThatWaitsBehindBytesThatTheKernelDidNotTakeIsSentOn() throws Exception {
-    rig = fixture(SHARED.formatted(false));
-    int length = 4 << 20;
-    ScriptedPeer first = rig.client().write(NodeFixture.put("w", MILLIS, "v".repeat(length)));
-    // It reads nothing yet.
+  void doesNotForwardRequestsBehindUnwrittenBytes() throws Exception {
+    rig = startWithoutShedding(MULTIPLEXED_SETTINGS.formatted(false));
+    int valueBytes = 4 << 20;
+    ScriptedPeer firstClient =
+        rig.client().write(NodeFixture.put("w", DEADLINE_MILLIS, "v".repeat(valueBytes)));
+    // The server reads nothing yet, so the large write fills the send buffer.
     ScriptedPeer cache = rig.acceptCache();
     rig.settled();
-    for (int batch = 0; batch < BATCHES; batch++) {
-      List<ScriptedPeer> waiting = ask(BATCH);
+    for (int batch = 0; batch < BATCH_COUNT; batch++) {
+      List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
       rig.settled();
-      leave(waiting);
+      disconnect(waitingClients);
     }
     assertTrue(cache.line().startsWith("ms "));
-    cache.bytes(length + 2);
+    cache.bytes(valueBytes + 2);
     cache.write("HD Ow c1\r\n");
-    assertEquals("HD Ow c1", first.line());
-    assertEquals(0, sentBefore(cache), "of " + BATCHES * BATCH);
+    assertEquals("HD Ow c1", firstClient.line());
+    assertEquals(
+        0,
+        countForwardedBeforeNewRequest(cache),
+        "requests forwarded of " + BATCH_COUNT * BATCH_SIZE);
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void noneIsTriedAgain(boolean cancel) throws Exception {
-    int sent = 0;
-    for (int batch = 0; batch < BATCHES; batch++) {
-      // A new one: a server that has lost so many is not asked for a while.
-      rig = fixture(SHARED.formatted(cancel));
-      List<ScriptedPeer> waiting = ask(BATCH);
+  void doesNotRetryAfterClientsDisconnected(boolean mayCancel) throws Exception {
+    int forwardedCount = 0;
+    for (int batch = 0; batch < BATCH_COUNT; batch++) {
+      // Each batch needs a new node: after so many resets a node avoids the server for a while.
+      rig = startWithoutShedding(MULTIPLEXED_SETTINGS.formatted(mayCancel));
+      List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
       ScriptedPeer cache = rig.acceptCache();
-      for (int i = 0; i < BATCH; i++) {
+      for (int i = 0; i < BATCH_SIZE; i++) {
         cache.line();
       }
-      leave(waiting);
+      disconnect(waitingClients);
       cache.reset();
       rig.settled();
-      sent += sentOnNext();
+      forwardedCount += countForwardedOnNewConnection();
       rig.close();
     }
-    assertEquals(0, sent, "of " + BATCHES * BATCH);
+    assertEquals(0, forwardedCount, "requests forwarded of " + BATCH_COUNT * BATCH_SIZE);
   }
 
-  /** The same on whatever connection comes next, which is then closed. */
-  private int sentOnNext() throws Exception {
-    ScriptedPeer client = rig.client().write(NodeFixture.get("last" + asked, MILLIS));
+  /** Does {@link #countForwardedBeforeNewRequest} on a new connection, and then closes it. */
+  private int countForwardedOnNewConnection() throws Exception {
+    ScriptedPeer client =
+        rig.client().write(NodeFixture.get("last" + requestCount, DEADLINE_MILLIS));
     ScriptedPeer cache = rig.acceptCache();
-    int others = 0;
+    int otherRequests = 0;
     String line = cache.line();
-    for (; !line.contains("Olast" + asked + " "); line = cache.line()) {
+    for (; !line.contains("Olast" + requestCount + " "); line = cache.line()) {
       serve(cache, line);
-      others++;
+      otherRequests++;
     }
     serve(cache, line);
     client.line();
     client.close();
     cache.close();
     rig.settled();
-    return others;
+    return otherRequests;
   }
 
   @Test
-  void noneIsSentOnWhoseConnectionIsNotReadFromForTheAnswersItIsOwed() throws Exception {
-    rig = fixture(ONE_PLACE);
-    int sent = 0;
+  void doesNotForwardUnreadRequestsOfClientWithTooManyPendingResponses() throws Exception {
+    rig = startWithoutShedding(ONE_IN_FLIGHT_SETTINGS);
+    int forwardedCount = 0;
     ScriptedPeer cache = null;
-    int pipelined = 100;
-    for (int batch = 0; batch < BATCHES; batch++) {
-      ScriptedPeer first = rig.client().write(NodeFixture.get(next(), MILLIS));
+    int requestsPerClient = 100;
+    for (int batch = 0; batch < BATCH_COUNT; batch++) {
+      ScriptedPeer firstClient = rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
       cache = cache == null ? rig.acceptCache() : cache;
-      String underWay = cache.line();
-      List<ScriptedPeer> waiting = new ArrayList<>();
-      for (int i = 0; i < BATCH / pipelined; i++) {
+      String inFlightLine = cache.line();
+      List<ScriptedPeer> waitingClients = new ArrayList<>();
+      for (int i = 0; i < BATCH_SIZE / requestsPerClient; i++) {
         ScriptedPeer client = rig.client();
-        waiting.add(client);
-        for (int j = 0; j < pipelined; j++) {
-          client.write(NodeFixture.get(next(), MILLIS));
+        waitingClients.add(client);
+        for (int j = 0; j < requestsPerClient; j++) {
+          client.write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
           if (j == 70) {
-            // What follows is not taken: so many answers are owed.
+            // The node reads no more requests: too many responses are pending on the connection.
             rig.settled();
           }
         }
       }
       rig.settled();
-      leave(waiting);
-      serve(cache, underWay);
-      first.line();
-      sent += sentBefore(cache);
+      disconnect(waitingClients);
+      serve(cache, inFlightLine);
+      firstClient.line();
+      forwardedCount += countForwardedBeforeNewRequest(cache);
     }
-    assertEquals(0, sent, "of " + BATCHES * BATCH);
+    assertEquals(0, forwardedCount, "requests forwarded of " + BATCH_COUNT * BATCH_SIZE);
   }
 
   @Test
-  void noneIsSentOnBehindAnErrorOnItsConnection() throws Exception {
-    rig = fixture(ONE_PLACE);
-    int sent = 0;
+  void doesNotForwardRequestsOfClientWithProtocolError() throws Exception {
+    rig = startWithoutShedding(ONE_IN_FLIGHT_SETTINGS);
+    int forwardedCount = 0;
     ScriptedPeer cache = null;
-    for (int batch = 0; batch < BATCHES; batch++) {
-      ScriptedPeer first = rig.client().write(NodeFixture.get(next(), MILLIS));
+    for (int batch = 0; batch < BATCH_COUNT; batch++) {
+      ScriptedPeer firstClient = rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
       cache = cache == null ? rig.acceptCache() : cache;
-      String underWay = cache.line();
-      List<ScriptedPeer> waiting = ask(BATCH);
-      for (int i = 0; i < BATCH; i++) {
-        // Either what makes the connection rest, or what ends all reading on it.
-        waiting.get(i).write(i % 2 == 0 ? "what\r\n" : "ms key -1 Ox Pc=put\r\n");
+      String inFlightLine = cache.line();
+      List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
+      for (int i = 0; i < BATCH_SIZE; i++) {
+        // After the unknown command the node pauses reading, after the malformed write it closes.
+        waitingClients.get(i).write(i % 2 == 0 ? "what\r\n" : "ms key -1 Ox Pc=put\r\n");
       }
       rig.settled();
-      leave(waiting);
-      serve(cache, underWay);
-      first.line();
-      sent += sentBefore(cache);
+      disconnect(waitingClients);
+      serve(cache, inFlightLine);
+      firstClient.line();
+      forwardedCount += countForwardedBeforeNewRequest(cache);
     }
-    assertEquals(0, sent, "of " + BATCHES * BATCH);
+    assertEquals(0, forwardedCount, "requests forwarded of " + BATCH_COUNT * BATCH_SIZE);
   }
 
-  /** Few are accepted and read in the first turns after the stall, many are not. */
+  /** The first turns after the stall accept and read all of a small batch, not of a large one. */
   @ParameterizedTest
-  @ValueSource(ints = {BATCH / 5, BATCH})
-  void noneThatCameAndLeftWhileTheLoopStoodStillIsSentOn(int batchSize) throws Exception {
-    rig = fixture(ONE_PLACE);
-    ScriptedPeer first = rig.client().write(NodeFixture.get(next(), MILLIS));
+  @ValueSource(ints = {BATCH_SIZE / 5, BATCH_SIZE})
+  void doesNotForwardRequestsOfClientsThatDisconnectInSameStall(int batchSize) throws Exception {
+    rig = startWithoutShedding(ONE_IN_FLIGHT_SETTINGS);
+    ScriptedPeer firstClient = rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
     ScriptedPeer cache = rig.acceptCache();
     serve(cache, cache.line());
-    first.line();
-    int sent = 0;
-    for (int batch = 0; batch < BATCHES * BATCH / batchSize; batch++) {
+    firstClient.line();
+    int forwardedCount = 0;
+    for (int batch = 0; batch < BATCH_COUNT * BATCH_SIZE / batchSize; batch++) {
       rig.pausedWhile(
           () -> {
-            for (ScriptedPeer client : ask(batchSize)) {
+            for (ScriptedPeer client : sendFromNewClients(batchSize)) {
               client.close();
             }
-            // Long enough for a pause.
+            // The loop counts a gap of more than 30 ms as a stall.
             Thread.sleep(50);
           });
-      noticed();
-      sent += sentBefore(cache);
+      awaitDisconnectsNoticed();
+      forwardedCount += countForwardedBeforeNewRequest(cache);
     }
-    assertEquals(0, sent, "of " + BATCHES * BATCH);
+    assertEquals(0, forwardedCount, "requests forwarded of " + BATCH_COUNT * BATCH_SIZE);
   }
 
   @Test
-  void noneIsSentOnForJoinedReadsThatAllHaveLeft() throws Exception {
+  void doesNotForwardCoalescedReadWhenAllClientsDisconnect() throws Exception {
     rig =
         new NodeFixture(
-            ONE_PLACE, new OperatorFile(OverloadConfig.DEFAULT, CoalescingConfig.DEFAULTS));
-    int sent = 0;
+            ONE_IN_FLIGHT_SETTINGS,
+            new OperatorFile(OverloadConfig.DEFAULT, CoalescingConfig.DEFAULTS));
+    int forwardedCount = 0;
     ScriptedPeer cache = null;
-    for (int batch = 0; batch < BATCHES; batch++) {
-      // A write is never joined.
-      ScriptedPeer first = rig.client().write(NodeFixture.put(next(), MILLIS, "v"));
+    for (int batch = 0; batch < BATCH_COUNT; batch++) {
+      // A write is never coalesced.
+      ScriptedPeer firstClient =
+          rig.client().write(NodeFixture.put(nextId(), DEADLINE_MILLIS, "v"));
       cache = cache == null ? rig.acceptCache() : cache;
-      String underWay = cache.line();
+      String inFlightLine = cache.line();
       cache.line();
-      List<ScriptedPeer> waiting = ask(BATCH);
+      List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
       rig.settled();
-      leave(waiting);
-      String id = underWay.replaceAll(".* O(\\S+) .*", "$1");
+      disconnect(waitingClients);
+      String id = inFlightLine.replaceAll(".* O(\\S+) .*", "$1");
       cache.write("HD O" + id + " c1\r\n");
-      first.line();
-      sent += sentBefore(cache);
+      firstClient.line();
+      forwardedCount += countForwardedBeforeNewRequest(cache);
     }
-    assertEquals(0, sent, "of " + BATCHES * BATCH);
+    assertEquals(0, forwardedCount, "requests forwarded of " + BATCH_COUNT * BATCH_SIZE);
   }
 }
--- a/engine/src/test/java/shalepaddle/node/ClientReadingTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientReadingTest.java
@@ -26,18 +26,18 @@
 import shalepaddle.loop.LoopClock;
 import shalepaddle.overload.DegradationPolicy;
 
-/** When a client is not read from: where it comes again too soon, and where it is told to leave. */
+/** Pauses in reading from a client: after its early retries, and while its connection drains. */
 class ClientReadingTest {
-  private static final long ADVICE_MILLIS = 200;
+  private static final long RETRY_AFTER_MILLIS = 200;
 
   private final VirtualEngine engine =
       new VirtualEngine(
           new LoopClock.Listener() {
             @Override
-            public void onStall(long nanos) {}
+            public void onStall(long stallNanos) {}
 
             @Override
-            public void onTurnEnd(long begunAt, long now) {}
+            public void onTurnEnd(long begunAtNanos, long nowNanos) {}
 
             @Override
             public void onTaskFailure(RuntimeException cause) {
@@ -45,11 +45,12 @@
             }
           });
 
-  /** A connection whose sending end can be closed by itself. */
-  private static final class Duplex extends EmbeddedChannel implements DuplexChannel {
-    private boolean outputShut;
+  /** An embedded channel whose output can be shut down separately. */
+  private static final class DuplexEmbeddedChannel extends EmbeddedChannel
+      implements DuplexChannel {
+    private boolean isOutputShut;
 
-    Duplex(VirtualEngine engine, ClientFront front) {
+    DuplexEmbeddedChannel(VirtualEngine engine, ClientFront front) {
       super(EmbeddedChannel.builder().ticker(engine.ticker).handlers(front));
     }
 
@@ -70,12 +71,12 @@
 
     @Override
     public boolean isOutputShutdown() {
-      return outputShut;
+      return isOutputShut;
     }
 
     @Override
     public ChannelFuture shutdownOutput() {
-      outputShut = true;
+      isOutputShut = true;
       return newSucceededFuture();
     }
 
@@ -101,7 +102,7 @@
   }
 
   private final ClientFront front;
-  private final Duplex client;
+  private final DuplexEmbeddedChannel client;
 
   ClientReadingTest() throws Exception {
     Dispatcher dispatcher =
@@ -114,17 +115,17 @@
             new Upstream() {
               @Override
               public void send(Attempt attempt) {
-                throw new AssertionError("all are refused");
+                throw new AssertionError("a request was sent though all are rejected");
               }
 
               @Override
-              public void withdraw(Attempt attempt, boolean overdue) {}
+              public void withdraw(Attempt attempt, boolean isOverdue) {}
 
               @Override
-              public void closeIdle(long server) {}
+              public void closeIdle(long serverId) {}
             },
             7);
-    RequestAdmission refusing =
+    RequestAdmission rejectingAdmission =
         new RequestAdmission() {
           @Override
           public boolean mayReject() {
@@ -132,17 +133,18 @@
           }
 
           @Override
-          public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
-            return ADVICE_MILLIS + (repeat ? RETRY : 0);
+          public long admit(int serviceClass, int tenant, long keyHash, boolean isRetry) {
+            return RETRY_AFTER_MILLIS + (isRetry ? RETRY : 0);
           }
         };
     try (NodeFixture rig = new NodeFixture()) {
       MetaClientCodec codec =
-          new MetaClientCodec(new MemoryBudget(1000), rig.config("").settings(), refusing);
+          new MetaClientCodec(
+              new MemoryBudget(1000), rig.config("").settings(), rejectingAdmission);
       front =
           new ClientFront(
               dispatcher, codec, 8, () -> DegradationPolicy.CALM, new MemoryBudget(1 << 16));
-      client = new Duplex(engine, front);
+      client = new DuplexEmbeddedChannel(engine, front);
     }
   }
 
@@ -152,8 +154,8 @@
     engine.close();
   }
 
-  private void ask(boolean again) {
-    String line = "mg key v Oa Pc=read,d=500" + (again ? ",r=1" : "") + "\r\n";
+  private void sendRequest(boolean isRetry) {
+    String line = "mg key v Oa Pc=read,d=500" + (isRetry ? ",r=1" : "") + "\r\n";
     client.writeInbound(Unpooled.copiedBuffer(line, StandardCharsets.US_ASCII));
     ByteBuf answer = client.readOutbound();
     assertEquals("SERVER_ERROR busy 200\r\n", answer.toString(StandardCharsets.US_ASCII));
@@ -161,83 +163,85 @@
     assertNull(client.readOutbound());
   }
 
-  private void pass(long millis) {
+  private void advanceClock(long millis) {
     engine.ticker.advance(millis, TimeUnit.MILLISECONDS);
     engine.clock.refresh();
     client.runScheduledPendingTasks();
   }
 
-  /** Whether a command that counts for nothing is taken now; if not it is once the rest is over. */
-  private boolean readFrom() {
+  /** Whether a no-op command is answered now; if not, it is answered once the pause is over. */
+  private boolean isReading() {
     client.writeInbound(Unpooled.copiedBuffer("mn\r\n", StandardCharsets.US_ASCII));
     client.runPendingTasks();
-    int answers = 0;
+    int answerCount = 0;
     for (ByteBuf answer = client.readOutbound(); answer != null; answer = client.readOutbound()) {
       assertEquals("MN\r\n", answer.toString(StandardCharsets.US_ASCII));
       answer.release();
-      answers++;
+      answerCount++;
     }
-    return answers > 0;
+    return answerCount > 0;
   }
 
   @Test
-  void whoRepeatsTooSoonIsAnsweredAtOnceAndReadFromLater() {
-    ask(false);
-    ask(true);
-    ask(true);
-    assertTrue(readFrom(), "twice in a turn is never too often");
-    ask(true);
-    assertFalse(readFrom());
-    pass(99);
-    assertFalse(readFrom());
-    pass(1);
-    assertTrue(readFrom());
-    ask(true);
-    assertFalse(readFrom(), "still sooner than it was told to");
+  void pausesReadingWhenClientRetriesTooEarly() {
+    sendRequest(false);
+    sendRequest(true);
+    sendRequest(true);
+    assertTrue(isReading(), "reading is paused after two early retries, which are tolerated");
+    sendRequest(true);
+    assertFalse(isReading());
+    advanceClock(99);
+    assertFalse(isReading());
+    advanceClock(1);
+    assertTrue(isReading());
+    sendRequest(true);
+    assertFalse(isReading(), "reading is not paused after one more early retry");
   }
 
   @Test
-  void whoHeedsTheAdviceIsReadFromAsEverHoweverManyShareTheConnection() {
+  void doesNotPauseReadingWhenManyRetriesObeyRetryAfter() {
     for (int i = 0; i < 50; i++) {
-      ask(false);
+      sendRequest(false);
     }
-    for (int time = 0; time < 5; time++) {
-      pass(ADVICE_MILLIS);
+    for (int round = 0; round < 5; round++) {
+      advanceClock(RETRY_AFTER_MILLIS);
       for (int i = 0; i < 50; i++) {
-        ask(true);
-        assertTrue(readFrom(), "at its repeat " + i + ", the time " + time);
+        sendRequest(true);
+        assertTrue(isReading(), "reading is paused at request " + i + " of round " + round);
       }
     }
   }
 
   /**
-   * What a client sends before it can have heard of the end crosses that: whoever reads it has
-   * taken it, and owes an answer that can't be given any more.
+   * A client may send a request before it sees that the node has shut its output down. The node
+   * must not read that request: a request that was read must be answered, and the node can send no
+   * response after the shutdown.
    */
   @Test
-  void whoIsToldToLeaveIsNotReadFromWhileARequestMayCross() {
-    ask(false);
+  void doesNotReadForSomeTimeAfterOutputShutdown() {
+    sendRequest(false);
     front.drain(engine.loop, 0, 300, () -> {});
     engine.pass(2);
     assertTrue(client.isOutputShutdown());
     assertFalse(client.config().isAutoRead());
-    pass(97);
+    advanceClock(97);
     assertFalse(client.config().isAutoRead());
-    pass(3);
+    advanceClock(3);
     assertTrue(
         client.config().isAutoRead(),
-        "what came is read off, or the kernel would reset the connection");
+        "unread bytes must be read before the close, or the kernel resets the connection");
   }
 
-  /** What was read has been taken, also where it was kept for later. */
+  /** A request that was read must be answered, also if it is only buffered during a pause. */
   @Test
-  void whatWasReadFromAClientThatRestsIsAnsweredBeforeItIsToldToLeave() {
+  void answersRequestBufferedInPauseBeforeOutputShutdown() {
     client.writeInbound(Unpooled.copiedBuffer("what\r\n", StandardCharsets.US_ASCII));
     client.<ByteBuf>readOutbound().release();
     String line = "mg key v Oa Pc=read,d=500\r\n";
     client.writeInbound(Unpooled.copiedBuffer(line, StandardCharsets.US_ASCII));
     client.runPendingTasks();
-    assertNull(client.readOutbound(), "it rests for its error");
+    assertNull(
+        client.readOutbound(), "a request was answered while reading is paused after an error");
     front.drain(engine.loop, 0, 5, () -> {});
     engine.pass(4);
     client.runPendingTasks();
--- a/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
@@ -26,9 +26,9 @@
 import shalepaddle.overload.OverloadConfig;
 import shalepaddle.testkit.ScriptedPeer;
 
-/** Like reads of many clients, over sockets. */
+/** Tests that a node coalesces reads of one key by many clients, over loopback sockets. */
 class CoalescingNodeTest {
-  private static final OperatorFile JOINING =
+  private static final OperatorFile COALESCING_ENABLED =
       new OperatorFile(OverloadConfig.DEFAULT, CoalescingConfig.DEFAULTS);
 
   private NodeFixture rig;
@@ -38,7 +38,7 @@
     rig.close();
   }
 
-  private List<ScriptedPeer> clients(int count) throws Exception {
+  private List<ScriptedPeer> connectClients(int count) throws Exception {
     List<ScriptedPeer> clients = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       clients.add(rig.client());
@@ -46,80 +46,83 @@
     return clients;
   }
 
-  /** Asks for the same key on each, and returns once all have been taken. */
-  private void askAll(List<ScriptedPeer> clients) throws Exception {
+  /** Sends a read of one key from each client, and waits until all of them are waiters. */
+  private void readFromAll(List<ScriptedPeer> clients) throws Exception {
     for (int i = 0; i < clients.size(); i++) {
       clients.get(i).write(NodeFixture.get("r" + i, 2000));
     }
-    awaitWaiting(clients.size());
+    awaitWaiters(clients.size());
   }
 
-  private void awaitWaiting(int count) throws Exception {
-    for (int i = 0; i < 500 && reading().waiters() != count; i++) {
+  private void awaitWaiters(int count) throws Exception {
+    for (int i = 0; i < 500 && coalescingSnapshot().waiters() != count; i++) {
       rig.settled();
     }
-    assertEquals(count, reading().waiters());
+    assertEquals(count, coalescingSnapshot().waiters());
   }
 
-  private CoalescingSnapshot reading() throws Exception {
+  private CoalescingSnapshot coalescingSnapshot() throws Exception {
     return rig.node.loop().submit(() -> rig.node.dispatcher().coalescingSnapshot()).get();
   }
 
   @Test
-  void aHundredReadsOfAKeyAreOneFetchAndEachGetsItsOwnAnswer() throws Exception {
-    rig = new NodeFixture("", JOINING);
-    List<ScriptedPeer> clients = clients(100);
-    askAll(clients);
+  void coalescesReadsOfOneKeyAndAnswersEachClient() throws Exception {
+    rig = new NodeFixture("", COALESCING_ENABLED);
+    List<ScriptedPeer> clients = connectClients(100);
+    readFromAll(clients);
     ScriptedPeer cache = rig.acceptCache();
     String line = cache.line();
     assertTrue(line.matches("mg key v Or\\d+ Pc=read,d=\\d+"), line);
-    String id = line.split(" ", 0)[3];
-    cache.write("VA 5 " + id + " h0\r\nabcde\r\n");
+    String idToken = line.split(" ", 0)[3];
+    cache.write("VA 5 " + idToken + " h0\r\nabcde\r\n");
     for (int i = 0; i < 100; i++) {
       assertEquals("VA 5 Or" + i, clients.get(i).line());
       assertEquals("abcde", clients.get(i).line());
     }
     rig.settled();
-    CoalescingSnapshot reading = reading();
-    assertEquals(new CoalescingSnapshot(1, 99, 0, 99, 0, 0, 0, 0, 0), reading);
+    CoalescingSnapshot snapshot = coalescingSnapshot();
+    assertEquals(new CoalescingSnapshot(1, 99, 0, 99, 0, 0, 0, 0, 0), snapshot);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
-  void theFirstMayLeaveAtAnyPoint(int point) throws Exception {
-    rig = new NodeFixture("", JOINING);
-    ScriptedPeer first = rig.client();
-    first.write(NodeFixture.get("first", 2000));
-    awaitWaiting(1);
+  void keepsFetchWhenFirstClientDisconnects(int lastReadBeforeDisconnect) throws Exception {
+    rig = new NodeFixture("", COALESCING_ENABLED);
+    ScriptedPeer firstClient = rig.client();
+    firstClient.write(NodeFixture.get("first", 2000));
+    awaitWaiters(1);
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().contains(" Ofirst "));
-    List<ScriptedPeer> others = clients(10);
+    List<ScriptedPeer> otherClients = connectClients(10);
     for (int i = 0; i < 10; i++) {
-      others.get(i).write(NodeFixture.get("r" + i, 2000));
-      awaitWaiting(i < point ? i + 2 : i + 1 + (i == point ? 1 : 0));
-      if (i == point) {
-        first.close();
-        awaitWaiting(i + 1);
+      otherClients.get(i).write(NodeFixture.get("r" + i, 2000));
+      awaitWaiters(
+          i < lastReadBeforeDisconnect
+              ? i + 2
+              : i + 1 + (i == lastReadBeforeDisconnect ? 1 : 0));
+      if (i == lastReadBeforeDisconnect) {
+        firstClient.close();
+        awaitWaiters(i + 1);
       }
     }
     cache.write("VA 2 Ofirst h0\r\nok\r\n");
     for (int i = 0; i < 10; i++) {
-      assertEquals("VA 2 Or" + i, others.get(i).line());
-      assertEquals("ok", others.get(i).line());
+      assertEquals("VA 2 Or" + i, otherClients.get(i).line());
+      assertEquals("ok", otherClients.get(i).line());
     }
-    assertEquals(1, reading().flights());
+    assertEquals(1, coalescingSnapshot().flights());
   }
 
   @Test
-  void callersOfTwoFrontsShareAFetch() throws Exception {
-    rig = new NodeFixture("", JOINING);
+  void coalescesReadsOfDifferentFronts() throws Exception {
+    rig = new NodeFixture("", COALESCING_ENABLED);
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("socket", 2000));
-    awaitWaiting(1);
+    awaitWaiters(1);
     BlockingQueue<Reply> replies = new LinkedBlockingQueue<>();
-    Request like = new Request("call", "key", "read", null, 2, 0, 0, false, false);
-    Engine.Ticket ticket = rig.node.engine().submit(new Call(like, Payload.NONE, replies::add));
-    awaitWaiting(2);
+    Request sameRead = new Request("call", "key", "read", null, 2, 0, 0, false, false);
+    Engine.Ticket ticket = rig.node.engine().submit(new Call(sameRead, Payload.NONE, replies::add));
+    awaitWaiters(2);
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().contains(" Osocket "));
     cache.write("VA 2 Osocket\r\nok\r\n");
@@ -132,20 +135,23 @@
     assertNull(replies.poll());
   }
 
-  /** The file that is deployed: on the platform each request must have an answer of its own. */
+  /**
+   * Coalescing is off in the deployed operator file: on the platform each request needs a response
+   * of its own.
+   */
   @Test
-  void asDeployedNothingIsJoined() throws Exception {
+  void doesNotCoalesceWithDeployedOperatorFile() throws Exception {
     rig = new NodeFixture("", OperatorFile.load("deploy/operator.toml"));
-    assertNull(reading());
-    List<ScriptedPeer> clients = clients(2);
+    assertNull(coalescingSnapshot());
+    List<ScriptedPeer> clients = connectClients(2);
     for (int i = 0; i < 2; i++) {
       clients.get(i).write(NodeFixture.get("r" + i, 2000));
     }
-    // The policy lets the second read of a key that it does not know wait for the first.
+    // The policy does not know the key, so it delays the second read until the first one ends.
     ScriptedPeer cache = rig.acceptCache();
     for (int i = 0; i < 2; i++) {
-      String id = cache.line().split(" ", 0)[3];
-      cache.write("VA 2 " + id + " h0\r\nok\r\n");
+      String idToken = cache.line().split(" ", 0)[3];
+      cache.write("VA 2 " + idToken + " h0\r\nok\r\n");
     }
     for (int i = 0; i < 2; i++) {
       assertEquals("VA 2 Or" + i, clients.get(i).line());
--- a/engine/src/test/java/shalepaddle/node/DescriptorBudgetTest.java
+++ b/engine/src/test/java/shalepaddle/node/DescriptorBudgetTest.java
@@ -7,10 +7,10 @@
 import shalepaddle.settings.FormatException;
 
 class DescriptorBudgetTest {
-  /** 256 descriptors, and an admin server. */
-  private final DescriptorBudget budget = budget();
+  /** The descriptor budget of a node with 256 descriptors and an admin server. */
+  private final DescriptorBudget budget = rehearsalBudget();
 
-  private static DescriptorBudget budget() {
+  private static DescriptorBudget rehearsalBudget() {
     try {
       return DescriptorBudget.of(NodeConfig.rehearsal());
     } catch (FormatException e) {
@@ -19,14 +19,14 @@
   }
 
   @Test
-  void leavesDescriptorsForServersAndTheProcess() {
+  void reservesDescriptorsForServersAndProcess() {
     assertEquals(128, budget.maxClientConnections());
     assertEquals(40, budget.reserved());
     assertEquals(1, budget.usedRatio(128, 256 - 128 - 40));
   }
 
   @Test
-  void limitsRequestsToAThirdOfAllDescriptors() {
+  void limitsRequestsToThirdOfDescriptors() {
     assertEquals(1.5, budget.requestRatio(128), 1e-12);
   }
 }
--- a/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
+++ b/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
@@ -17,52 +17,56 @@
 import shalepaddle.settings.JsonObject;
 import shalepaddle.testkit.ScriptedPeer;
 
-/** How a node follows the list of servers, over loopback sockets. */
+/** Tests how a node follows the endpoint list of discovery, over loopback sockets. */
 class DiscoveryTest {
-  private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+  private static final String RESPONSE_HEAD =
+      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  /** Reads a request and returns its first line. */
-  private static String call(ScriptedPeer discovery) throws IOException {
-    String first = discovery.line();
+  /** Reads an HTTP request and returns its first line. */
+  private static String readRequest(ScriptedPeer discovery) throws IOException {
+    String requestLine = discovery.line();
     while (!discovery.line().isEmpty()) {
-      // The other header lines.
+      // Skips the header lines.
     }
-    return first;
+    return requestLine;
   }
 
-  private static final String WATCH = "GET /catalog/members?follow=1&since=%d HTTP/1.1";
+  private static final String WATCH_REQUEST = "GET /catalog/members?follow=1&since=%d HTTP/1.1";
 
   @Test
   void followsWatchFromKnownVersion() throws Exception {
     try (NodeFixture rig = new NodeFixture();
-        ServerSocket second = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      second.setSoTimeout(ScriptedPeer.PATIENCE_MILLIS);
+        ServerSocket newServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+      newServer.setSoTimeout(ScriptedPeer.PATIENCE_MILLIS);
       ScriptedPeer discovery = rig.acceptDiscovery();
-      assertEquals(WATCH.formatted(7), call(discovery));
-      String list = NodeFixture.members(8, true, second.getLocalPort()) + "\n";
+      assertEquals(WATCH_REQUEST.formatted(7), readRequest(discovery));
+      String list = NodeFixture.members(8, true, newServer.getLocalPort()) + "\n";
       discovery.write(
-          HEAD
+          RESPONSE_HEAD
               + NodeFixture.chunk(list.substring(0, 9))
               + NodeFixture.chunk(list.substring(9))
               + NodeFixture.chunk("\n"));
-      serveOne(rig, second, "moved");
-      // A change may bring another address for a server that is known.
-      String change =
+      serveRequest(rig, newServer, "moved");
+      // A delta may change the address of a known server.
+      String delta =
           "{\"version\":9,\"full\":false,\"servers\":["
-              + NodeFixture.member("s-" + second.getLocalPort(), rig.cache.getLocalPort(), "active")
+              + NodeFixture.member(
+                  "s-" + newServer.getLocalPort(), rig.cache.getLocalPort(), "active")
               + "]}\n";
-      discovery.write(NodeFixture.chunk(change));
-      serveOne(rig, rig.cache, "back");
-      // Only the version with which a node polls again shows that it is up to date.
+      discovery.write(NodeFixture.chunk(delta));
+      serveRequest(rig, rig.cache, "back");
+      // The version in the node's next call shows which list it has applied.
       discovery.close();
-      assertEquals(WATCH.formatted(9), call(rig.acceptDiscovery()));
+      assertEquals(WATCH_REQUEST.formatted(9), readRequest(rig.acceptDiscovery()));
     }
   }
 
   /**
-   * Sends requests until one comes to the server; those that the old list sent elsewhere time out.
+   * Sends requests until one reaches the server. Requests that the node still routes to another
+   * server, by the old list, time out.
    */
-  private static void serveOne(NodeFixture rig, ServerSocket server, String id) throws Exception {
+  private static void serveRequest(NodeFixture rig, ServerSocket server, String id)
+      throws Exception {
     server.setSoTimeout(100);
     for (int i = 0; i < ScriptedPeer.PATIENCE_MILLIS / 100; i++) {
       try (ScriptedPeer client = ScriptedPeer.connect(rig.address)) {
@@ -70,7 +74,8 @@
         ScriptedPeer cache = new ScriptedPeer(server.accept());
         String line = cache.line();
         if (line == null) {
-          // Opened for a request before the last list, and ended with it.
+          // The node opened this connection before it applied the last list, and closed it without
+          // a request.
           cache.close();
           continue;
         }
@@ -80,115 +85,121 @@
         cache.close();
         return;
       } catch (java.net.SocketTimeoutException e) {
-        // Not yet.
+        // No request has reached this server yet: the next one may.
       }
     }
-    throw new AssertionError("no request came to the server of the new list");
+    throw new AssertionError("no request reached the server of the new list");
   }
 
   @Test
   void retriesAfterFailedCall() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
-      ScriptedPeer first = rig.acceptDiscovery();
-      call(first);
-      first.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-      ScriptedPeer second = rig.acceptDiscovery();
-      call(second);
-      second.write(HEAD + NodeFixture.chunk("{\"version\":\n"));
-      ScriptedPeer third = rig.acceptDiscovery();
-      call(third);
-      third.write(HEAD + "0\r\n\r\n");
-      assertEquals(WATCH.formatted(7), call(rig.acceptDiscovery()));
+      ScriptedPeer firstCall = rig.acceptDiscovery();
+      readRequest(firstCall);
+      firstCall.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+      ScriptedPeer secondCall = rig.acceptDiscovery();
+      readRequest(secondCall);
+      secondCall.write(RESPONSE_HEAD + NodeFixture.chunk("{\"version\":\n"));
+      ScriptedPeer thirdCall = rig.acceptDiscovery();
+      readRequest(thirdCall);
+      thirdCall.write(RESPONSE_HEAD + "0\r\n\r\n");
+      assertEquals(WATCH_REQUEST.formatted(7), readRequest(rig.acceptDiscovery()));
     }
   }
 
   @Test
-  void endsSilentWatch() throws Exception {
+  void closesSilentWatch() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
       ScriptedPeer discovery = rig.acceptDiscovery();
-      call(discovery);
+      readRequest(discovery);
       discovery.write(
-          HEAD + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
+          RESPONSE_HEAD
+              + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
       assertTrue(discovery.ended());
-      assertEquals(WATCH.formatted(8), call(rig.acceptDiscovery()));
+      assertEquals(WATCH_REQUEST.formatted(8), readRequest(rig.acceptDiscovery()));
     }
   }
 
   @Test
-  void keepsWatchOpenWhereListsArePushed() throws Exception {
+  void reopensWatchAfterResetInPushMode() throws Exception {
     try (NodeFixture rig = new NodeFixture(",\"discovery\":\"push\"")) {
       ScriptedPeer discovery = rig.acceptDiscovery();
-      assertEquals(WATCH.formatted(7), call(discovery));
+      assertEquals(WATCH_REQUEST.formatted(7), readRequest(discovery));
       discovery.reset();
-      assertEquals(WATCH.formatted(7), call(rig.acceptDiscovery()));
+      assertEquals(WATCH_REQUEST.formatted(7), readRequest(rig.acceptDiscovery()));
     }
   }
 
   @Test
-  void callsServiceOfNewConfiguration(@TempDir Path folder) throws Exception {
-    Path config = folder.resolve("config.json");
+  void callsDiscoveryOfNewConfiguration(@TempDir Path folder) throws Exception {
+    Path configFile = folder.resolve("config.json");
     try (NodeFixture rig = new NodeFixture();
-        ServerSocket second = NodeFixture.listen()) {
-      ScriptedPeer first = rig.acceptDiscovery();
-      call(first);
-      first.write(
-          HEAD + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
-      serveOne(rig, rig.cache, "before");
-      String old = "127.0.0.1:" + rig.discovery.getLocalPort();
-      String text = rig.configText("").replace(old, "127.0.0.1:" + second.getLocalPort());
-      // Half a file, and one without an address, leave what was there in force.
-      Files.writeString(config, text.substring(0, text.length() / 2));
-      rig.node.reload(config.toString(), JsonObject.parse(text));
-      Files.writeString(config, text.replaceAll("127.0.0.1:\\d+", "nowhere"));
-      rig.node.reload(config.toString(), JsonObject.parse(text));
-      serveOne(rig, rig.cache, "between");
-      first.close();
-      ScriptedPeer again = rig.acceptDiscovery();
-      assertEquals(WATCH.formatted(8), call(again));
-      Files.writeString(config, text);
-      rig.node.reload(config.toString(), JsonObject.parse(text));
-      try (ScriptedPeer moved = new ScriptedPeer(second.accept())) {
-        assertEquals(WATCH.formatted(8), call(moved));
-        assertTrue(again.ended());
-        moved.write(
-            HEAD
+        ServerSocket newService = NodeFixture.listen()) {
+      ScriptedPeer firstWatch = rig.acceptDiscovery();
+      readRequest(firstWatch);
+      firstWatch.write(
+          RESPONSE_HEAD
+              + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
+      serveRequest(rig, rig.cache, "before");
+      String oldAddress = "127.0.0.1:" + rig.discovery.getLocalPort();
+      String newText =
+          rig.configText("").replace(oldAddress, "127.0.0.1:" + newService.getLocalPort());
+      // A truncated file and one without a valid address are rejected; the old configuration stays.
+      Files.writeString(configFile, newText.substring(0, newText.length() / 2));
+      rig.node.reload(configFile.toString(), JsonObject.parse(newText));
+      Files.writeString(configFile, newText.replaceAll("127.0.0.1:\\d+", "nowhere"));
+      rig.node.reload(configFile.toString(), JsonObject.parse(newText));
+      serveRequest(rig, rig.cache, "between");
+      firstWatch.close();
+      ScriptedPeer secondWatch = rig.acceptDiscovery();
+      assertEquals(WATCH_REQUEST.formatted(8), readRequest(secondWatch));
+      Files.writeString(configFile, newText);
+      rig.node.reload(configFile.toString(), JsonObject.parse(newText));
+      try (ScriptedPeer newWatch = new ScriptedPeer(newService.accept())) {
+        assertEquals(WATCH_REQUEST.formatted(8), readRequest(newWatch));
+        assertTrue(secondWatch.ended());
+        newWatch.write(
+            RESPONSE_HEAD
                 + NodeFixture.chunk(NodeFixture.members(9, true, rig.cache.getLocalPort()) + "\n"));
-        serveOne(rig, rig.cache, "after");
+        serveRequest(rig, rig.cache, "after");
       }
     }
   }
 
   @Test
   void sharesConnectionWhenNoOtherCanBeOpened() throws Exception {
-    ServerSocket moved = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    ServerSocket newServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     try (NodeFixture rig = new NodeFixture(3)) {
-      moved.setSoTimeout(ScriptedPeer.PATIENCE_MILLIS);
+      newServer.setSoTimeout(ScriptedPeer.PATIENCE_MILLIS);
       rig.client().write(NodeFixture.get("a1", 60_000));
       assertTrue(rig.acceptCache().line().contains("Oa1 "));
       // The server has moved: the connection to its old address only completes open attempts.
       ScriptedPeer discovery = rig.acceptDiscovery();
-      call(discovery);
-      String server =
-          NodeFixture.member("s-" + rig.cache.getLocalPort(), moved.getLocalPort(), "active");
+      readRequest(discovery);
+      String movedServer =
+          NodeFixture.member("s-" + rig.cache.getLocalPort(), newServer.getLocalPort(), "active");
       discovery.write(
-          HEAD + NodeFixture.chunk("{\"version\":8,\"full\":true,\"servers\":[" + server + "]}\n"));
+          RESPONSE_HEAD
+              + NodeFixture.chunk(
+                  "{\"version\":8,\"full\":true,\"servers\":[" + movedServer + "]}\n"));
       discovery.close();
-      assertEquals(WATCH.formatted(8), call(rig.acceptDiscovery()));
+      assertEquals(WATCH_REQUEST.formatted(8), readRequest(rig.acceptDiscovery()));
       rig.client().write(NodeFixture.get("a2", 60_000));
-      ScriptedPeer second = new ScriptedPeer(moved.accept());
-      assertTrue(second.line().contains("Oa2 "));
-      // Prevents an endless loop over attempts that find no connection of their own.
-      moved.close();
+      ScriptedPeer newConnection = new ScriptedPeer(newServer.accept());
+      assertTrue(newConnection.line().contains("Oa2 "));
+      // No further connection can be opened now, so a3 must share the open one. The node must not
+      // loop endlessly over attempts that find no connection of their own.
+      newServer.close();
       rig.client().write(NodeFixture.get("a3", 60_000));
-      assertTrue(second.line().contains("Oa3 "));
+      assertTrue(newConnection.line().contains("Oa3 "));
     }
   }
 
-  private static String server(int port, String state) {
+  private static String serverJson(int port, String state) {
     return NodeFixture.member("s-" + port, port, state);
   }
 
-  private static String list(int version, String... servers) {
+  private static String listJson(int version, String... servers) {
     return "{\"version\":%d,\"full\":true,\"servers\":[%s]}"
         .formatted(version, String.join(",", servers));
   }
@@ -196,221 +207,247 @@
   @Test
   void readsListsThatAreIndentedAndSplitAnywhere() throws Exception {
     try (NodeFixture rig = new NodeFixture();
-        ServerSocket second = NodeFixture.listen()) {
+        ServerSocket secondServer = NodeFixture.listen()) {
       ScriptedPeer discovery = rig.acceptDiscovery();
-      call(discovery);
-      String indented =
-          list(8, server(second.getLocalPort(), "active"))
+      readRequest(discovery);
+      String indentedList =
+          listJson(8, serverJson(secondServer.getLocalPort(), "active"))
               .replace("{", "{\n  ")
               .replace(",\"", ",\r\n\t\"")
               .replace("]", "\n]");
-      discovery.write(HEAD);
-      for (int i = 0; i < indented.length(); i++) {
-        discovery.write(NodeFixture.chunk(indented.substring(i, i + 1)));
+      discovery.write(RESPONSE_HEAD);
+      for (int i = 0; i < indentedList.length(); i++) {
+        discovery.write(NodeFixture.chunk(indentedList.substring(i, i + 1)));
       }
-      serveOne(rig, second, "indented");
-      // Two in one piece with blank lines between, and the beginning of a third.
-      String third = list(11, server(second.getLocalPort(), "active"));
+      serveRequest(rig, secondServer, "indented");
+      // One chunk holds two lists, separated by blank lines, and the beginning of a third list.
+      String thirdList = listJson(11, serverJson(secondServer.getLocalPort(), "active"));
       discovery.write(
           NodeFixture.chunk(
               "\n\n"
-                  + list(9, server(second.getLocalPort(), "active"))
+                  + listJson(9, serverJson(secondServer.getLocalPort(), "active"))
                   + "\n\n  \n"
-                  + list(10, server(rig.cache.getLocalPort(), "active"))
-                  + third.substring(0, 20)));
-      serveOne(rig, rig.cache, "several");
-      discovery.write(NodeFixture.chunk(third.substring(20)));
-      serveOne(rig, second, "rest");
+                  + listJson(10, serverJson(rig.cache.getLocalPort(), "active"))
+                  + thirdList.substring(0, 20)));
+      serveRequest(rig, rig.cache, "several");
+      discovery.write(NodeFixture.chunk(thirdList.substring(20)));
+      serveRequest(rig, secondServer, "rest");
       discovery.close();
-      assertEquals(WATCH.formatted(11), call(rig.acceptDiscovery()));
+      assertEquals(WATCH_REQUEST.formatted(11), readRequest(rig.acceptDiscovery()));
     }
   }
 
-  /** Discovery that is silent until it is called again; returns after how many milliseconds. */
-  private static long millisToNextCall(NodeFixture rig, ScriptedPeer discovery, String last)
+  /** Writes only this text, and returns the milliseconds until discovery is called again. */
+  private static long measureMillisToNextCall(NodeFixture rig, ScriptedPeer discovery, String text)
       throws Exception {
-    discovery.write(last);
-    long since = System.nanoTime();
-    call(rig.acceptDiscovery());
-    return (System.nanoTime() - since) / 1_000_000;
+    discovery.write(text);
+    long startedAtNanos = System.nanoTime();
+    readRequest(rig.acceptDiscovery());
+    return (System.nanoTime() - startedAtNanos) / 1_000_000;
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"ask", "push"})
-  void reopensSilentWatchBeforeMissedChangesAreBinding(String mode) throws Exception {
-    try (NodeFixture rig = new NodeFixture(",\"discovery\":\"" + mode + "\"")) {
+  void callsDiscoveryAgainWithin4SecondsWhenWatchIsSilent(String discoveryMode) throws Exception {
+    try (NodeFixture rig = new NodeFixture(",\"discovery\":\"" + discoveryMode + "\"")) {
       ScriptedPeer discovery = rig.acceptDiscovery();
-      call(discovery);
-      long millis = millisToNextCall(rig, discovery, HEAD + NodeFixture.chunk("\n"));
-      // Binding after 6 s, of which a queued call may take 2.
-      assertTrue(millis > 2500 && millis < 3950, "asked anew after " + millis + " ms");
+      readRequest(discovery);
+      long waitedMillis =
+          measureMillisToNextCall(rig, discovery, RESPONSE_HEAD + NodeFixture.chunk("\n"));
+      // A node must have the current list again at most 6 s after its watch fell silent. Discovery
+      // may queue the new call for 2 s of these 6 s, so the node has to make it within 4 s.
+      assertTrue(
+          waitedMillis > 2500 && waitedMillis < 3950,
+          "discovery was called again after " + waitedMillis + " ms");
     }
   }
 
   @Test
-  void endsCallWhoseListIsNeverComplete() throws Exception {
+  void closesCallWhoseListIsNeverComplete() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
       ScriptedPeer discovery = rig.acceptDiscovery();
-      call(discovery);
-      discovery.write(HEAD + NodeFixture.chunk("{\"version\":8,"));
-      long since = System.nanoTime();
+      readRequest(discovery);
+      discovery.write(RESPONSE_HEAD + NodeFixture.chunk("{\"version\":8,"));
+      long startedAtNanos = System.nanoTime();
       for (int i = 0; i < 5; i++) {
         if (rig.hasAnotherDiscoveryCall(800)) {
-          assertTrue(System.nanoTime() - since < 3_950_000_000L);
+          assertTrue(System.nanoTime() - startedAtNanos < 3_950_000_000L);
           return;
         }
         discovery.write(NodeFixture.chunk("\n"));
       }
-      throw new AssertionError("it goes on waiting for the end");
+      throw new AssertionError("the call whose list is incomplete was not ended");
     }
   }
 
-  /** A list that an agent gets when discovery returns is binding at once. */
+  /**
+   * A node must apply a list as soon as its agent has received it, also after an outage of
+   * discovery, so the node must not wait long before it calls a silent agent again.
+   */
   @ParameterizedTest
   @ValueSource(doubles = {2, 0.4})
-  void retriesSilentAgentWithinDrainGrace(double grace) throws Exception {
+  void retriesSilentAgentWithinDrainGrace(double graceSeconds) throws Exception {
     String settings =
         ",\"discovery\":\"push\",\"contract\":{\"ask-within\":10,\"drain-grace\":%s,"
             + "\"cold-from\":0.1,\"warm-within\":1}";
-    try (NodeFixture rig = new NodeFixture(settings.formatted(grace))) {
-      // Those before it were made while the node started.
+    try (NodeFixture rig = new NodeFixture(settings.formatted(graceSeconds))) {
+      // Earlier calls were made while the node started.
       ScriptedPeer discovery = rig.acceptDiscovery();
-      call(discovery);
-      long millis = millisToNextCall(rig, discovery, "");
-      assertTrue(millis < 750 * grace, "asked anew after " + millis + " ms");
+      readRequest(discovery);
+      long waitedMillis = measureMillisToNextCall(rig, discovery, "");
+      assertTrue(
+          waitedMillis < 750 * graceSeconds,
+          "discovery was called again after " + waitedMillis + " ms");
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"ask", "push"})
-  void rejectsListWithDuplicateEntry(String mode) throws Exception {
-    try (NodeFixture rig = new NodeFixture(",\"discovery\":\"" + mode + "\"")) {
+  void rejectsListWithDuplicateEntry(String discoveryMode) throws Exception {
+    try (NodeFixture rig = new NodeFixture(",\"discovery\":\"" + discoveryMode + "\"")) {
       ScriptedPeer discovery = rig.acceptDiscovery();
-      call(discovery);
+      readRequest(discovery);
       int port = rig.cache.getLocalPort();
       discovery.write(
-          HEAD + NodeFixture.chunk(list(8, server(port, "active"), server(port, "leaving"))));
-      assertEquals(WATCH.formatted(7), call(rig.acceptDiscovery()));
-      serveOne(rig, rig.cache, "kept");
+          RESPONSE_HEAD
+              + NodeFixture.chunk(
+                  listJson(8, serverJson(port, "active"), serverJson(port, "leaving"))));
+      assertEquals(WATCH_REQUEST.formatted(7), readRequest(rig.acceptDiscovery()));
+      serveRequest(rig, rig.cache, "kept");
     }
   }
 
   @Test
-  void olderListDoesNotReviveDrainingServer() throws Exception {
+  void olderListDoesNotReactivateDrainingServer() throws Exception {
     try (NodeFixture rig = new NodeFixture();
-        ServerSocket other = NodeFixture.listen()) {
-      int leaving = rig.cache.getLocalPort();
+        ServerSocket otherServer = NodeFixture.listen()) {
+      int leavingPort = rig.cache.getLocalPort();
       ScriptedPeer discovery = rig.acceptDiscovery();
-      call(discovery);
+      readRequest(discovery);
       discovery.write(
-          HEAD
+          RESPONSE_HEAD
               + NodeFixture.chunk(
-                  list(9, server(leaving, "leaving"), server(other.getLocalPort(), "active"))));
-      serveOne(rig, other, "drained");
+                  listJson(
+                      9,
+                      serverJson(leavingPort, "leaving"),
+                      serverJson(otherServer.getLocalPort(), "active"))));
+      serveRequest(rig, otherServer, "drained");
       discovery.close();
-      ScriptedPeer second = rig.acceptDiscovery();
-      assertEquals(WATCH.formatted(9), call(second));
-      second.write(HEAD + NodeFixture.chunk(list(8, server(leaving, "active"))));
-      second.close();
-      ScriptedPeer third = rig.acceptDiscovery();
-      assertEquals(WATCH.formatted(8), call(third), "it was taken");
+      ScriptedPeer secondWatch = rig.acceptDiscovery();
+      assertEquals(WATCH_REQUEST.formatted(9), readRequest(secondWatch));
+      secondWatch.write(
+          RESPONSE_HEAD + NodeFixture.chunk(listJson(8, serverJson(leavingPort, "active"))));
+      secondWatch.close();
+      ScriptedPeer thirdWatch = rig.acceptDiscovery();
+      assertEquals(
+          WATCH_REQUEST.formatted(8), readRequest(thirdWatch), "the older list was not applied");
       ScriptedPeer client = rig.client();
       client.write(NodeFixture.get("late", 200));
       assertTrue(client.line().startsWith("SERVER_ERROR"));
       rig.cache.setSoTimeout(20);
       assertThrows(java.net.SocketTimeoutException.class, rig.cache::accept);
-      // A server that has started since is back, however old the list.
-      third.write(
-          HEAD
+      // A server that has restarted after it was draining is used again, even if the list that
+      // shows the restart has an older version.
+      thirdWatch.write(
+          RESPONSE_HEAD
               + NodeFixture.chunk(
-                  list(7, server(leaving, "active").replace("started_ms\":0", "started_ms\":9"))));
-      serveOne(rig, rig.cache, "again");
+                  listJson(
+                      7,
+                      serverJson(leavingPort, "active")
+                          .replace("started_ms\":0", "started_ms\":9"))));
+      serveRequest(rig, rig.cache, "again");
     }
   }
 
-  /** Where lists are polled the service queues calls: a repeated one is at the end of the queue. */
+  /**
+   * With polling, the discovery service queues the calls of its clients. A node that repeats a call
+   * before it is answered moves to the end of that queue, so it must wait for the response.
+   */
   @Test
   void doesNotRepeatQueuedCall() throws Exception {
-    String contract =
+    String contractSettings =
         ",\"contract\":{\"ask-within\":1,\"drain-grace\":2,\"cold-from\":0.1,\"warm-within\":1}";
-    try (NodeFixture rig = new NodeFixture(contract)) {
+    try (NodeFixture rig = new NodeFixture(contractSettings)) {
       ScriptedPeer discovery = rig.acceptDiscovery();
-      call(discovery);
+      readRequest(discovery);
       assertFalse(rig.hasAnotherDiscoveryCall(2500));
       discovery.write(
-          HEAD + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
-      serveOne(rig, rig.cache, "told");
+          RESPONSE_HEAD
+              + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
+      serveRequest(rig, rig.cache, "told");
     }
   }
 
-  /** The new service's list is binding 4 s after the signal. */
+  /** A node must have the new service's list at most 4 s after the reload signal. */
   @Test
-  void failuresOfOldServiceDoNotDelayCallsToNewOne(@TempDir Path folder) throws Exception {
-    String busy = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-    Path config = folder.resolve("config.json");
+  void failuresOfOldServiceDoNotDelayCallsToNewService(@TempDir Path folder) throws Exception {
+    String busyResponse = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+    Path configFile = folder.resolve("config.json");
     try (NodeFixture rig = new NodeFixture();
-        ServerSocket second = NodeFixture.listen()) {
+        ServerSocket newService = NodeFixture.listen()) {
       for (int i = 0; i < 3; i++) {
-        ScriptedPeer old = rig.acceptDiscovery();
-        call(old);
-        old.write(busy);
+        ScriptedPeer discoveryCall = rig.acceptDiscovery();
+        readRequest(discoveryCall);
+        discoveryCall.write(busyResponse);
       }
-      String old = "127.0.0.1:" + rig.discovery.getLocalPort();
-      String text = rig.configText("").replace(old, "127.0.0.1:" + second.getLocalPort());
-      Files.writeString(config, text);
-      rig.node.reload(config.toString(), JsonObject.parse(text));
-      ScriptedPeer moved = new ScriptedPeer(second.accept());
-      call(moved);
-      moved.write(busy);
-      second.setSoTimeout(1500);
-      call(new ScriptedPeer(second.accept()));
+      String oldAddress = "127.0.0.1:" + rig.discovery.getLocalPort();
+      String newText =
+          rig.configText("").replace(oldAddress, "127.0.0.1:" + newService.getLocalPort());
+      Files.writeString(configFile, newText);
+      rig.node.reload(configFile.toString(), JsonObject.parse(newText));
+      ScriptedPeer discoveryCall = new ScriptedPeer(newService.accept());
+      readRequest(discoveryCall);
+      discoveryCall.write(busyResponse);
+      newService.setSoTimeout(1500);
+      readRequest(new ScriptedPeer(newService.accept()));
     }
   }
 
-  /** An agent's list is binding from the first moment on, whatever the configuration contains. */
+  /** A node must use its agent's list from the start, even if its configuration differs. */
   @Test
   void listensOnceAgentsListIsApplied() throws Exception {
     try (ServerSocket agent = NodeFixture.listen();
-        ServerSocket left = NodeFixture.listen();
-        ServerSocket ready = NodeFixture.listen()) {
-      Thread answers =
+        ServerSocket leavingServer = NodeFixture.listen();
+        ServerSocket readyServer = NodeFixture.listen()) {
+      Thread agentThread =
           new Thread(
               () -> {
                 try {
-                  ScriptedPeer call = new ScriptedPeer(agent.accept());
-                  call(call);
-                  // Long compared with the time from listening to a first request.
+                  ScriptedPeer watch = new ScriptedPeer(agent.accept());
+                  readRequest(watch);
+                  // A node that listened before it applied the list would receive the request by
+                  // then.
                   Thread.sleep(100);
-                  call.write(
-                      HEAD
+                  watch.write(
+                      RESPONSE_HEAD
                           + NodeFixture.chunk(
-                              list(
+                              listJson(
                                   8,
-                                  server(left.getLocalPort(), "leaving"),
-                                  server(ready.getLocalPort(), "active"))));
+                                  serverJson(leavingServer.getLocalPort(), "leaving"),
+                                  serverJson(readyServer.getLocalPort(), "active"))));
                 } catch (IOException | InterruptedException e) {
-                  // The assertion below fails then.
+                  // Without this list the node does not serve the request, and the test fails.
                 }
               });
-      answers.start();
-      try (NodeFixture rig = new NodeFixture(agent, left, ",\"discovery\":\"push\"")) {
+      agentThread.start();
+      try (NodeFixture rig = new NodeFixture(agent, leavingServer, ",\"discovery\":\"push\"")) {
         ScriptedPeer client = rig.client().write(NodeFixture.get("first", 5000));
-        try (ScriptedPeer cache = new ScriptedPeer(ready.accept())) {
+        try (ScriptedPeer cache = new ScriptedPeer(readyServer.accept())) {
           assertTrue(cache.line().contains("Ofirst "));
           cache.write("VA 1 Ofirst\r\nx\r\n");
           assertEquals("VA 1 Ofirst", client.line());
         }
       }
-      answers.join();
+      agentThread.join();
     }
   }
 
-  /** An agent that is silent, since discovery is down, delays a start only briefly. */
+  /** An agent that is silent because discovery is down delays the start of a node only briefly. */
   @Test
-  void listensThoughAgentIsSilent() throws Exception {
+  void listensWhenAgentIsSilent() throws Exception {
     try (ServerSocket agent = NodeFixture.listen();
-        ServerSocket known = NodeFixture.listen();
-        NodeFixture rig = new NodeFixture(agent, known, ",\"discovery\":\"push\"")) {
+        ServerSocket knownServer = NodeFixture.listen();
+        NodeFixture rig = new NodeFixture(agent, knownServer, ",\"discovery\":\"push\"")) {
       ScriptedPeer client = rig.client().write("mn\r\n");
       assertEquals("MN", client.line());
     }
--- a/engine/src/test/java/shalepaddle/node/DrainTest.java
+++ b/engine/src/test/java/shalepaddle/node/DrainTest.java
@@ -16,144 +16,158 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
- * Requests that come between the signal to end and the moment in which the process may be killed:
- * each is answered, or the end of its connection shows that it was never read.
+ * Guards against requests that are lost when a node ends. Each request that comes between the
+ * signal to end and the time at which the process may be killed is answered, or its connection
+ * ends, which shows the client that the node never read the request.
  */
 @Timeout(30)
 class DrainTest {
-  /** After this time the platform may kill the process: the longest deadline and 0.7 s. */
-  private static final String LASTING = ",\"services\":[%s,%s]";
+  /**
+   * Setting of the service classes. The platform may kill the process 0.7 s after the longest
+   * deadline of them.
+   */
+  private static final String SERVICES_SETTING = ",\"services\":[%s,%s]";
 
-  private static String settings(double seconds) {
-    return LASTING.formatted(
-        "{\"name\":\"read\",\"effect\":\"retryable\",\"slo\":0.05,\"give-up\":" + seconds + "}",
-        "{\"name\":\"put\",\"effect\":\"fragile\",\"slo\":0.05,\"give-up\":" + seconds + "}");
+  private static String servicesSetting(double longestDeadlineSeconds) {
+    return SERVICES_SETTING.formatted(
+        "{\"name\":\"read\",\"effect\":\"retryable\",\"slo\":0.05,\"give-up\":"
+            + longestDeadlineSeconds
+            + "}",
+        "{\"name\":\"put\",\"effect\":\"fragile\",\"slo\":0.05,\"give-up\":"
+            + longestDeadlineSeconds
+            + "}");
   }
 
   private NodeFixture rig;
-  private Thread drain;
+  private Thread drainThread;
 
   @AfterEach
-  void end() throws Exception {
-    if (drain != null) {
-      drain.join(ScriptedPeer.PATIENCE_MILLIS);
-      assertFalse(drain.isAlive());
+  void awaitDrainAndClose() throws Exception {
+    if (drainThread != null) {
+      drainThread.join(ScriptedPeer.PATIENCE_MILLIS);
+      assertFalse(drainThread.isAlive());
     }
     rig.close();
   }
 
-  private long drain() {
-    drain = new Thread(rig.node::drain);
-    long begun = System.nanoTime();
-    drain.start();
-    return begun;
+  private long startDrain() {
+    drainThread = new Thread(rig.node::drain);
+    long startedAtNanos = System.nanoTime();
+    drainThread.start();
+    return startedAtNanos;
   }
 
-  private static long millisSince(long nanos) {
-    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
+  private static long millisSince(long startedAtNanos) {
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
   }
 
-  /** A server that answers each request after 3 ms; returns the requests that came. */
+  /** Answers each request after 3 ms; returns a set to which arriving request ids are added. */
   private Set<String> serveAll() throws IOException {
-    Set<String> arrived = ConcurrentHashMap.newKeySet();
+    Set<String> arrivedIds = ConcurrentHashMap.newKeySet();
     ScriptedPeer cache = rig.acceptCache();
-    Thread server =
+    Thread serverThread =
         new Thread(
             () -> {
               try {
                 for (String line = cache.line(); line != null; line = cache.line()) {
                   String id = line.replaceAll(".* O(\\S+) .*", "$1");
-                  arrived.add(id);
+                  arrivedIds.add(id);
                   Thread.sleep(3);
                   cache.write("VA 1 O" + id + "\r\nx\r\n");
                 }
               } catch (IOException | InterruptedException e) {
-                // The node has ended.
+                // The node has closed the connection.
               }
             });
-    server.setDaemon(true);
-    server.start();
-    return arrived;
+    serverThread.setDaemon(true);
+    serverThread.start();
+    return arrivedIds;
   }
 
   @Test
-  void notifiesBusyClientOfUnreadRequests() throws Exception {
-    rig = new NodeFixture(",\"instances\":28" + settings(0.3));
+  void closesConnectionOfBusyClientWithoutLosingRequests() throws Exception {
+    rig = new NodeFixture(",\"instances\":28" + servicesSetting(0.3));
     ScriptedPeer client = rig.client().write(NodeFixture.get("r0", 300));
-    Set<String> arrived = serveAll();
-    Set<String> answered = ConcurrentHashMap.newKeySet();
-    long begun = drain();
-    int next = 1;
+    Set<String> arrivedIds = serveAll();
+    Set<String> answeredIds = ConcurrentHashMap.newKeySet();
+    long startedAtNanos = startDrain();
+    int nextId = 1;
     String line = "";
-    while (line != null && millisSince(begun) < 5000) {
+    while (line != null && millisSince(startedAtNanos) < 5000) {
       try {
-        client.write(NodeFixture.get("r" + next++, 300));
+        client.write(NodeFixture.get("r" + nextId++, 300));
       } catch (IOException e) {
-        // Its connection has ended; what was sent before that can still be read.
+        // The connection is closed; responses that were sent before that can still be read.
       }
       line = client.line();
       if (line != null && line.startsWith("VA")) {
-        answered.add(line.substring("VA 1 O".length()));
+        answeredIds.add(line.substring("VA 1 O".length()));
         client.line();
       } else if (line != null) {
         // A rejection answers the oldest open request.
         assertEquals("SERVER_ERROR busy", line.substring(0, "SERVER_ERROR busy".length()));
       }
     }
-    assertNull(line, "it is served on");
-    assertTrue(millisSince(begun) < 1000, "told after " + millisSince(begun) + " ms");
-    arrived.removeAll(answered);
-    assertEquals(Set.of(), arrived, "sent on, and not answered");
-    assertTrue(next > 50, "asked " + next + " times");
+    assertNull(line, "the client connection is not closed");
+    assertTrue(
+        millisSince(startedAtNanos) < 1000,
+        "the client connection was closed after " + millisSince(startedAtNanos) + " ms");
+    arrivedIds.removeAll(answeredIds);
+    assertEquals(Set.of(), arrivedIds, "ids of requests that were forwarded, but not answered");
+    assertTrue(nextId > 50, "sent " + nextId + " requests");
     client.close();
   }
 
   @Test
   void closesSilentClientBeforeProcessMayBeKilled() throws Exception {
-    rig = new NodeFixture(settings(0.1));
-    ScriptedPeer early = rig.client();
-    ScriptedPeer half = rig.client().write("mg ke");
+    rig = new NodeFixture(servicesSetting(0.1));
+    ScriptedPeer earlyClient = rig.client();
+    ScriptedPeer incompleteClient = rig.client().write("mg ke");
     rig.settled();
-    long begun = drain();
-    ScriptedPeer late = rig.client();
-    assertTrue(late.ended());
-    assertTrue(half.ended());
-    assertTrue(early.ended());
-    assertTrue(millisSince(begun) < 790, "after " + millisSince(begun) + " ms");
-    early.close();
-    half.close();
-    late.close();
+    long startedAtNanos = startDrain();
+    ScriptedPeer lateClient = rig.client();
+    assertTrue(lateClient.ended());
+    assertTrue(incompleteClient.ended());
+    assertTrue(earlyClient.ended());
+    assertTrue(
+        millisSince(startedAtNanos) < 790,
+        "the client connection was closed after " + millisSince(startedAtNanos) + " ms");
+    earlyClient.close();
+    incompleteClient.close();
+    lateClient.close();
   }
 
   @Test
-  void handOverClosesIdleClientBeforeProcessMayBeKilled() throws Exception {
-    rig = new NodeFixture(settings(0.1));
+  void closesIdleClientOnHandOverBeforeProcessMayBeKilled() throws Exception {
+    rig = new NodeFixture(servicesSetting(0.1));
     ScriptedPeer client = rig.client().write(NodeFixture.get("a1", 5000));
     serveAll();
     assertEquals("VA 1 Oa1", client.line());
     client.line();
-    CountDownLatch over = new CountDownLatch(1);
-    long begun = System.nanoTime();
-    rig.node.loop().execute(() -> rig.node.balancer().handOver(over::countDown));
+    CountDownLatch handOverEnded = new CountDownLatch(1);
+    long startedAtNanos = System.nanoTime();
+    rig.node.loop().execute(() -> rig.node.balancer().handOver(handOverEnded::countDown));
     assertTrue(client.ended());
-    assertTrue(millisSince(begun) < 790, "after " + millisSince(begun) + " ms");
+    assertTrue(
+        millisSince(startedAtNanos) < 790,
+        "the client connection was closed after " + millisSince(startedAtNanos) + " ms");
     client.close();
-    assertTrue(over.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+    assertTrue(handOverEnded.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
   }
 
   @Test
   void acceptsConnectionsOfStallBeforeListenerCloses() throws Exception {
     rig = new NodeFixture();
-    ScriptedPeer[] late = new ScriptedPeer[20];
-    drain();
+    ScriptedPeer[] lateClients = new ScriptedPeer[20];
+    startDrain();
     rig.pausedWhile(
         600,
         () -> {
-          for (int i = 0; i < late.length; i++) {
-            late[i] = rig.client().write("mn\r\n");
+          for (int i = 0; i < lateClients.length; i++) {
+            lateClients[i] = rig.client().write("mn\r\n");
           }
         });
-    for (ScriptedPeer client : late) {
+    for (ScriptedPeer client : lateClients) {
       assertEquals("MN", client.line());
       client.close();
     }
--- a/engine/src/test/java/shalepaddle/node/EngineSubmissionTest.java
+++ b/engine/src/test/java/shalepaddle/node/EngineSubmissionTest.java
@@ -21,7 +21,7 @@
 import shalepaddle.model.Request;
 import shalepaddle.testkit.ScriptedPeer;
 
-/** A front that is no socket: calls handed to the engine, and what their sinks are given. */
+/** Tests calls that are submitted to the dispatcher without a client socket, and their replies. */
 class EngineSubmissionTest {
   private final BlockingQueue<Reply> replies = new LinkedBlockingQueue<>();
   private NodeFixture rig;
@@ -36,8 +36,8 @@
     rig.close();
   }
 
-  /** A value that tells when it has been let go. */
-  private static final class Value implements Payload {
+  /** A payload with a value, whose reference count shows whether it was released. */
+  private static final class ValuePayload implements Payload {
     private final ByteBuf bytes = Unpooled.copiedBuffer("value", StandardCharsets.US_ASCII);
 
     @Override
@@ -53,8 +53,9 @@
     }
   }
 
-  private static Request request(String id, boolean write, double budget) {
-    return new Request(id, "key", write ? "put" : "read", null, budget, 0, 0, false, write);
+  private static Request request(String id, boolean isWrite, double budgetSeconds) {
+    return new Request(
+        id, "key", isWrite ? "put" : "read", null, budgetSeconds, 0, 0, false, isWrite);
   }
 
   private Submission submit(Request request, Payload payload, ReplySink sink) throws Exception {
@@ -64,80 +65,80 @@
         .get();
   }
 
-  private Reply next() throws InterruptedException {
+  private Reply awaitReply() throws InterruptedException {
     Reply reply = replies.poll(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-    assertTrue(reply != null, "no reply");
+    assertTrue(reply != null, "no reply was received in time");
     return reply;
   }
 
   @Test
-  void aReadIsServedWithItsValue() throws Exception {
+  void servesReadWithValue() throws Exception {
     submit(request("a1", false, 2), Payload.NONE, replies::add);
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().matches("mg key v Oa1 Pc=read,d=\\d+"));
     cache.write("VA 5 Oa1 h1\r\nabcde\r\n");
-    Reply.Value served = (Reply.Value) next();
+    Reply.Value served = (Reply.Value) awaitReply();
     assertEquals("abcde", served.value().toString(StandardCharsets.US_ASCII));
     served.value().release();
     assertNull(replies.poll());
   }
 
   @Test
-  void aWriteIsPassedOnAndItsValueLetGo() throws Exception {
-    Value value = new Value();
+  void forwardsWriteAndReleasesValue() throws Exception {
+    ValuePayload value = new ValuePayload();
     submit(request("w1", true, 2), value, replies::add);
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().matches("ms key 5 Ow1 Pc=put,d=\\d+"));
     assertEquals("value", cache.line());
     cache.write("HD Ow1 c9\r\n");
-    assertEquals(new Reply.Receipt("9"), next());
+    assertEquals(new Reply.Receipt("9"), awaitReply());
     rig.settled();
     assertEquals(0, value.bytes.refCnt());
   }
 
   @Test
-  void aFailureTellsWhetherTheWriteMayHaveRun() throws Exception {
-    submit(request("w1", true, 2), new Value(), replies::add);
+  void failsWriteThatMayHaveRunAndRejectsWriteThatHasNotRun() throws Exception {
+    submit(request("w1", true, 2), new ValuePayload(), replies::add);
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.line();
     cache.write("SERVER_ERROR failed\r\n");
-    assertEquals(new Reply.Failed(true), next());
-    submit(request("w2", true, 2), new Value(), replies::add);
+    assertEquals(new Reply.Failed(true), awaitReply());
+    submit(request("w2", true, 2), new ValuePayload(), replies::add);
     cache.line();
     cache.line();
     cache.write("SERVER_ERROR busy\r\n");
-    assertEquals(new Reply.Rejected(0), next());
+    assertEquals(new Reply.Rejected(0), awaitReply());
   }
 
   @Test
-  void aSinkThatThrowsHarmsNoOther() throws Exception {
-    Value value = new Value();
+  void servesOtherCallsWhenOneSinkThrows() throws Exception {
+    ValuePayload value = new ValuePayload();
     submit(
         request("w1", true, 2),
         value,
         reply -> {
-          throw new IllegalStateException("on purpose");
+          throw new IllegalStateException("thrown by the test");
         });
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.line();
     cache.write("HD Ow1 c9\r\n");
-    submit(request("w2", true, 2), new Value(), replies::add);
+    submit(request("w2", true, 2), new ValuePayload(), replies::add);
     cache.line();
     cache.line();
     cache.write("HD Ow2 c10\r\n");
-    assertEquals(new Reply.Receipt("10"), next());
+    assertEquals(new Reply.Receipt("10"), awaitReply());
     assertEquals(0, value.bytes.refCnt());
-    // Nothing of it is left: its id may be used again.
-    assertTrue(submit(request("w1", true, 2), new Value(), replies::add) != null);
+    // The first call is removed completely: its id may be used again.
+    assertTrue(submit(request("w1", true, 2), new ValuePayload(), replies::add) != null);
   }
 
   @Test
-  void aCallWhoseIdIsInUseIsNotTakenAndItsValueLetGo() throws Exception {
-    submit(request("w1", true, 2), new Value(), replies::add);
-    Value second = new Value();
-    assertNull(submit(request("w1", true, 2), second, replies::add));
-    assertEquals(0, second.bytes.refCnt());
+  void submitReturnsNullAndReleasesValueWhenIdIsInUse() throws Exception {
+    submit(request("w1", true, 2), new ValuePayload(), replies::add);
+    ValuePayload secondValue = new ValuePayload();
+    assertNull(submit(request("w1", true, 2), secondValue, replies::add));
+    assertEquals(0, secondValue.bytes.refCnt());
   }
 }
--- a/engine/src/test/java/shalepaddle/node/EngineTest.java
+++ b/engine/src/test/java/shalepaddle/node/EngineTest.java
@@ -27,7 +27,7 @@
 import shalepaddle.model.Request;
 import shalepaddle.testkit.ScriptedPeer;
 
-/** The engine's edge for other threads, and its end. */
+/** Submitting calls to an engine from other threads, cancelling them, and closing the engine. */
 class EngineTest {
   private NodeFixture rig;
   private Engine engine;
@@ -43,24 +43,24 @@
     rig.close();
   }
 
-  /** A write whose replies are kept, and whose value tells when it has been let go. */
-  private static final class Write implements Payload, ReplySink {
+  /** A write that collects its replies and counts releases of its value. */
+  private static final class WriteCall implements Payload, ReplySink {
     final BlockingQueue<Reply> replies = new LinkedBlockingQueue<>();
-    final AtomicInteger released = new AtomicInteger();
+    final AtomicInteger releaseCount = new AtomicInteger();
     private final ByteBuf bytes;
     private final String id;
 
-    Write(String id) {
+    WriteCall(String id) {
       this.id = id;
       this.bytes = Unpooled.copiedBuffer("value", StandardCharsets.US_ASCII);
     }
 
-    Write(String id, int length) {
+    WriteCall(String id, int valueBytes) {
       this.id = id;
-      this.bytes = Unpooled.buffer(length).writeZero(length);
+      this.bytes = Unpooled.buffer(valueBytes).writeZero(valueBytes);
     }
 
-    Call call() {
+    Call toCall() {
       return new Call(new Request(id, "key", "put", null, 2, 0, 0, false, true), this, this);
     }
 
@@ -71,7 +71,7 @@
 
     @Override
     public void release() {
-      released.incrementAndGet();
+      releaseCount.incrementAndGet();
       if (bytes.refCnt() > 0) {
         bytes.release();
       }
@@ -82,7 +82,7 @@
       replies.add(reply);
     }
 
-    Reply next() throws InterruptedException {
+    Reply awaitReply() throws InterruptedException {
       Reply reply = replies.poll(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
       assertTrue(reply != null, "no reply to " + id);
       return reply;
@@ -97,31 +97,31 @@
   }
 
   @Test
-  void aCallFromAnyThreadIsServed() throws Exception {
-    Write write = new Write("w1");
-    engine.submit(write.call());
+  void servesCallOfAnotherThread() throws Exception {
+    WriteCall write = new WriteCall("w1");
+    engine.submit(write.toCall());
     acceptWrite("w1").write("HD Ow1 c9\r\n");
-    assertEquals(new Reply.Receipt("9"), write.next());
+    assertEquals(new Reply.Receipt("9"), write.awaitReply());
     rig.settled();
     assertEquals(0, write.bytes.refCnt());
   }
 
   @Test
-  void aCallWhoseIdIsInUseHasFailedAndNotRun() throws Exception {
-    Write write = new Write("w1");
-    engine.submit(write.call());
-    Write second = new Write("w1");
-    engine.submit(second.call());
-    assertEquals(new Reply.Failed(false), second.next());
-    assertEquals(0, second.bytes.refCnt());
+  void failsCallWhoseIdIsInUseWithoutRunningIt() throws Exception {
+    WriteCall write = new WriteCall("w1");
+    engine.submit(write.toCall());
+    WriteCall secondWrite = new WriteCall("w1");
+    engine.submit(secondWrite.toCall());
+    assertEquals(new Reply.Failed(false), secondWrite.awaitReply());
+    assertEquals(0, secondWrite.bytes.refCnt());
     acceptWrite("w1").write("HD Ow1 c9\r\n");
-    assertEquals(new Reply.Receipt("9"), write.next());
+    assertEquals(new Reply.Receipt("9"), write.awaitReply());
   }
 
   @Test
-  void aCancelledCallIsWithdrawnFromItsServerAndNeverAnswered() throws Exception {
-    Write write = new Write("w1");
-    Engine.Ticket ticket = engine.submit(write.call());
+  void cancelClosesServerConnectionAndGivesNoReply() throws Exception {
+    WriteCall write = new WriteCall("w1");
+    Engine.Ticket ticket = engine.submit(write.toCall());
     ScriptedPeer cache = acceptWrite("w1");
     ticket.cancel();
     assertTrue(cache.ended());
@@ -131,11 +131,11 @@
   }
 
   @Test
-  void aFrontThatGoesWhileItsPayloadIsBeingWrittenLeavesNothingBehind() throws Exception {
-    Write write = new Write("w1", 8 << 20);
-    Engine.Ticket ticket = engine.submit(write.call());
+  void releasesPayloadWhenCallIsCancelledDuringItsWrite() throws Exception {
+    WriteCall write = new WriteCall("w1", 8 << 20);
+    Engine.Ticket ticket = engine.submit(write.toCall());
     ScriptedPeer cache = rig.acceptCache();
-    // It reads the line and a part of the value: the rest waits in the node.
+    // The server reads the line and a part of the value; the rest is still buffered in the node.
     assertTrue(cache.line().startsWith("ms key 8388608 Ow1 "));
     cache.bytes(1000);
     assertTrue(write.bytes.refCnt() > 0);
@@ -143,17 +143,17 @@
     rig.settled();
     assertEquals(0, write.bytes.refCnt());
     assertNull(write.replies.poll());
-    // Its connection is of no more use, and is ended: what was cut off can not run.
+    // The connection is closed: a write that was cut short cannot run.
     while (cache.bytes(1 << 16).length == 1 << 16) {
-      // What the kernel had taken.
+      // Skips the bytes that the node had written to the socket before.
     }
     assertTrue(cache.ended());
   }
 
   @RepeatedTest(20)
-  void aCancelInTheTurnOfItsAnswerLeavesNothingBehind() throws Exception {
-    Write write = new Write("w1");
-    Engine.Ticket ticket = engine.submit(write.call());
+  void releasesPayloadWhenCallIsCancelledInTurnOfReply() throws Exception {
+    WriteCall write = new WriteCall("w1");
+    Engine.Ticket ticket = engine.submit(write.toCall());
     ScriptedPeer cache = acceptWrite("w1");
     rig.pausedWhile(
         10,
@@ -167,106 +167,107 @@
     rig.settled();
     assertEquals(0, write.bytes.refCnt());
     assertTrue(write.replies.size() <= 1, write.replies.toString());
-    // Nothing of it is left: its id may be used again.
-    Write again = new Write("w1");
-    engine.submit(again.call());
-    assertNull(again.replies.poll(20, TimeUnit.MILLISECONDS));
+    // The first call is removed completely: its id may be used again.
+    WriteCall laterWrite = new WriteCall("w1");
+    engine.submit(laterWrite.toCall());
+    assertNull(laterWrite.replies.poll(20, TimeUnit.MILLISECONDS));
   }
 
   @Test
-  void aCloseAnswersWhatIsOpenByWhetherItMayHaveRun() throws Exception {
-    // One connection, on which at most 32 are under way: the others wait for it.
+  void closeFailsCallsThatMayHaveRunAndRejectsOtherCalls() throws Exception {
+    // One connection with at most 32 attempts in flight: the other calls wait for it.
     rig.close();
     rig = new NodeFixture(1);
     engine = rig.node.engine();
-    Write sent = new Write("w1");
-    engine.submit(sent.call());
+    WriteCall sentWrite = new WriteCall("w1");
+    engine.submit(sentWrite.toCall());
     ScriptedPeer cache = acceptWrite("w1");
-    List<Write> others = new ArrayList<>();
+    List<WriteCall> otherWrites = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      Write other = new Write("o" + i);
-      others.add(other);
-      engine.submit(other.call());
+      WriteCall otherWrite = new WriteCall("o" + i);
+      otherWrites.add(otherWrite);
+      engine.submit(otherWrite.toCall());
     }
     rig.settled();
     engine.close();
-    assertEquals(new Reply.Failed(true), sent.next());
-    int refused = 0;
-    for (Write other : others) {
-      refused += other.next() instanceof Reply.Rejected ? 1 : 0;
+    assertEquals(new Reply.Failed(true), sentWrite.awaitReply());
+    int rejectedCount = 0;
+    for (WriteCall otherWrite : otherWrites) {
+      rejectedCount += otherWrite.awaitReply() instanceof Reply.Rejected ? 1 : 0;
     }
-    int arrived = 0;
+    int arrivedCount = 0;
     for (String line = cache.line(); line != null; line = cache.line()) {
-      arrived += line.startsWith("ms ") ? 1 : 0;
+      arrivedCount += line.startsWith("ms ") ? 1 : 0;
     }
-    // What was refused never came to the server; all that came is said to have perhaps run.
-    assertEquals(others.size() - arrived, refused);
-    Write late = new Write("late");
-    engine.submit(late.call());
-    assertEquals(new Reply.Rejected(0), late.next());
+    // Exactly the calls that did not reach the server are rejected; the others may have run.
+    assertEquals(otherWrites.size() - arrivedCount, rejectedCount);
+    WriteCall lateWrite = new WriteCall("late");
+    engine.submit(lateWrite.toCall());
+    assertEquals(new Reply.Rejected(0), lateWrite.awaitReply());
     engine.close();
     rig.settled();
-    for (Write write : others) {
+    for (WriteCall write : otherWrites) {
       assertEquals(0, write.bytes.refCnt());
       assertTrue(write.replies.isEmpty());
     }
   }
 
   @Test
-  void callsPastTheBoundAreRefusedAtOnce() throws Exception {
-    List<Write> writes = new ArrayList<>();
+  void rejectsCallsAtOnceWhenTooManyWait() throws Exception {
+    List<WriteCall> writes = new ArrayList<>();
     rig.pausedWhile(
         () -> {
           for (int i = 0; i < 5000; i++) {
-            Write write = new Write("w" + i);
+            WriteCall write = new WriteCall("w" + i);
             writes.add(write);
-            engine.submit(write.call());
+            engine.submit(write.toCall());
           }
-          for (Write write : writes.subList(4096, 5000)) {
+          for (WriteCall write : writes.subList(4096, 5000)) {
             assertEquals(new Reply.Rejected(0), write.replies.poll());
             assertEquals(0, write.bytes.refCnt());
           }
           assertTrue(writes.subList(0, 4096).stream().allMatch(w -> w.replies.isEmpty()));
         });
     engine.close();
-    for (Write write : writes.subList(0, 4096)) {
-      write.next();
+    for (WriteCall write : writes.subList(0, 4096)) {
+      write.awaitReply();
     }
   }
 
   @RepeatedTest(10)
-  void everyCallThatRacesTheCloseGetsOneAnswer() throws Exception {
-    int threads = 4;
-    int each = 200;
-    List<Write> writes = new ArrayList<>();
-    for (int i = 0; i < threads * each; i++) {
-      writes.add(new Write("w" + i));
+  void answersEachCallOnceWhenSubmitsRaceWithClose() throws Exception {
+    int threadCount = 4;
+    int callsPerThread = 200;
+    List<WriteCall> writes = new ArrayList<>();
+    for (int i = 0; i < threadCount * callsPerThread; i++) {
+      writes.add(new WriteCall("w" + i));
     }
-    CountDownLatch go = new CountDownLatch(1);
+    CountDownLatch startSignal = new CountDownLatch(1);
     List<Thread> submitters = new ArrayList<>();
-    for (int t = 0; t < threads; t++) {
-      List<Write> own = writes.subList(t * each, (t + 1) * each);
+    for (int threadIndex = 0; threadIndex < threadCount; threadIndex++) {
+      List<WriteCall> ownWrites =
+          writes.subList(threadIndex * callsPerThread, (threadIndex + 1) * callsPerThread);
       Thread thread =
           new Thread(
               () -> {
                 try {
-                  go.await();
+                  startSignal.await();
                 } catch (InterruptedException e) {
                   return;
                 }
-                own.forEach(write -> engine.submit(write.call()));
+                ownWrites.forEach(write -> engine.submit(write.toCall()));
               });
       thread.start();
       submitters.add(thread);
     }
-    go.countDown();
+    startSignal.countDown();
     Thread.sleep(1);
     rig.node.close();
     for (Thread thread : submitters) {
       thread.join();
     }
-    for (Write write : writes) {
-      Reply reply = write.next();
+    for (WriteCall write : writes) {
+      Reply reply = write.awaitReply();
       if (reply instanceof Reply.Failed failed) {
         assertTrue(failed.mayHaveRun());
       } else {
@@ -274,8 +275,8 @@
       }
       assertEquals(0, write.bytes.refCnt());
     }
-    for (Write write : writes) {
-      assertTrue(write.replies.isEmpty(), "answered twice");
+    for (WriteCall write : writes) {
+      assertTrue(write.replies.isEmpty(), "a call was answered twice");
     }
   }
 }
--- a/engine/src/test/java/shalepaddle/node/EventLoopStallTest.java
+++ b/engine/src/test/java/shalepaddle/node/EventLoopStallTest.java
@@ -14,9 +14,9 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
- * What a node does about events of a time in which its event loop did not run. The loop is held by
- * a task that sleeps, so that the kernel goes on receiving for it; what happens meanwhile happens
- * in an order that the test sets.
+ * Tests how a node handles events that arrive during a stall of its event loop. A task blocks the
+ * loop while the kernel still receives for it, so that the test sets the order of events in the
+ * stall.
  */
 class EventLoopStallTest {
   private NodeFixture rig;
@@ -31,8 +31,8 @@
     rig.close();
   }
 
-  /** Serves one read, so that the client's connection is between two requests. */
-  private ScriptedPeer warm(ScriptedPeer client, String id) throws Exception {
+  /** Serves one read, after which the client's connection is idle. */
+  private ScriptedPeer serveFirstRead(ScriptedPeer client, String id) throws Exception {
     client.write(NodeFixture.get(id, 2000));
     ScriptedPeer cache = rig.acceptCache();
     serve(cache, id);
@@ -48,24 +48,26 @@
   }
 
   @Test
-  void aRequestThatCameInAPauseIsAnsweredThoughItsConnectionHadLongBeenIdle() throws Exception {
+  void answersRequestThatArrivedInStallOnIdleConnection() throws Exception {
     ScriptedPeer client = rig.client();
-    ScriptedPeer cache = warm(client, "a1");
-    // Idle for 4 s by the wall when the loop runs again: it would be closed as useless.
+    ScriptedPeer cache = serveFirstRead(client, "a1");
+    // When the loop runs again, the connection has been idle for more than 4 s of real time, after
+    // which the node closes idle connections.
     rig.pausedWhile(
         () -> {
           Thread.sleep(4300);
-          // Enough time also if it had been sent as the pause began, which the node can't tell.
+          // The deadline must be long enough even if the request was sent as the stall began,
+          // which is what the node has to assume.
           client.write(NodeFixture.get("a2", 6500));
         });
     serve(cache, "a2");
     assertEquals("VA 1 Oa2", client.line());
   }
 
-  /** A turn accepts so many of a backlog and does not look whether more wait. */
+  /** A turn accepts a limited number of connections, and does not check whether more wait. */
   @Test
-  void aClientThatComesLongAfterAWholeBacklogHasItsWholeTime() throws Exception {
-    ScriptedPeer cache = warm(rig.client(), "a1");
+  void doesNotShortenDeadlineOfClientThatConnectsLongAfterStall() throws Exception {
+    ScriptedPeer cache = serveFirstRead(rig.client(), "a1");
     rig.pausedWhile(
         () -> {
           for (int i = 0; i < 16; i++) {
@@ -79,7 +81,7 @@
   }
 
   @Test
-  void aFirstRequestThatCameInAPauseIsAnswered() throws Exception {
+  void answersFirstRequestThatArrivedInStall() throws Exception {
     ScriptedPeer client = rig.client();
     client.write("mg key v Oa1 Pc=read");
     rig.pausedWhile(
@@ -92,15 +94,15 @@
   }
 
   @Test
-  void clientsWithUnreadRequestsDoNotGiveWay() throws Exception {
+  void keepsClientsWithUnreadRequestsWhenConnectionLimitIsReached() throws Exception {
     rig.close();
     rig = new NodeFixture(1, 128);
     List<ScriptedPeer> clients = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       clients.add(rig.client());
     }
-    rig.client().write("mn\r\n").line(); // All before it are accepted.
-    Thread.sleep(100); // Long enough for those that have asked for nothing to give way.
+    rig.client().write("mn\r\n").line(); // All earlier clients are accepted.
+    Thread.sleep(100); // Unused connections may now be closed for new ones.
     rig.pausedWhile(
         () -> {
           for (ScriptedPeer client : clients) {
@@ -116,13 +118,13 @@
   }
 
   @Test
-  void aServerIsNotTakenForSilentBecauseNobodyListened() throws Exception {
+  void keepsConnectionToServerThatAnsweredInStall() throws Exception {
     ScriptedPeer client = rig.client();
-    ScriptedPeer cache = warm(client, "a1");
+    ScriptedPeer cache = serveFirstRead(client, "a1");
     client.write(NodeFixture.get("a2", 1000));
     String line = cache.line();
     assertTrue(line.contains("Oa2 "), line);
-    // It answers in the pause, in which the time for that passes.
+    // The server answers in the stall, in which the time allowed for its answer passes.
     rig.pausedWhile(
         1100,
         () -> {
@@ -131,15 +133,15 @@
         });
     assertEquals("VA 1 Oa2", client.line());
     assertEquals("x", client.line());
-    // Nor is its connection given up: the next request goes there.
+    // The connection to this server is kept: the next request is sent on it.
     client.write(NodeFixture.get("a3", 2000));
     serve(cache, "a3");
   }
 
   @Test
-  void anAnswerThatBeganBeforeAPauseMayEndAfterIt() throws Exception {
+  void servesResponseThatBeginsBeforeStallAndEndsAfterIt() throws Exception {
     ScriptedPeer client = rig.client();
-    ScriptedPeer cache = warm(client, "a1");
+    ScriptedPeer cache = serveFirstRead(client, "a1");
     client.write(NodeFixture.get("a2", 3000));
     cache.line();
     cache.write("VA 10 Oa2\r\n01234");
@@ -155,30 +157,30 @@
   }
 
   @Test
-  void aWriteAfterAPauseDoesNotGoToAConnectionThatWasClosedInIt() throws Exception {
+  void doesNotWriteToConnectionThatWasClosedInStall() throws Exception {
     ScriptedPeer client = rig.client();
-    ScriptedPeer cache = warm(client, "a1");
+    ScriptedPeer cache = serveFirstRead(client, "a1");
     rig.pausedWhile(
         () -> {
           client.write(NodeFixture.put("a2", 2000, "v"));
           cache.close();
           Thread.sleep(300);
         });
-    ScriptedPeer next = rig.acceptCache();
-    assertTrue(next.line().contains("Oa2 "));
-    next.line();
-    next.write("HD Oa2 c1\r\n");
+    ScriptedPeer newConnection = rig.acceptCache();
+    assertTrue(newConnection.line().contains("Oa2 "));
+    newConnection.line();
+    newConnection.write("HD Oa2 c1\r\n");
     assertEquals("HD Oa2 c1", client.line());
   }
 
   @Test
-  void everyRequestWhoseTimePassedInAPauseGetsOneAnswerAndAWriteGoesOutOnce() throws Exception {
+  void answersRequestsThatExpiredInStallOnceWithoutSendingThemAgain() throws Exception {
     ScriptedPeer reader = rig.client();
-    ScriptedPeer cache = warm(reader, "a1");
+    ScriptedPeer cache = serveFirstRead(reader, "a1");
     ScriptedPeer writer = rig.client();
     writer.write(NodeFixture.put("w1", 300, "v"));
-    String sent = cache.line();
-    assertTrue(sent.startsWith("ms ") && sent.contains("Ow1 "), sent);
+    String writeLine = cache.line();
+    assertTrue(writeLine.startsWith("ms ") && writeLine.contains("Ow1 "), writeLine);
     cache.line();
     rig.pausedWhile(
         () -> {
@@ -186,12 +188,13 @@
           Thread.sleep(1000);
         });
     assertEquals("SERVER_ERROR failed", writer.line());
-    // Its time counts from when its client sent it: it is over, and nothing is sent on for it.
-    String rejected = reader.line();
-    assertTrue(rejected.startsWith("SERVER_ERROR busy"), rejected);
-    assertTrue(cache.ended(), "the write's connection, which is given up with it, has more");
-    assertFalse(rig.sendsOnNewConnection(100), "sent on after its time");
-    // Nothing more comes for either.
+    // A request's deadline counts from when the client sent it: a2's has passed in the stall, so
+    // a2 is not forwarded.
+    String rejection = reader.line();
+    assertTrue(rejection.startsWith("SERVER_ERROR busy"), rejection);
+    assertTrue(cache.ended(), "more bytes were sent on the connection of the write");
+    assertFalse(rig.sendsOnNewConnection(100), "a2 was forwarded after its deadline");
+    // Neither client gets another response.
     writer.write("mn\r\n");
     reader.write("mn\r\n");
     assertEquals("MN", writer.line());
@@ -200,7 +203,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {300, 3000})
-  void discoveryIsNotTakenForSilent(int millis) throws Exception {
+  void keepsWatchOpenWhenDiscoverySendsInStall(int stallMillis) throws Exception {
     ScriptedPeer watch = rig.acceptDiscovery();
     String line = watch.line();
     assertTrue(line.startsWith("GET "), line);
@@ -212,9 +215,9 @@
     Thread.sleep(2000);
     rig.pausedWhile(
         () -> {
-          // It goes on as ever, and the kernel receives for the node.
-          for (int left = millis; left > 0; left -= 1000) {
-            Thread.sleep(Math.min(left, 1000));
+          // Discovery goes on sending empty lines, which the kernel receives for the node.
+          for (int remainingMillis = stallMillis; remainingMillis > 0; remainingMillis -= 1000) {
+            Thread.sleep(Math.min(remainingMillis, 1000));
             watch.write("1\r\n\n\r\n");
           }
         });
@@ -223,12 +226,15 @@
     watch.write(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
     rig.settled();
     watch.write("1\r\n\n\r\n");
-    assertFalse(rig.hasAnotherDiscoveryCall(300), "the watch was given up");
+    assertFalse(rig.hasAnotherDiscoveryCall(300), "the watch was closed and reopened");
   }
 
-  /** What a watch misses binds the node by the wall, also where the node stood still for a part. */
+  /**
+   * A node must have the current list again at most 6 s after its watch fell silent. The time of a
+   * stall counts, so the node must not wait longer because of it.
+   */
   @Test
-  void discoveryThatSaidNothingInAPauseIsAskedAnewAsSoonAsWithoutOne() throws Exception {
+  void reopensSilentWatchAfterStallAsSoonAsWithoutStall() throws Exception {
     ScriptedPeer watch = rig.acceptDiscovery();
     String line = watch.line();
     while (!line.isEmpty()) {
@@ -237,6 +243,6 @@
     watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
     rig.settled();
     rig.pausedWhile(() -> Thread.sleep(3300));
-    assertTrue(rig.hasAnotherDiscoveryCall(1000), "the silent watch was kept");
+    assertTrue(rig.hasAnotherDiscoveryCall(1000), "the silent watch was not reopened");
   }
 }
--- a/engine/src/test/java/shalepaddle/node/EventLoopThreadsTest.java
+++ b/engine/src/test/java/shalepaddle/node/EventLoopThreadsTest.java
@@ -11,12 +11,13 @@
 import shalepaddle.loop.Log;
 
 class EventLoopThreadsTest {
-  private final List<String> lines = new CopyOnWriteArrayList<>();
-  private final AtomicInteger failures = new AtomicInteger();
+  private final List<String> logLines = new CopyOnWriteArrayList<>();
+  private final AtomicInteger failureCount = new AtomicInteger();
   private final EventLoopThreads threads =
-      new EventLoopThreads(new Log(Ticker.systemTicker(), lines::add), failures::incrementAndGet);
+      new EventLoopThreads(
+          new Log(Ticker.systemTicker(), logLines::add), failureCount::incrementAndGet);
 
-  private void run(Runnable loop) throws InterruptedException {
+  private void runToEnd(Runnable loop) throws InterruptedException {
     Thread thread = threads.newThread(loop);
     thread.start();
     thread.join();
@@ -24,42 +25,42 @@
 
   @Test
   void reportsErrorThatEndsLoop() throws Exception {
-    run(
+    runToEnd(
         () -> {
           throw new NoClassDefFoundError("forced");
         });
-    assertEquals(1, failures.get());
-    assertTrue(lines.get(0).contains("event=event_loop_failed"), lines.get(0));
-    assertTrue(lines.get(0).contains("forced"), lines.get(0));
+    assertEquals(1, failureCount.get());
+    assertTrue(logLines.get(0).contains("event=event_loop_failed"), logLines.get(0));
+    assertTrue(logLines.get(0).contains("forced"), logLines.get(0));
   }
 
   @Test
   void reportsLoopThatEndsWithoutError() throws Exception {
-    run(() -> {});
-    assertEquals(1, failures.get());
+    runToEnd(() -> {});
+    assertEquals(1, failureCount.get());
   }
 
   @Test
-  void reportsFailureThoughLogFails() throws Exception {
-    EventLoopThreads mute =
+  void reportsFailureWhenLogFails() throws Exception {
+    EventLoopThreads threadsWithFailingLog =
         new EventLoopThreads(
             new Log(
                 Ticker.systemTicker(),
                 line -> {
-                  throw new IllegalStateException("no log");
+                  throw new IllegalStateException("thrown by the log of this test");
                 }),
-            failures::incrementAndGet);
-    Thread thread = mute.newThread(() -> {});
-    thread.setUncaughtExceptionHandler((which, cause) -> {});
+            failureCount::incrementAndGet);
+    Thread thread = threadsWithFailingLog.newThread(() -> {});
+    thread.setUncaughtExceptionHandler((failed, cause) -> {});
     thread.start();
     thread.join();
-    assertEquals(1, failures.get());
+    assertEquals(1, failureCount.get());
   }
 
   @Test
   void reportsNothingAfterShutdownIsAllowed() throws Exception {
     threads.allowShutdown();
-    run(() -> {});
-    assertEquals(0, failures.get());
+    runToEnd(() -> {});
+    assertEquals(0, failureCount.get());
   }
 }
--- a/engine/src/test/java/shalepaddle/node/IdempotencyWindowRetryTest.java
+++ b/engine/src/test/java/shalepaddle/node/IdempotencyWindowRetryTest.java
@@ -11,14 +11,15 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
- * A keyed request that may have run, and whose repeat was decided on in time, waits until its group
- * has forgotten it: it is not written then, and its client is told at once.
+ * Retries of a request with an idempotency key, which may have run. A retry that is decided on in
+ * time, but has to wait until the window of its idempotency group is over, is not written: the
+ * group no longer recognises it as a repeat. The client is answered as soon as the window is over.
  */
 @Timeout(30)
 class IdempotencyWindowRetryTest {
   private static final int WINDOW_MILLIS = 1000;
 
-  /** One connection to the server, with so many requests at a time. */
+  /** One connection to the server. Placeholders: parallel-tries, multiplex and repeat-window. */
   private static final String SETTINGS =
       """
       ,"instances":28,"caps":{"attempts-cap":4,"cancel":false,"parallel-tries":%b,\
@@ -30,88 +31,93 @@
   private NodeFixture rig;
 
   @AfterEach
-  void end() throws IOException {
+  void closeNode() throws IOException {
     rig.close();
   }
 
-  /** Its client is told when the window is over, while what it waits for has not come. */
-  private static void hearsInTime(ScriptedPeer writer, long since) throws IOException {
+  /** Checks that the client gets an error when the window ends, while its request waits. */
+  private static void assertAnsweredWhenWindowEnds(ScriptedPeer writer, long sentAtNanos)
+      throws IOException {
     String answer = writer.line();
-    long told = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since);
+    long answeredAfterMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos);
     assertTrue(answer.startsWith("SERVER_ERROR") && !answer.contains("busy"), answer);
-    assertTrue(told < WINDOW_MILLIS + 500, "told after " + told + " ms");
+    assertTrue(
+        answeredAfterMillis < WINDOW_MILLIS + 500,
+        "the write was answered after " + answeredAfterMillis + " ms");
   }
 
-  private static void read(ScriptedPeer cache, String id) throws IOException {
+  private static void assertNextRequest(ScriptedPeer cache, String id) throws IOException {
     String line = cache.line();
-    assertTrue(line != null && line.contains("O" + id + " "), id + " is not next: " + line);
+    assertTrue(
+        line != null && line.contains("O" + id + " "),
+        "expected request " + id + ", got " + line);
   }
 
-  private ScriptedPeer acceptsTheWrite() throws IOException {
+  private ScriptedPeer acceptWrite() throws IOException {
     ScriptedPeer cache = rig.acceptCache();
-    read(cache, "k1");
+    assertNextRequest(cache, "k1");
     assertEquals("v", cache.line());
     return cache;
   }
 
   @Test
-  void isNotWrittenOnceAPlaceComesFreeAfterTheWindow() throws Exception {
+  void doesNotRetryWhenConnectionIsFreeOnlyAfterWindow() throws Exception {
     rig = new NodeFixture(SETTINGS.formatted(false, 1, WINDOW_MILLIS / 1000));
     ScriptedPeer writer = rig.client().write(NodeFixture.put("k1", 20_000, "v"));
-    final long since = System.nanoTime();
-    ScriptedPeer cache = acceptsTheWrite();
+    final long sentAtNanos = System.nanoTime();
+    ScriptedPeer cache = acceptWrite();
     ScriptedPeer reader = rig.client().write(NodeFixture.get("r1", 20_000));
     rig.settled();
     cache.reset();
-    ScriptedPeer next = rig.acceptCache();
-    read(next, "r1");
-    hearsInTime(writer, since);
-    next.write("VA 1 Or1\r\nx\r\n");
+    ScriptedPeer newConnection = rig.acceptCache();
+    assertNextRequest(newConnection, "r1");
+    assertAnsweredWhenWindowEnds(writer, sentAtNanos);
+    newConnection.write("VA 1 Or1\r\nx\r\n");
     assertEquals("VA 1 Or1", reader.line());
     assertEquals("x", reader.line());
     reader.write(NodeFixture.get("r2", 20_000));
-    read(next, "r2");
+    assertNextRequest(newConnection, "r2");
   }
 
   @Test
-  void isNotWrittenBehindBytesThatTheKernelTakesAfterTheWindow() throws Exception {
+  void doesNotRetryBehindBytesWrittenOnlyAfterWindow() throws Exception {
     rig = new NodeFixture(SETTINGS.formatted(true, 400, WINDOW_MILLIS / 1000));
     ScriptedPeer writer = rig.client().write(NodeFixture.put("k1", 20_000, "v"));
-    final long since = System.nanoTime();
-    ScriptedPeer cache = acceptsTheWrite();
-    int length = 4 << 20;
-    String large = NodeFixture.put("w1", 20_000, "v".repeat(length));
-    ScriptedPeer other = rig.client().write(large.replace("c=put", "c=other"));
-    // Its first line alone is read: the rest fills the connection.
-    read(cache, "w1");
+    final long sentAtNanos = System.nanoTime();
+    ScriptedPeer cache = acceptWrite();
+    int valueBytes = 4 << 20;
+    String largeWrite = NodeFixture.put("w1", 20_000, "v".repeat(valueBytes));
+    ScriptedPeer otherWriter = rig.client().write(largeWrite.replace("c=put", "c=other"));
+    // The server reads only the first line of the large write; the rest fills the socket buffers.
+    assertNextRequest(cache, "w1");
     rig.settled();
-    // The first is answered in words that do not say whether it ran, so that it is tried again.
+    // This response does not say whether the write k1 ran, so the node retries k1.
     cache.write("SERVER_ERROR failed\r\n");
-    hearsInTime(writer, since);
-    cache.bytes(length + 2);
+    assertAnsweredWhenWindowEnds(writer, sentAtNanos);
+    cache.bytes(valueBytes + 2);
     cache.write("HD Ow1 c1\r\n");
-    assertEquals("HD Ow1 c1", other.line());
-    ScriptedPeer last = rig.client().write(NodeFixture.get("r1", 20_000));
-    read(cache, "r1");
+    assertEquals("HD Ow1 c1", otherWriter.line());
+    ScriptedPeer lastReader = rig.client().write(NodeFixture.get("r1", 20_000));
+    assertNextRequest(cache, "r1");
     cache.write("VA 1 Or1\r\nx\r\n");
-    assertEquals("VA 1 Or1", last.line());
+    assertEquals("VA 1 Or1", lastReader.line());
   }
 
   @Test
-  void isWrittenInTimeWhereAPlaceComesFree() throws Exception {
+  void retriesWhenConnectionIsFreeWithinWindow() throws Exception {
     rig = new NodeFixture(SETTINGS.formatted(false, 1, "10"));
     ScriptedPeer writer = rig.client().write(NodeFixture.put("k1", 20_000, "v"));
-    ScriptedPeer cache = acceptsTheWrite();
+    ScriptedPeer cache = acceptWrite();
     ScriptedPeer reader = rig.client().write(NodeFixture.get("r1", 20_000));
     rig.settled();
     cache.reset();
-    ScriptedPeer next = rig.acceptCache();
-    read(next, "r1");
-    next.write("VA 1 Or1\r\nx\r\n");
+    ScriptedPeer newConnection = rig.acceptCache();
+    assertNextRequest(newConnection, "r1");
+    newConnection.write("VA 1 Or1\r\nx\r\n");
     assertEquals("VA 1 Or1", reader.line());
-    read(next, "k1");
-    assertEquals("v", next.line());
-    next.write("HD Ok1 c1\r\n");
+    assertNextRequest(newConnection, "k1");
+    assertEquals("v", newConnection.line());
+    newConnection.write("HD Ok1 c1\r\n");
     assertEquals("HD Ok1 c1", writer.line());
   }
 }
--- a/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
+++ b/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
@@ -35,31 +35,32 @@
 import shalepaddle.model.Request;
 import shalepaddle.model.ServerEntry;
 
-/** Like reads at a dispatcher whose servers are this test, in time that this test lets pass. */
+/** Tests that a dispatcher coalesces reads, in virtual time and without real servers. */
 class JoinedReadsTest {
-  private static final long TICK = 1;
+  private static final long TICK_MILLIS = 1;
 
-  private final List<Attempt> sent = new ArrayList<>();
-  private final List<Attempt> withdrawn = new ArrayList<>();
+  private final List<Attempt> sentAttempts = new ArrayList<>();
+  private final List<Attempt> withdrawnAttempts = new ArrayList<>();
 
-  /** Answers by id, in the order in which they were given, and when in milliseconds. */
+  /** Replies by request id, in the order in which they were given. */
   private final Map<String, Reply> replies = new LinkedHashMap<>();
 
-  private final Map<String, Long> answeredAt = new LinkedHashMap<>();
+  /** Virtual time of each reply by request id, in milliseconds. */
+  private final Map<String, Long> answeredAtMillis = new LinkedHashMap<>();
   private final Map<String, Submission> submissions = new LinkedHashMap<>();
-  private int taken;
+  private int submittedCount;
 
-  /** Whether attempts wait for a connection. */
-  private boolean noConnection;
+  /** Whether attempts wait for a connection, so that they are not written. */
+  private boolean hasNoConnection;
 
-  /** Whether attempts end as broken before their send returns. */
-  private boolean breaksAtOnce;
+  /** Whether each attempt fails before {@link Upstream#send} returns. */
+  private boolean isFailingAtOnce;
 
   private final VirtualEngine engine =
       new VirtualEngine(
           new LoopClock.Listener() {
             @Override
-            public void onStall(long nanos) {}
+            public void onStall(long stallNanos) {}
 
             @Override
             public void onTaskFailure(RuntimeException cause) {
@@ -67,7 +68,7 @@
             }
 
             @Override
-            public void onTurnEnd(long begunAt, long now) {}
+            public void onTurnEnd(long begunAtNanos, long nowNanos) {}
           });
 
   private Dispatcher dispatcher;
@@ -89,42 +90,42 @@
             {"name":"write","effect":"fragile","slo":0.3,"give-up":2,"credit":5}
             """,
             CoalescingConfig.DEFAULTS,
-            new Servers(),
+            new UpstreamStandIn(),
             7,
             8);
   }
 
-  private final class Servers implements Upstream {
+  private final class UpstreamStandIn implements Upstream {
     @Override
     public void send(Attempt attempt) {
-      sent.add(attempt);
-      if (breaksAtOnce) {
+      sentAttempts.add(attempt);
+      if (isFailingAtOnce) {
         dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
         return;
       }
-      if (!noConnection) {
-        attempt.assignTo((gone, overdue) -> {});
+      if (!hasNoConnection) {
+        attempt.assignTo((cancelled, isOverdue) -> {});
         attempt.markWritten();
       }
     }
 
     @Override
-    public void withdraw(Attempt attempt, boolean overdue) {
-      withdrawn.add(attempt);
+    public void withdraw(Attempt attempt, boolean isOverdue) {
+      withdrawnAttempts.add(attempt);
     }
 
     @Override
-    public void closeIdle(long server) {}
+    public void closeIdle(long serverId) {}
   }
 
   @AfterEach
-  void nothingIsLeft() {
+  void closeAndAssertPayloadsReleased() {
     dispatcher.close();
     assertEquals(0, dispatcher.openRequests());
     assertEquals(0, dispatcher.timers().size());
     assertEquals(0, dispatcher.coalescingSnapshot().waiters());
     assertEquals(0, dispatcher.coalescingSnapshot().openFlights());
-    assertEquals(taken, engine.released, "each payload is released once");
+    assertEquals(submittedCount, engine.released, "not each submitted payload was released once");
     for (Reply reply : replies.values()) {
       if (reply instanceof Reply.Value served && served.value().refCnt() > 0) {
         served.value().release();
@@ -133,44 +134,54 @@
     engine.close();
   }
 
-  private Submission ask(String id, String type, long millis, Runnable then) {
-    taken++;
+  private Submission submit(String id, String serviceClass, long deadlineMillis, Runnable onReply) {
+    submittedCount++;
     Request request =
-        new Request(id, "key", type, null, millis / 1e3, 0, 0, false, type.equals("write"));
+        new Request(
+            id,
+            "key",
+            serviceClass,
+            null,
+            deadlineMillis / 1e3,
+            0,
+            0,
+            false,
+            serviceClass.equals("write"));
     Submission submission =
         dispatcher.submit(
             new Call(
                 request,
                 engine.payload(),
                 reply -> {
-                  assertNull(replies.put(id, reply), id + " is answered once");
-                  answeredAt.put(id, engine.millis());
-                  then.run();
+                  assertNull(replies.put(id, reply), id + " was answered twice");
+                  answeredAtMillis.put(id, engine.millis());
+                  onReply.run();
                 }));
     submissions.put(id, submission);
     return submission;
   }
 
-  private Submission read(String id, long millis) {
-    return ask(id, "read", millis, () -> {});
+  private Submission read(String id, long deadlineMillis) {
+    return submit(id, "read", deadlineMillis, () -> {});
   }
 
   /**
-   * Lets the key be known at its server: the policy then takes no read of it for a likely fetch, of
-   * which one waits for the other.
+   * Reads the key once, so that the policy knows that its server has the key. Reads of an unknown
+   * key probably fetch from the origin, and the policy then delays the second read until the first
+   * ends.
    */
-  private void warm() {
+  private void readKeyOnce() {
     read("warm", 1000);
-    serve(sent.get(0), "warm");
-    sent.clear();
+    serve(sentAttempts.get(0), "warm");
+    sentAttempts.clear();
     replies.clear();
   }
 
-  private void gone(String id) {
+  private void disconnect(String id) {
     dispatcher.clientDisconnected(submissions.get(id));
   }
 
-  private static ServerReply served(Attempt attempt, ByteBuf value) {
+  private static ServerReply valueReply(Attempt attempt, ByteBuf value) {
     return new ServerReply(
         Outcome.Result.OK,
         attempt.call().request().id(),
@@ -182,12 +193,12 @@
 
   private ByteBuf serve(Attempt attempt, String text) {
     ByteBuf value = Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
-    dispatcher.responseReceived(attempt, served(attempt, value));
+    dispatcher.responseReceived(attempt, valueReply(attempt, value));
     value.release();
     return value;
   }
 
-  private String value(String id) {
+  private String servedText(String id) {
     Reply.Value served = assertInstanceOf(Reply.Value.class, replies.get(id), id);
     return served.value().toString(StandardCharsets.US_ASCII);
   }
@@ -197,166 +208,175 @@
   }
 
   @Test
-  void aHundredReadsAreOneAttemptAndAreAnsweredInTheirOrder() {
-    List<String> order = new ArrayList<>();
+  void coalescesReadsIntoOneAttemptAndAnswersInOrder() {
+    List<String> expectedOrder = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
       read("r" + i, 500 + 10 * ((i * 37) % 100));
-      order.add("r" + i);
+      expectedOrder.add("r" + i);
     }
-    assertEquals(1, sent.size());
+    assertEquals(1, sentAttempts.size());
     engine.pass(40);
-    ByteBuf value = serve(sent.get(0), "hello");
-    assertEquals(order, new ArrayList<>(replies.keySet()));
-    assertEquals(100, value.refCnt(), "one buffer, held by each of them");
-    for (String id : order) {
-      assertEquals("hello", value(id));
+    ByteBuf value = serve(sentAttempts.get(0), "hello");
+    assertEquals(expectedOrder, new ArrayList<>(replies.keySet()));
+    assertEquals(100, value.refCnt(), "the replies do not all retain one buffer");
+    for (String id : expectedOrder) {
+      assertEquals("hello", servedText(id));
       ((Reply.Value) replies.get(id)).value().release();
     }
     assertEquals(0, value.refCnt());
-    assertEquals(1, sent.size());
+    assertEquals(1, sentAttempts.size());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 10, 20, 30, 40, 50, 60, 70, 80, 99})
-  void theFirstMayLeaveAtAnyPoint(int after) {
-    List<String> order = new ArrayList<>();
+  void keepsAttemptWhenFirstClientDisconnects(int lastReadBeforeDisconnect) {
+    List<String> expectedOrder = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
       read("r" + i, 2000);
-      if (i == after) {
-        gone("r0");
+      if (i == lastReadBeforeDisconnect) {
+        disconnect("r0");
         if (i == 0) {
-          assertEquals(List.of(sent.get(0)), withdrawn, "nobody else waits");
+          assertEquals(
+              List.of(sentAttempts.get(0)),
+              withdrawnAttempts,
+              "the attempt was not withdrawn, though no other read waits");
         }
       }
       engine.pass(i % 10 == 0 ? 1 : 0);
       if (i > 0) {
-        order.add("r" + i);
+        expectedOrder.add("r" + i);
       }
     }
-    assertEquals(after == 0 ? 2 : 1, sent.size());
-    serve(sent.get(sent.size() - 1), "v");
-    assertEquals(order, new ArrayList<>(replies.keySet()));
+    assertEquals(lastReadBeforeDisconnect == 0 ? 2 : 1, sentAttempts.size());
+    serve(sentAttempts.get(sentAttempts.size() - 1), "v");
+    assertEquals(expectedOrder, new ArrayList<>(replies.keySet()));
   }
 
   @Test
-  void eachWaitsForAsLongAsItWould() {
+  void failsEachReadAtItsOwnDeadline() {
     for (int i = 0; i < 100; i++) {
       read("r" + i, 10L * (i + 1));
     }
     engine.pass(504);
-    serve(sent.get(0), "late");
+    serve(sentAttempts.get(0), "late");
     engine.pass(600);
-    assertEquals(1, sent.size());
+    assertEquals(1, sentAttempts.size());
     for (int i = 0; i < 100; i++) {
-      long due = 10L * (i + 1);
-      long at = answeredAt.get("r" + i);
-      if (due <= 504) {
+      long dueMillis = 10L * (i + 1);
+      long answeredMillis = answeredAtMillis.get("r" + i);
+      if (dueMillis <= 504) {
         assertEquals(new Reply.Failed(true), replies.get("r" + i));
-        assertTrue(at <= due && at >= due - 2 * TICK, "due at " + due + ", told at " + at);
+        assertTrue(
+            answeredMillis <= dueMillis && answeredMillis >= dueMillis - 2 * TICK_MILLIS,
+            "reply due at " + dueMillis + " ms, answered at " + answeredMillis + " ms");
       } else {
-        assertEquals("late", value("r" + i));
+        assertEquals("late", servedText("r" + i));
       }
     }
   }
 
   @Test
-  void thePatientGetTheAnswerThatTheImpatientDidNot() {
+  void servesReadWithLaterDeadlineWhenFirstHasExpired() {
     read("hasty", 100);
     engine.pass(20);
     read("patient", 1000);
     engine.pass(100);
     assertInstanceOf(Reply.Failed.class, replies.get("hasty"));
-    assertEquals(List.of(), withdrawn, "its attempt has the other's time");
+    assertEquals(
+        List.of(), withdrawnAttempts, "the attempt was withdrawn, though another read waits");
     engine.pass(500);
-    serve(sent.get(0), "v");
-    assertEquals("v", value("patient"));
+    serve(sentAttempts.get(0), "v");
+    assertEquals("v", servedText("patient"));
   }
 
   @Test
-  void whoJoinsWhileNothingHasBegunYetGivesTheRequestItsTime() {
-    // Each request is begun at once here, but for those that a turn leaves to the next.
-    noConnection = true;
+  void extendsDeadlineOfUnwrittenAttemptWhenReadJoins() {
+    // The dispatcher routes a request in submit, unless this turn has no time left for it.
+    hasNoConnection = true;
     read("a", 50);
     read("b", 800);
     engine.pass(60);
     assertEquals(List.of("a"), List.copyOf(replies.keySet()));
-    Attempt attempt = sent.get(0);
-    assertEquals(
-        "b", idOf(attempt), "what waits for a connection goes out in a waiting one's name");
-    attempt.assignTo((gone, overdue) -> {});
+    Attempt attempt = sentAttempts.get(0);
+    assertEquals("b", idOf(attempt), "the attempt does not have the id of a read that waits");
+    attempt.assignTo((cancelled, isOverdue) -> {});
     attempt.markWritten();
     serve(attempt, "v");
-    assertEquals("v", value("b"));
+    assertEquals("v", servedText("b"));
   }
 
   @Test
-  void aReadAfterAWriteGetsNothingThatWasReadBefore() {
-    warm();
+  void readSubmittedAfterWriteDoesNotJoinEarlierRead() {
+    readKeyOnce();
     read("before", 1000);
-    ask("write", "write", 1000, () -> {});
+    submit("write", "write", 1000, () -> {});
     read("after", 1000);
-    assertEquals(List.of("before", "write", "after"), sent.stream().map(a -> idOf(a)).toList());
-    serve(sent.get(0), "old");
-    assertEquals("old", value("before"));
+    assertEquals(
+        List.of("before", "write", "after"), sentAttempts.stream().map(a -> idOf(a)).toList());
+    serve(sentAttempts.get(0), "old");
+    assertEquals("old", servedText("before"));
     assertNull(replies.get("after"));
-    serve(sent.get(2), "new");
-    assertEquals("new", value("after"));
+    serve(sentAttempts.get(2), "new");
+    assertEquals("new", servedText("after"));
   }
 
   @Test
-  void aReadAfterAWritesEndGetsNothingThatWasReadWhileItRan() {
-    warm();
-    ask("write", "write", 1000, () -> {});
+  void readSubmittedAfterWriteEndsDoesNotJoinReadDuringWrite() {
+    readKeyOnce();
+    submit("write", "write", 1000, () -> {});
     read("during", 1000);
     dispatcher.responseReceived(
-        sent.get(0),
+        sentAttempts.get(0),
         new ServerReply(Outcome.Result.OK, "write", "7", null, Outcome.CacheStatus.NONE, null));
     assertEquals(new Reply.Receipt("7"), replies.get("write"));
     read("after", 1000);
-    assertEquals(3, sent.size());
-    serve(sent.get(1), "old");
+    assertEquals(3, sentAttempts.size());
+    serve(sentAttempts.get(1), "old");
     assertNull(replies.get("after"));
   }
 
   @Test
-  void whatIsUnsafeToRepeatIsNotJoined() {
-    warm();
-    ask("a", "once", 1000, () -> {});
-    ask("b", "once", 1000, () -> {});
-    assertEquals(2, sent.size());
+  void doesNotCoalesceNonIdempotentRequests() {
+    readKeyOnce();
+    submit("a", "once", 1000, () -> {});
+    submit("b", "once", 1000, () -> {});
+    assertEquals(2, sentAttempts.size());
     read("c", 1000);
-    serve(sent.get(0), "v");
+    serve(sentAttempts.get(0), "v");
     read("d", 1000);
-    assertEquals(4, sent.size(), "what ended was news of the key");
+    assertEquals(
+        4,
+        sentAttempts.size(),
+        "a read joined a read that was sent before another request for the key ended");
   }
 
   @Test
-  void aBrokenConnectionIsTheBadLuckOfOne() {
+  void failsOnlyFirstReadWhenConnectionBreaks() {
     for (int i = 0; i < 100; i++) {
       read("r" + i, 1000);
     }
-    dispatcher.attemptEnded(sent.get(0), Outcome.Result.RESET);
+    dispatcher.attemptEnded(sentAttempts.get(0), Outcome.Result.RESET);
     assertEquals(List.of("r0"), List.copyOf(replies.keySet()));
-    assertEquals(List.of("r0", "r1"), sent.stream().map(a -> idOf(a)).toList());
-    serve(sent.get(1), "v");
+    assertEquals(List.of("r0", "r1"), sentAttempts.stream().map(a -> idOf(a)).toList());
+    serve(sentAttempts.get(1), "v");
     assertEquals(100, replies.size());
-    assertEquals("v", value("r99"));
+    assertEquals("v", servedText("r99"));
   }
 
   @Test
-  void oneFailureIsNotAHundredTries() {
+  void limitsRetriesOfCoalescedReads() {
     for (int i = 0; i < 100; i++) {
       read("r" + i, 1000);
     }
-    for (int i = 0; i < sent.size(); i++) {
-      dispatcher.attemptEnded(sent.get(i), Outcome.Result.RESET);
+    for (int i = 0; i < sentAttempts.size(); i++) {
+      dispatcher.attemptEnded(sentAttempts.get(i), Outcome.Result.RESET);
     }
-    assertEquals(4, sent.size());
+    assertEquals(4, sentAttempts.size());
     assertEquals(100, replies.size());
   }
 
   @Test
-  void whatIsRefusedAtOnceIsAnsweredAtOnce() {
+  void rejectsReadsAtOnceWhenServerListIsEmpty() {
     dispatcher.membership(new MembershipUpdate(MembershipUpdate.Kind.FULL, 2, List.of()));
     for (int i = 0; i < 3; i++) {
       read("r" + i, 1000);
@@ -366,79 +386,79 @@
   }
 
   @Test
-  void whatBreaksAtOnceAgainAndAgainIsAnsweredForAll() {
+  void answersAllReadsWhenEachRetryFailsAtOnce() {
     for (int i = 0; i < 10; i++) {
       read("r" + i, 1000);
     }
-    breaksAtOnce = true;
-    dispatcher.attemptEnded(sent.get(0), Outcome.Result.RESET);
-    assertEquals(4, sent.size());
+    isFailingAtOnce = true;
+    dispatcher.attemptEnded(sentAttempts.get(0), Outcome.Result.RESET);
+    assertEquals(4, sentAttempts.size());
     assertEquals(10, replies.size());
     assertEquals("r0", replies.keySet().iterator().next());
   }
 
   @Test
-  void whatJoinsAfterABreakGivesTheNewTryItsTime() {
+  void extendsDeadlineOfRetryWhenReadJoins() {
     read("a", 300);
     read("b", 300);
-    dispatcher.attemptEnded(sent.get(0), Outcome.Result.RESET);
+    dispatcher.attemptEnded(sentAttempts.get(0), Outcome.Result.RESET);
     read("c", 2000);
     engine.pass(400);
     assertInstanceOf(Reply.Failed.class, replies.get("b"));
-    serve(sent.get(1), "v");
-    assertEquals("v", value("c"));
+    serve(sentAttempts.get(1), "v");
+    assertEquals("v", servedText("c"));
   }
 
   @Test
-  void aServerThatTurnsAwayIsAskedOnceForAll() {
+  void rejectsAllReadsAfterOneAttemptWhenServerIsBusy() {
     for (int i = 0; i < 100; i++) {
       read("r" + i, 1000);
     }
-    dispatcher.attemptEnded(sent.get(0), Outcome.Result.SERVER_BUSY);
-    assertEquals(1, sent.size());
+    dispatcher.attemptEnded(sentAttempts.get(0), Outcome.Result.SERVER_BUSY);
+    assertEquals(1, sentAttempts.size());
     assertEquals(100, replies.size());
     assertInstanceOf(Reply.Rejected.class, replies.get("r99"));
-    // A key that is always refused is tried anew by each that comes after.
+    // The rejection ends the flight: the next read makes an attempt of its own.
     read("next", 1000);
-    assertEquals(2, sent.size());
+    assertEquals(2, sentAttempts.size());
   }
 
   @Test
-  void aRetryGoesOutInTheNameOfOneThatWaits() throws Exception {
+  void sendsRetryWithIdOfReadThatWaits() throws Exception {
     start(3);
     read("a", 1000);
     read("b", 1000);
     read("c", 1000);
-    gone("a");
-    gone("b");
-    dispatcher.attemptEnded(sent.get(0), Outcome.Result.RESET);
-    assertEquals(List.of("a", "c"), sent.stream().map(a -> idOf(a)).toList());
-    assertTrue(sent.get(1).matches(served(sent.get(1), Unpooled.EMPTY_BUFFER)));
-    serve(sent.get(1), "v");
-    assertEquals("v", value("c"));
+    disconnect("a");
+    disconnect("b");
+    dispatcher.attemptEnded(sentAttempts.get(0), Outcome.Result.RESET);
+    assertEquals(List.of("a", "c"), sentAttempts.stream().map(a -> idOf(a)).toList());
+    assertTrue(sentAttempts.get(1).matches(valueReply(sentAttempts.get(1), Unpooled.EMPTY_BUFFER)));
+    serve(sentAttempts.get(1), "v");
+    assertEquals("v", servedText("c"));
     assertEquals(1, replies.size());
   }
 
   @Test
-  void whenAllHaveLeftTheAttemptIsGivenUp() {
+  void withdrawsAttemptWhenAllClientsDisconnect() {
     read("a", 1000);
     read("b", 1000);
-    gone("b");
-    gone("a");
-    gone("a");
-    assertEquals(1, withdrawn.size());
+    disconnect("b");
+    disconnect("a");
+    disconnect("a");
+    assertEquals(1, withdrawnAttempts.size());
     assertEquals(0, dispatcher.openRequests());
     read("c", 1000);
-    assertEquals(2, sent.size());
+    assertEquals(2, sentAttempts.size());
   }
 
   @Test
-  void anIdIsInUseWhereverItsRequestWaits() {
+  void submitReturnsNullForIdOfReadThatWaits() {
     read("a", 1000);
     read("b", 1000);
     assertNull(read("a", 1000));
     assertNull(read("b", 1000));
-    serve(sent.get(0), "v");
+    serve(sentAttempts.get(0), "v");
     assertEquals(2, replies.size());
     replies.clear();
     assertNotEquals(null, read("b", 1000));
@@ -446,127 +466,131 @@
 
   @ParameterizedTest
   @CsvSource({"true, Failed", "false, Rejected"})
-  void theEndAnswersAllWhoWait(boolean written, String due) {
-    noConnection = !written;
+  void closeAnswersAllWaitingReads(boolean isWritten, String replyType) {
+    hasNoConnection = !isWritten;
     for (int i = 0; i < 20; i++) {
       read("r" + i, 1000);
     }
     dispatcher.close();
     assertEquals(20, replies.size());
-    replies.forEach((id, reply) -> assertEquals(due, reply.getClass().getSimpleName(), id));
+    replies.forEach((id, reply) -> assertEquals(replyType, reply.getClass().getSimpleName(), id));
     read("late", 1000);
     assertInstanceOf(Reply.Rejected.class, replies.get("late"));
-    assertEquals(1, sent.size());
+    assertEquals(1, sentAttempts.size());
   }
 
   @Test
-  void aDrainGivesNobodyMoreTimeThanIsLeft() {
+  void drainShortensDeadlineOfReadThatJoinsFlight() {
     read("a", 300);
     dispatcher.drainBy(engine.clock.now() + TimeUnit.MILLISECONDS.toNanos(500));
     read("b", 2000);
     engine.pass(510);
-    assertTrue(answeredAt.get("b") <= 500, "answered at " + answeredAt);
+    assertTrue(
+        answeredAtMillis.get("b") <= 500, "milliseconds of the replies: " + answeredAtMillis);
     assertEquals(2, replies.size());
   }
 
   @Test
-  void whoIsToldMayCallOffOthersAndAskAgain() {
-    ask(
+  void sinkMayCancelOtherReadsAndSubmitAgain() {
+    submit(
         "a",
         "read",
         1000,
         () -> {
-          gone("b");
+          disconnect("b");
           read("again", 1000);
         });
     read("b", 1000);
     read("c", 1000);
-    serve(sent.get(0), "v");
+    serve(sentAttempts.get(0), "v");
     assertEquals(List.of("a", "c"), List.copyOf(replies.keySet()));
-    assertEquals(List.of("a", "again"), sent.stream().map(a -> idOf(a)).toList());
+    assertEquals(List.of("a", "again"), sentAttempts.stream().map(a -> idOf(a)).toList());
   }
 
   @Test
-  void whoIsToldOfBadLuckMayAskAgainAndJoinsThoseWhoWait() {
-    ask("a", "read", 1000, () -> read("again", 1000));
+  void readSubmittedBySinkOnFailureJoinsWaitingReads() {
+    submit("a", "read", 1000, () -> read("again", 1000));
     read("b", 1000);
-    dispatcher.attemptEnded(sent.get(0), Outcome.Result.RESET);
-    assertEquals(List.of("a", "b"), sent.stream().map(a -> idOf(a)).toList());
-    serve(sent.get(1), "v");
-    assertEquals("v", value("again"));
+    dispatcher.attemptEnded(sentAttempts.get(0), Outcome.Result.RESET);
+    assertEquals(List.of("a", "b"), sentAttempts.stream().map(a -> idOf(a)).toList());
+    serve(sentAttempts.get(1), "v");
+    assertEquals("v", servedText("again"));
   }
 
   @Test
-  void whoIsToldOfBadLuckMayCallOffAllOthers() {
-    ask("a", "read", 1000, () -> gone("b"));
+  void doesNotRetryWhenSinkCancelsAllOtherReads() {
+    submit("a", "read", 1000, () -> disconnect("b"));
     read("b", 1000);
-    dispatcher.attemptEnded(sent.get(0), Outcome.Result.RESET);
-    assertEquals(1, sent.size());
+    dispatcher.attemptEnded(sentAttempts.get(0), Outcome.Result.RESET);
+    assertEquals(1, sentAttempts.size());
     assertEquals(0, dispatcher.openRequests());
   }
 
   @Test
-  void whoComesToAFlightThatIsTooOldBeginsAnother() {
-    warm();
+  void beginsNewFlightWhenOpenFlightIsTooOld() {
+    readKeyOnce();
     read("a", 2000);
     for (int i = 0; i < 40; i++) {
       engine.pass(20);
       read("r" + i, 2000);
     }
-    assertTrue(sent.size() >= 3 && sent.size() <= 4, sent.size() + " attempts in 800 ms");
-    serve(sent.get(0), "v");
-    assertEquals("v", value("a"), "nobody who joins keeps it waiting");
+    assertTrue(
+        sentAttempts.size() >= 3 && sentAttempts.size() <= 4,
+        sentAttempts.size() + " attempts in 800 ms");
+    serve(sentAttempts.get(0), "v");
+    assertEquals("v", servedText("a"), "reads that joined later delayed the first read");
   }
 
   @Test
-  void aLargeValueIsHeldOnceForAHundredSlowReaders() {
+  void sharesBufferOfLargeValueAmongReplies() {
     for (int i = 0; i < 100; i++) {
       read("r" + i, 1000);
     }
     UnpooledByteBufAllocator allocator = new UnpooledByteBufAllocator(false);
     ByteBuf value = allocator.buffer(65_536).writeZero(65_536);
-    dispatcher.responseReceived(sent.get(0), served(sent.get(0), value));
+    dispatcher.responseReceived(sentAttempts.get(0), valueReply(sentAttempts.get(0), value));
     value.release();
-    List<ByteBuf> unread = new ArrayList<>();
-    replies.forEach((id, reply) -> unread.add(MetaReplies.encode(allocator, id, reply)));
-    long held = allocator.metric().usedHeapMemory() + allocator.metric().usedDirectMemory();
-    assertTrue(held < 65_536 + 100 * 64, held + " bytes");
-    for (ByteBuf each : unread) {
-      assertTrue(each.readableBytes() > 65_536);
-      each.release();
+    List<ByteBuf> encodedReplies = new ArrayList<>();
+    replies.forEach((id, reply) -> encodedReplies.add(MetaReplies.encode(allocator, id, reply)));
+    long usedBytes = allocator.metric().usedHeapMemory() + allocator.metric().usedDirectMemory();
+    assertTrue(usedBytes < 65_536 + 100 * 64, usedBytes + " bytes");
+    for (ByteBuf encoded : encodedReplies) {
+      assertTrue(encoded.readableBytes() > 65_536);
+      encoded.release();
     }
     assertEquals(0, allocator.metric().usedHeapMemory());
   }
 
   @Test
-  void nothingIsSentThatWouldBeGivenUpInItsTick() throws Exception {
+  void doesNotRetryWhenAttemptWouldExpireInSameTick() throws Exception {
     start(3);
-    ask("w", "once", 1000, () -> {});
-    Attempt attempt = sent.get(0);
+    submit("w", "once", 1000, () -> {});
+    Attempt attempt = sentAttempts.get(0);
     // An attempt must end 2 ms before its request.
     engine.pass(997);
     engine.ticker.advance(600, TimeUnit.MICROSECONDS);
     dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
-    assertEquals(1, sent.size());
+    assertEquals(1, sentAttempts.size());
   }
 
   @Test
-  void aServerThatLeavesKeepsWhatItHasAndGetsNothingNew() throws Exception {
+  void retriesOnOtherServerWhenFirstIsDraining() throws Exception {
     start(2);
     read("a", 2000);
-    Attempt first = sent.get(0);
-    long other = first.server() == 7 ? 8 : 7;
+    Attempt firstAttempt = sentAttempts.get(0);
+    long otherServerId = firstAttempt.server() == 7 ? 8 : 7;
     dispatcher.membership(
         new MembershipUpdate(
             MembershipUpdate.Kind.DELTA,
             2,
             List.of(
-                new ServerEntry(first.server(), "a", "m", 0, ServerEntry.State.DRAINING, 1, 0))));
+                new ServerEntry(
+                    firstAttempt.server(), "a", "m", 0, ServerEntry.State.DRAINING, 1, 0))));
     read("b", 2000);
-    dispatcher.attemptEnded(first, Outcome.Result.RESET);
-    assertEquals(other, sent.get(1).server());
-    serve(sent.get(1), "v");
-    assertEquals("v", value("a"));
-    assertEquals("v", value("b"));
+    dispatcher.attemptEnded(firstAttempt, Outcome.Result.RESET);
+    assertEquals(otherServerId, sentAttempts.get(1).server());
+    serve(sentAttempts.get(1), "v");
+    assertEquals("v", servedText("a"));
+    assertEquals("v", servedText("b"));
   }
 }
--- a/engine/src/test/java/shalepaddle/node/LargeValuesTest.java
+++ b/engine/src/test/java/shalepaddle/node/LargeValuesTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import shalepaddle.testkit.ScriptedPeer;
 
-/** Values that are too large to be held, over loopback sockets. */
+/** Tests values that a node streams, since they are too large to buffer, over loopback sockets. */
 @Timeout(60)
 class LargeValuesTest {
-  private static final int MOST = 4 << 20;
+  private static final int MAX_VALUE_BYTES = 4 << 20;
 
   private NodeFixture rig;
 
@@ -34,38 +34,38 @@
     rig.close();
   }
 
-  private static byte[] value(int length) {
-    byte[] value = new byte[length];
-    new Random(length).nextBytes(value);
+  private static byte[] randomValue(int valueBytes) {
+    byte[] value = new byte[valueBytes];
+    new Random(valueBytes).nextBytes(value);
     return value;
   }
 
-  private static byte[] reply(String id, byte[] value) {
-    byte[] head =
+  private static byte[] replyBytes(String id, byte[] value) {
+    byte[] replyHead =
         ("VA " + value.length + " O" + id + " h1\r\n").getBytes(StandardCharsets.US_ASCII);
-    byte[] reply = Arrays.copyOf(head, head.length + value.length + 2);
-    System.arraycopy(value, 0, reply, head.length, value.length);
+    byte[] reply = Arrays.copyOf(replyHead, replyHead.length + value.length + 2);
+    System.arraycopy(value, 0, reply, replyHead.length, value.length);
     reply[reply.length - 2] = '\r';
     reply[reply.length - 1] = '\n';
     return reply;
   }
 
-  /** Writes on a thread of its own: the other end may not read for a while. */
-  private static Thread write(ScriptedPeer peer, byte[] bytes) {
+  /** Writes on a separate thread, since the other end may not read for a while. */
+  private static Thread writeInBackground(ScriptedPeer peer, byte[] bytes) {
     Thread thread =
         new Thread(
             () -> {
               try {
                 peer.write(bytes);
               } catch (IOException e) {
-                // Given up by the other end.
+                // The other end has closed the connection.
               }
             });
     thread.start();
     return thread;
   }
 
-  private ScriptedPeer asked(ScriptedPeer client, String id) throws Exception {
+  private ScriptedPeer sendRead(ScriptedPeer client, String id) throws Exception {
     client.write(NodeFixture.get(id, 2000));
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().contains("O" + id + " "));
@@ -73,25 +73,25 @@
   }
 
   @ParameterizedTest
-  @ValueSource(ints = {65536, 65537, 100_000, 1 << 20, MOST})
-  void servesAValueWholeAndTheNextOneBehindIt(int length) throws Exception {
-    byte[] value = value(length);
+  @ValueSource(ints = {65536, 65537, 100_000, 1 << 20, MAX_VALUE_BYTES})
+  void servesLargeValueAndReusesConnection(int valueBytes) throws Exception {
+    byte[] value = randomValue(valueBytes);
     ScriptedPeer client = rig.client();
-    ScriptedPeer cache = asked(client, "a1");
-    write(cache, reply("a1", value));
-    assertEquals("VA " + length + " Oa1", client.line());
-    assertArrayEquals(value, client.bytes(length));
+    ScriptedPeer cache = sendRead(client, "a1");
+    writeInBackground(cache, replyBytes("a1", value));
+    assertEquals("VA " + valueBytes + " Oa1", client.line());
+    assertArrayEquals(value, client.bytes(valueBytes));
     assertEquals("", client.line());
     client.write(NodeFixture.get("a2", 2000));
-    assertTrue(cache.line().contains("Oa2 "), "the connection is used again");
+    assertTrue(cache.line().contains("Oa2 "), "the server connection is not used again");
     cache.write("VA 1 Oa2\r\nx\r\n");
     assertEquals("VA 1 Oa2", client.line());
   }
 
   @Test
-  void passesOnWhatComesBeforeTheRestIsThereAndPastTheDeadline() throws Exception {
-    byte[] value = value(200_000);
-    byte[] reply = reply("a1", value);
+  void forwardsPartsOfValueAsTheyArriveAlsoPastDeadline() throws Exception {
+    byte[] value = randomValue(200_000);
+    byte[] reply = replyBytes("a1", value);
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 400));
     ScriptedPeer cache = rig.acceptCache();
@@ -107,22 +107,23 @@
   }
 
   @Test
-  void takesAReplyCutAtEachByteOfItsHeadAndItsSeams() throws Exception {
-    byte[] value = value(70_000);
+  void readsReplySplitAtAnyByteOfHeadAndAtChunkBoundaries() throws Exception {
+    byte[] value = randomValue(70_000);
     ScriptedPeer client = rig.client();
     ScriptedPeer cache = null;
-    int head = reply("b00", value).length - value.length - 2;
-    int[] seams = {16_383, 16_384, 16_385, value.length - 1, value.length, value.length + 1};
-    for (int cut = 1; cut < head + seams.length; cut++) {
-      String id = "b%02d".formatted(cut);
-      byte[] reply = reply(id, value);
-      int at = cut < head ? cut : head + seams[cut - head];
+    int headBytes = replyBytes("b00", value).length - value.length - 2;
+    int[] valueOffsets = {16_383, 16_384, 16_385, value.length - 1, value.length, value.length + 1};
+    for (int caseNumber = 1; caseNumber < headBytes + valueOffsets.length; caseNumber++) {
+      String id = "b%02d".formatted(caseNumber);
+      byte[] reply = replyBytes(id, value);
+      int splitOffset =
+          caseNumber < headBytes ? caseNumber : headBytes + valueOffsets[caseNumber - headBytes];
       client.write(NodeFixture.get(id, 5000));
       cache = cache == null ? rig.acceptCache() : cache;
       cache.line();
-      cache.write(Arrays.copyOf(reply, at));
+      cache.write(Arrays.copyOf(reply, splitOffset));
       rig.settled();
-      cache.write(Arrays.copyOfRange(reply, at, reply.length));
+      cache.write(Arrays.copyOfRange(reply, splitOffset, reply.length));
       assertEquals("VA 70000 O" + id, client.line());
       assertArrayEquals(value, client.bytes(value.length));
       assertEquals("", client.line());
@@ -130,59 +131,60 @@
   }
 
   @Test
-  void aServerThatBreaksOffEndsItsClientsConnectionShort() throws Exception {
-    byte[] reply = reply("a1", value(1 << 20));
+  void closesClientConnectionWhenServerBreaksOffWithinValue() throws Exception {
+    byte[] reply = replyBytes("a1", randomValue(1 << 20));
     ScriptedPeer client = rig.client();
-    ScriptedPeer cache = asked(client, "a1");
+    ScriptedPeer cache = sendRead(client, "a1");
     cache.write(Arrays.copyOf(reply, 300_000));
     cache.close();
     assertEquals("VA 1048576 Oa1", client.line());
-    int got = 0;
+    int receivedBytes = 0;
     try {
-      got = client.bytes(1 << 20).length;
+      receivedBytes = client.bytes(1 << 20).length;
     } catch (IOException e) {
-      // Reset: it can tell as well.
+      // A reset also shows the client that the value is incomplete.
     }
-    assertTrue(got < 1 << 20, got + " bytes");
+    assertTrue(receivedBytes < 1 << 20, receivedBytes + " bytes received");
   }
 
   @Test
-  void whatBreaksBeforeItIsPassedOnIsAnsweredInWords() throws Exception {
+  void answersErrorWhenServerBreaksOffBeforeForwardingBegins() throws Exception {
     ScriptedPeer client = rig.client();
-    ScriptedPeer cache = asked(client, "a1");
-    cache.write(Arrays.copyOf(reply("a1", value(1 << 20)), 10_000));
+    ScriptedPeer cache = sendRead(client, "a1");
+    cache.write(Arrays.copyOf(replyBytes("a1", randomValue(1 << 20)), 10_000));
     cache.close();
     assertEquals("SERVER_ERROR busy", client.line());
   }
 
   @Test
-  void aClientThatLeavesEndsTheServersConnection() throws Exception {
+  void closesServerConnectionWhenClientDisconnectsWithinValue() throws Exception {
     ScriptedPeer client = rig.client();
-    ScriptedPeer cache = asked(client, "a1");
-    Thread writing = write(cache, reply("a1", value(MOST)));
+    ScriptedPeer cache = sendRead(client, "a1");
+    Thread writerThread = writeInBackground(cache, replyBytes("a1", randomValue(MAX_VALUE_BYTES)));
     assertEquals("VA 4194304 Oa1", client.line());
     client.close();
     assertTrue(cache.ended());
-    writing.join();
-    // All else goes on.
-    ScriptedPeer other = rig.client();
-    ScriptedPeer again = asked(other, "a2");
-    again.write("VA 1 Oa2\r\nx\r\n");
-    assertEquals("VA 1 Oa2", other.line());
+    writerThread.join();
+    // Other requests are still served.
+    ScriptedPeer otherClient = rig.client();
+    ScriptedPeer newConnection = sendRead(otherClient, "a2");
+    newConnection.write("VA 1 Oa2\r\nx\r\n");
+    assertEquals("VA 1 Oa2", otherClient.line());
   }
 
   @Test
-  void aLargeAnswerWaitsForTheOneBeforeIt() throws Exception {
-    byte[] value = value(500_000);
+  void largeValueWaitsForPreviousResponse() throws Exception {
+    byte[] value = randomValue(500_000);
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 5000) + NodeFixture.get("a2", 5000));
-    ScriptedPeer one = rig.acceptCache();
-    ScriptedPeer other = rig.acceptCache();
-    boolean first = one.line().contains("Oa1 ");
-    other.line();
-    write(first ? other : one, reply("a2", value));
+    ScriptedPeer oneConnection = rig.acceptCache();
+    ScriptedPeer otherConnection = rig.acceptCache();
+    boolean isFirstRequestOnOneConnection = oneConnection.line().contains("Oa1 ");
+    otherConnection.line();
+    writeInBackground(
+        isFirstRequestOnOneConnection ? otherConnection : oneConnection, replyBytes("a2", value));
     rig.settled();
-    (first ? one : other).write("VA 1 Oa1\r\nx\r\n");
+    (isFirstRequestOnOneConnection ? oneConnection : otherConnection).write("VA 1 Oa1\r\nx\r\n");
     assertEquals("VA 1 Oa1", client.line());
     assertEquals("x", client.line());
     assertEquals("VA 500000 Oa2", client.line());
@@ -190,29 +192,31 @@
   }
 
   @Test
-  void oneByteMoreThanTheMostIsNoAnswer() throws Exception {
+  void rejectsValueOneByteLongerThanMaximum() throws Exception {
     ScriptedPeer client = rig.client();
-    ScriptedPeer cache = asked(client, "a1");
-    cache.write("VA " + (MOST + 1) + " Oa1\r\n");
+    ScriptedPeer cache = sendRead(client, "a1");
+    cache.write("VA " + (MAX_VALUE_BYTES + 1) + " Oa1\r\n");
     assertEquals("SERVER_ERROR busy", client.line());
-    client.write("ms key " + (MOST + 1) + " Oa2 Pc=put,d=900\r\n");
+    client.write("ms key " + (MAX_VALUE_BYTES + 1) + " Oa2 Pc=put,d=900\r\n");
     assertTrue(client.line().startsWith("CLIENT_ERROR "));
   }
 
   @Test
-  void passesOnALargeWriteThatComesSlowly() throws Exception {
-    byte[] value = value(MOST);
+  void forwardsLargeWriteThatArrivesSlowly() throws Exception {
+    byte[] value = randomValue(MAX_VALUE_BYTES);
     ScriptedPeer client = rig.client();
-    client.write("ms key " + MOST + " Oa1 Pc=put,d=2000\r\n");
-    // Longer than a command may take that does not go on.
+    client.write("ms key " + MAX_VALUE_BYTES + " Oa1 Pc=put,d=2000\r\n");
+    // In all, the write takes longer than the node waits for a client that stops within a command.
     for (int i = 0; i < 16; i++) {
-      client.write(Arrays.copyOfRange(value, i * (MOST / 16), (i + 1) * (MOST / 16)));
+      client.write(
+          Arrays.copyOfRange(
+              value, i * (MAX_VALUE_BYTES / 16), (i + 1) * (MAX_VALUE_BYTES / 16)));
       TimeUnit.MILLISECONDS.sleep(160);
     }
     client.write("\r\n");
     ScriptedPeer cache = rig.acceptCache();
-    assertTrue(cache.line().startsWith("ms key " + MOST + " Oa1 "));
-    assertArrayEquals(value, cache.bytes(MOST));
+    assertTrue(cache.line().startsWith("ms key " + MAX_VALUE_BYTES + " Oa1 "));
+    assertArrayEquals(value, cache.bytes(MAX_VALUE_BYTES));
     assertEquals("", cache.line());
     cache.write("HD Oa1 c1\r\n");
     assertEquals("HD Oa1 c1", client.line());
--- a/engine/src/test/java/shalepaddle/node/MetersTest.java
+++ b/engine/src/test/java/shalepaddle/node/MetersTest.java
@@ -14,10 +14,13 @@
 
   @Test
   void showsNewestSnapshot() {
-    AtomicReference<CoalescingSnapshot> reading = new AtomicReference<>();
-    new CoalescingMetrics(reading::get, Tags.of("node", "n0")).bindTo(registry);
-    assertEquals(0, registry.get("shalepaddle.joining.waiting").gauge().value(), "not joined");
-    reading.set(new CoalescingSnapshot(3, 40, 1, 38, 2, 1, 5, 2, 20));
+    AtomicReference<CoalescingSnapshot> snapshot = new AtomicReference<>();
+    new CoalescingMetrics(snapshot::get, Tags.of("node", "n0")).bindTo(registry);
+    assertEquals(
+        0,
+        registry.get("shalepaddle.joining.waiting").gauge().value(),
+        "the gauge is not 0 without a snapshot");
+    snapshot.set(new CoalescingSnapshot(3, 40, 1, 38, 2, 1, 5, 2, 20));
     assertEquals(20, registry.get("shalepaddle.joining.waiting").gauge().value());
     assertEquals(38, registry.get("shalepaddle.joining.shared").functionCounter().count());
     assertEquals(
@@ -26,10 +29,10 @@
   }
 
   @Test
-  void metersLiveAsLongAsTheirRegistry() throws Exception {
+  void keepsMetersWhenBinderAndSourceAreUnreferenced() throws Exception {
     bind();
-    WeakReference<Object> collected = new WeakReference<>(new Object());
-    for (int i = 0; i < 1000 && collected.get() != null; i++) {
+    WeakReference<Object> garbageProbe = new WeakReference<>(new Object());
+    for (int i = 0; i < 1000 && garbageProbe.get() != null; i++) {
       System.gc();
       Thread.sleep(1);
     }
@@ -37,10 +40,10 @@
     assertEquals(1, registry.get("shalepaddle.joining.left").functionCounter().count());
   }
 
-  /** References neither the binder nor its source after it returns. */
+  /** Binds metrics; neither the binder nor its source is referenced after it returns. */
   private void bind() {
-    AtomicReference<CoalescingSnapshot> reading =
+    AtomicReference<CoalescingSnapshot> snapshot =
         new AtomicReference<>(new CoalescingSnapshot(0, 0, 0, 0, 0, 0, 1, 7, 0));
-    new CoalescingMetrics(reading::get, Tags.empty()).bindTo(registry);
+    new CoalescingMetrics(snapshot::get, Tags.empty()).bindTo(registry);
   }
 }
--- a/engine/src/test/java/shalepaddle/node/NodeFixture.java
+++ b/engine/src/test/java/shalepaddle/node/NodeFixture.java
@@ -18,32 +18,39 @@
 import shalepaddle.config.OperatorFile;
 import shalepaddle.testkit.ScriptedPeer;
 
-/** A node on loopback with one scripted cache server and one scripted discovery. */
+/** A node on loopback with one scripted cache server and one scripted discovery service. */
 final class NodeFixture implements Closeable {
+  /** Listens as the cache server. */
   final ServerSocket cache;
+
+  /** Listens as the discovery service. */
   final ServerSocket discovery;
+
   final Node node;
+
+  /** The address at which the node accepts clients. */
   final InetSocketAddress address;
+
   private final List<Closeable> peers = new ArrayList<>();
 
   NodeFixture() throws Exception {
     this("");
   }
 
-  /** A node with further settings, which override the usual ones. */
+  /** A node with additional settings, which override those of {@link #configText}. */
   NodeFixture(String settings) throws Exception {
     this(settings, OperatorFile.DEFAULTS);
   }
 
-  /** A node with further settings, and what an operator sets. */
-  NodeFixture(String settings, OperatorFile operator) throws Exception {
+  /** A node with additional settings and the given content of the operator file. */
+  NodeFixture(String settings, OperatorFile operatorFile) throws Exception {
     cache = listen();
     discovery = listen();
-    node = new Node(config(settings), operator);
+    node = new Node(config(settings), operatorFile);
     address = node.start();
   }
 
-  /** A node that asks this discovery and knows this server, with further settings. */
+  /** A node with additional settings that uses the given discovery service and cache server. */
   NodeFixture(ServerSocket discovery, ServerSocket cache, String settings) throws Exception {
     this.cache = cache;
     this.discovery = discovery;
@@ -51,23 +58,23 @@
     address = node.start();
   }
 
-  /** A node that opens so many connections to a server. */
-  NodeFixture(int connections) throws Exception {
+  /** A node that opens at most the given number of connections to a server. */
+  NodeFixture(int maxServerConnections) throws Exception {
     cache = listen();
     discovery = listen();
-    node = new Node(config(""), OperatorFile.DEFAULTS, connections);
+    node = new Node(config(""), OperatorFile.DEFAULTS, maxServerConnections);
     address = node.start();
   }
 
-  /** A node that may hold so many descriptors, and opens so many connections to a server. */
-  NodeFixture(int connections, int sockets) throws Exception {
+  /** A node with a maximum number of connections to a server, and of file descriptors. */
+  NodeFixture(int maxServerConnections, int maxDescriptors) throws Exception {
     cache = listen();
     discovery = listen();
     node =
         new Node(
-            load(configText("").replace("\"sockets\":1024", "\"sockets\":" + sockets)),
+            loadConfig(configText("").replace("\"sockets\":1024", "\"sockets\":" + maxDescriptors)),
             OperatorFile.DEFAULTS,
-            connections);
+            maxServerConnections);
     address = node.start();
   }
 
@@ -75,31 +82,32 @@
     return listen(0);
   }
 
-  /** Listens on this port, on a free one for 0. */
+  /** Listens on the given port, or on any free one if it is 0. */
   static ServerSocket listen(int port) throws IOException {
     ServerSocket socket = new ServerSocket();
-    // A fixed size: how much the system would buffer differs from machine to machine.
+    // The size is fixed, since the default differs between machines.
     socket.setReceiveBufferSize(1 << 16);
     socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 50);
     socket.setSoTimeout(ScriptedPeer.PATIENCE_MILLIS);
     return socket;
   }
 
-  /** The next connection to one of two servers. */
-  static ScriptedPeer acceptEither(ServerSocket one, ServerSocket other) throws IOException {
+  /** Accepts the next connection to either of two servers. */
+  static ScriptedPeer acceptEither(ServerSocket oneServer, ServerSocket otherServer)
+      throws IOException {
     for (int i = 0; i < ScriptedPeer.PATIENCE_MILLIS / 20; i++) {
-      ServerSocket server = i % 2 == 0 ? one : other;
+      ServerSocket server = i % 2 == 0 ? oneServer : otherServer;
       server.setSoTimeout(20);
       try {
         return new ScriptedPeer(server.accept());
       } catch (SocketTimeoutException e) {
-        // Perhaps the other.
+        // The other server is polled next.
       }
     }
     throw new IOException("no connection to either server");
   }
 
-  /** The configuration's text; the node listens where there is a free port. */
+  /** The text of the configuration; the node listens on any free port. */
   String configText(String settings) {
     return """
         {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"8c1f30d27a5be964",
@@ -115,10 +123,10 @@
   }
 
   NodeConfig config(String settings) throws Exception {
-    return load(configText(settings));
+    return loadConfig(configText(settings));
   }
 
-  private static NodeConfig load(String text) throws Exception {
+  private static NodeConfig loadConfig(String text) throws Exception {
     Path file = Files.createTempFile("config", ".json");
     try {
       Files.writeString(file, text);
@@ -128,13 +136,13 @@
     }
   }
 
-  /** A list of one active server for each port. */
-  static String members(int version, boolean full, int... ports) {
+  /** A server list with one active server for each port. */
+  static String members(int version, boolean isFull, int... ports) {
     StringBuilder servers = new StringBuilder();
     for (int port : ports) {
       servers.append(servers.isEmpty() ? "" : ",").append(member("s-" + port, port, "active"));
     }
-    return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full, servers);
+    return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, isFull, servers);
   }
 
   static String member(String id, int port, String state) {
@@ -144,100 +152,113 @@
         .formatted(id, port, state);
   }
 
-  /** A text as one chunk of an HTTP answer. */
+  /** A text as one chunk of a response in the chunked transfer encoding. */
   static String chunk(String text) {
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
 
-  static String get(String id, int millis) {
-    return "mg key v O" + id + " Pc=read,d=" + millis + "\r\n";
+  /** A read command with a deadline in milliseconds. */
+  static String get(String id, int deadlineMillis) {
+    return "mg key v O" + id + " Pc=read,d=" + deadlineMillis + "\r\n";
   }
 
-  static String put(String id, int millis, String value) {
-    return "ms key " + value.length() + " O" + id + " Pc=put,d=" + millis + "\r\n" + value + "\r\n";
+  /** A write command with a deadline in milliseconds. */
+  static String put(String id, int deadlineMillis, String value) {
+    return "ms key "
+        + value.length()
+        + " O"
+        + id
+        + " Pc=put,d="
+        + deadlineMillis
+        + "\r\n"
+        + value
+        + "\r\n";
   }
 
   ScriptedPeer client() throws IOException {
-    return keep(ScriptedPeer.connect(address));
+    return closeAtEnd(ScriptedPeer.connect(address));
   }
 
-  /** What happens while the event loop does not run. */
+  /** An action of a test during a stall of the event loop. */
   interface Meanwhile {
     void happens() throws Exception;
   }
 
-  /** Holds the event loop for as long as this takes. */
-  void pausedWhile(Meanwhile meanwhile) throws Exception {
-    pausedWhile(120, meanwhile);
+  /** Stalls the event loop for 120 ms, and then until the action has run. */
+  void pausedWhile(Meanwhile action) throws Exception {
+    pausedWhile(120, action);
   }
 
-  /** Holds the event loop for as long as this takes, and for so long before. */
-  void pausedWhile(long millis, Meanwhile meanwhile) throws Exception {
-    CountDownLatch begun = new CountDownLatch(1);
-    CountDownLatch over = new CountDownLatch(1);
-    Runnable hold =
+  /** Stalls the event loop for the given milliseconds, and then until the action has run. */
+  void pausedWhile(long minStallMillis, Meanwhile action) throws Exception {
+    CountDownLatch stallBegun = new CountDownLatch(1);
+    CountDownLatch actionEnded = new CountDownLatch(1);
+    Runnable stall =
         () -> {
-          begun.countDown();
-          awaitInLoop(over, Long.MAX_VALUE);
+          stallBegun.countDown();
+          awaitInLoop(actionEnded, Long.MAX_VALUE);
         };
-    // At the worst moment: what came due in the time before is run once the loop runs again, and
-    // comes before it reads; what is due every 100 ms is always among that.
+    // This is the worst case: timers that came due in the first part of the stall run before the
+    // loop reads again. After 120 ms the timers that run every 100 ms are always among them.
     node.loop()
         .execute(
             () -> {
-              node.loop().schedule(hold, 0, TimeUnit.MILLISECONDS);
-              awaitInLoop(over, millis);
+              node.loop().schedule(stall, 0, TimeUnit.MILLISECONDS);
+              awaitInLoop(actionEnded, minStallMillis);
             });
-    begun.await();
+    stallBegun.await();
     try {
-      meanwhile.happens();
+      action.happens();
     } finally {
-      over.countDown();
+      actionEnded.countDown();
     }
   }
 
-  private static void awaitInLoop(CountDownLatch latch, long millis) {
+  private static void awaitInLoop(CountDownLatch latch, long maxMillis) {
     try {
-      latch.await(millis, TimeUnit.MILLISECONDS);
+      latch.await(maxMillis, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Returns once the event loop has read what had come. */
+  /** Waits for three turns, in which the event loop reads what has arrived. */
   void settled() throws InterruptedException {
     for (int i = 0; i < 3; i++) {
-      CountDownLatch turned = new CountDownLatch(1);
-      node.loop().schedule(turned::countDown, 5, TimeUnit.MILLISECONDS);
-      turned.await();
+      CountDownLatch turnEnded = new CountDownLatch(1);
+      node.loop().schedule(turnEnded::countDown, 5, TimeUnit.MILLISECONDS);
+      turnEnded.await();
     }
   }
 
-  /** Whether the node calls discovery once more within so long. */
-  boolean hasAnotherDiscoveryCall(int millis) throws IOException {
-    discovery.setSoTimeout(millis);
+  /** Whether the node calls discovery again within the given time. */
+  boolean hasAnotherDiscoveryCall(int maxMillis) throws IOException {
+    discovery.setSoTimeout(maxMillis);
     try {
-      keep(new ScriptedPeer(discovery.accept()));
+      closeAtEnd(new ScriptedPeer(discovery.accept()));
       return true;
     } catch (SocketTimeoutException e) {
       return false;
     }
   }
 
-  /** Whether a request comes to the cache server on a connection that is new, in so long. */
-  boolean sendsOnNewConnection(int millis) throws IOException {
-    cache.setSoTimeout(millis);
+  /**
+   * Whether the node opens a connection to the cache server within the given time, and sends bytes
+   * on it within the same time again.
+   */
+  boolean sendsOnNewConnection(int maxMillis) throws IOException {
+    cache.setSoTimeout(maxMillis);
     try {
       Socket socket = cache.accept();
-      keep(new ScriptedPeer(socket));
-      socket.setSoTimeout(millis);
+      closeAtEnd(new ScriptedPeer(socket));
+      socket.setSoTimeout(maxMillis);
       return socket.getInputStream().read() >= 0;
     } catch (SocketTimeoutException e) {
       return false;
     }
   }
 
-  /** Returns once the node accepts no more. */
+  /** Waits until the node accepts no more connections. */
   void awaitClosedListener() throws Exception {
     for (int i = 0; i < ScriptedPeer.PATIENCE_MILLIS / 10; i++) {
       try {
@@ -247,19 +268,19 @@
       }
       Thread.sleep(10);
     }
-    throw new IOException("the node goes on accepting");
+    throw new IOException("the node still accepts connections");
   }
 
-  /** The next connection that the node opens to the cache server. */
+  /** Accepts the next connection that the node opens to the cache server. */
   ScriptedPeer acceptCache() throws IOException {
-    return keep(new ScriptedPeer(cache.accept()));
+    return closeAtEnd(new ScriptedPeer(cache.accept()));
   }
 
   ScriptedPeer acceptDiscovery() throws IOException {
-    return keep(new ScriptedPeer(discovery.accept()));
+    return closeAtEnd(new ScriptedPeer(discovery.accept()));
   }
 
-  private ScriptedPeer keep(ScriptedPeer peer) {
+  private ScriptedPeer closeAtEnd(ScriptedPeer peer) {
     peers.add(peer);
     return peer;
   }
