--- a/engine/src/test/java/shalepaddle/node/NodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/NodeTest.java
@@ -16,7 +16,7 @@
 import shalepaddle.codec.meta.MetaLine;
 import shalepaddle.testkit.ScriptedPeer;
 
-/** What clients and cache servers see of a node, over loopback sockets. */
+/** Tests the protocol between a node, its clients and cache servers, over loopback sockets. */
 class NodeTest {
   private NodeFixture rig;
 
@@ -30,54 +30,56 @@
     rig.close();
   }
 
-  private static int deadline(String command) {
+  private static int deadlineMillis(String command) {
     return Integer.parseInt(command.replaceAll(".*[,P]d=(\\d+).*", "$1"));
   }
 
-  private static void assertPassedOn(String sent, String got) {
-    String line = sent.substring(0, sent.indexOf("\r\n"));
-    assertEquals(line.replaceAll("d=\\d+", "d="), got.replaceAll("d=\\d+", "d="));
-    assertTrue(deadline(got) > 0 && deadline(got) <= deadline(line), got);
+  private static void assertForwarded(String sentCommand, String receivedLine) {
+    String line = sentCommand.substring(0, sentCommand.indexOf("\r\n"));
+    assertEquals(line.replaceAll("d=\\d+", "d="), receivedLine.replaceAll("d=\\d+", "d="));
+    assertTrue(
+        deadlineMillis(receivedLine) > 0 && deadlineMillis(receivedLine) <= deadlineMillis(line),
+        receivedLine);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", " h1", " h0", " h0 Z", " h1 Linflight=7,queue=2,util=0.61"})
-  void servesARead(String notes) throws Exception {
+  void servesReadWithAnyResponseFlags(String responseFlags) throws Exception {
     ScriptedPeer client = rig.client();
     String command = "mg key v Oa1 Pc=read,t=acme,d=2000,x=y\r\n";
     client.write(command);
     ScriptedPeer cache = rig.acceptCache();
-    assertPassedOn(command, cache.line());
-    cache.write("VA 7 Oa1" + notes + "\r\nval\r\nue\r\n");
+    assertForwarded(command, cache.line());
+    cache.write("VA 7 Oa1" + responseFlags + "\r\nval\r\nue\r\n");
     assertEquals("VA 7 Oa1", client.line());
-    assertEquals("val\r\nue\r\n", text(client.bytes(9)));
+    assertEquals("val\r\nue\r\n", toText(client.bytes(9)));
   }
 
-  private static String text(byte[] bytes) {
+  private static String toText(byte[] bytes) {
     return new String(bytes, StandardCharsets.ISO_8859_1);
   }
 
   @Test
-  void servesAWrite() throws Exception {
+  void forwardsWriteAndReturnsItsReceipt() throws Exception {
     ScriptedPeer client = rig.client();
     String command = "ms key 4 Oa1 Pc=put,d=2000,k=77\r\n\r\n\r\n\r\n";
     client.write(command);
     ScriptedPeer cache = rig.acceptCache();
-    assertPassedOn(command, cache.line());
-    assertEquals("\r\n\r\n\r\n", text(cache.bytes(6)));
+    assertForwarded(command, cache.line());
+    assertEquals("\r\n\r\n\r\n", toText(cache.bytes(6)));
     cache.write("HD Oa1 c99\r\n");
     assertEquals("HD Oa1 c99", client.line());
   }
 
   @Test
-  void takesACommandInSingleBytes() throws Exception {
+  void readsCommandSentInSingleBytes() throws Exception {
     ScriptedPeer client = rig.client();
     for (byte b : NodeFixture.put("a1", 2000, "hello").getBytes(StandardCharsets.ISO_8859_1)) {
       client.write(new byte[] {b});
     }
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().startsWith("ms key 5 Oa1 "));
-    assertEquals("hello\r\n", text(cache.bytes(7)));
+    assertEquals("hello\r\n", toText(cache.bytes(7)));
     for (byte b : "HD Oa1 c1\r\n".getBytes(StandardCharsets.ISO_8859_1)) {
       cache.write(new byte[] {b});
     }
@@ -85,17 +87,17 @@
   }
 
   @Test
-  void answersPipelinedCommandsInTheirOrder() throws Exception {
+  void answersPipelinedCommandsInOrder() throws Exception {
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 2000) + "mn\r\n" + NodeFixture.get("a2", 2000));
-    ScriptedPeer first = rig.acceptCache();
-    ScriptedPeer second = rig.acceptCache();
-    String id = first.line().contains("Oa1 ") ? "a1" : "a2";
-    ScriptedPeer late = id.equals("a1") ? first : second;
-    ScriptedPeer early = id.equals("a1") ? second : first;
-    assertTrue(second.line().contains(id.equals("a1") ? "Oa2 " : "Oa1 "));
-    early.write("VA 1 Oa2\r\n2\r\n");
-    late.write("VA 1 Oa1\r\n1\r\n");
+    ScriptedPeer firstConnection = rig.acceptCache();
+    ScriptedPeer secondConnection = rig.acceptCache();
+    String id = firstConnection.line().contains("Oa1 ") ? "a1" : "a2";
+    ScriptedPeer connectionAnsweredLast = id.equals("a1") ? firstConnection : secondConnection;
+    ScriptedPeer connectionAnsweredFirst = id.equals("a1") ? secondConnection : firstConnection;
+    assertTrue(secondConnection.line().contains(id.equals("a1") ? "Oa2 " : "Oa1 "));
+    connectionAnsweredFirst.write("VA 1 Oa2\r\n2\r\n");
+    connectionAnsweredLast.write("VA 1 Oa1\r\n1\r\n");
     assertEquals("VA 1 Oa1", client.line());
     assertEquals("1", client.line());
     assertEquals("MN", client.line());
@@ -104,7 +106,7 @@
   }
 
   @Test
-  void usesAConnectionAgain() throws Exception {
+  void reusesServerConnectionForNextRequest() throws Exception {
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
@@ -130,19 +132,21 @@
     "put, HD c1, SERVER_ERROR failed",
     "read, VA 1 Oother, SERVER_ERROR busy",
   })
-  void refusesOnlyWhatProvablyHasNotRun(String service, String reply, String answer)
-      throws Exception {
+  void failsWriteThatMayHaveRunAndRejectsOtherRequests(
+      String serviceClass, String reply, String expectedAnswer) throws Exception {
     ScriptedPeer client = rig.client();
     client.write(
-        service.equals("put") ? NodeFixture.put("a1", 2000, "v") : NodeFixture.get("a1", 2000));
+        serviceClass.equals("put")
+            ? NodeFixture.put("a1", 2000, "v")
+            : NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.write(reply + "\r\n");
-    assertEquals(answer, client.line());
+    assertEquals(expectedAnswer, client.line());
   }
 
   @Test
-  void endsAConnectionWhoseRepliesDoNotMatch() throws Exception {
+  void closesServerConnectionWhenResponseIdDoesNotMatch() throws Exception {
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
@@ -153,7 +157,7 @@
   }
 
   @Test
-  void refusesAWriteThatFoundNoServer() throws Exception {
+  void rejectsWriteWhenServerIsUnreachable() throws Exception {
     rig.cache.close();
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.put("a1", 2000, "v"));
@@ -161,7 +165,7 @@
   }
 
   @Test
-  void failsAWriteWhoseConnectionBreaksAfterItsLastByte() throws Exception {
+  void failsWriteWhenConnectionBreaksAfterLastByte() throws Exception {
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.put("a1", 2000, "v"));
     ScriptedPeer cache = rig.acceptCache();
@@ -172,7 +176,7 @@
   }
 
   @Test
-  void goesOnUsingAServerThatRunsAndBreaksSingleConnections() throws Exception {
+  void keepsUsingServerThatResetsSingleConnections() throws Exception {
     ScriptedPeer client = rig.client();
     for (int i = 0; i < 4; i++) {
       client.write(NodeFixture.get("a" + i, 2000));
@@ -189,24 +193,26 @@
   }
 
   @Test
-  void aConnectionTurnedDownIsNotTakenForTheLimit() throws Exception {
+  void doesNotTreatRefusedConnectAsConnectionLimit() throws Exception {
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     rig.cache.close();
     client.write(NodeFixture.get("a2", 20_000));
-    assertTrue(cache.line().startsWith("mg key v Oa2 "), "behind the first, as none else came up");
-    try (ServerSocket again = NodeFixture.listen(rig.cache.getLocalPort())) {
+    assertTrue(
+        cache.line().startsWith("mg key v Oa2 "),
+        "a2 was not sent on the open connection, though no other could be opened");
+    try (ServerSocket restartedServer = NodeFixture.listen(rig.cache.getLocalPort())) {
       client.write(NodeFixture.get("a3", 20_000));
-      try (ScriptedPeer other = new ScriptedPeer(again.accept())) {
-        assertTrue(other.line().startsWith("mg key v Oa3 "));
+      try (ScriptedPeer newConnection = new ScriptedPeer(restartedServer.accept())) {
+        assertTrue(newConnection.line().startsWith("mg key v Oa3 "));
       }
     }
   }
 
   @Test
-  void tellsARefusedClientWhenToComeBackWhereItMay() throws Exception {
+  void sendsRetryAfterToRejectedClientWhenAllowed() throws Exception {
     rig.close();
     rig =
         new NodeFixture(
@@ -218,19 +224,23 @@
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
     cache.write("SERVER_ERROR busy\r\n");
-    assertEquals("SERVER_ERROR busy", client.line(), "nothing is measured yet");
+    assertEquals(
+        "SERVER_ERROR busy", client.line(), "a Retry-After was sent before rates are measured");
     // Rates are measured over a second.
     Thread.sleep(1100);
     client.write(NodeFixture.get("a2", 2000));
     cache.line();
     cache.write("SERVER_ERROR busy\r\n");
-    assertEquals("SERVER_ERROR busy 400", client.line(), "nothing is answered: as long as it may");
+    assertEquals(
+        "SERVER_ERROR busy 400",
+        client.line(),
+        "the Retry-After is not max-retry-after, 400 ms, though the server serves no request");
   }
 
   @Test
-  void learnsThatPausesBreakConnections() throws Exception {
+  void stopsReusingConnectionsThatBreakAfterPauses() throws Exception {
     ScriptedPeer client = rig.client();
-    String kept = null;
+    String reusedLine = null;
     for (int i = 0; i < 100; i++) {
       client.write(NodeFixture.get("a" + i, 2000));
       ScriptedPeer cache = rig.acceptCache();
@@ -238,25 +248,25 @@
       cache.write("VA 1 Oa" + i + "\r\nx\r\n");
       assertEquals("VA 1 Oa" + i, client.line());
       client.line();
-      // A pause is what it is about.
+      // The connection is idle for this time before it is used again.
       Thread.sleep(20);
       client.write(NodeFixture.get("b" + i, 2000));
-      kept = cache.line();
-      if (kept == null) {
-        ScriptedPeer other = rig.acceptCache();
-        assertTrue(other.line().contains("Ob" + i + " "));
-        other.write("VA 1 Ob" + i + "\r\nx\r\n");
+      reusedLine = cache.line();
+      if (reusedLine == null) {
+        ScriptedPeer newConnection = rig.acceptCache();
+        assertTrue(newConnection.line().contains("Ob" + i + " "));
+        newConnection.write("VA 1 Ob" + i + "\r\nx\r\n");
         assertEquals("VA 1 Ob" + i, client.line());
         return;
       }
       cache.reset();
       assertEquals("SERVER_ERROR busy", client.line());
     }
-    assertNull(kept, "requests go on being written after pauses");
+    assertNull(reusedLine, "requests are still sent on connections that were idle");
   }
 
   @Test
-  void refusesAWriteWhoseConnectionBreaksBeforeItsLastByte() throws Exception {
+  void rejectsWriteWhenConnectionBreaksBeforeLastByte() throws Exception {
     rig.close();
     rig =
         new NodeFixture(
@@ -264,54 +274,55 @@
             ,"instances":28,"caps":{"attempts-cap":1,"parallel-tries":true,"multiplex":100,\
             "connect-timeout":0.15,"conn-idle":60}""");
     ScriptedPeer client = rig.client();
-    // On one connection, more than the buffers can hold while its other end reads nothing: the
-    // system lets them grow to 4 MB, about what one client can have open.
-    int writes = 64;
-    for (int i = 0; i < writes; i++) {
+    // While the server reads nothing, the writes exceed the socket buffers of one connection. The
+    // system lets these grow to 4 MB, about as much as one client can have open, so two clients
+    // write.
+    int writesPerClient = 64;
+    for (int i = 0; i < writesPerClient; i++) {
       client.write(NodeFixture.put("a" + i, 20_000, "v".repeat(1 << 16)));
     }
-    ScriptedPeer last = rig.client();
-    for (int i = 0; i < writes; i++) {
-      last.write(NodeFixture.put("b" + i, 20_000, "v".repeat(1 << 16)));
+    ScriptedPeer lastClient = rig.client();
+    for (int i = 0; i < writesPerClient; i++) {
+      lastClient.write(NodeFixture.put("b" + i, 20_000, "v".repeat(1 << 16)));
     }
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
-    ScriptedPeer other = rig.client();
-    other.write("mn\r\n");
-    assertEquals("MN", other.line());
-    // What the node reads only after the reset finds no server.
+    ScriptedPeer otherClient = rig.client();
+    otherClient.write("mn\r\n");
+    assertEquals("MN", otherClient.line());
+    // For writes that the node reads only after the reset, there is no server to connect to.
     rig.cache.close();
     cache.reset();
     assertEquals("SERVER_ERROR failed", client.line());
-    for (int i = 1; i < writes; i++) {
+    for (int i = 1; i < writesPerClient; i++) {
       assertTrue(client.line().startsWith("SERVER_ERROR "));
-      assertTrue(last.line().startsWith("SERVER_ERROR "));
+      assertTrue(lastClient.line().startsWith("SERVER_ERROR "));
     }
-    assertEquals("SERVER_ERROR busy", last.line());
+    assertEquals("SERVER_ERROR busy", lastClient.line());
   }
 
   @Test
-  void stopsWaitingInTimeAndGivesTheAttemptUp() throws Exception {
+  void answersAtDeadlineAndClosesServerConnections() throws Exception {
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.put("a1", 200, "v") + NodeFixture.get("a2", 200));
     ScriptedPeer cache = rig.acceptCache();
-    ScriptedPeer other = rig.acceptCache();
+    ScriptedPeer otherConnection = rig.acceptCache();
     assertEquals("SERVER_ERROR failed", client.line());
     assertEquals("SERVER_ERROR busy", client.line());
     cache.line();
-    other.line();
+    otherConnection.line();
     while (cache.line() != null) {
-      // The write's value.
+      // Skips the value of the write, if the write was sent on this connection.
     }
-    while (other.line() != null) {
-      // Likewise.
+    while (otherConnection.line() != null) {
+      // Skips the value of the write, if the write was sent on this connection.
     }
     client.write("mn\r\n");
     assertEquals("MN", client.line());
   }
 
   @Test
-  void callsAnAttemptOffWhenItsClientLeaves() throws Exception {
+  void cancelsAttemptWhenClientDisconnects() throws Exception {
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 60_000));
     ScriptedPeer cache = rig.acceptCache();
@@ -337,15 +348,16 @@
         "mg key v Oa1 Pc=read,d=soon ; CLIENT_ERROR bad or missing deadline",
         "mg key v Oa1 Pc=read,d=0 ; CLIENT_ERROR bad or missing deadline",
       })
-  void turnsBadCommandsDownAndGoesOn(String command, String answer) throws Exception {
+  void answersBadCommandWithErrorAndReadsNextCommand(String command, String expectedAnswer)
+      throws Exception {
     ScriptedPeer client = rig.client();
     client.write(command + "\r\nmn\r\n");
-    assertEquals(answer, client.line());
+    assertEquals(expectedAnswer, client.line());
     assertEquals("MN", client.line());
   }
 
   @Test
-  void skipsTheValueOfABadWrite() throws Exception {
+  void skipsValueOfBadWrite() throws Exception {
     ScriptedPeer client = rig.client();
     client.write("ms key 4 Pc=put,d=5\r\nmn\r\n\r\nmn\r\n");
     assertEquals("CLIENT_ERROR bad or missing id", client.line());
@@ -363,18 +375,18 @@
         "mn\n",
         "\n",
       })
-  void endsAConnectionWhoseBytesCannotBeToldApart(String bytes) throws Exception {
+  void closesConnectionWhenCommandsCannotBeDelimited(String commandText) throws Exception {
     ScriptedPeer client = rig.client();
-    ScriptedPeer other = rig.client();
-    client.write(bytes);
+    ScriptedPeer otherClient = rig.client();
+    client.write(commandText);
     assertTrue(client.line().startsWith("CLIENT_ERROR "));
     assertNull(client.line());
-    other.write("mn\r\n");
-    assertEquals("MN", other.line());
+    otherClient.write("mn\r\n");
+    assertEquals("MN", otherClient.line());
   }
 
   @Test
-  void endsAConnectionWithAnEndlessLine() throws Exception {
+  void closesConnectionWhenLineIsTooLong() throws Exception {
     ScriptedPeer client = rig.client();
     client.write("\0".repeat(MetaLine.MAX_LINE_BYTES));
     assertEquals("CLIENT_ERROR line too long", client.line());
@@ -382,109 +394,109 @@
   }
 
   @Test
-  void givingUpOneAttemptDoesNotBreakTheOthersOnItsConnection() throws Exception {
+  void cancelsAttemptWithoutBreakingOthersOnItsConnection() throws Exception {
     rig.close();
     rig = new NodeFixture(1);
-    ScriptedPeer leaving = rig.client();
-    leaving.write(NodeFixture.get("a1", 60_000));
+    ScriptedPeer leavingClient = rig.client();
+    leavingClient.write(NodeFixture.get("a1", 60_000));
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().contains("Oa1 "));
-    ScriptedPeer staying = rig.client();
-    staying.write(NodeFixture.get("a2", 60_000));
+    ScriptedPeer stayingClient = rig.client();
+    stayingClient.write(NodeFixture.get("a2", 60_000));
     assertTrue(cache.line().contains("Oa2 "));
-    leaving.close();
-    // The next request finds the connection no longer in use: the attempt on it has been given up.
-    ScriptedPeer later = rig.client();
-    later.write(NodeFixture.get("a3", 60_000));
+    leavingClient.close();
+    // The next request goes on a new connection: one with a cancelled attempt is not used again.
+    ScriptedPeer laterClient = rig.client();
+    laterClient.write(NodeFixture.get("a3", 60_000));
     assertTrue(rig.acceptCache().line().contains("Oa3 "));
     cache.write("VA 1 Oa1\r\n1\r\nVA 1 Oa2\r\n2\r\n");
-    assertEquals("VA 1 Oa2", staying.line());
+    assertEquals("VA 1 Oa2", stayingClient.line());
     assertTrue(cache.ended());
   }
 
   @Test
-  void servesOnInADrainAndThenEndsEachConnectionAfterItsAnswer() throws Exception {
-    ScriptedPeer idle = rig.client();
-    idle.write("mn\r\n");
-    assertEquals("MN", idle.line());
-    ScriptedPeer owed = rig.client();
-    owed.write(NodeFixture.get("a1", 20_000));
+  void drainServesRequestsAndClosesConnectionsAfterResponses() throws Exception {
+    ScriptedPeer idleClient = rig.client();
+    idleClient.write("mn\r\n");
+    assertEquals("MN", idleClient.line());
+    ScriptedPeer waitingClient = rig.client();
+    waitingClient.write(NodeFixture.get("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
-    ScriptedPeer fresh = rig.client();
-    Thread drain = new Thread(rig.node::drain);
-    drain.start();
-    // Clients that connect while the restart is under way are still taken.
-    ScriptedPeer late = rig.client();
-    late.write("mn\r\n");
-    assertEquals("MN", late.line());
-    fresh.write("mn\r\n");
-    assertEquals("MN", fresh.line());
+    ScriptedPeer unusedClient = rig.client();
+    Thread drainThread = new Thread(rig.node::drain);
+    drainThread.start();
+    // Clients that connect at the beginning of the restart are still accepted.
+    ScriptedPeer lateClient = rig.client();
+    lateClient.write("mn\r\n");
+    assertEquals("MN", lateClient.line());
+    unusedClient.write("mn\r\n");
+    assertEquals("MN", unusedClient.line());
     rig.awaitClosedListener();
-    // Guards against leaving clients to nobody: what is connected is served for a while yet, with
-    // as much time as is left.
-    idle.write(NodeFixture.get("a2", 20_000));
-    ScriptedPeer other = rig.acceptCache();
-    assertTrue(deadline(other.line()) < 3000);
-    other.write("VA 1 Oa2\r\nx\r\n");
-    assertEquals("VA 1 Oa2", idle.line());
-    assertEquals("x", idle.line());
-    assertTrue(idle.ended());
-    assertTrue(fresh.ended());
-    assertTrue(late.ended());
-    // Guards against closing with the answer not flushed.
+    // Guards against clients that no process serves in a restart: a draining node still serves
+    // open connections, with deadlines shortened to the time left until its drain must end.
+    idleClient.write(NodeFixture.get("a2", 20_000));
+    ScriptedPeer newConnection = rig.acceptCache();
+    assertTrue(deadlineMillis(newConnection.line()) < 3000);
+    newConnection.write("VA 1 Oa2\r\nx\r\n");
+    assertEquals("VA 1 Oa2", idleClient.line());
+    assertEquals("x", idleClient.line());
+    assertTrue(idleClient.ended());
+    assertTrue(unusedClient.ended());
+    assertTrue(lateClient.ended());
+    // Guards against closing a connection before its response is flushed.
     cache.write("VA 5 Oa1\r\nhello\r\n");
-    assertEquals("VA 5 Oa1", owed.line());
-    assertEquals("hello", owed.line());
-    assertTrue(owed.ended());
-    drain.join(ScriptedPeer.PATIENCE_MILLIS);
-    assertFalse(drain.isAlive());
+    assertEquals("VA 5 Oa1", waitingClient.line());
+    assertEquals("hello", waitingClient.line());
+    assertTrue(waitingClient.ended());
+    drainThread.join(ScriptedPeer.PATIENCE_MILLIS);
+    assertFalse(drainThread.isAlive());
   }
 
   @Test
-  void closesAClientThatStopsHalfway() throws Exception {
+  void closesClientThatStopsSendingWithinCommand() throws Exception {
     ScriptedPeer client = rig.client();
     client.write("mg ke");
     assertTrue(client.ended());
   }
 
   @Test
-  void doesNotLetASecondCopySpoilTheNextRequest() throws Exception {
+  void closesServerConnectionAfterDuplicateResponse() throws Exception {
     rig.close();
     rig = new NodeFixture(1);
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 5000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
-    // Behind it waits a write, which may go out once: with the copy unread it would meet it.
+    // The duplicate must not be read as the response to the write below, which is sent only once.
     cache.write("VA 1 Oa1\r\nx\r\nVA 1 Oa1\r\nx\r\n");
     assertEquals("VA 1 Oa1", client.line());
     assertEquals("x", client.line());
     client.write(NodeFixture.put("a2", 5000, "v"));
-    ScriptedPeer next = rig.acceptCache();
-    next.line();
-    next.line();
-    next.write("HD Oa2 c1\r\n");
+    ScriptedPeer newConnection = rig.acceptCache();
+    newConnection.line();
+    newConnection.line();
+    newConnection.write("HD Oa2 c1\r\n");
     assertEquals("HD Oa2 c1", client.line());
     assertTrue(cache.ended());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"noise", "noise\r\n", "SERVER_ERROR busy\r\n", "VA 9 O"})
-  void closesAConnectionWithBytesBehindTheLastAnswer(String noise) throws Exception {
+  void closesServerConnectionWithBytesAfterLastResponse(String trailingBytes) throws Exception {
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 5000));
     ScriptedPeer cache = rig.acceptCache();
     cache.line();
-    cache.write("VA 1 Oa1\r\nx\r\n" + noise);
+    cache.write("VA 1 Oa1\r\nx\r\n" + trailingBytes);
     assertEquals("VA 1 Oa1", client.line());
     assertEquals("x", client.line());
     assertTrue(cache.ended());
     client.write(NodeFixture.put("a2", 5000, "v"));
-    ScriptedPeer next = rig.acceptCache();
-    next.line();
-    next.line();
-    next.write("HD Oa2 c1\r\n");
+    ScriptedPeer newConnection = rig.acceptCache();
+    newConnection.line();
+    newConnection.line();
+    newConnection.write("HD Oa2 c1\r\n");
     assertEquals("HD Oa2 c1", client.line());
   }
 
@@ -500,8 +512,8 @@
         "SERVER_ERROR\r\n",
         "\0\1\2",
       })
-  void asksAnotherServerInTimeWhenAnAnswerIsSpoilt(String spoilt) throws Exception {
-    try (ServerSocket second = NodeFixture.listen()) {
+  void retriesOnOtherServerWhenResponseIsMalformed(String malformedResponse) throws Exception {
+    try (ServerSocket secondServer = NodeFixture.listen()) {
       rig.close();
       rig =
           new NodeFixture(
@@ -511,26 +523,27 @@
       ScriptedPeer discovery = rig.acceptDiscovery();
       discovery.line();
       String list =
-          NodeFixture.members(8, true, rig.cache.getLocalPort(), second.getLocalPort()) + "\n";
+          NodeFixture.members(8, true, rig.cache.getLocalPort(), secondServer.getLocalPort())
+              + "\n";
       discovery.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
       assertTrue(rig.acceptDiscovery().line().contains("since=8 "));
       ScriptedPeer client = rig.client();
       client.write(NodeFixture.get("a1", 60_000));
-      ScriptedPeer bad = NodeFixture.acceptEither(rig.cache, second);
-      bad.line();
-      bad.write(spoilt);
-      try (ScriptedPeer good = NodeFixture.acceptEither(rig.cache, second)) {
-        assertTrue(good.line().contains("Oa1 "));
-        good.write("VA 1 Oa1\r\ny\r\n");
+      ScriptedPeer brokenConnection = NodeFixture.acceptEither(rig.cache, secondServer);
+      brokenConnection.line();
+      brokenConnection.write(malformedResponse);
+      try (ScriptedPeer workingConnection = NodeFixture.acceptEither(rig.cache, secondServer)) {
+        assertTrue(workingConnection.line().contains("Oa1 "));
+        workingConnection.write("VA 1 Oa1\r\ny\r\n");
         assertEquals("VA 1 Oa1", client.line());
         assertEquals("y", client.line());
       }
-      assertTrue(bad.ended());
+      assertTrue(brokenConnection.ended());
     }
   }
 
   @Test
-  void closesAClientThatGoesOnMakingErrors() throws Exception {
+  void closesClientAfterRepeatedErrors() throws Exception {
     ScriptedPeer client = rig.client();
     client.write("nonsense\r\n".repeat(300));
     String line = client.line();
@@ -538,8 +551,8 @@
       assertEquals("ERROR", line);
       line = client.line();
     }
-    ScriptedPeer other = rig.client();
-    other.write("mn\r\n");
-    assertEquals("MN", other.line());
+    ScriptedPeer otherClient = rig.client();
+    otherClient.write("mn\r\n");
+    assertEquals("MN", otherClient.line());
   }
 }
--- a/engine/src/test/java/shalepaddle/node/OperatorFileTest.java
+++ b/engine/src/test/java/shalepaddle/node/OperatorFileTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void convertsValuesFromTheirUnits() throws Exception {
+  void convertsMillisecondsToSeconds() throws Exception {
     assertEquals(
         new OverloadConfig(false, 0.02, 0.05, 0.2, 0.1, 0.25),
         load("[overload];shed = false;target_ms = 20;learn = 0.05;repeats = 0.2;"
@@ -67,16 +67,19 @@
         "[joining];join = true;callers = 1|line 3: callers is 1.0, and must be from 2.0 to",
         "[joining];age_ms = 0|line 2: age_ms is 0.0, and must be from 1.0 to 60000.0"
       })
-  void namesLineOfError(String text, String message) {
+  void loadFailureNamesLine(String text, String expectedMessage) {
     FormatException e = assertThrows(FormatException.class, () -> load(text));
-    String said = e.getMessage();
-    String from = said.substring(said.indexOf(", line ") + 2);
+    String reportedMessage = e.getMessage();
+    String reportedLine = reportedMessage.substring(reportedMessage.indexOf(", line ") + 2);
     assertEquals(
-        message.strip(), from.substring(0, Math.min(from.length(), message.length())).strip());
+        expectedMessage.strip(),
+        reportedLine
+            .substring(0, Math.min(reportedLine.length(), expectedMessage.length()))
+            .strip());
   }
 
   @Test
-  void namesMissingFile() {
+  void loadFailureNamesMissingFile() {
     FormatException e =
         assertThrows(FormatException.class, () -> OperatorFile.load("no/such/file.toml"));
     assertEquals("cannot read the operator file no/such/file.toml", e.getMessage());
--- a/engine/src/test/java/shalepaddle/node/ProcessorUseTest.java
+++ b/engine/src/test/java/shalepaddle/node/ProcessorUseTest.java
@@ -8,35 +8,47 @@
 
 class ProcessorUseTest {
   @Test
-  void isRatioOfCoresAndReadRarely() {
-    ProcessorUse half = new ProcessorUse(0.5);
-    ProcessorUse eight = new ProcessorUse(8);
-    long now = System.nanoTime();
-    assertTrue(Double.isNaN(half.usedRatio(now)), "not known at first");
-    assertTrue(Double.isNaN(eight.usedRatio(now)));
+  void usedRatioIsRelativeToCoresAndReadEveryHalfSecond() {
+    ProcessorUse halfCore = new ProcessorUse(0.5);
+    ProcessorUse eightCores = new ProcessorUse(8);
+    long nowNanos = System.nanoTime();
+    assertTrue(
+        Double.isNaN(halfCore.usedRatio(nowNanos)), "the used ratio is known at the first call");
+    assertTrue(Double.isNaN(eightCores.usedRatio(nowNanos)));
     double sum = 0;
-    while (System.nanoTime() - now < TimeUnit.MILLISECONDS.toNanos(120)) {
+    while (System.nanoTime() - nowNanos < TimeUnit.MILLISECONDS.toNanos(120)) {
       sum += Math.sqrt(sum + 1);
     }
-    assertTrue(Double.isNaN(half.usedRatio(now + 1)), "no sooner than in half a second");
-    // As if a second had passed: the work done is the same for both, and more than nothing.
-    long later = now + TimeUnit.SECONDS.toNanos(1);
-    double share = half.usedRatio(later);
-    assertTrue(share > 0.05, "share of half a core: " + share + ", " + sum);
-    assertTrue(eight.usedRatio(later) < share, "share of eight cores");
-    assertEquals(share, half.usedRatio(later + 1), "as it was read last");
+    assertTrue(
+        Double.isNaN(halfCore.usedRatio(nowNanos + 1)),
+        "the used ratio is known before half a second has passed");
+    // A second after the first call, both ProcessorUse objects read the processor time of the
+    // process again. It is above 0 and nearly the same for both, so that the ratio of eight cores
+    // is the lower one.
+    long laterNanos = nowNanos + TimeUnit.SECONDS.toNanos(1);
+    double halfCoreRatio = halfCore.usedRatio(laterNanos);
+    assertTrue(halfCoreRatio > 0.05, "used ratio of half a core: " + halfCoreRatio + ", " + sum);
+    assertTrue(
+        eightCores.usedRatio(laterNanos) < halfCoreRatio,
+        "the used ratio of eight cores is not below that of half a core");
+    assertEquals(
+        halfCoreRatio,
+        halfCore.usedRatio(laterNanos + 1),
+        "the processor time is read again within half a second");
   }
 
-  /** The value lies between the platform's own, read before and after. */
+  /** The processor time lies between two readings of the Java platform, before and after it. */
   @Test
-  void agreesWithPlatform() {
-    long before = platform();
-    long used = new ProcessorUse(1).usedNanos();
-    long after = platform();
-    assertTrue(before <= used && used <= after, before + " " + used + " " + after);
+  void usedNanosAgreesWithPlatform() {
+    long platformNanosBefore = platformProcessorNanos();
+    long usedNanos = new ProcessorUse(1).usedNanos();
+    long platformNanosAfter = platformProcessorNanos();
+    assertTrue(
+        platformNanosBefore <= usedNanos && usedNanos <= platformNanosAfter,
+        platformNanosBefore + " " + usedNanos + " " + platformNanosAfter);
   }
 
-  private static long platform() {
+  private static long platformProcessorNanos() {
     return ProcessHandle.current().info().totalCpuDuration().orElseThrow().toNanos();
   }
 }
--- a/engine/src/test/java/shalepaddle/node/ServerDrainingTest.java
+++ b/engine/src/test/java/shalepaddle/node/ServerDrainingTest.java
@@ -15,48 +15,50 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
- * What was decided on before a server was known to leave, or to be in another group, and has not
- * gone out by then: a place, or a connection, may come free after the grace.
+ * Attempts that were routed to a server before it was known to be draining, excluded or in another
+ * cell, and are not written by then. They go to another server: a connection may become free for
+ * them only after the drain grace.
  */
 @Timeout(30)
 class ServerDrainingTest {
-  private static final String CAPS =
+  private static final String CAPS_SETTING =
       """
       ,"instances":%d,"caps":{"attempts-cap":3,"cancel":false,"parallel-tries":%b,\
       "multiplex":%d,"connect-timeout":8,"conn-idle":60}""";
 
-  private static final String ADMIN_SERVER = "},\"management\":\"127.0.0.1:0\",\"unused\":{";
+  private static final String ADMIN_SERVER_SETTING =
+      "},\"management\":\"127.0.0.1:0\",\"unused\":{";
 
-  private ServerSocket other;
+  private ServerSocket otherServer;
   private NodeFixture rig;
   private ScriptedPeer client;
-  private ScriptedPeer waiting;
+  private ScriptedPeer waitingClient;
 
   @BeforeEach
-  void begin() throws Exception {
-    other = NodeFixture.listen();
+  void listenAsOtherServer() throws Exception {
+    otherServer = NodeFixture.listen();
   }
 
   @AfterEach
-  void end() throws Exception {
+  void closeNodeAndServer() throws Exception {
     rig.close();
-    other.close();
+    otherServer.close();
   }
 
-  private void tell(int version, String state) throws Exception {
+  private void sendList(int version, String state) throws Exception {
     ScriptedPeer discovery = rig.acceptDiscovery();
     while (!discovery.line().isEmpty()) {
-      // The call.
+      // Skips the header lines of the call.
     }
     int port = rig.cache.getLocalPort();
-    boolean moved = state.equals("moved");
+    boolean isMoved = state.equals("moved");
     String list =
         "{\"version\":%d,\"full\":true,\"servers\":[%s,%s]}"
             .formatted(
                 version,
-                NodeFixture.member("s-" + port, port, moved ? "active" : state)
-                    .replace("\"cell\":0", moved ? "\"cell\":1" : "\"cell\":0"),
-                NodeFixture.member("s-other", other.getLocalPort(), "active"));
+                NodeFixture.member("s-" + port, port, isMoved ? "active" : state)
+                    .replace("\"cell\":0", isMoved ? "\"cell\":1" : "\"cell\":0"),
+                NodeFixture.member("s-other", otherServer.getLocalPort(), "active"));
     discovery.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     discovery.write(NodeFixture.chunk(list + "\n"));
   }
@@ -64,28 +66,28 @@
   @ParameterizedTest
   @ValueSource(strings = {"leaving", "left", "moved", "active"})
   void whatWaitsForAPlaceGoesElsewhere(String state) throws Exception {
-    rig = new NodeFixture(CAPS.formatted(28, false, 1) + ADMIN_SERVER);
+    rig = new NodeFixture(CAPS_SETTING.formatted(28, false, 1) + ADMIN_SERVER_SETTING);
     client = rig.client().write(NodeFixture.get("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.line().contains("Oa1 "));
-    waiting = rig.client().write(NodeFixture.put("b1", 20_000, "v"));
+    waitingClient = rig.client().write(NodeFixture.put("b1", 20_000, "v"));
     rig.settled();
-    tell(8, state);
+    sendList(8, state);
     if (state.equals("active")) {
-      // Left out by hand instead.
+      // The list does not change the server; an operator excludes it instead.
       try (ScriptedPeer caller = ScriptedPeer.connect(rig.node.adminAddress())) {
-        String member = "s-" + rig.cache.getLocalPort();
-        caller.write("PUT /api/exclude?member=" + member + " HTTP/1.1\r\nHost: node\r\n\r\n");
+        String serverId = "s-" + rig.cache.getLocalPort();
+        caller.write("PUT /api/exclude?member=" + serverId + " HTTP/1.1\r\nHost: node\r\n\r\n");
         assertTrue(caller.line().contains(" 200 "));
       }
     }
-    try (ScriptedPeer next = new ScriptedPeer(other.accept())) {
-      assertTrue(next.line().contains("Ob1 "));
-      next.line();
-      next.write("HD Ob1 c1\r\n");
-      assertEquals("HD Ob1 c1", waiting.line());
+    try (ScriptedPeer otherConnection = new ScriptedPeer(otherServer.accept())) {
+      assertTrue(otherConnection.line().contains("Ob1 "));
+      otherConnection.line();
+      otherConnection.write("HD Ob1 c1\r\n");
+      assertEquals("HD Ob1 c1", waitingClient.line());
     }
-    // What is under way may end, and then nothing more comes.
+    // The attempt in flight may complete; the node sends nothing more to its server.
     cache.write("VA 1 Oa1\r\nx\r\n");
     assertEquals("VA 1 Oa1", client.line());
     rig.settled();
@@ -93,32 +95,35 @@
     assertNull(cache.line());
   }
 
-  /** It was turned away with its connection, and would go on another that is there. */
+  /**
+   * After a new connection rejects its attempt, the attempt goes to the other server, although the
+   * open connection to the draining server has a free place for it.
+   */
   @Test
-  void whatWasTurnedDownIsNotWrittenAgainToAServerThatLeaves() throws Exception {
-    rig = new NodeFixture(CAPS.formatted(1, true, 32));
+  void doesNotRewriteRejectedAttemptToDrainingServer() throws Exception {
+    rig = new NodeFixture(CAPS_SETTING.formatted(1, true, 32));
     client = rig.client().write(NodeFixture.get("a1", 20_000));
-    ScriptedPeer kept = rig.acceptCache();
-    assertTrue(kept.line().contains("Oa1 "));
-    waiting = rig.client().write(NodeFixture.put("b1", 20_000, "v"));
-    ScriptedPeer fresh = rig.acceptCache();
-    assertTrue(fresh.line().contains("Ob1 "));
-    fresh.line();
-    tell(8, "leaving");
-    // Once a request goes to the other server, the list has been taken.
-    ScriptedPeer probe = rig.client().write(NodeFixture.get("c1", 20_000));
-    try (ScriptedPeer next = new ScriptedPeer(other.accept())) {
-      assertTrue(next.line().contains("Oc1 "));
-      next.write("VA 1 Oc1\r\nx\r\n");
-      assertEquals("VA 1 Oc1", probe.line());
-      fresh.write("SERVER_ERROR busy\r\n");
-      fresh.close();
-      assertTrue(next.line().contains("Ob1 "));
-      next.line();
-      next.write("HD Ob1 c1\r\n");
-      assertEquals("HD Ob1 c1", waiting.line());
+    ScriptedPeer openConnection = rig.acceptCache();
+    assertTrue(openConnection.line().contains("Oa1 "));
+    waitingClient = rig.client().write(NodeFixture.put("b1", 20_000, "v"));
+    ScriptedPeer newConnection = rig.acceptCache();
+    assertTrue(newConnection.line().contains("Ob1 "));
+    newConnection.line();
+    sendList(8, "leaving");
+    // When a request goes to the other server, the node has applied the list.
+    ScriptedPeer probeClient = rig.client().write(NodeFixture.get("c1", 20_000));
+    try (ScriptedPeer otherConnection = new ScriptedPeer(otherServer.accept())) {
+      assertTrue(otherConnection.line().contains("Oc1 "));
+      otherConnection.write("VA 1 Oc1\r\nx\r\n");
+      assertEquals("VA 1 Oc1", probeClient.line());
+      newConnection.write("SERVER_ERROR busy\r\n");
+      newConnection.close();
+      assertTrue(otherConnection.line().contains("Ob1 "));
+      otherConnection.line();
+      otherConnection.write("HD Ob1 c1\r\n");
+      assertEquals("HD Ob1 c1", waitingClient.line());
     }
-    kept.write("VA 1 Oa1\r\nx\r\n");
+    openConnection.write("VA 1 Oa1\r\nx\r\n");
     assertEquals("VA 1 Oa1", client.line());
     assertFalse(client.line().isEmpty());
   }
--- a/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
@@ -19,40 +19,40 @@
 import shalepaddle.front.RequestAdmission;
 import shalepaddle.overload.OverloadSnapshot;
 
-/** Refusing at the edge: what is read of a request that is refused, and what goes on. */
+/** Tests rejection of requests before they are parsed, and reading of the requests after them. */
 class SheddingNodeTest {
-  /** Refuses all of one class, with advice. */
-  private static final class Refusing implements RequestAdmission {
-    private final List<String> asked = new ArrayList<>();
-    private boolean shuts = true;
+  /** Rejects all requests of the first service class, with a Retry-After of 40 ms. */
+  private static final class RejectingAdmission implements RequestAdmission {
+    private final List<String> admitCalls = new ArrayList<>();
+    private boolean isRejecting = true;
 
     @Override
     public boolean mayReject() {
-      return shuts;
+      return isRejecting;
     }
 
     @Override
-    public long admit(int serviceClass, int tenant, long subject, boolean repeat) {
-      asked.add(serviceClass + (repeat ? " again" : ""));
-      return shuts && serviceClass == 0 ? 40 : ADMITTED;
+    public long admit(int serviceClass, int tenant, long keyHash, boolean isRetry) {
+      admitCalls.add(serviceClass + (isRetry ? " again" : ""));
+      return isRejecting && serviceClass == 0 ? 40 : ADMITTED;
     }
   }
 
-  private final Refusing gate = new Refusing();
+  private final RejectingAdmission admission = new RejectingAdmission();
   private final MemoryBudget budget = new MemoryBudget(1000);
 
-  private EmbeddedChannel channel() throws Exception {
+  private EmbeddedChannel createChannel() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
       return new EmbeddedChannel(
-          new MetaClientCodec(budget, rig.config("").settings(), gate).decoder());
+          new MetaClientCodec(budget, rig.config("").settings(), admission).decoder());
     }
   }
 
-  private static ByteBuf bytes(String text) {
+  private static ByteBuf toBytes(String text) {
     return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
   }
 
-  private static String answer(ClientCommand command) {
+  private static String releaseAndGetAnswer(ClientCommand command) {
     String text =
         command.answer() == null ? null : command.answer().toString(StandardCharsets.US_ASCII);
     command.release();
@@ -60,68 +60,70 @@
   }
 
   @Test
-  void aReadIsRefusedByItsLineAloneAndAWriteOfAnotherClassGoesOn() throws Exception {
-    EmbeddedChannel channel = channel();
-    channel.writeInbound(bytes(NodeFixture.get("a1", 500) + NodeFixture.put("w1", 500, "value")));
-    ClientCommand read = channel.readInbound();
-    assertEquals(1, read.rejections().count());
-    assertEquals("SERVER_ERROR busy 40\r\n", answer(read));
-    ClientCommand write = channel.readInbound();
-    assertEquals("w1", write.request().id());
-    write.release();
-    assertEquals(List.of("0", "1"), gate.asked, "each is asked about once");
+  void rejectsReadAndAdmitsWriteOfOtherClass() throws Exception {
+    EmbeddedChannel channel = createChannel();
+    channel.writeInbound(toBytes(NodeFixture.get("a1", 500) + NodeFixture.put("w1", 500, "value")));
+    ClientCommand readCommand = channel.readInbound();
+    assertEquals(1, readCommand.rejections().count());
+    assertEquals("SERVER_ERROR busy 40\r\n", releaseAndGetAnswer(readCommand));
+    ClientCommand writeCommand = channel.readInbound();
+    assertEquals("w1", writeCommand.request().id());
+    writeCommand.release();
+    assertEquals(
+        List.of("0", "1"), admission.admitCalls, "admission was not called once for each request");
     channel.finishAndReleaseAll();
   }
 
   @Test
-  void aRefusedWriteIsReadToItsEndWithoutKeepingItsValue() throws Exception {
-    EmbeddedChannel channel = channel();
-    String write = "ms key 2000 Ow1 Pc=read,r=1,d=500\r\n" + "v".repeat(2000) + "\r\n";
-    for (int cut : new int[] {0, 20, 40, 900}) {
-      channel.writeInbound(bytes(write.substring(0, cut)));
+  void skipsValueOfRejectedWriteWithoutBufferingIt() throws Exception {
+    EmbeddedChannel channel = createChannel();
+    String writeText = "ms key 2000 Ow1 Pc=read,r=1,d=500\r\n" + "v".repeat(2000) + "\r\n";
+    for (int splitOffset : new int[] {0, 20, 40, 900}) {
+      channel.writeInbound(toBytes(writeText.substring(0, splitOffset)));
       assertNull(channel.<ClientCommand>readInbound());
-      channel.writeInbound(bytes(write.substring(cut) + NodeFixture.get("a" + cut, 500)));
-      ClientCommand refused = channel.readInbound();
-      assertEquals(1, refused.rejections().count());
-      assertEquals(40, refused.rejections().retryAfterMillis());
-      assertEquals("SERVER_ERROR busy 40\r\n", answer(refused));
-      assertTrue(budget.reserve(1000), "nothing of the value is held");
+      channel.writeInbound(
+          toBytes(writeText.substring(splitOffset) + NodeFixture.get("a" + splitOffset, 500)));
+      ClientCommand rejectedCommand = channel.readInbound();
+      assertEquals(1, rejectedCommand.rejections().count());
+      assertEquals(40, rejectedCommand.rejections().retryAfterMillis());
+      assertEquals("SERVER_ERROR busy 40\r\n", releaseAndGetAnswer(rejectedCommand));
+      assertTrue(budget.reserve(1000), "a part of the value is buffered");
       budget.release(1000);
-      assertEquals("SERVER_ERROR busy 40\r\n", answer(channel.readInbound()));
+      assertEquals("SERVER_ERROR busy 40\r\n", releaseAndGetAnswer(channel.readInbound()));
     }
-    assertEquals("0 again", gate.asked.get(0));
+    assertEquals("0 again", admission.admitCalls.get(0));
     channel.finishAndReleaseAll();
   }
 
   @Test
-  void refusalsInARowAreOneAnswerInTheirOrder() throws Exception {
-    EmbeddedChannel channel = channel();
-    StringBuilder asked = new StringBuilder();
+  void combinesConsecutiveRejectionsIntoOneAnswer() throws Exception {
+    EmbeddedChannel channel = createChannel();
+    StringBuilder requestText = new StringBuilder();
     for (int i = 0; i < 5; i++) {
-      asked.append(NodeFixture.get("a" + i, 500));
+      requestText.append(NodeFixture.get("a" + i, 500));
     }
-    asked
+    requestText
         .append(NodeFixture.put("w1", 500, "v"))
         .append(NodeFixture.get("b1", 500))
         .append("mg ke");
-    channel.writeInbound(bytes(asked.toString()));
-    ClientCommand five = channel.readInbound();
-    assertEquals(5, five.rejections().count());
-    assertEquals("SERVER_ERROR busy 40\r\n".repeat(5), answer(five));
-    ClientCommand write = channel.readInbound();
-    assertEquals("w1", write.request().id(), "what is admitted keeps its place");
-    write.release();
-    assertEquals("SERVER_ERROR busy 40\r\n", answer(channel.readInbound()));
-    assertNull(channel.<ClientCommand>readInbound(), "the rest has not come");
-    assertEquals(7, gate.asked.size());
+    channel.writeInbound(toBytes(requestText.toString()));
+    ClientCommand combinedRejections = channel.readInbound();
+    assertEquals(5, combinedRejections.rejections().count());
+    assertEquals("SERVER_ERROR busy 40\r\n".repeat(5), releaseAndGetAnswer(combinedRejections));
+    ClientCommand writeCommand = channel.readInbound();
+    assertEquals("w1", writeCommand.request().id(), "the admitted request is out of order");
+    writeCommand.release();
+    assertEquals("SERVER_ERROR busy 40\r\n", releaseAndGetAnswer(channel.readInbound()));
+    assertNull(channel.<ClientCommand>readInbound(), "a command was read from an incomplete line");
+    assertEquals(7, admission.admitCalls.size());
     channel.finishAndReleaseAll();
   }
 
   @Test
-  void whatCanNotBeReadIsStillAnErrorAndNoRefusal() throws Exception {
-    EmbeddedChannel channel = channel();
+  void answersMalformedRequestsWithErrorsInsteadOfRejections() throws Exception {
+    EmbeddedChannel channel = createChannel();
     channel.writeInbound(
-        bytes(
+        toBytes(
             """
             mg key v Oa1 Pc=nosuch,d=5\r
             mg key v Oa2\r
@@ -132,7 +134,7 @@
     for (ClientCommand command = channel.readInbound();
         command != null;
         command = channel.readInbound()) {
-      answers.add(answer(command));
+      answers.add(releaseAndGetAnswer(command));
     }
     assertEquals(
         List.of(
@@ -145,24 +147,24 @@
   }
 
   @Test
-  void whileNothingIsRefusedEachRequestIsStillCounted() throws Exception {
-    gate.shuts = false;
-    EmbeddedChannel channel = channel();
-    channel.writeInbound(bytes(NodeFixture.get("a1", 500) + NodeFixture.put("w1", 500, "value")));
-    ClientCommand read = channel.readInbound();
-    assertEquals(0, read.rejections().count());
-    read.release();
+  void callsAdmissionForEachRequestWhenNothingIsRejected() throws Exception {
+    admission.isRejecting = false;
+    EmbeddedChannel channel = createChannel();
+    channel.writeInbound(toBytes(NodeFixture.get("a1", 500) + NodeFixture.put("w1", 500, "value")));
+    ClientCommand readCommand = channel.readInbound();
+    assertEquals(0, readCommand.rejections().count());
+    readCommand.release();
     ((ClientCommand) channel.readInbound()).release();
-    assertEquals(List.of("0", "1"), gate.asked);
+    assertEquals(List.of("0", "1"), admission.admitCalls);
     channel.finishAndReleaseAll();
   }
 
   @Test
-  void metersTellWhatTheReadingTells() throws Exception {
+  void metersShowSnapshotValues() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
-      OverloadSnapshot reading = rig.node.overloadSnapshot();
+      OverloadSnapshot snapshot = rig.node.overloadSnapshot();
       SimpleMeterRegistry registry = new SimpleMeterRegistry();
-      new OverloadMetrics(() -> reading, Tags.of("node", "n0")).bindTo(registry);
+      new OverloadMetrics(() -> snapshot, Tags.of("node", "n0")).bindTo(registry);
       assertEquals(
           0,
           registry.get("shalepaddle.overload.level").tag("resource", "processor").gauge().value());
@@ -170,7 +172,7 @@
       assertEquals(
           1, registry.get("shalepaddle.overload.passing").tag("tier", "0").gauge().value());
       assertEquals(
-          reading.tiers().size(),
+          snapshot.tiers().size(),
           registry.get("shalepaddle.overload.refused").functionCounters().size());
     }
   }
--- a/engine/src/test/java/shalepaddle/node/TurnsTest.java
+++ b/engine/src/test/java/shalepaddle/node/TurnsTest.java
@@ -18,19 +18,22 @@
 import shalepaddle.loop.LoopClock;
 import shalepaddle.model.Request;
 
-/** A dispatcher whose every send takes 2 ms of a clock that runs for nothing else. */
+/**
+ * Requests that a turn of the event loop has no time to route. A send takes 2 ms of virtual time, a
+ * turn without a send 1 µs.
+ */
 class TurnsTest {
-  private final List<String> sent = new ArrayList<>();
+  private final List<String> sentIds = new ArrayList<>();
   private final List<Reply> replies = new ArrayList<>();
-  private final List<String> refused = new ArrayList<>();
-  private final List<Long> turns = new ArrayList<>();
+  private final List<String> rejectedIds = new ArrayList<>();
+  private final List<Long> turnDurationsMillis = new ArrayList<>();
 
   private final VirtualEngine engine =
       new VirtualEngine(
           new LoopClock.Listener() {
             @Override
-            public void onStall(long nanos) {
-              throw new AssertionError("a turn with work in it is no pause");
+            public void onStall(long stallNanos) {
+              throw new AssertionError("a turn that routes requests counted as a stall");
             }
 
             @Override
@@ -39,8 +42,8 @@
             }
 
             @Override
-            public void onTurnEnd(long begunAt, long now) {
-              turns.add(TimeUnit.NANOSECONDS.toMillis(now - begunAt));
+            public void onTurnEnd(long begunAtNanos, long nowNanos) {
+              turnDurationsMillis.add(TimeUnit.NANOSECONDS.toMillis(nowNanos - begunAtNanos));
             }
           });
 
@@ -60,29 +63,30 @@
             new Upstream() {
               @Override
               public void send(Attempt attempt) {
-                sent.add(attempt.exchange().id());
+                sentIds.add(attempt.exchange().id());
                 engine.ticker.advance(2, TimeUnit.MILLISECONDS);
               }
 
               @Override
-              public void withdraw(Attempt attempt, boolean overdue) {}
+              public void withdraw(Attempt attempt, boolean isOverdue) {}
 
               @Override
-              public void closeIdle(long server) {}
+              public void closeIdle(long serverId) {}
             },
             7);
   }
 
   @AfterEach
-  void nothingIsLeft() {
+  void closeAndAssertPayloadsReleased() {
     dispatcher.close();
     assertEquals(0, dispatcher.openRequests());
-    assertEquals(engine.released, replies.size(), "each payload is released once");
+    assertEquals(engine.released, replies.size(), "released payloads do not match the replies");
     engine.close();
   }
 
-  private Submission submit(String id, boolean write) {
-    Request request = new Request(id, null, write ? "write" : "read", null, 1, 0, 0, false, write);
+  private Submission submit(String id, boolean isWrite) {
+    Request request =
+        new Request(id, null, isWrite ? "write" : "read", null, 1, 0, 0, false, isWrite);
     return dispatcher.submit(
         new Call(
             request,
@@ -90,71 +94,75 @@
             reply -> {
               replies.add(reply);
               if (reply instanceof Reply.Rejected) {
-                refused.add(id);
+                rejectedIds.add(id);
               }
             }));
   }
 
-  /** Lets the loop run once, as it does after it has read. */
-  private void turn() {
+  /** Runs one turn of the loop. */
+  private void runTurn() {
     engine.ticker.advance(1, TimeUnit.MICROSECONDS);
     engine.loop.runNow();
   }
 
   @Test
-  void whatOneTurnCanNotBeginIsBegunInLaterOnesAndWritesComeFirst() {
+  void routesQueuedRequestsInLaterTurnsAndWritesFirst() {
     for (int i = 1; i <= 5; i++) {
       submit("r" + i, false);
     }
     submit("w1", true);
-    assertEquals(List.of("r1", "r2"), sent, "no more than 3 ms are begun with in one turn");
+    assertEquals(
+        List.of("r1", "r2"), sentIds, "requests were routed for more than 3 ms in one turn");
     assertTrue(dispatcher.oldestQueuedNanos() <= TimeUnit.MILLISECONDS.toNanos(3));
-    turn();
-    assertEquals(List.of("r1", "r2", "w1", "r3"), sent);
+    runTurn();
+    assertEquals(List.of("r1", "r2", "w1", "r3"), sentIds);
     submit("r6", false);
-    turn();
-    turn();
-    turn();
-    assertEquals(List.of("r1", "r2", "w1", "r3", "r4", "r5", "r6"), sent);
+    runTurn();
+    runTurn();
+    runTurn();
+    assertEquals(List.of("r1", "r2", "w1", "r3", "r4", "r5", "r6"), sentIds);
     assertEquals(0, dispatcher.oldestQueuedNanos());
   }
 
   @Test
-  void whatWaitsTooLongIsRefusedAndNeverSent() {
+  void rejectsRequestsQueuedTooLongWithoutSendingThem() {
     for (int i = 0; i < 100; i++) {
       submit("r" + i, false);
     }
     for (int i = 0; i < 60; i++) {
-      turn();
+      runTurn();
     }
-    assertEquals(100, sent.size() + refused.size());
-    assertTrue(refused.size() > 50, refused.size() + " refused");
-    assertTrue(refused.stream().noneMatch(sent::contains), "sent and refused");
+    assertEquals(100, sentIds.size() + rejectedIds.size());
+    assertTrue(rejectedIds.size() > 50, rejectedIds.size() + " rejected");
     assertTrue(
-        turns.stream().allMatch(millis -> millis <= 6), "turns of " + turns + " milliseconds");
+        rejectedIds.stream().noneMatch(sentIds::contains), "a request was both sent and rejected");
+    assertTrue(
+        turnDurationsMillis.stream().allMatch(millis -> millis <= 6),
+        "a turn took more than 6 ms: " + turnDurationsMillis + " ms");
   }
 
   @Test
-  void whoLeavesWhileItWaitsIsNotSent() {
+  void doesNotSendQueuedRequestWhenClientDisconnects() {
     submit("r1", false);
     submit("r2", false);
-    Submission gone = submit("r3", false);
-    dispatcher.clientDisconnected(gone);
-    turn();
-    turn();
-    assertEquals(List.of("r1", "r2"), sent);
-    replies.add(null); // It is owed no reply; its payload is released all the same.
+    Submission disconnectedSubmission = submit("r3", false);
+    dispatcher.clientDisconnected(disconnectedSubmission);
+    runTurn();
+    runTurn();
+    assertEquals(List.of("r1", "r2"), sentIds);
+    // r3 gets no reply, but its payload is released too: this entry keeps both numbers equal.
+    replies.add(null);
   }
 
   @Test
-  void anEndRefusesWhatWaits() {
+  void closeRejectsQueuedRequests() {
     for (int i = 1; i <= 5; i++) {
       submit("r" + i, false);
     }
     dispatcher.close();
-    assertEquals(List.of("r3", "r4", "r5"), refused.subList(0, 3));
-    assertEquals(5, replies.size(), "those that were begun hear of the end too");
-    turn();
-    assertEquals(List.of("r1", "r2"), sent);
+    assertEquals(List.of("r3", "r4", "r5"), rejectedIds.subList(0, 3));
+    assertEquals(5, replies.size(), "a request that was sent got no reply on close");
+    runTurn();
+    assertEquals(List.of("r1", "r2"), sentIds);
   }
 }
--- a/engine/src/test/java/shalepaddle/node/VirtualEngine.java
+++ b/engine/src/test/java/shalepaddle/node/VirtualEngine.java
@@ -23,13 +23,13 @@
 import shalepaddle.overload.OverloadControl;
 import shalepaddle.settings.JsonObject;
 
-/** A loop that a test runs, in time that it lets pass, and dispatchers on it. */
+/** Dispatchers on an event loop that the test itself runs, in virtual time. */
 final class VirtualEngine {
   final MockTicker ticker = Ticker.newMockTicker();
   final LoopClock clock;
   final ManualIoEventLoop loop;
 
-  /** Payloads that have been released. */
+  /** Number of payloads that have been released. */
   int released;
 
   VirtualEngine(LoopClock.Listener listener) {
@@ -42,12 +42,12 @@
             ticker);
   }
 
-  /** Milliseconds since the beginning. */
+  /** Milliseconds of virtual time since the start. */
   long millis() {
     return TimeUnit.NANOSECONDS.toMillis(ticker.nanoTime() - ticker.initialNanoTime());
   }
 
-  /** Lets so much time pass, and runs the loop in each millisecond of it. */
+  /** Advances the time by the given milliseconds, and runs the loop after each millisecond. */
   void pass(long millis) {
     for (long i = 0; i < millis; i++) {
       ticker.advance(1, TimeUnit.MILLISECONDS);
@@ -58,12 +58,12 @@
   /**
    * Starts a dispatcher.
    *
-   * @param caps further ones of the deployment, as the settings have them
-   * @param services the classes, as the settings have them
-   * @param servers the ids of servers that are ready
+   * @param caps additional entries of {@code caps} in the settings, as JSON
+   * @param services the service classes of the settings, as JSON
+   * @param servers the ids of the servers, all of which are ready
    */
   Dispatcher start(
-      String caps, String services, CoalescingConfig joining, Upstream upstream, long... servers)
+      String caps, String services, CoalescingConfig coalescing, Upstream upstream, long... servers)
       throws Exception {
     NodeConfig config =
         NodeConfig.parse(
@@ -90,7 +90,7 @@
             new Clock(ticker, 0),
             new Log(ticker, line -> {}),
             overload,
-            joining);
+            coalescing);
     dispatcher.start(upstream, MemberSource.FIXED);
     dispatcher.membership(
         new MembershipUpdate(
@@ -102,10 +102,10 @@
     return dispatcher;
   }
 
-  /** A payload that carries nothing, and counts when it is released for the first time. */
+  /** Returns a payload without a value, whose first release is counted. */
   Payload payload() {
     return new Payload() {
-      private boolean over;
+      private boolean isReleased;
 
       @Override
       public ByteBuf value() {
@@ -114,13 +114,13 @@
 
       @Override
       public void release() {
-        released += over ? 0 : 1;
-        over = true;
+        released += isReleased ? 0 : 1;
+        isReleased = true;
       }
     };
   }
 
-  /** Ends the loop. */
+  /** Shuts the loop down. */
   void close() {
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     loop.runNow();
--- a/engine/src/test/java/shalepaddle/node/WarmupTest.java
+++ b/engine/src/test/java/shalepaddle/node/WarmupTest.java
@@ -8,11 +8,12 @@
 
 class WarmupTest {
   /**
-   * A warm-up that waits in vain takes its longest time at each start. Repeated, since calls were
-   * once made within calls when all code was compiled and answers came at once.
+   * Guards against warm-up requests that are never answered, for which each start of a node would
+   * wait the maximum time. The test is repeated, because such a fault showed only after all code
+   * was compiled: answers then came at once, and calls were nested within calls.
    */
   @RepeatedTest(25)
-  void answersAllRequestsWithinProcess() throws Exception {
+  void warmupRequestsAreAllAnswered() throws Exception {
     assertEquals(
         Warmup.REQUEST_COUNT, Warmup.run(NodeConfig.rehearsal(), Transport.sockets(), new Log()));
   }
