--- a/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupClient.java
@@ -21,28 +21,31 @@
 import shalepaddle.transport.MemberTransport;
 
 /**
- * A client of a group that is no member: a command, a test. Each call blocks the caller's thread
- * and asks one member after the other until one answers or the time is up.
+ * A client that is not a member of the group, as used by commands and tests. Each call blocks the
+ * calling thread and tries one member after another until one responds or the timeout has passed.
  *
  * <p>Thread-safe.
  */
 public final class GroupClient implements AutoCloseable {
+  /** How long a member has to respond to one attempt. */
   private static final long ATTEMPT_TIMEOUT_MILLIS = 700;
 
-  /** Between two rounds over all members. */
+  /** The delay between two rounds of attempts at all members. */
   private static final long ROUND_DELAY_MILLIS = 30;
 
-  /** How long after a request's timeout the transport itself is considered stuck. */
+  /** How long a request waits for the transport beyond its own timeout before it fails. */
   private static final long TRANSPORT_GRACE_MILLIS = 1000;
 
   private final MemberTransport transport;
   private final Map<String, InetSocketAddress> members = new LinkedHashMap<>();
 
   /**
-   * A client of these members.
+   * Creates a client.
    *
-   * @param members their names and addresses
-   * @param log takes lines for operators, from any thread
+   * @param group the name of the group
+   * @param members the addresses of the members, by name
+   * @param log receives log lines for operators, from any thread
+   * @throws IOException if the transport cannot be created
    */
   public GroupClient(String group, Map<String, InetSocketAddress> members, Consumer<String> log)
       throws IOException {
@@ -50,7 +53,7 @@
     members.forEach(this::setAddress);
   }
 
-  /** Nobody connects to a client, so it rejects everything. */
+  /** Rejects all requests. A client does not listen, so it should receive none. */
   private record ClientListener(Consumer<String> log) implements MemberTransport.Listener {
     @Override
     public void raftMessageReceived(byte[] message) {}
@@ -67,65 +70,65 @@
     }
   }
 
-  /** A member is at this address from now on. */
+  /** Sets the address of a member, or adds a member. */
   public synchronized void setAddress(String member, InetSocketAddress address) {
     members.put(member, address);
     transport.setAddress(member, address);
   }
 
-  /** A member is not asked any more; an open connection to it stays until {@link #close}. */
+  /** Sends no further requests to a member. Its connection stays open until {@link #close}. */
   public synchronized void removeAddress(String member) {
     members.remove(member);
   }
 
-  /** All members, the preferred one first. */
-  private synchronized List<String> membersInOrder(String preferred) {
-    List<String> ordered = new ArrayList<>(members.keySet());
-    if (ordered.remove(preferred)) {
-      ordered.add(0, preferred);
+  /** The names of all members, the preferred one first. */
+  private synchronized List<String> membersInOrder(String preferredMember) {
+    List<String> memberNames = new ArrayList<>(members.keySet());
+    if (memberNames.remove(preferredMember)) {
+      memberNames.add(0, preferredMember);
     }
-    return ordered;
+    return memberNames;
   }
 
   /**
    * Proposes a command.
    *
-   * @param preferred the member to ask first, null for any
-   * @throws IOException if nobody answers in time; the proposal may be committed all the same, and
-   *     is to be repeated under the same id
+   * @param preferredMember the member to try first, null for any
+   * @throws IOException if no member responds in time; the proposal may be committed nevertheless,
+   *     and must be repeated under the same id
    */
-  public CommandResult propose(Proposal proposal, String preferred, long timeoutMillis)
+  public CommandResult propose(Proposal proposal, String preferredMember, long timeoutMillis)
       throws IOException, InterruptedException {
     return ReplicatedStateCodec.decodeResult(
-        requestOfAny(
+        requestFromAny(
             GroupRequest.PROPOSE,
             ReplicatedStateCodec.encodeProposal(proposal),
-            preferred,
+            preferredMember,
             timeoutMillis));
   }
 
   /**
    * Reads the committed state.
    *
-   * @param preferred the member to ask first, null for any
-   * @throws IOException if nobody answers in time
+   * @param preferredMember the member to try first, null for any
+   * @throws IOException if no member responds in time
    */
-  public ReplicatedState.Snapshot read(String preferred, long timeoutMillis)
+  public ReplicatedState.Snapshot read(String preferredMember, long timeoutMillis)
       throws IOException, InterruptedException {
     return ReplicatedStateCodec.decodeSnapshot(
-        requestOfAny(GroupRequest.READ, new byte[0], preferred, timeoutMillis));
+        requestFromAny(GroupRequest.READ, new byte[0], preferredMember, timeoutMillis));
   }
 
   /**
-   * Removes a member from the group for good.
+   * Removes a member from the group permanently.
    *
-   * @throws IOException if it is still a member when the time is up; with the last failure
+   * @throws IOException the last failure, if the removal is not confirmed within the timeout
    */
   public void removeMember(String member, long timeoutMillis)
       throws IOException, InterruptedException {
-    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
-    IOException lastFailure = new GroupUnavailableException("nobody leads");
-    while (System.nanoTime() - deadline < 0) {
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+    IOException lastFailure = new GroupUnavailableException("no leader was found");
+    while (System.nanoTime() - deadlineNanos < 0) {
       for (String candidate : membersInOrder(null)) {
         try {
           MemberStatus status = status(candidate);
@@ -150,9 +153,9 @@
   }
 
   /**
-   * A member's view of its group.
+   * Requests a member's status, which is its view of the group.
    *
-   * @throws IOException if it does not answer
+   * @throws IOException if the member does not respond
    */
   public MemberStatus status(String member) throws IOException, InterruptedException {
     return MemberStatusCodec.decode(
@@ -160,18 +163,18 @@
   }
 
   /**
-   * Sends a request to one member after the other until one succeeds.
+   * Sends a request to one member after another until one succeeds.
    *
-   * @throws IOException the last failure, when the time is up
+   * @throws IOException the last failure, if none succeeds within the timeout
    */
-  private byte[] requestOfAny(
-      GroupRequest request, byte[] body, String preferred, long timeoutMillis)
+  private byte[] requestFromAny(
+      GroupRequest request, byte[] body, String preferredMember, long timeoutMillis)
       throws IOException, InterruptedException {
-    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
     IOException lastFailure = new GroupUnavailableException("no member is known");
     do {
-      for (String member : membersInOrder(preferred)) {
-        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+      for (String member : membersInOrder(preferredMember)) {
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
         if (remainingMillis <= 0) {
           break;
         }
@@ -182,7 +185,7 @@
         }
       }
       TimeUnit.MILLISECONDS.sleep(ROUND_DELAY_MILLIS);
-    } while (System.nanoTime() - deadline < 0);
+    } while (System.nanoTime() - deadlineNanos < 0);
     throw lastFailure;
   }
 
@@ -196,7 +199,8 @@
       throw e.getCause() instanceof IOException cause ? cause : new IOException(e.getCause());
     } catch (TimeoutException e) {
       throw new IOException(
-          "no answer from %s in %d ms".formatted(member, timeoutMillis + TRANSPORT_GRACE_MILLIS),
+          "no response from %s within %d ms"
+              .formatted(member, timeoutMillis + TRANSPORT_GRACE_MILLIS),
           e);
     }
   }
--- a/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
@@ -20,13 +20,14 @@
 import shalepaddle.transport.MemberTransport;
 
 /**
- * A member of a group that runs in this process. Requests go to the leader and are repeated under
- * the same id for as long as the caller waits, so that a lost answer comes the second time.
+ * A member of a group that runs in this process. Requests are sent to the leader and repeated until
+ * their timeout. Repetitions of a proposal have the same id, so that it takes effect only once and
+ * a lost response is replaced by that of a later attempt.
  *
- * <p>Thread-safe once {@link #start} has returned; before, {@link #listenForSubscribers} and {@link
- * #start} must be called from one thread. Futures complete on the member's thread or the
- * transport's event loop, so what depends on them must not block; a future may never complete after
- * {@link #close}. Owns its log, thread and connections until then.
+ * <p>Thread-safe once {@link #start} has returned; before that, {@link #listenForSubscribers} and
+ * {@link #start} must be called from one thread. Futures complete on the member's thread or the
+ * transport's event loop, so their dependent actions must not block. Futures may never complete
+ * after {@link #close}. The member owns its log, thread and connections until it is closed.
  */
 public final class GroupMember implements AutoCloseable {
   private static final int ENTRIES_BETWEEN_SNAPSHOTS = 10_000;
@@ -37,18 +38,23 @@
   private final RaftLogStore logStore;
   private final MemberTransport transport;
 
-  /** Null until the member is part of the group. */
+  /** The Raft member, null until it has joined the group. */
   private volatile RaftMember raftMember;
 
-  /** Null where there are no subscribers. Not changed after {@link #start}. */
+  /**
+   * The server of the change feed, null if this member does not listen for subscribers. Not changed
+   * after {@link #start}.
+   */
   private ChangeFeedServer feedServer;
 
   /**
-   * Opens the member's folder and listens; {@link #start} takes part.
+   * Opens the member's folder and starts to listen for other members and clients. The member does
+   * not participate in the group before {@link #start}.
    *
-   * @param log takes lines for operators, from any thread
+   * @param log receives log lines for operators, from any thread
    * @throws MemberFolderException if no member was created in the folder
-   * @throws IOException if the log can't be opened or the address is taken; with the remedy
+   * @throws IOException if the log cannot be opened or the address cannot be bound; the message
+   *     gives the reason
    */
   public GroupMember(MemberConfig config, Consumer<String> log) throws IOException {
     this.config = config;
@@ -71,7 +77,7 @@
     config.otherMembers().forEach(transport::setAddress);
   }
 
-  /** Where the others find a member, as IP:PORT; empty if it listens on any port. */
+  /** The address at which others reach a member, as IP:PORT; empty if its configured port is 0. */
   private static String advertisedAddress(MemberConfig config) {
     InetSocketAddress address =
         config.advertisedAddress() == null ? config.listenAddress() : config.advertisedAddress();
@@ -81,10 +87,10 @@
   }
 
   /**
-   * Listens for subscribers of the change feed; to be called before {@link #start}.
+   * Starts to listen for subscribers of the change feed. Must be called before {@link #start}.
    *
-   * @return where it listens
-   * @throws IOException if it can't listen at the address
+   * @return the address at which this member listens for subscribers
+   * @throws IOException if the address cannot be bound
    */
   public InetSocketAddress listenForSubscribers(InetSocketAddress listenAddress)
       throws IOException {
@@ -99,7 +105,10 @@
         snapshot.index(), ReplicatedStateCodec.encodeSnapshot(snapshot));
   }
 
-  /** Notifies a listener, then the subscribers of the change feed, on the member's thread. */
+  /**
+   * Passes each notification to another listener and then to the server of the change feed. Called
+   * on the member's thread.
+   */
   private final class PublishingListener implements RaftMember.Listener {
     private final RaftMember.Listener listener;
 
@@ -126,7 +135,7 @@
     }
   }
 
-  /** Where it listens for the others. */
+  /** The address at which this member listens for other members and clients. */
   public InetSocketAddress address() {
     return transport.address();
   }
@@ -135,30 +144,32 @@
     return config.name();
   }
 
-  /** Its part in Raft, null while it is joining. */
+  /** The Raft member, null while this member is joining the group. */
   RaftMember raftMember() {
     return raftMember;
   }
 
   /**
-   * Starts to take part. A new member first asks to join, until the leader answers.
+   * Starts to participate in the group. A new member first requests to join until it is added.
    *
-   * @param listener is notified on the member's thread
+   * @param listener receives notifications on the member's thread
    */
   public void start(RaftMember.Listener listener) {
     if (logStore.restoredState() != null) {
       startRaft(config.initialMembers().keySet(), listener);
-      log.accept("member " + config.name() + " of " + config.group() + " goes on");
+      log.accept(
+          "member %s of group %s starts from its stored log"
+              .formatted(config.name(), config.group()));
       return;
     }
-    log.accept("member " + config.name() + " asks to join " + config.group());
+    log.accept("member " + config.name() + " requests to join group " + config.group());
     new JoinProcedure(
             config,
             thread,
             transport,
             this::status,
             initialMembers -> {
-              log.accept("member " + config.name() + " has joined");
+              log.accept("member " + config.name() + " has joined group " + config.group());
               startRaft(initialMembers, listener);
             })
         .start();
@@ -181,16 +192,16 @@
 
   /** This member's view of its group. */
   public MemberStatus status() {
-    RaftMember current = raftMember;
-    return current == null
+    RaftMember joinedMember = raftMember;
+    return joinedMember == null
         ? MemberStatus.initial(config.name(), MemberRole.JOINING)
-        : current.status();
+        : joinedMember.status();
   }
 
   /**
-   * Proposes a command to the leader, whichever member that is.
+   * Proposes a command to the leader, which may be this member or another.
    *
-   * @param timeoutMillis for the result
+   * @param timeoutMillis the time within which the result must be available
    * @return the result, once a majority has the entry on disk; otherwise fails with {@link
    *     NotCommittedException}
    */
@@ -207,11 +218,11 @@
   }
 
   /**
-   * Reads the committed state, linearizably: it has every entry that was acknowledged before this
-   * call.
+   * Reads the committed state, linearizably: it includes every entry that was acknowledged before
+   * this call.
    *
-   * @param timeoutMillis for the state
-   * @return the state; fails with {@link NotCommittedException}
+   * @param timeoutMillis the time within which the state must be available
+   * @return the state; fails with {@link NotCommittedException} if no leader returns it in time
    */
   public CompletionStage<ReplicatedState.Snapshot> read(long timeoutMillis) {
     return new LeaderRequest<>(
@@ -226,8 +237,8 @@
   }
 
   /**
-   * Ends its part in the group. Blocks until its threads have ended, 1 s each at most. Tasks that
-   * wait for the member's thread are dropped, and their futures don't complete.
+   * Stops the member. Blocks until its threads have terminated, for at most 1 s each. Tasks that
+   * wait for the member's thread are dropped, and their futures do not complete.
    */
   @Override
   public void close() throws IOException {
--- a/cluster/src/main/java/shalepaddle/cluster/GroupRequest.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupRequest.java
@@ -1,24 +1,25 @@
 package shalepaddle.cluster;
 
 /**
- * What may be requested of a member. The wire names never change, and some differ from the names of
- * the constants.
+ * The requests that a member handles. The wire names never change, and some differ from the names
+ * of the constants.
  */
 enum GroupRequest {
-  /** Commits a proposal; answered with its result. Any member passes it on to the leader. */
+  /** Commits a proposal and returns its result. Any member forwards it to the leader. */
   PROPOSE("hold"),
-  /** Reads the committed state; answered with a snapshot. Any member passes it on to the leader. */
+  /** Returns a snapshot of the committed state. Any member forwards it to the leader. */
   READ("read"),
-  /** Answered with the member's own status. */
+  /** Returns the status of the member that receives the request. */
   STATUS("standing"),
   /**
-   * Adds the named member as a learner, by the leader alone; answered with the initial members. Any
-   * member answers if the named one is a member already.
+   * Adds the named member as a learner and returns the initial members. Only the leader handles the
+   * request, but a member that was added already gets the response from any member
+   * that knows of the addition.
    */
   JOIN("join"),
-  /** Makes the named learner a voter, by the leader alone. */
+  /** Makes the named learner a voter. Handled only by the leader. */
   PROMOTE("vote"),
-  /** Removes the named member, by the leader alone. */
+  /** Removes the named member. Handled only by the leader. */
   REMOVE("remove");
 
   private final String wireName;
@@ -31,7 +32,7 @@
     return wireName;
   }
 
-  /** The request of a wire name, null if this version does not know it. */
+  /** The request with a wire name, null if this version does not know the name. */
   static GroupRequest ofWireName(String wireName) {
     for (GroupRequest request : values()) {
       if (request.wireName.equals(wireName)) {
--- a/cluster/src/main/java/shalepaddle/cluster/GroupUnavailableException.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupUnavailableException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** No member of a group could be asked, or none that leads; the request had no effect. */
+/** No member or no leader of a group was found, so the request was not sent and had no effect. */
 public final class GroupUnavailableException extends IOException {
   private static final long serialVersionUID = 1;
 
--- a/cluster/src/main/java/shalepaddle/cluster/JoinProcedure.java
+++ b/cluster/src/main/java/shalepaddle/cluster/JoinProcedure.java
@@ -13,8 +13,8 @@
 import shalepaddle.transport.MemberTransport;
 
 /**
- * Makes a new member part of its group: first a learner, then a voter. Each step is requested until
- * it is done. Owned by the member's thread.
+ * Adds a new member to its group, first as a learner and then as a voter. Each step is requested
+ * repeatedly until it is done. Owned by the member's thread.
  */
 final class JoinProcedure {
   private static final long JOIN_TIMEOUT_MILLIS = 2000;
@@ -23,51 +23,54 @@
   private final MemberConfig config;
   private final MemberExecutor executor;
   private final MemberTransport transport;
-  private final Supplier<MemberStatus> status;
+  private final Supplier<MemberStatus> statusSupplier;
   private final Consumer<Collection<String>> onJoined;
 
   /**
-   * The procedure of a member that has not joined.
+   * Creates the procedure for a member that has not joined.
    *
-   * @param status the member's current status
-   * @param onJoined starts its part in Raft, given the initial members, on the member's thread
+   * @param statusSupplier returns the member's current status
+   * @param onJoined starts the Raft member with the given names of the initial members; called on
+   *     the member's thread
    */
   JoinProcedure(
       MemberConfig config,
       MemberExecutor executor,
       MemberTransport transport,
-      Supplier<MemberStatus> status,
+      Supplier<MemberStatus> statusSupplier,
       Consumer<Collection<String>> onJoined) {
     this.config = config;
     this.executor = executor;
     this.transport = transport;
-    this.status = status;
+    this.statusSupplier = statusSupplier;
     this.onJoined = onJoined;
   }
 
   /**
-   * Asks all known members to be added, and again until one succeeds: the leader, or any that knows
-   * this member to be added already. Failures of single requests are ignored, since all but the
-   * leader reject them.
+   * Requests from all known members that they add this member, repeatedly until one request
+   * succeeds. The leader accepts the request, and so does any member that knows of an earlier
+   * addition. Failures of single requests are ignored, since all other members reject them.
    */
   void start() {
-    CompletableFuture<byte[]> firstAnswer = new CompletableFuture<>();
+    CompletableFuture<byte[]> firstSuccess = new CompletableFuture<>();
     for (String other : config.otherMembers().keySet()) {
       transport
           .request(other, GroupRequest.JOIN.wireName(), encodedName(), JOIN_TIMEOUT_MILLIS)
-          .thenAccept(firstAnswer::complete);
+          .thenAccept(firstSuccess::complete);
     }
     executor.schedule(
         TimeUnit.MILLISECONDS.toNanos(JOIN_TIMEOUT_MILLIS),
-        () -> firstAnswer.completeExceptionally(new TimeoutException("nobody answers")));
-    firstAnswer.whenComplete(
+        () ->
+            firstSuccess.completeExceptionally(
+                new TimeoutException("no member accepted the request")));
+    firstSuccess.whenComplete(
         (initialMembers, failure) ->
             executor.execute(
                 () -> {
                   if (failure != null) {
                     start();
                   } else {
-                    // Names have no spaces: MemberConfig checks them.
+                    // Spaces separate the names: MemberConfig permits none in a name.
                     onJoined.accept(
                         List.of(new String(initialMembers, StandardCharsets.UTF_8).split(" ")));
                     requestPromotion();
@@ -75,15 +78,18 @@
                 }));
   }
 
-  /** Asks the leader for a vote until this member has one; the answers are not needed. */
+  /**
+   * Requests from the leader to make this member a voter, repeatedly until this member's status
+   * lists it as one. The responses are ignored.
+   */
   private void requestPromotion() {
-    MemberStatus current = status.get();
-    if (current.votingMembers().contains(config.name())) {
+    MemberStatus currentStatus = statusSupplier.get();
+    if (currentStatus.votingMembers().contains(config.name())) {
       return;
     }
-    if (current.leader() != null) {
+    if (currentStatus.leader() != null) {
       transport.request(
-          current.leader(),
+          currentStatus.leader(),
           GroupRequest.PROMOTE.wireName(),
           encodedName(),
           PROMOTION_INTERVAL_MILLIS);
--- a/cluster/src/main/java/shalepaddle/cluster/LeaderRequest.java
+++ b/cluster/src/main/java/shalepaddle/cluster/LeaderRequest.java
@@ -13,91 +13,92 @@
 import shalepaddle.transport.MemberTransport;
 
 /**
- * A request to the leader, this member or another, repeated until it is answered or its time is up.
- * Owned by the member's thread. The future completes there or on the transport's event loop, so
- * what depends on it must not block; it never completes if the member is closed meanwhile.
+ * A request to the leader, which may be this member or another. It is repeated until it succeeds or
+ * times out. Owned by the member's thread. The future completes on that thread or on the
+ * transport's event loop, so its dependent actions must not block. It never completes if the member
+ * is closed first.
  *
- * @param <T> the answer
+ * @param <T> the type of the result
  */
 final class LeaderRequest<T> {
-  /** How long another member has to answer an attempt. */
+  /** How long another member has to respond to one attempt. */
   static final long ATTEMPT_TIMEOUT_MILLIS = 500;
 
-  /** Between a failed attempt and the next one. */
+  /** The delay between a failed attempt and the next one. */
   private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
 
-  /** Decodes an answer of another member. */
-  interface AnswerDecoder<T> {
+  /** Decodes a response of another member. */
+  interface ResponseDecoder<T> {
     T decode(byte[] bytes) throws IOException;
   }
 
   private final GroupRequest request;
   private final byte[] body;
-  private final AnswerDecoder<T> decoder;
-  private final Supplier<CompletionStage<T>> local;
-  private final Supplier<MemberStatus> status;
+  private final ResponseDecoder<T> decoder;
+  private final Supplier<CompletionStage<T>> localRequest;
+  private final Supplier<MemberStatus> statusSupplier;
   private final MemberExecutor executor;
   private final MemberTransport transport;
-  private final CompletableFuture<T> answer = new CompletableFuture<>();
+  private final CompletableFuture<T> result = new CompletableFuture<>();
   private long deadlineNanos;
 
   /** Why the last attempt failed, for operators. */
   private String lastFailure = "not made";
 
-  /** Whether any attempt may have taken effect though its answer did not come. */
+  /** Whether any attempt may have taken effect although it failed. */
   private boolean mayHaveTakenEffect;
 
   /**
-   * A request that is not sent yet.
+   * Creates a request, without sending it.
    *
-   * @param body of the request to another member
-   * @param local makes the request where this member is the leader
-   * @param status the member's current status
+   * @param body the body of the request to another member
+   * @param localRequest executes the request if this member is the leader
+   * @param statusSupplier returns this member's current status
    */
   LeaderRequest(
       GroupRequest request,
       byte[] body,
-      AnswerDecoder<T> decoder,
-      Supplier<CompletionStage<T>> local,
-      Supplier<MemberStatus> status,
+      ResponseDecoder<T> decoder,
+      Supplier<CompletionStage<T>> localRequest,
+      Supplier<MemberStatus> statusSupplier,
       MemberExecutor executor,
       MemberTransport transport) {
     this.request = request;
     this.body = body;
     this.decoder = decoder;
-    this.local = local;
-    this.status = status;
+    this.localRequest = localRequest;
+    this.statusSupplier = statusSupplier;
     this.executor = executor;
     this.transport = transport;
   }
 
   /**
-   * Sends the request. To be called once.
+   * Sends the request. Must be called only once.
    *
-   * @return the answer; fails with {@link NotCommittedException} when the time is up
+   * @return the result; fails with {@link NotCommittedException} when the timeout has passed
    */
   CompletionStage<T> send(long timeoutMillis) {
     deadlineNanos = executor.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
-    executor.execute(this::attempt);
-    return answer;
+    executor.execute(this::makeAttempt);
+    return result;
   }
 
-  private void attempt() {
+  private void makeAttempt() {
     long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - executor.nanoTime());
     if (remainingMillis <= 0) {
-      answer.completeExceptionally(
+      result.completeExceptionally(
           new NotCommittedException(
               mayHaveTakenEffect ? Outcome.INDETERMINATE : Outcome.REJECTED,
               "no leader completed the request in time; the last attempt: " + lastFailure));
       return;
     }
-    MemberStatus current = status.get();
-    if (current.isLeader()) {
-      local.get().whenComplete(this::completeOrRetry);
-    } else if (current.leader() != null) {
+    MemberStatus currentStatus = statusSupplier.get();
+    if (currentStatus.isLeader()) {
+      localRequest.get().whenComplete(this::completeOrRetry);
+    } else if (currentStatus.leader() != null) {
       transport
           .request(
-              current.leader(),
+              currentStatus.leader(),
               request.wireName(),
               body,
               Math.min(remainingMillis, ATTEMPT_TIMEOUT_MILLIS))
@@ -119,19 +120,19 @@
 
   private void completeOrRetry(T value, Throwable failure) {
     if (failure == null) {
-      answer.complete(value);
+      result.complete(value);
       return;
     }
-    boolean mayHave = RequestFailure.mayHaveTakenEffect(failure);
+    boolean attemptMayHaveTakenEffect = RequestFailure.mayHaveTakenEffect(failure);
     executor.execute(
         () -> {
           lastFailure = RequestFailure.reasonOf(failure);
-          mayHaveTakenEffect |= mayHave;
+          mayHaveTakenEffect |= attemptMayHaveTakenEffect;
           scheduleRetry();
         });
   }
 
   private void scheduleRetry() {
-    executor.schedule(RETRY_DELAY_NANOS, this::attempt);
+    executor.schedule(RETRY_DELAY_NANOS, this::makeAttempt);
   }
 }
--- a/cluster/src/main/java/shalepaddle/cluster/MemberConfig.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberConfig.java
@@ -10,13 +10,15 @@
  * The configuration of a member. Immutable.
  *
  * @param group the group's name
- * @param name the member's own; must not be used again once its folder is lost
- * @param folder the directory of its log, for it alone
- * @param listenAddress where it listens for the others, with port 0 for any
- * @param advertisedAddress where the others find it, null for the listen address, which then must
- *     not be a wildcard such as 0.0.0.0; resolved, which is not checked
- * @param initialMembers those with whom the group began, and where this member finds them; one that
- *     joins need not know all of them
+ * @param name the member's name, which must not be used again once its folder is lost
+ * @param folder the directory of the member's log, which only this member may use
+ * @param listenAddress the address at which the member listens for other members, with port 0 for
+ *     any port
+ * @param advertisedAddress the address at which other members reach this one, null for the listen
+ *     address, which then must not be a wildcard such as 0.0.0.0. The advertised address must be
+ *     resolved, which is not checked
+ * @param initialMembers the addresses of the initial members of the group, by name; a member that
+ *     joins later need not know all of them
  */
 public record MemberConfig(
     String group,
@@ -29,51 +31,53 @@
   private static final int MAX_INITIAL_MEMBERS = 7;
 
   /**
-   * Checks the names.
+   * Creates a configuration and checks its names.
    *
-   * @throws IllegalArgumentException says what is wrong, and what would be right
+   * @throws IllegalArgumentException if a name is invalid or there are no initial members
    */
   public MemberConfig {
     checkName("group", group);
     checkName("name", name);
     if (initialMembers.isEmpty()) {
-      throw new IllegalArgumentException("no member is named: name those the group begins with");
+      throw new IllegalArgumentException(
+          "no member is given: specify the initial members of the group");
     }
     initialMembers.keySet().forEach(member -> checkName("a member", member));
     initialMembers = new TreeMap<>(initialMembers);
   }
 
-  private static void checkName(String what, String name) {
+  private static void checkName(String label, String name) {
     if (!name.matches("[A-Za-z0-9._-]{1," + MAX_NAME_LENGTH + "}")) {
       throw new IllegalArgumentException(
           "%s '%s' must have 1 to %d letters, digits, dots, dashes or underscores"
-              .formatted(what, name, MAX_NAME_LENGTH));
+              .formatted(label, name, MAX_NAME_LENGTH));
     }
   }
 
   /**
-   * Checks that a group may begin with these members, and that this is one of them.
+   * Checks that a group may be created with the initial members, and that this is one of them.
    *
-   * @throws IllegalArgumentException says what is wrong, and what would be right
+   * @throws IllegalArgumentException if their number is even or too large, or this is not one of
+   *     them
    */
   void checkInitialMembers() {
     if (initialMembers.size() % 2 == 0 || initialMembers.size() > MAX_INITIAL_MEMBERS) {
       throw new IllegalArgumentException(
-          initialMembers.size()
-              + " members begin a group: make it 3, 5 or 7, since one more than an odd"
-              + " number survives no more losses");
+          "a group cannot be created with %d members: use 3, 5 or 7; an even number"
+                  .formatted(initialMembers.size())
+              + " of members survives no more failures than a group with one member fewer");
     }
     if (!initialMembers.containsKey(name)) {
       throw new IllegalArgumentException(
-          "'%s' is not among the members that begin the group (%s): init is for those, join for others"
+          "'%s' is not an initial member of the group (%s): use init for those, join for others"
               .formatted(name, String.join(", ", initialMembers.keySet())));
     }
   }
 
-  /** Where it finds the other initial members. */
+  /** The addresses of the other initial members, by name. */
   Map<String, InetSocketAddress> otherMembers() {
-    Map<String, InetSocketAddress> others = new TreeMap<>(initialMembers);
-    others.remove(name);
-    return others;
+    Map<String, InetSocketAddress> otherMembers = new TreeMap<>(initialMembers);
+    otherMembers.remove(name);
+    return otherMembers;
   }
 }
--- a/cluster/src/main/java/shalepaddle/cluster/MemberFolder.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberFolder.java
@@ -8,18 +8,18 @@
 
 /**
  * Creates and opens the directory of a member's log. A member is created once, by {@link
- * #initialize} if the group begins with it and by {@link #prepareJoin} otherwise. An empty
- * directory is never opened: a machine that lost its disk must not vote again under its old name,
- * since it may have voted before.
+ * #initialize} if it is an initial member of the group and by {@link #prepareJoin} otherwise. An
+ * empty directory is never opened: a machine that lost its disk must not vote under its old name
+ * again, since it may have voted before.
  */
 public final class MemberFolder {
   private MemberFolder() {}
 
   /**
-   * Creates the directory of a member with whom a group begins.
+   * Creates the directory of an initial member of a group.
    *
-   * @throws IllegalArgumentException if the group can't begin with these members
-   * @throws MemberFolderException if a member is in it already
+   * @throws IllegalArgumentException if the group cannot be created with these initial members
+   * @throws MemberFolderException if the directory already contains a member
    * @throws IOException if the disk fails
    */
   public static void initialize(MemberConfig config) throws IOException {
@@ -30,8 +30,8 @@
   /**
    * Creates the directory of a member that joins an existing group.
    *
-   * @throws MemberFolderException if a member is in it already, or the group began with one of the
-   *     same name
+   * @throws MemberFolderException if the directory already contains a member, or the member has
+   *     the name of an initial member
    * @throws IOException if the disk fails
    */
   public static void prepareJoin(MemberConfig config) throws IOException {
@@ -47,7 +47,7 @@
       if (owner.isPresent()) {
         throw MemberFolderException.occupied(config.folder(), owner.get());
       }
-      // This writes a header, so that the directory is this member's from now on.
+      // The constructor writes a header that records the member as the owner of the directory.
       RaftLogStore logStore = new RaftLogStore(directory, config.group(), config.name());
       if (isInitialMember) {
         logStore.initializeGroup(config.initialMembers().keySet());
@@ -58,7 +58,7 @@
   /**
    * Opens a member's log.
    *
-   * @return the log, which owns the directory's lock until it is closed
+   * @return the log, which holds the lock of the directory until it is closed
    * @throws MemberFolderException if no member was created in the directory
    * @throws IOException as {@link RaftLogStore} does
    */
--- a/cluster/src/main/java/shalepaddle/cluster/MemberFolderException.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberFolderException.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import shalepaddle.storage.LogOwner;
 
-/** A member can't be created or opened in a directory; the message gives the remedy. */
+/** A member cannot be created or opened in a directory; the message gives the reason and remedy. */
 public final class MemberFolderException extends IOException {
   private static final long serialVersionUID = 1;
 
@@ -12,25 +12,26 @@
     super(message);
   }
 
-  /** No member was created there. */
+  /** No member was created in the directory. */
   static MemberFolderException empty(Path folder) {
     return new MemberFolderException(
         folder
-            + " holds no member: begin it with init where the group begins, and with join, under a"
-            + " name that was never used, where a machine is new or has lost its disk");
+            + " contains no member: create it with init if it is an initial member of a new group,"
+            + " or with join under a name that was never used if the machine is new or has lost its"
+            + " disk");
   }
 
-  /** A member was created there before. */
+  /** The directory already contains a member. */
   static MemberFolderException occupied(Path folder, LogOwner owner) {
     return new MemberFolderException(
-        "%s holds member '%s' of group '%s' already: nothing was changed"
+        "%s already contains member '%s' of group '%s': nothing was changed"
             .formatted(folder, owner.member(), owner.group()));
   }
 
-  /** The name of a member that joins is one of those with whom the group began. */
+  /** A member that joins has the name of an initial member. */
   static MemberFolderException initialMember(String name) {
     return new MemberFolderException(
-        "'%s' is one of those with whom the group began, and may have voted: join under a new name"
+        "'%s' is an initial member of the group and may have voted: join under a new name"
             .formatted(name));
   }
 }
--- a/cluster/src/main/java/shalepaddle/cluster/MemberRequestHandler.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberRequestHandler.java
@@ -17,8 +17,8 @@
 import shalepaddle.transport.MemberTransport;
 
 /**
- * Handles what comes from other members and from clients, on the transport's thread. Without state:
- * the {@link GroupMember} has it.
+ * Handles the messages and requests of other members and of clients, on the transport's event loop.
+ * Stateless: all state is in the {@link GroupMember}.
  */
 final class MemberRequestHandler implements MemberTransport.Listener {
   private final GroupMember member;
@@ -33,37 +33,37 @@
   public void raftMessageReceived(byte[] message) {
     RaftMember raftMember = member.raftMember();
     if (raftMember == null) {
-      // Still joining. The leader sends again.
+      // This member is still joining. The leader will send the message again.
       return;
     }
-    RaftMessage decoded;
+    RaftMessage decodedMessage;
     try {
-      decoded = RaftMessageCodec.decode(message);
+      decodedMessage = RaftMessageCodec.decode(message);
     } catch (IOException e) {
-      log.accept("a message is passed over: " + e.getMessage());
+      log.accept("ignored a Raft message: " + e.getMessage());
       return;
     }
-    raftMember.handle(decoded);
+    raftMember.handle(decodedMessage);
   }
 
   @Override
   public CompletionStage<byte[]> requestReceived(String method, byte[] body) {
     GroupRequest request = GroupRequest.ofWireName(method);
     if (request == GroupRequest.STATUS) {
-      // Answered while the member is joining as well.
+      // A status request is handled even while this member is joining.
       return status();
     }
     RaftMember raftMember = member.raftMember();
     if (raftMember == null) {
-      return rejected(member.name() + " is still joining");
+      return rejectedResponse(member.name() + " is still joining");
     }
     if (request == null) {
-      return rejected("there is no request '" + method + "'");
+      return rejectedResponse("there is no request '" + method + "'");
     }
     try {
       return handle(request, body, raftMember);
     } catch (IOException | IllegalArgumentException e) {
-      return rejected(e.getMessage());
+      return rejectedResponse(e.getMessage());
     }
   }
 
@@ -92,7 +92,10 @@
     return new String(body, StandardCharsets.UTF_8);
   }
 
-  /** A client's request is passed on to the leader; members ask the leader themselves. */
+  /**
+   * Proposes a command at this member if it is the leader, and otherwise forwards it to the leader.
+   * Only clients depend on that: members send their proposals to the leader.
+   */
   private CompletionStage<CommandResult> propose(Proposal proposal, RaftMember raftMember) {
     return raftMember.status().isLeader()
         ? raftMember.propose(proposal)
@@ -112,7 +115,7 @@
       return CompletableFuture.completedFuture(initialMembers);
     }
     if (!raftMember.status().isLeader()) {
-      return rejected(member.name() + " does not lead");
+      return rejectedResponse(member.name() + " does not lead");
     }
     return translateFailure(
         raftMember
@@ -126,12 +129,12 @@
         raftMember.changeMembership(name, change).thenApply(done -> new byte[0]));
   }
 
-  private static CompletionStage<byte[]> rejected(String reason) {
+  private static CompletionStage<byte[]> rejectedResponse(String reason) {
     return CompletableFuture.failedFuture(RequestFailure.rejected(reason));
   }
 
-  private static <T> CompletionStage<T> translateFailure(CompletionStage<T> answer) {
-    return answer.handle(
+  private static <T> CompletionStage<T> translateFailure(CompletionStage<T> result) {
+    return result.handle(
         (value, failure) -> {
           if (failure != null) {
             throw new CompletionException(RequestFailure.of(failure));
--- a/cluster/src/main/java/shalepaddle/cluster/MemberStatusCodec.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberStatusCodec.java
@@ -5,11 +5,11 @@
 import shalepaddle.raft.MemberRole;
 import shalepaddle.raft.MemberStatus;
 
-/** The format of {@link MemberStatus}. Stateless. */
+/** Encodes and decodes {@link MemberStatus}. Stateless. */
 final class MemberStatusCodec {
   private MemberStatusCodec() {}
 
-  /** The bytes of a status. */
+  /** Encodes a status. */
   static byte[] encode(MemberStatus status) {
     return CborValues.encode(
         status,
@@ -22,9 +22,9 @@
   }
 
   /**
-   * A status.
+   * Decodes a status.
    *
-   * @throws IOException if the bytes are not a status, or the role is one of a later version
+   * @throws IOException if the bytes are not a status, or the role is unknown to this version
    */
   static MemberStatus decode(byte[] bytes) throws IOException {
     return CborValues.decode(
--- a/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberThread.java
@@ -16,7 +16,7 @@
   /**
    * Starts the thread.
    *
-   * @param log takes a line for each task that fails
+   * @param log receives a line for each task that fails
    */
   MemberThread(Consumer<String> log) {
     this.log = log;
@@ -33,7 +33,7 @@
   }
 
   /**
-   * The task, with a line in the log if it throws a RuntimeException. The thread goes on in any
+   * Wraps a task to log a RuntimeException that it throws. The thread runs further tasks in any
    * case; an Error is not logged.
    */
   private Runnable logFailure(Runnable task) {
@@ -41,7 +41,7 @@
       try {
         task.run();
       } catch (RuntimeException e) {
-        log.accept("member: " + e);
+        log.accept("a task on the member's thread failed: " + e);
       }
     };
   }
@@ -52,11 +52,11 @@
   }
 
   @Override
-  public void schedule(long nanos, Runnable task) {
+  public void schedule(long delayNanos, Runnable task) {
     try {
-      executor.schedule(logFailure(task), nanos, TimeUnit.NANOSECONDS);
+      executor.schedule(logFailure(task), delayNanos, TimeUnit.NANOSECONDS);
     } catch (RejectedExecutionException e) {
-      // After close: the task has no effect any more.
+      // The member is closed, so the task is dropped.
     }
   }
 
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Completes the running task and drops the others, also those that were to run at once. Blocks
-   * for 1 s at most; a task that runs longer than that still goes on when this returns.
+   * Lets the running task complete and drops all waiting tasks, including those without a delay.
+   * Blocks for at most 1 s; a task that takes longer still runs when this method returns.
    */
   @Override
   public void close() {
--- a/cluster/src/main/java/shalepaddle/encoding/AppendEntriesCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/AppendEntriesCodec.java
@@ -5,7 +5,7 @@
 import io.microraft.model.message.AppendEntriesSuccessResponse;
 import java.io.IOException;
 
-/** The fields of the messages that replicate the log. */
+/** Writes and reads the fields of the messages that replicate the log. */
 final class AppendEntriesCodec {
   private AppendEntriesCodec() {}
 
--- a/cluster/src/main/java/shalepaddle/encoding/CborValues.java
+++ b/cluster/src/main/java/shalepaddle/encoding/CborValues.java
@@ -25,7 +25,7 @@
       this.out = out;
     }
 
-    /** Writes an integer. */
+    /** Writes an integer of up to 64 bits. */
     public Writer put(long value) throws IOException {
       out.writeNumber(value);
       return this;
@@ -83,10 +83,10 @@
       this.in = in;
     }
 
-    private JsonToken next(String expected, JsonToken... tokens) throws IOException {
+    private JsonToken readToken(String expected, JsonToken... expectedTokens) throws IOException {
       JsonToken token = in.nextToken();
-      for (JsonToken accepted : tokens) {
-        if (token == accepted) {
+      for (JsonToken expectedToken : expectedTokens) {
+        if (token == expectedToken) {
           return token;
         }
       }
@@ -95,39 +95,41 @@
 
     /** Reads an integer of 64 bits. */
     public long readLong() throws IOException {
-      next("an integer", JsonToken.VALUE_NUMBER_INT);
+      readToken("an integer", JsonToken.VALUE_NUMBER_INT);
       return in.getLongValue();
     }
 
     /** Reads an integer of 32 bits. */
     public int readInt() throws IOException {
-      next("an integer", JsonToken.VALUE_NUMBER_INT);
+      readToken("an integer", JsonToken.VALUE_NUMBER_INT);
       return in.getIntValue();
     }
 
     /** Reads a text, or null. */
     public String readText() throws IOException {
-      return next("a text", JsonToken.VALUE_STRING, JsonToken.VALUE_NULL) == JsonToken.VALUE_NULL
+      return readToken("a text", JsonToken.VALUE_STRING, JsonToken.VALUE_NULL)
+              == JsonToken.VALUE_NULL
           ? null
           : in.getText();
     }
 
     /** Reads a boolean. */
     public boolean readBoolean() throws IOException {
-      return next("a boolean", JsonToken.VALUE_TRUE, JsonToken.VALUE_FALSE) == JsonToken.VALUE_TRUE;
+      return readToken("a boolean", JsonToken.VALUE_TRUE, JsonToken.VALUE_FALSE)
+          == JsonToken.VALUE_TRUE;
     }
 
     /** Reads bytes. */
     public byte[] readBytes() throws IOException {
-      next("a byte string", JsonToken.VALUE_EMBEDDED_OBJECT);
+      readToken("a byte string", JsonToken.VALUE_EMBEDDED_OBJECT);
       return in.getBinaryValue();
     }
 
-    /** Reads an array of values; fields that a later version appended to one are skipped. */
+    /** Reads an array of values; fields that a later version appended to a value are skipped. */
     public <T> List<T> readList(Decoder<T> decoder) throws IOException {
-      next("an array", JsonToken.START_ARRAY);
+      readToken("an array", JsonToken.START_ARRAY);
       List<T> values = new ArrayList<>();
-      while (next("an array or its end", JsonToken.START_ARRAY, JsonToken.END_ARRAY)
+      while (readToken("an array or its end", JsonToken.START_ARRAY, JsonToken.END_ARRAY)
           == JsonToken.START_ARRAY) {
         values.add(decoder.decode(this));
         skipRest();
@@ -135,7 +137,7 @@
       return List.copyOf(values);
     }
 
-    /** Skips the rest of the array that is open. */
+    /** Skips the remaining elements of the current array, and its end. */
     private void skipRest() throws IOException {
       for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
         if (token == null) {
@@ -153,9 +155,10 @@
   }
 
   /**
-   * The bytes of a value.
+   * Encodes a value as an array of its fields.
    *
-   * @throws UncheckedIOException as the encoder throws IOException: for a value without a format
+   * @throws UncheckedIOException if the encoder throws an IOException, such as for a value without
+   *     a defined format
    */
   public static <T> byte[] encode(T value, Encoder<T> encoder) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -170,15 +173,15 @@
   }
 
   /**
-   * The value in these bytes.
+   * Decodes a value; fields that a later version appended to it are skipped.
    *
-   * @throws MalformedMessageException if they are in another format, or incomplete
-   * @throws IOException as the decoder throws it
+   * @throws MalformedMessageException if the bytes are incomplete or have another format
+   * @throws IOException if the decoder throws it
    */
   public static <T> T decode(byte[] bytes, Decoder<T> decoder) throws IOException {
     try (CBORParser in = FACTORY.createParser(bytes)) {
       Reader reader = new Reader(in);
-      reader.next("an array", JsonToken.START_ARRAY);
+      reader.readToken("an array", JsonToken.START_ARRAY);
       T value = decoder.decode(reader);
       reader.skipRest();
       return value;
--- a/cluster/src/main/java/shalepaddle/encoding/ChangeFeedCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/ChangeFeedCodec.java
@@ -5,38 +5,38 @@
 import shalepaddle.changefeed.PublisherMessage;
 import shalepaddle.changefeed.SubscriberMessage;
 
-/** The formats of the messages between publishers and subscribers of the change feed. */
+/** Encodes and decodes the messages between publishers and subscribers of the change feed. */
 public final class ChangeFeedCodec {
-  private static final int HELLO = 1;
-  private static final int ACKNOWLEDGEMENT = 2;
-  private static final int ENTRY_REJECTED = 3;
+  private static final int HELLO_FORMAT = 1;
+  private static final int ACKNOWLEDGEMENT_FORMAT = 2;
+  private static final int ENTRY_REJECTED_FORMAT = 3;
 
-  private static final int ENTRIES = 1;
-  private static final int SNAPSHOT = 2;
-  private static final int HEARTBEAT = 3;
-  private static final int REJECTED = 4;
+  private static final int ENTRIES_FORMAT = 1;
+  private static final int SNAPSHOT_FORMAT = 2;
+  private static final int HEARTBEAT_FORMAT = 3;
+  private static final int REJECTED_FORMAT = 4;
 
   private ChangeFeedCodec() {}
 
-  /** The bytes of a subscriber's message. */
+  /** Encodes a subscriber's message. */
   public static byte[] encode(SubscriberMessage message) {
     return CborValues.encode(
         message,
         (value, out) -> {
           if (value instanceof SubscriberMessage.Hello hello) {
-            out.put(HELLO).put(hello.group()).put(hello.name()).put(hello.index());
+            out.put(HELLO_FORMAT).put(hello.group()).put(hello.name()).put(hello.index());
           } else if (value instanceof SubscriberMessage.Acknowledgement acknowledgement) {
-            out.put(ACKNOWLEDGEMENT).put(acknowledgement.index());
-          } else if (value instanceof SubscriberMessage.EntryRejected rejected) {
-            out.put(ENTRY_REJECTED).put(rejected.index()).put(rejected.reason());
+            out.put(ACKNOWLEDGEMENT_FORMAT).put(acknowledgement.index());
+          } else if (value instanceof SubscriberMessage.EntryRejected entryRejection) {
+            out.put(ENTRY_REJECTED_FORMAT).put(entryRejection.index()).put(entryRejection.reason());
           }
         });
   }
 
   /**
-   * A subscriber's message.
+   * Decodes a subscriber's message.
    *
-   * @throws UnknownFormatException if a later version made it
+   * @throws UnknownFormatException if the message has a format of a later version
    * @throws MalformedMessageException if the bytes are not a subscriber's message
    */
   public static SubscriberMessage decodeSubscriberMessage(byte[] bytes) throws IOException {
@@ -45,39 +45,39 @@
         in -> {
           int format = in.readInt();
           return switch (format) {
-            case HELLO ->
+            case HELLO_FORMAT ->
                 new SubscriberMessage.Hello(
                     readBoundedText(in), readBoundedText(in), readIndex(in));
-            case ACKNOWLEDGEMENT -> new SubscriberMessage.Acknowledgement(readIndex(in));
-            case ENTRY_REJECTED ->
+            case ACKNOWLEDGEMENT_FORMAT -> new SubscriberMessage.Acknowledgement(readIndex(in));
+            case ENTRY_REJECTED_FORMAT ->
                 new SubscriberMessage.EntryRejected(readIndex(in), readBoundedText(in));
             default -> throw new UnknownFormatException("a subscriber's message", format);
           };
         });
   }
 
-  /** The bytes of a publisher's message. */
+  /** Encodes a publisher's message. */
   public static byte[] encode(PublisherMessage message) {
     return CborValues.encode(
         message,
         (value, out) -> {
           if (value instanceof PublisherMessage.Entries entries) {
-            out.put(ENTRIES).put(entries.previousIndex());
+            out.put(ENTRIES_FORMAT).put(entries.previousIndex());
             out.putList(entries.entries(), (entry, to) -> to.put(entry.index()).put(entry.body()));
           } else if (value instanceof PublisherMessage.Snapshot snapshot) {
-            out.put(SNAPSHOT).put(snapshot.index()).put(snapshot.state());
+            out.put(SNAPSHOT_FORMAT).put(snapshot.index()).put(snapshot.state());
           } else if (value instanceof PublisherMessage.Heartbeat heartbeat) {
-            out.put(HEARTBEAT).put(heartbeat.index());
-          } else if (value instanceof PublisherMessage.Rejected rejected) {
-            out.put(REJECTED).put(rejected.reason());
+            out.put(HEARTBEAT_FORMAT).put(heartbeat.index());
+          } else if (value instanceof PublisherMessage.Rejected rejection) {
+            out.put(REJECTED_FORMAT).put(rejection.reason());
           }
         });
   }
 
   /**
-   * A publisher's message.
+   * Decodes a publisher's message.
    *
-   * @throws UnknownFormatException if a later version made it
+   * @throws UnknownFormatException if the message has a format of a later version
    * @throws MalformedMessageException if the bytes are not a publisher's message
    */
   public static PublisherMessage decodePublisherMessage(byte[] bytes) throws IOException {
@@ -86,13 +86,13 @@
         in -> {
           int format = in.readInt();
           return switch (format) {
-            case ENTRIES ->
+            case ENTRIES_FORMAT ->
                 new PublisherMessage.Entries(
                     readIndex(in),
                     in.readList(from -> new ChangeEntry(readIndex(from), from.readBytes())));
-            case SNAPSHOT -> new PublisherMessage.Snapshot(readIndex(in), in.readBytes());
-            case HEARTBEAT -> new PublisherMessage.Heartbeat(readIndex(in));
-            case REJECTED -> new PublisherMessage.Rejected(readBoundedText(in));
+            case SNAPSHOT_FORMAT -> new PublisherMessage.Snapshot(readIndex(in), in.readBytes());
+            case HEARTBEAT_FORMAT -> new PublisherMessage.Heartbeat(readIndex(in));
+            case REJECTED_FORMAT -> new PublisherMessage.Rejected(readBoundedText(in));
             default -> throw new UnknownFormatException("a publisher's message", format);
           };
         });
--- a/cluster/src/main/java/shalepaddle/encoding/ElectionCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/ElectionCodec.java
@@ -7,7 +7,7 @@
 import io.microraft.model.message.VoteResponse;
 import java.io.IOException;
 
-/** The fields of the messages that elect a leader. */
+/** Writes and reads the fields of the messages that elect a leader. */
 final class ElectionCodec {
   private ElectionCodec() {}
 
--- a/cluster/src/main/java/shalepaddle/encoding/Endpoint.java
+++ b/cluster/src/main/java/shalepaddle/encoding/Endpoint.java
@@ -3,8 +3,10 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A member of a Raft group, by the name under which it votes. A machine that has lost its disk
- * comes back under another name. Immutable.
+ * A member of a Raft group, identified by the name under which it votes. A machine that has lost
+ * its disk rejoins under another name. Immutable.
+ *
+ * @param name the member's name, unique in its group
  */
 public record Endpoint(String name) implements RaftEndpoint, Comparable<Endpoint> {
   @Override
@@ -17,12 +19,12 @@
     return name.compareTo(other.name);
   }
 
-  /** The name of a member, null for none. */
+  /** The name of an endpoint, null for null. */
   static String nameOf(RaftEndpoint endpoint) {
     return endpoint == null ? null : ((Endpoint) endpoint).name();
   }
 
-  /** The member of a name, null for none. */
+  /** The endpoint with a name, null for null. */
   static Endpoint ofName(String name) {
     return name == null ? null : new Endpoint(name);
   }
--- a/cluster/src/main/java/shalepaddle/encoding/InstallSnapshotCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/InstallSnapshotCodec.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The fields of the messages that transfer a snapshot. */
+/** Writes and reads the fields of the messages that transfer a snapshot. */
 final class InstallSnapshotCodec {
   private InstallSnapshotCodec() {}
 
--- a/cluster/src/main/java/shalepaddle/encoding/LogEntryCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/LogEntryCodec.java
@@ -16,20 +16,20 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 
-/** The formats of log entries, snapshot chunks, terms and group configurations. */
+/** Writes and reads log entries, snapshot chunks, terms and group configurations. */
 public final class LogEntryCodec {
-  /** The operation with which a leader begins its term, and of a read; it changes nothing. */
+  /** The operation of a read, and of the first entry in a leader's term. It changes nothing. */
   public static final byte[] EMPTY_OPERATION = new byte[0];
 
-  private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-  private static final int OPERATION_BYTES = 1;
-  private static final int OPERATION_MEMBERSHIP_CHANGE = 2;
+  private static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
+  private static final int BYTES_OPERATION_FORMAT = 1;
+  private static final int MEMBERSHIP_CHANGE_FORMAT = 2;
 
   private LogEntryCodec() {}
 
-  /** Builds the library's messages and entries. */
+  /** The factory for MicroRaft's messages, entries and persistent states. */
   public static RaftModelFactory model() {
-    return MODEL;
+    return MODEL_FACTORY;
   }
 
   static void writeMembers(Collection<RaftEndpoint> members, CborValues.Writer out)
@@ -38,11 +38,11 @@
   }
 
   static Collection<RaftEndpoint> readMembers(CborValues.Reader in) throws IOException {
-    List<RaftEndpoint> members = in.readList(from -> Endpoint.ofName(from.readText()));
+    List<RaftEndpoint> members = in.readList(memberIn -> Endpoint.ofName(memberIn.readText()));
     return new LinkedHashSet<>(members);
   }
 
-  /** Writes a group configuration: all members, and those that vote. */
+  /** Writes a group configuration: its log index, all members and the voting members. */
   public static void writeMembersView(RaftGroupMembersView view, CborValues.Writer out)
       throws IOException {
     out.put(view.getLogIndex());
@@ -52,7 +52,7 @@
 
   /** Reads a group configuration. */
   public static RaftGroupMembersView readMembersView(CborValues.Reader in) throws IOException {
-    return MODEL
+    return MODEL_FACTORY
         .createRaftGroupMembersViewBuilder()
         .setLogIndex(in.readLong())
         .setMembers(readMembers(in))
@@ -62,23 +62,23 @@
 
   private static void writeOperation(Object operation, CborValues.Writer out) throws IOException {
     if (operation instanceof byte[] bytes) {
-      out.put(OPERATION_BYTES).put(bytes);
+      out.put(BYTES_OPERATION_FORMAT).put(bytes);
     } else if (operation instanceof UpdateRaftGroupMembersOp change) {
-      out.put(OPERATION_MEMBERSHIP_CHANGE);
+      out.put(MEMBERSHIP_CHANGE_FORMAT);
       writeMembers(change.getMembers(), out);
       writeMembers(change.getVotingMembers(), out);
       out.put(Endpoint.nameOf(change.getEndpoint())).put(change.getMode().name());
     } else {
-      throw new IOException("an operation without a format: " + operation);
+      throw new IOException("no format is defined for the operation " + operation);
     }
   }
 
   private static Object readOperation(CborValues.Reader in) throws IOException {
     int format = in.readInt();
     return switch (format) {
-      case OPERATION_BYTES -> in.readBytes();
-      case OPERATION_MEMBERSHIP_CHANGE ->
-          MODEL
+      case BYTES_OPERATION_FORMAT -> in.readBytes();
+      case MEMBERSHIP_CHANGE_FORMAT ->
+          MODEL_FACTORY
               .createUpdateRaftGroupMembersOpBuilder()
               .setMembers(readMembers(in))
               .setVotingMembers(readMembers(in))
@@ -98,10 +98,10 @@
   /**
    * Reads a log entry.
    *
-   * @throws UnknownFormatException if a later version made its operation
+   * @throws UnknownFormatException if its operation has a format of a later version
    */
   public static LogEntry readEntry(CborValues.Reader in) throws IOException {
-    return MODEL
+    return MODEL_FACTORY
         .createLogEntryBuilder()
         .setIndex(in.readLong())
         .setTerm(in.readInt())
@@ -122,7 +122,7 @@
 
   /** Reads a chunk of a snapshot. */
   public static SnapshotChunk readSnapshotChunk(CborValues.Reader in) throws IOException {
-    return MODEL
+    return MODEL_FACTORY
         .createSnapshotChunkBuilder()
         .setIndex(in.readLong())
         .setTerm(in.readInt())
@@ -134,38 +134,40 @@
   }
 
   /**
-   * Whether a member votes.
+   * The persistent state of the local member.
    *
-   * @param member its name
+   * @param member the member's name
+   * @param isVoting whether the member votes
    */
-  public static RaftEndpointPersistentState localEndpoint(String member, boolean voting) {
-    return MODEL
+  public static RaftEndpointPersistentState localEndpoint(String member, boolean isVoting) {
+    return MODEL_FACTORY
         .createRaftEndpointPersistentStateBuilder()
         .setLocalEndpoint(new Endpoint(member))
-        .setVoting(voting)
+        .setVoting(isVoting)
         .build();
   }
 
   /**
-   * A term.
+   * The persistent state of a term.
    *
-   * @param votedFor the member that has this one's vote in it, null for none
+   * @param votedFor the name of the member that the local member voted for in the term, null for
+   *     none
    */
   public static RaftTermPersistentState term(int term, String votedFor) {
-    return MODEL
+    return MODEL_FACTORY
         .createRaftTermPersistentStateBuilder()
         .setTerm(term)
         .setVotedFor(Endpoint.ofName(votedFor))
         .build();
   }
 
-  /** Writes a term and the vote in it. */
+  /** Writes a term, and the local member's vote in that term. */
   public static void writeTerm(RaftTermPersistentState term, CborValues.Writer out)
       throws IOException {
     out.put(term.getTerm()).put(Endpoint.nameOf(term.getVotedFor()));
   }
 
-  /** Reads a term and the vote in it. */
+  /** Reads a term, and the local member's vote in that term. */
   public static RaftTermPersistentState readTerm(CborValues.Reader in) throws IOException {
     return term(in.readInt(), in.readText());
   }
--- a/cluster/src/main/java/shalepaddle/encoding/MalformedMessageException.java
+++ b/cluster/src/main/java/shalepaddle/encoding/MalformedMessageException.java
@@ -2,21 +2,21 @@
 
 import java.io.IOException;
 
-/** Bytes are not in the format that is expected there. */
+/** Bytes do not have the expected format. */
 public final class MalformedMessageException extends IOException {
   private static final long serialVersionUID = 1;
 
   /**
-   * With what was found.
+   * Creates an exception for an unexpected value.
    *
-   * @param expected what belongs there
-   * @param actual what was found instead
+   * @param expected a description of the expected value, with its article
+   * @param actual the value or token that was found
    */
   public MalformedMessageException(String expected, Object actual) {
-    super("%s is expected, and not %s".formatted(expected, actual));
+    super("expected %s, found %s".formatted(expected, actual));
   }
 
-  /** With the failure of the parser or of a decoder. */
+  /** Creates an exception for a failure of the parser or of a decoder. */
   MalformedMessageException(Exception cause) {
     super(cause.getMessage(), cause);
   }
--- a/cluster/src/main/java/shalepaddle/encoding/RaftMessageCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/RaftMessageCodec.java
@@ -15,25 +15,25 @@
 import java.io.IOException;
 
 /**
- * The formats of the messages of Raft: the number of the format, a header that all have, and the
- * fields of each. {@link AppendEntriesCodec}, {@link ElectionCodec} and {@link
- * InstallSnapshotCodec} have the fields.
+ * Encodes and decodes Raft messages. Each consists of the number of its format, a header that all
+ * messages have, and the fields of its format, which {@link AppendEntriesCodec}, {@link
+ * ElectionCodec} and {@link InstallSnapshotCodec} write and read.
  */
 public final class RaftMessageCodec {
-  private static final int APPEND_ENTRIES_REQUEST = 1;
-  private static final int APPEND_ENTRIES_SUCCESS = 2;
-  private static final int APPEND_ENTRIES_FAILURE = 3;
-  private static final int PRE_VOTE_REQUEST = 4;
-  private static final int PRE_VOTE_RESPONSE = 5;
-  private static final int VOTE_REQUEST = 6;
-  private static final int VOTE_RESPONSE = 7;
-  private static final int TRIGGER_ELECTION = 8;
-  private static final int INSTALL_SNAPSHOT_REQUEST = 9;
-  private static final int INSTALL_SNAPSHOT_RESPONSE = 10;
+  private static final int APPEND_ENTRIES_REQUEST_FORMAT = 1;
+  private static final int APPEND_ENTRIES_SUCCESS_FORMAT = 2;
+  private static final int APPEND_ENTRIES_FAILURE_FORMAT = 3;
+  private static final int PRE_VOTE_REQUEST_FORMAT = 4;
+  private static final int PRE_VOTE_RESPONSE_FORMAT = 5;
+  private static final int VOTE_REQUEST_FORMAT = 6;
+  private static final int VOTE_RESPONSE_FORMAT = 7;
+  private static final int TRIGGER_ELECTION_FORMAT = 8;
+  private static final int INSTALL_SNAPSHOT_REQUEST_FORMAT = 9;
+  private static final int INSTALL_SNAPSHOT_RESPONSE_FORMAT = 10;
 
   private RaftMessageCodec() {}
 
-  /** What each message begins with. */
+  /** The fields that every message has, after the number of its format. */
   record Header(String group, RaftEndpoint sender, int term) {
     static Header of(RaftMessage message) {
       return new Header((String) message.getGroupId(), message.getSender(), message.getTerm());
@@ -49,7 +49,7 @@
   }
 
   /**
-   * The bytes of a message.
+   * Encodes a message.
    *
    * @throws java.io.UncheckedIOException if the message, or an operation in it, has no format
    */
@@ -58,17 +58,17 @@
   }
 
   /**
-   * A message.
+   * Decodes a message.
    *
-   * @throws UnknownFormatException if a later version made it
+   * @throws UnknownFormatException if the message has a format of a later version
    * @throws MalformedMessageException if the bytes are not a Raft message
    */
   public static RaftMessage decode(byte[] bytes) throws IOException {
     return CborValues.decode(bytes, RaftMessageCodec::read);
   }
 
-  private static CborValues.Writer begin(int format, RaftMessage message, CborValues.Writer out)
-      throws IOException {
+  private static CborValues.Writer writeHeader(
+      int format, RaftMessage message, CborValues.Writer out) throws IOException {
     out.put(format);
     Header.of(message).write(out);
     return out;
@@ -76,27 +76,34 @@
 
   private static void write(RaftMessage message, CborValues.Writer out) throws IOException {
     if (message instanceof AppendEntriesRequest request) {
-      AppendEntriesCodec.writeRequest(request, begin(APPEND_ENTRIES_REQUEST, message, out));
+      AppendEntriesCodec.writeRequest(
+          request, writeHeader(APPEND_ENTRIES_REQUEST_FORMAT, message, out));
     } else if (message instanceof AppendEntriesSuccessResponse response) {
-      AppendEntriesCodec.writeSuccess(response, begin(APPEND_ENTRIES_SUCCESS, message, out));
+      AppendEntriesCodec.writeSuccess(
+          response, writeHeader(APPEND_ENTRIES_SUCCESS_FORMAT, message, out));
     } else if (message instanceof AppendEntriesFailureResponse response) {
-      AppendEntriesCodec.writeFailure(response, begin(APPEND_ENTRIES_FAILURE, message, out));
+      AppendEntriesCodec.writeFailure(
+          response, writeHeader(APPEND_ENTRIES_FAILURE_FORMAT, message, out));
     } else if (message instanceof PreVoteRequest request) {
-      ElectionCodec.writePreVoteRequest(request, begin(PRE_VOTE_REQUEST, message, out));
+      ElectionCodec.writePreVoteRequest(
+          request, writeHeader(PRE_VOTE_REQUEST_FORMAT, message, out));
     } else if (message instanceof PreVoteResponse response) {
-      begin(PRE_VOTE_RESPONSE, message, out).put(response.isGranted());
+      writeHeader(PRE_VOTE_RESPONSE_FORMAT, message, out).put(response.isGranted());
     } else if (message instanceof VoteRequest request) {
-      ElectionCodec.writeVoteRequest(request, begin(VOTE_REQUEST, message, out));
+      ElectionCodec.writeVoteRequest(request, writeHeader(VOTE_REQUEST_FORMAT, message, out));
     } else if (message instanceof VoteResponse response) {
-      begin(VOTE_RESPONSE, message, out).put(response.isGranted());
+      writeHeader(VOTE_RESPONSE_FORMAT, message, out).put(response.isGranted());
     } else if (message instanceof TriggerLeaderElectionRequest request) {
-      ElectionCodec.writeTriggerElection(request, begin(TRIGGER_ELECTION, message, out));
+      ElectionCodec.writeTriggerElection(
+          request, writeHeader(TRIGGER_ELECTION_FORMAT, message, out));
     } else if (message instanceof InstallSnapshotRequest request) {
-      InstallSnapshotCodec.writeRequest(request, begin(INSTALL_SNAPSHOT_REQUEST, message, out));
+      InstallSnapshotCodec.writeRequest(
+          request, writeHeader(INSTALL_SNAPSHOT_REQUEST_FORMAT, message, out));
     } else if (message instanceof InstallSnapshotResponse response) {
-      InstallSnapshotCodec.writeResponse(response, begin(INSTALL_SNAPSHOT_RESPONSE, message, out));
+      InstallSnapshotCodec.writeResponse(
+          response, writeHeader(INSTALL_SNAPSHOT_RESPONSE_FORMAT, message, out));
     } else {
-      throw new IOException("a message without a format: " + message);
+      throw new IOException("no format is defined for the message " + message);
     }
   }
 
@@ -104,16 +111,16 @@
     int format = in.readInt();
     Header header = Header.read(in);
     return switch (format) {
-      case APPEND_ENTRIES_REQUEST -> AppendEntriesCodec.readRequest(header, in);
-      case APPEND_ENTRIES_SUCCESS -> AppendEntriesCodec.readSuccess(header, in);
-      case APPEND_ENTRIES_FAILURE -> AppendEntriesCodec.readFailure(header, in);
-      case PRE_VOTE_REQUEST -> ElectionCodec.readPreVoteRequest(header, in);
-      case PRE_VOTE_RESPONSE -> ElectionCodec.readPreVoteResponse(header, in);
-      case VOTE_REQUEST -> ElectionCodec.readVoteRequest(header, in);
-      case VOTE_RESPONSE -> ElectionCodec.readVoteResponse(header, in);
-      case TRIGGER_ELECTION -> ElectionCodec.readTriggerElection(header, in);
-      case INSTALL_SNAPSHOT_REQUEST -> InstallSnapshotCodec.readRequest(header, in);
-      case INSTALL_SNAPSHOT_RESPONSE -> InstallSnapshotCodec.readResponse(header, in);
+      case APPEND_ENTRIES_REQUEST_FORMAT -> AppendEntriesCodec.readRequest(header, in);
+      case APPEND_ENTRIES_SUCCESS_FORMAT -> AppendEntriesCodec.readSuccess(header, in);
+      case APPEND_ENTRIES_FAILURE_FORMAT -> AppendEntriesCodec.readFailure(header, in);
+      case PRE_VOTE_REQUEST_FORMAT -> ElectionCodec.readPreVoteRequest(header, in);
+      case PRE_VOTE_RESPONSE_FORMAT -> ElectionCodec.readPreVoteResponse(header, in);
+      case VOTE_REQUEST_FORMAT -> ElectionCodec.readVoteRequest(header, in);
+      case VOTE_RESPONSE_FORMAT -> ElectionCodec.readVoteResponse(header, in);
+      case TRIGGER_ELECTION_FORMAT -> ElectionCodec.readTriggerElection(header, in);
+      case INSTALL_SNAPSHOT_REQUEST_FORMAT -> InstallSnapshotCodec.readRequest(header, in);
+      case INSTALL_SNAPSHOT_RESPONSE_FORMAT -> InstallSnapshotCodec.readResponse(header, in);
       default -> throw new UnknownFormatException("a message", format);
     };
   }
--- a/cluster/src/main/java/shalepaddle/encoding/ReplicatedStateCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/ReplicatedStateCodec.java
@@ -6,29 +6,29 @@
 import shalepaddle.replicatedstate.ReplicatedState;
 import shalepaddle.replicatedstate.StateCommand;
 
-/** The formats of proposals, results and snapshots of the replicated state. */
+/** Encodes and decodes proposals, results and snapshots of the replicated state. */
 public final class ReplicatedStateCodec {
-  private static final int SET_EXCLUSION = 1;
+  private static final int SET_EXCLUSION_KIND = 1;
   private static final int SNAPSHOT_FORMAT = 1;
 
   private ReplicatedStateCodec() {}
 
-  /** The bytes of a proposal. */
+  /** Encodes a proposal. */
   public static byte[] encodeProposal(Proposal proposal) {
     return CborValues.encode(
         proposal,
         (value, out) -> {
           out.put(value.id()).put(value.proposedAtMillis());
           if (value.command() instanceof StateCommand.SetExclusion exclusion) {
-            out.put(SET_EXCLUSION).put(exclusion.serverId()).put(exclusion.excluded());
-          } else if (value.command() instanceof StateCommand.Unknown unknown) {
-            out.put(unknown.kind());
+            out.put(SET_EXCLUSION_KIND).put(exclusion.serverId()).put(exclusion.excluded());
+          } else if (value.command() instanceof StateCommand.Unknown unknownCommand) {
+            out.put(unknownCommand.kind());
           }
         });
   }
 
   /**
-   * A proposal. A command of a later version is read as {@link StateCommand.Unknown}.
+   * Decodes a proposal. A command of a later version is decoded as {@link StateCommand.Unknown}.
    *
    * @throws MalformedMessageException if the bytes are not a proposal
    */
@@ -38,22 +38,22 @@
         in -> {
           String id = in.readText();
           long proposedAtMillis = in.readLong();
-          int kind = in.readInt();
+          int commandKind = in.readInt();
           StateCommand command =
-              kind == SET_EXCLUSION
+              commandKind == SET_EXCLUSION_KIND
                   ? new StateCommand.SetExclusion(in.readText(), in.readBoolean())
-                  : new StateCommand.Unknown(kind);
+                  : new StateCommand.Unknown(commandKind);
           return new Proposal(id, proposedAtMillis, command);
         });
   }
 
-  /** The bytes of a result. */
+  /** Encodes a result. */
   public static byte[] encodeResult(CommandResult result) {
     return CborValues.encode(result, ReplicatedStateCodec::writeResult);
   }
 
   /**
-   * A result.
+   * Decodes a result.
    *
    * @throws MalformedMessageException if the bytes are not a result
    */
@@ -69,7 +69,7 @@
     return new CommandResult(CommandResult.Outcome.ofWireName(in.readText()), in.readLong());
   }
 
-  /** The bytes of a snapshot. */
+  /** Encodes a snapshot. */
   public static byte[] encodeSnapshot(ReplicatedState.Snapshot snapshot) {
     return CborValues.encode(
         snapshot,
@@ -86,9 +86,9 @@
   }
 
   /**
-   * A snapshot.
+   * Decodes a snapshot.
    *
-   * @throws UnknownFormatException if a later version made it
+   * @throws UnknownFormatException if the snapshot has a format of a later version
    * @throws MalformedMessageException if the bytes are not a snapshot
    */
   public static ReplicatedState.Snapshot decodeSnapshot(byte[] bytes) throws IOException {
--- a/cluster/src/main/java/shalepaddle/encoding/UnknownFormatException.java
+++ b/cluster/src/main/java/shalepaddle/encoding/UnknownFormatException.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 
-/** A value is of a format that this version does not know; a later version made it. */
+/** A value has a format that this version does not know; a later version wrote it. */
 public final class UnknownFormatException extends IOException {
   private static final long serialVersionUID = 1;
 
   /**
-   * With what was found.
+   * Creates an exception for a value.
    *
-   * @param what the value, with its article, as "a message"
+   * @param description a description of the value, with its article, such as "a message"
    * @param format the number of its format
    */
-  public UnknownFormatException(String what, int format) {
-    super("%s of form %d, made by a later version".formatted(what, format));
+  public UnknownFormatException(String description, int format) {
+    super("%s has format %d, which only a later version knows".formatted(description, format));
   }
 }
--- a/cluster/src/main/java/shalepaddle/raft/ElectionWatchdog.java
+++ b/cluster/src/main/java/shalepaddle/raft/ElectionWatchdog.java
@@ -7,15 +7,15 @@
 import shalepaddle.encoding.LogEntryCodec;
 
 /**
- * Detects and resolves two stalls in the elections of MicroRaft 0.7, in which nobody leads though a
- * majority is in contact.
+ * Detects and resolves two stalls in the elections of MicroRaft 0.7, in which no leader is elected
+ * although a majority of the members is connected.
  *
- * <p>Thread-safe: messages come and go on any thread.
+ * <p>Thread-safe: messages are sent and received on any thread.
  */
 final class ElectionWatchdog {
   /**
-   * A follower that for so many real nanoseconds neither hears from a leader nor asks for votes is
-   * taken for stalled.
+   * The time after which a follower is considered stalled if it has neither heard from a leader nor
+   * requested votes. In nanoseconds of real time, not of MicroRaft's clock.
    */
   static final long STALL_NANOS =
       TimeUnit.MILLISECONDS.toNanos(3 * RaftTimeouts.leaderLossTimeoutMillis());
@@ -23,45 +23,47 @@
   private volatile long lastLeaderMessageNanos;
   private volatile long lastVoteRequestNanos;
 
-  /** The library was started now. */
-  void restarted(long now) {
-    lastLeaderMessageNanos = now;
-    lastVoteRequestNanos = now;
+  /** Records that MicroRaft was started or restarted: the stall timeout starts again. */
+  void restarted(long nowNanos) {
+    lastLeaderMessageNanos = nowNanos;
+    lastVoteRequestNanos = nowNanos;
   }
 
-  /** A message came that only a leader sends. */
-  void leaderMessageReceived(long now) {
-    lastLeaderMessageNanos = now;
+  /** Records that a message was received which only a leader sends. */
+  void leaderMessageReceived(long nowNanos) {
+    lastLeaderMessageNanos = nowNanos;
   }
 
-  /** This member asks for a vote or a pre-vote. */
-  void voteRequestSent(long now) {
-    lastVoteRequestNanos = now;
+  /** Records that this member requests a vote or a pre-vote. */
+  void voteRequestSent(long nowNanos) {
+    lastVoteRequestNanos = nowNanos;
   }
 
   /**
-   * Whether the library is to be restarted from the log store. A follower that hears from a leader
-   * while its own pre-vote is under way keeps the state of that pre-vote, and later asks for no
-   * votes once that leader is lost. A restart clears it, as a restart of the process would.
+   * Whether MicroRaft must be restarted from the log store. A follower that hears from a leader
+   * during its own pre-vote keeps the state of that pre-vote, and therefore requests no votes when
+   * that leader is lost later. A restart clears this state, as a restart of the process would.
    */
-  boolean isStalled(long now, MemberStatus status) {
+  boolean isStalled(long nowNanos, MemberStatus status) {
     return status.role() == MemberRole.FOLLOWER
         && status.isActive()
-        && now - lastLeaderMessageNanos > STALL_NANOS
-        && now - lastVoteRequestNanos > STALL_NANOS;
+        && nowNanos - lastLeaderMessageNanos > STALL_NANOS
+        && nowNanos - lastVoteRequestNanos > STALL_NANOS;
   }
 
   /**
-   * Adopts a later term that came with a rejected pre-vote, which the library ignores: where one of
-   * two members has the longer log and the other the later term, each rejects the other's pre-vote
-   * for good. The term is passed in as a vote request with an empty log, which is never granted. A
-   * term that is one later may be that of this member's own request.
+   * Adopts a later term from the rejection of a pre-vote, which MicroRaft ignores. Without this,
+   * if one of two members has the longer log and the other the later term, each rejects the other's
+   * pre-votes forever. The term is passed to MicroRaft as a vote request with an empty log, which
+   * is never granted. A term that is only one later is ignored, since it may be the term of this
+   * member's own request.
    *
-   * <p>On the member's thread.
+   * <p>Must be called on the member's thread.
    */
   static void adoptTerm(RaftNode node, String group, PreVoteResponse rejection) {
-    RaftTerm current = node.getTerm();
-    if (current.getLeaderEndpoint() == null && rejection.getTerm() > current.getTerm() + 1) {
+    RaftTerm currentTerm = node.getTerm();
+    if (currentTerm.getLeaderEndpoint() == null
+        && rejection.getTerm() > currentTerm.getTerm() + 1) {
       node.handle(
           LogEntryCodec.model()
               .createVoteRequestBuilder()
--- a/cluster/src/main/java/shalepaddle/raft/MemberRole.java
+++ b/cluster/src/main/java/shalepaddle/raft/MemberRole.java
@@ -2,17 +2,20 @@
 
 import io.microraft.RaftRole;
 
-/** What a member does in its group. The names go over the wire and into the output of commands. */
+/**
+ * A member's role in its group. The names are sent between members and printed by commands, so they
+ * never change.
+ */
 public enum MemberRole {
-  /** Commits entries. */
+  /** The member that replicates proposals to the other members and commits them. */
   LEADER,
-  /** Votes, and takes entries from the leader. */
+  /** A voting member that receives entries from the leader. */
   FOLLOWER,
-  /** Asks for votes. */
+  /** A voting member that requests votes to become the leader. */
   CANDIDATE,
-  /** Takes entries from the leader, without a vote. */
+  /** A member without a vote that receives entries from the leader. */
   LEARNER,
-  /** Is not yet part of the group that it asks to join. */
+  /** A process that requests to join the group and is not a member yet. */
   JOINING;
 
   static MemberRole of(RaftRole role) {
--- a/cluster/src/main/java/shalepaddle/raft/MemberStatus.java
+++ b/cluster/src/main/java/shalepaddle/raft/MemberStatus.java
@@ -5,15 +5,15 @@
 /**
  * A member's view of its group at one moment. Immutable.
  *
- * @param name the member's own
- * @param role what it does
+ * @param name the member's name
+ * @param role its role in the group
  * @param leader the leader's name, null if unknown
  * @param term the current term; each has at most one leader
  * @param members the names of all members of the committed configuration, sorted
- * @param votingMembers those of them that vote, sorted
+ * @param votingMembers the names of the members that vote, sorted
  * @param commitIndex the last committed log index
  * @param lastLogIndex the last index of this member's log or snapshot
- * @param inactiveReason why the member takes no part, null while it does
+ * @param inactiveReason why the member does not participate in the group, null while it does
  */
 public record MemberStatus(
     String name,
@@ -30,12 +30,12 @@
     return new MemberStatus(name, role, null, 0, List.of(), List.of(), 0, 0, null);
   }
 
-  /** Whether it is the leader. */
+  /** Whether this member is the leader. */
   public boolean isLeader() {
     return name.equals(leader) && isActive();
   }
 
-  /** Whether it takes part in the group. */
+  /** Whether this member participates in the group. */
   public boolean isActive() {
     return inactiveReason == null;
   }
--- a/cluster/src/main/java/shalepaddle/raft/NotCommittedException.java
+++ b/cluster/src/main/java/shalepaddle/raft/NotCommittedException.java
@@ -6,26 +6,29 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * A proposal, a read or a membership change has no result: it was rejected, or it is unknown
- * whether it was committed.
+ * A proposal, a read or a membership change failed: it was rejected, or it is unknown whether it
+ * was committed.
  */
 public final class NotCommittedException extends Exception {
   private static final long serialVersionUID = 1;
 
-  /** What is known of the proposal. */
+  /** Whether a failed proposal may have been committed. */
   public enum Outcome {
-    /** It is in no log, and never will be. */
+    /** The proposal is in no log and will never be committed. */
     REJECTED,
-    /** It may be committed, now or later: propose it again under the same id. */
+    /**
+     * The proposal may have been committed, or may be committed later. It should be proposed again
+     * under the same id.
+     */
     INDETERMINATE
   }
 
   private final Outcome outcome;
 
   /**
-   * With a reason.
+   * Creates a failure.
    *
-   * @param reason for operators
+   * @param reason the reason of the failure, shown to operators
    */
   public NotCommittedException(Outcome outcome, String reason) {
     super(reason);
@@ -33,9 +36,9 @@
   }
 
   /**
-   * Translates a failure of the Raft library.
+   * Translates a failure of the Raft library, MicroRaft.
    *
-   * @param member the member that failed
+   * @param member the name of the member on which MicroRaft failed, for the message
    */
   static NotCommittedException ofLibraryFailure(String member, Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
@@ -53,7 +56,7 @@
     return new NotCommittedException(Outcome.INDETERMINATE, String.valueOf(cause.getMessage()));
   }
 
-  /** What is known of the proposal. */
+  /** Whether the proposal may have been committed. */
   public Outcome outcome() {
     return outcome;
   }
--- a/cluster/src/main/java/shalepaddle/raft/RaftMember.java
+++ b/cluster/src/main/java/shalepaddle/raft/RaftMember.java
@@ -36,45 +36,45 @@
 /**
  * One member of a Raft group: proposes, votes, and applies committed entries.
  *
- * <p>Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014) by
- * MicroRaft, with pre-votes and leader stickiness (Ongaro's thesis, 9.6), so that a member whose
- * network was cut does not unseat a working leader when it comes back. This class joins the library
- * to the log store, the transport and the replicated state, and restarts it after a disk failure or
- * a stalled election.
+ * <p>The library MicroRaft implements Raft (Ongaro and Ousterhout, "In Search of an Understandable
+ * Consensus Algorithm", 2014) with pre-votes and leader stickiness (Ongaro's thesis, 9.6), so that
+ * a member that was partitioned does not depose a working leader when it reconnects. This class
+ * connects the library to the log store, the transport and the replicated state, and restarts the
+ * library after a disk failure or a stalled election.
  *
  * <p>Thread-safe, except {@link #appliedState}; futures complete on the member's thread. Calls
  * after {@link #close} have no effect, and their futures may never complete.
  */
 public final class RaftMember implements AutoCloseable {
-  /** Is notified on the member's thread, which must not be blocked. */
+  /** Receives notifications on the member's thread, which the listener must not block. */
   public interface Listener {
     /**
-     * A committed entry was applied here. Called in the order of the log.
+     * A committed entry was applied at this member. Called in the order of the log.
      *
-     * @param body the entry's bytes, with fields that only a later version knows
+     * @param body the entry's encoded bytes, including fields that only a later version knows
      */
     void entryApplied(long index, byte[] body, Proposal proposal, CommandResult result);
 
-    /** A snapshot replaced the state of all entries that were applied. */
+    /** A snapshot replaced this member's state, including the effect of all applied entries. */
     void snapshotInstalled(ReplicatedState.Snapshot snapshot);
 
-    /** The status has changed in any of its fields. */
+    /** At least one field of the status has changed. */
     void statusChanged(MemberStatus status);
   }
 
-  /** Sends messages to other members; may lose, delay, duplicate and reorder them. */
+  /** Sends messages to other members. Messages may be lost, delayed, duplicated and reordered. */
   @FunctionalInterface
   public interface MessageSender {
     void send(String member, RaftMessage message);
   }
 
-  /** A change of a member's part in the group. One at a time. */
+  /** A change to a member's role in the group. Only one may be in progress at a time. */
   public enum MembershipChange {
-    /** Takes entries from now on, without a vote. */
+    /** Adds a member that receives entries, without a vote. */
     ADD_LEARNER(MembershipChangeMode.ADD_LEARNER),
-    /** Votes from now on. */
+    /** Gives a learner a vote. */
     PROMOTE_TO_VOTER(MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER),
-    /** Leaves for good; its name must not be used again. */
+    /** Removes a member permanently; its name must not be used again. */
     REMOVE(MembershipChangeMode.REMOVE_MEMBER);
 
     private final MembershipChangeMode mode;
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Between two checks whether the log store has failed and can be recovered. */
+  /** The interval at which a failed log store is detected and its recovery is tried. */
   private static final long RECOVERY_INTERVAL_NANOS = 250_000_000;
 
   private final String group;
@@ -98,7 +98,7 @@
   private final Listener listener;
   private final ElectionWatchdog watchdog = new ElectionWatchdog();
 
-  // Written on the member's thread alone, after construction.
+  // After construction, these fields are written only on the member's thread.
   private ReplicatedStateMachine stateMachine;
   private volatile RaftNode node;
   private volatile MemberStatus status;
@@ -106,13 +106,13 @@
   private boolean isClosed;
 
   /**
-   * A member that has not started.
+   * Creates a member, without starting it.
    *
-   * @param name its own: one of the members or, if it is to join, another
-   * @param members the names of those with whom the group began
-   * @param entriesBetweenSnapshots after how many committed entries a snapshot is taken
-   * @param logStore stays open when this is closed
-   * @param seed for election timeouts
+   * @param name the member's name: one of the initial members, or a new name if it joins later
+   * @param members the names of the initial members of the group
+   * @param entriesBetweenSnapshots the number of committed entries after which a snapshot is taken
+   * @param logStore the member's log, which {@link #close} does not close
+   * @param seed the seed of the random election timeouts
    */
   public RaftMember(
       String group,
@@ -138,11 +138,11 @@
   }
 
   /**
-   * Builds the library's node from what the log store holds, and replaces what belongs to one run
-   * of it: the state machine, the snapshot boundary and the times of the watchdog. In the
-   * constructor or on the member's thread.
+   * Builds MicroRaft's node from the state in the log store, and resets everything that belongs
+   * to a single run of the node: the state machine, the snapshot boundary and the times of the
+   * watchdog. Called by the constructor or on the member's thread.
    *
-   * @param lastNotifiedIndex the listener was notified of entries up to there
+   * @param lastNotifiedIndex the index of the last entry of which the listener was notified
    */
   private RaftNode buildNode(long lastNotifiedIndex) {
     stateMachine = new ReplicatedStateMachine(lastNotifiedIndex, listener);
@@ -158,17 +158,17 @@
             .setStateMachine(stateMachine)
             .setStore(logStore)
             .setModelFactory(LogEntryCodec.model())
-            .setRaftNodeReportListener(this::reported);
-    RestoredRaftState restored = logStore.restoredState();
+            .setRaftNodeReportListener(this::handleReport);
+    RestoredRaftState restoredState = logStore.restoredState();
     snapshotBoundary =
         new SnapshotBoundary(
-            restored == null || restored.getSnapshotEntry() == null
+            restoredState == null || restoredState.getSnapshotEntry() == null
                 ? 0
-                : restored.getSnapshotEntry().getIndex());
-    if (restored == null) {
+                : restoredState.getSnapshotEntry().getIndex());
+    if (restoredState == null) {
       builder.setLocalEndpoint(new Endpoint(name)).setInitialGroupMembers(initialMembers);
     } else {
-      builder.setRestoredState(restored);
+      builder.setRestoredState(restoredState);
     }
     return builder.build();
   }
@@ -188,14 +188,14 @@
 
     @Override
     public boolean isReachable(RaftEndpoint endpoint) {
-      // Not known without a response, so it is assumed.
+      // Reachability is unknown without a response, so every member counts as reachable.
       return true;
     }
   }
 
   /**
-   * Starts to take part, and the periodic checks of the log store and of the elections. To be
-   * called once.
+   * Starts the Raft node and the periodic checks of the log store and of the elections. Must be
+   * called only once.
    */
   public CompletionStage<?> start() {
     executor.schedule(ElectionWatchdog.STALL_NANOS, this::restartIfStalled);
@@ -204,8 +204,8 @@
   }
 
   /**
-   * Recovers a failed log store, and restarts the library from what is certainly on disk: its
-   * memory may be ahead of that.
+   * Recovers a failed log store and restarts MicroRaft from the recovered state, since its state
+   * in memory may be ahead of the disk.
    */
   private void recoverIfFailed() {
     if (isClosed) {
@@ -227,7 +227,7 @@
     executor.schedule(ElectionWatchdog.STALL_NANOS / 3, this::restartIfStalled);
   }
 
-  /** Replaces the library's node by a new one. On the member's thread. */
+  /** Replaces MicroRaft's node by a new one. Called on the member's thread. */
   private void restart() {
     node.terminate();
     node = buildNode(stateMachine.state().index());
@@ -235,8 +235,8 @@
   }
 
   /**
-   * Handles a message of another member, later on the member's thread. Messages to an inactive
-   * member are dropped.
+   * Handles a message from another member, asynchronously on the member's thread. Messages to an
+   * inactive member are dropped.
    */
   public void handle(RaftMessage message) {
     if (message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest) {
@@ -250,17 +250,17 @@
             ? snapshotBoundary.adjustRequest(request)
             : message);
     if (message instanceof PreVoteResponse response && !response.isGranted()) {
-      // After the library has handled the response, which it also does on the member's thread.
+      // This task runs after MicroRaft has handled the response, on the same thread.
       executor.execute(() -> ElectionWatchdog.adoptTerm(node, group, response));
     }
   }
 
-  private void reported(RaftNodeReport report) {
+  private void handleReport(RaftNodeReport report) {
     if (report.getStatus() != node.getStatus()) {
-      // A late report of the terminated node that a restart has replaced.
+      // This late report is from the node that a restart has terminated and replaced.
       return;
     }
-    MemberStatus before = status;
+    MemberStatus previousStatus = status;
     RaftEndpoint leader = report.getTerm().getLeaderEndpoint();
     status =
         new MemberStatus(
@@ -273,7 +273,7 @@
             report.getLog().getCommitIndex(),
             report.getLog().getLastLogOrSnapshotIndex(),
             inactiveReason(report));
-    if (!status.equals(before)) {
+    if (!status.equals(previousStatus)) {
       listener.statusChanged(status);
     }
   }
@@ -286,13 +286,13 @@
     return RaftNodeStatus.isTerminal(report.getStatus()) ? "it has ended" : null;
   }
 
-  /** This member's view of the group, as of the library's last report, 200 ms old at most. */
+  /** This member's view of the group, as of MicroRaft's last report, at most 200 ms old. */
   public MemberStatus status() {
     return status;
   }
 
   /**
-   * Proposes a command, if this member leads.
+   * Proposes a command, if this member is the leader.
    *
    * @return the result, once a majority has the entry on disk; otherwise fails with {@link
    *     NotCommittedException}
@@ -301,10 +301,10 @@
     CompletableFuture<CommandResult> result = new CompletableFuture<>();
     executor.execute(
         () -> {
-          CommandResult before = stateMachine.state().retainedResult(proposal.id());
-          if (before != null) {
-            // Repeated after it was applied, so it is committed: no second entry.
-            result.complete(before);
+          CommandResult earlierResult = stateMachine.state().retainedResult(proposal.id());
+          if (earlierResult != null) {
+            // The proposal was committed and applied before, so it must not get another entry.
+            result.complete(earlierResult);
             return;
           }
           complete(
@@ -316,10 +316,10 @@
   }
 
   /**
-   * Reads the committed state, linearizably: it has every entry that was acknowledged before this
-   * call. The leader asks a majority whether it still leads.
+   * Reads the committed state, linearizably: it includes every entry that was acknowledged before
+   * this call. The leader first confirms with a majority that it is still the leader.
    *
-   * @return the state; fails with {@link NotCommittedException} if this member does not lead
+   * @return the state; fails with {@link NotCommittedException} if this member is not the leader
    */
   public CompletionStage<ReplicatedState.Snapshot> read() {
     CompletableFuture<ReplicatedState.Snapshot> result = new CompletableFuture<>();
@@ -337,7 +337,7 @@
   }
 
   /**
-   * Changes the group, if this member leads.
+   * Changes the role of a member, if this member is the leader.
    *
    * @return fails with {@link NotCommittedException} if the change was not committed
    */
@@ -353,7 +353,7 @@
     return result;
   }
 
-  /** Completes a result with that of the library, or with a translated failure. */
+  /** Completes a future with MicroRaft's converted result, or with its translated failure. */
   private <T, R> void complete(
       CompletableFuture<R> result,
       CompletableFuture<Ordered<T>> libraryResult,
@@ -369,19 +369,19 @@
   }
 
   /**
-   * The state as far as it is applied here, which may be behind the committed one. To be called on
-   * the member's thread.
+   * The state up to the last entry that was applied at this member, which may be behind the
+   * committed state. Must be called on the member's thread.
    */
   public ReplicatedState.Snapshot appliedState() {
     return stateMachine.state().snapshot();
   }
 
-  /** The names of the members with whom the group began; one that joins needs them. */
+  /** The names of the initial members of the group, which a joining member needs. */
   public List<String> initialMembers() {
     return LogEntryCodec.names(node.getInitialMembers().getMembers());
   }
 
-  /** Ends its part in the group, asynchronously. The log store stays open. */
+  /** Terminates the Raft node, asynchronously. The log store stays open. */
   @Override
   public void close() {
     executor.execute(
--- a/cluster/src/main/java/shalepaddle/raft/RaftTimeouts.java
+++ b/cluster/src/main/java/shalepaddle/raft/RaftTimeouts.java
@@ -10,37 +10,43 @@
 import java.util.function.LongSupplier;
 
 /**
- * The timeouts of a group, and the scale of the library's time.
+ * The timeouts of a group, and the time scale of the Raft library, MicroRaft.
  *
- * <p>The library counts heartbeats in whole seconds, which is long for nodes on one network. So one
- * of its seconds lasts {@value #LIBRARY_SECOND_MILLIS} ms here, for its clock and its timers alike.
- * The clock is monotonic: changes of the time of day have no effect on the group.
+ * <p>MicroRaft configures heartbeats in whole seconds, which is too long for nodes on one network.
+ * Therefore one second of its clock, called a library second here, lasts {@value
+ * #LIBRARY_SECOND_MILLIS} real milliseconds, for both its clock and its timers. The clock is
+ * monotonic: changes of the system time have no effect on the group.
  */
 public final class RaftTimeouts {
-  /** Real milliseconds of one of the library's seconds. */
+  /** The duration of one second of MicroRaft's clock, in real milliseconds. */
   public static final long LIBRARY_SECOND_MILLIS = 200;
 
   private static final long MILLIS_PER_SECOND = 1000;
 
-  /** Between two heartbeats of the leader, in the library's seconds. */
+  /** The leader's heartbeat interval, in seconds of MicroRaft's clock. */
   private static final int HEARTBEAT_PERIOD_LIBRARY_SECONDS = 1;
 
-  /** The time without a heartbeat after which a leader is lost, in the library's seconds. */
-  private static final int LEADER_LOSS_LIBRARY_SECONDS = 4;
+  /**
+   * The time without a heartbeat after which the leader counts as lost, in seconds of MicroRaft's
+   * clock.
+   */
+  private static final int LEADER_LOSS_TIMEOUT_LIBRARY_SECONDS = 4;
 
-  /** The time after which an undecided election is repeated, in the library's milliseconds. */
-  private static final int ELECTION_LIBRARY_MILLIS = 2000;
+  /**
+   * The time after which an undecided election is repeated, in milliseconds of MicroRaft's clock.
+   */
+  private static final int ELECTION_TIMEOUT_LIBRARY_MILLIS = 2000;
 
-  /** Between two status reports, in the library's seconds. */
+  /** The interval of status reports, in seconds of MicroRaft's clock. */
   private static final int REPORT_PERIOD_LIBRARY_SECONDS = 1;
 
-  /** Entries in one request to a follower at most. */
+  /** The maximum number of entries in one request to a follower. */
   private static final int MAX_BATCH_ENTRIES = 256;
 
-  /** Uncommitted entries at most; further proposals are rejected. */
+  /** The maximum number of uncommitted entries; further proposals are rejected. */
   private static final int MAX_PENDING_ENTRIES = 4096;
 
-  /** The library's clock starts a day after the epoch, since it takes 0 for never. */
+  /** MicroRaft's clock starts one day after the epoch, since MicroRaft treats 0 as "never". */
   private static final long CLOCK_START_MILLIS = TimeUnit.DAYS.toMillis(1);
 
   private RaftTimeouts() {}
@@ -48,8 +54,8 @@
   static RaftConfig config(int entriesBetweenSnapshots) {
     return RaftConfig.newBuilder()
         .setLeaderHeartbeatPeriodSecs(HEARTBEAT_PERIOD_LIBRARY_SECONDS)
-        .setLeaderHeartbeatTimeoutSecs(LEADER_LOSS_LIBRARY_SECONDS)
-        .setLeaderElectionTimeoutMillis(ELECTION_LIBRARY_MILLIS)
+        .setLeaderHeartbeatTimeoutSecs(LEADER_LOSS_TIMEOUT_LIBRARY_SECONDS)
+        .setLeaderElectionTimeoutMillis(ELECTION_TIMEOUT_LIBRARY_MILLIS)
         .setAppendEntriesRequestBatchSize(MAX_BATCH_ENTRIES)
         .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
         .setCommitCountToTakeSnapshot(entriesBetweenSnapshots)
@@ -57,19 +63,22 @@
         .build();
   }
 
-  /** Real milliseconds for which the loss of a leader may go unnoticed. */
+  /**
+   * The time without a heartbeat after which the leader counts as lost, in real milliseconds, not
+   * in those of MicroRaft's clock.
+   */
   public static long leaderLossTimeoutMillis() {
-    return LEADER_LOSS_LIBRARY_SECONDS * LIBRARY_SECOND_MILLIS;
+    return LEADER_LOSS_TIMEOUT_LIBRARY_SECONDS * LIBRARY_SECOND_MILLIS;
   }
 
-  /** The library's clock, driven by monotonic nanoseconds. */
+  /** MicroRaft's clock, derived from a monotonic clock in nanoseconds. */
   static Clock clock(LongSupplier nanoTime) {
     long startNanos = nanoTime.getAsLong();
     return new Clock() {
       @Override
       public long millis() {
-        long realMillis = (nanoTime.getAsLong() - startNanos) / 1_000_000;
-        return CLOCK_START_MILLIS + realMillis * MILLIS_PER_SECOND / LIBRARY_SECOND_MILLIS;
+        long elapsedRealMillis = (nanoTime.getAsLong() - startNanos) / 1_000_000;
+        return CLOCK_START_MILLIS + elapsedRealMillis * MILLIS_PER_SECOND / LIBRARY_SECOND_MILLIS;
       }
 
       @Override
@@ -89,7 +98,7 @@
     };
   }
 
-  /** The member's thread, with delays on the library's scale. */
+  /** Runs MicroRaft's tasks on the member's thread, with delays on the scale of its clock. */
   static RaftNodeExecutor executor(MemberExecutor executor) {
     return new RaftNodeExecutor() {
       @Override
--- a/cluster/src/main/java/shalepaddle/raft/ReplicatedStateMachine.java
+++ b/cluster/src/main/java/shalepaddle/raft/ReplicatedStateMachine.java
@@ -15,7 +15,7 @@
 
 /** Applies committed entries to the replicated state. Owned by the member's thread. */
 final class ReplicatedStateMachine implements StateMachine {
-  /** Bytes of a chunk of a snapshot at most; each goes in one message. */
+  /** The maximum size of a snapshot chunk, which is sent in one message. */
   private static final int CHUNK_BYTES = 256 << 10;
 
   private final ReplicatedState state = new ReplicatedState();
@@ -23,10 +23,10 @@
   private final long lastNotifiedIndex;
 
   /**
-   * A state machine without state.
+   * Creates a state machine with an empty state.
    *
-   * @param lastNotifiedIndex the listener was notified of entries up to there, by a state machine
-   *     before this one; 0 for none
+   * @param lastNotifiedIndex the index of the last entry of which an earlier state machine notified
+   *     the listener, 0 for none; entries up to it cause no further notification
    */
   ReplicatedStateMachine(long lastNotifiedIndex, RaftMember.Listener listener) {
     this.lastNotifiedIndex = lastNotifiedIndex;
@@ -38,7 +38,7 @@
   }
 
   /**
-   * Applies a committed entry, or answers a linearizable read, whose operation is empty.
+   * Applies a committed entry. The operation of a linearizable read is empty and changes nothing.
    *
    * @return the {@link CommandResult}, null for an entry without a command and for a read
    */
@@ -53,7 +53,7 @@
       proposal = ReplicatedStateCodec.decodeProposal(bytes);
     } catch (IOException e) {
       // Every member has the same bytes, so all of them skip the entry. The listener is not
-      // told, and the index of the state does not advance.
+      // notified, and the index of the state does not advance.
       return new CommandResult(CommandResult.Outcome.UNKNOWN_COMMAND, index);
     }
     CommandResult result = state.apply(index, proposal);
@@ -64,11 +64,12 @@
   }
 
   @Override
-  public void takeSnapshot(long index, Consumer<Object> chunks) {
+  public void takeSnapshot(long index, Consumer<Object> chunkConsumer) {
     byte[] bytes = ReplicatedStateCodec.encodeSnapshot(state.snapshot());
-    // At least one chunk: the log store knows a snapshot by its chunks.
-    for (int from = 0; from == 0 || from < bytes.length; from += CHUNK_BYTES) {
-      chunks.accept(Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + CHUNK_BYTES)));
+    // Even an empty snapshot has one chunk, since the log store stores only the chunks.
+    for (int offset = 0; offset == 0 || offset < bytes.length; offset += CHUNK_BYTES) {
+      chunkConsumer.accept(
+          Arrays.copyOfRange(bytes, offset, Math.min(bytes.length, offset + CHUNK_BYTES)));
     }
   }
 
@@ -79,7 +80,8 @@
     try {
       state.restore(ReplicatedStateCodec.decodeSnapshot(bytes.toByteArray()));
     } catch (IOException e) {
-      throw new UncheckedIOException("the snapshot can't be read: " + e.getMessage(), e);
+      throw new UncheckedIOException(
+          "cannot decode the snapshot at index " + index + ": " + e.getMessage(), e);
     }
     if (index > lastNotifiedIndex) {
       listener.snapshotInstalled(state.snapshot());
--- a/cluster/src/main/java/shalepaddle/raft/SnapshotBoundary.java
+++ b/cluster/src/main/java/shalepaddle/raft/SnapshotBoundary.java
@@ -8,39 +8,44 @@
 /**
  * Lets a member that was restored from a snapshot accept the entries that follow it.
  *
- * <p>MicroRaft 0.7 does not restore the term in which the snapshot ends if entries follow it, and
- * then rejects for good what a leader appends there. The snapshot is committed, so every later
- * leader has the same entry at its end and the term needs no check: such a request is passed on as
- * if the log began with it, and the index in its response is corrected. The request's commit index
- * is left out, since the library would apply it to the shifted log; the next request brings it.
+ * <p>If entries follow the snapshot, MicroRaft 0.7 does not restore the term of the snapshot's last
+ * entry, and then rejects forever the entries that a leader appends right after the snapshot. The
+ * snapshot is committed, so every later leader has the same entry at the snapshot's index, and the
+ * term of that entry needs no check. The request is passed to MicroRaft as if the log began with
+ * the request's entries, and the index in the response is corrected. The request's commit index is
+ * set to 0, since MicroRaft would apply the index to the shifted log; the next request contains
+ * the commit index again.
  *
- * <p>Thread-safe: messages come and go on any thread.
+ * <p>Thread-safe: messages are sent and received on any thread.
  */
 final class SnapshotBoundary {
   private final long snapshotIndex;
 
-  // Of the last request that was adjusted.
-  private RaftEndpoint requestSender;
-  private long requestSequenceNumber;
+  /** The sender of the last request whose indexes were shifted, null for none. */
+  private RaftEndpoint shiftedRequestSender;
+
+  /** The flow control sequence number of the last shifted request; its response repeats it. */
+  private long shiftedRequestSequenceNumber;
 
   /**
-   * The boundary of a member that starts now.
+   * Creates the boundary of a member that is being started.
    *
-   * @param snapshotIndex the last index of the snapshot it was restored from, 0 for none
+   * @param snapshotIndex the last index of the snapshot from which the member was restored, 0 for
+   *     none
    */
   SnapshotBoundary(long snapshotIndex) {
     this.snapshotIndex = snapshotIndex;
   }
 
-  /** The request to hand to the library. */
+  /** Returns the request to pass to MicroRaft: the received request, or an adjusted copy. */
   synchronized AppendEntriesRequest adjustRequest(AppendEntriesRequest request) {
     if (snapshotIndex == 0
         || request.getPreviousLogIndex() != snapshotIndex
         || request.getLogEntries().isEmpty()) {
       return request;
     }
-    requestSender = request.getSender();
-    requestSequenceNumber = request.getFlowControlSequenceNumber();
+    shiftedRequestSender = request.getSender();
+    shiftedRequestSequenceNumber = request.getFlowControlSequenceNumber();
     return LogEntryCodec.model()
         .createAppendEntriesRequestBuilder()
         .setGroupId(request.getGroupId())
@@ -55,11 +60,11 @@
         .build();
   }
 
-  /** The response to send for the library's. */
+  /** Returns the response to send: MicroRaft's, or a copy with the corrected index. */
   synchronized AppendEntriesSuccessResponse adjustResponse(
       RaftEndpoint target, AppendEntriesSuccessResponse response) {
-    if (!target.equals(requestSender)
-        || response.getFlowControlSequenceNumber() != requestSequenceNumber
+    if (!target.equals(shiftedRequestSender)
+        || response.getFlowControlSequenceNumber() != shiftedRequestSequenceNumber
         || response.getLastLogIndex() >= snapshotIndex) {
       return response;
     }
--- a/cluster/src/main/java/shalepaddle/storage/FileLogDirectory.java
+++ b/cluster/src/main/java/shalepaddle/storage/FileLogDirectory.java
@@ -13,8 +13,8 @@
 import java.util.stream.Stream;
 
 /**
- * A directory of the file system, locked against other processes from construction to {@link
- * #close}.
+ * A log directory in the file system. It is locked against other processes from its construction
+ * until {@link #close}.
  */
 public final class FileLogDirectory implements LogDirectory {
   private static final String LOCK_FILE = "lock";
@@ -24,10 +24,11 @@
   private final FileLock lock;
 
   /**
-   * Creates the directory where there is none, and locks it.
+   * Creates the directory if it does not exist, and locks it.
    *
-   * @throws LogDirectoryLockedException if another process, or another store of this one, has it
-   * @throws IOException if it can't be created or opened
+   * @throws LogDirectoryLockedException if another process, or another log store in this process,
+   *     has locked it
+   * @throws IOException if the directory cannot be created or opened
    */
   public FileLogDirectory(Path directory) throws IOException {
     this.directory = directory;
@@ -42,12 +43,12 @@
     }
   }
 
-  /** The lock, null if somebody else has it. */
+  /** Locks a file. Returns the lock, null if the file is locked already. */
   private static FileLock tryLock(FileChannel lockFile) throws IOException {
     try {
       return lockFile.tryLock();
     } catch (OverlappingFileLockException e) {
-      // Locked by this very process, which tryLock reports by an exception.
+      // This process has locked the file already, which tryLock reports by an exception.
       return null;
     }
   }
@@ -76,8 +77,9 @@
   }
 
   @Override
-  public void rename(String from, String to) throws IOException {
-    Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+  public void rename(String oldName, String newName) throws IOException {
+    Files.move(
+        directory.resolve(oldName), directory.resolve(newName), StandardCopyOption.ATOMIC_MOVE);
   }
 
   @Override
@@ -87,8 +89,8 @@
 
   @Override
   public void syncNames() throws IOException {
-    try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
-      names.force(true);
+    try (FileChannel directoryChannel = FileChannel.open(directory, StandardOpenOption.READ)) {
+      directoryChannel.force(true);
     }
   }
 
@@ -106,8 +108,8 @@
   private record ChannelAppender(FileChannel file) implements Appender {
     @Override
     public void write(byte[] bytes) throws IOException {
-      for (ByteBuffer remaining = ByteBuffer.wrap(bytes); remaining.hasRemaining(); ) {
-        file.write(remaining);
+      for (ByteBuffer remainingBytes = ByteBuffer.wrap(bytes); remainingBytes.hasRemaining(); ) {
+        file.write(remainingBytes);
       }
     }
 
--- a/cluster/src/main/java/shalepaddle/storage/LogContents.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogContents.java
@@ -17,8 +17,8 @@
 import shalepaddle.encoding.LogEntryCodec;
 
 /**
- * The state that the records of a log add up to, in memory. Changes are made here and appended by
- * {@link RaftLogStore}. Owned by the member's thread.
+ * The state that results from the records of a log, in memory. {@link RaftLogStore} applies each
+ * change here and appends it to the log. Owned by the member's thread.
  */
 final class LogContents {
   private final String memberName;
@@ -27,7 +27,7 @@
   private RaftTermPersistentState term;
   private final SortedMap<Long, LogEntry> entries = new TreeMap<>();
 
-  /** Chunks by the index of their snapshot, then by their number. */
+  /** The chunks, by the index of their snapshot and then by their number. */
   private final SortedMap<Long, Map<Integer, SnapshotChunk>> snapshotChunks = new TreeMap<>();
 
   LogContents(String memberName) {
@@ -35,15 +35,15 @@
   }
 
   /**
-   * Makes the change of a stored record.
+   * Applies a stored record.
    *
-   * @param path the segment, for messages
-   * @throws UnknownRecordException if a later version wrote it
-   * @throws IOException if its body can't be decoded
+   * @param path the path of the segment, for messages
+   * @throws UnknownRecordException if a later version wrote the record
+   * @throws IOException if the body of the record cannot be decoded
    */
-  void apply(RecordFormat.StoredRecord stored, String path) throws IOException {
-    byte[] body = stored.body();
-    switch (RecordKind.ofCode(stored.kind(), path)) {
+  void apply(RecordFormat.StoredRecord storedRecord, String path) throws IOException {
+    byte[] body = storedRecord.body();
+    switch (RecordKind.ofCode(storedRecord.kind(), path)) {
       case LOCAL_ENDPOINT ->
           setLocalEndpoint(CborValues.decode(body, CborValues.Reader::readBoolean));
       case INITIAL_MEMBERS ->
@@ -55,12 +55,12 @@
       case SNAPSHOT_CHUNK ->
           putSnapshotChunk(CborValues.decode(body, LogEntryCodec::readSnapshotChunk));
       case DELETE_SNAPSHOT -> deleteSnapshot(CborValues.decode(body, CborValues.Reader::readLong));
-      case HEADER -> throw new UnknownRecordException(path, stored.kind());
+      case HEADER -> throw new UnknownRecordException(path, storedRecord.kind());
     }
   }
 
-  void setLocalEndpoint(boolean voting) {
-    localEndpoint = LogEntryCodec.localEndpoint(memberName, voting);
+  void setLocalEndpoint(boolean isVoting) {
+    localEndpoint = LogEntryCodec.localEndpoint(memberName, isVoting);
   }
 
   void setInitialMembers(RaftGroupMembersView members) {
@@ -75,12 +75,12 @@
     entries.put(entry.getIndex(), entry);
   }
 
-  /** Removes the entries from this index on. */
+  /** Removes all entries from this index on, inclusive. */
   void truncateSuffix(long firstIndex) {
     entries.tailMap(firstIndex).clear();
   }
 
-  /** Removes the entries up to this index. */
+  /** Removes all entries up to this index, inclusive. */
   void truncatePrefix(long lastIndex) {
     entries.headMap(lastIndex + 1).clear();
   }
@@ -98,7 +98,7 @@
   /**
    * Checks that the entries follow the snapshot without a gap.
    *
-   * @param path the segment, for the message
+   * @param path the path of the segment, for the message
    * @throws CorruptLogException if entries are missing
    */
   void checkContiguous(String path) throws CorruptLogException {
@@ -114,23 +114,23 @@
     }
   }
 
-  /** The newest snapshot of which all chunks are there, null for none. */
+  /** The newest snapshot with all its chunks, null for none. */
   private SnapshotEntry completeSnapshot() {
-    SnapshotEntry newest = null;
+    SnapshotEntry newestSnapshot = null;
     for (Map<Integer, SnapshotChunk> chunks : snapshotChunks.values()) {
-      SnapshotChunk first = chunks.values().iterator().next();
-      if (chunks.size() == first.getSnapshotChunkCount()) {
-        newest =
+      SnapshotChunk firstChunk = chunks.values().iterator().next();
+      if (chunks.size() == firstChunk.getSnapshotChunkCount()) {
+        newestSnapshot =
             LogEntryCodec.model()
                 .createSnapshotEntryBuilder()
-                .setIndex(first.getIndex())
-                .setTerm(first.getTerm())
+                .setIndex(firstChunk.getIndex())
+                .setTerm(firstChunk.getTerm())
                 .setSnapshotChunks(new ArrayList<>(chunks.values()))
-                .setGroupMembersView(first.getGroupMembersView())
+                .setGroupMembersView(firstChunk.getGroupMembersView())
                 .build();
       }
     }
-    return newest;
+    return newestSnapshot;
   }
 
   private long snapshotIndex() {
@@ -138,7 +138,7 @@
     return snapshot == null ? 0 : snapshot.getIndex();
   }
 
-  /** The last index of the snapshot or of an entry, 0 for none. */
+  /** The index of the last entry, or of the snapshot if no entry follows it; 0 for none. */
   long lastIndex() {
     long snapshotIndex = snapshotIndex();
     return entries.isEmpty() ? snapshotIndex : Math.max(snapshotIndex, entries.lastKey());
@@ -149,7 +149,7 @@
     return term == null ? 0 : term.getTerm();
   }
 
-  /** What the library starts from, null if the member has never taken part. */
+  /** The state from which MicroRaft is restored, null if the member has never been in a group. */
   RestoredRaftState restoredState() {
     if (localEndpoint == null || initialMembers == null) {
       return null;
@@ -164,7 +164,7 @@
         new ArrayList<>(entries.tailMap(snapshotIndex + 1).values()));
   }
 
-  /** The encoded records of this state, without superseded ones, to follow a segment's header. */
+  /** Encodes this state as the current records that follow a segment's header. */
   List<byte[]> encode() throws IOException {
     List<byte[]> records = new ArrayList<>();
     if (localEndpoint != null) {
@@ -187,9 +187,9 @@
     return records;
   }
 
-  static byte[] encodeLocalEndpoint(boolean voting) throws IOException {
+  static byte[] encodeLocalEndpoint(boolean isVoting) throws IOException {
     return RecordFormat.encode(
-        RecordKind.LOCAL_ENDPOINT, CborValues.encode(voting, (value, out) -> out.put(value)));
+        RecordKind.LOCAL_ENDPOINT, CborValues.encode(isVoting, (value, out) -> out.put(value)));
   }
 
   static byte[] encodeInitialMembers(RaftGroupMembersView members) throws IOException {
@@ -211,7 +211,7 @@
         RecordKind.SNAPSHOT_CHUNK, CborValues.encode(chunk, LogEntryCodec::writeSnapshotChunk));
   }
 
-  /** A record whose body is an index alone: a truncation or a deletion. */
+  /** Encodes a record whose body is only an index: a truncation or a deletion. */
   static byte[] encodeIndex(RecordKind kind, long index) throws IOException {
     return RecordFormat.encode(kind, CborValues.encode(index, (value, out) -> out.put(value)));
   }
--- a/cluster/src/main/java/shalepaddle/storage/LogDirectory.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogDirectory.java
@@ -5,41 +5,41 @@
 import java.util.List;
 
 /**
- * The directory of a log's segment files. The interface is small so that a test can stop at each
- * call and check what a machine finds after a crash there. Not thread-safe.
+ * The directory of a log's segment files. The interface is small so that a test can simulate a
+ * crash at each call and check the state that a machine finds afterwards. Not thread-safe.
  */
 public interface LogDirectory extends Closeable {
   /** The names of all files. */
   List<String> names() throws IOException;
 
-  /** All bytes of a file. */
+  /** The content of a file. */
   byte[] read(String name) throws IOException;
 
   /**
-   * Creates a file, to be written from its beginning.
+   * Creates an empty file for appending.
    *
-   * @throws IOException if there is one of that name
+   * @throws IOException if a file of that name exists
    */
   Appender create(String name) throws IOException;
 
-  /** Renames a file to a name that no file has; atomic. */
-  void rename(String from, String to) throws IOException;
+  /** Renames a file atomically. No file with the new name may exist. */
+  void rename(String oldName, String newName) throws IOException;
 
-  /** Deletes a file, if there is one of that name. */
+  /** Deletes a file if it exists. */
   void delete(String name) throws IOException;
 
-  /** Returns once files that were created, renamed or deleted stay so after a power failure. */
+  /** Syncs the directory: earlier creations, renames and deletions survive a power failure. */
   void syncNames() throws IOException;
 
   /** The directory's path, for messages. */
   String location();
 
-  /** A file that is written from its beginning to its end. */
+  /** A file to which bytes are only appended. */
   interface Appender extends Closeable {
-    /** Adds bytes at the end; a power failure may lose them until {@link #sync}. */
+    /** Appends bytes, which may be lost in a power failure until {@link #sync}. */
     void write(byte[] bytes) throws IOException;
 
-    /** Returns once all bytes that were written survive a power failure. */
+    /** Syncs the file: all bytes written before survive a power failure. */
     void sync() throws IOException;
   }
 }
--- a/cluster/src/main/java/shalepaddle/storage/LogOwner.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogOwner.java
@@ -1,7 +1,7 @@
 package shalepaddle.storage;
 
 /**
- * Whose log a directory holds.
+ * The member that owns the log in a directory.
  *
  * @param group the name of the Raft group
  * @param member the name of the member
--- a/cluster/src/main/java/shalepaddle/storage/LogOwnerMismatchException.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogOwnerMismatchException.java
@@ -8,7 +8,8 @@
 
   LogOwnerMismatchException(String path, LogOwner expected, LogOwner actual) {
     super(
-        "%s belongs to member '%s' of group '%s', not to '%s' of '%s': name the folder of this member"
+        ("%s belongs to member '%s' of group '%s', not to member '%s' of group '%s': specify the"
+                + " folder of this member")
             .formatted(path, actual.member(), actual.group(), expected.member(), expected.group()));
   }
 }
--- a/cluster/src/main/java/shalepaddle/storage/LogRecovery.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogRecovery.java
@@ -7,8 +7,8 @@
 import shalepaddle.encoding.CborValues;
 
 /**
- * Reads what a directory holds when a log is opened, or after a failed write. Stateless; changes
- * nothing but {@link #deleteAllBut}.
+ * Reads the newest segment of a directory when a log is opened or after a write failed. Stateless;
+ * only {@link #deleteAllBut} changes the directory.
  */
 final class LogRecovery {
   private static final int FORMAT_VERSION = 1;
@@ -18,10 +18,11 @@
   /**
    * The newest segment of a directory.
    *
-   * @param fileName its name
-   * @param path the same with its directory, for messages
-   * @param records those after its header
-   * @param partialBytes bytes at its end that a crash cut short
+   * @param fileName its file name
+   * @param path its path, for messages
+   * @param owner the owner that its header names
+   * @param records the records after its header
+   * @param partialBytes the size of an incomplete write at its end, 0 for none
    */
   record NewestSegment(
       String fileName,
@@ -30,7 +31,7 @@
       List<RecordFormat.StoredRecord> records,
       long partialBytes) {
     /**
-     * The state that the records add up to.
+     * The state that results from the records.
      *
      * @throws CorruptLogException if entries are missing
      * @throws UnknownRecordException if a later version wrote one of the records
@@ -58,9 +59,9 @@
   /**
    * Reads a segment.
    *
-   * @param maxBytes bytes after them are ignored
-   * @throws CorruptLogException if it is damaged
-   * @throws UnsupportedLogFormatException if another version wrote it
+   * @param maxBytes all bytes after this length are ignored
+   * @throws CorruptLogException if the segment is damaged
+   * @throws UnsupportedLogFormatException if the segment has another format version
    */
   static NewestSegment read(LogDirectory directory, String fileName, long maxBytes)
       throws IOException {
@@ -94,7 +95,7 @@
         });
   }
 
-  /** The header with which each segment of this owner begins. */
+  /** Encodes the header record with which each segment of this owner begins. */
   static byte[] encodeHeader(LogOwner owner) throws IOException {
     return RecordFormat.encode(
         RecordKind.HEADER,
@@ -103,15 +104,16 @@
   }
 
   /**
-   * Deletes superseded and incomplete segments, which a crash left behind.
+   * Deletes superseded and incomplete segments that a crash left behind.
    *
-   * @param newest the name of the newest segment, empty to delete all
+   * @param newestFileName the file name of the segment to keep, empty to delete all files
    */
-  static void deleteAllBut(LogDirectory directory, Optional<String> newest) throws IOException {
-    // The newest segment's name must survive a power failure before the others go.
+  static void deleteAllBut(LogDirectory directory, Optional<String> newestFileName)
+      throws IOException {
+    // The rename of the newest segment must be durable before the other segments are deleted.
     directory.syncNames();
     for (String fileName : directory.names()) {
-      if (newest.isEmpty() || !fileName.equals(newest.get())) {
+      if (newestFileName.isEmpty() || !fileName.equals(newestFileName.get())) {
         directory.delete(fileName);
       }
     }
--- a/cluster/src/main/java/shalepaddle/storage/LogStoreFailedException.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogStoreFailedException.java
@@ -3,15 +3,15 @@
 import java.io.IOException;
 
 /**
- * A write or a sync failed before, so nothing more is written until {@link RaftLogStore#recover}
- * succeeds. The cause is the first failure.
+ * An earlier write or sync failed, so nothing is written until {@link RaftLogStore#recover}
+ * succeeds. The cause is the failure of that write or sync, or of the last attempt to recover.
  */
 public final class LogStoreFailedException extends IOException {
   private static final long serialVersionUID = 1;
 
   LogStoreFailedException(IOException cause) {
     super(
-        "the log failed before, and nothing is written until it is recovered: "
+        "the log store failed earlier and writes nothing until it is recovered: "
             + cause.getMessage(),
         cause);
   }
--- a/cluster/src/main/java/shalepaddle/storage/RaftLogStore.java
+++ b/cluster/src/main/java/shalepaddle/storage/RaftLogStore.java
@@ -19,24 +19,24 @@
 import shalepaddle.encoding.LogEntryCodec;
 
 /**
- * A member's durable term, vote, log and snapshot: an append-only segment that is compacted to the
- * next one when it has more than doubled.
+ * Stores a member's term, vote, log and snapshot durably in an append-only segment, which is
+ * compacted into a new segment once it has more than doubled.
  *
  * <p>A log-structured store (Rosenblum and Ousterhout, "The Design and Implementation of a
- * Log-Structured File System", 1992): the state is what the records of the newest segment add up
- * to. A crash can only cut off records that were not synced. Once a segment exceeds {@value
- * #COMPACTION_THRESHOLD_BYTES} bytes and twice its initial size, the state is written to the next
+ * Log-Structured File System", 1992): the state results from the records of the newest segment. A
+ * crash can only cut off records that were not synced. Once a segment exceeds {@value
+ * #COMPACTION_THRESHOLD_BYTES} bytes and twice its initial length, the state is written to the next
  * segment, which is synced and renamed before the old one is deleted.
  *
- * <p>After a failed write or sync the content of the segment after the last successful sync is
- * unknown: the operating system may have dropped it, and a repeated sync succeeds all the same
+ * <p>After a failed write or sync, the content of the segment after the last successful sync is
+ * unknown: the operating system may have dropped it, and a repeated sync succeeds nevertheless
  * (Rebello et al., "Can Applications Recover from fsync Failures?", 2020). Every call then fails
- * with {@link LogStoreFailedException} until {@link #recover} has written what was synced to a new
- * segment. A process that starts can't know whether the one before it saw a sync fail, so opening a
+ * with {@link LogStoreFailedException} until {@link #recover} has written the synced records to a
+ * new segment. A new process cannot know whether a sync failed in the previous one, so opening a
  * log also writes a new segment.
  *
- * <p>Not thread-safe: owned by the member's thread. Calls block on the disk. {@link #close} closes
- * the directory as well.
+ * <p>Not thread-safe: owned by the member's thread. Calls block on the disk. {@link #close} also
+ * closes the directory.
  */
 public final class RaftLogStore implements RaftStore, Closeable {
   /** Segments up to this size are not compacted. */
@@ -49,18 +49,18 @@
   private final List<String> recoveryWarnings = new ArrayList<>();
   private LogContents contents;
 
-  /** The first failure since the log was opened or recovered, null for none. */
+  /** The failure that put this store out of use, null while it works. */
   private IOException failure;
 
   /**
-   * Opens the log of a member; an empty directory becomes its log.
+   * Opens the log of a member, or creates it if the directory is empty.
    *
-   * @param directory locked by this process; closed by {@link #close}
+   * @param directory the directory, locked by this process; {@link #close} closes it
    * @param group the name of the member's group
    * @param member the member's name
-   * @throws LogOwnerMismatchException if the directory is of another group or member
+   * @throws LogOwnerMismatchException if the directory belongs to another group or member
    * @throws CorruptLogException if the log is damaged
-   * @throws UnsupportedLogFormatException if another version wrote it
+   * @throws UnsupportedLogFormatException if the log has another format version
    * @throws UnknownRecordException if a later version wrote one of its records
    * @throws IOException if the disk fails
    */
@@ -78,32 +78,32 @@
   }
 
   /**
-   * Whose log a directory holds, empty if it has none.
+   * The owner of the log in a directory, empty if there is no log.
    *
    * @throws IOException as the constructor does
    */
   public static Optional<LogOwner> readOwner(LogDirectory directory) throws IOException {
-    Optional<String> newest = LogRecovery.newestSegmentName(directory);
-    return newest.isEmpty()
+    Optional<String> newestFileName = LogRecovery.newestSegmentName(directory);
+    return newestFileName.isEmpty()
         ? Optional.empty()
-        : Optional.of(LogRecovery.read(directory, newest.get()).owner());
+        : Optional.of(LogRecovery.read(directory, newestFileName.get()).owner());
   }
 
-  /** Reads the newest segment, if there is one, and continues with a new one. */
+  /** Restores the state of the newest segment, if there is one, and writes it to a new segment. */
   private void open() throws IOException {
-    Optional<String> newest = LogRecovery.newestSegmentName(directory);
-    LogRecovery.deleteAllBut(directory, newest);
-    if (newest.isEmpty()) {
+    Optional<String> newestFileName = LogRecovery.newestSegmentName(directory);
+    LogRecovery.deleteAllBut(directory, newestFileName);
+    if (newestFileName.isEmpty()) {
       contents = new LogContents(owner.member());
     } else {
-      LogRecovery.NewestSegment segment = LogRecovery.read(directory, newest.get());
+      LogRecovery.NewestSegment segment = LogRecovery.read(directory, newestFileName.get());
       if (!segment.owner().equals(owner)) {
         throw new LogOwnerMismatchException(segment.path(), owner, segment.owner());
       }
       restore(segment);
       if (segment.partialBytes() > 0) {
         recoveryWarnings.add(
-            "%s: %d bytes of a write that was cut short are left out"
+            "%s: ignored %d bytes of an incomplete write at the end"
                 .formatted(segment.path(), segment.partialBytes()));
       }
     }
@@ -116,11 +116,13 @@
   }
 
   /**
-   * Makes a failed store usable again: reads what was synced and writes it to a new segment. What
-   * was not synced is dropped; the member has acknowledged none of it, so that is safe. The library
-   * must then be restarted from {@link #restoredState}, since its memory may be ahead of the log.
+   * Makes a failed store usable again: reads the synced records and writes them to a new segment.
+   * Records that were not synced are dropped, which is safe since the member has not acknowledged
+   * them. MicroRaft must then be restarted from {@link #restoredState}, since its state in memory
+   * may be ahead of the log.
    *
-   * @return false if the disk still fails; may be called again
+   * @return whether the store works again; false if the disk still fails, and a later call may
+   *     succeed
    */
   public boolean recover() {
     if (failure == null) {
@@ -128,14 +130,14 @@
     }
     try {
       writer.close();
-      String newest =
+      String newestFileName =
           LogRecovery.newestSegmentName(directory)
               .orElseThrow(() -> CorruptLogException.withoutSegment(directory.location()));
-      // A newer segment than the writer's comes from a compaction that failed after its rename. It
-      // was synced before that, so all of it counts.
-      long maxBytes = writer.isCurrent(newest) ? writer.syncedLength() : Integer.MAX_VALUE;
-      LogRecovery.NewestSegment segment = LogRecovery.read(directory, newest, maxBytes);
-      LogRecovery.deleteAllBut(directory, Optional.of(newest));
+      // A segment newer than the writer's is from a compaction that failed after the rename. It was
+      // synced before the rename, so it is read to its end.
+      long maxBytes = writer.isCurrent(newestFileName) ? writer.syncedLength() : Integer.MAX_VALUE;
+      LogRecovery.NewestSegment segment = LogRecovery.read(directory, newestFileName, maxBytes);
+      LogRecovery.deleteAllBut(directory, Optional.of(newestFileName));
       restore(segment);
       compact();
       failure = null;
@@ -146,7 +148,7 @@
     }
   }
 
-  /** Writes the state to the next segment, without superseded records. */
+  /** Writes the current state to a new segment, without superseded records. */
   private void compact() throws IOException {
     List<byte[]> records = new ArrayList<>();
     records.add(LogRecovery.encodeHeader(owner));
@@ -155,11 +157,11 @@
   }
 
   /**
-   * Makes this the log of one of the members with whom a group begins; all of them vote. The log
-   * must be new, which is not checked.
+   * Initializes this log for one of the initial members of a group, all of which vote. The log must
+   * be new, which is not checked.
    *
-   * @param members the names of all of them
-   * @throws IOException if the disk fails; the log may then have only a part of this
+   * @param members the names of all initial members
+   * @throws IOException if the disk fails; the log may then be only partly initialized
    */
   public void initializeGroup(Collection<String> members) throws IOException {
     Collection<RaftEndpoint> endpoints = new LinkedHashSet<>();
@@ -174,17 +176,17 @@
     persistAndFlushLocalEndpoint(LogEntryCodec.localEndpoint(owner.member(), true));
   }
 
-  /** What the member starts from, null if it has never taken part. */
+  /** The state from which the member is restored, null if it has never been in a group. */
   public RestoredRaftState restoredState() {
     return contents.restoredState();
   }
 
-  /** Lines for operators about what was repaired when the log was opened, as a cut-off write. */
+  /** Log lines for operators about repairs at opening, such as of an incomplete write. */
   public List<String> recoveryWarnings() {
     return List.copyOf(recoveryWarnings);
   }
 
-  /** The last index of the snapshot or of an entry, 0 for none. */
+  /** The index of the last entry, or of the snapshot if no entry follows it; 0 for none. */
   public long lastIndex() {
     return contents.lastIndex();
   }
@@ -194,12 +196,12 @@
     return contents.term();
   }
 
-  /** Bytes of the current segment. */
+  /** The size of the current segment in bytes. */
   public long sizeBytes() {
     return writer.length();
   }
 
-  /** Why nothing is persisted any more, null while the store works. */
+  /** The failure since which nothing is persisted, null while the store works. */
   public IOException failure() {
     return failure;
   }
@@ -209,9 +211,9 @@
   }
 
   /**
-   * Runs an operation unless an earlier one failed, and remembers a failure. Operations change the
-   * contents in memory before the file, so after a failure the contents may be ahead of the disk;
-   * {@link #recover} reads them again.
+   * Runs an operation unless an earlier one failed, and records its failure. Operations change the
+   * contents in memory before the file, so the contents may be ahead of the disk after a failure;
+   * {@link #recover} reads them from the disk again.
    */
   private void runUnlessFailed(Operation operation) throws IOException {
     if (failure != null) {
@@ -296,7 +298,7 @@
   }
 
   @Override
-  public void deleteSnapshotChunks(long index, int count) throws IOException {
+  public void deleteSnapshotChunks(long index, int chunkCount) throws IOException {
     runUnlessFailed(
         () -> {
           contents.deleteSnapshot(index);
@@ -315,7 +317,7 @@
         });
   }
 
-  /** Persists nothing more; what was not synced may be lost. */
+  /** Closes the segment and the directory. Records that were not synced may be lost. */
   @Override
   public void close() throws IOException {
     writer.close();
--- a/cluster/src/main/java/shalepaddle/storage/RecordFormat.java
+++ b/cluster/src/main/java/shalepaddle/storage/RecordFormat.java
@@ -8,12 +8,12 @@
 import java.util.zip.CRC32;
 
 /**
- * The bytes of a segment: for each record the length of its body (4 bytes), a CRC-32 (4), its kind
- * (1) and the body. The checksum covers the length as well, so that a record whose length is
- * damaged is not mistaken for a partial write. Stateless.
+ * The byte format of a segment. Each record consists of the length of its body (4 bytes), a CRC-32
+ * (4 bytes), its kind (1 byte) and the body. The checksum also covers the length, so that a record
+ * with a damaged length is detected as damage and not mistaken for an incomplete write. Stateless.
  */
 final class RecordFormat {
-  /** Bytes of a body at most; a greater length is damage. */
+  /** The maximum size of a record's body; a greater length field means damage. */
   static final int MAX_BODY_BYTES = 16 << 20;
 
   private static final int HEADER_BYTES = 9;
@@ -26,34 +26,37 @@
   /**
    * A record as it is stored.
    *
-   * @param kind a code of {@link RecordKind}, or of a later version's
+   * @param kind a code of {@link RecordKind}, or a code that only a later version knows
+   * @param body the encoded value
    */
-  // Never compared; a copy would double what is read.
+  // The array is not copied, since a copy would double the memory for reading. Records are never
+  // compared.
   @SuppressWarnings("ArrayRecordComponent")
   record StoredRecord(int kind, byte[] body) {}
 
   /**
-   * What a segment holds.
+   * The content of a segment.
    *
    * @param records the complete records, in order
-   * @param partialBytes bytes after them, of a write that a crash cut short
+   * @param partialBytes the size of an incomplete write after them, 0 for none
    */
   record Segment(List<StoredRecord> records, long partialBytes) {}
 
   /**
-   * The bytes of a record.
+   * Encodes a record.
    *
    * @throws IOException if the body exceeds {@link #MAX_BODY_BYTES}
    */
   static byte[] encode(RecordKind kind, byte[] body) throws IOException {
     if (body.length > MAX_BODY_BYTES) {
       throw new IOException(
-          "a record of %d bytes exceeds the limit of %d".formatted(body.length, MAX_BODY_BYTES));
+          "a record body of %d bytes exceeds the limit of %d bytes"
+              .formatted(body.length, MAX_BODY_BYTES));
     }
-    ByteBuffer encoded = ByteBuffer.allocate(HEADER_BYTES + body.length);
-    encoded.putInt(body.length).putInt(0).put((byte) kind.code()).put(body);
-    encoded.putInt(CHECKSUM_OFFSET, checksum(encoded.array(), 0, body.length));
-    return encoded.array();
+    ByteBuffer encodedRecord = ByteBuffer.allocate(HEADER_BYTES + body.length);
+    encodedRecord.putInt(body.length).putInt(0).put((byte) kind.code()).put(body);
+    encodedRecord.putInt(CHECKSUM_OFFSET, checksum(encodedRecord.array(), 0, body.length));
+    return encodedRecord.array();
   }
 
   private static int checksum(byte[] bytes, int position, int bodyLength) {
@@ -63,49 +66,51 @@
     return (int) crc.getValue();
   }
 
-  /** The body length of the complete record at a position, {@link #NO_RECORD} if there is none. */
+  /** The body length of the record at a position, {@link #NO_RECORD} if none is complete there. */
   private static int bodyLengthAt(byte[] bytes, int position) {
     if (bytes.length - position < HEADER_BYTES) {
       return NO_RECORD;
     }
-    int length = ByteBuffer.wrap(bytes, position, Integer.BYTES).getInt();
-    if (length < 0 || length > MAX_BODY_BYTES || length > bytes.length - position - HEADER_BYTES) {
+    int bodyLength = ByteBuffer.wrap(bytes, position, Integer.BYTES).getInt();
+    if (bodyLength < 0
+        || bodyLength > MAX_BODY_BYTES
+        || bodyLength > bytes.length - position - HEADER_BYTES) {
       return NO_RECORD;
     }
-    int stored = ByteBuffer.wrap(bytes, position + CHECKSUM_OFFSET, Integer.BYTES).getInt();
-    return stored == checksum(bytes, position, length) ? length : NO_RECORD;
+    int storedChecksum = ByteBuffer.wrap(bytes, position + CHECKSUM_OFFSET, Integer.BYTES).getInt();
+    return storedChecksum == checksum(bytes, position, bodyLength) ? bodyLength : NO_RECORD;
   }
 
   /**
-   * Reads a segment. Unreadable bytes at its end are a partial write; where a complete record
-   * follows them, the segment is damaged.
+   * Decodes a segment. Unreadable bytes at its end are an incomplete write; if a complete record
+   * follows unreadable bytes, the segment is damaged.
    *
-   * @param path for the message
+   * @param path the path of the segment, for the message
    * @throws CorruptLogException if the segment is damaged
    */
   static Segment decode(String path, byte[] bytes) throws CorruptLogException {
     List<StoredRecord> records = new ArrayList<>();
     int position = 0;
-    for (int length = bodyLengthAt(bytes, position);
-        length != NO_RECORD;
-        length = bodyLengthAt(bytes, position)) {
-      byte[] body = new byte[length];
-      System.arraycopy(bytes, position + HEADER_BYTES, body, 0, length);
+    for (int bodyLength = bodyLengthAt(bytes, position);
+        bodyLength != NO_RECORD;
+        bodyLength = bodyLengthAt(bytes, position)) {
+      byte[] body = new byte[bodyLength];
+      System.arraycopy(bytes, position + HEADER_BYTES, body, 0, bodyLength);
       records.add(new StoredRecord(bytes[position + KIND_OFFSET], body));
-      position += HEADER_BYTES + length;
+      position += HEADER_BYTES + bodyLength;
     }
-    for (int later = position + 1; later < bytes.length; later++) {
-      if (bodyLengthAt(bytes, later) != NO_RECORD) {
+    for (int laterPosition = position + 1; laterPosition < bytes.length; laterPosition++) {
+      if (bodyLengthAt(bytes, laterPosition) != NO_RECORD) {
         throw CorruptLogException.damagedAt(path, position);
       }
     }
     return new Segment(records, bytes.length - position);
   }
 
-  /** The concatenation of encoded records. */
+  /** Concatenates encoded records. */
   static byte[] join(List<byte[]> encodedRecords) {
-    ByteArrayOutputStream joined = new ByteArrayOutputStream();
-    encodedRecords.forEach(joined::writeBytes);
-    return joined.toByteArray();
+    ByteArrayOutputStream joinedRecords = new ByteArrayOutputStream();
+    encodedRecords.forEach(joinedRecords::writeBytes);
+    return joinedRecords.toByteArray();
   }
 }
--- a/cluster/src/main/java/shalepaddle/storage/RecordKind.java
+++ b/cluster/src/main/java/shalepaddle/storage/RecordKind.java
@@ -1,24 +1,24 @@
 package shalepaddle.storage;
 
-/** What a record of a segment changes. The codes are stored and never change. */
+/** The kinds of records in a segment. The codes are stored and never change. */
 enum RecordKind {
-  /** Format version and {@link LogOwner}; first in each segment, and only there. */
+  /** The format version and the {@link LogOwner}. Each segment begins with its only header. */
   HEADER(1),
   /** Whether the member votes. */
   LOCAL_ENDPOINT(2),
-  /** With whom the group began. */
+  /** The initial members of the group. */
   INITIAL_MEMBERS(3),
-  /** The term, and who has this member's vote in it. */
+  /** The term, and the member that this member voted for in that term. */
   TERM(4),
-  /** A log entry; replaces an earlier one of the same index. */
+  /** A log entry; replaces an earlier entry with the same index. */
   ENTRY(5),
-  /** Removes the entries from an index on. */
+  /** Removes all entries from an index on, inclusive. */
   TRUNCATE_SUFFIX(6),
-  /** Removes the entries up to an index, which a snapshot covers. */
+  /** Removes all entries up to an index, inclusive; a snapshot covers them. */
   TRUNCATE_PREFIX(7),
   /** One chunk of a snapshot. */
   SNAPSHOT_CHUNK(8),
-  /** Removes all chunks of the snapshot at an index. */
+  /** Removes all chunks of the snapshot with an index. */
   DELETE_SNAPSHOT(9);
 
   private final int code;
@@ -32,10 +32,10 @@
   }
 
   /**
-   * The kind of this code.
+   * The kind with a code.
    *
-   * @param path the segment, for the message
-   * @throws UnknownRecordException if a later version wrote it
+   * @param path the path of the segment, for the message
+   * @throws UnknownRecordException if this version does not know the code
    */
   static RecordKind ofCode(int code, String path) throws UnknownRecordException {
     for (RecordKind kind : values()) {
--- a/cluster/src/main/java/shalepaddle/storage/SegmentWriter.java
+++ b/cluster/src/main/java/shalepaddle/storage/SegmentWriter.java
@@ -5,32 +5,32 @@
 import java.util.Locale;
 
 /**
- * Appends to the current segment and switches to the next one. Segments are numbered by generation;
- * only the newest counts. {@link #startNext} must have succeeded before the first {@link #append}
- * or {@link #sync}, and again after {@link #close}. Owned by the member's thread.
+ * Appends to the current segment and switches to a new one. Segments are numbered by generation,
+ * and only the newest one is valid. {@link #startNext} must succeed before the first {@link
+ * #append} or {@link #sync}, and again after {@link #close}. Owned by the member's thread.
  */
 final class SegmentWriter implements Closeable {
-  // Names of stored files, which never change.
+  // Prefixes of file names on disk, which never change.
   private static final String SEGMENT_PREFIX = "journal-";
   private static final String INCOMPLETE_PREFIX = "next-";
-  private static final int HEXADECIMAL = 16;
+  private static final int HEXADECIMAL_RADIX = 16;
 
   private final LogDirectory directory;
 
-  /** The number of the current segment, 0 for none. */
+  /** The generation of the current segment, 0 for none. */
   private long generation;
 
-  /** The current segment, null before the first and after {@link #close}. */
+  /** The current segment, null before the first {@link #startNext} and after {@link #close}. */
   private LogDirectory.Appender file;
 
-  /** Bytes of the current segment, synced or not. */
-  private long length;
+  /** The length of the current segment in bytes, synced or not. */
+  private long lengthBytes;
 
-  /** Bytes with which the current segment began. */
-  private long lengthAtStart;
+  /** The length in bytes with which the current segment was created. */
+  private long initialLengthBytes;
 
-  /** Bytes of the segment that the last successful sync covered. */
-  private long syncedLength;
+  /** The length in bytes that the last successful sync of the current segment covered. */
+  private long syncedLengthBytes;
 
   SegmentWriter(LogDirectory directory) {
     this.directory = directory;
@@ -40,92 +40,93 @@
     return fileName.startsWith(SEGMENT_PREFIX);
   }
 
-  /** The generation of a segment, by its file name. */
+  /** The generation of a segment with a file name. */
   static long generationOf(String fileName) {
-    return Long.parseLong(fileName.substring(SEGMENT_PREFIX.length()), HEXADECIMAL);
+    return Long.parseLong(fileName.substring(SEGMENT_PREFIX.length()), HEXADECIMAL_RADIX);
   }
 
   private static String fileName(String prefix, long generation) {
     return prefix + String.format(Locale.ROOT, "%016x", generation);
   }
 
-  /** The next segment to be written follows this one, which was read and is not appended to. */
+  /** Sets the generation of the segment that was read, so that the next one follows it. */
   void continueAfter(long readGeneration) {
     generation = readGeneration;
   }
 
-  /** Whether a file is the current segment. */
+  /** Whether a file name is that of the current segment. */
   boolean isCurrent(String fileName) {
     return fileName.equals(fileName(SEGMENT_PREFIX, generation));
   }
 
   /**
-   * Writes a segment of these bytes, syncs and names it, makes it the current one and deletes the
-   * one before. If this fails before it is named, the current segment is still the one before.
+   * Writes a new segment with these bytes, syncs and renames it, makes it the current one and
+   * deletes the previous one. If this fails before the rename, the previous segment stays current.
    */
   void startNext(byte[] bytes) throws IOException {
-    long previous = generation;
+    long previousGeneration = generation;
     LogDirectory.Appender previousFile = file;
-    file = create(previous + 1, bytes);
-    generation = previous + 1;
-    length = bytes.length;
-    lengthAtStart = length;
-    syncedLength = length;
+    file = create(previousGeneration + 1, bytes);
+    generation = previousGeneration + 1;
+    lengthBytes = bytes.length;
+    initialLengthBytes = lengthBytes;
+    syncedLengthBytes = lengthBytes;
     if (previousFile != null) {
       previousFile.close();
     }
-    if (previous > 0) {
-      directory.delete(fileName(SEGMENT_PREFIX, previous));
+    if (previousGeneration > 0) {
+      directory.delete(fileName(SEGMENT_PREFIX, previousGeneration));
     }
   }
 
-  /** Creates a complete, synced and named segment; closes what it has begun if that fails. */
+  /** Creates a complete, synced segment under its final name; closes the file on failure. */
   private LogDirectory.Appender create(long newGeneration, byte[] bytes) throws IOException {
-    String incomplete = fileName(INCOMPLETE_PREFIX, newGeneration);
-    LogDirectory.Appender created = directory.create(incomplete);
+    String incompleteFileName = fileName(INCOMPLETE_PREFIX, newGeneration);
+    LogDirectory.Appender newSegment = directory.create(incompleteFileName);
     try {
-      created.write(bytes);
-      created.sync();
-      directory.rename(incomplete, fileName(SEGMENT_PREFIX, newGeneration));
+      newSegment.write(bytes);
+      newSegment.sync();
+      directory.rename(incompleteFileName, fileName(SEGMENT_PREFIX, newGeneration));
       directory.syncNames();
-      return created;
+      return newSegment;
     } catch (IOException e) {
-      created.close();
+      newSegment.close();
       throw e;
     }
   }
 
-  /** Appends an encoded record, which a power failure may lose until {@link #sync}. */
+  /** Appends an encoded record, which may be lost in a power failure until {@link #sync}. */
   void append(byte[] encodedRecord) throws IOException {
     file.write(encodedRecord);
-    length += encodedRecord.length;
+    lengthBytes += encodedRecord.length;
   }
 
-  /** Returns once all that was appended survives a power failure. */
+  /** Syncs the current segment: all records appended before survive a power failure. */
   void sync() throws IOException {
     file.sync();
-    syncedLength = length;
+    syncedLengthBytes = lengthBytes;
   }
 
   /**
-   * Whether the segment exceeds so many bytes and has more than doubled since it was started. What
-   * was superseded is not counted; the doubling bounds the cost of rewriting what was not.
+   * Whether the current segment exceeds a threshold and has more than doubled since it was created.
+   * The fraction of superseded records is not known; waiting for the segment to double bounds the
+   * cost of rewriting the records that are still current.
    */
   boolean needsCompaction(long thresholdBytes) {
-    return length > thresholdBytes && length > 2 * lengthAtStart;
+    return lengthBytes > thresholdBytes && lengthBytes > 2 * initialLengthBytes;
   }
 
-  /** Bytes of the current segment. */
+  /** The length of the current segment in bytes, synced or not. */
   long length() {
-    return length;
+    return lengthBytes;
   }
 
-  /** Bytes of the current segment that survive a power failure. */
+  /** The length of the synced part of the current segment, in bytes. */
   long syncedLength() {
-    return syncedLength;
+    return syncedLengthBytes;
   }
 
-  /** Appends nothing more to the current segment; what was not synced may be lost. */
+  /** Closes the current segment. Records that were not synced may be lost. */
   @Override
   public void close() throws IOException {
     if (file != null) {
--- a/cluster/src/main/java/shalepaddle/storage/UnsupportedLogFormatException.java
+++ b/cluster/src/main/java/shalepaddle/storage/UnsupportedLogFormatException.java
@@ -2,13 +2,13 @@
 
 import java.io.IOException;
 
-/** A segment is of a format version that this program can't read. */
+/** A segment has a format version that this version of the program cannot read. */
 public final class UnsupportedLogFormatException extends IOException {
   private static final long serialVersionUID = 1;
 
   UnsupportedLogFormatException(String path, int expected, int actual) {
     super(
-        "%s is of format %d, and this version reads %d: start the version that wrote it"
+        "%s has format version %d, expected %d: start the program version that wrote it"
             .formatted(path, actual, expected));
   }
 }
--- a/cluster/src/main/java/shalepaddle/transport/BoundedListener.java
+++ b/cluster/src/main/java/shalepaddle/transport/BoundedListener.java
@@ -13,13 +13,13 @@
 import java.util.function.Consumer;
 
 /**
- * Accepts a bounded number of connections at an address, and closes those beyond it. Its state is
- * owned by the event loop.
+ * Accepts a bounded number of connections at an address, and closes connections beyond the bound.
+ * The count of open connections is owned by the event loop.
  */
 final class BoundedListener extends ChannelInitializer<Channel> {
   private final int maxConnections;
   private final Consumer<Channel> onAccepted;
-  private int connections;
+  private int openConnections;
 
   private BoundedListener(int maxConnections, Consumer<Channel> onAccepted) {
     this.maxConnections = maxConnections;
@@ -27,13 +27,15 @@
   }
 
   /**
-   * Listens. Blocks until it does.
+   * Starts to listen. Blocks until the address is bound.
    *
-   * @param loops of one thread; shut down if this fails
-   * @param purpose for whom it listens, for messages
-   * @param onAccepted is given each connection, on that thread
+   * @param loops an event loop group of one thread, which is shut down if the address cannot be
+   *     bound
+   * @param purpose who connects to the address, for the error message
+   * @param maxConnections the maximum number of open connections
+   * @param onAccepted receives each accepted connection, on the event loop
    * @return the listening channel
-   * @throws IOException if it can't listen at the address
+   * @throws IOException if the address cannot be bound
    */
   static Channel listen(
       MultiThreadIoEventLoopGroup loops,
@@ -42,7 +44,7 @@
       int maxConnections,
       Consumer<Channel> onAccepted)
       throws IOException {
-    ChannelFuture bound =
+    ChannelFuture bindFuture =
         new ServerBootstrap()
             .group(loops)
             .channel(NioServerSocketChannel.class)
@@ -51,23 +53,24 @@
             .childHandler(new BoundedListener(maxConnections, onAccepted))
             .bind(address)
             .awaitUninterruptibly();
-    if (!bound.isSuccess()) {
+    if (!bindFuture.isSuccess()) {
       loops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
       throw new IOException(
-          "cannot listen on %s for %s: %s".formatted(address, purpose, bound.cause().getMessage()),
-          bound.cause());
+          "cannot listen on %s for %s: %s"
+              .formatted(address, purpose, bindFuture.cause().getMessage()),
+          bindFuture.cause());
     }
-    return bound.channel();
+    return bindFuture.channel();
   }
 
   @Override
-  protected void initChannel(Channel accepted) {
-    if (connections >= maxConnections) {
-      accepted.close();
+  protected void initChannel(Channel acceptedChannel) {
+    if (openConnections >= maxConnections) {
+      acceptedChannel.close();
       return;
     }
-    connections++;
-    accepted.closeFuture().addListener(closed -> connections--);
-    onAccepted.accept(accepted);
+    openConnections++;
+    acceptedChannel.closeFuture().addListener(closed -> openConnections--);
+    onAccepted.accept(acceptedChannel);
   }
 }
--- a/cluster/src/main/java/shalepaddle/transport/ChangeFeedClient.java
+++ b/cluster/src/main/java/shalepaddle/transport/ChangeFeedClient.java
@@ -24,24 +24,24 @@
 import shalepaddle.replicatedstate.ReplicatedState;
 
 /**
- * A node's subscription to the change feed, over TCP: it keeps a copy of the replicated state. What
- * to connect to and when is decided by {@link ChangeFeedSubscriber}.
+ * A node's subscription to the change feed over TCP, which maintains a copy of the replicated
+ * state. {@link ChangeFeedSubscriber} decides which member to connect to and when.
  *
- * <p>Its state is owned by the event loop; {@link #close} may be called from any thread.
+ * <p>The state is owned by the event loop; {@link #close} may be called from any thread.
  */
 public final class ChangeFeedClient implements AutoCloseable {
-  /** Is notified on the event loop. */
+  /** Receives notifications on the event loop. */
   public interface Listener {
-    /** A committed entry was applied here. Called in the order of the log. */
+    /** A committed entry was applied to the copy. Called in the order of the log. */
     void entryApplied(long index, Proposal proposal, CommandResult result);
 
-    /** A snapshot replaced the state of all entries that were applied. */
+    /** A snapshot replaced the copy's state, including the effect of all applied entries. */
     void snapshotInstalled(ReplicatedState.Snapshot snapshot);
 
-    /** The node has come into contact with the group, or has lost it. */
+    /** The node has gained or lost contact with the group. */
     void contactChanged(boolean isInContact);
 
-    /** A line for operators. */
+    /** Receives a log line for operators. */
     void diagnostic(String line);
   }
 
@@ -49,52 +49,59 @@
       ChangeFeedSubscriber.Timeouts.DEFAULT;
 
   private final EventLoop loop;
-  private final List<InetSocketAddress> members;
+  private final List<InetSocketAddress> memberAddresses;
   private final Listener listener;
   private final ReplicatedState state = new ReplicatedState();
   private final ChangeFeedSubscriber subscriber;
 
-  /** The current connection, which may not be established yet; null for none. */
+  /** The current connection, possibly not established yet; null for none. */
   private Channel channel;
 
   private boolean isClosed;
 
-  /** The number of the scheduled tick; ticks with lower ones are superseded. */
-  private long currentTick;
+  /** The number of the last scheduled tick; ticks with lower numbers are superseded. */
+  private long lastTickNumber;
 
   /**
-   * Starts to subscribe.
+   * Starts a subscription.
    *
    * @param group the name of the group
-   * @param name the node's own, for the members' logs
-   * @param members where they listen for subscribers
-   * @param seed for the choice of members and backoff; a different one at each node
+   * @param name the node's name, for the members' logs
+   * @param memberAddresses the addresses at which the members listen for subscribers
+   * @param seed the seed of the random choices of members and backoffs, which should differ between
+   *     nodes
    */
   public ChangeFeedClient(
       EventLoop loop,
       String group,
       String name,
-      List<InetSocketAddress> members,
+      List<InetSocketAddress> memberAddresses,
       long seed,
       Listener listener) {
     this.loop = loop;
-    this.members = List.copyOf(members);
+    this.memberAddresses = List.copyOf(memberAddresses);
     this.listener = listener;
     this.subscriber =
         new ChangeFeedSubscriber(
-            group, name, members.size(), seed, System.nanoTime(), TIMEOUTS, new NetworkOutput());
+            group,
+            name,
+            memberAddresses.size(),
+            seed,
+            System.nanoTime(),
+            TIMEOUTS,
+            new NetworkOutput());
     loop.execute(this::scheduleTick);
   }
 
-  /** Schedules the subscriber's next tick in place of the one that is scheduled. */
+  /** Schedules the subscriber's next tick, which supersedes the scheduled one. */
   private void scheduleTick() {
     if (isClosed) {
       return;
     }
-    long tick = ++currentTick;
+    long tickNumber = ++lastTickNumber;
     loop.schedule(
         () -> {
-          if (tick == currentTick && !isClosed) {
+          if (tickNumber == lastTickNumber && !isClosed) {
             subscriber.tick(System.nanoTime());
             scheduleTick();
           }
@@ -103,43 +110,43 @@
         TimeUnit.NANOSECONDS);
   }
 
-  /** The state as far as it is applied here; on the event loop. */
+  /** The state up to the last applied entry. Must be called on the event loop. */
   public ReplicatedState.Snapshot snapshot() {
     return state.snapshot();
   }
 
-  /** Whether the node is in contact with the group; on the event loop. */
+  /** Whether the node is in contact with the group. Must be called on the event loop. */
   public boolean isInContact() {
     return subscriber.isInContact();
   }
 
-  /** The last log index that is applied here; on the event loop. */
+  /** The index of the last applied entry. Must be called on the event loop. */
   public long lastIndex() {
     return subscriber.lastIndex();
   }
 
-  /** Carries out what the subscriber decides, on the event loop. */
+  /** Carries out the subscriber's decisions, on the event loop. */
   private final class NetworkOutput implements ChangeFeedSubscriber.Output {
     @Override
     public void connect(int member) {
-      ChannelFuture connecting = openChannel(members.get(member));
-      Channel created = connecting.channel();
-      channel = created;
-      connecting.addListener(
+      ChannelFuture connectFuture = openChannel(memberAddresses.get(member));
+      Channel newChannel = connectFuture.channel();
+      channel = newChannel;
+      connectFuture.addListener(
           done -> {
-            if (channel != created) {
-              // The subscriber gave it up meanwhile.
-              created.close();
+            if (channel != newChannel) {
+              // The subscriber has given up this connection while it was being established.
+              newChannel.close();
             } else if (done.isSuccess()) {
               subscriber.connected(System.nanoTime());
               scheduleTick();
             }
           });
-      created
+      newChannel
           .closeFuture()
           .addListener(
               closed -> {
-                if (channel == created) {
+                if (channel == newChannel) {
                   channel = null;
                   subscriber.disconnected(System.nanoTime());
                   scheduleTick();
@@ -158,8 +165,8 @@
           .handler(
               new ChannelInitializer<>() {
                 @Override
-                protected void initChannel(Channel created) {
-                  created.pipeline().addLast(new FrameDecoder(), new InboundHandler());
+                protected void initChannel(Channel newChannel) {
+                  newChannel.pipeline().addLast(new FrameDecoder(), new InboundHandler());
                 }
               })
           .connect(address);
@@ -167,10 +174,10 @@
 
     @Override
     public void close() {
-      Channel current = channel;
+      Channel previousChannel = channel;
       channel = null;
-      if (current != null) {
-        current.close();
+      if (previousChannel != null) {
+        previousChannel.close();
       }
     }
 
@@ -190,8 +197,8 @@
       try {
         proposal = ReplicatedStateCodec.decodeProposal(entry.body());
       } catch (IOException | IllegalArgumentException e) {
-        // The members skip it as well, so the state is still theirs.
-        listener.diagnostic("entry " + entry.index() + " can't be read: " + e.getMessage());
+        // The members skip this entry as well, so the copy still equals their state.
+        listener.diagnostic("cannot decode entry " + entry.index() + ": " + e.getMessage());
         subscriber.rejectEntry(entry.index(), String.valueOf(e.getMessage()));
         return;
       }
@@ -204,7 +211,7 @@
       try {
         snapshot = ReplicatedStateCodec.decodeSnapshot(encodedState);
       } catch (IOException | IllegalArgumentException e) {
-        listener.diagnostic("the state up to " + index + " can't be read: " + e.getMessage());
+        listener.diagnostic("cannot decode the snapshot at index " + index + ": " + e.getMessage());
         return false;
       }
       state.restore(snapshot);
@@ -219,7 +226,8 @@
 
     @Override
     public void rejected(int member, String reason) {
-      listener.diagnostic("the member at " + members.get(member) + " can't be followed: " + reason);
+      listener.diagnostic(
+          "the member at " + memberAddresses.get(member) + " rejected the subscription: " + reason);
     }
   }
 
@@ -238,9 +246,9 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      Throwable root = cause.getCause() == null ? cause : cause.getCause();
+      Throwable rootCause = cause.getCause() == null ? cause : cause.getCause();
       if (ctx.channel() == channel) {
-        listener.diagnostic("a member's message can't be read: " + root.getMessage());
+        listener.diagnostic("closing the connection to a member: " + rootCause.getMessage());
       }
       ctx.close();
     }
--- a/cluster/src/main/java/shalepaddle/transport/ChangeFeedServer.java
+++ b/cluster/src/main/java/shalepaddle/transport/ChangeFeedServer.java
@@ -23,21 +23,24 @@
 import shalepaddle.raft.MemberExecutor;
 
 /**
- * Publishes a member's applied entries to subscribers, over TCP. What is sent to whom is decided by
- * {@link ChangeFeedPublisher} on the member's thread, where {@link #entryApplied}, {@link
- * #snapshotInstalled} and {@link #setLeaderKnown} must be called; connections are served by an
- * event loop and a thread of its own.
+ * Publishes a member's applied entries to subscribers over TCP. {@link ChangeFeedPublisher} decides
+ * on the member's thread what to send to which subscriber; {@link #entryApplied}, {@link
+ * #snapshotInstalled} and {@link #setLeaderKnown} must be called on that thread. Connections are
+ * served by an event loop on a separate thread.
  */
 public final class ChangeFeedServer implements AutoCloseable {
-  /** A connection without a hello is closed after so long. */
+  /** The time after which a connection that has sent no message is closed. */
   private static final long HELLO_TIMEOUT_MILLIS = 2000;
 
   private static final ChangeFeedPublisher.Limits LIMITS = ChangeFeedPublisher.Limits.DEFAULT;
 
-  /** Accepted connections at once; those beyond the subscribers' limit are told so. */
+  /**
+   * The maximum number of open connections. It exceeds the maximum number of subscribers so that
+   * further subscribers can be rejected with a message.
+   */
   private static final int MAX_CONNECTIONS = 2 * LIMITS.maxSubscribers();
 
-  private static final long TICK_NANOS = LIMITS.heartbeatNanos() / 4;
+  private static final long TICK_INTERVAL_NANOS = LIMITS.heartbeatNanos() / 4;
 
   private final MultiThreadIoEventLoopGroup loops;
   private final Channel listeningChannel;
@@ -45,95 +48,96 @@
   private final Consumer<String> log;
   private final ChangeFeedPublisher publisher;
 
-  /** By connection number; owned by the member's thread. */
+  /** The open connections, by connection number. Owned by the member's thread. */
   private final Map<Long, Channel> channels = new HashMap<>();
 
-  /** Owned by the event loop. */
+  /** The number of the last accepted connection. Owned by the event loop. */
   private long lastConnectionNumber;
 
   private volatile boolean isClosed;
 
   /**
-   * Listens for subscribers.
+   * Starts to listen for subscribers.
    *
    * @param group the name of the member's group
    * @param executor the member's thread
-   * @param snapshot gives the member's state, on its thread
-   * @param log takes lines for operators, on the event loop
-   * @throws IOException if it can't listen at the address
+   * @param snapshotSupplier returns the member's state, on the member's thread
+   * @param log receives log lines for operators, on the event loop
+   * @throws IOException if the address cannot be bound
    */
   public ChangeFeedServer(
       String group,
       InetSocketAddress listenAddress,
       MemberExecutor executor,
-      Supplier<PublisherMessage.Snapshot> snapshot,
+      Supplier<PublisherMessage.Snapshot> snapshotSupplier,
       Consumer<String> log)
       throws IOException {
     this.executor = executor;
     this.log = log;
     this.publisher =
-        new ChangeFeedPublisher(group, executor.nanoTime(), LIMITS, new NetworkOutput(snapshot));
+        new ChangeFeedPublisher(
+            group, executor.nanoTime(), LIMITS, new NetworkOutput(snapshotSupplier));
     this.loops =
         new MultiThreadIoEventLoopGroup(
             1, new DefaultThreadFactory("feed", true), NioIoHandler.newFactory());
     this.listeningChannel =
-        BoundedListener.listen(loops, listenAddress, "followers", MAX_CONNECTIONS, this::accept);
+        BoundedListener.listen(loops, listenAddress, "subscribers", MAX_CONNECTIONS, this::accept);
     executor.execute(this::tick);
   }
 
-  /** Where it listens. */
+  /** The address at which this server listens for subscribers. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listeningChannel.localAddress();
   }
 
-  private void accept(Channel accepted) {
-    long number = ++lastConnectionNumber;
-    accepted
+  private void accept(Channel acceptedChannel) {
+    long connectionNumber = ++lastConnectionNumber;
+    acceptedChannel
         .closeFuture()
         .addListener(
             closed ->
                 executor.execute(
                     () -> {
-                      channels.remove(number);
-                      publisher.disconnected(number);
+                      channels.remove(connectionNumber);
+                      publisher.disconnected(connectionNumber);
                     }));
-    executor.execute(() -> channels.put(number, accepted));
-    accepted.pipeline().addLast(new FrameDecoder(), new InboundHandler(number));
+    executor.execute(() -> channels.put(connectionNumber, acceptedChannel));
+    acceptedChannel.pipeline().addLast(new FrameDecoder(), new InboundHandler(connectionNumber));
   }
 
   private void tick() {
     if (!isClosed) {
       publisher.tick(executor.nanoTime());
-      executor.schedule(TICK_NANOS, this::tick);
+      executor.schedule(TICK_INTERVAL_NANOS, this::tick);
     }
   }
 
-  /** A committed entry was applied at this member. */
+  /** Publishes a committed entry that was applied at this member. */
   public void entryApplied(long index, byte[] body) {
     publisher.entryApplied(executor.nanoTime(), new ChangeEntry(index, body));
   }
 
-  /** A snapshot replaced the state of all entries that were applied at this member. */
+  /** Handles a snapshot that replaced the state of this member. */
   public void snapshotInstalled(long index) {
     publisher.snapshotInstalled(executor.nanoTime(), index);
   }
 
-  /** Whether this member knows the leader of its group. */
-  public void setLeaderKnown(boolean isKnown) {
-    publisher.setLeaderKnown(executor.nanoTime(), isKnown);
+  /** Sets whether this member knows the leader of its group. */
+  public void setLeaderKnown(boolean isLeaderKnown) {
+    publisher.setLeaderKnown(executor.nanoTime(), isLeaderKnown);
   }
 
-  /** Carries out what the publisher decides, on the member's thread. */
+  /** Carries out the publisher's decisions, on the member's thread. */
   private final class NetworkOutput implements ChangeFeedPublisher.Output {
-    private final Supplier<PublisherMessage.Snapshot> snapshot;
+    private final Supplier<PublisherMessage.Snapshot> snapshotSupplier;
 
-    NetworkOutput(Supplier<PublisherMessage.Snapshot> snapshot) {
-      this.snapshot = snapshot;
+    NetworkOutput(Supplier<PublisherMessage.Snapshot> snapshotSupplier) {
+      this.snapshotSupplier = snapshotSupplier;
     }
 
     @Override
-    public void send(long connection, PublisherMessage message) {
-      Channel channel = channels.get(connection);
+    public void send(long connectionNumber, PublisherMessage message) {
+      Channel channel = channels.get(connectionNumber);
       if (channel != null) {
         channel.writeAndFlush(
             new Frame(Frame.Kind.PUBLISHER, ChangeFeedCodec.encode(message))
@@ -143,8 +147,8 @@
     }
 
     @Override
-    public void close(long connection) {
-      Channel channel = channels.remove(connection);
+    public void close(long connectionNumber) {
+      Channel channel = channels.remove(connectionNumber);
       if (channel != null) {
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
       }
@@ -152,17 +156,17 @@
 
     @Override
     public PublisherMessage.Snapshot snapshot() {
-      return snapshot.get();
+      return snapshotSupplier.get();
     }
   }
 
-  /** Reads one connection, on the event loop. */
+  /** Reads the messages of one connection, on the event loop. */
   private final class InboundHandler extends SimpleChannelInboundHandler<Frame> {
-    private final long number;
+    private final long connectionNumber;
     private boolean hasSentMessage;
 
-    InboundHandler(long number) {
-      this.number = number;
+    InboundHandler(long connectionNumber) {
+      this.connectionNumber = connectionNumber;
     }
 
     @Override
@@ -185,21 +189,24 @@
       }
       SubscriberMessage message = ChangeFeedCodec.decodeSubscriberMessage(frame.body());
       hasSentMessage = true;
-      executor.execute(() -> publisher.received(executor.nanoTime(), number, message));
+      executor.execute(() -> publisher.received(executor.nanoTime(), connectionNumber, message));
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (ctx.channel().isActive()) {
-        Throwable root = cause.getCause() == null ? cause : cause.getCause();
+        Throwable rootCause = cause.getCause() == null ? cause : cause.getCause();
         log.accept(
-            "a follower at " + ctx.channel().remoteAddress() + " is closed: " + root.getMessage());
+            "closing the connection of the subscriber at "
+                + ctx.channel().remoteAddress()
+                + ": "
+                + rootCause.getMessage());
       }
       ctx.close();
     }
   }
 
-  /** Closes all connections. Blocks until the event loop has ended, 1 s at most. */
+  /** Closes all connections. Blocks until the event loop has terminated, for at most 1 s. */
   @Override
   public void close() {
     isClosed = true;
--- a/cluster/src/main/java/shalepaddle/transport/ControlMessages.java
+++ b/cluster/src/main/java/shalepaddle/transport/ControlMessages.java
@@ -3,16 +3,16 @@
 import java.io.IOException;
 import shalepaddle.encoding.CborValues;
 
-/** The formats of handshakes, requests and responses between members. Stateless. */
+/** Encodes and decodes handshakes, requests and responses between members. Stateless. */
 final class ControlMessages {
   private ControlMessages() {}
 
   /**
-   * The handshake of the side that opened the connection.
+   * The handshake, sent by the side that opened the connection.
    *
-   * @param group the name of its group
-   * @param name its own, empty for a client that is no member
-   * @param address where it listens, empty for nowhere
+   * @param group the name of the sender's group
+   * @param name the sender's name, empty for a client that is not a member
+   * @param address the address at which the sender listens, empty for none
    */
   record Hello(String group, String name, String address) {
     byte[] encode() {
@@ -28,10 +28,11 @@
   /**
    * A request.
    *
-   * @param id given by the sender, and repeated in the response
-   * @param method what is requested
+   * @param id chosen by the sender, and repeated in the response
+   * @param method the name of the requested operation
+   * @param body the arguments, in the format of the method
    */
-  // Never compared; owned by whoever reads it.
+  // Requests are never compared. The array is not copied: the reader of the request owns it.
   @SuppressWarnings("ArrayRecordComponent")
   record Request(long id, String method, byte[] body) {
     byte[] encode() {
@@ -47,10 +48,11 @@
   /**
    * The response to a request.
    *
-   * @param id that of the request
-   * @param error why it failed, empty if it succeeded
+   * @param id the id of the request
+   * @param error why the request failed, empty if it succeeded
+   * @param body the result, in the format of the method; empty if the request failed
    */
-  // Never compared; owned by whoever reads it.
+  // Responses are never compared. The array is not copied: the reader of the response owns it.
   @SuppressWarnings("ArrayRecordComponent")
   record Response(long id, String error, byte[] body) {
     byte[] encode() {
@@ -67,7 +69,7 @@
     }
   }
 
-  private static byte[] encode(long id, String text, byte[] body) {
-    return CborValues.encode(id, (value, out) -> out.put(value).put(text).put(body));
+  private static byte[] encode(long id, String methodOrError, byte[] body) {
+    return CborValues.encode(id, (value, out) -> out.put(value).put(methodOrError).put(body));
   }
 }
--- a/cluster/src/main/java/shalepaddle/transport/Frame.java
+++ b/cluster/src/main/java/shalepaddle/transport/Frame.java
@@ -6,18 +6,19 @@
 import java.util.zip.CRC32;
 
 /**
- * One message on a connection: magic (2 bytes), version (1), kind (1), length of the body (4),
- * CRC-32 of the body (4), body. {@link FrameDecoder} reads it.
+ * One message on a connection. It consists of a magic number (2 bytes), the protocol version (1
+ * byte), the kind (1 byte), the length of the body (4 bytes), a CRC-32 of the body (4 bytes) and
+ * the body. {@link FrameDecoder} reads it.
  *
- * @param kind what the body is
- * @param body at most {@value #MAX_BODY_BYTES} bytes
+ * @param kind the type of the body
+ * @param body the encoded message, at most {@value #MAX_BODY_BYTES} bytes
  */
-// Never compared; owned by whoever reads it.
+// Never compared. The array is not copied: its reader owns it.
 @SuppressWarnings("ArrayRecordComponent")
 record Frame(Kind kind, byte[] body) {
-  /** What a body is. The codes go over the wire and never change. */
+  /** The type of a body. The codes are sent between members and never change. */
   enum Kind {
-    /** {@link ControlMessages.Hello}, first on each connection between members. */
+    /** {@link ControlMessages.Hello}, the first frame on each connection between members. */
     HELLO(0),
     /** A Raft message. */
     RAFT(1),
@@ -30,7 +31,7 @@
     /** A message of a publisher of the change feed. */
     PUBLISHER(5);
 
-    /** All kinds; each is at the index of its code. */
+    /** All kinds, in the order of their codes. */
     private static final List<Kind> BY_CODE = List.of(values());
 
     private final int code;
@@ -39,7 +40,7 @@
       this.code = code;
     }
 
-    /** The kind of a code, null if this version does not know it. */
+    /** The kind with a code, null if this version does not know the code. */
     static Kind ofCode(int code) {
       return code < 0 || code >= BY_CODE.size() ? null : BY_CODE.get(code);
     }
@@ -56,7 +57,7 @@
     return (int) crc.getValue();
   }
 
-  /** The frame's bytes, in a buffer that the caller releases. */
+  /** Encodes the frame to a buffer that the caller must release. */
   ByteBuf encode(ByteBufAllocator allocator) {
     return allocator
         .buffer(HEADER_BYTES + body.length)
--- a/cluster/src/main/java/shalepaddle/transport/FrameDecoder.java
+++ b/cluster/src/main/java/shalepaddle/transport/FrameDecoder.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * Reads {@link Frame}s from a stream of bytes. Throws {@link CorruptedFrameException} as soon as
- * the header can't be that of a frame, or the checksum is wrong. One for each connection.
+ * Decodes {@link Frame}s from a stream of bytes. Throws {@link CorruptedFrameException} if the
+ * header is invalid, without waiting for the body, or if the checksum does not match. Each
+ * connection needs its own decoder.
  */
 final class FrameDecoder extends ByteToMessageDecoder {
   private static final int VERSION_OFFSET = 2;
@@ -23,26 +24,29 @@
     }
     int start = in.readerIndex();
     int kindCode = in.getByte(start + KIND_OFFSET);
-    int length = in.getInt(start + LENGTH_OFFSET);
+    int bodyLength = in.getInt(start + LENGTH_OFFSET);
     if (in.getShort(start) != Frame.MAGIC) {
-      throw new CorruptedFrameException("these are no members' bytes");
+      throw new CorruptedFrameException(
+          "wrong magic number, expected 0x%04x".formatted(Frame.MAGIC));
     }
     byte version = in.getByte(start + VERSION_OFFSET);
     if (version != Frame.VERSION) {
-      throw new CorruptedFrameException("version " + version + ", and this is " + Frame.VERSION);
+      throw new CorruptedFrameException(
+          "protocol version " + version + ", expected " + Frame.VERSION);
     }
     Frame.Kind kind = Frame.Kind.ofCode(kindCode);
-    if (kind == null || length < 0 || length > Frame.MAX_BODY_BYTES) {
-      throw new CorruptedFrameException("kind " + kindCode + " of " + length + " bytes");
+    if (kind == null || bodyLength < 0 || bodyLength > Frame.MAX_BODY_BYTES) {
+      throw new CorruptedFrameException(
+          "invalid frame header: kind " + kindCode + ", " + bodyLength + " bytes");
     }
-    if (in.readableBytes() < Frame.HEADER_BYTES + length) {
+    if (in.readableBytes() < Frame.HEADER_BYTES + bodyLength) {
       return;
     }
     int checksum = in.getInt(start + CHECKSUM_OFFSET);
-    byte[] body = new byte[length];
+    byte[] body = new byte[bodyLength];
     in.skipBytes(Frame.HEADER_BYTES).readBytes(body);
     if (checksum != Frame.checksum(body)) {
-      throw new CorruptedFrameException("damaged on the way");
+      throw new CorruptedFrameException("the checksum of the body does not match");
     }
     out.add(new Frame(kind, body));
   }
--- a/cluster/src/main/java/shalepaddle/transport/MemberTransport.java
+++ b/cluster/src/main/java/shalepaddle/transport/MemberTransport.java
@@ -19,44 +19,46 @@
 import shalepaddle.settings.FormatException;
 
 /**
- * The connections of a member, or of a client, with the members of a group: Raft messages, which
- * may be lost, and requests with responses. Listens for those that others open.
+ * The connections between a member, or a client, and the members of a group. They carry Raft
+ * messages, which may be lost, and requests with responses. A member also listens for connections
+ * of other members and of clients.
  *
- * <p>Thread-safe; its state is owned by an event loop and a thread of its own.
+ * <p>Thread-safe; the state is owned by an event loop on a separate thread.
  */
 public final class MemberTransport implements AutoCloseable {
-  /** Accepted connections at once. */
+  /** The maximum number of accepted connections that are open. */
   private static final int MAX_CONNECTIONS = 256;
 
-  /** Peers of which the last rejection is remembered; those of further peers are not reported. */
+  /** The maximum number of peers whose rejections are reported. */
   private static final int MAX_REPORTED_PEERS = 256;
 
-  /** A connection without a handshake is closed after so long. */
+  /** The time after which a connection without a handshake is closed. */
   private static final long HANDSHAKE_TIMEOUT_MILLIS = 2000;
 
-  /** Is called on the transport's thread. */
+  /** Receives messages and requests on the transport's event loop. */
   public interface Listener {
-    /** A Raft message came. */
+    /** A Raft message was received. */
     void raftMessageReceived(byte[] message);
 
     /**
-     * A request came.
+     * A request was received.
      *
-     * @return the response's body; the message of a failure is sent as the error
+     * @return the body of the response; if the stage fails, the exception's message is sent as the
+     *     error
      */
     CompletionStage<byte[]> requestReceived(String method, byte[] body);
 
-    /** A line for operators. */
+    /** Receives a log line for operators. */
     void diagnostic(String line);
   }
 
   private final MultiThreadIoEventLoopGroup loops;
   private final EventLoop loop;
 
-  /** By the member's name. Owned by the event loop. */
+  /** The outgoing connections, by the member's name. Owned by the event loop. */
   private final Map<String, PeerConnection> peers = new HashMap<>();
 
-  /** The last rejection that was reported, by the peer's IP address. Owned by the event loop. */
+  /** The last reported rejection, by the peer's IP address. Owned by the event loop. */
   private final Map<String, String> reportedRejections = new HashMap<>();
 
   private final Listener listener;
@@ -64,13 +66,14 @@
   private final Channel listeningChannel;
 
   /**
-   * Listens, if an address is given.
+   * Creates a transport, and starts to listen if an address is given.
    *
    * @param group the name of the group
-   * @param name the member's own, empty for a client
-   * @param listenAddress null for a client
-   * @param advertisedAddress where others find it, as IP:PORT; empty for nowhere
-   * @throws IOException if it can't listen at the address
+   * @param name the member's name, empty for a client
+   * @param listenAddress the address to listen at, null for a client
+   * @param advertisedAddress the address at which others reach this member, as IP:PORT; empty for
+   *     none
+   * @throws IOException if the address cannot be bound
    */
   public MemberTransport(
       String group,
@@ -96,12 +99,12 @@
                 accepted -> accepted.pipeline().addLast(new FrameDecoder(), new InboundHandler()));
   }
 
-  /** Where it listens, null for a client. */
+  /** The address at which this member listens, null for a client. */
   public InetSocketAddress address() {
     return listeningChannel == null ? null : (InetSocketAddress) listeningChannel.localAddress();
   }
 
-  /** A member is at this address from now on. */
+  /** Sets the address of a member. */
   public void setAddress(String member, InetSocketAddress address) {
     loop.execute(() -> setPeerAddress(member, address));
   }
@@ -128,7 +131,7 @@
   /**
    * Sends a request.
    *
-   * @param timeoutMillis for the response
+   * @param timeoutMillis the time within which the response must arrive
    * @return the response's body; fails with {@link RequestRejectedException} or {@link
    *     PeerUnavailableException}
    */
@@ -140,7 +143,7 @@
           PeerConnection peer = peers.get(member);
           if (peer == null) {
             response.completeExceptionally(
-                new PeerUnavailableException("nobody knows where " + member + " is"));
+                new PeerUnavailableException("no address is known for " + member));
             return;
           }
           peer.request(method, body, timeoutMillis)
@@ -157,17 +160,17 @@
   }
 
   /**
-   * Reports a rejected peer, unless the same was reported of it last. Nothing is reported any more
-   * once {@link #MAX_REPORTED_PEERS} peers were.
+   * Reports a rejected peer, unless its last reported rejection had the same reason. Once {@link
+   * #MAX_REPORTED_PEERS} peers were reported, nothing is reported any more.
    */
   private void reportRejection(String peer, String reason) {
     if (reportedRejections.size() < MAX_REPORTED_PEERS
         && !reason.equals(reportedRejections.put(peer, reason))) {
-      listener.diagnostic("a peer at " + peer + " is turned down: " + reason);
+      listener.diagnostic("closing a connection from " + peer + ": " + reason);
     }
   }
 
-  /** One accepted connection. */
+  /** Handles one accepted connection. */
   private final class InboundHandler extends SimpleChannelInboundHandler<Frame> {
     private boolean isHandshakeDone;
 
@@ -199,22 +202,23 @@
     }
 
     /**
-     * Accepts a peer of the same group, and sends to it at the address that it advertises from now
-     * on, in place of the configured one.
+     * Accepts a peer of the same group. From now on, messages to it are sent to the address that it
+     * advertises, instead of the configured one.
      */
     private void acceptHandshake(Frame frame) throws IOException {
       if (frame.kind() != Frame.Kind.HELLO) {
         throw new UnexpectedMessageException(frame.kind(), Frame.Kind.HELLO);
       }
-      ControlMessages.Hello theirs = ControlMessages.Hello.decode(frame.body());
-      if (!theirs.group().equals(hello.group())) {
+      ControlMessages.Hello peerHello = ControlMessages.Hello.decode(frame.body());
+      if (!peerHello.group().equals(hello.group())) {
         throw new HandshakeRejectedException(
-            "it is of group '%s', and this is '%s'".formatted(theirs.group(), hello.group()));
+            "the peer belongs to group '%s', expected '%s'"
+                .formatted(peerHello.group(), hello.group()));
       }
       isHandshakeDone = true;
-      if (!theirs.address().isEmpty()) {
+      if (!peerHello.address().isEmpty()) {
         try {
-          setPeerAddress(theirs.name(), MemberList.parseAddress(theirs.address()));
+          setPeerAddress(peerHello.name(), MemberList.parseAddress(peerHello.address()));
         } catch (FormatException e) {
           throw new HandshakeRejectedException(e.getMessage());
         }
@@ -239,24 +243,24 @@
               });
     }
 
-    /** What is sent for a failure; never empty, which would be a success. */
+    /** The error to send for a failure; never empty, since an empty error means success. */
     private static String errorOf(Throwable failure) {
-      Throwable root = failure instanceof CompletionException ? failure.getCause() : failure;
-      String message = root.getMessage();
-      return message == null || message.isEmpty() ? root.getClass().getSimpleName() : message;
+      Throwable rootCause = failure instanceof CompletionException ? failure.getCause() : failure;
+      String message = rootCause.getMessage();
+      return message == null || message.isEmpty() ? rootCause.getClass().getSimpleName() : message;
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      Throwable root = cause.getCause() == null ? cause : cause.getCause();
+      Throwable rootCause = cause.getCause() == null ? cause : cause.getCause();
       reportRejection(
           ((InetSocketAddress) ctx.channel().remoteAddress()).getAddress().getHostAddress(),
-          String.valueOf(root.getMessage()));
+          String.valueOf(rootCause.getMessage()));
       ctx.close();
     }
   }
 
-  /** Closes all connections. Blocks until the event loop has ended, 1 s at most. */
+  /** Closes all connections. Blocks until the event loop has terminated, for at most 1 s. */
   @Override
   public void close() {
     loop.execute(() -> peers.values().forEach(PeerConnection::close));
