--- a/cluster/src/main/java/shalepaddle/transport/PeerConnection.java
+++ b/cluster/src/main/java/shalepaddle/transport/PeerConnection.java
@@ -18,22 +18,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The connection on which a member sends to one other member. It is opened when there is something
- * to send, and after a failure again with exponential backoff; what is sent meanwhile is lost, as
- * any message may be. Owned by one event loop.
+ * The connection on which a member sends to another member. It is opened when there is something to
+ * send, and reopened after a failure with exponential backoff. Messages that are sent while it is
+ * not open are lost, as any message may be. Owned by one event loop.
  */
 final class PeerConnection {
   private static final int CONNECT_TIMEOUT_MILLIS = 1000;
   private static final long INITIAL_BACKOFF_MILLIS = 20;
   private static final long MAX_BACKOFF_MILLIS = 500;
 
-  /** Bytes that wait to be sent at most; messages beyond them are lost. */
+  /** The maximum number of bytes that wait to be sent; further messages are dropped. */
   private static final int MAX_PENDING_BYTES = 8 << 20;
 
-  /** A connection that accepts no bytes for so long is closed. */
+  /** The time after which a connection that accepts no bytes is closed. */
   private static final long STALL_TIMEOUT_NANOS = 2_000_000_000L;
 
-  /** Requests without a response at most. */
+  /** The maximum number of requests that wait for a response. */
   private static final int MAX_PENDING_REQUESTS = 1024;
 
   private static final long UNBLOCKED = 0;
@@ -52,16 +52,16 @@
   private InetSocketAddress address;
   private State state = State.DISCONNECTED;
 
-  /** The connection, null unless {@link State#CONNECTED} or closed from there. */
+  /** The established connection, null if none is open. */
   private Channel channel;
 
-  /** The backoff after the next failure; doubled with each, reset by a TCP connection. */
+  /** The backoff after the next failure. Doubles with each failure; a connection resets it. */
   private long backoffMillis = INITIAL_BACKOFF_MILLIS;
 
-  /** No attempt to connect before; {@link #NO_BACKOFF} for at once. */
+  /** The earliest time of the next attempt to connect, {@link #NO_BACKOFF} for immediately. */
   private long notBeforeNanos = NO_BACKOFF;
 
-  /** Since when the connection accepts no bytes; {@link #UNBLOCKED} while it does. */
+  /** The time since which the connection accepts no bytes, {@link #UNBLOCKED} while it does. */
   private long blockedSinceNanos = UNBLOCKED;
 
   private long lastRequestId;
@@ -72,7 +72,7 @@
     this.hello = hello;
   }
 
-  /** The peer is at this address from now on. */
+  /** Sets the peer's address. Closes the connection if the address has changed. */
   void setAddress(InetSocketAddress newAddress) {
     if (!newAddress.equals(address)) {
       address = newAddress;
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Sends a frame if the connection accepts it now; otherwise the frame is lost. */
+  /** Sends a frame if the connection accepts it now; otherwise drops it. */
   void send(Frame frame) {
     if (ensureReady()) {
       channel.writeAndFlush(frame.encode(channel.alloc()), channel.voidPromise());
@@ -93,7 +93,7 @@
   /**
    * Sends a request.
    *
-   * @param timeoutMillis for the response
+   * @param timeoutMillis the time within which the response must arrive
    * @return the response's body; fails with {@link RequestRejectedException} or {@link
    *     PeerUnavailableException}
    */
@@ -110,22 +110,22 @@
         () ->
             response.completeExceptionally(
                 new PeerUnavailableException(
-                    "no answer from %s in %d ms".formatted(address, timeoutMillis))),
+                    "no response from %s within %d ms".formatted(address, timeoutMillis))),
         timeoutMillis,
         TimeUnit.MILLISECONDS);
     send(new Frame(Frame.Kind.REQUEST, new ControlMessages.Request(id, method, body).encode()));
     return response;
   }
 
-  /** Whether a frame can be sent now; starts to connect where that is due. */
+  /** Whether a frame can be sent now. Starts to connect if disconnected and not backing off. */
   private boolean ensureReady() {
-    long now = System.nanoTime();
+    long nowNanos = System.nanoTime();
     switch (state) {
       case CONNECTED -> {
-        return channel.isActive() && hasBufferSpace(now);
+        return channel.isActive() && hasBufferSpace(nowNanos);
       }
       case DISCONNECTED -> {
-        if (notBeforeNanos == NO_BACKOFF || now - notBeforeNanos >= 0) {
+        if (notBeforeNanos == NO_BACKOFF || nowNanos - notBeforeNanos >= 0) {
           connect();
         }
         return false;
@@ -136,16 +136,19 @@
     }
   }
 
-  /** Whether the connection accepts bytes; closes one that has not for long. */
-  private boolean hasBufferSpace(long now) {
+  /**
+   * Whether the connection accepts bytes. Closes the connection once it has accepted no bytes for
+   * {@link #STALL_TIMEOUT_NANOS}.
+   */
+  private boolean hasBufferSpace(long nowNanos) {
     if (channel.isWritable()) {
       blockedSinceNanos = UNBLOCKED;
       return true;
     }
     if (blockedSinceNanos == UNBLOCKED) {
-      blockedSinceNanos = now;
+      blockedSinceNanos = nowNanos;
     }
-    if (now - blockedSinceNanos > STALL_TIMEOUT_NANOS) {
+    if (nowNanos - blockedSinceNanos > STALL_TIMEOUT_NANOS) {
       channel.close();
     }
     return false;
@@ -153,7 +156,7 @@
 
   private void connect() {
     state = State.CONNECTING;
-    ChannelFuture connecting =
+    ChannelFuture connectFuture =
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
@@ -165,41 +168,42 @@
             .handler(
                 new ChannelInitializer<>() {
                   @Override
-                  protected void initChannel(Channel created) {
-                    created.pipeline().addLast(new FrameDecoder(), new ResponseHandler());
+                  protected void initChannel(Channel newChannel) {
+                    newChannel.pipeline().addLast(new FrameDecoder(), new ResponseHandler());
                   }
                 })
             .connect(address);
-    connecting.addListener(
+    connectFuture.addListener(
         done -> {
           if (!done.isSuccess() || state == State.CLOSED) {
-            connecting.channel().close();
-            disconnected();
+            connectFuture.channel().close();
+            startBackoff();
           } else {
-            connected(connecting.channel());
+            connectionEstablished(connectFuture.channel());
           }
         });
   }
 
-  private void connected(Channel connected) {
+  private void connectionEstablished(Channel newChannel) {
     state = State.CONNECTED;
-    channel = connected;
+    channel = newChannel;
     blockedSinceNanos = UNBLOCKED;
     backoffMillis = INITIAL_BACKOFF_MILLIS;
-    connected.closeFuture().addListener(closed -> connectionLost());
-    connected.writeAndFlush(new Frame(Frame.Kind.HELLO, hello.encode()).encode(connected.alloc()));
+    newChannel.closeFuture().addListener(closed -> connectionLost());
+    newChannel.writeAndFlush(
+        new Frame(Frame.Kind.HELLO, hello.encode()).encode(newChannel.alloc()));
   }
 
   private void connectionLost() {
     channel = null;
-    disconnected();
+    startBackoff();
     for (CompletableFuture<byte[]> response : Map.copyOf(pendingRequests).values()) {
       response.completeExceptionally(
-          new PeerUnavailableException("the connection to " + address + " broke"));
+          new PeerUnavailableException("the connection to " + address + " was lost"));
     }
   }
 
-  private void disconnected() {
+  private void startBackoff() {
     if (state != State.CLOSED) {
       state = State.DISCONNECTED;
     }
@@ -207,7 +211,7 @@
     backoffMillis = Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
   }
 
-  /** Closes the connection for good. */
+  /** Closes the connection permanently. */
   void close() {
     state = State.CLOSED;
     if (channel != null) {
@@ -222,15 +226,15 @@
         throw new UnexpectedMessageException(frame.kind(), Frame.Kind.RESPONSE);
       }
       ControlMessages.Response response = ControlMessages.Response.decode(frame.body());
-      CompletableFuture<byte[]> pending = pendingRequests.get(response.id());
-      if (pending == null) {
-        // It came after its timeout.
+      CompletableFuture<byte[]> pendingRequest = pendingRequests.get(response.id());
+      if (pendingRequest == null) {
+        // The response arrived after its timeout.
         return;
       }
       if (response.isError()) {
-        pending.completeExceptionally(new RequestRejectedException(response.error()));
+        pendingRequest.completeExceptionally(new RequestRejectedException(response.error()));
       } else {
-        pending.complete(response.body());
+        pendingRequest.complete(response.body());
       }
     }
 
--- a/cluster/src/main/java/shalepaddle/transport/RequestRejectedException.java
+++ b/cluster/src/main/java/shalepaddle/transport/RequestRejectedException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** A member answered a request with an error; the message is the one that it sent. */
+/** A member responded to a request with an error, which is the exception's message. */
 public final class RequestRejectedException extends IOException {
   private static final long serialVersionUID = 1;
 
-  /** With the error, as it was sent. */
+  /** Creates an exception with the error as it was received. */
   public RequestRejectedException(String error) {
     super(error);
   }
--- a/cluster/src/main/java/shalepaddle/transport/UnexpectedMessageException.java
+++ b/cluster/src/main/java/shalepaddle/transport/UnexpectedMessageException.java
@@ -5,18 +5,21 @@
 import java.io.IOException;
 import java.util.stream.Stream;
 
-/** A peer sent a message that has no place there in the protocol. The connection is closed. */
+/**
+ * A peer sent a frame of a kind that the protocol does not allow there. Its connection is closed.
+ */
 public final class UnexpectedMessageException extends IOException {
   private static final long serialVersionUID = 1;
 
   /**
-   * With what was found.
+   * Creates an exception for a frame.
    *
-   * @param expected the kinds of frame that may come there
+   * @param actual the kind of the received frame
+   * @param expected the kinds of frames that the protocol allows there
    */
   UnexpectedMessageException(Frame.Kind actual, Frame.Kind... expected) {
     super(
-        "a frame of kind %s out of place, where %s is expected"
+        "unexpected frame of kind %s, expected %s"
             .formatted(actual, Stream.of(expected).map(Frame.Kind::name).collect(joining(" or "))));
   }
 }
--- a/cluster/src/main/java/shalepaddle/transport/package-info.java
+++ b/cluster/src/main/java/shalepaddle/transport/package-info.java
@@ -3,13 +3,14 @@
  * shalepaddle.transport.MemberTransport}) and from subscribers of the change feed to a member
  * ({@link shalepaddle.transport.ChangeFeedClient}, {@link shalepaddle.transport.ChangeFeedServer}).
  *
- * <p>Messages go in {@code Frame}s with magic, version, kind, length and checksum; {@code
- * ControlMessages} and {@code shalepaddle.encoding} have the formats of their bodies. Connections,
- * bytes and times are bounded. A peer of another group or version, or whose bytes can't be read, is
- * rejected with a line in the log. There is no authentication: for loopback or a private network.
+ * <p>Messages are sent in {@code Frame}s with magic number, version, kind, length and checksum;
+ * {@code ControlMessages} and {@code shalepaddle.encoding} define the formats of their bodies. The
+ * number of connections, the buffered bytes and all waiting times are bounded. A peer of another
+ * group or protocol version, or one that sends invalid bytes, is disconnected with a line in the
+ * log. There is no authentication, so the transports must only be used on loopback or in a private
+ * network.
  *
  * <p>Each transport's state is owned by its single event loop. The package calls Netty, {@code
- * encoding}, {@code changefeed} and {@code replicatedstate}; what a message means is decided by its
- * listeners.
+ * encoding}, {@code changefeed} and {@code replicatedstate}; its listeners handle the messages.
  */
 package shalepaddle.transport;
--- a/cluster/src/test/java/shalepaddle/cluster/MemberStatusCodecTest.java
+++ b/cluster/src/test/java/shalepaddle/cluster/MemberStatusCodecTest.java
@@ -12,7 +12,7 @@
 import shalepaddle.raft.MemberRole;
 import shalepaddle.raft.MemberStatus;
 
-/** The format of a member's status, against bytes that version 0.1.0 wrote. */
+/** Checks the format of a member's status against bytes that version 0.1.0 wrote. */
 class MemberStatusCodecTest {
   private static void assertEncodedAs(String hex, MemberStatus status) throws IOException {
     assertEquals(hex, HexFormat.of().formatHex(MemberStatusCodec.encode(status)));
@@ -32,8 +32,8 @@
   }
 
   @Test
-  void rejectsRoleOfLaterVersion() {
-    byte[] status = CborValues.encode("m1", (name, out) -> out.put(name).put("WITNESS"));
-    assertThrows(MalformedMessageException.class, () -> MemberStatusCodec.decode(status));
+  void decodeRejectsRoleOfLaterVersion() {
+    byte[] encodedStatus = CborValues.encode("m1", (name, out) -> out.put(name).put("WITNESS"));
+    assertThrows(MalformedMessageException.class, () -> MemberStatusCodec.decode(encodedStatus));
   }
 }
--- a/cluster/src/test/java/shalepaddle/encoding/RaftMessageSamples.java
+++ b/cluster/src/test/java/shalepaddle/encoding/RaftMessageSamples.java
@@ -21,15 +21,15 @@
 
   private RaftMessageSamples() {}
 
-  /** In the order of their format numbers. */
+  /** All messages, in the order of their format numbers. */
   static List<RaftMessage> all() {
-    List<RaftMessage> messages = new ArrayList<>(appendEntries());
-    messages.addAll(elections());
-    messages.addAll(installSnapshot());
+    List<RaftMessage> messages = new ArrayList<>(appendEntriesMessages());
+    messages.addAll(electionMessages());
+    messages.addAll(installSnapshotMessages());
     return messages;
   }
 
-  private static List<RaftMessage> appendEntries() {
+  private static List<RaftMessage> appendEntriesMessages() {
     return List.of(
         MODEL
             .createAppendEntriesRequestBuilder()
@@ -63,7 +63,7 @@
             .build());
   }
 
-  private static List<RaftMessage> elections() {
+  private static List<RaftMessage> electionMessages() {
     return List.of(
         MODEL
             .createPreVoteRequestBuilder()
@@ -106,7 +106,7 @@
             .build());
   }
 
-  private static List<RaftMessage> installSnapshot() {
+  private static List<RaftMessage> installSnapshotMessages() {
     return List.of(
         MODEL
             .createInstallSnapshotRequestBuilder()
--- a/cluster/src/test/java/shalepaddle/raft/FinalStateCheck.java
+++ b/cluster/src/test/java/shalepaddle/raft/FinalStateCheck.java
@@ -9,27 +9,29 @@
 import shalepaddle.replicatedstate.ReplicatedState;
 
 /**
- * What must hold when all faults are healed: all members take part, the leader can read, each
- * acknowledged proposal is in the log, and the state is that of the log.
+ * Checks a group after all faults are healed: every member is active, the leader can read, each
+ * acknowledged proposal is in the log at its acknowledged index, and the state equals that of a
+ * replayed log.
  *
- * @param proposals by id
- * @param acknowledged log indexes by proposal id
+ * @param proposals all proposals, by id
+ * @param acknowledgedIndexes the log index with which each proposal was acknowledged, by its id
+ * @param violations the list to which a description of each violation is added
  */
 record FinalStateCheck(
     VirtualGroup group,
     Map<String, Proposal> proposals,
-    Map<String, Long> acknowledged,
+    Map<String, Long> acknowledgedIndexes,
     List<String> violations) {
-  /** Adds what is violated. */
+  /** Runs all checks, and adds a description of each violation. */
   void run() {
     for (MemberStatus status : statuses()) {
       if (!status.isActive()) {
-        violations.add(status.name() + " is still aside: " + status.inactiveReason());
+        violations.add(status.name() + " is still inactive: " + status.inactiveReason());
       }
     }
     VirtualGroup.Machine leader = group.leader();
     if (leader == null) {
-      violations.add("nobody leads at the end: " + statuses());
+      violations.add("there is no leader at the end: " + statuses());
       return;
     }
     readFinalState(leader)
@@ -41,7 +43,7 @@
   }
 
   private Optional<ReplicatedState.Snapshot> readFinalState(VirtualGroup.Machine leader) {
-    List<ReplicatedState.Snapshot> reads = new ArrayList<>();
+    List<ReplicatedState.Snapshot> readStates = new ArrayList<>();
     List<Throwable> failures = new ArrayList<>();
     leader
         .member
@@ -49,36 +51,40 @@
         .whenComplete(
             (snapshot, failure) -> {
               if (failure == null) {
-                reads.add(snapshot);
+                readStates.add(snapshot);
               } else {
                 failures.add(failure);
               }
             });
     group.advance(1000);
-    if (reads.isEmpty()) {
-      violations.add("nothing can be read at the end: " + failures + statuses());
+    if (readStates.isEmpty()) {
+      violations.add("the final read failed: " + failures + ", " + statuses());
     }
-    return reads.stream().findFirst();
+    return readStates.stream().findFirst();
   }
 
-  /** Each acknowledged proposal is in the log where its result says. */
+  /** Checks that each acknowledged proposal is in the log at the index of its result. */
   private void checkAcknowledged() {
-    acknowledged.forEach(
+    acknowledgedIndexes.forEach(
         (id, index) -> {
-          String applied = group.appliedIds.get(index);
-          if (!id.equals(applied)) {
-            violations.add(id + " was answered yes at " + index + ", where there is " + applied);
+          String appliedId = group.appliedIds.get(index);
+          if (!id.equals(appliedId)) {
+            violations.add(
+                id + " was acknowledged at index " + index + ", where the log has " + appliedId);
           }
         });
   }
 
   private void checkEqualsReplayedLog(ReplicatedState.Snapshot state) {
-    ReplicatedState replayed = new ReplicatedState();
+    ReplicatedState replayedState = new ReplicatedState();
     new TreeMap<>(group.appliedIds)
-        .forEach((index, id) -> replayed.apply(index, proposals.get(id)));
-    if (!replayed.excludedServers().equals(state.excludedServers())) {
+        .forEach((index, id) -> replayedState.apply(index, proposals.get(id)));
+    if (!replayedState.excludedServers().equals(state.excludedServers())) {
       violations.add(
-          "held is " + state.excludedServers() + ", the log says " + replayed.excludedServers());
+          "excluded servers are "
+              + state.excludedServers()
+              + ", but a replay of the log excludes "
+              + replayedState.excludedServers());
     }
   }
 
--- a/cluster/src/test/java/shalepaddle/raft/InjectedDefect.java
+++ b/cluster/src/test/java/shalepaddle/raft/InjectedDefect.java
@@ -1,19 +1,22 @@
 package shalepaddle.raft;
 
-/** A defect that the simulation must find, or none. */
+/**
+ * A defect that is injected into a simulated group. The simulation must detect each defect except
+ * {@link #NONE} and {@link #FAILING_DISKS}.
+ */
 enum InjectedDefect {
   /** No defect. */
   NONE,
-  /** No defect; disks fail for a while. */
+  /** No defect, but disks fail temporarily, from which the members must recover. */
   FAILING_DISKS,
-  /** Disks fail for a while, and the failures are hidden from the store. */
+  /** Disks fail temporarily, and the failures are hidden from the log store. */
   HIDDEN_DISK_FAILURES,
-  /** A sync returns before anything is on disk. */
+  /** A sync returns without writing anything to disk. */
   IGNORED_SYNC,
-  /** A machine that lost its disk comes back under its old name. */
+  /** A machine that lost its disk restarts under its old name. */
   REUSED_NAME,
   /** A proposal is acknowledged as soon as the leader has appended it. */
   EARLY_ACKNOWLEDGEMENT,
-  /** A read returns what is applied at the machine that gets it. */
+  /** A read returns the state that the receiving machine has applied, even if it is stale. */
   STALE_READ
 }
--- a/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
@@ -15,32 +15,32 @@
 import shalepaddle.storage.UnsyncedLogDirectory;
 
 /**
- * A group under random faults, by a seed: callers propose and read while machines crash, pause and
- * lose their disks, and links lose, delay and duplicate messages or are cut in one or both
- * directions. Ends with all faults healed, and reports what was violated.
+ * Simulates a group under random faults that are drawn by a seed: callers propose and read while
+ * machines crash, pause and lose their disks, and links lose, delay and duplicate messages or are
+ * cut in one or both directions. At the end all faults are healed and the final state is checked.
  */
 final class RaftGroupSimulation {
   private static final long FAULT_PHASE_MILLIS = 20_000;
   private static final long REQUEST_TIMEOUT_MILLIS = 700;
-  private static final int CALLERS = 4;
+  private static final int CALLER_COUNT = 4;
 
   private final VirtualGroup group;
   private final SplittableRandom random;
   private final InjectedDefect defect;
-  private final int size;
+  private final int groupSize;
   private final List<String> violations = new ArrayList<>();
   private final Map<String, Proposal> proposals = new HashMap<>();
-  private final Map<String, Long> acknowledged = new HashMap<>();
-  private long highestAcknowledged;
-  private int reads;
-  private int machinesCreated;
-  private boolean isReplacing;
-  private boolean isOver;
+  private final Map<String, Long> acknowledgedIndexes = new HashMap<>();
+  private long highestAcknowledgedIndex;
+  private int readCount;
+  private int createdMachineCount;
+  private boolean isReplacingMachine;
+  private boolean isFaultPhaseOver;
 
   RaftGroupSimulation(long seed, InjectedDefect defect) {
     this.defect = defect;
     random = new SplittableRandom(seed);
-    size = random.nextBoolean() ? 3 : 5;
+    groupSize = random.nextBoolean() ? 3 : 5;
     group = new VirtualGroup(random.nextLong());
     group.entriesBetweenSnapshots = random.nextBoolean() ? 20 : 100;
     if (defect == InjectedDefect.IGNORED_SYNC) {
@@ -51,18 +51,25 @@
     }
   }
 
-  /** The counts of a run, and what was violated. */
+  /**
+   * The counts of a run and its violations.
+   *
+   * @param acknowledged the number of acknowledged proposals
+   * @param reads the number of completed reads
+   * @param terms the number of terms that had a leader
+   * @param violations a description of each violation, empty for a correct run
+   */
   record Report(int acknowledged, int reads, int terms, List<String> violations) {}
 
   Report run() throws IOException {
-    group.startGroup(size);
-    machinesCreated = size;
-    for (int i = 0; i < CALLERS; i++) {
-      new Caller(i).next();
+    group.startGroup(groupSize);
+    createdMachineCount = groupSize;
+    for (int i = 0; i < CALLER_COUNT; i++) {
+      new Caller(i).sendNextRequest();
     }
     scheduleNextFault();
     group.advance(FAULT_PHASE_MILLIS);
-    isOver = true;
+    isFaultPhaseOver = true;
     group.heal();
     for (VirtualGroup.Machine machine : group.machines.values()) {
       machine.pausedUntil = 0;
@@ -72,24 +79,24 @@
       }
     }
     group.advance(8000);
-    new FinalStateCheck(group, proposals, acknowledged, violations).run();
-    return new Report(acknowledged.size(), reads, group.leaderByTerm.size(), violations);
+    new FinalStateCheck(group, proposals, acknowledgedIndexes, violations).run();
+    return new Report(acknowledgedIndexes.size(), readCount, group.leaderByTerm.size(), violations);
   }
 
-  /** Injects a fault or heals some, again and again. */
+  /** Schedules the next random event, a fault or a repair, until the fault phase is over. */
   private void scheduleNextFault() {
     group.scheduleAt(
         group.now + (100 + random.nextLong(700)) * VirtualGroup.MILLI,
         () -> {
-          if (isOver) {
+          if (isFaultPhaseOver) {
             return;
           }
           try {
             injectFault();
           } catch (IOException e) {
-            // A process ends when its disk fails, and is started again later.
+            // With failing disks a start may fail; the machine is started again later.
             if (!hasFailingDisks()) {
-              violations.add("a machine can't start: " + e.getMessage());
+              violations.add("a machine failed to start: " + e.getMessage());
             }
           }
           scheduleNextFault();
@@ -97,13 +104,13 @@
   }
 
   private VirtualGroup.Machine randomMachine() {
-    List<VirtualGroup.Machine> all = List.copyOf(group.machines.values());
-    return all.get(random.nextInt(all.size()));
+    List<VirtualGroup.Machine> allMachines = List.copyOf(group.machines.values());
+    return allMachines.get(random.nextInt(allMachines.size()));
   }
 
   private void injectFault() throws IOException {
     VirtualGroup.Machine machine = randomMachine();
-    VirtualGroup.Machine other = randomMachine();
+    VirtualGroup.Machine otherMachine = randomMachine();
     if (hasFailingDisks() && random.nextInt(3) == 0) {
       failDisk(machine);
       return;
@@ -116,7 +123,7 @@
           machine.start();
         }
       }
-      case 2 -> group.cut(machine.name, other.name, true);
+      case 2 -> group.cut(machine.name, otherMachine.name, true);
       case 3 -> {
         for (String name : group.machines.keySet()) {
           group.cut(machine.name, name, true);
@@ -148,29 +155,32 @@
         group.now + random.nextLong(3000) * VirtualGroup.MILLI,
         () -> {
           disk.setFailing(false);
-          if (random.nextBoolean() && !isOver && machine.isUp() && machine.directory == disk) {
+          if (random.nextBoolean()
+              && !isFaultPhaseOver
+              && machine.isUp()
+              && machine.directory == disk) {
             machine.crash();
           }
         });
   }
 
-  /** Replaces a machine that is lost with its disk; one at a time. */
-  private void loseDisk(VirtualGroup.Machine lost) throws IOException {
-    if (isReplacing) {
+  /** Replaces a machine that is lost together with its disk; only one replacement at a time. */
+  private void loseDisk(VirtualGroup.Machine lostMachine) throws IOException {
+    if (isReplacingMachine) {
       return;
     }
-    if (lost.isUp()) {
-      lost.crash();
+    if (lostMachine.isUp()) {
+      lostMachine.crash();
     }
     if (defect == InjectedDefect.REUSED_NAME) {
-      lost.directory = new CrashingLogDirectory();
-      lost.start();
+      lostMachine.directory = new CrashingLogDirectory();
+      lostMachine.start();
       return;
     }
-    isReplacing = true;
-    group.machines.remove(lost.name);
-    String name = "m" + machinesCreated++;
-    VirtualGroup.Machine replacement = group.startMachine(name, lost.initialMembers);
+    isReplacingMachine = true;
+    group.machines.remove(lostMachine.name);
+    String name = "m" + createdMachineCount++;
+    VirtualGroup.Machine replacement = group.startMachine(name, lostMachine.initialMembers);
     changeMembership(
         replacement.name,
         RaftMember.MembershipChange.ADD_LEARNER,
@@ -180,22 +190,26 @@
                 RaftMember.MembershipChange.PROMOTE_TO_VOTER,
                 () ->
                     changeMembership(
-                        lost.name, RaftMember.MembershipChange.REMOVE, () -> isReplacing = false)));
+                        lostMachine.name,
+                        RaftMember.MembershipChange.REMOVE,
+                        () -> isReplacingMachine = false)));
   }
 
-  /** Asks the leader until the change is effective. */
-  private void changeMembership(String member, RaftMember.MembershipChange change, Runnable then) {
+  /** Requests a change from the leader repeatedly until it takes effect, then runs a task. */
+  private void changeMembership(
+      String member, RaftMember.MembershipChange change, Runnable whenEffective) {
     VirtualGroup.Machine leader = group.leader();
-    boolean done = leader != null && isEffective(leader, member, change);
-    if (done) {
-      then.run();
+    boolean isDone = leader != null && isEffective(leader, member, change);
+    if (isDone) {
+      whenEffective.run();
       return;
     }
     if (leader != null) {
       leader.member.changeMembership(member, change);
     }
     group.scheduleAt(
-        group.now + 300 * VirtualGroup.MILLI, () -> changeMembership(member, change, then));
+        group.now + 300 * VirtualGroup.MILLI,
+        () -> changeMembership(member, change, whenEffective));
   }
 
   private static boolean isEffective(
@@ -208,39 +222,39 @@
     };
   }
 
-  /** Sends one request after the other, each until it is acknowledged. */
+  /** Sends one request after another, and repeats each proposal until it is acknowledged. */
   private final class Caller {
-    private final int number;
-    private int count;
+    private final int callerNumber;
+    private int proposalCount;
 
-    Caller(int number) {
-      this.number = number;
+    Caller(int callerNumber) {
+      this.callerNumber = callerNumber;
     }
 
-    void next() {
-      if (isOver) {
+    void sendNextRequest() {
+      if (isFaultPhaseOver) {
         return;
       }
       if (random.nextInt(4) == 0) {
         read();
         return;
       }
-      String id = "c" + number + "-" + count++;
-      String server = "s-" + number + "-" + count % 5;
+      String id = "c" + callerNumber + "-" + proposalCount++;
+      String server = "s-" + callerNumber + "-" + proposalCount % 5;
       Proposal proposal =
           new Proposal(
               id,
               group.now / VirtualGroup.MILLI,
-              new StateCommand.SetExclusion(server, count % 3 != 0));
+              new StateCommand.SetExclusion(server, proposalCount % 3 != 0));
       proposals.put(id, proposal);
       send(proposal);
     }
 
-    private void scheduleNext() {
-      group.scheduleAt(group.now + random.nextLong(60) * VirtualGroup.MILLI, this::next);
+    private void scheduleNextRequest() {
+      group.scheduleAt(group.now + random.nextLong(60) * VirtualGroup.MILLI, this::sendNextRequest);
     }
 
-    private VirtualGroup.Machine randomTarget() {
+    private VirtualGroup.Machine randomRequestTarget() {
       VirtualGroup.Machine leader = group.leader();
       VirtualGroup.Machine machine =
           leader == null || random.nextInt(4) == 0 ? randomMachine() : leader;
@@ -248,91 +262,103 @@
     }
 
     private void send(Proposal proposal) {
-      if (isOver) {
+      if (isFaultPhaseOver) {
         return;
       }
       Attempt attempt = new Attempt(proposal);
-      VirtualGroup.Machine machine = randomTarget();
+      VirtualGroup.Machine machine = randomRequestTarget();
       if (machine != null) {
-        machine.member.propose(proposal).whenComplete(attempt::completed);
+        machine.member.propose(proposal).whenComplete(attempt::handleCompletion);
         if (defect == InjectedDefect.EARLY_ACKNOWLEDGEMENT && machine.member.status().isLeader()) {
           group.scheduleAt(group.now, () -> attempt.acknowledgeEarly(machine));
         }
       }
-      group.scheduleAt(group.now + REQUEST_TIMEOUT_MILLIS * VirtualGroup.MILLI, attempt::timedOut);
+      group.scheduleAt(
+          group.now + REQUEST_TIMEOUT_MILLIS * VirtualGroup.MILLI, attempt::handleTimeout);
     }
 
-    /** One attempt at a proposal; the first outcome counts. */
+    /** One attempt at a proposal; only its first outcome counts: result, failure or timeout. */
     private final class Attempt {
       private final Proposal proposal;
-      private boolean isSettled;
+      private boolean hasOutcome;
 
       Attempt(Proposal proposal) {
         this.proposal = proposal;
       }
 
-      void completed(CommandResult result, Throwable failure) {
-        if (isSettled) {
+      void handleCompletion(CommandResult result, Throwable failure) {
+        if (hasOutcome) {
           return;
         }
-        isSettled = true;
+        hasOutcome = true;
         if (failure == null) {
-          acknowledged(proposal, result);
-          scheduleNext();
+          recordAcknowledgement(proposal, result);
+          scheduleNextRequest();
           return;
         }
         if (!(failure instanceof NotCommittedException)
             && !(failure instanceof CompletionException)) {
-          violations.add("an answer that is none: " + failure);
+          violations.add("a proposal failed with an unexpected exception: " + failure);
         }
         group.scheduleAt(group.now + 50 * VirtualGroup.MILLI, () -> send(proposal));
       }
 
       void acknowledgeEarly(VirtualGroup.Machine machine) {
-        if (!isSettled && machine.isUp()) {
-          isSettled = true;
+        if (!hasOutcome && machine.isUp()) {
+          hasOutcome = true;
           long index = machine.member.status().lastLogIndex() + 1;
-          acknowledged(proposal, new CommandResult(CommandResult.Outcome.COMMITTED, index));
-          scheduleNext();
+          recordAcknowledgement(
+              proposal, new CommandResult(CommandResult.Outcome.COMMITTED, index));
+          scheduleNextRequest();
         }
       }
 
-      void timedOut() {
-        if (!isSettled) {
-          isSettled = true;
+      void handleTimeout() {
+        if (!hasOutcome) {
+          hasOutcome = true;
           send(proposal);
         }
       }
     }
 
-    private void acknowledged(Proposal proposal, CommandResult result) {
-      Long before = acknowledged.put(proposal.id(), result.index());
-      if (before != null && before != result.index()) {
-        violations.add(proposal.id() + " was answered " + before + " and " + result.index());
+    private void recordAcknowledgement(Proposal proposal, CommandResult result) {
+      Long earlierIndex = acknowledgedIndexes.put(proposal.id(), result.index());
+      if (earlierIndex != null && earlierIndex != result.index()) {
+        violations.add(
+            proposal.id()
+                + " was acknowledged at index "
+                + earlierIndex
+                + " and again at "
+                + result.index());
       }
-      highestAcknowledged = Math.max(highestAcknowledged, result.index());
+      highestAcknowledgedIndex = Math.max(highestAcknowledgedIndex, result.index());
     }
 
     private void read() {
-      VirtualGroup.Machine machine = randomTarget();
+      VirtualGroup.Machine machine = randomRequestTarget();
       if (machine == null) {
-        scheduleNext();
+        scheduleNextRequest();
         return;
       }
-      long atLeast = highestAcknowledged;
+      long minIndex = highestAcknowledgedIndex;
       if (defect == InjectedDefect.STALE_READ) {
-        checkRead(machine.appliedIndex, atLeast);
+        checkRead(machine.appliedIndex, minIndex);
       } else {
-        machine.member.read().thenAccept(state -> checkRead(state.index(), atLeast));
+        machine.member.read().thenAccept(state -> checkRead(state.index(), minIndex));
       }
-      scheduleNext();
+      scheduleNextRequest();
     }
 
-    /** A read must have all entries that were acknowledged before it. */
-    private void checkRead(long index, long atLeast) {
-      reads++;
-      if (index < atLeast) {
-        violations.add("read up to " + index + ", where " + atLeast + " was answered before");
+    /** Checks that a read includes all entries that were acknowledged before it was sent. */
+    private void checkRead(long index, long minIndex) {
+      readCount++;
+      if (index < minIndex) {
+        violations.add(
+            "a read returned the state at index "
+                + index
+                + ", after index "
+                + minIndex
+                + " was acknowledged");
       }
     }
   }
--- a/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulationTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulationTest.java
@@ -12,32 +12,36 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Groups under random faults in virtual time. {@code -Dgroup.days=10000} runs more seeds, {@code
- * -Dgroup.first=17} starts with another one.
+ * Runs groups under random faults in virtual time, one for each seed. The system property {@code
+ * group.days} sets the number of seeds and {@code group.first} the first seed, for example {@code
+ * -Dgroup.days=10000 -Dgroup.first=17}.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class RaftGroupSimulationTest {
-  private static final int SEEDS = Integer.getInteger("group.days", 150);
+  private static final int SEED_COUNT = Integer.getInteger("group.days", 150);
   private static final int FIRST_SEED = Integer.getInteger("group.first", 1);
 
   @ParameterizedTest
   @EnumSource(names = {"NONE", "FAILING_DISKS"})
-  void losesNoAcknowledgedEntry(InjectedDefect defect) throws Exception {
-    long acknowledged = 0;
-    long reads = 0;
-    for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
+  void keepsAcknowledgedEntriesUnderRandomFaults(InjectedDefect defect) throws Exception {
+    long acknowledgedCount = 0;
+    long readCount = 0;
+    for (int seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
       RaftGroupSimulation.Report report = new RaftGroupSimulation(seed, defect).run();
       assertEquals(List.of(), report.violations(), "seed " + seed);
-      acknowledged += report.acknowledged();
-      reads += report.reads();
+      acknowledgedCount += report.acknowledged();
+      readCount += report.reads();
     }
     System.out.printf(
-        "%s, %d seeds: %d acknowledged, %d reads%n", defect, SEEDS, acknowledged, reads);
-    assertTrue(acknowledged > 50L * SEEDS, acknowledged + " acknowledged with " + SEEDS + " seeds");
+        "%s, %d seeds: %d acknowledged proposals, %d reads%n",
+        defect, SEED_COUNT, acknowledgedCount, readCount);
+    assertTrue(
+        acknowledgedCount > 50L * SEED_COUNT,
+        acknowledgedCount + " proposals were acknowledged with " + SEED_COUNT + " seeds");
   }
 
   @Test
-  void isReproducibleBySeed() throws Exception {
+  void runGivesSameReportForSameSeed() throws Exception {
     assertEquals(
         new RaftGroupSimulation(5, InjectedDefect.NONE).run(),
         new RaftGroupSimulation(5, InjectedDefect.NONE).run());
@@ -52,18 +56,18 @@
         "EARLY_ACKNOWLEDGEMENT",
         "STALE_READ"
       })
-  void findsInjectedDefects(InjectedDefect defect) throws Exception {
+  void detectsInjectedDefect(InjectedDefect defect) throws Exception {
     for (int seed = 1; seed <= 200; seed++) {
       try {
         if (!new RaftGroupSimulation(seed, defect).run().violations().isEmpty()) {
-          System.out.println(defect + " found at seed " + seed);
+          System.out.println(defect + " detected at seed " + seed);
           return;
         }
       } catch (AssertionError | IOException e) {
-        System.out.println(defect + " found at seed " + seed + ": " + e.getMessage());
+        System.out.println(defect + " detected at seed " + seed + ": " + e.getMessage());
         return;
       }
     }
-    throw new AssertionError(defect + " is not found with 200 seeds");
+    throw new AssertionError(defect + " was not detected with 200 seeds");
   }
 }
--- a/cluster/src/test/java/shalepaddle/raft/RaftMemberTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftMemberTest.java
@@ -12,61 +12,66 @@
 import shalepaddle.replicatedstate.Proposal;
 import shalepaddle.replicatedstate.StateCommand;
 
-/** A group in virtual time. */
+/** Runs a group of three members in virtual time. */
 class RaftMemberTest {
-  private static Proposal exclusion(String id, String serverId, boolean excluded) {
-    return new Proposal(id, 1000, new StateCommand.SetExclusion(serverId, excluded));
+  private static Proposal exclusionProposal(String id, String serverId, boolean isExcluded) {
+    return new Proposal(id, 1000, new StateCommand.SetExclusion(serverId, isExcluded));
   }
 
   @Test
-  void commitsEntryThatSurvivesLossOfLeader() throws Exception {
+  void keepsCommittedEntryWhenLeaderIsLost() throws Exception {
     VirtualGroup group = new VirtualGroup(1).startGroup(3);
     group.advance(3000);
     VirtualGroup.Machine leader = group.leader();
     assertNotNull(leader);
     List<CommandResult> results = new ArrayList<>();
-    leader.member.propose(exclusion("p1", "s-1", true)).thenAccept(results::add);
+    leader.member.propose(exclusionProposal("p1", "s-1", true)).thenAccept(results::add);
     group.advance(50);
-    assertEquals(1, results.size(), "committed within milliseconds");
+    assertEquals(1, results.size(), "number of results that arrived within 50 ms");
     assertEquals(CommandResult.Outcome.COMMITTED, results.get(0).outcome());
     leader.crash();
     group.machines.remove(leader.name);
     group.advance(3000);
-    VirtualGroup.Machine next = group.leader();
-    assertNotNull(next, "nobody leads");
-    List<Object> read = new ArrayList<>();
-    next.member.read().thenAccept(state -> read.add(state.excludedServers()));
-    next.member.propose(exclusion("p1", "s-1", true)).thenAccept(results::add);
+    VirtualGroup.Machine newLeader = group.leader();
+    assertNotNull(newLeader, "no new leader was elected");
+    List<Object> readStates = new ArrayList<>();
+    newLeader.member.read().thenAccept(state -> readStates.add(state.excludedServers()));
+    newLeader.member.propose(exclusionProposal("p1", "s-1", true)).thenAccept(results::add);
     group.advance(100);
-    assertEquals(List.of(List.of("s-1")), read);
-    assertEquals(results.get(0), results.get(1), "repeated: the same result, no second entry");
-    assertTrue(next.member.status().term() > 1);
+    assertEquals(List.of(List.of("s-1")), readStates);
+    assertEquals(
+        results.get(0),
+        results.get(1),
+        "a repeated proposal must return the first result, without a second entry");
+    assertTrue(newLeader.member.status().term() > 1);
   }
 
-  /** It catches up with what the others committed meanwhile, without a restart. */
+  /** The member catches up, without a restart, with the entries committed while its disk failed. */
   @Test
-  void recoversAfterDiskFailure() throws Exception {
+  void recoversWithoutRestartAfterDiskFailure() throws Exception {
     VirtualGroup group = new VirtualGroup(1).startGroup(3);
     group.advance(3000);
-    VirtualGroup.Machine failing = group.leader();
-    failing.directory.setFailing(true);
-    failing.member.propose(exclusion("p1", "s-1", true));
+    VirtualGroup.Machine failingLeader = group.leader();
+    failingLeader.directory.setFailing(true);
+    failingLeader.member.propose(exclusionProposal("p1", "s-1", true));
     group.advance(3000);
-    assertNotNull(failing.member.status().inactiveReason());
-    VirtualGroup.Machine next = group.leader();
-    assertNotNull(next, "the others go on");
+    assertNotNull(failingLeader.member.status().inactiveReason());
+    VirtualGroup.Machine newLeader = group.leader();
+    assertNotNull(newLeader, "the other members must elect a new leader");
     List<CommandResult> results = new ArrayList<>();
-    next.member.propose(exclusion("p2", "s-2", true)).thenAccept(results::add);
+    newLeader.member.propose(exclusionProposal("p2", "s-2", true)).thenAccept(results::add);
     group.advance(100);
     assertEquals(CommandResult.Outcome.COMMITTED, results.get(0).outcome());
-    failing.directory.setFailing(false);
+    failingLeader.directory.setFailing(false);
     group.advance(3000);
-    assertNull(failing.member.status().inactiveReason());
-    assertEquals(next.member.status().commitIndex(), failing.member.status().commitIndex());
-    // What it has persisted since survives a crash.
-    failing.crash();
-    failing.start();
+    assertNull(failingLeader.member.status().inactiveReason());
+    assertEquals(
+        newLeader.member.status().commitIndex(), failingLeader.member.status().commitIndex());
+    // The entries that this member has persisted since its recovery survive a crash.
+    failingLeader.crash();
+    failingLeader.start();
     group.advance(3000);
-    assertEquals(next.member.status().commitIndex(), failing.member.status().commitIndex());
+    assertEquals(
+        newLeader.member.status().commitIndex(), failingLeader.member.status().commitIndex());
   }
 }
--- a/cluster/src/test/java/shalepaddle/raft/ReplicatedStateMachineTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/ReplicatedStateMachineTest.java
@@ -11,13 +11,14 @@
 import shalepaddle.replicatedstate.Proposal;
 import shalepaddle.replicatedstate.ReplicatedState;
 
-/** What the listener is notified of when an entry is applied. */
+/** Checks the notifications of the listener when an entry is applied. */
 class ReplicatedStateMachineTest {
-  /** A subscriber may know the command, though this member does not. */
+  /** A subscriber of a later version may know the command even if this member does not. */
   @Test
-  void notifiesOfCommandOfLaterVersionWithAllItsBytes() {
+  void notifiesListenerOfUnknownCommandWithOriginalBytes() {
     byte[] laterCommand =
-        CborValues.encode("id", (id, out) -> out.put(id).put(7).put(77).put("what only they know"));
+        CborValues.encode(
+            "id", (id, out) -> out.put(id).put(7).put(77).put("field of a later version"));
     List<byte[]> bodies = new ArrayList<>();
     ReplicatedStateMachine stateMachine =
         new ReplicatedStateMachine(
--- a/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
+++ b/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
@@ -22,16 +22,17 @@
 import shalepaddle.storage.RaftLogStore;
 
 /**
- * The members of a group in virtual time, in one thread: messages go as bytes over links that lose,
- * delay and duplicate them or are cut in one direction; machines crash at any moment, with or
- * without their disks. Reproducible by seed.
+ * Runs the members of a group in virtual time on one thread. Messages are encoded and sent over
+ * links that lose, delay and duplicate them, or are cut in one direction. Machines can crash at any
+ * time, and tests can replace their disks. A run is reproducible by its seed.
  */
 final class VirtualGroup {
   static final long MILLI = 1_000_000;
 
-  private record ScheduledTask(long atNanos, long number, Runnable task) {}
+  /** A task with its due time. Tasks due at the same time run in order of sequence number. */
+  private record ScheduledTask(long dueNanos, long sequenceNumber, Runnable task) {}
 
-  /** A machine, its disk, and the member that runs on it. */
+  /** A machine with its disk and the member that runs on it. */
   final class Machine implements MemberExecutor, RaftMember.Listener {
     final String name;
     final List<String> initialMembers;
@@ -54,8 +55,8 @@
     void start() throws IOException {
       incarnation++;
       appliedIndex = 0;
-      LogDirectory wrapped = directoryWrapper.apply(directory);
-      logStore = new RaftLogStore(wrapped, "g", name);
+      LogDirectory wrappedDirectory = directoryWrapper.apply(directory);
+      logStore = new RaftLogStore(wrappedDirectory, "g", name);
       member =
           new RaftMember(
               "g",
@@ -64,13 +65,13 @@
               entriesBetweenSnapshots,
               logStore,
               this,
-              (to, message) -> transmit(this, to, message),
+              (targetName, message) -> transmit(this, targetName, message),
               random.nextLong(),
               this);
       member.start();
     }
 
-    /** Stops at once; a part of what was not synced may survive. */
+    /** Stops the machine immediately; a random part of the unsynced writes survives. */
     void crash() {
       incarnation++;
       member = null;
@@ -83,14 +84,14 @@
     }
 
     @Override
-    public void schedule(long nanos, Runnable task) {
-      int scheduledIn = incarnation;
+    public void schedule(long delayNanos, Runnable task) {
+      int scheduledIncarnation = incarnation;
       scheduleAt(
-          now + nanos,
+          now + delayNanos,
           new Runnable() {
             @Override
             public void run() {
-              if (incarnation != scheduledIn) {
+              if (incarnation != scheduledIncarnation) {
                 return;
               }
               if (pausedUntil > now) {
@@ -109,13 +110,20 @@
 
     @Override
     public void entryApplied(long index, byte[] body, Proposal proposal, CommandResult result) {
-      String before = appliedIds.putIfAbsent(index, proposal.id());
-      if (before != null && !before.equals(proposal.id())) {
+      String earlierId = appliedIds.putIfAbsent(index, proposal.id());
+      if (earlierId != null && !earlierId.equals(proposal.id())) {
         throw new AssertionError(
-            "entry " + index + " is " + before + " and, at " + name + ", " + proposal.id());
+            "entry "
+                + index
+                + " is "
+                + proposal.id()
+                + " at "
+                + name
+                + ", but was applied before as "
+                + earlierId);
       }
       if (index <= appliedIndex) {
-        throw new AssertionError(name + " applies " + index + " after " + appliedIndex);
+        throw new AssertionError(name + " applied index " + index + " after index " + appliedIndex);
       }
       appliedIndex = index;
     }
@@ -128,9 +136,10 @@
     @Override
     public void statusChanged(MemberStatus status) {
       if (status.isLeader()) {
-        String before = leaderByTerm.putIfAbsent(status.term(), name);
-        if (before != null && !before.equals(name)) {
-          throw new AssertionError(before + " and " + name + " both lead term " + status.term());
+        String earlierLeader = leaderByTerm.putIfAbsent(status.term(), name);
+        if (earlierLeader != null && !earlierLeader.equals(name)) {
+          throw new AssertionError(
+              earlierLeader + " and " + name + " are both leaders in term " + status.term());
         }
       }
     }
@@ -138,38 +147,38 @@
 
   private final PriorityQueue<ScheduledTask> scheduledTasks =
       new PriorityQueue<>(
-          Comparator.comparingLong(ScheduledTask::atNanos)
-              .thenComparingLong(ScheduledTask::number));
+          Comparator.comparingLong(ScheduledTask::dueNanos)
+              .thenComparingLong(ScheduledTask::sequenceNumber));
   private long taskCount;
   long now;
   final SplittableRandom random;
   final Map<String, Machine> machines = new LinkedHashMap<>();
   final Map<Long, String> appliedIds = new HashMap<>();
   final Map<Integer, String> leaderByTerm = new HashMap<>();
-  private final Set<String> cut = new HashSet<>();
+  private final Set<String> cutLinks = new HashSet<>();
   double lossRatio;
   int entriesBetweenSnapshots = 50;
 
-  /** Put in front of each machine's directory. */
+  /** Wraps each machine's directory when the machine starts. */
   UnaryOperator<LogDirectory> directoryWrapper = disk -> disk;
 
   VirtualGroup(long seed) {
     random = new SplittableRandom(seed);
   }
 
-  void scheduleAt(long time, Runnable task) {
-    scheduledTasks.add(new ScheduledTask(time, taskCount++, task));
+  void scheduleAt(long dueNanos, Runnable task) {
+    scheduledTasks.add(new ScheduledTask(dueNanos, taskCount++, task));
   }
 
-  /** Advances the time, and runs what is due. */
-  void advance(long millis) {
-    long until = now + millis * MILLI;
-    while (!scheduledTasks.isEmpty() && scheduledTasks.peek().atNanos() <= until) {
+  /** Advances the virtual time, and runs the tasks that become due. */
+  void advance(long durationMillis) {
+    long endNanos = now + durationMillis * MILLI;
+    while (!scheduledTasks.isEmpty() && scheduledTasks.peek().dueNanos() <= endNanos) {
       ScheduledTask task = scheduledTasks.poll();
-      now = Math.max(now, task.atNanos());
+      now = Math.max(now, task.dueNanos());
       task.task().run();
     }
-    now = until;
+    now = endNanos;
   }
 
   Machine startMachine(String name, List<String> initialMembers) throws IOException {
@@ -179,49 +188,49 @@
     return machine;
   }
 
-  /** Starts the machines with which the group begins. */
-  VirtualGroup startGroup(int size) throws IOException {
-    List<String> names = new ArrayList<>();
-    for (int i = 0; i < size; i++) {
-      names.add("m" + i);
+  /** Starts the given number of initial members. */
+  VirtualGroup startGroup(int memberCount) throws IOException {
+    List<String> memberNames = new ArrayList<>();
+    for (int i = 0; i < memberCount; i++) {
+      memberNames.add("m" + i);
     }
-    for (String name : names) {
-      startMachine(name, names);
+    for (String name : memberNames) {
+      startMachine(name, memberNames);
     }
     return this;
   }
 
-  /** Whether messages in this direction are lost from now on. */
-  void cut(String from, String to, boolean lost) {
-    if (lost) {
-      cut.add(from + ">" + to);
+  /** Cuts or restores a link in one direction; all messages over a cut link are lost. */
+  void cut(String sourceName, String targetName, boolean isCut) {
+    if (isCut) {
+      cutLinks.add(sourceName + ">" + targetName);
     } else {
-      cut.remove(from + ">" + to);
+      cutLinks.remove(sourceName + ">" + targetName);
     }
   }
 
   void heal() {
-    cut.clear();
+    cutLinks.clear();
     lossRatio = 0;
   }
 
-  private void transmit(Machine from, String to, RaftMessage message) {
-    if (cut.contains(from.name + ">" + to) || random.nextDouble() < lossRatio) {
+  private void transmit(Machine source, String targetName, RaftMessage message) {
+    if (cutLinks.contains(source.name + ">" + targetName) || random.nextDouble() < lossRatio) {
       return;
     }
     byte[] bytes = RaftMessageCodec.encode(message);
-    int times = random.nextDouble() < lossRatio / 4 ? 2 : 1;
-    for (int i = 0; i < times; i++) {
-      long delay =
+    int copyCount = random.nextDouble() < lossRatio / 4 ? 2 : 1;
+    for (int i = 0; i < copyCount; i++) {
+      long delayNanos =
           MILLI / 10
               + random.nextLong(MILLI)
               + (random.nextDouble() < lossRatio ? random.nextLong(300 * MILLI) : 0);
-      scheduleAt(now + delay, () -> deliver(to, bytes));
+      scheduleAt(now + delayNanos, () -> deliver(targetName, bytes));
     }
   }
 
-  private void deliver(String to, byte[] bytes) {
-    Machine machine = machines.get(to);
+  private void deliver(String targetName, byte[] bytes) {
+    Machine machine = machines.get(targetName);
     if (machine == null || !machine.isUp()) {
       return;
     }
--- a/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
@@ -9,45 +9,49 @@
 import java.util.TreeMap;
 
 /**
- * A directory in memory that crashes at a chosen call, and gives each state that a machine may find
- * afterwards: of each file the bytes that were synced and any prefix of those written since, and of
- * names those that were synced and any first few of the changes since.
+ * A directory in memory that crashes at a chosen call, and returns each state that a machine may
+ * find afterwards: the synced bytes of each file with any prefix of the bytes written since, and
+ * the synced file names with any prefix of the file creations, renames and deletions since.
  */
 public final class CrashingLogDirectory implements LogDirectory {
-  /** The machine stops at this call. */
+  /** Thrown by the call at which the machine crashes. */
   static final class Crash extends RuntimeException {
     private static final long serialVersionUID = 1;
   }
 
-  /** A file's bytes, and how many of them survive a crash for certain. */
+  /** A file's bytes, and the length of the part that is synced and always survives a crash. */
   private static final class Content {
     private byte[] bytes = new byte[0];
     private int syncedLength;
 
-    /** Whether a sync has failed: what it covered is dropped, though the next one succeeds. */
+    /** Whether a sync has failed: unsynced bytes are lost, even if a later sync succeeds. */
     private boolean hasDroppedWrites;
   }
 
-  private interface NameChange {
-    void applyTo(Map<String, Content> names);
+  private interface DirectoryChange {
+    void applyTo(Map<String, Content> filesByName);
   }
 
-  private final Map<String, Content> syncedNames = new TreeMap<>();
-  private final List<NameChange> unsyncedChanges = new ArrayList<>();
-  private final Map<String, Content> names = new TreeMap<>();
+  private final Map<String, Content> syncedFilesByName = new TreeMap<>();
+  private final List<DirectoryChange> unsyncedDirectoryChanges = new ArrayList<>();
+  private final Map<String, Content> filesByName = new TreeMap<>();
   private int remainingCalls;
   private int firstFailingSync = -1;
   private int syncCount;
   private boolean isFailing;
 
-  /** One that never crashes by itself. */
+  /** Creates a directory that never crashes by itself. */
   public CrashingLogDirectory() {
     this(Integer.MAX_VALUE);
   }
 
-  /** One that crashes after so many calls that change it. */
-  CrashingLogDirectory(int calls) {
-    remainingCalls = calls;
+  /**
+   * Creates a directory that crashes.
+   *
+   * @param callsBeforeCrash the number of changing calls that succeed before one crashes
+   */
+  CrashingLogDirectory(int callsBeforeCrash) {
+    remainingCalls = callsBeforeCrash;
   }
 
   private void countCall() {
@@ -56,87 +60,96 @@
     }
   }
 
-  /** Syncs fail from the one of this number on. */
-  CrashingLogDirectory failFromSync(int number) {
-    firstFailingSync = number;
+  /** Makes all file syncs fail from the sync with the given number on, counted from 0. */
+  CrashingLogDirectory failFromSync(int syncNumber) {
+    firstFailingSync = syncNumber;
     return this;
   }
 
-  /** Whether writes and syncs fail from now on. */
-  public void setFailing(boolean failing) {
-    isFailing = failing;
+  /** Sets whether writes and syncs of files fail from now on. */
+  public void setFailing(boolean shouldFail) {
+    isFailing = shouldFail;
   }
 
-  private void change(NameChange change) {
-    change.applyTo(names);
-    unsyncedChanges.add(change);
+  private void recordDirectoryChange(DirectoryChange directoryChange) {
+    directoryChange.applyTo(filesByName);
+    unsyncedDirectoryChanges.add(directoryChange);
   }
 
   /**
-   * The directory as it may be found after a crash.
+   * Returns a state of the directory that is possible after a crash.
    *
-   * @param changes how many of the name changes since the last sync survive
-   * @param unsyncedPart of the bytes that were written and not synced, 0 to 1
+   * @param survivingChangeCount how many unsynced creations, renames and deletions of files
+   *     survive, the earliest first
+   * @param survivingRatio the ratio of the written but unsynced bytes that survive, from 0 to 1
    */
-  CrashingLogDirectory afterCrash(int changes, double unsyncedPart) {
-    Map<String, Content> survivingNames = new LinkedHashMap<>(syncedNames);
-    unsyncedChanges.subList(0, changes).forEach(change -> change.applyTo(survivingNames));
-    CrashingLogDirectory crashed = new CrashingLogDirectory();
-    survivingNames.forEach(
+  CrashingLogDirectory afterCrash(int survivingChangeCount, double survivingRatio) {
+    Map<String, Content> survivingFilesByName = new LinkedHashMap<>(syncedFilesByName);
+    unsyncedDirectoryChanges
+        .subList(0, survivingChangeCount)
+        .forEach(change -> change.applyTo(survivingFilesByName));
+    CrashingLogDirectory crashedDirectory = new CrashingLogDirectory();
+    survivingFilesByName.forEach(
         (name, content) -> {
-          Content survivor = new Content();
-          int length =
+          Content survivingContent = new Content();
+          int survivingLength =
               content.syncedLength
-                  + (int) Math.round(unsyncedPart * (content.bytes.length - content.syncedLength));
-          survivor.bytes = Arrays.copyOf(content.bytes, length);
-          survivor.syncedLength = length;
-          crashed.syncedNames.put(name, survivor);
-          crashed.names.put(name, survivor);
+                  + (int)
+                      Math.round(survivingRatio * (content.bytes.length - content.syncedLength));
+          survivingContent.bytes = Arrays.copyOf(content.bytes, survivingLength);
+          survivingContent.syncedLength = survivingLength;
+          crashedDirectory.syncedFilesByName.put(name, survivingContent);
+          crashedDirectory.filesByName.put(name, survivingContent);
         });
-    return crashed;
+    return crashedDirectory;
   }
 
-  /** The directory as it may be found after a crash, by a random number from 0 to 1. */
-  public CrashingLogDirectory afterCrash(double drawn) {
-    return afterCrash((int) Math.round(drawn * 1000) % (unsyncedNameChanges() + 1), drawn);
+  /**
+   * Returns a random state of the directory that is possible after a crash.
+   *
+   * @param randomRatio a random number from 0 to 1
+   */
+  public CrashingLogDirectory afterCrash(double randomRatio) {
+    return afterCrash(
+        (int) Math.round(randomRatio * 1000) % (unsyncedNameChanges() + 1), randomRatio);
   }
 
-  /** Name changes that a crash may lose. */
+  /** The number of unsynced creations, renames and deletions of files, which a crash may lose. */
   int unsyncedNameChanges() {
-    return unsyncedChanges.size();
+    return unsyncedDirectoryChanges.size();
   }
 
-  /** Changes a byte of a file. */
+  /** Flips a bit in one byte of a file. */
   void damage(String name, int position) {
-    names.get(name).bytes[position] ^= 0x20;
+    filesByName.get(name).bytes[position] ^= 0x20;
   }
 
   @Override
   public List<String> names() {
-    return List.copyOf(names.keySet());
+    return List.copyOf(filesByName.keySet());
   }
 
   @Override
   public byte[] read(String name) {
-    return names.get(name).bytes.clone();
+    return filesByName.get(name).bytes.clone();
   }
 
   @Override
   public Appender create(String name) {
     countCall();
-    Content created = new Content();
-    change(target -> target.put(name, created));
-    return new MemoryAppender(created);
+    Content newContent = new Content();
+    recordDirectoryChange(target -> target.put(name, newContent));
+    return new MemoryAppender(newContent);
   }
 
   @Override
-  public void rename(String from, String to) {
+  public void rename(String oldName, String newName) {
     countCall();
-    change(
+    recordDirectoryChange(
         target -> {
-          Content moved = target.remove(from);
-          if (moved != null) {
-            target.put(to, moved);
+          Content movedContent = target.remove(oldName);
+          if (movedContent != null) {
+            target.put(newName, movedContent);
           }
         });
   }
@@ -144,15 +157,15 @@
   @Override
   public void delete(String name) {
     countCall();
-    change(target -> target.remove(name));
+    recordDirectoryChange(target -> target.remove(name));
   }
 
   @Override
   public void syncNames() {
     countCall();
-    syncedNames.clear();
-    syncedNames.putAll(names);
-    unsyncedChanges.clear();
+    syncedFilesByName.clear();
+    syncedFilesByName.putAll(filesByName);
+    unsyncedDirectoryChanges.clear();
   }
 
   @Override
@@ -171,14 +184,14 @@
     }
 
     @Override
-    public void write(byte[] more) throws IOException {
+    public void write(byte[] appendedBytes) throws IOException {
       countCall();
       if (isFailing) {
         throw new IOException("no space left on device");
       }
-      int from = content.bytes.length;
-      content.bytes = Arrays.copyOf(content.bytes, from + more.length);
-      System.arraycopy(more, 0, content.bytes, from, more.length);
+      int oldLength = content.bytes.length;
+      content.bytes = Arrays.copyOf(content.bytes, oldLength + appendedBytes.length);
+      System.arraycopy(appendedBytes, 0, content.bytes, oldLength, appendedBytes.length);
     }
 
     @Override
--- a/cluster/src/test/java/shalepaddle/storage/ForwardingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/ForwardingLogDirectory.java
@@ -5,7 +5,7 @@
 
 /** Forwards each call that is not overridden to another directory. */
 interface ForwardingLogDirectory extends LogDirectory {
-  /** Where calls go. */
+  /** The directory to which calls are forwarded. */
   LogDirectory delegate();
 
   @Override
@@ -19,8 +19,8 @@
   }
 
   @Override
-  default void rename(String from, String to) throws IOException {
-    delegate().rename(from, to);
+  default void rename(String oldName, String newName) throws IOException {
+    delegate().rename(oldName, newName);
   }
 
   @Override
--- a/cluster/src/test/java/shalepaddle/storage/RaftLogFormatTest.java
+++ b/cluster/src/test/java/shalepaddle/storage/RaftLogFormatTest.java
@@ -28,33 +28,34 @@
 import shalepaddle.replicatedstate.StateCommand;
 
 /**
- * The stored format, against folders that an earlier version wrote.
+ * Checks the storage format against folders that an earlier version wrote.
  *
- * <p>{@code raft-log-format-1} is the folder of member m0 of group birds after a crash: the current
- * segment, with a record of every kind and a partial record at its end, an older segment, and one
- * that was not completed. {@code raft-log-format-1-reopened} is the segment to which that version
- * compacted it when it opened the folder. Both were written by version 0.1.0 and never change.
+ * <p>{@code raft-log-format-1} is the folder of member m0 of group birds after a crash. It contains
+ * the current segment, with a record of every kind and an incomplete record at its end, an older
+ * segment, and an incomplete segment. {@code raft-log-format-1-reopened} contains the compacted
+ * segment that the same version wrote when it opened that folder. Both folders were written by
+ * version 0.1.0 and never change.
  */
 class RaftLogFormatTest {
-  private static final String FOLDER = "/raft-log-format-1/";
-  private static final String CURRENT = "journal-0000000000000002";
-  private static final String COMPACTED = "journal-0000000000000003";
-  private static final List<String> FILES =
-      List.of("journal-0000000000000001", CURRENT, "lock", "next-0000000000000003");
+  private static final String RESOURCE_FOLDER = "/raft-log-format-1/";
+  private static final String CURRENT_SEGMENT = "journal-0000000000000002";
+  private static final String COMPACTED_SEGMENT = "journal-0000000000000003";
+  private static final List<String> FILE_NAMES =
+      List.of("journal-0000000000000001", CURRENT_SEGMENT, "lock", "next-0000000000000003");
 
-  private static byte[] resource(String name) throws IOException {
+  private static byte[] readResource(String name) throws IOException {
     try (InputStream stream = RaftLogFormatTest.class.getResourceAsStream(name)) {
       return stream.readAllBytes();
     }
   }
 
   private static void copyTo(Path folder) throws IOException {
-    for (String file : FILES) {
-      Files.write(folder.resolve(file), resource(FOLDER + file));
+    for (String file : FILE_NAMES) {
+      Files.write(folder.resolve(file), readResource(RESOURCE_FOLDER + file));
     }
   }
 
-  private static Proposal proposal(LogEntry entry) throws IOException {
+  private static Proposal decodeProposal(LogEntry entry) throws IOException {
     return ReplicatedStateCodec.decodeProposal((byte[]) entry.getOperation());
   }
 
@@ -67,7 +68,8 @@
       RaftLogStore store = new RaftLogStore(directory, "birds", "m0");
       assertEquals(
           List.of(
-              folder.resolve(CURRENT) + ": 17 bytes of a write that was cut short are left out"),
+              folder.resolve(CURRENT_SEGMENT)
+                  + ": ignored 17 bytes of an incomplete write at the end"),
           store.recoveryWarnings());
       assertEquals(9, store.lastIndex());
       assertEquals(3, store.term());
@@ -93,13 +95,13 @@
     assertEquals(List.of("m0", "m1", "m2"), LogEntryCodec.names(change.getVotingMembers()));
     assertEquals(
         new Proposal("id-6", 1003, new StateCommand.SetExclusion("s-1", false)),
-        proposal(entries.get(1)));
+        decodeProposal(entries.get(1)));
     assertArrayEquals(LogEntryCodec.EMPTY_OPERATION, (byte[]) entries.get(2).getOperation());
     assertEquals(
         new Proposal("id-8", 1006, new StateCommand.SetExclusion("s-3", true)),
-        proposal(entries.get(3)));
+        decodeProposal(entries.get(3)));
     assertEquals(
-        new Proposal("id-9", 1007, new StateCommand.Unknown(79)), proposal(entries.get(4)));
+        new Proposal("id-9", 1007, new StateCommand.Unknown(79)), decodeProposal(entries.get(4)));
   }
 
   @Test
@@ -112,10 +114,10 @@
     assertEquals(4, state.getSnapshotEntry().getIndex());
     assertEquals(1, state.getSnapshotEntry().getTerm());
     assertEquals(2, state.getSnapshotEntry().getSnapshotChunkCount());
-    ByteArrayOutputStream image = new ByteArrayOutputStream();
+    ByteArrayOutputStream encodedSnapshot = new ByteArrayOutputStream();
     List<?> chunks = (List<?>) state.getSnapshotEntry().getOperation();
     for (Object chunk : chunks) {
-      image.writeBytes((byte[]) ((SnapshotChunk) chunk).getOperation());
+      encodedSnapshot.writeBytes((byte[]) ((SnapshotChunk) chunk).getOperation());
     }
     assertEquals(
         new ReplicatedState.Snapshot(
@@ -129,21 +131,21 @@
                     "id-3", 1001, new CommandResult(CommandResult.Outcome.COMMITTED, 3)),
                 new ReplicatedState.RetainedResult(
                     "id-4", 1002, new CommandResult(CommandResult.Outcome.UNKNOWN_COMMAND, 4)))),
-        ReplicatedStateCodec.decodeSnapshot(image.toByteArray()));
+        ReplicatedStateCodec.decodeSnapshot(encodedSnapshot.toByteArray()));
   }
 
-  /** An earlier version must be able to read what this one leaves behind. */
+  /** An earlier version must be able to read the segment that this version writes. */
   @Test
   void compactsToTheSameBytesAsEarlierVersion(@TempDir Path folder) throws Exception {
     copyTo(folder);
     new RaftLogStore(new FileLogDirectory(folder), "birds", "m0").close();
     try (var files = Files.list(folder)) {
       assertEquals(
-          List.of(COMPACTED, "lock"),
+          List.of(COMPACTED_SEGMENT, "lock"),
           files.map(file -> file.getFileName().toString()).sorted().toList());
     }
     assertArrayEquals(
-        resource("/raft-log-format-1-reopened/" + COMPACTED),
-        Files.readAllBytes(folder.resolve(COMPACTED)));
+        readResource("/raft-log-format-1-reopened/" + COMPACTED_SEGMENT),
+        Files.readAllBytes(folder.resolve(COMPACTED_SEGMENT)));
   }
 }
--- a/cluster/src/test/java/shalepaddle/storage/RaftLogStoreTest.java
+++ b/cluster/src/test/java/shalepaddle/storage/RaftLogStoreTest.java
@@ -20,12 +20,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import shalepaddle.encoding.CborValues;
 
-/** What a log store restores, wherever its machine stopped. */
+/** Checks the state that a log store restores after crashes, failed syncs and damage. */
 class RaftLogStoreTest {
   private static final int NO_LIMIT = Integer.MAX_VALUE;
 
   @Test
-  void restoresWhatWasPersisted() throws Exception {
+  void restoresPersistedState() throws Exception {
     CrashingLogDirectory directory = new CrashingLogDirectory(NO_LIMIT);
     RaftLogWorkload workload = new RaftLogWorkload();
     RaftLogStore store = new RaftLogStore(directory, "g", "a");
@@ -39,77 +39,93 @@
   }
 
   /**
-   * Stops at each call of the disk, with each number of name changes that survive and five parts of
-   * the bytes that were not synced; once with a segment that is never compacted, and once with one
-   * that always is.
+   * Crashes at each call of the directory, with each possible number of surviving creations,
+   * renames and deletions of files, and five ratios of surviving unsynced bytes; once with a
+   * segment that is never compacted, and once with one that is always compacted.
    */
   @Test
-  void losesNothingSyncedWhereverTheMachineStops() throws Exception {
-    int crashes = 0;
-    for (long threshold : new long[] {Long.MAX_VALUE, 1}) {
-      boolean completed = false;
-      for (int calls = 0; !completed; calls++) {
-        CrashingLogDirectory directory = new CrashingLogDirectory(calls);
+  void restoresSyncedStateAfterCrashAtAnyCall() throws Exception {
+    int checkedStates = 0;
+    for (long compactionThresholdBytes : new long[] {Long.MAX_VALUE, 1}) {
+      boolean isCompleted = false;
+      for (int callsBeforeCrash = 0; !isCompleted; callsBeforeCrash++) {
+        CrashingLogDirectory directory = new CrashingLogDirectory(callsBeforeCrash);
         RaftLogWorkload workload = new RaftLogWorkload();
         try {
-          workload.run(new RaftLogStore(directory, "g", "a", threshold));
-          completed = true;
+          workload.run(new RaftLogStore(directory, "g", "a", compactionThresholdBytes));
+          isCompleted = true;
         } catch (CrashingLogDirectory.Crash e) {
-          // The machine stopped there.
+          // The machine crashed at this call.
         }
-        for (int syncedNames = 0; syncedNames <= directory.unsyncedNameChanges(); syncedNames++) {
-          for (double unsyncedPart : new double[] {0, 0.3, 0.5, 0.9, 1}) {
-            String after =
+        for (int survivingChanges = 0;
+            survivingChanges <= directory.unsyncedNameChanges();
+            survivingChanges++) {
+          for (double survivingRatio : new double[] {0, 0.3, 0.5, 0.9, 1}) {
+            String restoredState =
                 RaftLogWorkload.describe(
                     new RaftLogStore(
-                            directory.afterCrash(syncedNames, unsyncedPart), "g", "a", threshold)
+                            directory.afterCrash(survivingChanges, survivingRatio),
+                            "g",
+                            "a",
+                            compactionThresholdBytes)
                         .restoredState());
-            // The change that was under way may have survived as well.
-            int state = workload.states.lastIndexOf(after);
+            // The change during which the machine crashed may have survived as well.
+            int stateIndex = workload.states.lastIndexOf(restoredState);
             assertTrue(
-                state >= workload.lastSynced || after.equals(workload.currentState()),
-                () -> after + " after " + workload.states.get(workload.lastSynced));
-            crashes++;
+                stateIndex >= workload.lastSynced || restoredState.equals(workload.currentState()),
+                () ->
+                    "restored "
+                        + restoredState
+                        + " after syncing "
+                        + workload.states.get(workload.lastSynced));
+            checkedStates++;
           }
         }
       }
     }
-    assertTrue(crashes > 800, crashes + " crashed directories");
+    assertTrue(checkedStates > 800, checkedStates + " states after crashes were checked");
   }
 
-  /** Shows that the test above would find a store that does not sync. */
+  /** Shows that the crash test detects a store that does not sync. */
   @Test
-  void detectsDiskThatIgnoresSync() throws Exception {
+  void rejectsLogAfterCrashWhenSyncsAreIgnored() throws Exception {
     CrashingLogDirectory directory = new CrashingLogDirectory(NO_LIMIT);
     RaftLogWorkload workload = new RaftLogWorkload();
     workload.run(new RaftLogStore(new UnsyncedLogDirectory(directory, false), "g", "a"));
-    // Only the names survive.
+    // Only the file names survive, without content.
     CrashingLogDirectory crashedDirectory =
         directory.afterCrash(directory.unsyncedNameChanges(), 0);
     assertThrows(CorruptLogException.class, () -> new RaftLogStore(crashedDirectory, "g", "a"));
   }
 
   @Test
-  void reportsEveryDamagedByte() throws Exception {
+  void detectsDamageOfAnyByte() throws Exception {
     CrashingLogDirectory directory = new CrashingLogDirectory(NO_LIMIT);
     RaftLogWorkload workload = new RaftLogWorkload();
     workload.run(new RaftLogStore(directory, "g", "a"));
-    String file = directory.names().get(0);
-    int length = directory.read(file).length;
-    int rejected = 0;
-    for (int at = 0; at < length; at++) {
-      CrashingLogDirectory damaged = directory.afterCrash(0, 1);
-      damaged.damage(file, at);
+    String fileName = directory.names().get(0);
+    int lengthBytes = directory.read(fileName).length;
+    int reportedCount = 0;
+    for (int position = 0; position < lengthBytes; position++) {
+      CrashingLogDirectory damagedDirectory = directory.afterCrash(0, 1);
+      damagedDirectory.damage(fileName, position);
       try {
-        RaftLogStore store = new RaftLogStore(damaged, "g", "a");
-        assertEquals(1, store.recoveryWarnings().size(), "a partial write is reported");
+        RaftLogStore store = new RaftLogStore(damagedDirectory, "g", "a");
+        assertEquals(
+            1,
+            store.recoveryWarnings().size(),
+            "damage at the end must be reported as an incomplete write");
         assertTrue(workload.states.contains(RaftLogWorkload.describe(store.restoredState())));
       } catch (CorruptLogException e) {
-        assertTrue(e.getMessage().contains(file) && e.getMessage().contains("join anew"));
-        rejected++;
+        assertTrue(
+            e.getMessage().contains(fileName)
+                && e.getMessage().contains("join again under a new name"));
+        reportedCount++;
       }
     }
-    assertTrue(rejected > length * 9 / 10, rejected + " of " + length);
+    assertTrue(
+        reportedCount > lengthBytes * 9 / 10,
+        reportedCount + " of " + lengthBytes + " damaged bytes were reported as damage");
   }
 
   @Test
@@ -120,19 +136,19 @@
       RaftLogStore store = new RaftLogStore(directory, "g", "a");
       assertThrows(IOException.class, () -> workload.run(store));
       assertNotNull(store.failure());
-      byte[] before = directory.read(directory.names().get(0));
-      LogStoreFailedException rejected =
+      byte[] bytesBefore = directory.read(directory.names().get(0));
+      LogStoreFailedException rejection =
           assertThrows(
               LogStoreFailedException.class,
               () -> store.persistLogEntries(List.of(RaftLogWorkload.entry(1, 1))));
-      assertTrue(rejected.getMessage().contains("no space left"), rejected.getMessage());
+      assertTrue(rejection.getMessage().contains("no space left"), rejection.getMessage());
       assertTrue(
-          Arrays.equals(before, directory.read(directory.names().get(0))),
-          "nothing more is written");
+          Arrays.equals(bytesBefore, directory.read(directory.names().get(0))),
+          "the store must write nothing after a failed sync");
     }
   }
 
-  /** After a failed sync the operating system drops the bytes, and a later sync succeeds. */
+  /** After a failed sync the operating system drops the bytes, although a later sync succeeds. */
   @Test
   void recoversSyncedStateAfterFailedSync() throws Exception {
     for (int failingSync = 1; failingSync < 12; failingSync++) {
@@ -140,40 +156,40 @@
       RaftLogWorkload workload = new RaftLogWorkload();
       RaftLogStore store = new RaftLogStore(directory, "g", "a");
       assertThrows(IOException.class, () -> workload.run(store));
-      assertFalse(store.recover(), "the disk still fails");
+      assertFalse(store.recover(), "recovery must fail while the disk still fails");
       directory.failFromSync(NO_LIMIT);
       assertTrue(store.recover());
       assertNull(store.failure());
-      String restored = RaftLogWorkload.describe(store.restoredState());
-      assertEquals(workload.states.get(workload.lastSynced), restored);
+      String restoredState = RaftLogWorkload.describe(store.restoredState());
+      assertEquals(workload.states.get(workload.lastSynced), restoredState);
       store.flush();
       assertEquals(
-          restored,
+          restoredState,
           RaftLogWorkload.describe(
               new RaftLogStore(directory.afterCrash(0, 0), "g", "a").restoredState()));
     }
   }
 
-  /** A process that starts can't know whether a sync failed in the one before it. */
+  /** A new process cannot know whether a sync failed in the previous one, so it must sync again. */
   @Test
-  void persistsWhatItReadWhenOpened() throws Exception {
+  void persistsRestoredStateWhenOpened() throws Exception {
     CrashingLogDirectory directory = new CrashingLogDirectory(NO_LIMIT);
-    RaftLogStore first = new RaftLogStore(directory, "g", "a");
-    new RaftLogWorkload().run(first);
-    first.persistLogEntries(List.of(RaftLogWorkload.entry(10, 3)));
+    RaftLogStore firstStore = new RaftLogStore(directory, "g", "a");
+    new RaftLogWorkload().run(firstStore);
+    firstStore.persistLogEntries(List.of(RaftLogWorkload.entry(10, 3)));
     directory.setFailing(true);
-    assertThrows(IOException.class, first::flush);
+    assertThrows(IOException.class, firstStore::flush);
     directory.setFailing(false);
-    String recovered =
+    String restoredState =
         RaftLogWorkload.describe(new RaftLogStore(directory, "g", "a").restoredState());
     assertEquals(
-        recovered,
+        restoredState,
         RaftLogWorkload.describe(
             new RaftLogStore(directory.afterCrash(0, 0), "g", "a").restoredState()));
   }
 
   @Test
-  void compactsSegmentWhenMostOfItIsSuperseded() throws Exception {
+  void compactsSegmentWhenMostRecordsAreSuperseded() throws Exception {
     CrashingLogDirectory directory = new CrashingLogDirectory(NO_LIMIT);
     RaftLogStore store = new RaftLogStore(directory, "g", "a", 10_000);
     new RaftLogWorkload().run(store);
@@ -181,12 +197,12 @@
       store.persistLogEntries(List.of(RaftLogWorkload.entry(10, 3)));
       store.truncateLogEntriesFrom(10);
       store.flush();
-      assertTrue(store.sizeBytes() < 12_000, store.sizeBytes() + " bytes");
+      assertTrue(store.sizeBytes() < 12_000, "the segment has " + store.sizeBytes() + " bytes");
       assertEquals(1, directory.names().size());
     }
-    String before = RaftLogWorkload.describe(store.restoredState());
+    String stateBefore = RaftLogWorkload.describe(store.restoredState());
     assertEquals(
-        before,
+        stateBefore,
         RaftLogWorkload.describe(
             new RaftLogStore(directory.afterCrash(0, 1), "g", "a").restoredState()));
   }
@@ -197,17 +213,17 @@
     new RaftLogWorkload().run(new RaftLogStore(directory, "g", "a"));
     assertEquals(Optional.of(new LogOwner("g", "a")), RaftLogStore.readOwner(directory));
     assertEquals(Optional.empty(), RaftLogStore.readOwner(new CrashingLogDirectory(NO_LIMIT)));
-    LogOwnerMismatchException other =
+    LogOwnerMismatchException mismatchException =
         assertThrows(
             LogOwnerMismatchException.class,
             () -> new RaftLogStore(directory.afterCrash(0, 1), "g", "b"));
-    assertTrue(other.getMessage().contains("belongs to member 'a' of group 'g'"));
+    assertTrue(mismatchException.getMessage().contains("belongs to member 'a' of group 'g'"));
     assertThrows(
         LogOwnerMismatchException.class,
         () -> new RaftLogStore(directory.afterCrash(0, 1), "h", "a"));
   }
 
-  private static CrashingLogDirectory directoryWith(byte[]... records) throws IOException {
+  private static CrashingLogDirectory directoryWithRecords(byte[]... records) throws IOException {
     CrashingLogDirectory directory = new CrashingLogDirectory(NO_LIMIT);
     try (LogDirectory.Appender segment = directory.create("journal-0000000000000007")) {
       segment.write(RecordFormat.join(List.of(records)));
@@ -218,39 +234,39 @@
   @Test
   void rejectsRecordAndFormatOfLaterVersion() throws Exception {
     byte[] header = LogRecovery.encodeHeader(new LogOwner("g", "a"));
-    byte[] kind = ByteBuffer.allocate(9).putInt(0).putInt(0).put((byte) 77).array();
+    byte[] unknownRecord = ByteBuffer.allocate(9).putInt(0).putInt(0).put((byte) 77).array();
     CRC32 checksum = new CRC32();
     checksum.update(new byte[] {0, 0, 0, 0, 77});
-    ByteBuffer.wrap(kind).putInt(4, (int) checksum.getValue());
-    UnknownRecordException record =
+    ByteBuffer.wrap(unknownRecord).putInt(4, (int) checksum.getValue());
+    UnknownRecordException recordException =
         assertThrows(
             UnknownRecordException.class,
-            () -> new RaftLogStore(directoryWith(header, kind), "g", "a"));
+            () -> new RaftLogStore(directoryWithRecords(header, unknownRecord), "g", "a"));
     assertEquals(
-        "disk/journal-0000000000000007 holds a record of kind 77, made by a later version: start"
-            + " that one",
-        record.getMessage());
-    byte[] format2 =
+        "disk/journal-0000000000000007 contains a record of kind 77, written by a later version:"
+            + " start that version",
+        recordException.getMessage());
+    byte[] headerOfFormat2 =
         RecordFormat.encode(
             RecordKind.HEADER, CborValues.encode(2, (value, out) -> out.put(value)));
-    UnsupportedLogFormatException format =
+    UnsupportedLogFormatException formatException =
         assertThrows(
             UnsupportedLogFormatException.class,
-            () -> new RaftLogStore(directoryWith(format2), "g", "a"));
+            () -> new RaftLogStore(directoryWithRecords(headerOfFormat2), "g", "a"));
     assertEquals(
-        "disk/journal-0000000000000007 is of format 2, and this version reads 1: start the version"
+        "disk/journal-0000000000000007 has format version 2, expected 1: start the program version"
             + " that wrote it",
-        format.getMessage());
+        formatException.getMessage());
   }
 
   @Test
-  void locksDirectoryOfTheFileSystem(@TempDir Path path) throws Exception {
+  void locksDirectoryAndIgnoresIncompleteWriteInFileSystem(@TempDir Path path) throws Exception {
     RaftLogWorkload workload = new RaftLogWorkload();
     try (RaftLogStore store = new RaftLogStore(new FileLogDirectory(path), "g", "a")) {
       workload.run(store);
-      LogDirectoryLockedException locked =
+      LogDirectoryLockedException lockedException =
           assertThrows(LogDirectoryLockedException.class, () -> new FileLogDirectory(path));
-      assertTrue(locked.getMessage().contains("held by another process"));
+      assertTrue(lockedException.getMessage().contains("locked by another process"));
     }
     Path file;
     try (var files = Files.list(path)) {
@@ -259,7 +275,8 @@
     Files.write(file, new byte[] {1, 2, 3}, StandardOpenOption.APPEND);
     try (RaftLogStore store = new RaftLogStore(new FileLogDirectory(path), "g", "a")) {
       assertEquals(workload.currentState(), RaftLogWorkload.describe(store.restoredState()));
-      assertTrue(store.recoveryWarnings().get(0).contains("3 bytes of a write that was cut short"));
+      assertTrue(
+          store.recoveryWarnings().get(0).contains("ignored 3 bytes of an incomplete write"));
     }
   }
 }
--- a/cluster/src/test/java/shalepaddle/storage/RaftLogWorkload.java
+++ b/cluster/src/test/java/shalepaddle/storage/RaftLogWorkload.java
@@ -14,43 +14,47 @@
 import shalepaddle.encoding.LogEntryCodec;
 
 /**
- * Persists terms, votes, entries, a conflict and a snapshot, and records each state in between, and
- * which of them was the last to be synced.
+ * Persists terms, votes, entries, a truncation after a conflict and a snapshot. Records the
+ * expected state after each change, and which of these states was synced last.
  */
 final class RaftLogWorkload {
-  /** The state that was asked for, as text to compare with. */
+  /** The state that a log store must restore; its text form is used for comparisons. */
   private static final class ExpectedState {
     private int term;
-    private String vote;
+    private String votedFor;
     private final List<String> log = new ArrayList<>();
-    private long snapshot;
+    private long snapshotIndex;
 
     private ExpectedState copy() {
       ExpectedState copy = new ExpectedState();
       copy.term = term;
-      copy.vote = vote;
+      copy.votedFor = votedFor;
       copy.log.addAll(log);
-      copy.snapshot = snapshot;
+      copy.snapshotIndex = snapshotIndex;
       return copy;
     }
 
     @Override
     public String toString() {
-      return term + " " + vote + " " + snapshot + " " + log;
+      return term + " " + votedFor + " " + snapshotIndex + " " + log;
     }
   }
 
+  /** The expected state after each change, in the form of {@link #describe}. */
   final List<String> states = new ArrayList<>();
+
+  /** The index in {@link #states} of the last synced state. */
   int lastSynced;
-  private final ExpectedState current = new ExpectedState();
+
+  private final ExpectedState expectedState = new ExpectedState();
 
   RaftLogWorkload() {
-    states.add(current.toString());
+    states.add(expectedState.toString());
   }
 
-  private void recordState(boolean synced) {
-    states.add(current.copy().toString());
-    lastSynced = synced ? states.size() - 1 : lastSynced;
+  private void recordState(boolean isSynced) {
+    states.add(expectedState.copy().toString());
+    lastSynced = isSynced ? states.size() - 1 : lastSynced;
   }
 
   void run(RaftLogStore store) throws IOException {
@@ -58,23 +62,23 @@
     store.persistAndFlushInitialGroupMembers(groupOfThree());
     recordState(true);
     for (int term = 1; term <= 3; term++) {
-      current.term = term;
-      current.vote = term % 2 == 0 ? null : "b";
-      store.persistAndFlushTerm(LogEntryCodec.term(term, current.vote));
+      expectedState.term = term;
+      expectedState.votedFor = term % 2 == 0 ? null : "b";
+      store.persistAndFlushTerm(LogEntryCodec.term(term, expectedState.votedFor));
       recordState(true);
-      long first = current.snapshot + current.log.size() + 1;
-      for (long index = first; index < first + 3; index++) {
+      long firstIndex = expectedState.snapshotIndex + expectedState.log.size() + 1;
+      for (long index = firstIndex; index < firstIndex + 3; index++) {
         store.persistLogEntries(List.of(entry(index, term)));
-        current.log.add(index + ":" + term);
+        expectedState.log.add(index + ":" + term);
         recordState(false);
       }
       store.flush();
       recordState(true);
-      store.truncateLogEntriesFrom(first + 2);
-      current.log.remove(current.log.size() - 1);
+      store.truncateLogEntriesFrom(firstIndex + 2);
+      expectedState.log.remove(expectedState.log.size() - 1);
       recordState(false);
-      store.persistLogEntries(List.of(entry(first + 2, term)));
-      current.log.add(first + 2 + ":" + term);
+      store.persistLogEntries(List.of(entry(firstIndex + 2, term)));
+      expectedState.log.add(firstIndex + 2 + ":" + term);
       recordState(false);
       store.flush();
       recordState(true);
@@ -88,8 +92,8 @@
     store.persistSnapshotChunk(chunk(4, 0, 2));
     recordState(false);
     store.persistSnapshotChunk(chunk(4, 1, 2));
-    current.snapshot = 4;
-    current.log.subList(0, 4).clear();
+    expectedState.snapshotIndex = 4;
+    expectedState.log.subList(0, 4).clear();
     recordState(false);
     store.flush();
     recordState(true);
@@ -99,18 +103,18 @@
     recordState(true);
   }
 
-  /** The state after the last change, as {@link #describe} gives it. */
+  /** The expected state after the last change, in the form of {@link #describe}. */
   String currentState() {
-    return current.toString();
+    return expectedState.toString();
   }
 
   private static RaftGroupMembersView groupOfThree() {
-    Set<RaftEndpoint> all = Set.of(new Endpoint("a"), new Endpoint("b"), new Endpoint("c"));
+    Set<RaftEndpoint> members = Set.of(new Endpoint("a"), new Endpoint("b"), new Endpoint("c"));
     return LogEntryCodec.model()
         .createRaftGroupMembersViewBuilder()
         .setLogIndex(0)
-        .setMembers(all)
-        .setVotingMembers(all)
+        .setMembers(members)
+        .setVotingMembers(members)
         .build();
   }
 
@@ -123,33 +127,34 @@
         .build();
   }
 
-  private static SnapshotChunk chunk(long index, int number, int count) {
+  private static SnapshotChunk chunk(long index, int chunkNumber, int chunkCount) {
     return LogEntryCodec.model()
         .createSnapshotChunkBuilder()
         .setIndex(index)
         .setTerm(1)
-        .setSnapshotChunkIndex(number)
-        .setSnapshotChunkCount(count)
+        .setSnapshotChunkIndex(chunkNumber)
+        .setSnapshotChunkCount(chunkCount)
         .setGroupMembersView(groupOfThree())
         .setOperation(new byte[20])
         .build();
   }
 
-  /** The restored state, in the form of {@link #states}. */
+  /** Describes a restored state as "TERM VOTE SNAPSHOT_INDEX [INDEX:TERM, ...]". */
   static String describe(RestoredRaftState state) {
-    ExpectedState restored = new ExpectedState();
+    ExpectedState restoredState = new ExpectedState();
     if (state == null) {
-      return restored.toString();
+      return restoredState.toString();
     }
-    restored.term = state.getTermPersistentState().getTerm();
-    restored.vote =
+    restoredState.term = state.getTermPersistentState().getTerm();
+    restoredState.votedFor =
         state.getTermPersistentState().getVotedFor() == null
             ? null
             : (String) state.getTermPersistentState().getVotedFor().getId();
-    restored.snapshot = state.getSnapshotEntry() == null ? 0 : state.getSnapshotEntry().getIndex();
+    restoredState.snapshotIndex =
+        state.getSnapshotEntry() == null ? 0 : state.getSnapshotEntry().getIndex();
     for (LogEntry entry : state.getLogEntries()) {
-      restored.log.add(entry.getIndex() + ":" + entry.getTerm());
+      restoredState.log.add(entry.getIndex() + ":" + entry.getTerm());
     }
-    return restored.toString();
+    return restoredState.toString();
   }
 }
--- a/cluster/src/test/java/shalepaddle/storage/SilentlyFailingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/SilentlyFailingLogDirectory.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A directory that hides failed writes and syncs from its caller. Tests must detect it. */
+/** A defective directory that hides failed writes and syncs from its caller. */
 public record SilentlyFailingLogDirectory(LogDirectory delegate) implements ForwardingLogDirectory {
   @Override
   public Appender create(String name) throws IOException {
@@ -15,7 +15,7 @@
       try {
         file.write(bytes);
       } catch (IOException e) {
-        // Hidden: the caller goes on as if it had been written.
+        // The failure is hidden: the caller continues as if the bytes had been written.
       }
     }
 
@@ -24,7 +24,7 @@
       try {
         file.sync();
       } catch (IOException e) {
-        // Hidden, as above.
+        // The failure is hidden: the caller continues as if the file had been synced.
       }
     }
 
--- a/cluster/src/test/java/shalepaddle/storage/UnsyncedLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/UnsyncedLogDirectory.java
@@ -3,32 +3,34 @@
 import java.io.IOException;
 
 /**
- * A directory whose syncs return without effect. Tests must detect it.
+ * A defective directory whose syncs return without effect.
  *
- * @param syncsFirstWrite whether the first sync of each file and those of names are made all the
- *     same: an empty directory would be mistaken for a new one
+ * @param delegate the directory to which other calls are forwarded
+ * @param firstSyncTakesEffect whether the first sync of each file and all syncs of the directory
+ *     take effect nevertheless; without them a crash could leave an empty directory, which looks
+ *     like a new one
  */
-public record UnsyncedLogDirectory(LogDirectory delegate, boolean syncsFirstWrite)
+public record UnsyncedLogDirectory(LogDirectory delegate, boolean firstSyncTakesEffect)
     implements ForwardingLogDirectory {
   @Override
   public Appender create(String name) throws IOException {
-    return new UnsyncedAppender(delegate.create(name), syncsFirstWrite);
+    return new UnsyncedAppender(delegate.create(name), firstSyncTakesEffect);
   }
 
   @Override
   public void syncNames() throws IOException {
-    if (syncsFirstWrite) {
+    if (firstSyncTakesEffect) {
       delegate.syncNames();
     }
   }
 
   private static final class UnsyncedAppender implements Appender {
     private final Appender file;
-    private boolean syncsOnce;
+    private boolean nextSyncTakesEffect;
 
-    UnsyncedAppender(Appender file, boolean syncsOnce) {
+    UnsyncedAppender(Appender file, boolean nextSyncTakesEffect) {
       this.file = file;
-      this.syncsOnce = syncsOnce;
+      this.nextSyncTakesEffect = nextSyncTakesEffect;
     }
 
     @Override
@@ -38,9 +40,9 @@
 
     @Override
     public void sync() throws IOException {
-      if (syncsOnce) {
+      if (nextSyncTakesEffect) {
         file.sync();
-        syncsOnce = false;
+        nextSyncTakesEffect = false;
       }
     }
 
--- a/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
+++ b/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
@@ -29,7 +29,7 @@
 import shalepaddle.replicatedstate.ReplicatedState;
 import shalepaddle.replicatedstate.StateCommand;
 
-/** A server of the change feed and its clients, over loopback. */
+/** Runs a change feed server and its clients over loopback. */
 @Timeout(30)
 class ChangeFeedClientTest {
   private static final InetSocketAddress ANY_PORT =
@@ -44,7 +44,7 @@
   private final LinkedBlockingQueue<String> serverLog = new LinkedBlockingQueue<>();
   private final ReplicatedState state = new ReplicatedState();
 
-  /** The bytes of the member's snapshots, null for those of its state. */
+  /** The bytes to send as the member's snapshot, null for its encoded state. */
   private byte[] snapshotOverride;
 
   private final MemberExecutor executor =
@@ -55,9 +55,9 @@
         }
 
         @Override
-        public void schedule(long nanos, Runnable task) {
+        public void schedule(long delayNanos, Runnable task) {
           if (!memberThread.isShutdown()) {
-            memberThread.schedule(task, nanos, TimeUnit.NANOSECONDS);
+            memberThread.schedule(task, delayNanos, TimeUnit.NANOSECONDS);
           }
         }
 
@@ -69,8 +69,8 @@
 
   @AfterEach
   void closeAll() throws Exception {
-    for (AutoCloseable one : closeables) {
-      one.close();
+    for (AutoCloseable closeable : closeables) {
+      closeable.close();
     }
     memberThread.shutdownNow();
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -92,7 +92,7 @@
             : snapshotOverride);
   }
 
-  /** The member applies an entry, on its thread. */
+  /** Applies an entry at the member, on the member's thread. */
   private void applyEntry(ChangeFeedServer server, long index, StateCommand command)
       throws Exception {
     Proposal proposal = new Proposal("id" + index, 1, command);
@@ -106,7 +106,10 @@
         .get();
   }
 
-  /** What a client notifies its listener of, in order. */
+  /**
+   * Starts a client, and returns the queue of its notifications. A notification of an entry
+   * consists of its index and the wire name of its outcome; HELD is the wire name of COMMITTED.
+   */
   private LinkedBlockingQueue<String> subscribe(String group, ChangeFeedServer server) {
     LinkedBlockingQueue<String> notifications = new LinkedBlockingQueue<>();
     ChangeFeedClient.Listener listener =
@@ -138,12 +141,12 @@
   private static String nextNotification(LinkedBlockingQueue<String> notifications)
       throws InterruptedException {
     String line = notifications.poll(20, TimeUnit.SECONDS);
-    assertNotNull(line, "no further notification");
+    assertNotNull(line, "no notification within 20 s");
     return line;
   }
 
   @Test
-  void appliesEntriesInOrderWithUnknownCommands() throws Exception {
+  void appliesEntriesInOrderIncludingUnknownCommands() throws Exception {
     ChangeFeedServer server = startServer();
     applyEntry(server, 3, new StateCommand.SetExclusion("s-1", true));
     LinkedBlockingQueue<String> notifications = subscribe("birds", server);
@@ -175,35 +178,36 @@
   }
 
   @Test
-  void ignoresUnreadableSnapshot() throws Exception {
+  void subscribesAgainAfterUndecodableSnapshot() throws Exception {
     ChangeFeedServer server = startServer();
     state.apply(9, new Proposal("id9", 1, new StateCommand.SetExclusion("s-9", true)));
     snapshotOverride = new byte[] {1, 2, 3};
     memberThread.submit(() -> server.snapshotInstalled(9)).get();
     LinkedBlockingQueue<String> notifications = subscribe("birds", server);
-    assertTrue(nextNotification(notifications).startsWith("the state up to 9 can't be read"));
+    assertTrue(
+        nextNotification(notifications).startsWith("cannot decode the snapshot at index 9:"));
     snapshotOverride = null;
     String line = nextNotification(notifications);
-    while (line.startsWith("the state up to 9")) {
+    while (line.startsWith("cannot decode the snapshot at index 9:")) {
       line = nextNotification(notifications);
     }
     assertEquals("restored to 9 [s-9]", line);
   }
 
   @Test
-  void closesConnectionWithForeignBytes() throws Exception {
+  void closesConnectionThatSendsHttp() throws Exception {
     ChangeFeedServer server = startServer();
     LinkedBlockingQueue<String> notifications = subscribe("birds", server);
     assertEquals("in contact", nextNotification(notifications));
-    try (Socket stranger = new Socket()) {
-      stranger.connect(server.address());
-      stranger.setSoTimeout(20_000);
-      stranger
+    try (Socket httpClient = new Socket()) {
+      httpClient.connect(server.address());
+      httpClient.setSoTimeout(20_000);
+      httpClient
           .getOutputStream()
           .write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-      assertEquals(-1, readOrEndOfStream(stranger));
+      assertEquals(-1, readOrEndOfStream(httpClient));
     }
-    assertTrue(nextNotification(serverLog).contains("these are no members' bytes"));
+    assertTrue(nextNotification(serverLog).contains("wrong magic number, expected 0x5350"));
     applyEntry(server, 3, new StateCommand.SetExclusion("s-1", true));
     assertEquals("3 HELD", nextNotification(notifications));
   }
@@ -217,7 +221,7 @@
   }
 
   @Test
-  void rejectsSubscribersWithoutKnownLeader() throws Exception {
+  void rejectsSubscribersUntilLeaderIsKnown() throws Exception {
     ChangeFeedServer server =
         new ChangeFeedServer("birds", ANY_PORT, executor, this::snapshot, serverLog::add);
     closeables.add(server);
