--- a/cli/src/main/java/shalepaddle/cli/CapacityCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/CapacityCommand.java
@@ -20,10 +20,16 @@
 import shalepaddle.capacity.Slope;
 import shalepaddle.capacity.SlopeChart;
 
-/** Measures what each role costs in steps up to a size, and one step beyond. */
+/**
+ * Measures costs of the nodes, the cache servers, discovery and the change feed, such as CPU time
+ * and memory, at several fleet sizes up to the requested one and at twice that size, and fits a
+ * line to each.
+ */
 @Command(
     name = "capacity",
-    description = "Measures what each role costs as the fleet grows, with hollow nodes.",
+    description =
+        "Measures how costs such as CPU time and memory grow with the fleet, using nodes without"
+            + " sockets.",
     mixinStandardHelpOptions = true)
 final class CapacityCommand implements Callable<Integer> {
   @Option(names = "--nodes", description = "Nodes (default: ${DEFAULT-VALUE}).")
@@ -32,33 +38,43 @@
   @Option(names = "--servers", description = "Cache servers (default: ${DEFAULT-VALUE}).")
   private int servers = FleetSize.COMING.servers();
 
-  @Option(names = "--zones", description = "Zones of servers (default: ${DEFAULT-VALUE}).")
+  @Option(
+      names = "--zones",
+      description = "Zones that contain servers (default: ${DEFAULT-VALUE}).")
   private int zones = FleetSize.COMING.zones();
 
   @Option(
       names = "--rate",
-      description = "Requests a second, all nodes together (default: ${DEFAULT-VALUE}).")
-  private double perSecond = FleetSize.COMING.perSecond();
+      description = "Requests per second to all nodes together (default: ${DEFAULT-VALUE}).")
+  private double requestsPerSecond = FleetSize.COMING.perSecond();
 
   @Option(
       names = "--seconds",
-      description = "Virtual seconds counted in each fleet (default: ${DEFAULT-VALUE}).")
+      description = "Virtual seconds measured at each size (default: ${DEFAULT-VALUE}).")
   private double seconds = 2;
 
-  @Option(names = "--seed", description = "For all that is drawn (default: ${DEFAULT-VALUE}).")
+  @Option(
+      names = "--seed",
+      description = "Seed of the random numbers (default: ${DEFAULT-VALUE}).")
   private long seed = 1;
 
   @Option(
       names = "--role",
       split = ",",
-      description = "Which: ${COMPLETION-CANDIDATES} (default: all).")
+      description = "What to measure: ${COMPLETION-CANDIDATES} (default: all).")
   private Set<CapacityRun.Role> roles = EnumSet.allOf(CapacityRun.Role.class);
 
-  @Option(names = "--json", paramLabel = "FILE", description = "Writes all points there as well.")
-  private Path json;
+  @Option(
+      names = "--json",
+      paramLabel = "FILE",
+      description = "Writes all measured points to this file as well.")
+  private Path jsonFile;
 
-  @Option(names = "--picture", paramLabel = "FILE", description = "Draws all slopes there, as PNG.")
-  private Path picture;
+  @Option(
+      names = "--picture",
+      paramLabel = "FILE",
+      description = "Draws a chart of each measured cost by fleet size into this PNG file.")
+  private Path chartFile;
 
   @Spec private CommandSpec spec;
 
@@ -72,7 +88,7 @@
     this.out = out;
   }
 
-  /** All that a run gave. */
+  /** The results of a run, as they are written to the JSON file. */
   private record Report(
       FleetSize size, long seed, double seconds, List<Slope> slopes, long peakBytes) {}
 
@@ -80,56 +96,59 @@
   public Integer call() throws Exception {
     FleetSize size;
     try {
-      size = new FleetSize(nodes, servers, perSecond, zones);
+      size = new FleetSize(nodes, servers, requestsPerSecond, zones);
     } catch (IllegalArgumentException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
-    long most = Math.min(machineBytes() / 2, Runtime.getRuntime().maxMemory());
-    if (size.expectedBytes() > most) {
+    long availableBytes = Math.min(physicalMemoryBytes() / 2, Runtime.getRuntime().maxMemory());
+    if (size.expectedBytes() > availableBytes) {
       System.err.printf(
-          "scale: %d nodes and %d servers would take up to %d MB with the step beyond them, %d MB"
-              + " may be used%n",
-          nodes, servers, size.expectedBytes() >> 20, most >> 20);
+          "capacity: %d nodes and %d servers would need up to %d MB including the step at twice"
+              + " that size, but only %d MB may be used%n",
+          nodes, servers, size.expectedBytes() >> 20, availableBytes >> 20);
       return 2;
     }
-    long began = System.nanoTime();
-    List<Slope> slopes = CapacityRun.measure(size, roles, seconds, seed, System.err::println);
-    for (Slope slope : slopes) {
-      int asked = slope.size().equals("nodes") ? nodes : servers;
+    long startedAtNanos = System.nanoTime();
+    List<Slope> fittedLines = CapacityRun.measure(size, roles, seconds, seed, System.err::println);
+    for (Slope line : fittedLines) {
+      int requestedSize = line.size().equals("nodes") ? nodes : servers;
       out.printf(
-          "%-12s  %-40s %12.4g %-8s at %d %s = %.4g x size + %.4g, off by %.0f%% at most%n",
-          slope.role(),
-          slope.figure(),
-          slope.at(asked),
-          slope.unit(),
-          asked,
-          slope.size(),
-          slope.slope(),
-          slope.constant(),
-          100 * slope.noise());
+          "%-12s  %-40s %12.4g %-8s at %d %s = %.4g x size + %.4g, deviation up to %.0f%%%n",
+          line.role(),
+          line.figure(),
+          line.at(requestedSize),
+          line.unit(),
+          requestedSize,
+          line.size(),
+          line.slope(),
+          line.constant(),
+          100 * line.noise());
     }
-    long peak = peakBytes();
+    long peakBytes = peakResidentBytes();
     out.printf(
-        "seed %d, %.0f s, peak of memory %d MB of %d MB that may be used%n",
-        seed, (System.nanoTime() - began) / 1e9, peak >> 20, (machineBytes() / 2) >> 20);
-    if (json != null) {
+        "seed %d, %.0f s, peak memory %d MB of %d MB that may be used%n",
+        seed,
+        (System.nanoTime() - startedAtNanos) / 1e9,
+        peakBytes >> 20,
+        (physicalMemoryBytes() / 2) >> 20);
+    if (jsonFile != null) {
       new ObjectMapper()
           .writerWithDefaultPrettyPrinter()
-          .writeValue(json.toFile(), new Report(size, seed, seconds, slopes, peak));
+          .writeValue(jsonFile.toFile(), new Report(size, seed, seconds, fittedLines, peakBytes));
     }
-    if (picture != null) {
-      SlopeChart.draw(picture, slopes, nodes, servers);
+    if (chartFile != null) {
+      SlopeChart.draw(chartFile, fittedLines, nodes, servers);
     }
-    return peak > machineBytes() / 2 ? 1 : 0;
+    return peakBytes > physicalMemoryBytes() / 2 ? 1 : 0;
   }
 
-  private static long machineBytes() {
+  private static long physicalMemoryBytes() {
     return ((com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean())
         .getTotalMemorySize();
   }
 
-  /** The most that this process has had resident. */
-  private static long peakBytes() throws IOException {
+  /** Returns the peak resident memory of this process. */
+  private static long peakResidentBytes() throws IOException {
     for (String line : Files.readAllLines(Path.of("/proc/self/status"))) {
       if (line.startsWith("VmHWM:")) {
         return Long.parseLong(line.replaceAll("\\D", "")) << 10;
--- a/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
@@ -27,18 +27,19 @@
 import shalepaddle.replicatedstate.StateCommand;
 import shalepaddle.settings.FormatException;
 
-/** A group of members that hold promises by majority. */
+/** Commands for a Raft group whose members replicate the set of excluded cache servers. */
 @Command(
     name = "cluster",
-    description = "Begins, runs and asks a group that holds promises by majority.",
+    description =
+        "Creates, runs and queries a Raft group that replicates the set of excluded cache servers.",
     mixinStandardHelpOptions = true,
     subcommands = {
       ClusterCommand.Init.class,
       ClusterCommand.Join.class,
       ClusterCommand.Member.class,
       ClusterCommand.Status.class,
-      ClusterCommand.Say.class,
-      ClusterCommand.Held.class,
+      ClusterCommand.ChangeExclusion.class,
+      ClusterCommand.ListExclusions.class,
       FollowCommand.class,
       ClusterCommand.Remove.class
     })
@@ -53,192 +54,205 @@
     System.err.println(line);
   }
 
-  /** The group, as a caller knows it. */
+  /** Options that name a group and the addresses of its members. */
   static final class Group {
     @Option(names = "--group", required = true, description = "The group's name.")
-    private String group;
+    private String groupName;
 
     @Option(
         names = "--member",
         required = true,
         paramLabel = "NAME=IP:PORT",
-        description = "A member, and where it is found from here; once for each.")
-    private Map<String, String> members = new LinkedHashMap<>();
+        description = "A member and its address as seen from here; repeated for each member.")
+    private Map<String, String> memberAddresses = new LinkedHashMap<>();
 
     String name() {
-      return group;
+      return groupName;
     }
 
     Map<String, InetSocketAddress> addresses() throws FormatException {
       Map<String, InetSocketAddress> addresses = new TreeMap<>();
-      for (var member : members.entrySet()) {
+      for (var member : memberAddresses.entrySet()) {
         addresses.put(member.getKey(), MemberList.parseAddress(member.getValue()));
       }
       return addresses;
     }
 
-    GroupClient caller() throws IOException, FormatException {
-      return new GroupClient(group, addresses(), System.err::println);
+    GroupClient connect() throws IOException, FormatException {
+      return new GroupClient(groupName, addresses(), System.err::println);
     }
   }
 
-  /** Where a member lives. */
-  static final class Own {
+  /** Options of the member to which the subcommand applies. */
+  static final class MemberOptions {
     @Option(names = "--name", required = true, description = "This member's name.")
-    private String name;
+    private String memberName;
 
-    @Option(names = "--folder", required = true, description = "What it keeps; its own alone.")
+    @Option(
+        names = "--folder",
+        required = true,
+        description = "Folder of this member's log, used by no other process.")
     private Path folder;
 
     @Option(
         names = "--listen",
         required = true,
         paramLabel = "IP:PORT",
-        description = "Where it listens for the others: loopback, or the installation's network.")
-    private String listen;
+        description =
+            "Address on which this member listens for other members: loopback, or the"
+                + " installation's network.")
+    private String listenAddress;
 
     @Option(
         names = "--advertise",
         paramLabel = "IP:PORT",
-        description = "Where others find it (default: where it listens).")
-    private String advertise;
+        description = "Address at which other members reach this one (default: that of --listen).")
+    private String advertisedAddress;
 
-    MemberConfig place(Group group) throws FormatException {
+    MemberConfig toConfig(Group group) throws FormatException {
       return new MemberConfig(
-          group.group,
-          name,
+          group.groupName,
+          memberName,
           folder,
-          MemberList.parseAddress(listen),
-          advertise == null ? null : MemberList.parseAddress(advertise),
+          MemberList.parseAddress(listenAddress),
+          advertisedAddress == null ? null : MemberList.parseAddress(advertisedAddress),
           new TreeMap<>(group.addresses()));
     }
   }
 
-  interface Step {
+  /** The work of a subcommand; returns its exit code. */
+  interface Action {
     int run() throws IOException, FormatException, InterruptedException;
   }
 
-  /** What is wrong with what was asked for ends with 2, what went wrong with 1. */
-  static int told(String name, Step step) throws InterruptedException {
+  /**
+   * Runs a subcommand and prints its error, if any.
+   *
+   * @param subcommand the subcommand's name, for the message
+   * @return the exit code: 2 after invalid arguments, 1 after an I/O error, else the action's own
+   */
+  static int told(String subcommand, Action action) throws InterruptedException {
     try {
-      return step.run();
+      return action.run();
     } catch (FormatException | IllegalArgumentException e) {
-      System.err.println("cluster " + name + ": " + e.getMessage());
+      System.err.println("cluster " + subcommand + ": " + e.getMessage());
       return 2;
     } catch (IOException e) {
-      System.err.println("cluster " + name + ": " + e.getMessage());
+      System.err.println("cluster " + subcommand + ": " + e.getMessage());
       return 1;
     }
   }
 
-  /** The folder of one of those that begin a group. */
+  /** Creates the folder of an initial member. */
   @Command(
       name = "init",
-      description = "Makes the folder of a member with whom the group begins; once on each.",
+      description = "Creates the folder of an initial member; run once for each of them.",
       mixinStandardHelpOptions = true)
   static final class Init implements Callable<Integer> {
     @Mixin private Group group;
-    @Mixin private Own own;
+    @Mixin private MemberOptions options;
 
     @Override
     public Integer call() throws InterruptedException {
       return told(
           "init",
           () -> {
-            MemberFolder.initialize(own.place(group));
+            MemberFolder.initialize(options.toConfig(group));
             return 0;
           });
     }
   }
 
-  /** The folder of one that comes later. */
+  /** Creates the folder of a member that joins an existing group. */
   @Command(
       name = "join",
-      description = "Makes the folder of a new member, or of a machine that lost its own.",
+      description = "Creates the folder of a new member, or of one that replaces a lost machine.",
       mixinStandardHelpOptions = true)
   static final class Join implements Callable<Integer> {
     @Mixin private Group group;
-    @Mixin private Own own;
+    @Mixin private MemberOptions options;
 
     @Override
     public Integer call() throws InterruptedException {
       return told(
           "join",
           () -> {
-            MemberFolder.prepareJoin(own.place(group));
+            MemberFolder.prepareJoin(options.toConfig(group));
             return 0;
           });
     }
   }
 
-  /** A member by itself, without a node beside it. */
+  /** Runs a group member in this process, without a node. */
   @Command(
       name = "member",
-      description = "Runs a member until it is told to end.",
+      description = "Runs a member until the process is terminated.",
       mixinStandardHelpOptions = true)
   static final class Member implements Callable<Integer> {
     @Mixin private Group group;
-    @Mixin private Own own;
+    @Mixin private MemberOptions options;
 
     @Option(
         names = "--feed",
         paramLabel = "IP:PORT",
-        description = "Where nodes may follow this member (default: nowhere).")
-    private String feed;
+        description = "Address of the change feed for nodes (default: no feed).")
+    private String feedAddress;
 
     @Override
     public Integer call() throws InterruptedException {
       return told(
           "member",
           () -> {
-            CountDownLatch end = new CountDownLatch(1);
-            try (GroupMember member = new GroupMember(own.place(group), ClusterCommand::log)) {
-              if (feed != null) {
+            CountDownLatch terminationLatch = new CountDownLatch(1);
+            try (GroupMember member =
+                new GroupMember(options.toConfig(group), ClusterCommand::log)) {
+              if (feedAddress != null) {
                 System.err.println(
-                    "feeds on " + member.listenForSubscribers(MemberList.parseAddress(feed)));
+                    "change feed listens on "
+                        + member.listenForSubscribers(MemberList.parseAddress(feedAddress)));
               }
-              member.start(new Lines());
-              System.err.println("listens on " + member.address());
-              Runtime.getRuntime().addShutdownHook(new Thread(end::countDown));
-              end.await();
+              member.start(new GroupChangeLogger());
+              System.err.println("the member listens for other members on " + member.address());
+              Runtime.getRuntime().addShutdownHook(new Thread(terminationLatch::countDown));
+              terminationLatch.await();
             }
             return 0;
           });
     }
   }
 
-  /** A line for each change of the group. */
-  private static final class Lines implements RaftMember.Listener {
-    private String last = "";
+  /** Prints a line for each change of the term, the leader or the voting members. */
+  private static final class GroupChangeLogger implements RaftMember.Listener {
+    private String lastLine = "";
 
     @Override
     public void entryApplied(long index, byte[] body, Proposal proposal, CommandResult answer) {}
 
     @Override
-    public void snapshotInstalled(ReplicatedState.Snapshot image) {
-      System.err.println("caught up by a snapshot to entry " + image.index());
+    public void snapshotInstalled(ReplicatedState.Snapshot snapshot) {
+      System.err.println("the member installed a snapshot up to entry " + snapshot.index());
     }
 
     @Override
-    public void statusChanged(MemberStatus now) {
+    public void statusChanged(MemberStatus status) {
       String line =
           "group: term %d, leader %s, voting %s%s"
               .formatted(
-                  now.term(),
-                  now.leader(),
-                  now.votingMembers(),
-                  now.inactiveReason() == null ? "" : ", stepped aside: " + now.inactiveReason());
-      if (!line.equals(last)) {
-        last = line;
+                  status.term(),
+                  status.leader(),
+                  status.votingMembers(),
+                  status.inactiveReason() == null ? "" : ", inactive: " + status.inactiveReason());
+      if (!line.equals(lastLine)) {
+        lastLine = line;
         System.err.println(line);
       }
     }
   }
 
-  /** How the members see the group. */
+  /** Prints the status of the group as each member reports it. */
   @Command(
       name = "status",
-      description = "Tells how each member sees the group; ends with 1 if nobody leads.",
+      description = "Prints the group's status as each member sees it; exits with 1 if none leads.",
       mixinStandardHelpOptions = true)
   static final class Status implements Callable<Integer> {
     @Mixin private Group group;
@@ -248,103 +262,112 @@
       return told(
           "status",
           () -> {
-            boolean led = false;
-            try (GroupClient caller = group.caller()) {
+            boolean hasLeader = false;
+            try (GroupClient client = group.connect()) {
               for (String member : group.addresses().keySet()) {
-                led |= line(caller, member);
+                hasLeader |= printStatus(client, member);
               }
             }
-            return led ? 0 : 1;
+            return hasLeader ? 0 : 1;
           });
     }
 
-    private static boolean line(GroupClient caller, String member) throws InterruptedException {
+    /** Prints a member's status and returns whether it leads. */
+    private static boolean printStatus(GroupClient client, String member)
+        throws InterruptedException {
       try {
-        MemberStatus standing = standing(caller, member);
+        MemberStatus status = fetchStatus(client, member);
         System.out.printf(
             "%-12s %-9s term %-4d leader %-12s committed %-8d last %-8d voting %s%s%n",
             member,
-            standing.role(),
-            standing.term(),
-            standing.leader(),
-            standing.commitIndex(),
-            standing.lastLogIndex(),
-            standing.votingMembers(),
-            standing.inactiveReason() == null ? "" : "  ASIDE: " + standing.inactiveReason());
-        return standing.isLeader();
+            status.role(),
+            status.term(),
+            status.leader(),
+            status.commitIndex(),
+            status.lastLogIndex(),
+            status.votingMembers(),
+            status.inactiveReason() == null ? "" : "  INACTIVE: " + status.inactiveReason());
+        return status.isLeader();
       } catch (IOException e) {
         System.out.printf("%-12s no answer: %s%n", member, e.getMessage());
         return false;
       }
     }
 
-    /** The first question only opens the connection. */
-    private static MemberStatus standing(GroupClient caller, String member)
+    /**
+     * Requests a member's status up to 21 times: the first requests fail while the connection is
+     * being opened.
+     */
+    private static MemberStatus fetchStatus(GroupClient client, String member)
         throws IOException, InterruptedException {
       for (int i = 0; i < 20; i++) {
         try {
-          return caller.status(member);
+          return client.status(member);
         } catch (IOException e) {
           Thread.sleep(20);
         }
       }
-      return caller.status(member);
+      return client.status(member);
     }
   }
 
-  /** A word for all nodes. */
+  /** Excludes a cache server on all nodes, or includes it again. */
   @Command(
       name = "say",
-      description = "Leaves a cache server out for all nodes, or puts it back.",
+      description = "Excludes a cache server on all nodes, or includes it again.",
       mixinStandardHelpOptions = true)
-  static final class Say implements Callable<Integer> {
+  static final class ChangeExclusion implements Callable<Integer> {
     @Mixin private Group group;
 
     @Parameters(index = "0", paramLabel = "exclude|include")
-    private String word;
+    private String action;
 
-    @Parameters(index = "1", paramLabel = "SERVER", description = "Its id, as discovery has it.")
-    private String server;
+    @Parameters(index = "1", paramLabel = "SERVER", description = "The server's id in discovery.")
+    private String serverId;
 
     @Option(
         names = "--id",
         description =
-            "The same again gets the same answer, and no second effect (default: a new one).")
-    private String id = UUID.randomUUID().toString();
+            "Id of the proposal: a repeat gets the first answer and has no effect (default: a new"
+                + " id).")
+    private String proposalId = UUID.randomUUID().toString();
 
-    @Option(names = "--millis", description = "How long to wait (default: ${DEFAULT-VALUE}).")
-    private long millis = 3000;
+    @Option(
+        names = "--millis",
+        description = "Milliseconds to wait for the answer (default: ${DEFAULT-VALUE}).")
+    private long timeoutMillis = 3000;
 
     @Override
     public Integer call() throws InterruptedException {
       return told(
           "say",
           () -> {
-            if (!word.equals("exclude") && !word.equals("include")) {
-              throw new IllegalArgumentException("'" + word + "': say exclude or include");
+            if (!action.equals("exclude") && !action.equals("include")) {
+              throw new IllegalArgumentException(
+                  "unknown action '" + action + "', expected exclude or include");
             }
             Proposal proposal =
                 new Proposal(
-                    id,
+                    proposalId,
                     System.currentTimeMillis(),
-                    new StateCommand.SetExclusion(server, word.equals("exclude")));
-            try (GroupClient caller = group.caller()) {
-              CommandResult answer = caller.propose(proposal, null, millis);
+                    new StateCommand.SetExclusion(serverId, action.equals("exclude")));
+            try (GroupClient client = group.connect()) {
+              CommandResult answer = client.propose(proposal, null, timeoutMillis);
               System.out.println(answer.outcome().wireName() + " as entry " + answer.index());
               return answer.outcome() == CommandResult.Outcome.COMMITTED ? 0 : 1;
             } catch (IOException e) {
-              throw new IOException(e.getMessage() + "; ask again with --id " + id, e);
+              throw new IOException(e.getMessage() + "; to retry, pass --id " + proposalId, e);
             }
           });
     }
   }
 
-  /** What is held. */
+  /** Prints the excluded cache servers. */
   @Command(
       name = "held",
-      description = "Tells the cache servers that the group holds out.",
+      description = "Prints the cache servers that the group has excluded.",
       mixinStandardHelpOptions = true)
-  static final class Held implements Callable<Integer> {
+  static final class ListExclusions implements Callable<Integer> {
     @Mixin private Group group;
 
     @Override
@@ -352,32 +375,32 @@
       return told(
           "held",
           () -> {
-            try (GroupClient caller = group.caller()) {
-              caller.read(null, 3000).excludedServers().forEach(System.out::println);
+            try (GroupClient client = group.connect()) {
+              client.read(null, 3000).excludedServers().forEach(System.out::println);
             }
             return 0;
           });
     }
   }
 
-  /** A member leaves. */
+  /** Removes a member from the group. */
   @Command(
       name = "remove",
-      description = "Takes a member out of the group for good; its name is not used again.",
+      description = "Removes a member permanently; its name can't be used again.",
       mixinStandardHelpOptions = true)
   static final class Remove implements Callable<Integer> {
     @Mixin private Group group;
 
     @Parameters(index = "0", paramLabel = "NAME")
-    private String name;
+    private String memberName;
 
     @Override
     public Integer call() throws InterruptedException {
       return told(
           "remove",
           () -> {
-            try (GroupClient caller = group.caller()) {
-              caller.removeMember(name, 10_000);
+            try (GroupClient client = group.connect()) {
+              client.removeMember(memberName, 10_000);
             }
             return 0;
           });
--- a/cli/src/main/java/shalepaddle/cli/Embedded.java
+++ b/cli/src/main/java/shalepaddle/cli/Embedded.java
@@ -26,26 +26,45 @@
 import shalepaddle.testkit.Traffic;
 
 /**
- * A real node between stand-ins, all on loopback sockets of this process: cache servers in two
- * zones with their origin and discovery on one event loop, clients on another.
+ * A real node and stand-ins for its environment, connected by loopback sockets of this process:
+ * cache servers in two zones, their origin and discovery run on one event loop, clients on another.
  */
 final class Embedded implements AutoCloseable {
-  private static final int MAX_CONNECTIONS = 200;
-  private static final int GRACE_MILLIS = 250;
+  private static final int MAX_CLIENT_CONNECTIONS = 200;
+
+  /**
+   * How long after its deadline an answer may still reach its client, and how long after an answer
+   * a command that was sent before it may still reach a server.
+   */
+  private static final int MAX_LATENESS_MILLIS = 250;
+
   private static final long SEED = 20;
 
-  private final MultiThreadIoEventLoopGroup groups =
+  private final MultiThreadIoEventLoopGroup eventLoops =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final LoopbackTransport servers = LoopbackTransport.sockets(groups.next());
-  private final LoopbackTransport callers = LoopbackTransport.sockets(groups.next());
-  private final EffectLog ledger = new EffectLog();
+  private final LoopbackTransport serverTransport = LoopbackTransport.sockets(eventLoops.next());
+  private final LoopbackTransport clientTransport = LoopbackTransport.sockets(eventLoops.next());
+  private final EffectLog effectLog = new EffectLog();
   private final List<StandInServer> fleet = new ArrayList<>();
-  private final StandInOrigin origin = new StandInOrigin(servers, SEED, 16, 0.03);
-  private final StandInDiscovery discovery = new StandInDiscovery(servers);
+  private final StandInOrigin origin = new StandInOrigin(serverTransport, SEED, 16, 0.03);
+  private final StandInDiscovery discovery = new StandInDiscovery(serverTransport);
   private final StandInClients clients;
   private final Node node;
 
-  /** What can be read off it at one moment. */
+  /**
+   * Counts since the start and the servers' state at one moment.
+   *
+   * @param asked requests that were due
+   * @param served requests that were served successfully
+   * @param refused requests that were refused
+   * @param failed requests that failed
+   * @param unsent requests for which there was no connection
+   * @param hits reads that the servers answered from their caches
+   * @param misses reads that the servers could not answer from their caches
+   * @param fetches fetches from the origin
+   * @param latencies times to the answer in microseconds
+   * @param servers the state of each server
+   */
   record Sample(
       int asked,
       int served,
@@ -58,61 +77,78 @@
       Histogram latencies,
       List<Load> servers) {}
 
-  /** One server's part of a sample. */
+  /** State of one server and its numbers of requests in flight and of served requests. */
   record Load(String id, String state, int inFlight, int served) {}
 
-  /** Starts everything; a port of 0 is any that is free. */
-  Embedded(int size, Traffic traffic, int port)
+  /**
+   * Starts the stand-ins and the node.
+   *
+   * @param serverCount number of cache servers
+   * @param port on which the node listens; 0 for any free one
+   */
+  Embedded(int serverCount, Traffic traffic, int port)
       throws IOException, FormatException, InterruptedException, ExecutionException {
     ServerModel model = ServerModel.usual().working(4, 0.005).cold(0.12, 10, 3, 2);
     try {
-      on(
-          servers,
+      onLoop(
+          serverTransport,
           () -> {
-            for (int i = 0; i < size; i++) {
-              fleet(model, "s" + i);
+            for (int i = 0; i < serverCount; i++) {
+              createServer(model, "s" + i);
             }
             return null;
           });
       for (StandInServer server : List.copyOf(fleet)) {
         server.start().sync();
       }
-      on(
-          servers,
+      onLoop(
+          serverTransport,
           () -> {
-            fleet.forEach(server -> list(server, StandInDiscovery.State.ACTIVE, 0));
+            fleet.forEach(server -> publishState(server, StandInDiscovery.State.ACTIVE, 0));
             return null;
           });
       discovery.start().sync();
-      String list = on(servers, discovery::list);
+      String serverList = onLoop(serverTransport, discovery::list);
       node =
-          new Node(NodeConfig.parse(JsonObject.parse(config(port, list))), OperatorFile.DEFAULTS);
+          new Node(
+              NodeConfig.parse(JsonObject.parse(config(port, serverList))), OperatorFile.DEFAULTS);
       InetSocketAddress address = node.start();
-      clients = new StandInClients(callers, ledger, traffic, GRACE_MILLIS, MAX_CONNECTIONS, SEED);
-      on(
-          callers,
+      clients =
+          new StandInClients(
+              clientTransport,
+              effectLog,
+              traffic,
+              MAX_LATENESS_MILLIS,
+              MAX_CLIENT_CONNECTIONS,
+              SEED);
+      onLoop(
+          clientTransport,
           () -> {
             clients.add("node", address);
             return null;
           });
     } catch (IOException | FormatException | RuntimeException e) {
-      groups.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+      eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
       throw e;
     }
   }
 
-  private StandInServer fleet(ServerModel model, String id) {
+  /** Creates a server, which adds itself to the fleet. */
+  private StandInServer createServer(ServerModel model, String id) {
     String zone = fleet.size() % 2 == 0 ? "a" : "b";
-    return new StandInServer(servers, id, zone, model, origin, ledger, fleet, SEED + fleet.size());
+    return new StandInServer(
+        serverTransport, id, zone, model, origin, effectLog, fleet, SEED + fleet.size());
   }
 
-  private void list(StandInServer server, StandInDiscovery.State state, long startedMillis) {
+  /** Replaces the state and start time of a server in discovery's list. */
+  private void publishState(
+      StandInServer server, StandInDiscovery.State state, long startTimeMillis) {
     discovery.put(
         new StandInDiscovery.Member(
-            server.id(), server.address(), server.group(), 0, state, startedMillis));
+            server.id(), server.address(), server.group(), 0, state, startTimeMillis));
   }
 
-  private String config(int port, String list) {
+  private String config(int port, String serverList) {
     return """
         {"listen":"127.0.0.1:%d","discovery":"%s","seed":"14",
          "limits":{"memory_mb":192,"sockets":1024},"known":%s,
@@ -125,87 +161,95 @@
            {"name":"read","effect":"retryable","slo":0.75,"give-up":2,"credit":2,"late-share":0.3},
            {"name":"put","effect":"fragile","slo":0.3,"give-up":1,"credit":5,"late-share":0.3}]}}
         """
-        .formatted(port, discovery.address(), list);
+        .formatted(port, discovery.address(), serverList);
   }
 
-  private static <T> T on(LoopbackTransport wire, Callable<T> step)
+  /** Runs a task on the event loop of a transport and returns its result. */
+  private static <T> T onLoop(LoopbackTransport transport, Callable<T> task)
       throws InterruptedException, ExecutionException {
-    EventLoop loop = wire.loop();
-    return loop.submit(step).get();
+    EventLoop loop = transport.loop();
+    return loop.submit(task).get();
   }
 
-  /** Begins to ask, for so long. */
-  void run(long millis) {
-    callers.loop().execute(() -> clients.run(millis));
+  /** Lets the clients send requests for the given duration. */
+  void run(long durationMillis) {
+    clientTransport.loop().execute(() -> clients.run(durationMillis));
   }
 
-  /** Asks no more. */
+  /** Stops sending requests; those in flight continue. */
   void stop() {
-    callers.loop().execute(clients::stop);
+    clientTransport.loop().execute(clients::stop);
   }
 
-  /** Kills a server after so long; it comes back cold 3 s later. */
-  void kill(int which, long afterMillis) {
-    later(
+  /** Kills a server after a delay; the server restarts with a cold cache 3 s later. */
+  void kill(int serverIndex, long afterMillis) {
+    schedule(
         afterMillis,
         () -> {
-          StandInServer server = fleet.get(which % fleet.size());
+          StandInServer server = fleet.get(serverIndex % fleet.size());
           server.kill();
-          later(
+          schedule(
               3000,
               () ->
                   server
                       .startCold()
                       .addListener(
                           done ->
-                              list(
+                              publishState(
                                   server,
                                   StandInDiscovery.State.ACTIVE,
                                   System.currentTimeMillis())));
         });
   }
 
-  /** Drains a server after so long; it leaves 4 s later. */
-  void drain(int which, long afterMillis) {
-    later(
+  /** Starts draining a server after a delay; the server shuts down 4 s later. */
+  void drain(int serverIndex, long afterMillis) {
+    schedule(
         afterMillis,
         () -> {
-          StandInServer server = fleet.get(which % fleet.size());
-          list(server, StandInDiscovery.State.LEAVING, 0);
-          later(2500, server::drain);
-          later(
+          StandInServer server = fleet.get(serverIndex % fleet.size());
+          publishState(server, StandInDiscovery.State.LEAVING, 0);
+          schedule(2500, server::drain);
+          schedule(
               4000,
               () -> {
                 server.kill();
-                list(server, StandInDiscovery.State.LEFT, 0);
+                publishState(server, StandInDiscovery.State.LEFT, 0);
               });
         });
   }
 
-  /** Slows the origin down after so long, for so long. */
-  void slowOrigin(double times, long afterMillis, long millis) {
-    later(afterMillis, () -> origin.slowness(times));
-    later(afterMillis + millis, () -> origin.slowness(1));
+  /**
+   * Slows the origin down temporarily.
+   *
+   * @param slowdownFactor how many times as long each fetch takes
+   * @param afterMillis delay until the origin becomes slow
+   * @param durationMillis how long the origin stays slow
+   */
+  void slowOrigin(double slowdownFactor, long afterMillis, long durationMillis) {
+    schedule(afterMillis, () -> origin.slowness(slowdownFactor));
+    schedule(afterMillis + durationMillis, () -> origin.slowness(1));
   }
 
-  private void later(long millis, Runnable step) {
-    servers.loop().schedule(step, millis, TimeUnit.MILLISECONDS);
+  private void schedule(long delayMillis, Runnable task) {
+    serverTransport.loop().schedule(task, delayMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** How everything stands now. */
+  /** Returns the current counts and the state of each server. */
   Sample sample() throws InterruptedException, ExecutionException {
-    List<Load> loads =
-        on(
-            servers,
+    List<Load> serverSamples =
+        onLoop(
+            serverTransport,
             () ->
                 fleet.stream()
-                    .map(s -> new Load(s.id(), state(s), s.inFlight(), s.served()))
+                    .map(s -> new Load(s.id(), displayedState(s), s.inFlight(), s.served()))
                     .toList());
-    int hits = on(servers, () -> fleet.stream().mapToInt(StandInServer::hits).sum());
-    int misses = on(servers, () -> fleet.stream().mapToInt(StandInServer::misses).sum());
-    int fetches = on(servers, origin::fetches);
-    return on(
-        callers,
+    int hits = onLoop(serverTransport, () -> fleet.stream().mapToInt(StandInServer::hits).sum());
+    int misses =
+        onLoop(serverTransport, () -> fleet.stream().mapToInt(StandInServer::misses).sum());
+    int originFetches = onLoop(serverTransport, origin::fetches);
+    return onLoop(
+        clientTransport,
         () ->
             new Sample(
                 clients.asked(),
@@ -215,44 +259,51 @@
                 clients.unsent(),
                 hits,
                 misses,
-                fetches,
+                originFetches,
                 clients.latencies().copy(),
-                loads));
+                serverSamples));
   }
 
-  private String state(StandInServer server) {
+  /** Returns a server's state as it is printed: up, leaving or down. */
+  private String displayedState(StandInServer server) {
     return !server.running()
         ? "down"
         : discovery.member(server.id()).state() == StandInDiscovery.State.ACTIVE ? "up" : "leaving";
   }
 
-  /** Requests under way. */
+  /** Returns the number of requests in flight. */
   int open() throws InterruptedException, ExecutionException {
-    return on(callers, clients::open);
+    return onLoop(clientTransport, clients::open);
   }
 
-  /** What broke a rule, once nothing is under way. */
+  /**
+   * Returns all violations found: late, missing or wrong answers, writes executed more than once,
+   * commands that reached a server after their request's end, and overloaded cold servers. Call
+   * this method when no request is in flight.
+   */
   List<String> breaches() throws InterruptedException, ExecutionException {
-    // The servers' loop has written the ledger: what it did is seen from here on.
-    boolean fallen = on(servers, () -> fleet.stream().anyMatch(StandInServer::fallen));
-    List<String> breaches = new ArrayList<>();
-    if (fallen) {
-      breaches.add("a server was pushed over when it was cold");
+    // The servers record executed requests in the effect log on their event loop. Waiting for a
+    // task there makes these records visible to the check, which runs on the clients' event loop.
+    boolean hasServerCollapsed =
+        onLoop(serverTransport, () -> fleet.stream().anyMatch(StandInServer::fallen));
+    List<String> violations = new ArrayList<>();
+    if (hasServerCollapsed) {
+      violations.add("a cold server received more load than it can survive");
     }
-    breaches.addAll(
-        on(
-            callers,
+    violations.addAll(
+        onLoop(
+            clientTransport,
             () -> {
-              clients.check(TimeUnit.MILLISECONDS.toNanos(GRACE_MILLIS));
+              clients.check(TimeUnit.MILLISECONDS.toNanos(MAX_LATENESS_MILLIS));
               return List.copyOf(clients.breaches());
             }));
-    return breaches;
+    return violations;
   }
 
   @Override
   public void close() {
-    callers.loop().execute(clients::close);
+    clientTransport.loop().execute(clients::close);
     node.close();
-    groups.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+    eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
   }
 }
--- a/cli/src/main/java/shalepaddle/cli/FollowCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/FollowCommand.java
@@ -19,57 +19,62 @@
 import shalepaddle.replicatedstate.ReplicatedState;
 import shalepaddle.transport.ChangeFeedClient;
 
-/** Follows the members of a group as nodes do, and tells how far those are. */
+/** Subscribes to a group's change feed, as one or many nodes do, and prints the progress. */
 @Command(
     name = "follow",
-    description = "Follows a group as so many nodes, until it is told to end.",
+    description =
+        "Subscribes to a group's change feed, as one or many nodes would, until the process is"
+            + " terminated.",
     mixinStandardHelpOptions = true)
 final class FollowCommand implements Callable<Integer> {
-  private static final int MOST = 1000;
-  private static final long TELL_MILLIS = 200;
+  private static final int MAX_SUBSCRIBERS = 1000;
+  private static final long PRINT_INTERVAL_MILLIS = 200;
 
   @Mixin private ClusterCommand.Group group;
 
   @Option(
       names = "--name",
-      description = "Begins the followers' names (default: ${DEFAULT-VALUE}).")
-  private String name = "n";
+      description = "Prefix of the subscribers' names (default: ${DEFAULT-VALUE}).")
+  private String namePrefix = "n";
 
-  @Option(names = "--many", description = "How many follow, 1 to 1000 (default: ${DEFAULT-VALUE}).")
-  private int many = 1;
+  @Option(
+      names = "--many",
+      description = "Number of subscribers, 1 to 1000 (default: ${DEFAULT-VALUE}).")
+  private int subscriberCount = 1;
 
-  private final List<Follower> followers = new ArrayList<>();
-  private String last = "";
+  private final List<Subscriber> subscribers = new ArrayList<>();
+  private String lastLine = "";
 
-  /** One of them. */
-  private static final class Follower implements ChangeFeedClient.Listener {
+  /** A subscriber to the change feed; prints each entry index that is not above the last one. */
+  private static final class Subscriber implements ChangeFeedClient.Listener {
     private final String name;
-    private ChangeFeedClient link;
-    private long index;
+    private ChangeFeedClient client;
+    private long lastIndex;
 
-    Follower(String name) {
+    Subscriber(String name) {
       this.name = name;
     }
 
-    private void goesOn(long to) {
-      if (to <= index) {
-        System.out.println("BROKEN: " + name + " goes from " + index + " to " + to);
+    private void advance(long newIndex) {
+      if (newIndex <= lastIndex) {
+        System.out.println(
+            "OUT OF ORDER: " + name + " received entry " + newIndex + " after entry " + lastIndex);
       }
-      index = to;
+      lastIndex = newIndex;
     }
 
     @Override
-    public void entryApplied(long to, Proposal proposal, CommandResult answer) {
-      goesOn(to);
+    public void entryApplied(long entryIndex, Proposal proposal, CommandResult answer) {
+      advance(entryIndex);
     }
 
     @Override
-    public void snapshotInstalled(ReplicatedState.Snapshot image) {
-      goesOn(image.index());
+    public void snapshotInstalled(ReplicatedState.Snapshot snapshot) {
+      advance(snapshot.index());
     }
 
     @Override
-    public void contactChanged(boolean in) {}
+    public void contactChanged(boolean isInContact) {}
 
     @Override
     public void diagnostic(String text) {
@@ -82,49 +87,62 @@
     return ClusterCommand.told(
         "follow",
         () -> {
-          if (many < 1 || many > MOST) {
-            throw new IllegalArgumentException("--many is 1 to " + MOST + ", and not " + many);
+          if (subscriberCount < 1 || subscriberCount > MAX_SUBSCRIBERS) {
+            throw new IllegalArgumentException(
+                "--many is " + subscriberCount + ", expected 1 to " + MAX_SUBSCRIBERS);
           }
-          List<InetSocketAddress> members = List.copyOf(group.addresses().values());
-          MultiThreadIoEventLoopGroup loops =
+          List<InetSocketAddress> memberAddresses = List.copyOf(group.addresses().values());
+          MultiThreadIoEventLoopGroup eventLoops =
               new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-          EventLoop loop = loops.next();
-          CountDownLatch end = new CountDownLatch(1);
-          Runtime.getRuntime().addShutdownHook(new Thread(end::countDown));
-          for (int i = 0; i < many; i++) {
-            Follower follower = new Follower(name + i);
-            follower.link =
+          EventLoop loop = eventLoops.next();
+          CountDownLatch terminationLatch = new CountDownLatch(1);
+          Runtime.getRuntime().addShutdownHook(new Thread(terminationLatch::countDown));
+          for (int i = 0; i < subscriberCount; i++) {
+            Subscriber subscriber = new Subscriber(namePrefix + i);
+            subscriber.client =
                 new ChangeFeedClient(
-                    loop, group.name(), follower.name, members, System.nanoTime(), follower);
-            followers.add(follower);
+                    loop,
+                    group.name(),
+                    subscriber.name,
+                    memberAddresses,
+                    System.nanoTime(),
+                    subscriber);
+            subscribers.add(subscriber);
           }
-          loop.scheduleAtFixedRate(this::tell, TELL_MILLIS, TELL_MILLIS, TimeUnit.MILLISECONDS);
-          end.await();
-          loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+          loop.scheduleAtFixedRate(
+              this::printProgress,
+              PRINT_INTERVAL_MILLIS,
+              PRINT_INTERVAL_MILLIS,
+              TimeUnit.MILLISECONDS);
+          terminationLatch.await();
+          eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
           return 0;
         });
   }
 
-  /** A line for each change, five a second at the most. */
-  private void tell() {
-    long inContact = followers.stream().filter(follower -> follower.link.isInContact()).count();
-    long least =
-        followers.stream().mapToLong(follower -> follower.link.lastIndex()).min().orElse(0);
-    long most = followers.stream().mapToLong(follower -> follower.link.lastIndex()).max().orElse(0);
-    Set<List<String>> states = new HashSet<>();
-    followers.forEach(follower -> states.add(follower.link.snapshot().excludedServers()));
+  /** Prints the subscribers' progress if it has changed since the last line. */
+  private void printProgress() {
+    long subscribersInContact =
+        subscribers.stream().filter(subscriber -> subscriber.client.isInContact()).count();
+    long minIndex =
+        subscribers.stream().mapToLong(subscriber -> subscriber.client.lastIndex()).min().orElse(0);
+    long maxIndex =
+        subscribers.stream().mapToLong(subscriber -> subscriber.client.lastIndex()).max().orElse(0);
+    Set<List<String>> excludedServerLists = new HashSet<>();
+    subscribers.forEach(
+        subscriber -> excludedServerLists.add(subscriber.client.snapshot().excludedServers()));
     String line =
-        "%d of %d in contact, up to %d to %d, %s"
+        "%d of %d in contact, last entry %d to %d, %s"
             .formatted(
-                inContact,
-                followers.size(),
-                least,
-                most,
-                states.size() == 1
-                    ? states.iterator().next().size() + " servers out"
-                    : states.size() + " states");
-    if (!line.equals(last)) {
-      last = line;
+                subscribersInContact,
+                subscribers.size(),
+                minIndex,
+                maxIndex,
+                excludedServerLists.size() == 1
+                    ? excludedServerLists.iterator().next().size() + " servers excluded"
+                    : excludedServerLists.size() + " different states");
+    if (!line.equals(lastLine)) {
+      lastLine = line;
       System.out.println(line);
     }
   }
--- a/cli/src/main/java/shalepaddle/cli/Main.java
+++ b/cli/src/main/java/shalepaddle/cli/Main.java
@@ -16,11 +16,11 @@
 import shalepaddle.sim.SimHost;
 
 /**
- * The program's commands, with their help. Exit codes: 0 where all went well, 1 where something
- * that was tried failed, 2 where what was asked for makes no sense or a port is taken.
+ * The program's commands with their help. Exit codes: 0 after success, 1 after a failure during the
+ * run, 2 after invalid arguments or if a port is in use.
  *
- * <p>The deployed jar has a main class of its own, which knows three words and loads none of this:
- * a node has part of a core to start on.
+ * <p>The deployed jar has another main class, which knows three commands and loads none of these
+ * classes: a deployed node has only a fraction of a core, on which loading them would take long.
  */
 @Command(
     name = "shalepaddle",
@@ -37,25 +37,25 @@
       Main.Rehearse.class
     })
 public final class Main implements Callable<Integer> {
-  /** Former names of commands, which still work and which the help does not show. */
-  private static final Map<String, String> PRESENT_NAMES =
+  /** Former command names, which still work but are not shown in the help, and the current ones. */
+  private static final Map<String, String> CURRENT_NAME_BY_FORMER_NAME =
       Map.of("day", "simulate", "scale", "capacity");
 
   @Spec private CommandSpec spec;
 
   /** Runs the command that the arguments name. */
   public static void main(String[] args) {
-    System.exit(new CommandLine(new Main()).execute(withPresentName(args)));
+    System.exit(new CommandLine(new Main()).execute(withCurrentName(args)));
   }
 
-  /** The same arguments, with the command by its present name where a former one is given. */
-  private static String[] withPresentName(String[] args) {
-    if (args.length == 0 || !PRESENT_NAMES.containsKey(args[0])) {
+  /** Replaces a former command name by the current one. */
+  private static String[] withCurrentName(String[] args) {
+    if (args.length == 0 || !CURRENT_NAME_BY_FORMER_NAME.containsKey(args[0])) {
       return args;
     }
-    String[] renamed = args.clone();
-    renamed[0] = PRESENT_NAMES.get(args[0]);
-    return renamed;
+    String[] argsWithCurrentName = args.clone();
+    argsWithCurrentName[0] = CURRENT_NAME_BY_FORMER_NAME.get(args[0]);
+    return argsWithCurrentName;
   }
 
   @Override
@@ -64,7 +64,7 @@
     return CommandLine.ExitCode.USAGE;
   }
 
-  /** Tells the version that was built. */
+  /** Provides the version of the build. */
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() throws IOException {
@@ -76,28 +76,28 @@
     }
   }
 
-  /** The node that is deployed. */
+  /** Runs a node, as the deployed jar does. */
   @Command(
       name = "serve",
-      description = "Serves as the configuration says that ROUTER_CONFIG names.",
+      description = "Runs a node with the configuration file that ROUTER_CONFIG names.",
       mixinStandardHelpOptions = true)
   static final class Serve implements Callable<Integer> {
     @Option(
         names = "--operator",
         paramLabel = "FILE",
-        description = "What the operator sets, such as deploy/operator.toml.")
-    private String operator;
+        description = "File with the operator's settings, such as deploy/operator.toml.")
+    private String operatorSettingsFile;
 
     @Override
     public Integer call() throws InterruptedException {
-      return NodeProcess.serve(System.getenv("ROUTER_CONFIG"), operator);
+      return NodeProcess.serve(System.getenv("ROUTER_CONFIG"), operatorSettingsFile);
     }
   }
 
-  /** The adapter of the simulator. */
+  /** Runs the adapter for an external simulator. */
   @Command(
       name = "simhost",
-      description = "Decides for a simulator, on standard input and output.",
+      description = "Makes routing decisions for a simulator over standard input and output.",
       mixinStandardHelpOptions = true)
   static final class SimHostCommand implements Callable<Integer> {
     @Override
@@ -112,10 +112,12 @@
     }
   }
 
-  /** A start that serves nobody. */
+  /** Starts a node without servers and ends it. */
   @Command(
       name = "rehearse",
-      description = "Starts a node that knows no servers and ends it, as a build does.",
+      description =
+          "Starts a node without servers and ends it, so that the build can archive the loaded"
+              + " classes.",
       mixinStandardHelpOptions = true)
   static final class Rehearse implements Callable<Integer> {
     @Override
--- a/cli/src/main/java/shalepaddle/cli/SimulateCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/SimulateCommand.java
@@ -15,44 +15,48 @@
 import shalepaddle.simulation.ScenarioReport;
 import shalepaddle.simulation.ScenarioSimulation;
 
-/** Plays simulated scenarios and prints those in which a rule was violated or something leaked. */
+/** Runs simulated scenarios and prints the seeds, violations and leaks of those that fail. */
 @Command(
     name = "simulate",
     description =
-        "Plays simulated scenarios in virtual time, and prints the seeds of those that fail.",
+        "Runs simulated scenarios in virtual time, and prints the seeds of those that fail.",
     mixinStandardHelpOptions = true)
 final class SimulateCommand implements Callable<Integer> {
   @Option(
       names = "--seeds",
       paramLabel = "FROM..TO",
-      description = "Which scenarios (default: ${DEFAULT-VALUE}).",
+      description = "Range of scenario seeds (default: ${DEFAULT-VALUE}).",
       defaultValue = "1..100",
-      converter = Range.Converter.class)
-  private Range seeds;
+      converter = SeedRange.Converter.class)
+  private SeedRange seeds;
 
   @Option(
       names = "--seconds",
-      description = "Virtual seconds for which clients ask (default: ${DEFAULT-VALUE}).",
+      description =
+          "Virtual seconds during which clients send requests (default: ${DEFAULT-VALUE}).",
       defaultValue = "20")
-  private int seconds;
+  private int loadSeconds;
 
   @Option(
       names = "--threads",
-      description = "Scenarios played at once (default: one less than there are processors).")
-  private int threads = Math.max(1, Runtime.getRuntime().availableProcessors() - 1);
+      description = "Scenarios run in parallel (default: one less than the number of processors).")
+  private int threadCount = Math.max(1, Runtime.getRuntime().availableProcessors() - 1);
 
-  @Option(names = "--join", description = "Coalesce equal reads; few keys are requested then.")
-  private boolean joining;
+  @Option(
+      names = "--join",
+      description = "Coalesce reads of the same key, and send requests for few keys only.")
+  private boolean coalescesReads;
 
   @Option(
       names = "--crossing",
-      description = "Several faults at almost the same moment, in ever other deployments.")
-  private boolean crossing;
+      description =
+          "Inject several faults at almost the same time, in a deployment drawn from the seed.")
+  private boolean hasOverlappingFaults;
 
   @Option(
       names = "--all",
-      description = "Print a line for each scenario, also for those that pass.")
-  private boolean all;
+      description = "Print a line for each scenario, not only for those that fail.")
+  private boolean printsAll;
 
   private final PrintStream out;
 
@@ -64,81 +68,90 @@
     this.out = out;
   }
 
-  /** Seeds from one to another. */
-  record Range(long from, long to) {
-    static final class Converter implements ITypeConverter<Range> {
+  /** An inclusive range of seeds. */
+  record SeedRange(long firstSeed, long lastSeed) {
+    static final class Converter implements ITypeConverter<SeedRange> {
       @Override
-      public Range convert(String text) {
-        String[] ends = text.split("\\.\\.", -1);
+      public SeedRange convert(String text) {
+        String[] bounds = text.split("\\.\\.", -1);
         try {
-          Range range = new Range(Long.parseLong(ends[0]), Long.parseLong(ends[ends.length - 1]));
-          if (ends.length <= 2 && range.from <= range.to) {
+          SeedRange range =
+              new SeedRange(
+                  Long.parseLong(bounds[0]), Long.parseLong(bounds[bounds.length - 1]));
+          if (bounds.length <= 2 && range.firstSeed <= range.lastSeed) {
             return range;
           }
         } catch (NumberFormatException e) {
-          // Told below.
+          // Text without a number is rejected below, like an empty range.
         }
-        throw new TypeConversionException("'" + text + "' is no seed and no range such as 1..1000");
+        throw new TypeConversionException(
+            "'" + text + "' is neither a seed nor a range such as 1..1000");
       }
     }
   }
 
   @Override
   public Integer call() throws Exception {
-    long began = System.nanoTime();
-    ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, threads));
-    var played = new ExecutorCompletionService<ScenarioReport>(pool);
-    List<Long> failing = new ArrayList<>();
-    long asked = 0;
-    long served = 0;
-    long shared = 0;
-    long days = seeds.to() - seeds.from() + 1;
+    long startedAtNanos = System.nanoTime();
+    ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, threadCount));
+    var completionService = new ExecutorCompletionService<ScenarioReport>(pool);
+    List<Long> failingSeeds = new ArrayList<>();
+    long requests = 0;
+    long servedRequests = 0;
+    long sharedAnswers = 0;
+    long scenarioCount = seeds.lastSeed() - seeds.firstSeed() + 1;
     try {
-      long next = seeds.from();
-      for (long i = 1; i <= days; i++) {
-        // A few ahead of those that are played: a range may be long.
-        for (; next <= seeds.to() && next - seeds.from() < i + 2L * threads; next++) {
-          ScenarioPlan drawn =
-              crossing
-                  ? ScenarioPlan.crossing(next, seconds * 1000L)
-                  : ScenarioPlan.of(next, seconds * 1000L);
-          ScenarioPlan plan = joining ? drawn.joined() : drawn;
-          played.submit(() -> ScenarioSimulation.play(plan));
+      long nextSeed = seeds.firstSeed();
+      for (long i = 1; i <= scenarioCount; i++) {
+        // Queues only a few scenarios ahead of the running ones, since a range may be long.
+        for (;
+            nextSeed <= seeds.lastSeed() && nextSeed - seeds.firstSeed() < i + 2L * threadCount;
+            nextSeed++) {
+          ScenarioPlan drawnPlan =
+              hasOverlappingFaults
+                  ? ScenarioPlan.crossing(nextSeed, loadSeconds * 1000L)
+                  : ScenarioPlan.of(nextSeed, loadSeconds * 1000L);
+          ScenarioPlan plan = coalescesReads ? drawnPlan.joined() : drawnPlan;
+          completionService.submit(() -> ScenarioSimulation.play(plan));
         }
-        ScenarioReport report = played.take().get();
-        asked += report.asked();
-        served += report.served();
-        shared += report.shared();
+        ScenarioReport report = completionService.take().get();
+        requests += report.asked();
+        servedRequests += report.served();
+        sharedAnswers += report.shared();
         if (!report.good()) {
-          failing.add(report.plan().seed());
+          failingSeeds.add(report.plan().seed());
         }
-        if (all || !report.good()) {
+        if (printsAll || !report.good()) {
           print(report);
         }
-        if (i % 50 == 0 || i == days) {
-          System.err.printf("%d of %d days, %d failing%n", i, days, failing.size());
+        if (i % 50 == 0 || i == scenarioCount) {
+          System.err.printf(
+              "%d of %d scenarios, %d failing%n", i, scenarioCount, failingSeeds.size());
         }
       }
     } finally {
       pool.shutdownNow();
     }
     out.printf(
-        "%d days of %d s, %d requests, %.1f%% served%s, %d failing%s, %.1f s%n",
-        days,
-        seconds,
-        asked,
-        100.0 * served / Math.max(1, asked),
-        joining ? " (%.1f%% by another's try)".formatted(100.0 * shared / Math.max(1, asked)) : "",
-        failing.size(),
-        failing.isEmpty() ? "" : ": seeds " + failing,
-        (System.nanoTime() - began) / 1e9);
-    return failing.isEmpty() ? 0 : 1;
+        "%d scenarios of %d s, %d requests, %.1f%% served%s, %d failing%s, %.1f s%n",
+        scenarioCount,
+        loadSeconds,
+        requests,
+        100.0 * servedRequests / Math.max(1, requests),
+        coalescesReads
+            ? " (%.1f%% with the answer to another request)"
+                .formatted(100.0 * sharedAnswers / Math.max(1, requests))
+            : "",
+        failingSeeds.size(),
+        failingSeeds.isEmpty() ? "" : ": seeds " + failingSeeds,
+        (System.nanoTime() - startedAtNanos) / 1e9);
+    return failingSeeds.isEmpty() ? 0 : 1;
   }
 
   private void print(ScenarioReport report) {
     ScenarioPlan plan = report.plan();
     out.printf(
-        "seed %d: %d servers, %d nodes, %d asked, %d served, %d refused, %d failed, p99 %d ms%n",
+        "seed %d: %d servers, %d nodes, %d requests, %d served, %d refused, %d failed, p99 %d ms%n",
         plan.seed(),
         plan.servers(),
         plan.nodes(),
@@ -149,7 +162,7 @@
         report.p99Micros() / 1000);
     if (!report.good()) {
       out.println("  " + plan);
-      report.breaches().forEach(breach -> out.println("  " + breach));
+      report.breaches().forEach(violation -> out.println("  " + violation));
     }
   }
 }
--- a/cli/src/main/java/shalepaddle/cli/TryCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/TryCommand.java
@@ -19,44 +19,49 @@
 import picocli.CommandLine.Spec;
 import shalepaddle.testkit.Traffic;
 
-/** A first look: a real node among stand-ins, under load, with trouble on demand. */
+/** Runs a demo: a real node between stand-ins, under load, with optional faults. */
 @Command(
     name = "try",
     description = {
       "Runs a real node on loopback between stand-in cache servers, their origin, discovery and"
-          + " clients, and shows each second how it fares.",
-      "Nothing has to be configured. Ctrl-C ends it, with the table."
+          + " clients, and prints a line of results each second.",
+      "The command needs no configuration. Ctrl-C ends it and prints the summary."
     },
     mixinStandardHelpOptions = true)
 final class TryCommand implements Callable<Integer> {
-  /** A server with so many requests in flight has a full bar. */
-  private static final int FULL_BAR = 16;
+  /** Number of requests in flight at which a server's bar is full. */
+  private static final int FULL_BAR_REQUESTS = 16;
 
-  private static final String BARS = " \u2581\u2582\u2583\u2584\u2585\u2586\u2587\u2588";
+  private static final String BAR_CHARACTERS = " \u2581\u2582\u2583\u2584\u2585\u2586\u2587\u2588";
 
-  /** Each is remembered to the end, for the check of the rules. */
+  /** Limits memory: each request is stored until the answers are checked at the end. */
   private static final int MAX_REQUESTS = 1_000_000;
 
-  private static final long SETTLE_MILLIS = 4000;
+  /** Limit on the wait for requests in flight after the load has stopped. */
+  private static final long MAX_COMPLETION_WAIT_MILLIS = 4000;
 
-  @Option(names = "--seconds", description = "How long (default: ${DEFAULT-VALUE}).")
-  private int seconds = 30;
+  @Option(
+      names = "--seconds",
+      description = "Duration of the load in seconds (default: ${DEFAULT-VALUE}).")
+  private int loadSeconds = 30;
 
-  @Option(names = "--rate", description = "Requests a second (default: ${DEFAULT-VALUE}).")
-  private double rate = 300;
+  @Option(names = "--rate", description = "Requests per second (default: ${DEFAULT-VALUE}).")
+  private double requestsPerSecond = 300;
 
   @Option(names = "--servers", description = "Cache servers (default: ${DEFAULT-VALUE}).")
-  private int servers = 8;
+  private int serverCount = 8;
 
-  @Option(names = "--keys", description = "Different keys (default: ${DEFAULT-VALUE}).")
-  private int keys = 5000;
+  @Option(names = "--keys", description = "Number of keys (default: ${DEFAULT-VALUE}).")
+  private int keyCount = 5000;
 
   @Option(
       names = "--skew",
-      description = "Exponent of Zipf's law by which keys are drawn (default: ${DEFAULT-VALUE}).")
-  private double skew = 1;
+      description = "Exponent of the Zipf distribution of keys (default: ${DEFAULT-VALUE}).")
+  private double zipfExponent = 1;
 
-  @Option(names = "--port", description = "Where the node listens (default: any free port).")
+  @Option(
+      names = "--port",
+      description = "Port on which the node listens (default: any free port).")
   private int port;
 
   @Option(
@@ -64,80 +69,94 @@
       paramLabel = "SECOND",
       arity = "0..1",
       fallbackValue = "-1",
-      description = "Kill a server then (default: after a third); it comes back cold 3 s later.")
-  private Integer kill;
+      description =
+          "Second at which to kill a server (default: after a third of the time); it restarts cold"
+              + " 3 s later.")
+  private Integer killSecond;
 
   @Option(
       names = "--drain",
       paramLabel = "SECOND",
       arity = "0..1",
       fallbackValue = "-1",
-      description = "Drain a server then (default: after a third); it leaves 4 s later.")
-  private Integer drain;
+      description =
+          "Second at which to drain a server (default: after a third of the time); it shuts down"
+              + " 4 s later.")
+  private Integer drainSecond;
 
   @Option(
       names = "--slow-origin",
       paramLabel = "SECOND",
       arity = "0..1",
       fallbackValue = "-1",
-      description = "Slow the origin down fivefold then (default: after a third), for a third.")
-  private Integer slowOrigin;
+      description =
+          "Second from which the origin takes five times as long, for a third of the time (default:"
+              + " after a third of the time).")
+  private Integer slowOriginSecond;
 
-  @Option(names = "--json", description = "Print JSON lines instead.")
-  private boolean json;
+  @Option(names = "--json", description = "Print JSON lines instead of text.")
+  private boolean printsJson;
 
   @Spec private CommandSpec spec;
 
-  private final CountDownLatch stop = new CountDownLatch(1);
-  private final CountDownLatch finished = new CountDownLatch(1);
+  private final CountDownLatch stopLatch = new CountDownLatch(1);
+  private final CountDownLatch summaryLatch = new CountDownLatch(1);
   private volatile int exitCode;
 
   @Override
   public Integer call() throws Exception {
-    require(seconds > 0 && seconds <= 86_400, "--seconds: from 1 to 86400");
-    require(rate > 0 && rate <= 100_000, "--rate: above 0, up to 100000");
-    require(seconds * rate <= MAX_REQUESTS, "--seconds times --rate: up to " + MAX_REQUESTS);
-    require(servers > 0 && servers <= 64, "--servers: from 1 to 64");
-    require(keys > 0, "--keys: from 1 on");
-    require(skew >= 0, "--skew: from 0 on");
-    require(port >= 0 && port < 1 << 16, "--port: from 0 to 65535");
+    requireArgument(loadSeconds > 0 && loadSeconds <= 86_400, "--seconds must be from 1 to 86400");
+    requireArgument(
+        requestsPerSecond > 0 && requestsPerSecond <= 100_000,
+        "--rate must be above 0 and at most 100000");
+    requireArgument(
+        loadSeconds * requestsPerSecond <= MAX_REQUESTS,
+        "--seconds times --rate must be at most " + MAX_REQUESTS);
+    requireArgument(serverCount > 0 && serverCount <= 64, "--servers must be from 1 to 64");
+    requireArgument(keyCount > 0, "--keys must be at least 1");
+    requireArgument(zipfExponent >= 0, "--skew must be at least 0");
+    requireArgument(port >= 0 && port < 1 << 16, "--port must be from 0 to 65535");
     Traffic traffic =
         new Traffic(
-            rate,
-            keys,
-            skew,
+            requestsPerSecond,
+            keyCount,
+            zipfExponent,
             List.of(
                 new Traffic.RequestClass("read", 0.93, false, false, 2000, 0),
                 new Traffic.RequestClass("put", 0.07, true, false, 1000, 64)),
             0);
     Embedded embedded;
     try {
-      embedded = new Embedded(servers, traffic, port);
+      embedded = new Embedded(serverCount, traffic, port);
     } catch (IOException e) {
       System.err.println("try: cannot listen on 127.0.0.1:" + port + ": " + e.getMessage());
       return 2;
     }
-    Thread hook = new Thread(this::interrupted, "stop");
-    Runtime.getRuntime().addShutdownHook(hook);
+    Thread shutdownHook = new Thread(this::awaitSummary, "stop");
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     try (embedded) {
-      exitCode = watch(embedded);
+      exitCode = runAndPrint(embedded);
     } finally {
-      finished.countDown();
+      summaryLatch.countDown();
     }
     return exitCode;
   }
 
-  private void require(boolean holds, String what) {
-    if (!holds) {
-      throw new ParameterException(spec.commandLine(), what);
+  private void requireArgument(boolean isValid, String message) {
+    if (!isValid) {
+      throw new ParameterException(spec.commandLine(), message);
     }
   }
 
-  /** Ctrl-C, or the end of the program: lets the table be printed, and ends with its exit code. */
-  private void interrupted() {
-    stop.countDown();
+  /**
+   * Shutdown hook: after Ctrl-C, stops the load and waits until the summary is printed, then exits
+   * with the run's exit code.
+   */
+  private void awaitSummary() {
+    stopLatch.countDown();
     try {
-      if (finished.getCount() > 0 && finished.await(2 * SETTLE_MILLIS, TimeUnit.MILLISECONDS)) {
+      if (summaryLatch.getCount() > 0
+          && summaryLatch.await(2 * MAX_COMPLETION_WAIT_MILLIS, TimeUnit.MILLISECONDS)) {
         System.out.flush();
         Runtime.getRuntime().halt(exitCode);
       }
@@ -146,92 +165,132 @@
     }
   }
 
-  private long millis(int second) {
-    return 1000L * (second >= 0 ? second : Math.max(1, seconds / 3));
+  /**
+   * Returns the delay from the start of the load to a fault.
+   *
+   * @param second the second given by the option; a negative one stands for a third of the load
+   */
+  private long faultDelayMillis(int second) {
+    return 1000L * (second >= 0 ? second : Math.max(1, loadSeconds / 3));
   }
 
-  private int watch(Embedded embedded) throws Exception {
+  private int runAndPrint(Embedded embedded) throws Exception {
     PrintStream out = new PrintStream(System.out, true, StandardCharsets.UTF_8);
-    if (kill != null) {
-      embedded.kill(1, millis(kill));
+    if (killSecond != null) {
+      embedded.kill(1, faultDelayMillis(killSecond));
     }
-    if (drain != null) {
-      embedded.drain(2, millis(drain));
+    if (drainSecond != null) {
+      embedded.drain(2, faultDelayMillis(drainSecond));
     }
-    if (slowOrigin != null) {
-      embedded.slowOrigin(5, millis(slowOrigin), Math.max(1000, 1000L * seconds / 3));
+    if (slowOriginSecond != null) {
+      embedded.slowOrigin(
+          5, faultDelayMillis(slowOriginSecond), Math.max(1000, 1000L * loadSeconds / 3));
     }
-    embedded.run(1000L * seconds);
-    Embedded.Sample before = embedded.sample();
-    for (int second = 1; second <= seconds; second++) {
-      if (stop.await(1, TimeUnit.SECONDS)) {
+    embedded.run(1000L * loadSeconds);
+    Embedded.Sample previousSample = embedded.sample();
+    for (int second = 1; second <= loadSeconds; second++) {
+      if (stopLatch.await(1, TimeUnit.SECONDS)) {
         break;
       }
-      Embedded.Sample now = embedded.sample();
-      out.println(json ? line(second, before, now) : text(second, before, now));
-      before = now;
+      Embedded.Sample currentSample = embedded.sample();
+      out.println(
+          printsJson
+              ? formatSecondAsJson(second, previousSample, currentSample)
+              : formatSecondAsText(second, previousSample, currentSample));
+      previousSample = currentSample;
     }
-    return end(embedded, out);
+    return stopAndSummarize(embedded, out);
   }
 
-  private int end(Embedded embedded, PrintStream out) throws Exception {
+  private int stopAndSummarize(Embedded embedded, PrintStream out) throws Exception {
     embedded.stop();
-    for (long left = SETTLE_MILLIS; left > 0 && embedded.open() > 0; left -= 20) {
+    for (long remainingMillis = MAX_COMPLETION_WAIT_MILLIS;
+        remainingMillis > 0 && embedded.open() > 0;
+        remainingMillis -= 20) {
       TimeUnit.MILLISECONDS.sleep(20);
     }
-    List<String> breaches = embedded.breaches();
-    Embedded.Sample all = embedded.sample();
-    out.println(json ? summaryLine(all, breaches) : summary(all, breaches));
-    return breaches.isEmpty() ? 0 : 1;
+    List<String> violations = embedded.breaches();
+    Embedded.Sample finalSample = embedded.sample();
+    out.println(
+        printsJson
+            ? formatSummaryAsJson(finalSample, violations)
+            : formatSummaryAsText(finalSample, violations));
+    return violations.isEmpty() ? 0 : 1;
   }
 
-  private static double share(int part, int whole) {
-    return whole == 0 ? 0 : 100.0 * part / whole;
+  private static double percent(int part, int total) {
+    return total == 0 ? 0 : 100.0 * part / total;
   }
 
-  private static Histogram since(Embedded.Sample before, Embedded.Sample now) {
-    Histogram latencies = now.latencies().copy();
-    latencies.subtract(before.latencies());
+  private static Histogram latenciesSince(
+      Embedded.Sample previousSample, Embedded.Sample currentSample) {
+    Histogram latencies = currentSample.latencies().copy();
+    latencies.subtract(previousSample.latencies());
     return latencies;
   }
 
-  private static String text(int second, Embedded.Sample before, Embedded.Sample now) {
-    Histogram latencies = since(before, now);
-    int hits = now.hits() - before.hits();
+  private static String formatSecondAsText(
+      int second, Embedded.Sample previousSample, Embedded.Sample currentSample) {
+    Histogram latencies = latenciesSince(previousSample, currentSample);
+    int hits = currentSample.hits() - previousSample.hits();
     StringBuilder bars = new StringBuilder();
-    for (Embedded.Load load : now.servers()) {
-      int height = Math.min(BARS.length() - 1, load.inFlight() * (BARS.length() - 1) / FULL_BAR);
+    for (Embedded.Load server : currentSample.servers()) {
+      int barLevel =
+          Math.min(
+              BAR_CHARACTERS.length() - 1,
+              server.inFlight() * (BAR_CHARACTERS.length() - 1) / FULL_BAR_REQUESTS);
       bars.append(
-          load.state().equals("down")
+          server.state().equals("down")
               ? 'x'
-              : load.inFlight() > 0 && height == 0 ? BARS.charAt(1) : BARS.charAt(height));
+              : server.inFlight() > 0 && barLevel == 0
+                  ? BAR_CHARACTERS.charAt(1)
+                  : BAR_CHARACTERS.charAt(barLevel));
     }
     return String.format(
         Locale.ROOT,
         "%4d s  offered %5d/s  served %5d/s  hits %3.0f%%  p50 %6.1f ms  p99 %6.1f ms"
             + "  refused %4d  failed %4d  [%s]",
         second,
-        now.asked() - before.asked(),
-        now.served() - before.served(),
-        share(hits, hits + now.misses() - before.misses()),
+        currentSample.asked() - previousSample.asked(),
+        currentSample.served() - previousSample.served(),
+        percent(hits, hits + currentSample.misses() - previousSample.misses()),
         latencies.getValueAtPercentile(50) / 1e3,
         latencies.getValueAtPercentile(99) / 1e3,
-        now.refused() - before.refused(),
-        now.failed() - before.failed(),
+        currentSample.refused() - previousSample.refused(),
+        currentSample.failed() - previousSample.failed(),
         bars);
   }
 
-  private static String summary(Embedded.Sample all, List<String> breaches) {
+  private static String formatSummaryAsText(Embedded.Sample finalSample, List<String> violations) {
     StringBuilder table = new StringBuilder("\n");
-    row(table, "offered", "%d", all.asked());
-    row(table, "served", "%d  (%.2f%%)", all.served(), share(all.served(), all.asked()));
-    row(table, "refused", "%d  (%.2f%%)", all.refused(), share(all.refused(), all.asked()));
-    row(table, "failed", "%d  (%.2f%%)", all.failed(), share(all.failed(), all.asked()));
-    row(table, "no connection", "%d", all.unsent());
-    row(table, "hits", "%.1f%% of reads", share(all.hits(), all.hits() + all.misses()));
-    row(table, "origin fetches", "%d", all.fetches());
-    Histogram latencies = all.latencies();
-    row(
+    appendRow(table, "offered", "%d", finalSample.asked());
+    appendRow(
+        table,
+        "served",
+        "%d  (%.2f%%)",
+        finalSample.served(),
+        percent(finalSample.served(), finalSample.asked()));
+    appendRow(
+        table,
+        "refused",
+        "%d  (%.2f%%)",
+        finalSample.refused(),
+        percent(finalSample.refused(), finalSample.asked()));
+    appendRow(
+        table,
+        "failed",
+        "%d  (%.2f%%)",
+        finalSample.failed(),
+        percent(finalSample.failed(), finalSample.asked()));
+    appendRow(table, "no connection", "%d", finalSample.unsent());
+    appendRow(
+        table,
+        "hits",
+        "%.1f%% of reads",
+        percent(finalSample.hits(), finalSample.hits() + finalSample.misses()));
+    appendRow(table, "origin fetches", "%d", finalSample.fetches());
+    Histogram latencies = finalSample.latencies();
+    appendRow(
         table,
         "latency",
         "p50 %.1f ms, p90 %.1f ms, p99 %.1f ms, max %.1f ms",
@@ -239,35 +298,36 @@
         latencies.getValueAtPercentile(90) / 1e3,
         latencies.getValueAtPercentile(99) / 1e3,
         latencies.getMaxValue() / 1e3);
-    for (Embedded.Load load : all.servers()) {
-      row(table, load.id(), "%d served, %s", load.served(), load.state());
+    for (Embedded.Load server : finalSample.servers()) {
+      appendRow(table, server.id(), "%d served, %s", server.served(), server.state());
     }
-    row(table, "rules broken", "%d", breaches.size());
-    breaches.forEach(breach -> table.append("  ").append(breach).append('\n'));
+    appendRow(table, "rules broken", "%d", violations.size());
+    violations.forEach(violation -> table.append("  ").append(violation).append('\n'));
     return table.toString().stripTrailing();
   }
 
-  private static void row(StringBuilder table, String name, String format, Object... values) {
+  private static void appendRow(StringBuilder table, String name, String format, Object... values) {
     table.append(String.format(Locale.ROOT, "%-16s", name));
     table.append(String.format(Locale.ROOT, format, values)).append('\n');
   }
 
-  private static String line(int second, Embedded.Sample before, Embedded.Sample now)
+  private static String formatSecondAsJson(
+      int second, Embedded.Sample previousSample, Embedded.Sample currentSample)
       throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator line = new JsonFactory().createGenerator(text)) {
       line.writeStartObject();
       line.writeNumberField("second", second);
-      line.writeNumberField("offered", now.asked() - before.asked());
-      line.writeNumberField("served", now.served() - before.served());
-      line.writeNumberField("refused", now.refused() - before.refused());
-      line.writeNumberField("failed", now.failed() - before.failed());
-      line.writeNumberField("hits", now.hits() - before.hits());
-      line.writeNumberField("misses", now.misses() - before.misses());
-      latencies(line, since(before, now));
+      line.writeNumberField("offered", currentSample.asked() - previousSample.asked());
+      line.writeNumberField("served", currentSample.served() - previousSample.served());
+      line.writeNumberField("refused", currentSample.refused() - previousSample.refused());
+      line.writeNumberField("failed", currentSample.failed() - previousSample.failed());
+      line.writeNumberField("hits", currentSample.hits() - previousSample.hits());
+      line.writeNumberField("misses", currentSample.misses() - previousSample.misses());
+      writeLatencies(line, latenciesSince(previousSample, currentSample));
       line.writeObjectFieldStart("in_flight");
-      for (Embedded.Load load : now.servers()) {
-        line.writeNumberField(load.id(), load.inFlight());
+      for (Embedded.Load server : currentSample.servers()) {
+        line.writeNumberField(server.id(), server.inFlight());
       }
       line.writeEndObject();
       line.writeEndObject();
@@ -275,23 +335,24 @@
     return text.toString();
   }
 
-  private static String summaryLine(Embedded.Sample all, List<String> breaches) throws IOException {
+  private static String formatSummaryAsJson(Embedded.Sample finalSample, List<String> violations)
+      throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator line = new JsonFactory().createGenerator(text)) {
       line.writeStartObject();
       line.writeObjectFieldStart("summary");
-      line.writeNumberField("offered", all.asked());
-      line.writeNumberField("served", all.served());
-      line.writeNumberField("refused", all.refused());
-      line.writeNumberField("failed", all.failed());
-      line.writeNumberField("no_connection", all.unsent());
-      line.writeNumberField("hits", all.hits());
-      line.writeNumberField("misses", all.misses());
-      line.writeNumberField("origin_fetches", all.fetches());
-      latencies(line, all.latencies());
+      line.writeNumberField("offered", finalSample.asked());
+      line.writeNumberField("served", finalSample.served());
+      line.writeNumberField("refused", finalSample.refused());
+      line.writeNumberField("failed", finalSample.failed());
+      line.writeNumberField("no_connection", finalSample.unsent());
+      line.writeNumberField("hits", finalSample.hits());
+      line.writeNumberField("misses", finalSample.misses());
+      line.writeNumberField("origin_fetches", finalSample.fetches());
+      writeLatencies(line, finalSample.latencies());
       line.writeArrayFieldStart("rules_broken");
-      for (String breach : breaches) {
-        line.writeString(breach);
+      for (String violation : violations) {
+        line.writeString(violation);
       }
       line.writeEndArray();
       line.writeEndObject();
@@ -300,7 +361,7 @@
     return text.toString();
   }
 
-  private static void latencies(JsonGenerator line, Histogram latencies) throws IOException {
+  private static void writeLatencies(JsonGenerator line, Histogram latencies) throws IOException {
     line.writeNumberField("p50_ms", latencies.getValueAtPercentile(50) / 1e3);
     line.writeNumberField("p99_ms", latencies.getValueAtPercentile(99) / 1e3);
   }
--- a/cli/src/main/java/shalepaddle/cli/package-info.java
+++ b/cli/src/main/java/shalepaddle/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line for people: arguments, what is shown while one watches, exit codes. */
+/** The interactive command line: arguments, progress output, exit codes. */
 package shalepaddle.cli;
--- a/cli/src/test/java/shalepaddle/cli/ChangeFeedIT.java
+++ b/cli/src/test/java/shalepaddle/cli/ChangeFeedIT.java
@@ -26,71 +26,88 @@
 import shalepaddle.testkit.FaultyLink;
 
 /**
- * A group of three members and its followers as processes of the program: members killed and
- * stopped, followers stopped, and the links between them lost, cut and delayed by a seed, while
- * words are agreed on. {@code -Dfeed.runs=20} plays more.
+ * Runs a group of three members and its subscribers as processes of the program. While commands are
+ * committed, a member is killed, subscribers are stopped by signals, and the links between members
+ * and subscribers lose or delay data or are cut, as drawn from a seed. {@code -Dfeed.runs=20} sets
+ * the number of runs.
  */
 @Timeout(600)
 class ChangeFeedIT {
   private static final int RUNS = Integer.getInteger("feed.runs", 1);
-  private static final int FOLLOWERS = 40;
-  private static final int WORDS = 150;
-  private static final List<String> NAMES = List.of("a", "b", "c");
+  private static final int SUBSCRIBERS_PER_PROCESS = 40;
+  private static final int COMMANDS_PER_RUN = 150;
+  private static final List<String> MEMBERS = List.of("a", "b", "c");
 
   @TempDir private Path folder;
-  private final Map<String, InetSocketAddress> members = new LinkedHashMap<>();
-  private final Map<String, InetSocketAddress> feeds = new LinkedHashMap<>();
+  private final Map<String, InetSocketAddress> memberAddresses = new LinkedHashMap<>();
+  private final Map<String, InetSocketAddress> feedAddresses = new LinkedHashMap<>();
   private final Map<String, Process> processes = new LinkedHashMap<>();
+
+  /** The links of each process of subscribers, one to each member, in order of process start. */
   private final List<FaultyLink> links = new ArrayList<>();
 
-  private static InetSocketAddress free() throws IOException {
+  private static InetSocketAddress findFreeAddress() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return (InetSocketAddress) socket.getLocalSocketAddress();
     }
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String format(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private Process run(String log, Map<String, InetSocketAddress> group, String... words)
+  private Process startCommand(
+      String logName, Map<String, InetSocketAddress> addressByMember, String... arguments)
       throws IOException {
-    List<String> command = new ArrayList<>(List.of(words));
+    List<String> command = new ArrayList<>(List.of(arguments));
     command.addAll(List.of("--group", "g"));
-    group.forEach((name, at) -> command.addAll(List.of("--member", name + "=" + text(at))));
-    return ClusterProcess.start(folder.resolve("log-" + log), command);
+    addressByMember.forEach(
+        (name, address) -> command.addAll(List.of("--member", name + "=" + format(address))));
+    return ClusterProcess.start(folder.resolve("log-" + logName), command);
   }
 
-  private String[] member(String word, String name, String... more) {
-    List<String> words =
+  private String[] memberArguments(String subcommand, String name, String... moreArguments) {
+    List<String> arguments =
         new ArrayList<>(
             List.of(
-                word,
+                subcommand,
                 "--name",
                 name,
                 "--folder",
                 folder.resolve(name).toString(),
                 "--listen",
-                text(members.get(name))));
-    words.addAll(List.of(more));
-    return words.toArray(String[]::new);
+                format(memberAddresses.get(name))));
+    arguments.addAll(List.of(moreArguments));
+    return arguments.toArray(String[]::new);
   }
 
   private void startMember(String name) throws IOException {
     processes.put(
-        name, run(name, members, member("member", name, "--feed", text(feeds.get(name)))));
+        name,
+        startCommand(
+            name,
+            memberAddresses,
+            memberArguments("member", name, "--feed", format(feedAddresses.get(name)))));
   }
 
-  /** Followers in one process, each member behind a link of their own. */
-  private void startFollowers(String name) throws IOException {
-    Map<String, InetSocketAddress> seen = new TreeMap<>();
-    for (String member : NAMES) {
-      FaultyLink link = new FaultyLink(feeds.get(member));
+  /** Starts a process of subscribers, which reaches each member over a faulty link of its own. */
+  private void startSubscribers(String name) throws IOException {
+    Map<String, InetSocketAddress> linkAddresses = new TreeMap<>();
+    for (String member : MEMBERS) {
+      FaultyLink link = new FaultyLink(feedAddresses.get(member));
       links.add(link);
-      seen.put(member, link.address());
+      linkAddresses.put(member, link.address());
     }
     processes.put(
-        name, run(name, seen, "follow", "--name", name, "--many", Integer.toString(FOLLOWERS)));
+        name,
+        startCommand(
+            name,
+            linkAddresses,
+            "follow",
+            "--name",
+            name,
+            "--many",
+            Integer.toString(SUBSCRIBERS_PER_PROCESS)));
   }
 
   private void signal(String name, String signal) throws IOException, InterruptedException {
@@ -99,59 +116,59 @@
   }
 
   @AfterEach
-  void end() throws IOException {
+  void stopProcesses() throws IOException {
     processes.values().forEach(Process::destroyForcibly);
     for (FaultyLink link : links) {
       link.close();
     }
   }
 
-  private List<String> lines(String name) throws IOException {
+  private List<String> readLog(String name) throws IOException {
     Path log = folder.resolve("log-" + name);
     return Files.exists(log) ? Files.readAllLines(log) : List.of();
   }
 
-  private String last(String name) throws IOException {
-    List<String> told =
-        lines(name).stream().filter(line -> line.contains(" in contact, ")).toList();
-    return told.isEmpty() ? "" : told.get(told.size() - 1);
+  private String readLastProgress(String name) throws IOException {
+    List<String> progressLines =
+        readLog(name).stream().filter(line -> line.contains(" in contact, ")).toList();
+    return progressLines.isEmpty() ? "" : progressLines.get(progressLines.size() - 1);
   }
 
   @Test
-  void allFollowersComeToHoldWhatTheGroupHolds() throws Exception {
+  void subscribersReachStateOfGroupDespiteFaults() throws Exception {
     for (int run = 1; run <= RUNS; run++) {
-      play(run);
-      end();
+      runOnce(run);
+      stopProcesses();
       processes.clear();
       links.clear();
       folder = Files.createDirectory(folder.resolve("next"));
     }
   }
 
-  private void play(int run) throws Exception {
+  private void runOnce(int run) throws Exception {
     SplittableRandom random = new SplittableRandom(run);
-    for (String name : NAMES) {
-      members.put(name, free());
-      feeds.put(name, free());
+    for (String name : MEMBERS) {
+      memberAddresses.put(name, findFreeAddress());
+      feedAddresses.put(name, findFreeAddress());
     }
-    for (String name : NAMES) {
-      assertEquals(0, run(name, members, member("init", name)).waitFor());
+    for (String name : MEMBERS) {
+      assertEquals(0, startCommand(name, memberAddresses, memberArguments("init", name)).waitFor());
       startMember(name);
     }
-    startFollowers("f");
-    startFollowers("g");
-    long index = 0;
-    try (GroupClient caller = new GroupClient("g", members, line -> {})) {
-      for (int word = 0; word < WORDS; word++) {
+    startSubscribers("f");
+    startSubscribers("g");
+    long lastIndex = 0;
+    try (GroupClient client = new GroupClient("g", memberAddresses, line -> {})) {
+      for (int commandNumber = 0; commandNumber < COMMANDS_PER_RUN; commandNumber++) {
         Proposal proposal =
             new Proposal(
-                "r" + run + "w" + word,
-                1000 + word,
-                new StateCommand.SetExclusion("s-" + word, true));
-        CommandResult answer = caller.propose(proposal, null, 60_000);
+                "r" + run + "w" + commandNumber,
+                1000 + commandNumber,
+                new StateCommand.SetExclusion("s-" + commandNumber, true));
+        CommandResult answer = client.propose(proposal, null, 60_000);
         assertEquals(CommandResult.Outcome.COMMITTED, answer.outcome());
-        index = answer.index();
-        trouble(word, random);
+        lastIndex = answer.index();
+        injectFault(commandNumber, random);
         Thread.sleep(random.nextInt(60));
       }
       links.forEach(FaultyLink::heal);
@@ -159,26 +176,35 @@
         signal(name, "CONT");
       }
     }
-    String all =
-        "%d of %d in contact, up to %d to %d, %d servers out"
-            .formatted(FOLLOWERS, FOLLOWERS, index, index, WORDS);
+    String expectedProgress =
+        "%d of %d in contact, last entry %d to %d, %d servers excluded"
+            .formatted(
+                SUBSCRIBERS_PER_PROCESS,
+                SUBSCRIBERS_PER_PROCESS,
+                lastIndex,
+                lastIndex,
+                COMMANDS_PER_RUN);
     for (String name : List.of("f", "g")) {
-      for (int i = 0; i < 600 && !last(name).equals(all); i++) {
+      for (int i = 0; i < 600 && !readLastProgress(name).equals(expectedProgress); i++) {
         Thread.sleep(50);
       }
-      assertEquals(all, last(name), () -> "run " + run);
+      assertEquals(expectedProgress, readLastProgress(name), () -> "run " + run);
       assertEquals(
-          List.of(), lines(name).stream().filter(line -> line.startsWith("BROKEN")).toList());
+          List.of(),
+          readLog(name).stream().filter(line -> line.startsWith("OUT OF ORDER")).toList());
     }
-    // Each of them was out of contact at some time, and said so.
-    assertTrue(lines("f").stream().anyMatch(line -> line.startsWith("0 of ")), "never out");
+    // While its links lost all data, the process "f" must have printed that none of its subscribers
+    // was in contact with a member.
+    assertTrue(
+        readLog("f").stream().anyMatch(line -> line.startsWith("0 of ")),
+        "process f printed no line that reports 0 subscribers in contact");
   }
 
-  /** What each run has at a set time, and what its seed adds. */
-  private void trouble(int word, SplittableRandom random) throws Exception {
-    switch (word) {
+  /** Injects the faults that each run has at a fixed command, and others drawn from its seed. */
+  private void injectFault(int commandNumber, SplittableRandom random) throws Exception {
+    switch (commandNumber) {
       case 20 -> {
-        // All three at once for the first process of followers: it is out of contact.
+        // The first process of subscribers loses contact with all three members.
         links.subList(0, 3).forEach(FaultyLink::lose);
         Thread.sleep(3500);
         links.subList(0, 3).forEach(FaultyLink::heal);
@@ -188,7 +214,7 @@
       case 90 -> signal("g", "STOP");
       case 110 -> signal("g", "CONT");
       default -> {
-        if (word % 10 == 5) {
+        if (commandNumber % 10 == 5) {
           FaultyLink link = links.get(random.nextInt(links.size()));
           switch (random.nextInt(4)) {
             case 0 -> link.lose();
--- a/cli/src/test/java/shalepaddle/cli/ClusterIT.java
+++ b/cli/src/test/java/shalepaddle/cli/ClusterIT.java
@@ -32,47 +32,48 @@
 import shalepaddle.testkit.FaultyLink;
 
 /**
- * Members of a group as processes of the program, each ordered pair joined by a link of its own
- * that loses, delays and cuts by a seed; processes stopped, killed, and killed with their folders.
- * {@code -Dcluster.runs=200} plays more.
+ * Runs the members of a group as processes of the program, with a link in each direction between
+ * any two of them. Faults drawn from a seed lose or delay data on the links, cut the links, stop
+ * and kill processes, and remove the folders of killed ones. {@code -Dcluster.runs=200} sets the
+ * number of runs.
  */
 @Timeout(1800)
 class ClusterIT {
   private static final int RUNS = Integer.getInteger("cluster.runs", 1);
-  private static final int FIRST = Integer.getInteger("cluster.first", 1);
-  private static final int CALLERS = 4;
-  private static final int CALLS = 150;
+  private static final int FIRST_RUN = Integer.getInteger("cluster.first", 1);
+  private static final int CLIENTS = 4;
+  private static final int CALLS_PER_CLIENT = 150;
 
   @TempDir private Path folder;
 
-  /** One machine. */
+  /** A machine that runs a member, with links to the other machines. */
   private final class Machine {
     private final String name;
     private final int port;
-    private final Path home;
+    private final Path memberFolder;
     private final Map<String, FaultyLink> links = new TreeMap<>();
     private Process process;
 
     Machine(String name) throws IOException {
       this.name = name;
-      try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-        port = free.getLocalPort();
+      try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        port = socket.getLocalPort();
       }
-      home = folder.resolve(name + "-" + port);
+      memberFolder = folder.resolve(name + "-" + port);
     }
 
     InetSocketAddress address() {
       return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** Runs a command of the program for this machine, in whose words the others are links. */
-    Process command(String word, List<String> began) throws IOException {
-      List<String> command = new ArrayList<>(List.of(word, "--group", "g"));
-      command.addAll(List.of("--name", name, "--folder", home.toString()));
+    /** Starts a cluster command that reaches the other machines over this machine's links. */
+    Process start(String subcommand, List<String> memberNames) throws IOException {
+      List<String> command = new ArrayList<>(List.of(subcommand, "--group", "g"));
+      command.addAll(List.of("--name", name, "--folder", memberFolder.toString()));
       command.addAll(List.of("--listen", "127.0.0.1:" + port));
-      for (String member : began) {
-        int there = member.equals(name) ? port : links.get(member).address().getPort();
-        command.addAll(List.of("--member", member + "=127.0.0.1:" + there));
+      for (String member : memberNames) {
+        int memberPort = member.equals(name) ? port : links.get(member).address().getPort();
+        command.addAll(List.of("--member", member + "=127.0.0.1:" + memberPort));
       }
       return ClusterProcess.start(folder.resolve("log-" + name), command);
     }
@@ -85,121 +86,137 @@
       process.destroyForcibly().waitFor();
     }
 
-    void loseFolder() throws IOException {
-      try (Stream<Path> all = Files.walk(home)) {
-        for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+    void deleteFolder() throws IOException {
+      try (Stream<Path> paths = Files.walk(memberFolder)) {
+        for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
           Files.delete(path);
         }
       }
     }
   }
 
-  /** Those that run, and all that ever did: some know only those with whom the group began. */
+  /** The machines that are in the group now, by name. */
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  private final Map<String, Machine> everyone = new LinkedHashMap<>();
-  private final List<String> began = List.of("a", "b", "c");
-  private final Map<String, Long> yes = new ConcurrentHashMap<>();
-  private final ConcurrentLinkedQueue<String> broken = new ConcurrentLinkedQueue<>();
-  private final AtomicLong highestYes = new AtomicLong();
+  /**
+   * All machines that were ever in the group. Lost machines keep their links, since new members are
+   * started with the addresses of the initial members.
+   */
+  private final Map<String, Machine> allMachines = new LinkedHashMap<>();
 
-  private void join(Machine from, Machine to) throws IOException {
-    if (from != to && !from.links.containsKey(to.name)) {
-      from.links.put(to.name, new FaultyLink(to.address()));
+  private final List<String> initialMembers = List.of("a", "b", "c");
+
+  /** Index of the entry of each committed proposal, by the proposal's id. */
+  private final Map<String, Long> committedIndexes = new ConcurrentHashMap<>();
+  private final ConcurrentLinkedQueue<String> violations = new ConcurrentLinkedQueue<>();
+  private final AtomicLong highestCommittedIndex = new AtomicLong();
+
+  private void createLink(Machine source, Machine target) throws IOException {
+    if (source != target && !source.links.containsKey(target.name)) {
+      source.links.put(target.name, new FaultyLink(target.address()));
     }
   }
 
-  private Machine add(String name) throws IOException {
-    Machine made = new Machine(name);
-    for (Machine other : everyone.values()) {
-      join(made, other);
-      join(other, made);
+  private Machine addMachine(String name) throws IOException {
+    Machine machine = new Machine(name);
+    for (Machine other : allMachines.values()) {
+      createLink(machine, other);
+      createLink(other, machine);
     }
-    machines.put(name, made);
-    everyone.put(name, made);
-    return made;
+    machines.put(name, machine);
+    allMachines.put(name, machine);
+    return machine;
   }
 
-  private GroupClient caller() throws IOException {
+  private GroupClient connect() throws IOException {
     Map<String, InetSocketAddress> addresses = new HashMap<>();
     machines.values().forEach(machine -> addresses.put(machine.name, machine.address()));
     return new GroupClient("g", addresses, line -> {});
   }
 
-  /** Asks for one promise after the other, each until it is answered; and reads in between. */
-  private void call(GroupClient caller, int number, int run) {
-    SplittableRandom random = new SplittableRandom(run * 100L + number);
+  /** Sends proposals, waits for the answer to each, and reads the group's state after some. */
+  private void callGroup(GroupClient client, int clientNumber, int run) {
+    SplittableRandom random = new SplittableRandom(run * 100L + clientNumber);
     try {
-      for (int i = 0; i < CALLS; i++) {
-        String id = "r" + run + "c" + number + "i" + i;
+      for (int i = 0; i < CALLS_PER_CLIENT; i++) {
+        String id = "r" + run + "c" + clientNumber + "i" + i;
         Proposal proposal =
             new Proposal(
                 id,
                 1000 + i,
-                new StateCommand.SetExclusion("s-" + number + "-" + i % 7, i % 3 != 0));
-        CommandResult answer = caller.propose(proposal, null, 60_000);
-        yes.put(id, answer.index());
-        highestYes.accumulateAndGet(answer.index(), Math::max);
+                new StateCommand.SetExclusion("s-" + clientNumber + "-" + i % 7, i % 3 != 0));
+        CommandResult answer = client.propose(proposal, null, 60_000);
+        committedIndexes.put(id, answer.index());
+        highestCommittedIndex.accumulateAndGet(answer.index(), Math::max);
         if (random.nextInt(5) == 0) {
-          long atLeast = highestYes.get();
-          ReplicatedState.Snapshot image = caller.read(null, 60_000);
-          if (image.index() < atLeast) {
-            broken.add("read up to " + image.index() + ", " + atLeast + " was answered before");
+          long minIndex = highestCommittedIndex.get();
+          ReplicatedState.Snapshot snapshot = client.read(null, 60_000);
+          if (snapshot.index() < minIndex) {
+            violations.add(
+                "read returned the state at entry "
+                    + snapshot.index()
+                    + " after entry "
+                    + minIndex
+                    + " was committed");
           }
         }
         Thread.sleep(random.nextInt(40));
       }
     } catch (IOException e) {
-      broken.add("caller " + number + ": " + e.getMessage());
+      violations.add("client " + clientNumber + ": " + e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   @Test
-  void nothingThatWasPromisedIsLostWithAMachineAndItsDisk() throws Exception {
-    long promised = 0;
-    int lostDisks = 0;
-    for (int run = FIRST; run < FIRST + RUNS; run++) {
+  void keepsCommittedProposalsWhenMachinesAndDisksAreLost() throws Exception {
+    long committedProposals = 0;
+    int lostMachines = 0;
+    for (int run = FIRST_RUN; run < FIRST_RUN + RUNS; run++) {
       machines.clear();
-      everyone.clear();
-      yes.clear();
-      highestYes.set(0);
-      lostDisks += play(run);
-      assertEquals(List.of(), List.copyOf(broken), "run " + run);
-      promised += yes.size();
+      allMachines.clear();
+      committedIndexes.clear();
+      highestCommittedIndex.set(0);
+      lostMachines += runOnce(run);
+      assertEquals(List.of(), List.copyOf(violations), "run " + run);
+      committedProposals += committedIndexes.size();
     }
     System.out.printf(
-        "%d runs: %d promises, %d machines lost with their disks%n", RUNS, promised, lostDisks);
+        "%d runs: %d proposals committed, %d machines lost with their disks%n",
+        RUNS, committedProposals, lostMachines);
   }
 
-  private int play(int run) throws Exception {
+  /** Runs a group under faults; returns how many machines were lost with their disks. */
+  private int runOnce(int run) throws Exception {
     SplittableRandom random = new SplittableRandom(run);
-    for (String name : began) {
-      add(name);
+    for (String name : initialMembers) {
+      addMachine(name);
     }
     for (Machine machine : machines.values()) {
-      assertEquals(0, machine.command("init", began).waitFor());
-      machine.process = machine.command("member", began);
+      assertEquals(0, machine.start("init", initialMembers).waitFor());
+      machine.process = machine.start("member", initialMembers);
     }
-    int lost = 0;
-    try (GroupClient caller = caller()) {
+    int lostMachines = 0;
+    try (GroupClient client = connect()) {
       List<Thread> threads = new ArrayList<>();
-      for (int i = 0; i < CALLERS; i++) {
-        int number = i;
-        Thread thread = new Thread(() -> call(caller, number, run));
+      for (int i = 0; i < CLIENTS; i++) {
+        int clientNumber = i;
+        Thread thread = new Thread(() -> callGroup(client, clientNumber, run));
         thread.start();
         threads.add(thread);
       }
       for (int i = 0; threads.stream().anyMatch(Thread::isAlive); i++) {
         Thread.sleep(200 + random.nextInt(600));
-        List<Machine> all = List.copyOf(machines.values());
-        Machine one = all.get(random.nextInt(all.size()));
-        FaultyLink link = List.copyOf(one.links.values()).get(random.nextInt(one.links.size()));
+        List<Machine> currentMachines = List.copyOf(machines.values());
+        Machine faultyMachine = currentMachines.get(random.nextInt(currentMachines.size()));
+        FaultyLink link =
+            List.copyOf(faultyMachine.links.values())
+                .get(random.nextInt(faultyMachine.links.size()));
         if (i == 3 || i == 9) {
-          // At a set time, so that each run has it.
-          lost++;
-          replace(one, caller, "n" + run + "-" + lost);
+          // Loses a machine at fixed steps, so that each run includes this fault.
+          lostMachines++;
+          replace(faultyMachine, client, "n" + run + "-" + lostMachines);
           continue;
         }
         switch (random.nextInt(7)) {
@@ -207,73 +224,86 @@
           case 1 -> link.cut();
           case 2 -> link.delay(1 + random.nextInt(80));
           case 3 -> {
-            one.signal("STOP");
+            faultyMachine.signal("STOP");
             Thread.sleep(random.nextInt(1500));
-            one.signal("CONT");
+            faultyMachine.signal("CONT");
           }
           case 4 -> {
-            one.kill();
-            one.process = one.command("member", began);
+            faultyMachine.kill();
+            faultyMachine.process = faultyMachine.start("member", initialMembers);
           }
-          default -> all.forEach(machine -> machine.links.values().forEach(FaultyLink::heal));
+          default ->
+              currentMachines.forEach(
+                  machine -> machine.links.values().forEach(FaultyLink::heal));
         }
       }
       machines.values().forEach(machine -> machine.links.values().forEach(FaultyLink::heal));
-      verify(caller, run);
+      verify(client, run);
     } finally {
-      for (Machine machine : everyone.values()) {
+      for (Machine machine : allMachines.values()) {
         machine.process.destroyForcibly();
         for (FaultyLink link : machine.links.values()) {
           link.close();
         }
       }
     }
-    return lost;
+    return lostMachines;
   }
 
-  /** A machine goes with its disk; another comes under a new name, and the old one is taken out. */
-  private void replace(Machine lost, GroupClient caller, String name) throws Exception {
-    lost.kill();
-    lost.loseFolder();
+  /**
+   * Kills a machine and deletes its folder, adds another one under a new name, and removes the lost
+   * member once the new one votes.
+   */
+  private void replace(Machine lostMachine, GroupClient client, String newName) throws Exception {
+    lostMachine.kill();
+    lostMachine.deleteFolder();
     for (Machine machine : machines.values()) {
       machine.links.values().forEach(FaultyLink::heal);
     }
-    Machine fresh = add(name);
-    assertEquals(0, fresh.command("join", began).waitFor());
-    fresh.process = fresh.command("member", began);
-    caller.setAddress(name, fresh.address());
-    caller.removeAddress(lost.name);
-    machines.remove(lost.name);
+    Machine replacement = addMachine(newName);
+    assertEquals(0, replacement.start("join", initialMembers).waitFor());
+    replacement.process = replacement.start("member", initialMembers);
+    client.setAddress(newName, replacement.address());
+    client.removeAddress(lostMachine.name);
+    machines.remove(lostMachine.name);
     for (int i = 0; i < 600; i++) {
       try {
-        if (caller.status(name).votingMembers().contains(name)) {
-          caller.removeMember(lost.name, 20_000);
+        if (client.status(newName).votingMembers().contains(newName)) {
+          client.removeMember(lostMachine.name, 20_000);
           return;
         }
       } catch (IOException e) {
-        // Not up yet.
+        // The new member does not answer yet.
       }
       Thread.sleep(50);
     }
-    broken.add(name + " never votes");
+    violations.add(newName + " did not become a voting member");
   }
 
-  /** Each yes, asked again, is answered as before: it is there, and has no second entry. */
-  private void verify(GroupClient caller, int run) throws Exception {
-    for (int number = 0; number < CALLERS; number++) {
-      for (int i = 0; i < CALLS; i++) {
-        String id = "r" + run + "c" + number + "i" + i;
-        CommandResult again =
-            caller.propose(
+  /**
+   * Repeats each proposal and checks that the repeat returns the index of the entry committed at
+   * first and has no effect.
+   */
+  private void verify(GroupClient client, int run) throws Exception {
+    for (int clientNumber = 0; clientNumber < CLIENTS; clientNumber++) {
+      for (int i = 0; i < CALLS_PER_CLIENT; i++) {
+        String id = "r" + run + "c" + clientNumber + "i" + i;
+        CommandResult repeatResult =
+            client.propose(
                 new Proposal(id, 1, new StateCommand.SetExclusion("another", true)), null, 30_000);
-        if (again.index() != yes.getOrDefault(id, -1L)) {
-          broken.add(id + " was " + yes.get(id) + " and is " + again.index());
+        if (repeatResult.index() != committedIndexes.getOrDefault(id, -1L)) {
+          violations.add(
+              id
+                  + " was committed as entry "
+                  + committedIndexes.get(id)
+                  + ", but its repeat returned entry "
+                  + repeatResult.index());
         }
       }
     }
-    if (caller.read(null, 30_000).excludedServers().contains("another")) {
-      broken.add("a promise that was asked again had a second effect");
+    if (client.read(null, 30_000).excludedServers().contains("another")) {
+      violations.add("a repeated proposal had a second effect");
     }
-    assertTrue(highestYes.get() >= (long) CALLERS * CALLS);
+    assertTrue(highestCommittedIndex.get() >= (long) CLIENTS * CALLS_PER_CLIENT);
   }
 }
--- a/cli/src/test/java/shalepaddle/cli/ClusterProcess.java
+++ b/cli/src/test/java/shalepaddle/cli/ClusterProcess.java
@@ -5,12 +5,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The program's cluster commands, as processes of the built jar on a small heap. */
+/** Starts cluster commands as processes of the built jar, with a small heap. */
 final class ClusterProcess {
   private ClusterProcess() {}
 
-  /** Starts one; what it says goes behind what is in the file. */
-  static Process start(Path log, List<String> words) throws IOException {
+  /**
+   * Starts a cluster command.
+   *
+   * @param logFile file to which the output is appended
+   * @param arguments the subcommand and its arguments
+   */
+  static Process start(Path logFile, List<String> arguments) throws IOException {
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -21,10 +26,10 @@
                 "-jar",
                 "cli/target/shalepaddle-cli.jar",
                 "cluster"));
-    command.addAll(words);
+    command.addAll(arguments);
     return new ProcessBuilder(command)
         .redirectErrorStream(true)
-        .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
+        .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()))
         .start();
   }
 }
--- a/cli/src/test/java/shalepaddle/cli/CommandLineIT.java
+++ b/cli/src/test/java/shalepaddle/cli/CommandLineIT.java
@@ -18,59 +18,63 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line as people start it, from the built jar. */
+/** Runs commands of the built jar through {@code bin/shalepaddle}. */
 @Timeout(60)
 class CommandLineIT {
-  @TempDir private Path logs;
+  @TempDir private Path logFolder;
 
-  private static ProcessBuilder command(String... arguments) {
-    List<String> words = new ArrayList<>(List.of("bin/shalepaddle"));
-    words.addAll(List.of(arguments));
-    return new ProcessBuilder(words);
+  private static ProcessBuilder createCommand(String... arguments) {
+    List<String> command = new ArrayList<>(List.of("bin/shalepaddle"));
+    command.addAll(List.of(arguments));
+    return new ProcessBuilder(command);
   }
 
-  /** What a command printed, and what it or a node in it logged. */
-  private record Ended(int code, String printed, String logged) {
-    String output() {
-      return printed + logged;
+  /** A command's exit code, standard output and standard error. */
+  private record Result(int exitCode, String standardOutput, String standardError) {
+    String allOutput() {
+      return standardOutput + standardError;
     }
   }
 
-  private Ended run(String... arguments) throws Exception {
-    Path log = Files.createTempFile(logs, "run", ".log");
-    Process process = command(arguments).redirectError(log.toFile()).start();
-    String printed = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+  private Result run(String... arguments) throws Exception {
+    Path errorFile = Files.createTempFile(logFolder, "run", ".log");
+    Process process = createCommand(arguments).redirectError(errorFile.toFile()).start();
+    String standardOutput =
+        new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertTrue(process.waitFor(30, TimeUnit.SECONDS));
-    return new Ended(process.exitValue(), printed, Files.readString(log));
+    return new Result(process.exitValue(), standardOutput, Files.readString(errorFile));
   }
 
   @Test
-  void tellsItsVersionAndItsCommands() throws Exception {
-    Ended version = run("--version");
-    assertEquals(0, version.code());
-    assertTrue(version.output().matches("shalepaddle \\d+\\.\\d+\\.\\d+\\S*\\n"), version.output());
-    Ended help = run("--help");
-    assertEquals(0, help.code());
+  void printsVersionAndHelpOfEachCommand() throws Exception {
+    Result versionResult = run("--version");
+    assertEquals(0, versionResult.exitCode());
+    assertTrue(
+        versionResult.allOutput().matches("shalepaddle \\d+\\.\\d+\\.\\d+\\S*\\n"),
+        versionResult.allOutput());
+    Result helpResult = run("--help");
+    assertEquals(0, helpResult.exitCode());
     for (String command :
         List.of("try", "simulate", "cluster", "capacity", "serve", "simhost", "rehearse")) {
-      assertTrue(help.output().contains("\n  " + command + " "), help.output());
-      assertEquals(0, run(command, "--help").code());
+      assertTrue(helpResult.allOutput().contains("\n  " + command + " "), helpResult.allOutput());
+      assertEquals(0, run(command, "--help").exitCode());
     }
   }
 
   @Test
-  void aSizeThatDoesNotFitIsRefusedBeforeTheRunWithItsFigure() throws Exception {
-    Ended ended = run("capacity", "--nodes", "1000000");
-    assertEquals(2, ended.code(), ended.output());
-    assertTrue(ended.output().matches("(?s)scale: 1000000 nodes .* would take up to \\d+ MB.*"));
-    assertEquals(1, ended.output().lines().count(), ended.output());
+  void capacityRejectsFleetThatNeedsTooMuchMemory() throws Exception {
+    Result result = run("capacity", "--nodes", "1000000");
+    assertEquals(2, result.exitCode(), result.allOutput());
+    assertTrue(
+        result.allOutput().matches("(?s)capacity: 1000000 nodes .* would need up to \\d+ MB.*"));
+    assertEquals(1, result.allOutput().lines().count(), result.allOutput());
   }
 
   @Test
-  void measuresASmallFleet(@TempDir Path folder) throws Exception {
-    Path json = folder.resolve("scale.json");
-    Path picture = folder.resolve("scale.png");
-    Ended ended =
+  void capacityWritesJsonAndChartUnderFormerName(@TempDir Path folder) throws Exception {
+    Path jsonFile = folder.resolve("scale.json");
+    Path chartFile = folder.resolve("scale.png");
+    Result result =
         run(
             "scale",
             "--nodes",
@@ -84,18 +88,18 @@
             "--seconds",
             "0.2",
             "--json",
-            json.toString(),
+            jsonFile.toString(),
             "--picture",
-            picture.toString());
-    assertEquals(0, ended.code(), ended.output());
-    assertTrue(ended.output().contains("seed 1, "), ended.output());
-    assertTrue(Files.readString(json).contains("\"peakBytes\""));
-    assertTrue(Files.size(picture) > 1000);
+            chartFile.toString());
+    assertEquals(0, result.exitCode(), result.allOutput());
+    assertTrue(result.allOutput().contains("seed 1, "), result.allOutput());
+    assertTrue(Files.readString(jsonFile).contains("\"peakBytes\""));
+    assertTrue(Files.size(chartFile) > 1000);
   }
 
   @Test
-  void refusesWhatMakesNoSense() throws Exception {
-    for (String[] words :
+  void rejectsInvalidArgumentsWithUsage() throws Exception {
+    for (String[] arguments :
         new String[][] {
           {},
           {"no-such-command"},
@@ -109,76 +113,82 @@
           {"scale", "--role", "weather"},
           {"serve", "now"}
         }) {
-      Ended ended = run(words);
-      assertEquals(2, ended.code(), ended.output());
-      assertTrue(ended.output().contains("Usage: "), ended.output());
+      Result result = run(arguments);
+      assertEquals(2, result.exitCode(), result.allOutput());
+      assertTrue(result.allOutput().contains("Usage: "), result.allOutput());
     }
   }
 
   @Test
-  void tryServesAndEndsWithATable() throws Exception {
-    Ended ended = run("try", "--seconds", "3", "--rate", "200", "--kill", "1", "--drain", "1");
-    assertEquals(0, ended.code(), ended.output());
-    assertTrue(ended.output().contains("   1 s  offered"), ended.output());
-    assertTrue(ended.output().contains("rules broken    0"), ended.output());
-    String served =
-        ended.output().lines().filter(line -> line.startsWith("served ")).findFirst().orElseThrow();
-    double share = Double.parseDouble(served.replaceAll(".*\\((.*)%\\)", "$1"));
-    assertTrue(share > 95, served);
+  void tryServesRequestsAndPrintsSummary() throws Exception {
+    Result result = run("try", "--seconds", "3", "--rate", "200", "--kill", "1", "--drain", "1");
+    assertEquals(0, result.exitCode(), result.allOutput());
+    assertTrue(result.allOutput().contains("   1 s  offered"), result.allOutput());
+    assertTrue(result.allOutput().contains("rules broken    0"), result.allOutput());
+    String servedRow =
+        result
+            .allOutput()
+            .lines()
+            .filter(line -> line.startsWith("served "))
+            .findFirst()
+            .orElseThrow();
+    double servedPercent = Double.parseDouble(servedRow.replaceAll(".*\\((.*)%\\)", "$1"));
+    assertTrue(servedPercent > 95, servedRow);
   }
 
   @Test
   void tryPrintsJsonLines() throws Exception {
-    Ended ended = run("try", "--seconds", "1", "--json", "--slow-origin", "0");
-    assertEquals(0, ended.code(), ended.output());
-    List<String> lines = ended.printed().lines().toList();
-    assertEquals(2, lines.size(), ended.output());
+    Result result = run("try", "--seconds", "1", "--json", "--slow-origin", "0");
+    assertEquals(0, result.exitCode(), result.allOutput());
+    List<String> lines = result.standardOutput().lines().toList();
+    assertEquals(2, lines.size(), result.allOutput());
     assertTrue(lines.get(0).startsWith("{\"second\":1,\"offered\":"), lines.get(0));
     assertTrue(lines.get(1).startsWith("{\"summary\":{\"offered\":"), lines.get(1));
     assertTrue(lines.get(1).endsWith("\"rules_broken\":[]}}"), lines.get(1));
   }
 
   @Test
-  void trySaysThatItsPortIsTaken() throws Exception {
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      String port = Integer.toString(taken.getLocalPort());
-      Ended ended = run("try", "--port", port);
-      assertEquals(2, ended.code(), ended.output());
-      assertTrue(ended.output().startsWith("try: cannot listen on 127.0.0.1:" + port));
-      assertEquals(1, ended.output().lines().count(), ended.output());
+  void tryFailsWhenPortIsInUse() throws Exception {
+    try (ServerSocket listeningSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      String port = Integer.toString(listeningSocket.getLocalPort());
+      Result result = run("try", "--port", port);
+      assertEquals(2, result.exitCode(), result.allOutput());
+      assertTrue(result.allOutput().startsWith("try: cannot listen on 127.0.0.1:" + port));
+      assertEquals(1, result.allOutput().lines().count(), result.allOutput());
     }
   }
 
   @Test
-  void tryEndsWithItsTableWhenItIsTerminated() throws Exception {
-    Path log = logs.resolve("try.log");
-    Process process = command("try", "--seconds", "50").redirectError(log.toFile()).start();
+  void tryPrintsSummaryWhenTerminated() throws Exception {
+    Path errorFile = logFolder.resolve("try.log");
+    Process process =
+        createCommand("try", "--seconds", "50").redirectError(errorFile.toFile()).start();
     try (BufferedReader out =
         new BufferedReader(
             new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
-      String first = out.readLine();
-      assertTrue(first != null && first.contains(" 1 s  offered"), first);
-      process.toHandle().destroy(); // as destroy(), but its output stays open
-      String all = rest(out);
-      assertTrue(all.contains("rules broken    0"), all);
+      String firstLine = out.readLine();
+      assertTrue(firstLine != null && firstLine.contains(" 1 s  offered"), firstLine);
+      process.toHandle().destroy(); // unlike Process.destroy(), leaves its output open
+      String remainingOutput = readRemainingOutput(out);
+      assertTrue(remainingOutput.contains("rules broken    0"), remainingOutput);
     }
     assertTrue(process.waitFor(20, TimeUnit.SECONDS));
     assertEquals(0, process.exitValue());
   }
 
-  private static String rest(BufferedReader out) throws IOException {
-    StringBuilder all = new StringBuilder();
+  private static String readRemainingOutput(BufferedReader out) throws IOException {
+    StringBuilder remainingOutput = new StringBuilder();
     for (String line = out.readLine(); line != null; line = out.readLine()) {
-      all.append(line).append('\n');
+      remainingOutput.append(line).append('\n');
     }
-    return all.toString();
+    return remainingOutput.toString();
   }
 
   @Test
-  void dayPlaysTheDaysOfItsSeeds() throws Exception {
-    Ended ended = run("day", "--seeds", "1..3", "--seconds", "5", "--all");
-    assertEquals(0, ended.code(), ended.output());
-    assertTrue(ended.output().contains("seed 2: "), ended.output());
-    assertTrue(ended.output().contains("3 days of 5 s, "), ended.output());
+  void simulateRunsEachSeedUnderFormerName() throws Exception {
+    Result result = run("day", "--seeds", "1..3", "--seconds", "5", "--all");
+    assertEquals(0, result.exitCode(), result.allOutput());
+    assertTrue(result.allOutput().contains("seed 2: "), result.allOutput());
+    assertTrue(result.allOutput().contains("3 scenarios of 5 s, "), result.allOutput());
   }
 }
--- a/daemon/src/main/java/shalepaddle/daemon/Main.java
+++ b/daemon/src/main/java/shalepaddle/daemon/Main.java
@@ -5,30 +5,31 @@
 import shalepaddle.settings.FormatException;
 import shalepaddle.sim.SimHost;
 
-/** The deployed program: reads its command and its options, and exits with the command's code. */
+/** Main class of the deployed jar: runs a command and exits with its code. */
 public final class Main {
   private static final String USAGE =
       "usage: shalepaddle simhost | serve [--operator FILE] | rehearse [--operator FILE]";
 
-  /** Netty's switch for events of its buffers in Java's Flight Recorder. */
-  private static final String NETTY_RECORDER_EVENTS = "io.netty.jfr.enabled";
+  /** Netty's property that enables events of its buffers in Java Flight Recorder. */
+  private static final String NETTY_JFR_PROPERTY = "io.netty.jfr.enabled";
 
   private Main() {}
 
-  /** Runs the command named by the first word. */
+  /** Runs the command that the first argument names. */
   public static void main(String[] args) throws InterruptedException {
-    // Off unless it is set: without a recording its events are lost, but loading the recorder for
-    // them makes a start slower.
-    if (System.getProperty(NETTY_RECORDER_EVENTS) == null) {
-      System.setProperty(NETTY_RECORDER_EVENTS, "false");
+    // The events are off by default: without a recording they are lost, but loading the recorder
+    // for them slows down the startup.
+    if (System.getProperty(NETTY_JFR_PROPERTY) == null) {
+      System.setProperty(NETTY_JFR_PROPERTY, "false");
     }
-    // No library for one option: it would be loaded at every start.
-    boolean hasOperatorFile = args.length == 3 && args[1].equals("--operator");
-    String operatorFile = hasOperatorFile ? args[2] : null;
-    switch (args.length == 1 || hasOperatorFile ? args[0] : "") {
-      case "simhost" -> simhost();
-      case "serve" -> System.exit(NodeProcess.serve(System.getenv("ROUTER_CONFIG"), operatorFile));
-      case "rehearse" -> System.exit(NodeProcess.rehearse(operatorFile));
+    // The only option is parsed by hand, since a library for it would be loaded at each startup.
+    boolean hasOperatorOption = args.length == 3 && args[1].equals("--operator");
+    String operatorSettingsFile = hasOperatorOption ? args[2] : null;
+    switch (args.length == 1 || hasOperatorOption ? args[0] : "") {
+      case "simhost" -> runSimHost();
+      case "serve" ->
+          System.exit(NodeProcess.serve(System.getenv("ROUTER_CONFIG"), operatorSettingsFile));
+      case "rehearse" -> System.exit(NodeProcess.rehearse(operatorSettingsFile));
       default -> {
         System.err.println(USAGE);
         System.exit(2);
@@ -36,7 +37,7 @@
     }
   }
 
-  private static void simhost() {
+  private static void runSimHost() {
     try {
       new SimHost(System.in, System.out).run();
     } catch (FormatException | IOException e) {
--- a/daemon/src/test/java/shalepaddle/daemon/AnswerTimeIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/AnswerTimeIT.java
@@ -20,18 +20,19 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
- * A request's time counts from when its client sends it: the real process answers by then, whatever
- * made it read the request late. Its cache servers never answer, unless a test says so.
+ * A request's deadline counts from when its client sends it: the real process answers in time even
+ * if it reads the request late. Its cache servers never answer, unless a test sets an answer time.
  */
 @Timeout(60)
 class AnswerTimeIT {
-  /** The protocol's own slack on each time limit. */
-  private static final long SLACK_MILLIS = 50;
+  /** How much later than its deadline a request may be answered, by the protocol. */
+  private static final long TOLERANCE_MILLIS = 50;
 
-  private static final int NEVER_MILLIS = 600_000;
+  /** An answer time for servers that must not answer: longer than any test runs. */
+  private static final int NO_ANSWER_MILLIS = 600_000;
 
-  /** Clients may hold a third of these for requests. */
-  private static final int SOCKETS = 120;
+  /** Limit on the node's descriptors; client connections may use a third of them. */
+  private static final int MAX_DESCRIPTORS = 120;
 
   @TempDir private Path folder;
   private Fleet fleet;
@@ -40,17 +41,22 @@
 
   @BeforeEach
   void start() throws Exception {
-    start(3, NEVER_MILLIS, SOCKETS);
+    start(3, NO_ANSWER_MILLIS, MAX_DESCRIPTORS);
   }
 
-  /** Servers that answer after so long, and a node that may hold so many descriptors. */
-  private void start(int servers, int millis, int sockets) throws Exception {
-    fleet = new Fleet(servers, Integer.MAX_VALUE, millis);
-    node = new StoppableNode(folder, fleet, sockets);
-    // The first request of a process costs more than the others.
-    ScriptedPeer first = connect();
-    first.write(read("warm", 300, ""));
-    first.line();
+  /**
+   * Starts servers and a node.
+   *
+   * @param answerMillis time that a server takes for a request
+   * @param maxDescriptors limit on the node's descriptors
+   */
+  private void start(int serverCount, int answerMillis, int maxDescriptors) throws Exception {
+    fleet = new Fleet(serverCount, Integer.MAX_VALUE, answerMillis);
+    node = new StoppableNode(folder, fleet, maxDescriptors);
+    // The first request of a process takes longer than later ones, so it is sent before the test.
+    ScriptedPeer warmupClient = connect();
+    warmupClient.write(formatReadCommand("warm", 300, ""));
+    warmupClient.line();
   }
 
   @AfterEach
@@ -68,116 +74,124 @@
     return client;
   }
 
-  private static String read(String id, int deadlineMillis, String more) {
-    return "mg key-%s v O%s Pc=read,d=%d%s\r\n".formatted(id, id, deadlineMillis, more);
+  private static String formatReadCommand(String id, int deadlineMillis, String moreFields) {
+    return "mg key-%s v O%s Pc=read,d=%d%s\r\n".formatted(id, id, deadlineMillis, moreFields);
   }
 
-  private static String write(String id, int deadlineMillis) {
+  private static String formatWriteCommand(String id, int deadlineMillis) {
     return "ms key-%s 5 O%s Pc=put,d=%d\r\nvalue\r\n".formatted(id, id, deadlineMillis);
   }
 
-  /** Retries are counted in turns of 100 ms of the system's monotonic clock, which Java shares. */
-  private static void awaitStartOfTurn() throws InterruptedException {
-    long turnNanos = TimeUnit.MILLISECONDS.toNanos(100);
-    TimeUnit.NANOSECONDS.sleep(turnNanos - Math.floorMod(System.nanoTime(), turnNanos));
+  /**
+   * Waits for the start of one of the 100 ms periods in which the node counts retries. The periods
+   * are aligned with the system's monotonic clock, which this process shares.
+   */
+  private static void awaitStartOfRetryPeriod() throws InterruptedException {
+    long periodNanos = TimeUnit.MILLISECONDS.toNanos(100);
+    TimeUnit.NANOSECONDS.sleep(periodNanos - Math.floorMod(System.nanoTime(), periodNanos));
   }
 
-  private static long millisSince(long nanos) {
-    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
+  private static long millisSince(long startedAtNanos) {
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
   }
 
-  private static void assertInTime(long tookMillis, int deadlineMillis) {
+  private static void assertInTime(long answerMillis, int deadlineMillis) {
     assertTrue(
-        tookMillis <= deadlineMillis + SLACK_MILLIS,
-        "answered after %d ms of %d".formatted(tookMillis, deadlineMillis));
+        answerMillis <= deadlineMillis + TOLERANCE_MILLIS,
+        "request answered after %d ms, deadline %d ms".formatted(answerMillis, deadlineMillis));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {100, 400})
-  void answersInTimeAfterAnErrorOnTheConnection(int deadlineMillis) throws Exception {
+  void answersInTimeAfterInvalidCommandOnSameConnection(int deadlineMillis) throws Exception {
     ScriptedPeer client = connect();
     client.write("mg key v\r\n");
     assertTrue(client.line().startsWith("CLIENT_ERROR"));
     TimeUnit.MILLISECONDS.sleep(20);
-    long sentAt = System.nanoTime();
-    client.write(read("a", deadlineMillis, ""));
+    long sentAtNanos = System.nanoTime();
+    client.write(formatReadCommand("a", deadlineMillis, ""));
     assertTrue(client.line().startsWith("SERVER_ERROR"));
-    assertInTime(millisSince(sentAt), deadlineMillis);
+    assertInTime(millisSince(sentAtNanos), deadlineMillis);
   }
 
-  /** Reads that wait at hung servers take the places of clients, so that retries are rejected. */
+  /** Reads that wait for hung servers use most client connections, so that retries are rejected. */
   @Test
-  void answersInTimeBehindRetriesThatCameTooSoon() throws Exception {
-    int busy = (int) Math.ceil(0.85 * SOCKETS / 3);
-    for (int i = 0; i < busy; i++) {
-      connect().write(read("busy" + i, 2000, ""));
+  void answersWriteInTimeAfterRejectedRetries() throws Exception {
+    int busyClients = (int) Math.ceil(0.85 * MAX_DESCRIPTORS / 3);
+    for (int i = 0; i < busyClients; i++) {
+      connect().write(formatReadCommand("busy" + i, 2000, ""));
     }
     ScriptedPeer client = connect();
     TimeUnit.MILLISECONDS.sleep(100);
-    awaitStartOfTurn();
+    awaitStartOfRetryPeriod();
     for (int i = 0; i < 3; i++) {
-      client.write(read("retry" + i, 2000, ",r=1"));
+      client.write(formatReadCommand("retry" + i, 2000, ",r=1"));
       assertTrue(client.line().startsWith("SERVER_ERROR busy"));
     }
-    long sentAt = System.nanoTime();
-    client.write(write("a", 100));
+    long sentAtNanos = System.nanoTime();
+    client.write(formatWriteCommand("a", 100));
     assertTrue(client.line().startsWith("SERVER_ERROR"));
-    assertInTime(millisSince(sentAt), 100);
+    assertInTime(millisSince(sentAtNanos), 100);
   }
 
   @Test
-  void answersAPipelinePastTheBoundOnAnswersOwedInTime() throws Exception {
+  void answersPipelineBeyondLimitOfUnansweredRequestsInTime() throws Exception {
     stop();
     start(4, 150, 512);
     ScriptedPeer client = connect();
     StringBuilder commands = new StringBuilder();
     for (int i = 0; i < 300; i++) {
-      commands.append(read("p" + i, 400, ""));
+      commands.append(formatReadCommand("p" + i, 400, ""));
     }
-    long sentAt = System.nanoTime();
+    long sentAtNanos = System.nanoTime();
     client.write(commands.toString());
-    long last = 0;
+    long lastAnswerMillis = 0;
     for (int i = 0; i < 300; i++) {
       String line = client.line();
       if (line.startsWith("VA ")) {
         client.line();
       }
-      last = millisSince(sentAt);
+      lastAnswerMillis = millisSince(sentAtNanos);
     }
-    assertInTime(last, 400);
+    assertInTime(lastAnswerMillis, 400);
   }
 
-  /** What arrives while the process is stopped may have been sent as the stop began. */
+  /**
+   * A node that was paused by SIGSTOP can't know when a request arrived in the meantime, so it
+   * assumes that the request arrived at the start of the pause.
+   */
   @Test
-  void countsARequestsTimeThroughAStopOfTheProcess() throws Exception {
+  void answersInTimeWhenRequestArrivesWhileNodeIsPaused() throws Exception {
     ScriptedPeer client = connect();
     node.stop();
     TimeUnit.MILLISECONDS.sleep(20);
-    long sentAt = System.nanoTime();
-    client.write(read("a", 400, ""));
+    long sentAtNanos = System.nanoTime();
+    client.write(formatReadCommand("a", 400, ""));
     TimeUnit.MILLISECONDS.sleep(280);
     node.resume();
     assertTrue(client.line().startsWith("SERVER_ERROR"));
-    assertInTime(millisSince(sentAt), 400);
+    assertInTime(millisSince(sentAtNanos), 400);
   }
 
-  /** A refusal is the only answer to each: nothing follows it. */
+  /** A request whose deadline has expired must get no answer besides the refusal. */
   @Test
-  void givesOneAnswerToARequestWhoseTimeRanOutUnread() throws Exception {
+  void givesOneAnswerWhenDeadlineExpiresBeforeRead() throws Exception {
     try (Socket socket = new Socket(node.address().getAddress(), node.address().getPort())) {
       node.stop();
-      socket.getOutputStream().write(read("late", 50, "").getBytes(StandardCharsets.US_ASCII));
+      socket
+          .getOutputStream()
+          .write(formatReadCommand("late", 50, "").getBytes(StandardCharsets.US_ASCII));
       TimeUnit.MILLISECONDS.sleep(200);
       node.resume();
       socket.setSoTimeout(500);
       assertTrue(Fleet.line(socket.getInputStream()).startsWith("SERVER_ERROR"));
-      boolean more = true;
+      boolean hasReceivedMore = true;
       try {
         socket.getInputStream().read();
       } catch (SocketTimeoutException e) {
-        more = false;
+        hasReceivedMore = false;
       }
-      assertEquals(false, more, "more than one answer");
+      assertEquals(false, hasReceivedMore, "bytes received after the only expected answer");
     }
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/ArchitectureTest.java
+++ b/daemon/src/test/java/shalepaddle/daemon/ArchitectureTest.java
@@ -15,15 +15,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Who may know what: the table of the modules, held by the byte code. */
+/** Checks the allowed dependencies between packages against the byte code. */
 class ArchitectureTest {
-  private static final JavaClasses ALL =
+  private static final JavaClasses PRODUCTION_CLASSES =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("shalepaddle");
 
-  /** The packages that decide, and what they decide on. */
-  private static final String[] DECISIONS = {
+  /** Packages that hold logic and data only: no sockets, threads, files or clocks. */
+  private static final String[] LOGIC_PACKAGES = {
     "shalepaddle.model..",
     "shalepaddle.policy..",
     "shalepaddle.overload..",
@@ -32,9 +32,9 @@
     "shalepaddle.changefeed.."
   };
 
-  private static final String[] DECISIONS_AND_JAVA =
+  private static final String[] LOGIC_PACKAGES_AND_JDK =
       Stream.concat(
-              Arrays.stream(DECISIONS),
+              Arrays.stream(LOGIC_PACKAGES),
               Stream.of(
                   "java.lang",
                   "java.lang.invoke",
@@ -46,42 +46,45 @@
           .toArray(String[]::new);
 
   @Test
-  void decisionsKnowNoSocketsThreadsOrFiles() {
+  void logicPackagesUseNoSocketsThreadsOrFiles() {
     classes()
         .that()
-        .resideInAnyPackage(DECISIONS)
+        .resideInAnyPackage(LOGIC_PACKAGES)
         .should()
         .onlyDependOnClassesThat()
-        .resideInAnyPackage(DECISIONS_AND_JAVA)
-        .check(ALL);
+        .resideInAnyPackage(LOGIC_PACKAGES_AND_JDK)
+        .check(PRODUCTION_CLASSES);
   }
 
-  /** A platform may withhold sockets, files or ports that a start would wait for. */
+  /**
+   * The warm-up runs during the startup, when the platform may not provide sockets, files or ports
+   * yet. A warm-up that needs them would delay the startup until the platform provides them.
+   */
   @Test
-  void warmingUpOpensNoSocketAndNoFile() {
+  void warmupOpensNoSocketAndNoFile() {
     noClasses()
         .that()
         .haveNameMatching("shalepaddle\\.node\\.Warmup.*")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("java.net", "java.nio.file", "io.netty.channel.socket..")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void decisionsReadNoClock() {
+  void logicPackagesReadNoSystemClock() {
     for (String clock : new String[] {"nanoTime", "currentTimeMillis"}) {
       noClasses()
           .that()
-          .resideInAnyPackage(DECISIONS)
+          .resideInAnyPackage(LOGIC_PACKAGES)
           .should()
           .callMethod(System.class, clock)
-          .check(ALL);
+          .check(PRODUCTION_CLASSES);
     }
   }
 
   @Test
-  void theSimulatorsAdapterAndTheSettingsKnowNoNetwork() {
+  void simulatorAdapterAndSettingsUseNoNetwork() {
     noClasses()
         .that()
         .resideInAnyPackage("shalepaddle.sim..", "shalepaddle.settings..")
@@ -97,11 +100,11 @@
             "shalepaddle.membership..",
             "shalepaddle.codec..",
             "shalepaddle.config..")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void theEngineKnowsNoSimulatorAndNoCommandLine() {
+  void enginePackagesUseNeitherSimulatorNorCommandLine() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -115,11 +118,11 @@
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("shalepaddle.sim..", "shalepaddle.daemon..")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
-  /** Each room of the engine, and the others that it may know. */
-  private static final Map<String, List<String>> MAY_KNOW =
+  /** The packages of the engine, and the other packages on which each may depend. */
+  private static final Map<String, List<String>> ALLOWED_DEPENDENCIES =
       Map.ofEntries(
           entry("loop", List.of("sockets")),
           entry("sockets", List.of()),
@@ -143,8 +146,8 @@
           entry("codec", List.of("engine", "front", "upstream", "model")));
 
   @Test
-  void eachRoomKnowsItsNeighboursAlone() {
-    List<String> all =
+  void enginePackagesUseOnlyAllowedPackages() {
+    List<String> allPackages =
         List.of(
             "model",
             "policy",
@@ -165,32 +168,35 @@
             "upstream",
             "front",
             "codec");
-    MAY_KNOW.forEach(
-        (room, known) ->
+    ALLOWED_DEPENDENCIES.forEach(
+        (name, allowed) ->
             noClasses()
                 .that()
-                .resideInAPackage("shalepaddle." + room + "..")
+                .resideInAPackage("shalepaddle." + name + "..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                    all.stream()
-                        .filter(other -> !other.equals(room) && !known.contains(other))
+                    allPackages.stream()
+                        .filter(other -> !other.equals(name) && !allowed.contains(other))
                         .map(other -> "shalepaddle." + other + "..")
                         .toArray(String[]::new))
-                .check(ALL));
+                .check(PRODUCTION_CLASSES));
   }
 
   @Test
-  void noTwoRoomsKnowEachOther() {
+  void packagesHaveNoCycles() {
     SlicesRuleDefinition.slices()
         .matching("shalepaddle.(*)..")
         .should()
         .beFreeOfCycles()
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
-  /** Each rule of the policy, and the others that it may know; the router joins all of them. */
-  private static final Map<String, List<String>> RULES_MAY_KNOW =
+  /**
+   * The packages of the policy, and the other policy packages on which each may depend. The router,
+   * in the parent package, may use all of them.
+   */
+  private static final Map<String, List<String>> ALLOWED_POLICY_DEPENDENCIES =
       Map.of(
           "hash", List.of(),
           "health", List.of("hash"),
@@ -200,45 +206,45 @@
           "membership", List.of("health"));
 
   @Test
-  void onlyTheRoutersPackageJoinsTheRulesOfThePolicy() {
-    RULES_MAY_KNOW.forEach(
-        (rule, known) ->
+  void policyPackagesUseOnlyAllowedPolicyPackages() {
+    ALLOWED_POLICY_DEPENDENCIES.forEach(
+        (name, allowed) ->
             noClasses()
                 .that()
-                .resideInAPackage("shalepaddle.policy." + rule + "..")
+                .resideInAPackage("shalepaddle.policy." + name + "..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                     Stream.concat(
                             Stream.of("shalepaddle.policy"),
-                            RULES_MAY_KNOW.keySet().stream()
-                                .filter(other -> !other.equals(rule) && !known.contains(other))
+                            ALLOWED_POLICY_DEPENDENCIES.keySet().stream()
+                                .filter(other -> !other.equals(name) && !allowed.contains(other))
                                 .map(other -> "shalepaddle.policy." + other + ".."))
                         .toArray(String[]::new))
-                .check(ALL));
-    // A rule that is not in the table would know what it likes.
+                .check(PRODUCTION_CLASSES));
+    // A policy package that is missing from the table would escape the check above.
     classes()
         .that()
         .resideInAPackage("shalepaddle.policy.*..")
         .should()
         .resideInAnyPackage(
-            RULES_MAY_KNOW.keySet().stream()
-                .map(rule -> "shalepaddle.policy." + rule + "..")
+            ALLOWED_POLICY_DEPENDENCIES.keySet().stream()
+                .map(name -> "shalepaddle.policy." + name + "..")
                 .toArray(String[]::new))
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void rulesOfThePolicyHaveNoCycles() {
+  void policyPackagesHaveNoCycles() {
     SlicesRuleDefinition.slices()
         .matching("shalepaddle.policy.(*)..")
         .should()
         .beFreeOfCycles()
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void callsAndRepliesKnowNoConnections() {
+  void requestAndReplyTypesUseNeitherPolicyNorNettyChannels() {
     noClasses()
         .that()
         .haveNameMatching(
@@ -247,28 +253,28 @@
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("shalepaddle.policy..", "io.netty.channel..")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
-  /** Whoever reads the system's clock can not run in virtual time. */
+  /** Code that reads the system's clock can't run in virtual time. */
   @Test
-  void timeComesThroughTheTicker() {
+  void enginePackagesReadNoSystemClock() {
     for (String clock : new String[] {"nanoTime", "currentTimeMillis"}) {
       noClasses()
           .that()
           .resideInAnyPackage(
-              MAY_KNOW.keySet().stream()
-                  .map(room -> "shalepaddle." + room + "..")
+              ALLOWED_DEPENDENCIES.keySet().stream()
+                  .map(name -> "shalepaddle." + name + "..")
                   .toArray(String[]::new))
           .should()
           .callMethod(System.class, clock)
-          .check(ALL);
+          .check(PRODUCTION_CLASSES);
     }
   }
 
-  /** The rules above could be empty: here is one that has to fail. */
+  /** Guards against checks that match no classes: this dependency exists and must be reported. */
   @Test
-  void aBrokenRuleIsFound() {
+  void reportsForbiddenDependency() {
     assertThrows(
         AssertionError.class,
         () ->
@@ -278,6 +284,6 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("shalepaddle.policy..")
-                .check(ALL));
+                .check(PRODUCTION_CLASSES));
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/ClosedLoopClients.java
+++ b/daemon/src/test/java/shalepaddle/daemon/ClosedLoopClients.java
@@ -21,128 +21,152 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Clients that ask, rest for 20 ms to 4 s and ask again on the same connection, each on a thread of
- * its own. A connection that ends while they rest is replaced; one that ends after a request was
- * written whole to it has lost that request, unless the two crossed on the way.
+ * Clients that send a request, pause for 20 ms to 4 s and send the next one on the same connection,
+ * each on a thread of its own. A connection that is closed during a pause is replaced. A request
+ * that was written completely counts as lost if its connection is closed before the answer, unless
+ * the node may have closed it before it received the request.
  */
 final class ClosedLoopClients implements Closeable {
-  /** By the protocol a request that crosses the end of its connection is sent once more. */
-  private static final long CROSSED_NANOS = 2_000_000;
+  /**
+   * If a reused connection turns out to be closed within this time after a request was sent, the
+   * request and the close have crossed on the wire. By the protocol the request is then sent once
+   * more on a new connection.
+   */
+  private static final long MAX_CLOSE_RACE_NANOS = 2_000_000;
 
   private static final int DEADLINE_MILLIS = 2000;
 
-  /** Longer than any request's time and any pause. */
-  private static final int PATIENCE_MILLIS = 15_000;
+  /** The timeout is longer than any request's deadline and any pause of the node. */
+  private static final int SOCKET_TIMEOUT_MILLIS = 15_000;
 
   private final InetSocketAddress address;
-  private final AtomicInteger left;
-  private final CountDownLatch running;
+  private final AtomicInteger remainingRequests;
+  private final CountDownLatch activeClients;
   private final List<Thread> threads = new ArrayList<>();
-  private final Queue<String> lost = new ConcurrentLinkedQueue<>();
-  private final Queue<String> wrong = new ConcurrentLinkedQueue<>();
+  private final Queue<String> lostRequests = new ConcurrentLinkedQueue<>();
+  private final Queue<String> protocolErrors = new ConcurrentLinkedQueue<>();
   private final Queue<Long> latenessMillis = new ConcurrentLinkedQueue<>();
-  private final Queue<String> ids = new ConcurrentLinkedQueue<>();
-  private final AtomicInteger crossed = new AtomicInteger();
-  private final AtomicInteger answered = new AtomicInteger();
-  private final AtomicInteger refused = new AtomicInteger();
+  private final Queue<String> writeIds = new ConcurrentLinkedQueue<>();
+  private final AtomicInteger resentRequests = new AtomicInteger();
+  private final AtomicInteger answeredRequests = new AtomicInteger();
+  private final AtomicInteger refusedRequests = new AtomicInteger();
   private final AtomicInteger failedWrites = new AtomicInteger();
-  private volatile boolean leave;
+  private volatile boolean endOnConnectionFailure;
 
-  /** So many clients that send so many requests together. */
-  ClosedLoopClients(InetSocketAddress address, int clients, int requests) {
+  /**
+   * Starts the clients.
+   *
+   * @param requestCount number of requests that all clients together send
+   */
+  ClosedLoopClients(InetSocketAddress address, int clientCount, int requestCount) {
     this.address = address;
-    left = new AtomicInteger(requests);
-    running = new CountDownLatch(clients);
-    for (int i = 0; i < clients; i++) {
-      Caller caller = new Caller(i);
-      Thread thread = new Thread(caller::run, "caller " + i);
+    remainingRequests = new AtomicInteger(requestCount);
+    activeClients = new CountDownLatch(clientCount);
+    for (int i = 0; i < clientCount; i++) {
+      Client client = new Client(i);
+      Thread thread = new Thread(client::run, "caller " + i);
       thread.setDaemon(true);
       threads.add(thread);
       thread.start();
     }
   }
 
-  /** Waits for so long; whether all requests have ended. */
-  boolean await(long millis) throws InterruptedException {
-    return running.await(millis, TimeUnit.MILLISECONDS);
+  /** Waits until all clients have ended; returns false if the timeout expires first. */
+  boolean await(long timeoutMillis) throws InterruptedException {
+    return activeClients.await(timeoutMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** A client that finds nobody listening, or its connection ended, leaves from now on. */
+  /** Makes each client end when it can't connect or finds its connection closed. */
   void leaveWhenRefused() {
-    leave = true;
+    endOnConnectionFailure = true;
   }
 
-  /** Clients ask for nothing more from now on. */
+  /** Stops sending requests; those in flight continue. */
   void finish() {
-    left.set(0);
+    remainingRequests.set(0);
   }
 
-  /** Requests that crossed the end of their connection, and were asked once more. */
+  /** Returns how many requests were sent again because their connection was being closed. */
   int crossed() {
-    return crossed.get();
+    return resentRequests.get();
   }
 
-  /** As {@link #assertAllAnswered}, where processes were killed with what they had taken. */
+  /**
+   * Like {@link #assertAllAnswered}, but allows lost requests, for tests that kill processes with
+   * requests in flight.
+   */
   void assertNoneLeftWaiting(Fleet fleet) {
-    assertEquals(0, running.getCount(), "clients still wait");
-    assertEquals(List.of(), List.copyOf(wrong));
-    for (String id : ids) {
-      assertTrue(fleet.executions(id) <= 1, id + " was carried out twice");
+    assertEquals(0, activeClients.getCount(), "number of clients that still wait for an answer");
+    assertEquals(List.of(), List.copyOf(protocolErrors));
+    for (String id : writeIds) {
+      assertTrue(fleet.executions(id) <= 1, id + " was executed more than once");
     }
   }
 
   int refused() {
-    return refused.get();
+    return refusedRequests.get();
   }
 
   int answered() {
-    return answered.get();
+    return answeredRequests.get();
   }
 
   int failedWrites() {
     return failedWrites.get();
   }
 
-  void assertAllAnswered(long pauseMillis, Fleet fleet) {
-    assertEquals(0, running.getCount(), "clients still wait");
-    assertEquals(List.of(), List.copyOf(lost), "lost of " + answered + " answered");
-    assertEquals(List.of(), List.copyOf(wrong));
-    assertTrue(answered.get() > 50, answered + " answered");
-    // 50 ms are the rule's own slack; the rest is for this machine.
-    long latest = latenessMillis.stream().mapToLong(Long::longValue).max().orElse(0);
-    assertTrue(latest <= pauseMillis + 250, "late by " + latest + " ms");
-    for (String id : ids) {
-      assertTrue(fleet.executions(id) <= 1, id + " was carried out twice");
+  /**
+   * Checks that each request was answered once and in time, and each write executed at most once.
+   *
+   * @param maxPauseMillis the longest pause of the node, by which answers may be late
+   */
+  void assertAllAnswered(long maxPauseMillis, Fleet fleet) {
+    assertEquals(0, activeClients.getCount(), "number of clients that still wait for an answer");
+    assertEquals(
+        List.of(),
+        List.copyOf(lostRequests),
+        "lost requests, besides " + answeredRequests + " answered ones");
+    assertEquals(List.of(), List.copyOf(protocolErrors));
+    assertTrue(answeredRequests.get() > 50, answeredRequests + " requests answered");
+    // The protocol allows answers 50 ms late; 200 ms more are for delays of a busy test machine.
+    long maxLatenessMillis = latenessMillis.stream().mapToLong(Long::longValue).max().orElse(0);
+    assertTrue(
+        maxLatenessMillis <= maxPauseMillis + 250,
+        "slowest answer late by " + maxLatenessMillis + " ms");
+    for (String id : writeIds) {
+      assertTrue(fleet.executions(id) <= 1, id + " was executed more than once");
     }
-    assertTrue(crossed.get() <= 5, crossed + " requests crossed the end of their connection");
+    assertTrue(
+        resentRequests.get() <= 5, resentRequests + " requests were sent again after a close");
   }
 
-  /** One client. */
-  private final class Caller {
-    private final int number;
+  /** One client with its connection. */
+  private final class Client {
+    private final int clientNumber;
     private final SplittableRandom random;
     private Socket socket;
     private InputStream in;
 
-    Caller(int number) {
-      this.number = number;
-      this.random = new SplittableRandom(number);
+    Client(int clientNumber) {
+      this.clientNumber = clientNumber;
+      this.random = new SplittableRandom(clientNumber);
     }
 
     void run() {
       try {
-        for (int i = 0; left.getAndDecrement() > 0; i++) {
-          if (!ask("c" + number + "r" + i) || !rest(20 + random.nextInt(3980) / (1 + i % 8))) {
+        for (int i = 0; remainingRequests.getAndDecrement() > 0; i++) {
+          if (!sendNextRequest("c" + clientNumber + "r" + i)
+              || !pause(20 + random.nextInt(3980) / (1 + i % 8))) {
             return;
           }
         }
       } catch (IOException | InterruptedException e) {
-        if (!leave) {
-          lost.add("client " + number + ": " + e);
+        if (!endOnConnectionFailure) {
+          lostRequests.add("client " + clientNumber + ": " + e);
         }
       } finally {
         close();
-        running.countDown();
+        activeClients.countDown();
       }
     }
 
@@ -152,55 +176,58 @@
           socket.close();
         }
       } catch (IOException e) {
-        // It is of no more use.
+        // A failed close is ignored, since the connection isn't used again.
       }
       socket = null;
     }
 
-    /** Waits on the connection; false if there is nothing more to ask for. */
-    private boolean rest(int millis) throws IOException, InterruptedException {
-      socket.setSoTimeout(millis);
+    /**
+     * Pauses, and checks that the connection receives no bytes meanwhile; returns false if the
+     * client has to end.
+     */
+    private boolean pause(int pauseMillis) throws IOException, InterruptedException {
+      socket.setSoTimeout(pauseMillis);
       try {
-        int more = in.read();
-        if (more >= 0) {
-          wrong.add("more than one answer at client " + number);
+        int nextByte = in.read();
+        if (nextByte >= 0) {
+          protocolErrors.add("client " + clientNumber + " received bytes without a request");
         }
       } catch (SocketTimeoutException e) {
         return true;
       } catch (IOException e) {
-        wrong.add("a connection without a request was reset");
+        protocolErrors.add("client " + clientNumber + ": connection without a request was reset");
       }
       close();
-      return !leave;
+      return !endOnConnectionFailure;
     }
 
-    /** False if the node takes no more. */
-    private boolean ask(String id) throws IOException, InterruptedException {
-      boolean write = random.nextInt(3) == 0;
+    /** Sends a request and reads its answer; returns false if the client has to end. */
+    private boolean sendNextRequest(String id) throws IOException, InterruptedException {
+      boolean isWrite = random.nextInt(3) == 0;
       String key = "key" + random.nextInt(200);
-      String flags = "O" + id + " Pc=" + (write ? "put" : "read") + ",d=" + DEADLINE_MILLIS;
+      String flags = "O" + id + " Pc=" + (isWrite ? "put" : "read") + ",d=" + DEADLINE_MILLIS;
       String command =
-          write ? "ms " + key + " 5 " + flags + "\r\nvalue\r\n" : "mg " + key + " v " + flags;
-      if (write) {
-        ids.add(id);
+          isWrite ? "ms " + key + " 5 " + flags + "\r\nvalue\r\n" : "mg " + key + " v " + flags;
+      if (isWrite) {
+        writeIds.add(id);
       } else {
         command += "\r\n";
       }
-      boolean fresh = socket == null;
-      if (fresh && !connect()) {
+      boolean isNewConnection = socket == null;
+      if (isNewConnection && !connect()) {
         return false;
       }
-      if (exchange(id, command, write, fresh)) {
+      if (sendAndReadAnswer(id, command, isWrite, isNewConnection)) {
         return true;
       }
-      crossed.incrementAndGet();
+      resentRequests.incrementAndGet();
       close();
       if (!connect()) {
         return false;
       }
-      // Once more, as the protocol has it.
-      if (!exchange(id, command, write, true)) {
-        lost.add(id + " twice");
+      // By the protocol, a client sends a request that crossed a close once more.
+      if (!sendAndReadAnswer(id, command, isWrite, true)) {
+        lostRequests.add(id + ": connection closed again at the second attempt");
       }
       return true;
     }
@@ -208,9 +235,9 @@
     private boolean connect() throws IOException {
       socket = new Socket();
       try {
-        socket.connect(address, PATIENCE_MILLIS);
+        socket.connect(address, SOCKET_TIMEOUT_MILLIS);
       } catch (IOException e) {
-        if (leave) {
+        if (endOnConnectionFailure) {
           return false;
         }
         throw e;
@@ -220,11 +247,11 @@
       return true;
     }
 
-    /** False if the request crossed the end of its connection. */
-    private boolean exchange(String id, String command, boolean write, boolean fresh)
-        throws IOException {
-      socket.setSoTimeout(PATIENCE_MILLIS);
-      long asked = System.nanoTime();
+    /** Sends a command; returns false if the connection was being closed at that moment. */
+    private boolean sendAndReadAnswer(
+        String id, String command, boolean isWrite, boolean isNewConnection) throws IOException {
+      socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
+      long sentAtNanos = System.nanoTime();
       String line;
       try {
         socket.getOutputStream().write(command.getBytes(StandardCharsets.US_ASCII));
@@ -232,36 +259,41 @@
       } catch (IOException e) {
         line = null;
       }
-      long took = System.nanoTime() - asked;
+      long answerNanos = System.nanoTime() - sentAtNanos;
       if (line == null) {
-        if (!fresh && took < CROSSED_NANOS) {
+        if (!isNewConnection && answerNanos < MAX_CLOSE_RACE_NANOS) {
           return false;
         }
-        lost.add(id + (fresh ? " on a new connection" : "") + " after " + took / 1000 + " us");
+        lostRequests.add(
+            id
+                + (isNewConnection ? " on a new connection" : "")
+                + " after "
+                + answerNanos / 1000
+                + " us");
         close();
         return connect();
       }
-      if (line.startsWith("VA 5 O" + id) && !write) {
+      if (line.startsWith("VA 5 O" + id) && !isWrite) {
         if (!"value".equals(Fleet.line(in))) {
-          wrong.add(id + ": not its value");
+          protocolErrors.add(id + ": answer without its value");
         }
       } else if (line.equals("SERVER_ERROR failed")) {
-        failedWrites.addAndGet(write ? 1 : 0);
+        failedWrites.addAndGet(isWrite ? 1 : 0);
       } else if (line.startsWith("SERVER_ERROR busy")) {
-        refused.incrementAndGet();
-      } else if (!(line.startsWith("HD O" + id) && write)) {
-        wrong.add(id + ": " + line);
+        refusedRequests.incrementAndGet();
+      } else if (!(line.startsWith("HD O" + id) && isWrite)) {
+        protocolErrors.add(id + ": " + line);
       }
-      answered.incrementAndGet();
-      latenessMillis.add(took / 1_000_000 - DEADLINE_MILLIS);
+      answeredRequests.incrementAndGet();
+      latenessMillis.add(answerNanos / 1_000_000 - DEADLINE_MILLIS);
       return true;
     }
   }
 
   @Override
   public void close() {
-    leave = true;
-    left.set(0);
+    endOnConnectionFailure = true;
+    remainingRequests.set(0);
     for (Thread thread : threads) {
       thread.interrupt();
     }
--- a/daemon/src/test/java/shalepaddle/daemon/DeployFile.java
+++ b/daemon/src/test/java/shalepaddle/daemon/DeployFile.java
@@ -7,34 +7,35 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The commands of the deploy file, as the platform starts and signals them. */
+/** Runs and signals the commands of the deploy file, as the platform does. */
 final class DeployFile {
   private DeployFile() {}
 
-  /** The command of this name, its errors among its output. */
-  static ProcessBuilder command(String name) throws IOException {
-    return new ProcessBuilder(List.of("/bin/sh", "-c", shell(name))).redirectErrorStream(true);
+  /** Returns a builder for the named command, with standard error merged into its output. */
+  static ProcessBuilder command(String commandName) throws IOException {
+    return new ProcessBuilder(List.of("/bin/sh", "-c", shell(commandName)))
+        .redirectErrorStream(true);
   }
 
-  /** The command of this name, as a shell takes it. */
-  static String shell(String name) throws IOException {
+  /** Returns the shell command line of the named command. */
+  static String shell(String commandName) throws IOException {
     String line =
         Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-            .filter(text -> text.startsWith(name + " = "))
+            .filter(text -> text.startsWith(commandName + " = "))
             .findFirst()
             .orElseThrow();
     return line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
   }
 
-  /** A port of the loopback address on which nobody listens. */
+  /** Returns a free port of the loopback address. */
   static int freePort() throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return free.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     }
   }
 
-  /** Sends a signal, named without its SIG. */
-  static void signal(Process process, String name) throws IOException, InterruptedException {
-    new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
+  /** Sends a signal, given by its name without SIG. */
+  static void signal(Process process, String signalName) throws IOException, InterruptedException {
+    new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid())).start().waitFor();
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/DescriptorLimit.java
+++ b/daemon/src/test/java/shalepaddle/daemon/DescriptorLimit.java
@@ -5,9 +5,9 @@
 import java.nio.file.Path;
 import java.util.stream.Stream;
 
-/** How many descriptors a running process may hold, set from outside. */
+/** Changes the limit on open descriptors of a running process with {@code prlimit}. */
 final class DescriptorLimit {
-  /** Never lowered, so that the limit can be raised again without a privilege. */
+  /** The hard limit stays the same, so that the soft limit can be raised without privileges. */
   private static final int HARD_LIMIT = 4096;
 
   private final long pid;
@@ -16,23 +16,23 @@
     this.pid = pid;
   }
 
-  /** How many it holds. */
+  /** Returns how many descriptors the process has open. */
   int inUse() throws IOException {
-    try (Stream<Path> open = Files.list(Path.of("/proc", Long.toString(pid), "fd"))) {
-      return (int) open.count();
+    try (Stream<Path> openDescriptors = Files.list(Path.of("/proc", Long.toString(pid), "fd"))) {
+      return (int) openDescriptors.count();
     }
   }
 
-  /** It may hold descriptors below this number from now on. */
-  void set(int most) throws IOException, InterruptedException {
-    int code =
+  /** Sets the process's soft limit on open descriptors. */
+  void set(int softLimit) throws IOException, InterruptedException {
+    int exitCode =
         new ProcessBuilder(
-                "prlimit", "--pid", Long.toString(pid), "--nofile=" + most + ":" + HARD_LIMIT)
+                "prlimit", "--pid", Long.toString(pid), "--nofile=" + softLimit + ":" + HARD_LIMIT)
             .inheritIO()
             .start()
             .waitFor();
-    if (code != 0) {
-      throw new IOException("prlimit ended with " + code);
+    if (exitCode != 0) {
+      throw new IOException("prlimit for process " + pid + " exited with code " + exitCode);
     }
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/DirectClient.java
+++ b/daemon/src/test/java/shalepaddle/daemon/DirectClient.java
@@ -6,76 +6,81 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
- * A client that asks for more than it is given, and tells whether it got all its answers in time.
+ * A client that exceeds the protocol's limits, such as the number of requests pipelined on a
+ * connection, and checks that each request is answered in time.
  */
 final class DirectClient {
-  private static final int PIPELINED = 150;
+  private static final int PIPELINED_REQUESTS = 150;
   private static final int DEADLINE_MILLIS = 400;
-  private static final int REPEATS = 60;
+  private static final int REQUESTS_WITH_REPEATS = 60;
 
   private final InetSocketAddress node;
   private final long graceMillis;
-  private final int number;
+  private final int clientNumber;
 
   /**
-   * One that has not connected.
+   * Creates a client without a connection.
    *
-   * @param graceMillis how long after its time an answer may come
-   * @param number sets its requests apart from those of others
+   * @param graceMillis how long after the deadline of a request its answer may come
+   * @param clientNumber part of the request ids, by which they differ from those of other clients
    */
-  DirectClient(InetSocketAddress node, long graceMillis, int number) {
+  DirectClient(InetSocketAddress node, long graceMillis, int clientNumber) {
     this.node = node;
     this.graceMillis = graceMillis;
-    this.number = number;
+    this.clientNumber = clientNumber;
   }
 
   /**
-   * Makes an error and sends more commands at once than it may be owed answers.
+   * Sends an invalid command, and pipelines more requests than may be unanswered on a connection.
    *
-   * @return what is wrong with the answers, null if nothing is
+   * @return a description of the first closed connection or late answer, null if there is none
    */
   String pipelineAfterError() throws IOException {
     StringBuilder commands = new StringBuilder("mg key v\r\n");
-    for (int i = 0; i < PIPELINED; i++) {
-      commands.append(read("pipe", i, ""));
+    for (int i = 0; i < PIPELINED_REQUESTS; i++) {
+      commands.append(formatReadCommand("pipe", i, ""));
     }
     try (ScriptedPeer client = ScriptedPeer.connect(node)) {
-      long sentAt = System.nanoTime();
+      long sentAtNanos = System.nanoTime();
       client.write(commands.toString());
-      for (int answers = 0; answers <= PIPELINED; answers++) {
-        if (!answered(client)) {
-          return "pipeline ended after " + answers + " answers";
+      for (int answerCount = 0; answerCount <= PIPELINED_REQUESTS; answerCount++) {
+        if (!readAnswer(client)) {
+          return "pipeline: connection closed after " + answerCount + " answers";
         }
       }
-      return late("pipeline", sentAt);
+      return describeLateness("pipeline", sentAtNanos);
     }
   }
 
-  /** Repeats its request at once, marked as a repeat, whatever the answer. */
+  /**
+   * Sends reads one after the other without a pause, all but the first marked as retries.
+   *
+   * @return a description of the first closed connection or late answer, null if there is none
+   */
   String repeatRejected() throws IOException {
     try (ScriptedPeer client = ScriptedPeer.connect(node)) {
-      for (int i = 0; i < REPEATS; i++) {
-        long sentAt = System.nanoTime();
-        client.write(read("repeat", i, i == 0 ? "" : ",r=1"));
-        if (!answered(client)) {
-          return "connection ended after " + i + " repeats";
+      for (int i = 0; i < REQUESTS_WITH_REPEATS; i++) {
+        long sentAtNanos = System.nanoTime();
+        client.write(formatReadCommand("repeat", i, i == 0 ? "" : ",r=1"));
+        if (!readAnswer(client)) {
+          return "repeat: connection closed after " + i + " requests";
         }
-        String late = late("repeat", sentAt);
-        if (late != null) {
-          return late;
+        String violation = describeLateness("repeat", sentAtNanos);
+        if (violation != null) {
+          return violation;
         }
       }
       return null;
     }
   }
 
-  private String read(String kind, int index, String more) {
+  private String formatReadCommand(String idPrefix, int index, String moreFields) {
     return "mg key%d v O%s%d-%d Pc=read,d=%d%s\r\n"
-        .formatted(index, kind, number, index, DEADLINE_MILLIS, more);
+        .formatted(index, idPrefix, clientNumber, index, DEADLINE_MILLIS, moreFields);
   }
 
-  /** Reads an answer; a value's own line begins with its key. */
-  private static boolean answered(ScriptedPeer client) throws IOException {
+  /** Reads an answer and its value, if any; returns false if the connection was closed. */
+  private static boolean readAnswer(ScriptedPeer client) throws IOException {
     String line = client.line();
     if (line != null && line.startsWith("VA ")) {
       client.line();
@@ -83,10 +88,11 @@
     return line != null;
   }
 
-  private String late(String what, long sentAt) {
-    long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt);
-    return millis > DEADLINE_MILLIS + graceMillis
-        ? what + " answered after " + millis + " ms"
+  /** Describes an answer that came too late; returns null if it came in time. */
+  private String describeLateness(String requestName, long sentAtNanos) {
+    long answerMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos);
+    return answerMillis > DEADLINE_MILLIS + graceMillis
+        ? requestName + " answered after " + answerMillis + " ms"
         : null;
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/DocumentationTest.java
+++ b/daemon/src/test/java/shalepaddle/daemon/DocumentationTest.java
@@ -14,15 +14,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Every link between the project's pages leads to a file, and to a heading in it. */
+/** Checks that each link between the project's pages names an existing file and heading. */
 class DocumentationTest {
   private static final Pattern LINK = Pattern.compile("\\]\\(([^)#\\s]*)(?:#([^)\\s]*))?\\)");
   private static final Pattern HEADING = Pattern.compile("^#+ +(.*)$", Pattern.MULTILINE);
 
   @Test
-  void everyLinkLeadsToAFileAndAHeading() throws IOException {
-    List<String> broken = new ArrayList<>();
-    int links = 0;
+  void linksBetweenPagesNameExistingFilesAndHeadings() throws IOException {
+    List<String> brokenLinks = new ArrayList<>();
+    int linkCount = 0;
     for (Path page : pages()) {
       Matcher link = LINK.matcher(Files.readString(page));
       while (link.find()) {
@@ -30,15 +30,15 @@
         if (target.contains(":")) {
           continue;
         }
-        links++;
+        linkCount++;
         Path file = target.isEmpty() ? page : page.resolveSibling(target).normalize();
         if (!Files.exists(file) || !hasHeading(file, link.group(2))) {
-          broken.add(page + ": " + link.group());
+          brokenLinks.add(page + ": " + link.group());
         }
       }
     }
-    assertTrue(links > 50, "links found: " + links);
-    assertEquals(List.of(), broken);
+    assertTrue(linkCount > 50, "expected more than 50 links, found " + linkCount);
+    assertEquals(List.of(), brokenLinks);
   }
 
   private static List<Path> pages() throws IOException {
@@ -59,11 +59,11 @@
     return HEADING
         .matcher(Files.readString(file))
         .results()
-        .anyMatch(heading -> anchor(heading.group(1)).equals(anchor));
+        .anyMatch(heading -> toAnchor(heading.group(1)).equals(anchor));
   }
 
-  /** A heading's anchor: lower case, without punctuation, words joined by hyphens. */
-  private static String anchor(String heading) {
+  /** Returns a heading's anchor: lower case, without punctuation, words joined by hyphens. */
+  private static String toAnchor(String heading) {
     return heading
         .toLowerCase(Locale.ROOT)
         .replaceAll("[^\\p{L}\\p{N} _-]", "")
