--- a/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
@@ -27,18 +27,18 @@
 import shalepaddle.testkit.Traffic;
 
 /**
- * A fleet of real node processes under faults that are drawn from a seed and overlap in time. What
- * its clients and servers see is held against the four rules, and so are the violations that the
- * nodes themselves count and log.
+ * Runs a fleet of real node processes under overlapping faults drawn from a seed. Checks the
+ * protocol's requirements on answers, attempts, retries, server states and slow start by what
+ * clients and servers observe, and by the violations that the nodes themselves count and log.
  *
- * <p>All stand-ins run on one event loop; methods that touch them run there.
+ * <p>All stand-ins run on one event loop; methods that access them run there.
  */
 final class FaultSoak implements Closeable {
-  private static final List<Fault> FAULTS = List.of(Fault.values());
-  private static final int SERVERS = 6;
-  private static final int SOCKETS = 256;
-  private static final int CLIENT_CONNECTIONS = SOCKETS / 3;
-  private static final int REQUESTS_A_NODE = 40;
+  private static final List<Fault> ANSWER_FAULTS = List.of(Fault.values());
+  private static final int SERVER_COUNT = 6;
+  private static final int MAX_DESCRIPTORS = 256;
+  private static final int MAX_CLIENT_CONNECTIONS = MAX_DESCRIPTORS / 3;
+  private static final int REQUESTS_PER_SECOND_PER_NODE = 40;
   private static final int READ_DEADLINE_MILLIS = 800;
   private static final int WRITE_DEADLINE_MILLIS = 600;
   private static final long[] CLOCK_STEPS_SECONDS = {0, 5, -5, 3600, -3600};
@@ -61,26 +61,27 @@
     Errno.EADDRNOTAVAIL, Errno.ENETUNREACH, Errno.EPERM, Errno.ENOBUFS, Errno.ENOMEM, Errno.EMFILE
   };
 
-  /** For the protocol's slack, and for this machine with so many processes. */
-  private static final long GRACE_MILLIS = 250;
+  /** How late an answer may be: the protocol's tolerance, and delays of a busy test machine. */
+  private static final long MAX_LATENESS_MILLIS = 250;
 
-  private static final long SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
-  private static final double GONE_SHARE = 0.05;
+  /** How long after an answer a command that was sent before it may still reach a server. */
+  private static final long MAX_DELIVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
+  private static final double ABANDONED_REQUESTS_FRACTION = 0.05;
 
-  /** New connections go on coming to a process that is told to end, for so long. */
-  private static final long NEW_CONNECTIONS_MILLIS = 300;
+  /** How long clients open new connections to a process after its SIGTERM. */
+  private static final long CONNECTS_AFTER_SIGTERM_MILLIS = 300;
 
-  private static final long DRAIN_MILLIS = 6000;
+  private static final long MAX_DRAIN_MILLIS = 6000;
 
-  /** How long a drawn fault lasts at most. */
-  private static final int FAULT_MILLIS = 2500;
+  /** Bound on the random part of a fault's duration, to which 100 ms are added. */
+  private static final int MAX_RANDOM_FAULT_MILLIS = 2500;
 
-  /** Violations that a stopped process can't help: an answer was due while it did not run. */
-  private static final List<String> EXCUSED_BY_STOPS = List.of("answered_late", "unanswered");
+  /** Violations that a pause by SIGSTOP causes: an answer was due while the process was paused. */
+  private static final List<String> KINDS_EXCUSED_BY_PAUSES = List.of("answered_late", "unanswered");
 
-  /** What can go wrong; several at a time. */
-  private enum Trouble {
-    STOP_NODE,
+  /** The kinds of faults, several of which may be active at a time. */
+  private enum FaultKind {
+    PAUSE_NODE,
     RESTART_NODE,
     KILL_NODE,
     RELOAD_NODE,
@@ -103,15 +104,15 @@
     BURST
   }
 
-  /** A node's process. */
+  /** A node's process and what the test has done to it. */
   private static final class NodeProcess {
     private final String name;
     private final StoppableNode daemon;
     private final FaultyCalls calls;
-    private boolean stopped;
-    private boolean everStopped;
-    private boolean ending;
-    private boolean killed;
+    private boolean isPaused;
+    private boolean wasEverPaused;
+    private boolean isEnding;
+    private boolean isKilled;
 
     NodeProcess(String name, StoppableNode daemon, FaultyCalls calls) {
       this.name = name;
@@ -124,56 +125,56 @@
   private final SplittableRandom random;
   private final Path folder;
   private final Path library;
-  private final MultiThreadIoEventLoopGroup group =
+  private final MultiThreadIoEventLoopGroup eventLoops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventLoop loop = group.next();
-  private final LoopbackTransport wire = LoopbackTransport.sockets(loop);
-  private final EffectLog ledger = new EffectLog();
+  private final EventLoop loop = eventLoops.next();
+  private final LoopbackTransport transport = LoopbackTransport.sockets(loop);
+  private final EffectLog effectLog = new EffectLog();
   private final StandInOrigin origin;
   private final List<StandInServer> servers = new ArrayList<>();
-  private final StandInDiscovery discovery = new StandInDiscovery(wire);
+  private final StandInDiscovery discovery = new StandInDiscovery(transport);
   private final StandInClients clients;
-  private final MisbehavingClients rude;
+  private final MisbehavingClients misbehavingClients;
   private final List<NodeProcess> nodes = new ArrayList<>();
   private final List<String> violations = new ArrayList<>();
-  private final Map<Trouble, Integer> played = new LinkedHashMap<>();
-  private int started;
-  private int directs;
+  private final Map<FaultKind, Integer> injectedFaults = new LinkedHashMap<>();
+  private int startedNodes;
+  private int nextDirectClientNumber;
 
-  /** How far the clock that stamps starts in the list is off from the machine's. */
-  private volatile long listClockMillis;
+  /** By how much discovery's clock, which stamps the servers' starts, is ahead of the machine's. */
+  private volatile long listClockOffsetMillis;
 
   FaultSoak(long seed, int nodeCount, Path folder) throws Exception {
     this.seed = seed;
     this.random = new SplittableRandom(seed);
     this.folder = folder;
     this.library = FaultyCalls.build(folder);
-    this.origin = new StandInOrigin(wire, seed, 16, 0.02);
-    this.rude = new MisbehavingClients(wire, seed);
+    this.origin = new StandInOrigin(transport, seed, 16, 0.02);
+    this.misbehavingClients = new MisbehavingClients(transport, seed);
     this.clients =
         new StandInClients(
-            wire,
-            ledger,
+            transport,
+            effectLog,
             new Traffic(
-                REQUESTS_A_NODE * nodeCount,
+                REQUESTS_PER_SECOND_PER_NODE * nodeCount,
                 2000,
                 1,
                 List.of(
                     new Traffic.RequestClass("read", 0.85, false, false, READ_DEADLINE_MILLIS, 0),
                     new Traffic.RequestClass("put", 0.15, true, false, WRITE_DEADLINE_MILLIS, 64)),
-                GONE_SHARE),
-            GRACE_MILLIS,
-            CLIENT_CONNECTIONS,
+                ABANDONED_REQUESTS_FRACTION),
+            MAX_LATENESS_MILLIS,
+            MAX_CLIENT_CONNECTIONS,
             seed);
-    for (int i = 0; i < SERVERS; i++) {
+    for (int i = 0; i < SERVER_COUNT; i++) {
       StandInServer server =
           new StandInServer(
-              wire, "s" + i, "a", ServerModel.usual(), origin, ledger, servers, seed + i);
+              transport, "s" + i, "a", ServerModel.usual(), origin, effectLog, servers, seed + i);
       server.start().sync();
     }
     runOnLoop(
         () -> {
-          servers.forEach(server -> discovery.put(member(server, 0)));
+          servers.forEach(server -> discovery.put(listEntry(server, 0)));
         });
     discovery.start().sync();
     for (int i = 0; i < nodeCount; i++) {
@@ -184,20 +185,20 @@
     }
   }
 
-  private <T> T onLoop(Callable<T> work) throws Exception {
-    return loop.submit(work).get();
+  private <T> T callOnLoop(Callable<T> task) throws Exception {
+    return loop.submit(task).get();
   }
 
-  private void runOnLoop(Runnable work) throws Exception {
-    loop.submit(work).get();
+  private void runOnLoop(Runnable task) throws Exception {
+    loop.submit(task).get();
   }
 
-  private static StandInDiscovery.Member member(StandInServer server, long startedMillis) {
+  private static StandInDiscovery.Member listEntry(StandInServer server, long startTimeMillis) {
     return new StandInDiscovery.Member(
-        server.id(), server.address(), "a", 0, StandInDiscovery.State.ACTIVE, startedMillis);
+        server.id(), server.address(), "a", 0, StandInDiscovery.State.ACTIVE, startTimeMillis);
   }
 
-  private String config(int port, String members) {
+  private String config(int port, String serverList) {
     return """
         {"listen":"127.0.0.1:%d","discovery":"%s","seed":"%x",
          "limits":{"memory_mb":128,"sockets":%d},"known":%s,
@@ -209,16 +210,21 @@
                       {"name":"put","effect":"fragile","slo":0.4,"give-up":1}]}}
         """
         .formatted(
-            port, discovery.address(), seed + port, SOCKETS, members, Math.max(1, nodes.size()));
+            port,
+            discovery.address(),
+            seed + port,
+            MAX_DESCRIPTORS,
+            serverList,
+            Math.max(1, nodes.size()));
   }
 
   private NodeProcess startNode() throws Exception {
-    String name = "n" + started++;
-    String members = onLoop(discovery::list);
+    String name = "n" + startedNodes++;
+    String serverList = callOnLoop(discovery::list);
     FaultyCalls calls = new FaultyCalls(library, folder.resolve(name + ".control"));
     calls.stepWallClock(drawClockStep());
     StoppableNode daemon =
-        new StoppableNode(folder, name, port -> config(port, members), calls.environment());
+        new StoppableNode(folder, name, port -> config(port, serverList), calls.environment());
     NodeProcess node = new NodeProcess(name, daemon, calls);
     nodes.add(node);
     return node;
@@ -228,139 +234,143 @@
     if (node.daemon.awaitListening()) {
       runOnLoop(() -> clients.add(node.name, node.daemon.address()));
     } else {
-      violations.add(node.name + " is not ready");
+      violations.add(node.name + " did not listen after its start");
     }
   }
 
-  /** Plays faults for so long while clients ask, and returns what broke. */
-  List<String> run(int seconds) throws Exception {
-    long millis = TimeUnit.SECONDS.toMillis(seconds);
+  /** Injects faults while clients send requests, and returns all violations. */
+  List<String> run(int durationSeconds) throws Exception {
+    long durationMillis = TimeUnit.SECONDS.toMillis(durationSeconds);
     runOnLoop(
         () -> {
-          clients.run(millis);
+          clients.run(durationMillis);
         });
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-    while (System.nanoTime() - end < 0) {
+    long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMillis);
+    while (System.nanoTime() - endNanos < 0) {
       TimeUnit.MILLISECONDS.sleep(50 + random.nextInt(400));
-      begin(Trouble.values()[random.nextInt(Trouble.values().length)]);
+      injectFault(FaultKind.values()[random.nextInt(FaultKind.values().length)]);
     }
-    mendAll();
-    TimeUnit.MILLISECONDS.sleep(READ_DEADLINE_MILLIS + FAULT_MILLIS + SETTLE_NANOS / 1_000_000);
+    clearFaults();
+    TimeUnit.MILLISECONDS.sleep(
+        READ_DEADLINE_MILLIS + MAX_RANDOM_FAULT_MILLIS + MAX_DELIVERY_NANOS / 1_000_000);
     endNodes();
-    check();
+    collectViolations();
     return violations;
   }
 
-  private void later(long millis, Runnable step) {
-    loop.schedule(step, millis, TimeUnit.MILLISECONDS);
+  private void schedule(long delayMillis, Runnable task) {
+    loop.schedule(task, delayMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void begin(Trouble trouble) throws Exception {
-    played.merge(trouble, 1, Integer::sum);
-    int millis = 100 + random.nextInt(FAULT_MILLIS);
-    StandInServer server = servers.get(random.nextInt(SERVERS));
-    switch (trouble) {
-      case STOP_NODE -> stop(drawNode());
+  private void injectFault(FaultKind kind) throws Exception {
+    injectedFaults.merge(kind, 1, Integer::sum);
+    int durationMillis = 100 + random.nextInt(MAX_RANDOM_FAULT_MILLIS);
+    StandInServer server = servers.get(random.nextInt(SERVER_COUNT));
+    switch (kind) {
+      case PAUSE_NODE -> pause(drawNode());
       case RESTART_NODE -> restart(drawNode());
       case KILL_NODE -> kill(drawNode());
       case RELOAD_NODE -> reload(drawNode());
-      case SHORT_DESCRIPTORS -> shortenDescriptors(drawNode());
-      case PIPELINE_AFTER_ERROR -> check(drawNode(), DirectClient::pipelineAfterError);
-      case REPEATED_REQUESTS -> check(drawNode(), DirectClient::repeatRejected);
+      case SHORT_DESCRIPTORS -> exhaustDescriptors(drawNode());
+      case PIPELINE_AFTER_ERROR -> runDirectCheck(drawNode(), DirectClient::pipelineAfterError);
+      case REPEATED_REQUESTS -> runDirectCheck(drawNode(), DirectClient::repeatRejected);
       case STEP_NODE_CLOCK -> stepClock(drawNode());
-      case STEP_LIST_CLOCK -> listClockMillis = TimeUnit.SECONDS.toMillis(drawClockStep());
-      case FAILING_CALLS -> failCalls(drawNode(), millis);
+      case STEP_LIST_CLOCK -> listClockOffsetMillis = TimeUnit.SECONDS.toMillis(drawClockStep());
+      case FAILING_CALLS -> failCalls(drawNode(), durationMillis);
       default ->
           runOnLoop(
               () -> {
-                beginOnLoop(trouble, server, millis);
+                injectOnLoop(kind, server, durationMillis);
               });
     }
   }
 
-  private void beginOnLoop(Trouble trouble, StandInServer server, int millis) {
-    switch (trouble) {
-      case KILL_SERVER -> killServer(server, millis);
+  private void injectOnLoop(FaultKind kind, StandInServer server, int durationMillis) {
+    switch (kind) {
+      case KILL_SERVER -> killServer(server, durationMillis);
       case SILENT_SERVER -> {
         server.silent(true);
-        later(millis, () -> server.silent(false));
+        schedule(durationMillis, () -> server.silent(false));
       }
       case FAULTY_SERVER -> {
-        server.fault(FAULTS.get(random.nextInt(FAULTS.size())), random.nextDouble());
-        later(millis, server::mend);
+        server.fault(
+            ANSWER_FAULTS.get(random.nextInt(ANSWER_FAULTS.size())), random.nextDouble());
+        schedule(durationMillis, server::mend);
       }
       case RESET_CONNECTIONS -> server.resetConnections(random.nextDouble());
       case CLOSE_IDLE_CONNECTIONS -> servers.forEach(StandInServer::closeIdle);
       case DISCOVERY_DOWN -> {
         discovery.down();
-        later(millis, discovery::start);
+        schedule(durationMillis, discovery::start);
       }
       case DISCOVERY_SILENT -> {
         discovery.silent(true);
-        later(millis, () -> discovery.silent(false));
+        schedule(durationMillis, () -> discovery.silent(false));
       }
       case MUTE_WATCHES -> discovery.muteWatches();
       case SLOW_ORIGIN -> {
         origin.slowness(10);
-        later(millis, () -> origin.slowness(1));
+        schedule(durationMillis, () -> origin.slowness(1));
       }
       case BAD_CLIENTS -> {
         NodeProcess node = drawNode();
-        if (node != null && !node.stopped) {
-          rude.come(node.daemon.address(), 10);
+        if (node != null && !node.isPaused) {
+          misbehavingClients.come(node.daemon.address(), 10);
         }
       }
       case BURST -> {
         clients.rush(2);
-        later(millis, () -> clients.rush(1));
+        schedule(durationMillis, () -> clients.rush(1));
       }
-      default -> throw new IllegalArgumentException(trouble.name());
+      default -> throw new IllegalArgumentException(kind.name());
     }
   }
 
-  private void killServer(StandInServer server, int millis) {
+  private void killServer(StandInServer server, int downMillis) {
     if (server.running()) {
       server.kill();
-      later(
-          millis,
+      schedule(
+          downMillis,
           () -> {
             server.startCold();
-            discovery.put(member(server, System.currentTimeMillis() + listClockMillis));
+            discovery.put(listEntry(server, System.currentTimeMillis() + listClockOffsetMillis));
           });
     }
   }
 
-  /** A process that takes clients and is not about to end; null if there are too few. */
+  /** Draws a process that accepts clients; returns null if fewer than three accept clients. */
   private NodeProcess drawNode() {
-    List<NodeProcess> able =
-        nodes.stream().filter(node -> !node.ending && !node.killed && !node.stopped).toList();
-    return able.size() < 3 ? null : able.get(random.nextInt(able.size()));
+    List<NodeProcess> availableNodes =
+        nodes.stream().filter(node -> !node.isEnding && !node.isKilled && !node.isPaused).toList();
+    return availableNodes.size() < 3
+        ? null
+        : availableNodes.get(random.nextInt(availableNodes.size()));
   }
 
-  private void stop(NodeProcess node) throws Exception {
+  private void pause(NodeProcess node) throws Exception {
     if (node == null) {
       return;
     }
-    int millis = 30 + random.nextInt(420);
-    node.stopped = true;
-    node.everStopped = true;
+    int pauseMillis = 30 + random.nextInt(420);
+    node.isPaused = true;
+    node.wasEverPaused = true;
     runOnLoop(
         () -> {
-          // Signals take their time.
-          clients.paused(node.name, millis + 50);
-          rude.paused(millis + 50);
+          // The delivery of the signals may take 50 ms more.
+          clients.paused(node.name, pauseMillis + 50);
+          misbehavingClients.paused(pauseMillis + 50);
         });
-    node.daemon.stopFor(millis);
-    node.stopped = false;
+    node.daemon.stopFor(pauseMillis);
+    node.isPaused = false;
   }
 
   private void restart(NodeProcess node) throws Exception {
     if (node == null) {
       return;
     }
-    node.ending = true;
+    node.isEnding = true;
     node.daemon.terminate();
-    later(NEW_CONNECTIONS_MILLIS, () -> clients.leaving(node.name));
+    schedule(CONNECTS_AFTER_SIGTERM_MILLIS, () -> clients.leaving(node.name));
     awaitReady(startNode());
   }
 
@@ -368,7 +378,7 @@
     if (node == null) {
       return;
     }
-    node.killed = true;
+    node.isKilled = true;
     runOnLoop(
         () -> {
           clients.excuse(node.name);
@@ -379,21 +389,21 @@
 
   private void reload(NodeProcess node) throws Exception {
     if (node != null) {
-      String members = onLoop(discovery::list);
-      node.daemon.configure(config(node.daemon.address().getPort(), members));
+      String serverList = callOnLoop(discovery::list);
+      node.daemon.configure(config(node.daemon.address().getPort(), serverList));
       node.daemon.hangUp();
     }
   }
 
-  /** The node gets no more descriptors for a moment. */
-  private void shortenDescriptors(NodeProcess node) throws Exception {
+  /** Keeps the node from opening more descriptors for 30 to 200 ms. */
+  private void exhaustDescriptors(NodeProcess node) throws Exception {
     if (node == null) {
       return;
     }
-    DescriptorLimit limit = node.daemon.descriptors();
-    limit.set(limit.inUse());
+    DescriptorLimit descriptorLimit = node.daemon.descriptors();
+    descriptorLimit.set(descriptorLimit.inUse());
     TimeUnit.MILLISECONDS.sleep(30 + random.nextInt(170));
-    limit.set(SOCKETS);
+    descriptorLimit.set(MAX_DESCRIPTORS);
   }
 
   private long drawClockStep() {
@@ -406,8 +416,8 @@
     }
   }
 
-  /** Some of a node's calls fail for a while, such that no client loses its connection by it. */
-  private void failCalls(NodeProcess node, int millis) {
+  /** Makes some of a node's calls fail for a time, with errors that close no client connection. */
+  private void failCalls(NodeProcess node, int durationMillis) {
     if (node == null) {
       return;
     }
@@ -419,24 +429,27 @@
           default -> CONNECT_ERRORS;
         };
     node.calls.fail(call, errors[random.nextInt(errors.length)], 0, 2 + random.nextInt(6));
-    later(millis, node.calls::clear);
+    schedule(durationMillis, node.calls::clear);
   }
 
+  /** A check by a client, which returns a violation, or null if there is none. */
   private interface DirectCheck {
-    String broken(DirectClient client) throws IOException;
+    String findViolation(DirectClient client) throws IOException;
   }
 
-  private void check(NodeProcess node, DirectCheck check) throws IOException {
+  private void runDirectCheck(NodeProcess node, DirectCheck check) throws IOException {
     if (node == null) {
       return;
     }
-    String broken = check.broken(new DirectClient(node.daemon.address(), GRACE_MILLIS, directs++));
-    if (broken != null) {
-      violations.add(node.name + ": " + broken);
+    String violation =
+        check.findViolation(
+            new DirectClient(node.daemon.address(), MAX_LATENESS_MILLIS, nextDirectClientNumber++));
+    if (violation != null) {
+      violations.add(node.name + ": " + violation);
     }
   }
 
-  private void mendAll() throws Exception {
+  private void clearFaults() throws Exception {
     runOnLoop(
         () -> {
           clients.stop();
@@ -449,72 +462,78 @@
 
   private void endNodes() throws Exception {
     for (NodeProcess node : nodes) {
-      if (!node.killed && !node.ending) {
+      if (!node.isKilled && !node.isEnding) {
         Process process = node.daemon.process();
         if (!process.isAlive()) {
-          violations.add(node.name + " ended by itself, code " + process.exitValue());
+          violations.add(node.name + " ended unexpectedly with code " + process.exitValue());
         }
         node.daemon.terminate();
       }
     }
     for (NodeProcess node : nodes) {
-      boolean ended = node.daemon.awaitEnd(DRAIN_MILLIS);
-      if (!ended && !node.killed) {
-        violations.add(node.name + " goes on after its drain");
+      boolean hasEnded = node.daemon.awaitEnd(MAX_DRAIN_MILLIS);
+      if (!hasEnded && !node.isKilled) {
+        violations.add(node.name + " still runs after " + MAX_DRAIN_MILLIS + " ms of draining");
       }
     }
   }
 
-  private void check() throws Exception {
+  private void collectViolations() throws Exception {
     runOnLoop(
         () -> {
           if (clients.open() > 0) {
-            violations.add(clients.open() + " requests never ended");
+            violations.add(clients.open() + " requests were still in flight at the end");
           }
-          clients.check(SETTLE_NANOS);
+          clients.check(MAX_DELIVERY_NANOS);
           violations.addAll(clients.breaches());
-          violations.addAll(rude.breaches());
+          violations.addAll(misbehavingClients.breaches());
         });
     for (NodeProcess node : nodes) {
       for (String line : node.daemon.logged()) {
-        if (counts(node, line)) {
+        if (isViolation(node, line)) {
           violations.add(node.name + ": " + line);
         }
       }
     }
   }
 
-  /** Whether a line tells of a failure, or of a violation that stops do not excuse. */
-  private static boolean counts(NodeProcess node, String line) {
+  /** Whether a log line reports an exception, or a violation that no pause of the node explains. */
+  private static boolean isViolation(NodeProcess node, String line) {
     if (line.startsWith("event=totals")) {
-      return Stream.of(line.split(" ")).anyMatch(total -> violates(node, total, "violations."));
+      return Stream.of(line.split(" "))
+          .anyMatch(total -> reportsViolation(node, total, "violations."));
     }
-    return violates(node, line, "event=violation kind=")
+    return reportsViolation(node, line, "event=violation kind=")
         || line.contains("Exception")
         || line.contains("Error:");
   }
 
-  private static boolean violates(NodeProcess node, String text, String prefix) {
-    boolean excused =
-        node.everStopped
-            && EXCUSED_BY_STOPS.stream().anyMatch(kind -> text.startsWith(prefix + kind));
-    return text.startsWith(prefix) && !excused;
+  /**
+   * Whether a text starts with the prefix, unless the violation named after it is explained by the
+   * node's pauses.
+   */
+  private static boolean reportsViolation(NodeProcess node, String text, String prefix) {
+    boolean isExcused =
+        node.wasEverPaused
+            && KINDS_EXCUSED_BY_PAUSES.stream().anyMatch(kind -> text.startsWith(prefix + kind));
+    return text.startsWith(prefix) && !isExcused;
   }
 
-  /** What was played and asked, in one line. */
+  /** Returns the counts of requests and of injected faults in one line. */
   String summary() throws Exception {
-    return onLoop(
+    return callOnLoop(
         () ->
-            "seed %d: %d processes, %d asked, %d served, %d rejected, %d failed, %d crossed, %s"
+            ("seed %d: %d processes, %d requests, %d served, %d rejected, %d failed,"
+                    + " %d sent again after a close, %s")
                 .formatted(
                     seed,
-                    started,
+                    startedNodes,
                     clients.asked(),
                     clients.served(),
                     clients.refused(),
                     clients.failed(),
                     clients.crossed(),
-                    played));
+                    injectedFaults));
   }
 
   @Override
@@ -522,6 +541,6 @@
     for (NodeProcess node : nodes) {
       node.daemon.close();
     }
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+    eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/FaultSoakIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultSoakIT.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Faults drawn at random against real processes: one seed and few processes as a part of the build.
- * For more see CONTRIBUTING: {@code -Dsoak.first=1 -Dsoak.seeds=20 -Dsoak.nodes=20
+ * Injects random faults into real processes. The build runs one seed with few processes; for longer
+ * runs see CONTRIBUTING: {@code -Dsoak.first=1 -Dsoak.seeds=20 -Dsoak.nodes=20
  * -Dsoak.seconds=40}.
  */
 class FaultSoakIT {
-  private static final long FIRST = Long.getLong("soak.first", 1);
+  private static final long FIRST_SEED = Long.getLong("soak.first", 1);
   private static final int SEEDS = Integer.getInteger("soak.seeds", 1);
   private static final int NODES = Integer.getInteger("soak.nodes", 10);
   private static final int SECONDS = Integer.getInteger("soak.seconds", 10);
@@ -23,14 +23,14 @@
   @TempDir private Path folder;
 
   @Test
-  void keepsTheRulesUnderOverlappingFaults() throws Exception {
+  void nodesReportNoViolationUnderOverlappingFaults() throws Exception {
     List<String> violations = new ArrayList<>();
-    for (long seed = FIRST; seed < FIRST + SEEDS; seed++) {
-      Path own = Files.createDirectory(folder.resolve("seed-" + seed));
-      try (FaultSoak soak = new FaultSoak(seed, NODES, own)) {
-        List<String> found = soak.run(SECONDS);
-        System.out.println(soak.summary() + ", violations " + found.size());
-        for (String violation : found) {
+    for (long seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
+      Path seedFolder = Files.createDirectory(folder.resolve("seed-" + seed));
+      try (FaultSoak soak = new FaultSoak(seed, NODES, seedFolder)) {
+        List<String> seedViolations = soak.run(SECONDS);
+        System.out.println(soak.summary() + ", violations " + seedViolations.size());
+        for (String violation : seedViolations) {
           violations.add("seed " + seed + ": " + violation);
         }
       }
--- a/daemon/src/test/java/shalepaddle/daemon/FaultyCalls.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultyCalls.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * System calls of a real process that fail, and its wall clock that steps, while it runs.
+ * Makes system calls of a real process fail and changes its wall clock while it runs.
  *
- * <p>A small C library is built with the machine's compiler and preloaded into the process. A seam
- * in the transport would leave out what the Java platform and the transport do of themselves when a
- * call fails, which is where faults of this kind were found.
+ * <p>A small C library is built with the machine's compiler and preloaded into the process.
+ * Failures injected into the transport's Java code would not cover how the JDK and Netty themselves
+ * handle a failed call, which is where faults of this kind were found.
  */
 final class FaultyCalls implements Closeable {
-  /** The calls that can fail, in the order of the library's own list. */
+  /** The system calls that can fail; the numbers match {@code enum call} of the C library. */
   enum Call {
     NONE(0),
     ACCEPT(1),
@@ -30,16 +30,16 @@
     SYNC(6),
     FILE_WRITE(7);
 
-    private final int number;
+    private final int callNumber;
 
-    Call(int number) {
-      this.number = number;
+    Call(int callNumber) {
+      this.callNumber = callNumber;
     }
   }
 
-  /** Errors by their number on Linux. */
+  /** Errors of system calls, with their numbers on Linux. */
   enum Errno {
-    /** No error: the call moves a single byte. */
+    /** The call succeeds, but transfers a single byte. */
     SHORT(-1),
     EPERM(1),
     EINTR(4),
@@ -59,43 +59,43 @@
     ECONNREFUSED(111),
     EHOSTUNREACH(113);
 
-    private final int number;
+    private final int errorNumber;
 
-    Errno(int number) {
-      this.number = number;
+    Errno(int errorNumber) {
+      this.errorNumber = errorNumber;
     }
   }
 
-  private static final Path SOURCE = Path.of("daemon/src/test/native/faulty_calls.c");
+  private static final Path LIBRARY_SOURCE = Path.of("daemon/src/test/native/faulty_calls.c");
   private static final int MAX_RULES = 16;
-  private static final int RULES_AT = Long.BYTES;
+  private static final int RULES_OFFSET = Long.BYTES;
   private static final int RULE_BYTES = 6 * Integer.BYTES;
-  private static final int SIZE = RULES_AT + MAX_RULES * RULE_BYTES;
-  private static final int FAILED_AT = 5 * Integer.BYTES;
+  private static final int CONTROL_BYTES = RULES_OFFSET + MAX_RULES * RULE_BYTES;
+  private static final int FAILED_CALLS_OFFSET = 5 * Integer.BYTES;
 
   private final Path library;
-  private final Path file;
-  private final MappedByteBuffer control;
-  private int rules;
+  private final Path controlFile;
+  private final MappedByteBuffer controlBuffer;
+  private int ruleCount;
 
-  /** Of one process, with the library built in that folder. */
+  /** Creates the control file of one process, and builds the library in the same folder. */
   FaultyCalls(Path folder) throws IOException, InterruptedException {
     this(build(folder), folder.resolve("faulty_calls.control"));
   }
 
-  /** Of one process, with a library that was built before and a control file of its own. */
-  FaultyCalls(Path library, Path file) throws IOException {
+  /** Creates the control file of one process, with a library that is built already. */
+  FaultyCalls(Path library, Path controlFile) throws IOException {
     this.library = library;
-    this.file = file;
-    Files.write(file, new byte[SIZE]);
+    this.controlFile = controlFile;
+    Files.write(controlFile, new byte[CONTROL_BYTES]);
     try (FileChannel channel =
-        FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-      control = channel.map(FileChannel.MapMode.READ_WRITE, 0, SIZE);
+        FileChannel.open(controlFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+      controlBuffer = channel.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_BYTES);
     }
-    control.order(ByteOrder.nativeOrder());
+    controlBuffer.order(ByteOrder.nativeOrder());
   }
 
-  /** Builds the library in that folder. */
+  /** Builds the library in a folder and returns its file. */
   static Path build(Path folder) throws IOException, InterruptedException {
     Path library = folder.resolve("faulty_calls.so");
     Process compiler =
@@ -109,60 +109,62 @@
                 "-Werror",
                 "-o",
                 library.toString(),
-                SOURCE.toString(),
+                LIBRARY_SOURCE.toString(),
                 "-ldl")
             .inheritIO()
             .start();
     if (compiler.waitFor() != 0) {
-      throw new IOException("cannot build " + SOURCE + ": a C compiler named cc is needed");
+      throw new IOException(
+          "cannot build " + LIBRARY_SOURCE + ": needs a working C compiler named cc");
     }
     return library;
   }
 
-  /** What the process needs in its environment. */
+  /** Returns the environment variables with which the process must be started. */
   Map<String, String> environment() {
-    return Map.of("LD_PRELOAD", library.toString(), "FAULTY_CALLS", file.toString());
+    return Map.of("LD_PRELOAD", library.toString(), "FAULTY_CALLS", controlFile.toString());
   }
 
   /**
-   * From now on every n-th of these calls fails.
+   * Adds a rule by which every n-th matching call fails.
    *
-   * @param port at either end of the socket, 0 for any
+   * @param port local or remote port of the socket, 0 for any
+   * @param interval n; 1 makes each matching call fail
    */
-  void fail(Call call, Errno error, int port, int every) {
-    if (rules == MAX_RULES) {
-      throw new IllegalStateException("more than " + MAX_RULES + " rules");
+  void fail(Call call, Errno error, int port, int interval) {
+    if (ruleCount == MAX_RULES) {
+      throw new IllegalStateException("cannot add a rule: " + MAX_RULES + " rules exist already");
     }
-    int at = RULES_AT + rules++ * RULE_BYTES;
-    control.putInt(at + Integer.BYTES, port);
-    control.putInt(at + 2 * Integer.BYTES, error.number);
-    control.putInt(at + 3 * Integer.BYTES, every);
-    control.putInt(at + 4 * Integer.BYTES, 0);
-    control.putInt(at + FAILED_AT, 0);
-    // Last, since the process takes the rule once it says which call it is for.
-    control.putInt(at, call.number);
+    int offset = RULES_OFFSET + ruleCount++ * RULE_BYTES;
+    controlBuffer.putInt(offset + Integer.BYTES, port);
+    controlBuffer.putInt(offset + 2 * Integer.BYTES, error.errorNumber);
+    controlBuffer.putInt(offset + 3 * Integer.BYTES, interval);
+    controlBuffer.putInt(offset + 4 * Integer.BYTES, 0);
+    controlBuffer.putInt(offset + FAILED_CALLS_OFFSET, 0);
+    // The call's number is written last, since it activates the rule in the process.
+    controlBuffer.putInt(offset, call.callNumber);
   }
 
-  /** How many calls have failed since the rules were set. */
+  /** Returns how many calls have failed because of the current rules. */
   int failed() {
-    int failed = 0;
-    for (int i = 0; i < rules; i++) {
-      failed += control.getInt(RULES_AT + i * RULE_BYTES + FAILED_AT);
+    int failedCalls = 0;
+    for (int i = 0; i < ruleCount; i++) {
+      failedCalls += controlBuffer.getInt(RULES_OFFSET + i * RULE_BYTES + FAILED_CALLS_OFFSET);
     }
-    return failed;
+    return failedCalls;
   }
 
-  /** All calls succeed again. */
+  /** Removes all rules. */
   void clear() {
     for (int i = 0; i < MAX_RULES; i++) {
-      control.putInt(RULES_AT + i * RULE_BYTES, Call.NONE.number);
+      controlBuffer.putInt(RULES_OFFSET + i * RULE_BYTES, Call.NONE.callNumber);
     }
-    rules = 0;
+    ruleCount = 0;
   }
 
-  /** Sets the process's wall clock off by so long from the machine's. */
-  void stepWallClock(long seconds) {
-    control.putLong(0, TimeUnit.SECONDS.toNanos(seconds));
+  /** Sets by how many seconds the process's wall clock is ahead of the machine's. */
+  void stepWallClock(long aheadSeconds) {
+    controlBuffer.putLong(0, TimeUnit.SECONDS.toNanos(aheadSeconds));
   }
 
   @Override
--- a/daemon/src/test/java/shalepaddle/daemon/Fleet.java
+++ b/daemon/src/test/java/shalepaddle/daemon/Fleet.java
@@ -17,91 +17,98 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Cache servers that answer at once and write down what they carried out, and the discovery service
- * that lists them. A thread for each connection.
+ * Stand-in cache servers, and the discovery service that lists them. The servers answer after a
+ * fixed time, by default at once, and count the writes that they execute. Each connection has its
+ * own thread.
  */
 final class Fleet implements Closeable {
-  private final ServerSocket[] servers;
-  private final ServerSocket discovery = listen();
-  private final AtomicInteger[] served;
-  private final Map<String, AtomicInteger> writes = new ConcurrentHashMap<>();
-  private final Set<Connection> open = ConcurrentHashMap.newKeySet();
-  private final int places;
-  private final int millis;
-  private final AtomicInteger[] held;
-  private final long[] startedMillis;
-  private int version = 1;
-  private final AtomicInteger turnedDown = new AtomicInteger();
-  private final AtomicInteger watches = new AtomicInteger();
-  private final Set<Socket> watching = ConcurrentHashMap.newKeySet();
+  private final ServerSocket[] serverSockets;
+  private final ServerSocket discoverySocket = createListeningSocket();
+  private final AtomicInteger[] servedRequests;
+  private final Map<String, AtomicInteger> writeExecutions = new ConcurrentHashMap<>();
+  private final Set<Connection> openConnections = ConcurrentHashMap.newKeySet();
+  private final int maxConnections;
+  private final int answerMillis;
+  private final AtomicInteger[] connectionCounts;
+  private final long[] startTimeMillis;
+  private int listVersion = 1;
+  private final AtomicInteger rejectedConnections = new AtomicInteger();
+  private final AtomicInteger watchRequests = new AtomicInteger();
+  private final Set<Socket> watchSockets = ConcurrentHashMap.newKeySet();
 
-  Fleet(int size) throws IOException {
-    this(size, Integer.MAX_VALUE, 0);
+  Fleet(int serverCount) throws IOException {
+    this(serverCount, Integer.MAX_VALUE, 0);
   }
 
-  /** Servers that hold so many connections each, and answer after so many milliseconds. */
-  Fleet(int size, int places, int millis) throws IOException {
-    this.places = places;
-    this.millis = millis;
-    held = new AtomicInteger[size];
-    startedMillis = new long[size];
-    servers = new ServerSocket[size];
-    served = new AtomicInteger[size];
-    for (int i = 0; i < size; i++) {
-      int number = i;
-      servers[i] = listen();
-      served[i] = new AtomicInteger();
-      held[i] = new AtomicInteger();
-      accept(servers[i], socket -> new Connection(socket, number).serve());
+  /**
+   * Starts the servers and discovery.
+   *
+   * @param serverCount number of servers
+   * @param maxConnections limit on the connections of each server
+   * @param answerMillis time that a server takes for a request
+   */
+  Fleet(int serverCount, int maxConnections, int answerMillis) throws IOException {
+    this.maxConnections = maxConnections;
+    this.answerMillis = answerMillis;
+    connectionCounts = new AtomicInteger[serverCount];
+    startTimeMillis = new long[serverCount];
+    serverSockets = new ServerSocket[serverCount];
+    servedRequests = new AtomicInteger[serverCount];
+    for (int i = 0; i < serverCount; i++) {
+      int serverIndex = i;
+      serverSockets[i] = createListeningSocket();
+      servedRequests[i] = new AtomicInteger();
+      connectionCounts[i] = new AtomicInteger();
+      startAccepting(serverSockets[i], socket -> new Connection(socket, serverIndex).serve());
     }
-    accept(discovery, this::watch);
+    startAccepting(discoverySocket, this::serveWatch);
   }
 
-  private static ServerSocket listen() throws IOException {
+  private static ServerSocket createListeningSocket() throws IOException {
     ServerSocket socket = new ServerSocket();
     socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 512);
     return socket;
   }
 
-  private interface Service {
-    void serve(Socket socket) throws IOException;
+  private interface ConnectionHandler {
+    void handle(Socket socket) throws IOException;
   }
 
-  private static void accept(ServerSocket server, Service service) {
-    thread(
+  private static void startAccepting(ServerSocket serverSocket, ConnectionHandler handler) {
+    startThread(
         () -> {
           while (true) {
-            Socket socket = server.accept();
+            Socket socket = serverSocket.accept();
             socket.setTcpNoDelay(true);
-            thread(
+            startThread(
                 () -> {
                   try (socket) {
-                    service.serve(socket);
+                    handler.handle(socket);
                   }
                 });
           }
         });
   }
 
-  private interface Work {
+  private interface IoTask {
     void run() throws IOException;
   }
 
-  private static void thread(Work work) {
+  private static void startThread(IoTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                work.run();
+                task.run();
               } catch (IOException e) {
-                // Its other end has gone, or the test is over.
+                // The thread ends, since the peer closed the connection or the test is over.
               }
             });
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** The next line without its CRLF; null at the end of the stream. */
+  /** Reads the next line without its CRLF; returns null at the end of the stream. */
   static String line(InputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
     for (int c = in.read(); c >= 0; c = in.read()) {
@@ -116,19 +123,21 @@
   /** A node's connection to one of the servers. */
   private final class Connection {
     private final Socket socket;
-    private final int server;
-    private boolean busy;
+    private final int serverIndex;
 
-    Connection(Socket socket, int server) {
+    /** Whether more bytes had arrived after the last request when its answer was written. */
+    private boolean hasBufferedRequest;
+
+    Connection(Socket socket, int serverIndex) {
       this.socket = socket;
-      this.server = server;
+      this.serverIndex = serverIndex;
     }
 
     void serve() throws IOException {
-      open.add(this);
+      openConnections.add(this);
       try {
-        if (held[server].incrementAndGet() > places) {
-          turnedDown.incrementAndGet();
+        if (connectionCounts[serverIndex].incrementAndGet() > maxConnections) {
+          rejectedConnections.incrementAndGet();
           line(socket.getInputStream());
           socket
               .getOutputStream()
@@ -138,112 +147,116 @@
         InputStream in = new BufferedInputStream(socket.getInputStream());
         OutputStream out = socket.getOutputStream();
         for (String line = line(in); line != null; line = line(in)) {
-          String[] words = line.split(" ", 0);
-          String id = words[3].substring(1);
+          String[] commandWords = line.split(" ", 0);
+          String id = commandWords[3].substring(1);
           String answer = "VA 5 O" + id + " h1\r\nvalue\r\n";
-          if (words[0].equals("ms")) {
-            in.readNBytes(Integer.parseInt(words[2]) + 2);
+          if (commandWords[0].equals("ms")) {
+            in.readNBytes(Integer.parseInt(commandWords[2]) + 2);
             answer = "HD O" + id + " c1\r\n";
           }
-          work();
+          awaitAnswerTime();
           synchronized (this) {
             if (socket.isClosed()) {
               return;
             }
-            if (words[0].equals("ms")) {
-              writes.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
+            if (commandWords[0].equals("ms")) {
+              writeExecutions.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
             }
-            served[server].incrementAndGet();
+            servedRequests[serverIndex].incrementAndGet();
             out.write(answer.getBytes(StandardCharsets.US_ASCII));
-            busy = in.available() > 0;
+            hasBufferedRequest = in.available() > 0;
           }
         }
       } finally {
-        held[server].decrementAndGet();
-        open.remove(this);
+        connectionCounts[serverIndex].decrementAndGet();
+        openConnections.remove(this);
       }
     }
 
-    /** The time that a request takes. */
-    private void work() {
+    private void awaitAnswerTime() {
       try {
-        Thread.sleep(millis);
+        Thread.sleep(answerMillis);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
 
     synchronized void closeIfIdle() throws IOException {
-      if (!busy && socket.getInputStream().available() == 0) {
+      if (!hasBufferedRequest && socket.getInputStream().available() == 0) {
         socket.close();
       }
     }
   }
 
-  /** Ends each connection on which no request waits; from both sides they have long been idle. */
+  /** Closes each connection without a pending request, as after an idle timeout. */
   void closeIdleConnections() throws IOException {
-    for (Connection connection : open) {
+    for (Connection connection : openConnections) {
       connection.closeIfIdle();
     }
   }
 
-  /** Connections that found no place. */
+  /** Returns how many connections were rejected because their server had too many. */
   int turnedDown() {
-    return turnedDown.get();
+    return rejectedConnections.get();
   }
 
-  /** How often the list has been asked for. */
+  /** Returns how many requests to watch the server list were received. */
   int watches() {
-    return watches.get();
+    return watchRequests.get();
   }
 
-  int serverPort(int server) {
-    return servers[server].getLocalPort();
+  int serverPort(int serverIndex) {
+    return serverSockets[serverIndex].getLocalPort();
   }
 
-  int served(int server) {
-    return served[server].get();
+  int served(int serverIndex) {
+    return servedRequests[serverIndex].get();
   }
 
   void resetCounts() {
-    for (AtomicInteger count : served) {
+    for (AtomicInteger count : servedRequests) {
       count.set(0);
     }
   }
 
-  /** How often the write of this id was carried out. */
+  /** Returns how often the write with this id was executed. */
   int executions(String id) {
-    AtomicInteger count = writes.get(id);
+    AtomicInteger count = writeExecutions.get(id);
     return count == null ? 0 : count.get();
   }
 
   int discoveryPort() {
-    return discovery.getLocalPort();
+    return discoverySocket.getLocalPort();
   }
 
-  /** Discovery says from now on that a server started at that time, in its own clock. */
-  synchronized void tellStart(int server, long millis) {
-    startedMillis[server] = millis;
-    version++;
+  /** Sets the time at which a server started, by discovery's clock, and publishes a new list. */
+  synchronized void tellStart(int serverIndex, long timeMillis) {
+    startTimeMillis[serverIndex] = timeMillis;
+    listVersion++;
     notifyAll();
   }
 
-  /** The list of servers, in discovery's form. */
-  synchronized String list() {
+  /** Returns the list of servers in discovery's JSON format. */
+  synchronized String listJson() {
     StringBuilder list = new StringBuilder();
-    for (int i = 0; i < servers.length; i++) {
+    for (int i = 0; i < serverSockets.length; i++) {
       list.append(i == 0 ? "" : ",")
           .append(
               """
               {"id":"s-%d","addr":"127.0.0.1:%d","zone":"a","kind":"m","cell":0,"state":"active",\
               "weight":1.0,"started_ms":%d}"""
-                  .formatted(i, servers[i].getLocalPort(), startedMillis[i]));
+                  .formatted(i, serverSockets[i].getLocalPort(), startTimeMillis[i]));
     }
-    return "{\"version\":" + version + ",\"full\":true,\"servers\":[" + list + "]}";
+    return "{\"version\":" + listVersion + ",\"full\":true,\"servers\":[" + list + "]}";
   }
 
-  /** The configuration of a node that listens there, before this fleet. */
-  String config(int port, int sockets) {
+  /**
+   * Returns the configuration of a node in front of this fleet.
+   *
+   * @param port on which the node listens
+   * @param maxDescriptors limit on the node's descriptors
+   */
+  String config(int port, int maxDescriptors) {
     return """
         {"listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"8c1f30d27a5be964",
          "limits":{"memory_mb":192,"sockets":%d},"known":%s,
@@ -254,20 +267,20 @@
           "services":[{"name":"read","effect":"retryable","slo":0.75,"give-up":2},
                       {"name":"put","effect":"fragile","slo":0.75,"give-up":2}]}}
         """
-        .formatted(port, discoveryPort(), sockets, list());
+        .formatted(port, discoveryPort(), maxDescriptors, listJson());
   }
 
-  /** Ends each connection on which the list is watched. */
+  /** Closes each connection on which the server list is watched. */
   void closeWatches() throws IOException {
-    for (Socket watch : watching) {
+    for (Socket watch : watchSockets) {
       watch.close();
     }
   }
 
-  private void watch(Socket socket) throws IOException {
-    watches.incrementAndGet();
-    watching.removeIf(Socket::isClosed);
-    watching.add(socket);
+  private void serveWatch(Socket socket) throws IOException {
+    watchRequests.incrementAndGet();
+    watchSockets.removeIf(Socket::isClosed);
+    watchSockets.add(socket);
     InputStream in = new BufferedInputStream(socket.getInputStream());
     for (String line = line(in); line != null && !line.isEmpty(); ) {
       line = line(in);
@@ -276,43 +289,43 @@
     out.write(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             .getBytes(StandardCharsets.US_ASCII));
-    int told = 0;
+    int sentVersion = 0;
     while (true) {
-      String text = "\n";
+      String chunk = "\n";
       synchronized (this) {
-        if (told != version) {
-          told = version;
-          text = list() + "\n";
+        if (sentVersion != listVersion) {
+          sentVersion = listVersion;
+          chunk = listJson() + "\n";
         }
       }
       out.write(
-          (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
+          (Integer.toHexString(chunk.length()) + "\r\n" + chunk + "\r\n")
               .getBytes(StandardCharsets.US_ASCII));
       try {
-        awaitChange(told);
+        awaitChange(sentVersion);
       } catch (InterruptedException e) {
         return;
       }
     }
   }
 
-  /** Returns once the list has changed, and after a second at the latest. */
-  private synchronized void awaitChange(int told) throws InterruptedException {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
-    long left = until - System.nanoTime();
-    while (told == version && left > 0) {
-      TimeUnit.NANOSECONDS.timedWait(this, left);
-      left = until - System.nanoTime();
+  /** Waits for one second at most until the list has another version than the one sent. */
+  private synchronized void awaitChange(int sentVersion) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
+    long remainingNanos = deadlineNanos - System.nanoTime();
+    while (sentVersion == listVersion && remainingNanos > 0) {
+      TimeUnit.NANOSECONDS.timedWait(this, remainingNanos);
+      remainingNanos = deadlineNanos - System.nanoTime();
     }
   }
 
   @Override
   public void close() throws IOException {
-    discovery.close();
-    for (ServerSocket server : servers) {
-      server.close();
+    discoverySocket.close();
+    for (ServerSocket serverSocket : serverSockets) {
+      serverSocket.close();
     }
-    for (Connection connection : open) {
+    for (Connection connection : openConnections) {
       connection.socket.close();
     }
   }
--- a/daemon/src/test/java/shalepaddle/daemon/JarIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/JarIT.java
@@ -19,17 +19,17 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Both commands of the deploy file, started from the built jar as they stand there. */
+/** Runs the deploy file's commands {@code run} and {@code sim}, unchanged, with the built jar. */
 @Timeout(120)
 class JarIT {
   @TempDir private Path folder;
 
-  private static String output(Process process) throws IOException {
+  private static String readOutput(Process process) throws IOException {
     return new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
   }
 
   @Test
-  void simAnswersABatch() throws Exception {
+  void simCommandAnswersBatchMessageWithDone() throws Exception {
     Process process = DeployFile.command("sim").start();
     try (OutputStream in = process.getOutputStream()) {
       in.write(
@@ -39,26 +39,26 @@
           """
               .getBytes(StandardCharsets.UTF_8));
     }
-    assertEquals("{\"type\":\"DONE\",\"seq\":1}\n", output(process));
+    assertEquals("{\"type\":\"DONE\",\"seq\":1}\n", readOutput(process));
     assertEquals(0, process.waitFor());
   }
 
   @Test
-  void runMapsTheArchivedClasses() throws Exception {
+  void runLoadsClassesFromArchive() throws Exception {
     ProcessBuilder builder = DeployFile.command("run");
     builder.environment().put("JAVA_TOOL_OPTIONS", "-Xlog:class+load:stdout");
     builder.environment().remove("ROUTER_CONFIG");
-    String loaded =
-        output(builder.start())
+    String loadingLogLine =
+        readOutput(builder.start())
             .lines()
             .filter(line -> line.contains(" shalepaddle.node.NodeProcess "))
             .findFirst()
             .orElseThrow();
-    assertTrue(loaded.contains("shared objects file"), loaded);
+    assertTrue(loadingLogLine.contains("shared objects file"), loadingLogLine);
   }
 
   @Test
-  void runServesUntilItIsTerminated() throws Exception {
+  void runServesAndReloadsUntilTerminated() throws Exception {
     int port = DeployFile.freePort();
     Path config = folder.resolve("config.json");
     Files.writeString(
@@ -72,8 +72,8 @@
             .formatted(port));
     ProcessBuilder builder = DeployFile.command("run");
     builder.environment().put("ROUTER_CONFIG", config.toString());
-    Path classes = folder.resolve("classes");
-    builder.environment().put("JAVA_TOOL_OPTIONS", "-Xlog:class+load:file=" + classes);
+    Path classLog = folder.resolve("classes");
+    builder.environment().put("JAVA_TOOL_OPTIONS", "-Xlog:class+load:file=" + classLog);
     Process process = builder.start();
     try (Socket client = connect(port, process)) {
       client
@@ -87,36 +87,40 @@
       var log =
           new BufferedReader(
               new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII));
-      String valid = Files.readString(config).replace(":9\"", ":10\"");
-      Files.writeString(config, valid.substring(0, valid.length() / 2));
+      String validConfig = Files.readString(config).replace(":9\"", ":10\"");
+      Files.writeString(config, validConfig.substring(0, validConfig.length() / 2));
       DeployFile.signal(process, "HUP");
       awaitLine(log, "configuration rejected, keeping the current one: ");
-      Files.writeString(config, valid);
+      Files.writeString(config, validConfig);
       DeployFile.signal(process, "HUP");
       awaitLine(log, "discovery at /127.0.0.1:10");
       client.getOutputStream().write("mn\r\n".getBytes(StandardCharsets.US_ASCII));
       assertEquals("MN", in.readLine());
-      process.toHandle().destroy(); // as destroy(), but its output stays open
+      process.toHandle().destroy(); // unlike Process.destroy(), leaves its output open
       assertEquals(null, in.readLine());
       awaitLine(log, "drained");
     }
     assertTrue(process.waitFor(60, TimeUnit.SECONDS));
-    List<String> loaded = Files.readAllLines(classes);
+    List<String> loadedClasses = Files.readAllLines(classLog);
     assertTrue(
-        loaded.stream().anyMatch(line -> line.contains(" shalepaddle.policy.RequestRouter ")));
-    // What is for groups is off in a node.
-    List<String> parts = List.of(" shalepaddle.changefeed.", " shalepaddle.replicatedstate.");
+        loadedClasses.stream()
+            .anyMatch(line -> line.contains(" shalepaddle.policy.RequestRouter ")));
+    // A node must not load the classes for replicated groups.
+    List<String> groupPackages =
+        List.of(" shalepaddle.changefeed.", " shalepaddle.replicatedstate.");
     assertEquals(
         List.of(),
-        loaded.stream().filter(line -> parts.stream().anyMatch(line::contains)).toList());
+        loadedClasses.stream()
+            .filter(line -> groupPackages.stream().anyMatch(line::contains))
+            .toList());
   }
 
-  private static void awaitLine(BufferedReader log, String part) throws IOException {
+  private static void awaitLine(BufferedReader log, String text) throws IOException {
     String line = log.readLine();
-    while (line != null && !line.contains(part)) {
+    while (line != null && !line.contains(text)) {
       line = log.readLine();
     }
-    assertTrue(line != null, "the log ended without: " + part);
+    assertTrue(line != null, "the log ended without the text: " + text);
   }
 
   private static Socket connect(int port, Process process) throws Exception {
@@ -124,21 +128,21 @@
       try {
         return new Socket(InetAddress.getLoopbackAddress(), port);
       } catch (ConnectException e) {
-        assertTrue(process.isAlive(), "ended before it listened");
+        assertTrue(process.isAlive(), "the process ended before it listened");
         Thread.sleep(20);
       }
     }
   }
 
   @Test
-  void runTellsWhatIsWrongWithItsConfiguration() throws Exception {
+  void runPrintsErrorOfInvalidConfiguration() throws Exception {
     Path config = folder.resolve("config.json");
     for (String text : List.of("", "{", "{}", "{\"limits\":{},\"settings\":{}}")) {
       Files.writeString(config, text);
       ProcessBuilder builder = DeployFile.command("run");
       builder.environment().put("ROUTER_CONFIG", config.toString());
       Process process = builder.start();
-      String output = output(process);
+      String output = readOutput(process);
       assertEquals(1, output.lines().count(), output);
       assertTrue(output.startsWith("serve: " + config + ": "), output);
       assertEquals(2, process.waitFor());
@@ -146,7 +150,7 @@
     ProcessBuilder builder = DeployFile.command("run");
     builder.environment().remove("ROUTER_CONFIG");
     Process process = builder.start();
-    assertEquals("serve: ROUTER_CONFIG does not name a file\n", output(process));
+    assertEquals("serve: ROUTER_CONFIG does not name a file\n", readOutput(process));
     assertEquals(2, process.waitFor());
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/KnownRedTest.java
+++ b/daemon/src/test/java/shalepaddle/daemon/KnownRedTest.java
@@ -13,16 +13,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What {@code .ci/check-failures} lets pass, and what it does not. */
+/**
+ * Tests that {@code .ci/check-failures} accepts failed tests that are listed as known, and reports
+ * other failures and incomplete entries.
+ */
 class KnownRedTest {
-  private static final String ENTRY = "RingTest#spills | mvn test, seed 7 | 3 of 4 | 12\n";
+  private static final String KNOWN_FAILURE = "RingTest#spills | mvn test, seed 7 | 3 of 4 | 12\n";
 
-  private record Result(int status, String output) {}
+  private record Result(int exitCode, String output) {}
 
   @TempDir private Path folder;
 
   @BeforeEach
-  void oneTestHasFailed() throws IOException {
+  void writeReportWithOneFailure() throws IOException {
     Path reports = Files.createDirectories(folder.resolve("core/target/surefire-reports"));
     Files.writeString(
         reports.resolve("TEST-RingTest.xml"),
@@ -37,17 +40,17 @@
   }
 
   @Test
-  void passesOverFailureThatIsListedAndPrintsIt() throws Exception {
-    Result result = check("# known\n" + ENTRY);
-    assertEquals(0, result.status(), result.output());
-    assertEquals("KNOWN RED: " + ENTRY, result.output());
+  void checkAcceptsAndPrintsListedFailure() throws Exception {
+    Result result = runCheck("# known\n" + KNOWN_FAILURE);
+    assertEquals(0, result.exitCode(), result.output());
+    assertEquals("KNOWN RED: " + KNOWN_FAILURE, result.output());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "RingTest#spillsOver | mvn test | 3 of 4 | 12\n"})
-  void failsForTestThatIsNotListed(String list) throws Exception {
-    Result result = check(list);
-    assertEquals(1, result.status());
+  void checkFailsForUnlistedFailure(String knownFailures) throws Exception {
+    Result result = runCheck(knownFailures);
+    assertEquals(1, result.exitCode());
     assertTrue(result.output().contains("FAILED: RingTest#spills\n"), result.output());
   }
 
@@ -59,28 +62,28 @@
         "RingTest#spills | mvn test | | 12\n",
         "RingTest | mvn test | 3 of 4 | 12\n",
       })
-  void failsForEntryThatIsIncomplete(String list) throws Exception {
-    Result result = check(list);
-    assertEquals(1, result.status());
+  void checkFailsForIncompleteEntry(String knownFailures) throws Exception {
+    Result result = runCheck(knownFailures);
+    assertEquals(1, result.exitCode());
     assertTrue(result.output().contains("incomplete"), result.output());
   }
 
   @Test
-  void failsForMoreThanThreeEntries() throws Exception {
-    assertEquals(1, check(ENTRY.repeat(4)).status());
+  void checkFailsWhenListHasMoreThanThreeEntries() throws Exception {
+    assertEquals(1, runCheck(KNOWN_FAILURE.repeat(4)).exitCode());
   }
 
   @Test
-  void failsWhereNoTestHasRun() throws Exception {
+  void checkFailsWithoutTestReports() throws Exception {
     Files.delete(folder.resolve("core/target/surefire-reports/TEST-RingTest.xml"));
-    assertEquals(1, check(ENTRY).status());
+    assertEquals(1, runCheck(KNOWN_FAILURE).exitCode());
   }
 
-  private Result check(String list) throws IOException, InterruptedException {
-    Path file = Files.writeString(folder.resolve("KNOWN-RED.txt"), list);
+  private Result runCheck(String knownFailures) throws IOException, InterruptedException {
+    Path listFile = Files.writeString(folder.resolve("KNOWN-RED.txt"), knownFailures);
     String script = Path.of(".ci/check-failures").toAbsolutePath().toString();
     Process process =
-        new ProcessBuilder(script, file.toString())
+        new ProcessBuilder(script, listFile.toString())
             .directory(folder.toFile())
             .redirectErrorStream(true)
             .start();
--- a/daemon/src/test/java/shalepaddle/daemon/Platform.java
+++ b/daemon/src/test/java/shalepaddle/daemon/Platform.java
@@ -17,14 +17,14 @@
 import java.util.Map;
 
 /**
- * A platform that holds the clients' listening socket and hands it down to each process that it
- * starts, as descriptor 0. Java starts no process with a socket for its standard input, so that the
- * C library is called for both.
+ * A platform that owns the clients' listening socket and passes it to each process that it starts,
+ * as descriptor 0. Java can't start a process with a socket as its standard input, so the C library
+ * creates the socket and the processes.
  */
 final class Platform implements Closeable {
-  /** What is needed of the C library; figures are Linux's. */
-  private interface C extends Library {
-    C LIBRARY = Native.load("c", C.class);
+  /** The C library's functions that are called here. */
+  private interface CLibrary extends Library {
+    CLibrary INSTANCE = Native.load("c", CLibrary.class);
 
     int socket(int domain, int type, int protocol);
 
@@ -38,19 +38,20 @@
 
     int kill(int pid, int signal);
 
-    int waitpid(int pid, IntByReference status, int options);
+    int waitpid(int pid, IntByReference statusReference, int options);
 
-    int posix_spawn_file_actions_init(Pointer actions);
+    int posix_spawn_file_actions_init(Pointer fileActions);
 
-    int posix_spawn_file_actions_adddup2(Pointer actions, int from, int to);
+    int posix_spawn_file_actions_adddup2(
+        Pointer fileActions, int sourceDescriptor, int targetDescriptor);
 
     int posix_spawn_file_actions_addopen(
-        Pointer actions, int descriptor, String path, int flags, int mode);
+        Pointer fileActions, int descriptor, String path, int flags, int mode);
 
     int posix_spawn(
         IntByReference pid,
         String path,
-        Pointer actions,
+        Pointer fileActions,
         Pointer attributes,
         StringArray arguments,
         StringArray environment);
@@ -58,27 +59,31 @@
 
   private static final int AF_INET = 2;
   private static final int SOCK_STREAM = 1;
-  private static final int APPEND = 01 | 0100 | 02000;
+
+  /** The flags O_WRONLY, O_CREAT and O_APPEND of Linux. */
+  private static final int LOG_OPEN_FLAGS = 01 | 0100 | 02000;
+
   static final int KILL = 9;
   static final int TERM = 15;
   static final int HUP = 1;
   private static final int WNOHANG = 1;
 
-  private final int socket;
+  private final int listeningSocket;
   private final int port;
-  private final List<Started> started = new ArrayList<>();
+  private final List<Started> startedProcesses = new ArrayList<>();
 
   Platform() throws IOException {
-    socket = C.LIBRARY.socket(AF_INET, SOCK_STREAM, 0);
+    listeningSocket = CLibrary.INSTANCE.socket(AF_INET, SOCK_STREAM, 0);
     Memory address = new Memory(16);
     address.clear();
     address.setShort(0, (short) AF_INET);
     address.setByte(4, (byte) 127);
     address.setByte(7, (byte) 1);
-    if (C.LIBRARY.bind(socket, address, 16) != 0 || C.LIBRARY.listen(socket, 512) != 0) {
-      throw new IOException("cannot listen");
+    if (CLibrary.INSTANCE.bind(listeningSocket, address, 16) != 0
+        || CLibrary.INSTANCE.listen(listeningSocket, 512) != 0) {
+      throw new IOException("cannot bind a socket to 127.0.0.1 and listen");
     }
-    C.LIBRARY.getsockname(socket, address, new IntByReference(16));
+    CLibrary.INSTANCE.getsockname(listeningSocket, address, new IntByReference(16));
     port = ((address.getByte(2) & 0xFF) << 8) | (address.getByte(3) & 0xFF);
   }
 
@@ -86,43 +91,45 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  /** A process of the node. */
+  /** A process that the platform started. */
   static final class Started {
     private final int pid;
-    private boolean ended;
+    private boolean hasEnded;
 
     private Started(int pid) {
       this.pid = pid;
     }
 
     void signal(int signal) {
-      C.LIBRARY.kill(pid, signal);
+      CLibrary.INSTANCE.kill(pid, signal);
     }
 
     boolean running() {
-      ended |= C.LIBRARY.waitpid(pid, new IntByReference(), WNOHANG) != 0;
-      return !ended;
+      hasEnded |= CLibrary.INSTANCE.waitpid(pid, new IntByReference(), WNOHANG) != 0;
+      return !hasEnded;
     }
 
-    boolean awaitEnd(long millis) throws InterruptedException {
-      for (long left = millis; left > 0 && running(); left -= 10) {
+    boolean awaitEnd(long timeoutMillis) throws InterruptedException {
+      for (long remainingMillis = timeoutMillis;
+          remainingMillis > 0 && running();
+          remainingMillis -= 10) {
         Thread.sleep(10);
       }
       return !running();
     }
 
-    /** Milliseconds of processor time that it has used, in all its threads; -1 once it has gone. */
+    /** Returns the process's CPU time in milliseconds, or -1 after the process has ended. */
     long processorMillis() {
       try {
-        String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
-        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
-        return 10 * (Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
+        String statLine = Files.readString(Path.of("/proc/" + pid + "/stat"));
+        String[] statFields = statLine.substring(statLine.lastIndexOf(')') + 2).split(" ", 0);
+        return 10 * (Long.parseLong(statFields[11]) + Long.parseLong(statFields[12]));
       } catch (IOException e) {
         return -1;
       }
     }
 
-    /** Kilobytes that it holds in memory. */
+    /** Returns the process's resident memory in kilobytes. */
     long residentKilobytes() throws IOException {
       for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
         if (line.startsWith("VmRSS:")) {
@@ -133,35 +140,37 @@
     }
   }
 
-  /** Starts a command of the deploy file with the socket as its descriptor 0. */
-  Started start(String command, Map<String, String> environment, Path log) throws IOException {
-    Memory actions = new Memory(256);
-    C.LIBRARY.posix_spawn_file_actions_init(actions);
-    C.LIBRARY.posix_spawn_file_actions_adddup2(actions, socket, 0);
-    C.LIBRARY.posix_spawn_file_actions_addopen(actions, 1, log.toString(), APPEND, 0644);
-    C.LIBRARY.posix_spawn_file_actions_adddup2(actions, 1, 2);
-    List<String> variables = new ArrayList<>();
-    environment.forEach((name, value) -> variables.add(name + "=" + value));
+  /** Starts a shell command with the socket as descriptor 0; its output goes to a log file. */
+  Started start(String command, Map<String, String> environment, Path logFile) throws IOException {
+    Memory fileActions = new Memory(256);
+    CLibrary.INSTANCE.posix_spawn_file_actions_init(fileActions);
+    CLibrary.INSTANCE.posix_spawn_file_actions_adddup2(fileActions, listeningSocket, 0);
+    CLibrary.INSTANCE.posix_spawn_file_actions_addopen(
+        fileActions, 1, logFile.toString(), LOG_OPEN_FLAGS, 0644);
+    CLibrary.INSTANCE.posix_spawn_file_actions_adddup2(fileActions, 1, 2);
+    List<String> variableTexts = new ArrayList<>();
+    environment.forEach((name, value) -> variableTexts.add(name + "=" + value));
     IntByReference pid = new IntByReference();
-    int failed =
-        C.LIBRARY.posix_spawn(
+    int errorNumber =
+        CLibrary.INSTANCE.posix_spawn(
             pid,
             "/bin/sh",
-            actions,
+            fileActions,
             null,
             new StringArray(new String[] {"/bin/sh", "-c", command}),
-            new StringArray(variables.toArray(String[]::new)));
-    if (failed != 0) {
-      throw new IOException("cannot start: " + failed);
+            new StringArray(variableTexts.toArray(String[]::new)));
+    if (errorNumber != 0) {
+      throw new IOException(
+          "posix_spawn of '" + command + "' failed with error number " + errorNumber);
     }
     Started process = new Started(pid.getValue());
-    started.add(process);
+    startedProcesses.add(process);
     return process;
   }
 
   @Override
   public void close() throws IOException {
-    for (Started process : started) {
+    for (Started process : startedProcesses) {
       if (process.running()) {
         process.signal(KILL);
         try {
@@ -171,6 +180,6 @@
         }
       }
     }
-    C.LIBRARY.close(socket);
+    CLibrary.INSTANCE.close(listeningSocket);
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/ProcessStallIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/ProcessStallIT.java
@@ -13,89 +13,90 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The real process stopped and continued by signals, as by a platform that gives its core to
- * others, while clients ask and rest on connections that they keep.
+ * Pauses the real process by SIGSTOP and SIGCONT, as if the platform gave its core to other
+ * processes for a time, while clients send requests and pause on connections that they keep open.
  */
 @Timeout(120)
 class ProcessStallIT {
-  private static final int CLIENTS = 180;
+  private static final int CLIENT_COUNT = 180;
 
   @TempDir private Path folder;
 
   @ParameterizedTest
   @ValueSource(ints = {50, 300, 1000, 3000})
-  void losesNothingInPausesOfOneLength(int millis) throws Exception {
+  void answersAllRequestsWhenPausedRepeatedly(int pauseMillis) throws Exception {
     try (Fleet fleet = new Fleet(4);
         StoppableNode node = new StoppableNode(folder, fleet, 512);
-        ClosedLoopClients callers = new ClosedLoopClients(node.address(), CLIENTS, 900)) {
-      // Also within the first second.
-      int run = 1000 - Math.min(700, millis);
-      while (!callers.await(run)) {
-        node.stopFor(millis);
+        ClosedLoopClients clients = new ClosedLoopClients(node.address(), CLIENT_COUNT, 900)) {
+      // With short pauses, the first pause begins within the first second.
+      int runMillis = 1000 - Math.min(700, pauseMillis);
+      while (!clients.await(runMillis)) {
+        node.stopFor(pauseMillis);
       }
-      callers.assertAllAnswered(millis, fleet);
+      clients.assertAllAnswered(pauseMillis, fleet);
     }
   }
 
   @Test
-  void losesNothingWhereItRunsForATenthOfTheTime() throws Exception {
+  void answersAllRequestsWhenRunningForTenthOfTime() throws Exception {
     try (Fleet fleet = new Fleet(4);
         StoppableNode node = new StoppableNode(folder, fleet, 512);
-        ClosedLoopClients callers = new ClosedLoopClients(node.address(), 60, 120)) {
-      while (!callers.await(10)) {
+        ClosedLoopClients clients = new ClosedLoopClients(node.address(), 60, 120)) {
+      while (!clients.await(10)) {
         node.stopFor(90);
       }
-      // It is as slow as it is stopped: what counts is one answer for each, and no effect twice.
-      callers.assertAllAnswered(10_000, fleet);
+      // A node that is mostly paused answers late; the test checks that each request gets one
+      // answer and no write runs twice.
+      clients.assertAllAnswered(10_000, fleet);
     }
   }
 
   @Test
-  void leavesNoServerOutAfterAPause() throws Exception {
+  void usesAllServersRightAfterPause() throws Exception {
     try (Fleet fleet = new Fleet(4);
         StoppableNode node = new StoppableNode(folder, fleet, 512)) {
-      try (ClosedLoopClients callers = new ClosedLoopClients(node.address(), 60, 300)) {
-        callers.await(500);
+      try (ClosedLoopClients clients = new ClosedLoopClients(node.address(), 60, 300)) {
+        clients.await(500);
         node.stopFor(1000);
         fleet.resetCounts();
-        // Under the shortest pause for which a server is left out.
-        callers.await(400);
+        // The wait is shorter than the shortest time for which a failed server is excluded.
+        clients.await(400);
         for (int i = 0; i < 4; i++) {
-          assertTrue(fleet.served(i) > 0, "server " + i + " got nothing after the pause");
+          assertTrue(fleet.served(i) > 0, "server " + i + " got no requests after the pause");
         }
-        callers.await(20_000);
-        callers.assertAllAnswered(1000, fleet);
+        clients.await(20_000);
+        clients.assertAllAnswered(1000, fleet);
       }
     }
   }
 
   @Test
-  void losesNothingWhereServersCloseTheirConnectionsInAPause() throws Exception {
+  void answersAllRequestsWhenServersCloseConnectionsDuringPause() throws Exception {
     try (Fleet fleet = new Fleet(4);
         StoppableNode node = new StoppableNode(folder, fleet, 512);
-        ClosedLoopClients callers = new ClosedLoopClients(node.address(), 60, 200)) {
-      while (!callers.await(500)) {
+        ClosedLoopClients clients = new ClosedLoopClients(node.address(), 60, 200)) {
+      while (!clients.await(500)) {
         node.stop();
         TimeUnit.MILLISECONDS.sleep(150);
         fleet.closeIdleConnections();
         TimeUnit.MILLISECONDS.sleep(150);
         node.resume();
       }
-      callers.assertAllAnswered(300, fleet);
-      // One that is being written as the process stops cannot know.
+      clients.assertAllAnswered(300, fleet);
+      // A write that the node was sending as it was paused may find its connection closed.
       assertTrue(
-          callers.failedWrites() <= 1,
-          callers.failedWrites() + " writes went to connections that were closed");
+          clients.failedWrites() <= 1,
+          clients.failedWrites() + " writes failed on closed connections");
     }
   }
 
   @Test
-  void losesNothingInReloadsWithPauses() throws Exception {
+  void answersAllRequestsWhenPausedDuringReloads() throws Exception {
     try (Fleet fleet = new Fleet(4);
         StoppableNode node = new StoppableNode(folder, fleet, 512);
-        ClosedLoopClients callers = new ClosedLoopClients(node.address(), 60, 200)) {
+        ClosedLoopClients clients = new ClosedLoopClients(node.address(), 60, 200)) {
       SplittableRandom random = new SplittableRandom(3);
-      while (!callers.await(200 + random.nextInt(400))) {
+      while (!clients.await(200 + random.nextInt(400))) {
         if (random.nextBoolean()) {
           node.hangUp();
           node.stopFor(300);
@@ -106,29 +107,33 @@
           node.resume();
         }
       }
-      callers.assertAllAnswered(300, fleet);
+      clients.assertAllAnswered(300, fleet);
     }
   }
 
   /**
-   * Planned restarts with a pause before, across and after the time at which clients are let go,
-   * and one that outlasts the drain. The longest deadline is 2 s: it lets them go 2.1 s after the
-   * signal, and has answered all at 2.55 s.
+   * Terminates the node and pauses it before, across or after the time at which it closes its
+   * clients' connections, or for longer than the drain takes. The longest deadline is 2 s: the node
+   * closes connections 2.1 s after the signal, and has answered all requests at 2.55 s.
+   *
+   * @param delayMillis time from the signal to the pause
+   * @param pauseMillis length of the pause
    */
   @ParameterizedTest
   @CsvSource({"0, 300", "1000, 300", "1950, 300", "2300, 300", "1500, 3500"})
-  void answersAllItTookWhereItsDrainFallsIntoAPause(int after, int millis) throws Exception {
+  void answersAcceptedRequestsWhenPausedDuringDrain(int delayMillis, int pauseMillis)
+      throws Exception {
     try (Fleet fleet = new Fleet(4);
         StoppableNode node = new StoppableNode(folder, fleet, 512);
-        ClosedLoopClients callers = new ClosedLoopClients(node.address(), 60, 1_000_000)) {
-      callers.await(500);
-      callers.leaveWhenRefused();
+        ClosedLoopClients clients = new ClosedLoopClients(node.address(), 60, 1_000_000)) {
+      clients.await(500);
+      clients.leaveWhenRefused();
       node.terminate();
-      TimeUnit.MILLISECONDS.sleep(after);
-      node.stopFor(millis);
-      assertTrue(node.awaitEnd(20_000), "the node goes on");
-      callers.await(20_000);
-      callers.assertAllAnswered(millis, fleet);
+      TimeUnit.MILLISECONDS.sleep(delayMillis);
+      node.stopFor(pauseMillis);
+      assertTrue(node.awaitEnd(20_000), "the node did not end");
+      clients.await(20_000);
+      clients.assertAllAnswered(pauseMillis, fleet);
     }
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/SourceSizeTest.java
+++ b/daemon/src/test/java/shalepaddle/daemon/SourceSizeTest.java
@@ -12,14 +12,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** No file of the main code holds more lines than a reader takes in at a time. */
+/** Checks that no file of the main code has more than 500 lines, so that it stays readable. */
 class SourceSizeTest {
   private static final int MAX_LINES = 500;
 
   /**
-   * Files that are still to be split, none of them in the deployed jar, with the lines they hold.
+   * The line limits of longer files, which are to be split. None of these files is in the deployed
+   * jar.
    */
-  private static final Map<String, Integer> TO_BE_SPLIT =
+  private static final Map<String, Integer> LINE_LIMITS_OF_LONG_FILES =
       Map.of(
           "HollowFeed.java", 667,
           "StandInClients.java", 645,
@@ -27,21 +28,23 @@
           "StandInServer.java", 560);
 
   @Test
-  void noFileHoldsTooManyLines() throws IOException {
-    Map<String, Integer> tooLong = new TreeMap<>();
-    List<Path> sources = sources();
-    for (Path source : sources) {
+  void sourceFilesStayBelowMaximumLength() throws IOException {
+    Map<String, Integer> linesOfTooLongFiles = new TreeMap<>();
+    List<Path> sourceFiles = findSourceFiles();
+    for (Path source : sourceFiles) {
       String name = source.getFileName().toString();
-      int lines = Files.readAllLines(source).size();
-      if (lines > TO_BE_SPLIT.getOrDefault(name, MAX_LINES)) {
-        tooLong.put(source.toString(), lines);
+      int lineCount = Files.readAllLines(source).size();
+      if (lineCount > LINE_LIMITS_OF_LONG_FILES.getOrDefault(name, MAX_LINES)) {
+        linesOfTooLongFiles.put(source.toString(), lineCount);
       }
     }
-    assertTrue(sources.size() > 200, "sources found: " + sources.size());
-    assertEquals(Map.of(), tooLong);
+    assertTrue(
+        sourceFiles.size() > 200,
+        "expected more than 200 source files, found " + sourceFiles.size());
+    assertEquals(Map.of(), linesOfTooLongFiles);
   }
 
-  private static List<Path> sources() throws IOException {
+  private static List<Path> findSourceFiles() throws IOException {
     try (Stream<Path> files = Files.walk(Path.of("."), 12)) {
       return files
           .filter(file -> file.toString().endsWith(".java"))
--- a/daemon/src/test/java/shalepaddle/daemon/StoppableNode.java
+++ b/daemon/src/test/java/shalepaddle/daemon/StoppableNode.java
@@ -12,55 +12,67 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntFunction;
 
-/** The program that {@code run} of the deploy file starts, stopped and continued by signals. */
+/**
+ * A process started by the deploy file's {@code run} command, which tests can pause by SIGSTOP and
+ * resume by SIGCONT.
+ */
 final class StoppableNode implements Closeable {
-  private static final long START_MILLIS = 30_000;
+  private static final long START_TIMEOUT_MILLIS = 30_000;
 
   private final Process process;
   private final InetSocketAddress address;
-  private final Path config;
-  private final Path log;
+  private final Path configFile;
+  private final Path logFile;
 
-  /** One that listens, before this fleet, and may hold so many descriptors. */
-  StoppableNode(Path folder, Fleet fleet, int sockets) throws Exception {
-    this(folder, "node", port -> fleet.config(port, sockets));
+  /**
+   * Starts a node in front of a fleet and waits until it listens.
+   *
+   * @param maxDescriptors limit on the node's descriptors
+   */
+  StoppableNode(Path folder, Fleet fleet, int maxDescriptors) throws Exception {
+    this(folder, "node", port -> fleet.config(port, maxDescriptors));
     if (!awaitListening()) {
-      throw new IOException("does not listen");
+      throw new IOException("the node does not listen on " + address);
     }
   }
 
   /**
-   * One that has been started, with a configuration for the port that it is to listen on.
+   * Starts a node without waiting until it listens.
    *
-   * @param name names its files in the folder
+   * @param name prefix of the node's files in the folder
+   * @param configForPort returns the configuration for the port on which the node is to listen
    */
-  StoppableNode(Path folder, String name, IntFunction<String> text) throws Exception {
-    this(folder, name, text, Map.of());
+  StoppableNode(Path folder, String name, IntFunction<String> configForPort) throws Exception {
+    this(folder, name, configForPort, Map.of());
   }
 
-  /** The same with more variables in its environment. */
-  StoppableNode(Path folder, String name, IntFunction<String> text, Map<String, String> environment)
+  /** Starts a node with additional environment variables, without waiting until it listens. */
+  StoppableNode(
+      Path folder,
+      String name,
+      IntFunction<String> configForPort,
+      Map<String, String> environment)
       throws Exception {
     int port = DeployFile.freePort();
     address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-    config = folder.resolve(name + ".json");
-    log = folder.resolve(name + ".log");
-    configure(text.apply(port));
-    ProcessBuilder builder = DeployFile.command("run").redirectOutput(log.toFile());
-    builder.environment().put("ROUTER_CONFIG", config.toString());
+    configFile = folder.resolve(name + ".json");
+    logFile = folder.resolve(name + ".log");
+    configure(configForPort.apply(port));
+    ProcessBuilder builder = DeployFile.command("run").redirectOutput(logFile.toFile());
+    builder.environment().put("ROUTER_CONFIG", configFile.toString());
     builder.environment().putAll(environment);
     process = builder.start();
   }
 
-  /** Replaces its configuration, which it takes when it is told to. */
-  void configure(String text) throws IOException {
-    Files.writeString(config, text);
+  /** Replaces the configuration file; the node reads it after SIGHUP. */
+  void configure(String newConfig) throws IOException {
+    Files.writeString(configFile, newConfig);
   }
 
-  /** Returns once it listens; false if it ends before that, or takes too long. */
+  /** Waits until the node listens; returns false if the node ends first or 30 s have passed. */
   boolean awaitListening() throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_MILLIS);
-    while (System.nanoTime() - end < 0 && process.isAlive()) {
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MILLIS);
+    while (System.nanoTime() - deadlineNanos < 0 && process.isAlive()) {
       try {
         new Socket(address.getAddress(), address.getPort()).close();
         return true;
@@ -76,7 +88,7 @@
   }
 
   List<String> logged() throws IOException {
-    return Files.readAllLines(log);
+    return Files.readAllLines(logFile);
   }
 
   InetSocketAddress address() {
@@ -91,9 +103,9 @@
     DeployFile.signal(process, "CONT");
   }
 
-  void stopFor(long millis) throws Exception {
+  void stopFor(long pauseMillis) throws Exception {
     stop();
-    TimeUnit.MILLISECONDS.sleep(millis);
+    TimeUnit.MILLISECONDS.sleep(pauseMillis);
     resume();
   }
 
@@ -109,8 +121,8 @@
     return new DescriptorLimit(process.pid());
   }
 
-  boolean awaitEnd(long millis) throws InterruptedException {
-    return process.waitFor(millis, TimeUnit.MILLISECONDS);
+  boolean awaitEnd(long timeoutMillis) throws InterruptedException {
+    return process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS);
   }
 
   @Override
--- a/daemon/src/test/java/shalepaddle/daemon/SystemCallFailureIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/SystemCallFailureIT.java
@@ -27,36 +27,37 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
- * Each system call on sockets that fails for a moment, at each kind of socket of the real process:
- * clients', cache servers', discovery's and the management port's.
+ * Makes each system call on sockets fail temporarily, on each kind of socket of the real process:
+ * to clients, cache servers, discovery and the management port.
  */
 @Timeout(60)
 class SystemCallFailureIT {
   private static final int DEADLINE_MILLIS = 1000;
 
-  /** The protocol's slack on each time limit, and what the test itself takes. */
-  private static final int SLACK_MILLIS = 50 + 50;
+  /** How late an answer may be: 50 ms by the protocol, and 50 ms for the test itself. */
+  private static final int TOLERANCE_MILLIS = 50 + 50;
 
   private static final int CONNECTIONS = 12;
-  private static final int REQUESTS_EACH = 4;
+  private static final int REQUESTS_PER_CONNECTION = 4;
 
   @TempDir private static Path folder;
   private static FaultyCalls calls;
   private static Fleet fleet;
   private static StoppableNode node;
-  private static InetSocketAddress management;
-  private static int number;
+  private static InetSocketAddress managementAddress;
+  private static int nextRequestNumber;
 
   @BeforeAll
   static void start() throws Exception {
     calls = new FaultyCalls(folder);
     fleet = new Fleet(2);
-    management = new InetSocketAddress(InetAddress.getLoopbackAddress(), DeployFile.freePort());
+    managementAddress =
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), DeployFile.freePort());
     Map<String, String> environment = new HashMap<>(calls.environment());
-    environment.put("ROUTER_MANAGEMENT", "127.0.0.1:" + management.getPort());
+    environment.put("ROUTER_MANAGEMENT", "127.0.0.1:" + managementAddress.getPort());
     node = new StoppableNode(folder, "node", port -> fleet.config(port, 256), environment);
-    assertTrue(node.awaitListening(), "does not listen");
-    assertEquals(CONNECTIONS * REQUESTS_EACH, play().served);
+    assertTrue(node.awaitListening(), "the node does not listen");
+    assertEquals(CONNECTIONS * REQUESTS_PER_CONNECTION, sendRequests().successfulAnswers);
   }
 
   @AfterAll
@@ -66,106 +67,108 @@
     calls.close();
   }
 
-  /** Once calls succeed again, servers that were blamed for their failures are used again. */
+  /** Waits until the node serves again, since it may have excluded servers after failed calls. */
   @AfterEach
-  void servesAgain() throws Exception {
+  void awaitServing() throws Exception {
     calls.clear();
     await(
         () -> {
           Outcome outcome = new Outcome();
           try (ScriptedPeer client = ScriptedPeer.connect(node.address())) {
-            ask(client, outcome);
+            sendRequest(client, outcome);
           }
-          return outcome.served == 1;
+          return outcome.successfulAnswers == 1;
         },
-        "does not serve again");
+        "the node does not serve again");
   }
 
-  /** What became of requests on connections of their own. */
+  /** Results of requests, and the number of connections that were closed before an answer. */
   private static final class Outcome {
-    private int served;
-    private int answered;
-    private int closed;
-    private long slowestMillis;
+    private int successfulAnswers;
+    private int answers;
+    private int closedConnections;
+    private long maxAnswerMillis;
 
     @Override
     public String toString() {
-      return "served %d, answered %d, closed %d, slowest %d ms"
-          .formatted(served, answered, closed, slowestMillis);
+      return "%d answers, %d of them successful, %d connections closed, slowest answer after %d ms"
+          .formatted(answers, successfulAnswers, closedConnections, maxAnswerMillis);
     }
   }
 
-  /** Some connections one after the other, with some requests each. */
-  private static Outcome play() throws IOException {
-    return play(false);
+  /** Sends reads on several connections, one connection after the other. */
+  private static Outcome sendRequests() throws IOException {
+    return sendRequests(false);
   }
 
   /**
-   * The same.
+   * Sends requests on several connections, one connection after the other.
    *
-   * @param writes whether every second request is a write, which fails if its connection ends
+   * @param includesWrites whether every second request is a write, which fails if the node's
+   *     connection to the server is closed
    */
-  private static Outcome play(boolean writes) throws IOException {
+  private static Outcome sendRequests(boolean includesWrites) throws IOException {
     Outcome outcome = new Outcome();
     for (int i = 0; i < CONNECTIONS; i++) {
       try (ScriptedPeer client = ScriptedPeer.connect(node.address())) {
-        for (int j = 0; j < REQUESTS_EACH; j++) {
-          ask(client, outcome, writes && j % 2 == 0);
+        for (int j = 0; j < REQUESTS_PER_CONNECTION; j++) {
+          sendRequest(client, outcome, includesWrites && j % 2 == 0);
         }
       } catch (IOException e) {
-        outcome.closed++;
+        outcome.closedConnections++;
       }
     }
     return outcome;
   }
 
-  private static void ask(ScriptedPeer client, Outcome outcome) throws IOException {
-    ask(client, outcome, false);
+  private static void sendRequest(ScriptedPeer client, Outcome outcome) throws IOException {
+    sendRequest(client, outcome, false);
   }
 
-  private static void ask(ScriptedPeer client, Outcome outcome, boolean write) throws IOException {
-    String id = "r" + number++;
-    long sentAt = System.nanoTime();
+  private static void sendRequest(ScriptedPeer client, Outcome outcome, boolean isWrite)
+      throws IOException {
+    String id = "r" + nextRequestNumber++;
+    long sentAtNanos = System.nanoTime();
     String command =
-        write ? "ms key-%s 5 O%s Pc=put,d=%d\r\nvalue\r\n" : "mg key-%s v O%s Pc=read,d=%d\r\n";
+        isWrite ? "ms key-%s 5 O%s Pc=put,d=%d\r\nvalue\r\n" : "mg key-%s v O%s Pc=read,d=%d\r\n";
     client.write(command.formatted(id, id, DEADLINE_MILLIS));
     String line = client.line();
     if (line == null) {
-      throw new IOException("closed");
+      throw new IOException("connection closed before the answer");
     }
-    outcome.answered++;
-    if (!write && line.equals("VA 5 O" + id)) {
+    outcome.answers++;
+    if (!isWrite && line.equals("VA 5 O" + id)) {
       assertEquals("value", client.line());
-      outcome.served++;
-    } else if (write && (line + " ").startsWith("HD O" + id + " ")) {
-      outcome.served++;
+      outcome.successfulAnswers++;
+    } else if (isWrite && (line + " ").startsWith("HD O" + id + " ")) {
+      outcome.successfulAnswers++;
     } else {
       assertTrue(line.startsWith("SERVER_ERROR"), line);
     }
-    long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt);
-    outcome.slowestMillis = Math.max(outcome.slowestMillis, tookMillis);
+    long answerMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos);
+    outcome.maxAnswerMillis = Math.max(outcome.maxAnswerMillis, answerMillis);
   }
 
-  /** A call, its error and how often. */
-  record Fault(Call call, Errno error, int every) {
+  /** One of {@code interval} calls fails with an error. */
+  record Fault(Call call, Errno error, int interval) {
     @Override
     public String toString() {
-      return call + " " + error + " 1 in " + every;
+      return call + " " + error + " 1 in " + interval;
     }
   }
 
-  private static Stream<Fault> faults(Call call, int every, Errno... errors) {
-    return Stream.of(errors).map(error -> new Fault(call, error, every));
+  private static Stream<Fault> faults(Call call, int interval, Errno... errors) {
+    return Stream.of(errors).map(error -> new Fault(call, error, interval));
   }
 
-  /** Failures after which nothing is lost on the wire. */
-  private static Stream<Fault> harmless() {
+  /** Failures after which a repeated call succeeds and no bytes are lost. */
+  private static Stream<Fault> transientFaults() {
     return Stream.concat(
         faults(Call.READ, 3, Errno.EINTR, Errno.EAGAIN, Errno.SHORT),
         faults(Call.WRITE, 3, Errno.EINTR, Errno.EAGAIN, Errno.SHORT));
   }
 
-  private static Stream<Fault> acceptFailures() {
+  private static Stream<Fault> faultsOfAccept() {
     return faults(
         Call.ACCEPT,
         3,
@@ -177,21 +180,22 @@
         Errno.EINTR);
   }
 
-  static Stream<Fault> losesNothingAtClients() {
-    return Stream.concat(harmless(), acceptFailures());
+  static Stream<Fault> servesAllRequestsWhenClientSocketCallsFail() {
+    return Stream.concat(transientFaults(), faultsOfAccept());
   }
 
   @ParameterizedTest
   @MethodSource
-  void losesNothingAtClients(Fault fault) throws Exception {
-    calls.fail(fault.call(), fault.error(), node.address().getPort(), fault.every());
-    Outcome outcome = play(true);
+  void servesAllRequestsWhenClientSocketCallsFail(Fault fault) throws Exception {
+    calls.fail(fault.call(), fault.error(), node.address().getPort(), fault.interval());
+    Outcome outcome = sendRequests(true);
     assertTrue(calls.failed() > 0);
-    assertEquals(CONNECTIONS * REQUESTS_EACH, outcome.served, outcome::toString);
-    assertTrue(outcome.slowestMillis < 250, outcome::toString);
+    assertEquals(
+        CONNECTIONS * REQUESTS_PER_CONNECTION, outcome.successfulAnswers, outcome::toString);
+    assertTrue(outcome.maxAnswerMillis < 250, outcome::toString);
   }
 
-  static Stream<Fault> endsOneConnectionAtClients() {
+  static Stream<Fault> closesOnlyConnectionsWhoseCallsFail() {
     return Stream.of(
             faults(Call.ACCEPT, 4, Errno.ECONNABORTED),
             faults(Call.READ, 20, Errno.ECONNRESET, Errno.ETIMEDOUT, Errno.EHOSTUNREACH),
@@ -201,18 +205,18 @@
 
   @ParameterizedTest
   @MethodSource
-  void endsOneConnectionAtClients(Fault fault) throws Exception {
-    calls.fail(fault.call(), fault.error(), node.address().getPort(), fault.every());
-    Outcome outcome = play();
-    int failed = calls.failed();
-    assertTrue(failed > 0);
-    assertTrue(outcome.closed <= failed, outcome + ", failed calls " + failed);
-    assertEquals(outcome.answered, outcome.served, outcome::toString);
+  void closesOnlyConnectionsWhoseCallsFail(Fault fault) throws Exception {
+    calls.fail(fault.call(), fault.error(), node.address().getPort(), fault.interval());
+    Outcome outcome = sendRequests();
+    int failedCalls = calls.failed();
+    assertTrue(failedCalls > 0);
+    assertTrue(outcome.closedConnections <= failedCalls, outcome + ", failed calls " + failedCalls);
+    assertEquals(outcome.answers, outcome.successfulAnswers, outcome::toString);
   }
 
-  static Stream<Fault> answersAllBeforeServers() {
+  static Stream<Fault> answersAllRequestsWhenCallsOnConnectionsToServerFail() {
     return Stream.of(
-            harmless(),
+            transientFaults(),
             faults(Call.READ, 7, Errno.ECONNRESET, Errno.ETIMEDOUT, Errno.EHOSTUNREACH),
             faults(
                 Call.WRITE, 7, Errno.ECONNRESET, Errno.ETIMEDOUT, Errno.EPIPE, Errno.EHOSTUNREACH))
@@ -221,17 +225,19 @@
 
   @ParameterizedTest
   @MethodSource
-  void answersAllBeforeServers(Fault fault) throws Exception {
-    boolean harmless = harmless().anyMatch(fault::equals);
-    // One of the two: a request has somewhere else to go.
-    calls.fail(fault.call(), fault.error(), fleet.serverPort(0), fault.every());
-    Outcome outcome = play(harmless);
+  void answersAllRequestsWhenCallsOnConnectionsToServerFail(Fault fault) throws Exception {
+    boolean isTransient = transientFaults().anyMatch(fault::equals);
+    // The calls fail for one of the two servers only, so requests can be retried at the other.
+    calls.fail(fault.call(), fault.error(), fleet.serverPort(0), fault.interval());
+    Outcome outcome = sendRequests(isTransient);
     assertTrue(calls.failed() > 0);
     assertAllAnswered(outcome);
-    assertTrue(outcome.served >= (harmless ? 1.0 : 0.9) * outcome.answered, outcome::toString);
+    assertTrue(
+        outcome.successfulAnswers >= (isTransient ? 1.0 : 0.9) * outcome.answers,
+        outcome::toString);
   }
 
-  static Stream<Fault> answersAllWhileConnectionsFail() {
+  static Stream<Fault> answersAllRequestsWhenConnectsFail() {
     return Stream.concat(
         faults(Call.SOCKET, 2, Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM),
         faults(
@@ -249,31 +255,31 @@
 
   @ParameterizedTest
   @MethodSource
-  void answersAllWhileConnectionsFail(Fault fault) throws Exception {
-    calls.fail(fault.call(), fault.error(), 0, fault.every());
+  void answersAllRequestsWhenConnectsFail(Fault fault) throws Exception {
+    calls.fail(fault.call(), fault.error(), 0, fault.interval());
     Outcome outcome = new Outcome();
     for (int i = 0; i < 6; i++) {
       fleet.closeIdleConnections();
       TimeUnit.MILLISECONDS.sleep(20);
       try (ScriptedPeer client = ScriptedPeer.connect(node.address())) {
-        ask(client, outcome);
-        ask(client, outcome);
+        sendRequest(client, outcome);
+        sendRequest(client, outcome);
       }
     }
     assertTrue(calls.failed() > 0);
-    assertEquals(12, outcome.answered, outcome::toString);
-    assertTrue(outcome.slowestMillis < DEADLINE_MILLIS + SLACK_MILLIS, outcome::toString);
+    assertEquals(12, outcome.answers, outcome::toString);
+    assertTrue(outcome.maxAnswerMillis < DEADLINE_MILLIS + TOLERANCE_MILLIS, outcome::toString);
   }
 
   private static void assertAllAnswered(Outcome outcome) {
-    assertEquals(0, outcome.closed, outcome::toString);
-    assertEquals(CONNECTIONS * REQUESTS_EACH, outcome.answered, outcome::toString);
-    assertTrue(outcome.slowestMillis < DEADLINE_MILLIS + SLACK_MILLIS, outcome::toString);
+    assertEquals(0, outcome.closedConnections, outcome::toString);
+    assertEquals(CONNECTIONS * REQUESTS_PER_CONNECTION, outcome.answers, outcome::toString);
+    assertTrue(outcome.maxAnswerMillis < DEADLINE_MILLIS + TOLERANCE_MILLIS, outcome::toString);
   }
 
-  static Stream<Fault> servesWhileDiscoveryFails() {
+  static Stream<Fault> servesAllRequestsWhenDiscoveryCallsFail() {
     return Stream.of(
-            harmless(),
+            transientFaults(),
             faults(Call.READ, 2, Errno.ECONNRESET, Errno.ETIMEDOUT),
             faults(Call.CONNECT, 1, Errno.EADDRNOTAVAIL, Errno.ENETUNREACH, Errno.EPERM),
             faults(Call.SOCKET, 1, Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM))
@@ -282,65 +288,68 @@
 
   @ParameterizedTest
   @MethodSource
-  void servesWhileDiscoveryFails(Fault fault) throws Exception {
-    // A socket that is not there yet has no port.
+  void servesAllRequestsWhenDiscoveryCallsFail(Fault fault) throws Exception {
+    // Calls of socket() can't be selected by port, since they precede the connect.
     int port = fault.call() == Call.SOCKET ? 0 : fleet.discoveryPort();
-    calls.fail(fault.call(), fault.error(), port, fault.every());
-    Outcome outcome = play();
+    calls.fail(fault.call(), fault.error(), port, fault.interval());
+    Outcome outcome = sendRequests();
     assertAllAnswered(outcome);
-    assertEquals(outcome.answered, outcome.served, outcome::toString);
-    askUntilACallFails();
+    assertEquals(outcome.answers, outcome.successfulAnswers, outcome::toString);
+    reopenWatchUntilCallFails();
     calls.clear();
-    int before = fleet.watches();
+    int previousWatchRequests = fleet.watches();
     fleet.closeWatches();
-    await(() -> fleet.watches() > before, "the list is not asked for any more");
+    await(
+        () -> fleet.watches() > previousWatchRequests,
+        "the node does not request the list again");
   }
 
-  /** Lets the node open its watch again and again, which needs each of the calls. */
-  private static void askUntilACallFails() throws Exception {
+  /** Closes the node's watch, which the node opens again with new calls, until a call failed. */
+  private static void reopenWatchUntilCallFails() throws Exception {
     await(
         () -> {
           fleet.closeWatches();
           return calls.failed() > 0;
         },
-        "no call has failed");
+        "no call has failed although the watch was closed repeatedly");
   }
 
-  private static void await(Callable<Boolean> condition, String otherwise) throws Exception {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(6);
+  private static void await(Callable<Boolean> condition, String failureMessage) throws Exception {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(6);
     while (!condition.call()) {
-      assertTrue(System.nanoTime() - end < 0, otherwise);
+      assertTrue(System.nanoTime() - deadlineNanos < 0, failureMessage);
       TimeUnit.MILLISECONDS.sleep(20);
     }
   }
 
-  static Stream<Fault> answersOperators() {
-    return Stream.concat(harmless(), acceptFailures());
+  static Stream<Fault> answersManagementRequestsWhenCallsFail() {
+    return Stream.concat(transientFaults(), faultsOfAccept());
   }
 
   @ParameterizedTest
   @MethodSource
-  void answersOperators(Fault fault) throws Exception {
-    calls.fail(fault.call(), fault.error(), management.getPort(), fault.every());
-    List<Long> took = new ArrayList<>();
+  void answersManagementRequestsWhenCallsFail(Fault fault) throws Exception {
+    calls.fail(fault.call(), fault.error(), managementAddress.getPort(), fault.interval());
+    List<Long> answerMillis = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      long sentAt = System.nanoTime();
-      try (ScriptedPeer operator = ScriptedPeer.connect(management)) {
-        operator.write("GET /api/ready HTTP/1.1\r\n\r\n");
-        assertEquals("HTTP/1.1 200 OK", operator.line());
+      long sentAtNanos = System.nanoTime();
+      try (ScriptedPeer client = ScriptedPeer.connect(managementAddress)) {
+        client.write("GET /api/ready HTTP/1.1\r\n\r\n");
+        assertEquals("HTTP/1.1 200 OK", client.line());
       }
-      took.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt));
+      answerMillis.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos));
     }
     assertTrue(calls.failed() > 0);
-    assertTrue(took.stream().allMatch(millis -> millis < 300), took::toString);
+    assertTrue(answerMillis.stream().allMatch(millis -> millis < 300), answerMillis::toString);
   }
 
   @Test
-  void anOutOfOrderWallClockChangesNothingForRequests() throws Exception {
+  void servesRequestsWhenWallClockSteps() throws Exception {
     for (long seconds : new long[] {3600, -3600, 0}) {
       calls.stepWallClock(seconds);
-      Outcome outcome = play();
-      assertEquals(CONNECTIONS * REQUESTS_EACH, outcome.served, outcome::toString);
+      Outcome outcome = sendRequests();
+      assertEquals(
+          CONNECTIONS * REQUESTS_PER_CONNECTION, outcome.successfulAnswers, outcome::toString);
     }
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/WallClockIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/WallClockIT.java
@@ -16,28 +16,33 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
- * The real process where wall clocks disagree, its own or that of whoever writes the list: it
- * serves, and a server that has just started is spared until it is warm.
+ * Runs the real process with a wall clock that differs from the clock of discovery, which sets the
+ * servers' start times. The process must serve all requests, and send less load to a server that
+ * has just started until that server is warm.
  */
 @Timeout(60)
 class WallClockIT {
-  private static final int SERVERS = 3;
-  private static final int REQUESTS = 300;
-  private static final long LONG_AGO_MILLIS = TimeUnit.MINUTES.toMillis(10);
+  private static final int SERVER_COUNT = 3;
+  private static final int REQUEST_COUNT = 300;
+  private static final long WARM_SERVER_AGE_MILLIS = TimeUnit.MINUTES.toMillis(10);
 
-  /** What a started server is offered of its keys at first: twice {@code cold-from}, and rising. */
-  private static final double COLD_SHARE = 0.5;
+  /**
+   * Upper bound on the load of a server that has just started, as a fraction of its usual load. The
+   * setting {@code cold-from} is a fraction, too: the node first sends the server twice that
+   * fraction of the usual load, and more while the server warms up.
+   */
+  private static final double MAX_COLD_FRACTION = 0.5;
 
   @TempDir private Path folder;
   private FaultyCalls calls;
   private Fleet fleet;
   private StoppableNode node;
-  private int number;
+  private int nextRequestNumber;
 
   @BeforeEach
   void prepare() throws Exception {
     calls = new FaultyCalls(folder);
-    fleet = new Fleet(SERVERS);
+    fleet = new Fleet(SERVER_COUNT);
   }
 
   @AfterEach
@@ -55,77 +60,95 @@
             "node",
             port -> fleet.config(port, 256).replace("\"warm-within\":1", "\"warm-within\":20"),
             calls.environment());
-    assertTrue(node.awaitListening(), "does not listen");
+    assertTrue(node.awaitListening(), "the node does not listen");
   }
 
-  /** So many reads one after the other; how many are served. */
-  private int play() throws IOException {
-    int served = 0;
+  /** Sends {@code REQUEST_COUNT} reads one after the other and returns how many were served. */
+  private int sendReads() throws IOException {
+    int servedRequests = 0;
     try (ScriptedPeer client = ScriptedPeer.connect(node.address())) {
-      for (int i = 0; i < REQUESTS; i++) {
-        String id = "r" + number++;
+      for (int i = 0; i < REQUEST_COUNT; i++) {
+        String id = "r" + nextRequestNumber++;
         client.write("mg key-%s v O%s Pc=read,d=1000\r\n".formatted(id, id));
         if (client.line().equals("VA 5 O" + id)) {
           client.line();
-          served++;
+          servedRequests++;
         }
       }
     }
-    return served;
+    return servedRequests;
   }
 
   /**
-   * Node and list apart by an hour, or not, where all servers have run for long.
+   * All servers started ten minutes ago; the clocks of the node and of discovery differ by up to an
+   * hour.
    *
-   * @param nodeSeconds the node's clock before the machine's
-   * @param listSeconds the clock by which the list is written before the machine's
+   * @param nodeClockAheadSeconds by how much the node's clock is ahead of the machine's
+   * @param discoveryClockAheadSeconds by how much discovery's clock is ahead of the machine's
    */
   @ParameterizedTest
   @CsvSource({"0, 0", "-3600, 0", "3600, 0", "0, -3600", "0, 3600", "-5, 5"})
-  void servesFromServersThatHaveRunForLong(long nodeSeconds, long listSeconds) throws Exception {
-    long started = System.currentTimeMillis() + listSeconds * 1000 - LONG_AGO_MILLIS;
-    for (int i = 0; i < SERVERS; i++) {
-      fleet.tellStart(i, started + i);
+  void servesFromWarmServersWhenClocksDiffer(
+      long nodeClockAheadSeconds, long discoveryClockAheadSeconds) throws Exception {
+    long startTimeMillis =
+        System.currentTimeMillis() + discoveryClockAheadSeconds * 1000 - WARM_SERVER_AGE_MILLIS;
+    for (int i = 0; i < SERVER_COUNT; i++) {
+      fleet.tellStart(i, startTimeMillis + i);
     }
-    calls.stepWallClock(nodeSeconds);
+    calls.stepWallClock(nodeClockAheadSeconds);
     startNode();
-    assertEquals(REQUESTS, play());
-    fleet.tellStart(0, started);
-    assertEquals(REQUESTS, play());
+    assertEquals(REQUEST_COUNT, sendReads());
+    fleet.tellStart(0, startTimeMillis);
+    assertEquals(REQUEST_COUNT, sendReads());
   }
 
-  /** The list's clock steps before it tells of the start, so that the stamp may be an older one. */
+  /**
+   * A server restarts after a step of discovery's clock, so that the new start time in the list may
+   * be earlier than the previous one.
+   */
   @ParameterizedTest
   @CsvSource({"0, 0", "3600, 0", "-3600, 0", "0, -3600", "0, 3600"})
-  void sparesAServerThatStartsWhileItRuns(long nodeSeconds, long listSeconds) throws Exception {
-    for (int i = 0; i < SERVERS; i++) {
-      fleet.tellStart(i, System.currentTimeMillis() - LONG_AGO_MILLIS + i);
+  void limitsLoadOnServerThatStartsAfterNode(
+      long nodeClockAheadSeconds, long discoveryClockAheadSeconds) throws Exception {
+    for (int i = 0; i < SERVER_COUNT; i++) {
+      fleet.tellStart(i, System.currentTimeMillis() - WARM_SERVER_AGE_MILLIS + i);
     }
     startNode();
-    calls.stepWallClock(nodeSeconds);
-    assertEquals(REQUESTS, play());
-    int before = fleet.served(0);
-    fleet.tellStart(0, System.currentTimeMillis() + listSeconds * 1000);
+    calls.stepWallClock(nodeClockAheadSeconds);
+    assertEquals(REQUEST_COUNT, sendReads());
+    int warmRequests = fleet.served(0);
+    fleet.tellStart(0, System.currentTimeMillis() + discoveryClockAheadSeconds * 1000);
     TimeUnit.MILLISECONDS.sleep(100);
     fleet.resetCounts();
-    assertEquals(REQUESTS, play());
-    int after = fleet.served(0);
-    assertTrue(after < COLD_SHARE * before, "served " + before + " warm, " + after + " cold");
+    assertEquals(REQUEST_COUNT, sendReads());
+    int coldRequests = fleet.served(0);
+    assertTrue(
+        coldRequests < MAX_COLD_FRACTION * warmRequests,
+        "the server served "
+            + warmRequests
+            + " requests when warm and "
+            + coldRequests
+            + " when cold");
   }
 
-  /** A node that starts knows no more of a start than the list and its own clock say. */
+  /**
+   * A node that starts after a server knows the server's age only by comparing the start time in
+   * discovery's list with its own clock.
+   */
   @ParameterizedTest
   @ValueSource(longs = {0, 3600, -3600})
-  void sparesAServerThatStartedJustBeforeIt(long nodeSeconds) throws Exception {
-    for (int i = 0; i < SERVERS; i++) {
-      fleet.tellStart(i, System.currentTimeMillis() - LONG_AGO_MILLIS + i);
+  void limitsLoadOnServerThatStartedJustBeforeNode(long nodeClockAheadSeconds) throws Exception {
+    for (int i = 0; i < SERVER_COUNT; i++) {
+      fleet.tellStart(i, System.currentTimeMillis() - WARM_SERVER_AGE_MILLIS + i);
     }
     fleet.tellStart(0, System.currentTimeMillis());
-    calls.stepWallClock(nodeSeconds);
+    calls.stepWallClock(nodeClockAheadSeconds);
     startNode();
-    assertEquals(REQUESTS, play());
-    int others = fleet.served(1) + fleet.served(2);
-    int cold = fleet.served(0);
-    assertTrue(cold < COLD_SHARE * others / 2, "served " + others + " warm, " + cold + " cold");
+    assertEquals(REQUEST_COUNT, sendReads());
+    int warmRequests = fleet.served(1) + fleet.served(2);
+    int coldRequests = fleet.served(0);
+    assertTrue(
+        coldRequests < MAX_COLD_FRACTION * warmRequests / 2,
+        "two warm servers served " + warmRequests + " requests, the cold one " + coldRequests);
   }
 }
--- a/daemon/src/test/native/faulty_calls.c
+++ b/daemon/src/test/native/faulty_calls.c
@@ -1,10 +1,10 @@
 /*
- * Lets system calls of a process fail, and its wall clock step, as a control file says.
+ * Makes system calls of a process fail and shifts its wall clock, as a control file specifies.
  *
  * Preloaded into the process under test; FAULTY_CALLS names the control file, which the test keeps
- * mapped and changes while the process runs. The layout is that of the class FaultyCalls.
+ * mapped and changes while the process runs. Its layout matches the Java class that writes it.
  *
- * Only calls are touched that go through the C library. CLOCK_MONOTONIC is left alone.
+ * Only calls through the C library are affected. CLOCK_MONOTONIC is not changed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -25,10 +25,10 @@
 
 enum { MAX_RULES = 16, SHORT = -1 };
 
-/* One kind of failure: every n-th matching call ends with the error, or moves one byte. */
+/* A kind of failure: every n-th matching call fails with the error or transfers one byte. */
 struct rule {
   int32_t call;
-  int32_t port; /* at either end of the socket; 0 for any */
+  int32_t port; /* local or remote port of the socket; 0 for any */
   int32_t error; /* an errno, or SHORT */
   int32_t every;
   int32_t seen;
@@ -42,7 +42,7 @@
 
 static struct control *control;
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void map_control_file(void) {
   const char *name = getenv("FAULTY_CALLS");
   int fd = name == NULL ? -1 : open(name, O_RDWR);
   if (fd < 0) {
@@ -86,8 +86,8 @@
   return fstat(fd, &status) == 0 && S_ISSOCK(status.st_mode);
 }
 
-/* What is to become of this call: 0, an errno or SHORT. */
-static int fault(enum call call, int fd, int port) {
+/* Returns 0 if this call should succeed, the errno with which it should fail, or SHORT. */
+static int next_fault(enum call call, int fd, int port) {
   if (control == NULL) {
     return 0;
   }
@@ -108,21 +108,21 @@
 }
 
 static int socket_fault(enum call call, int fd) {
-  return control != NULL && is_socket(fd) ? fault(call, fd, -1) : 0;
+  return control != NULL && is_socket(fd) ? next_fault(call, fd, -1) : 0;
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *size) {
   REAL(accept)
-  int error = fault(ACCEPT, fd, -1);
+  int error = next_fault(ACCEPT, fd, -1);
   if (error == ECONNABORTED) {
-    /* The connection that waited is gone. */
-    int gone = real(fd, address, size);
-    if (gone < 0) {
-      return gone;
+    /* Accepts the waiting connection and resets it. */
+    int accepted = real(fd, address, size);
+    if (accepted < 0) {
+      return accepted;
     }
     struct linger reset = {1, 0};
-    setsockopt(gone, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
-    close(gone);
+    setsockopt(accepted, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
+    close(accepted);
   }
   if (error > 0) {
     errno = error;
@@ -133,7 +133,7 @@
 
 int connect(int fd, const struct sockaddr *address, socklen_t size) {
   REAL(connect)
-  int error = fault(CONNECT, -1, port_of((const struct sockaddr_storage *) address));
+  int error = next_fault(CONNECT, -1, port_of((const struct sockaddr_storage *) address));
   if (error > 0) {
     errno = error;
     return -1;
@@ -143,7 +143,7 @@
 
 int socket(int domain, int type, int protocol) {
   REAL(socket)
-  int error = domain == AF_INET || domain == AF_INET6 ? fault(SOCKET, -1, -1) : 0;
+  int error = domain == AF_INET || domain == AF_INET6 ? next_fault(SOCKET, -1, -1) : 0;
   if (error > 0) {
     errno = error;
     return -1;
@@ -177,8 +177,8 @@
 
 ssize_t write(int fd, const void *bytes, size_t count) {
   REAL(write)
-  /* Not the log, by which the test sees what happens. */
-  int error = control != NULL && fd > 2 ? fault(write_call(fd), fd, -1) : 0;
+  /* Standard output and error never fail: the log goes there, which the test reads. */
+  int error = control != NULL && fd > 2 ? next_fault(write_call(fd), fd, -1) : 0;
   if (error > 0) {
     errno = error;
     return -1;
@@ -202,7 +202,7 @@
 
 ssize_t pwrite64(int fd, const void *bytes, size_t count, off64_t offset) {
   REAL(pwrite64)
-  int error = control != NULL ? fault(FILE_WRITE, -1, -1) : 0;
+  int error = control != NULL ? next_fault(FILE_WRITE, -1, -1) : 0;
   if (error > 0) {
     errno = error;
     return -1;
@@ -212,7 +212,7 @@
 
 int fsync(int fd) {
   REAL(fsync)
-  int error = fault(SYNC, -1, -1);
+  int error = next_fault(SYNC, -1, -1);
   if (error > 0) {
     errno = error;
     return -1;
@@ -222,7 +222,7 @@
 
 int fdatasync(int fd) {
   REAL(fdatasync)
-  int error = fault(SYNC, -1, -1);
+  int error = next_fault(SYNC, -1, -1);
   if (error > 0) {
     errno = error;
     return -1;
