--- a/benchmarks/src/main/java/shalepaddle/benchmarks/AfterTrigger.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/AfterTrigger.java
@@ -20,179 +20,223 @@
 import picocli.CommandLine.Option;
 
 /**
- * Whether a node comes back once what disturbed it is over: a start under load, a pause of its
- * process, a burst of five times the load, one after the other, while clients that are refused come
- * again in one of three ways. Told is for how long after each the worth served in time stood below
- * what it was before.
+ * Measures how nodes recover from disturbances: a start under load, a pause of the process, and a
+ * burst of five times the load, one after the other, while clients retry refused requests by one of
+ * several policies. Reports how long after each disturbance the goodput, which is the priority
+ * weight served in time, stayed below its usual level.
  */
 @Command(
     name = "after-trigger",
-    description = "Disturbs nodes for a moment, and shows how long what they serve stays low.",
+    description = "Disturbs nodes briefly, and shows how long their goodput stays low.",
     mixinStandardHelpOptions = true)
 final class AfterTrigger implements Callable<Integer> {
-  /** Seconds since the clients began: what is usual is taken from there to the pause. */
-  private static final int USUAL_FROM = 6;
+  /**
+   * The usual goodput is measured from this time to the start of the pause. This and the times
+   * below are in seconds since the clients started.
+   */
+  private static final int USUAL_START_SECONDS = 6;
 
-  private static final int PAUSE_FROM = 10;
-  private static final int PAUSE_TO = 11;
-  private static final int BURST_FROM = 16;
-  private static final int BURST_TO = 18;
-  private static final int END = 24;
-  private static final double BURST = 5;
+  private static final int PAUSE_START_SECONDS = 10;
+  private static final int PAUSE_END_SECONDS = 11;
+  private static final int BURST_START_SECONDS = 16;
+  private static final int BURST_END_SECONDS = 18;
+  private static final int RUN_SECONDS = 24;
+  private static final double BURST_FACTOR = 5;
 
-  /** What is as good as what was usual. */
-  private static final double BACK = 0.95;
+  /** A node has recovered once its goodput reaches this fraction of the usual goodput. */
+  private static final double RECOVERED_RATIO = 0.95;
 
-  /** Steps of the timeline over which goodput is taken: single ones differ by chance. */
-  private static final int WINDOW = 10;
+  /** Timeline steps of 0.1 s over which goodput is averaged, since single steps vary too much. */
+  private static final int AVERAGED_STEPS = 10;
 
   @Mixin private Nodes nodes;
 
   @Option(
       names = "--times",
       split = ",",
-      description = "Multiples of what it can do (default: 0.7,1,3).")
-  private double[] times = {0.7, 1, 3};
+      description = "Loads, as multiples of the lowest node capacity (default: 0.7,1,3).")
+  private double[] multiples = {0.7, 1, 3};
 
   @Option(
       names = "--again",
       split = ",",
-      description = "When refused clients come again: ${COMPLETION-CANDIDATES} (default: three).")
-  private OpenLoad.Again[] manners = {
+      description =
+          "How clients retry refused requests: ${COMPLETION-CANDIDATES} (default: all but NEVER).")
+  private OpenLoad.Again[] retryPolicies = {
     OpenLoad.Again.AT_ONCE, OpenLoad.Again.ADVISED, OpenLoad.Again.BACK_OFF
   };
 
-  @Option(names = "--connections", description = "Clients (default: ${DEFAULT-VALUE}).")
+  @Option(names = "--connections", description = "Client connections (default: ${DEFAULT-VALUE}).")
   private int connections = 256;
 
-  @Option(names = "--writes", description = "The part of writes (default: ${DEFAULT-VALUE}).")
-  private double writes = 0.08;
+  @Option(names = "--writes", description = "Fraction of writes (default: ${DEFAULT-VALUE}).")
+  private double writeRatio = 0.08;
 
-  @Option(names = "--repeats", description = "Repeats at most (default: ${DEFAULT-VALUE}).")
-  private int repeats = 1000;
-
-  @Option(names = "--picture", paramLabel = "FILE", description = "Draws it, as a PNG.")
-  private Path picture;
+  @Option(
+      names = "--repeats",
+      description = "Maximum number of retries of a request (default: ${DEFAULT-VALUE}).")
+  private int maxRetries = 1000;
 
-  /** One node under one load. */
-  private record Played(
-      String name, double multiple, OpenLoad.Again again, OpenLoad.Result result, double usual) {
+  @Option(
+      names = "--picture",
+      paramLabel = "FILE",
+      description = "Writes a chart to this PNG file.")
+  private Path chartFile;
+
+  /**
+   * The run of one node under one load.
+   *
+   * @param capacityMultiple the offered load, in multiples of the lowest node capacity
+   * @param usualGoodput the priority weight served in time before the pause, per second
+   */
+  private record NodeRun(
+      String name,
+      double capacityMultiple,
+      OpenLoad.Again retryPolicy,
+      OpenLoad.Result result,
+      double usualGoodput) {
 
     /**
-     * Seconds from then on until what is served is as good as usual, and stays so for a second;
-     * infinite where it is not by the time of the next trigger.
+     * Returns the seconds from {@code fromSecond} until the goodput, averaged over one second, is
+     * at its usual level again, or infinity if it does not get there before {@code untilSecond}.
      */
-    double backAfter(int from, int until) {
+    double recoverySeconds(int fromSecond, int untilSecond) {
       double[] goodput = result.timeline().goodput();
-      for (int step = 10 * from; step + WINDOW <= 10 * until; step++) {
-        double mean = Arrays.stream(goodput, step, step + WINDOW).average().orElse(0);
-        if (mean >= BACK * usual) {
-          return (step - 10 * from) / 10.0;
+      for (int step = 10 * fromSecond; step + AVERAGED_STEPS <= 10 * untilSecond; step++) {
+        double meanGoodput =
+            Arrays.stream(goodput, step, step + AVERAGED_STEPS).average().orElse(0);
+        if (meanGoodput >= RECOVERED_RATIO * usualGoodput) {
+          return (step - 10 * fromSecond) / 10.0;
         }
       }
       return Double.POSITIVE_INFINITY;
     }
   }
 
-  private final List<Played> played = new ArrayList<>();
+  private final List<NodeRun> runs = new ArrayList<>();
 
   @Override
   public Integer call() throws Exception {
     try (Servers servers = new Servers(8, 100)) {
       int port = Subject.freePort();
-      List<Subject> subjects = nodes.subjects(port, servers);
-      // All are asked the same, which is what the least able can do: their curves are compared.
-      double least = Double.POSITIVE_INFINITY;
-      for (Subject subject : subjects) {
-        try (Subject.Running running = nodes.start(subject, port)) {
-          double able = Load.run(port, 64, 6, 5).perSecond();
-          System.out.printf(Locale.ROOT, "%-8s can do %.0f/s%n", subject.name(), able);
-          least = Math.min(least, able);
+      List<Subject> processes = nodes.subjects(port, servers);
+      // All nodes get the same load, in multiples of the lowest capacity, to compare their curves.
+      double minCapacityPerSecond = Double.POSITIVE_INFINITY;
+      for (Subject process : processes) {
+        try (Subject.Running runningNode = nodes.start(process, port)) {
+          double capacityPerSecond = Load.run(port, 64, 6, 5).perSecond();
+          System.out.printf(
+              Locale.ROOT, "%-8s capacity %.0f requests/s%n", process.name(), capacityPerSecond);
+          minCapacityPerSecond = Math.min(minCapacityPerSecond, capacityPerSecond);
         }
       }
-      for (double multiple : times) {
-        for (OpenLoad.Again again : manners) {
-          for (Subject subject : subjects) {
-            play(subject, port, multiple, least, again);
+      for (double capacityMultiple : multiples) {
+        for (OpenLoad.Again retryPolicy : retryPolicies) {
+          for (Subject process : processes) {
+            runNode(process, port, capacityMultiple, minCapacityPerSecond, retryPolicy);
           }
         }
       }
     }
-    if (picture != null) {
-      draw();
+    if (chartFile != null) {
+      drawCharts();
     }
     return 0;
   }
 
-  private void play(Subject subject, int port, double multiple, double able, OpenLoad.Again again)
+  private void runNode(
+      Subject process,
+      int port,
+      double capacityMultiple,
+      double capacityPerSecond,
+      OpenLoad.Again retryPolicy)
       throws Exception {
-    double usualRate = able * multiple;
+    double usualRequestsPerSecond = capacityPerSecond * capacityMultiple;
     OpenLoad.Rate rate =
-        since -> {
-          double seconds = since / 1e9;
-          return seconds >= BURST_FROM && seconds < BURST_TO ? BURST * usualRate : usualRate;
+        elapsedNanos -> {
+          double seconds = elapsedNanos / 1e9;
+          return seconds >= BURST_START_SECONDS && seconds < BURST_END_SECONDS
+              ? BURST_FACTOR * usualRequestsPerSecond
+              : usualRequestsPerSecond;
         };
-    ScheduledExecutorService signals = Executors.newSingleThreadScheduledExecutor();
-    try (Subject.Running running = nodes.start(subject, port)) {
-      signals.schedule(() -> running.signal("STOP"), PAUSE_FROM, TimeUnit.SECONDS);
-      signals.schedule(() -> running.signal("CONT"), PAUSE_TO, TimeUnit.SECONDS);
+    ScheduledExecutorService signalScheduler = Executors.newSingleThreadScheduledExecutor();
+    try (Subject.Running runningNode = nodes.start(process, port)) {
+      signalScheduler.schedule(
+          () -> runningNode.signal("STOP"), PAUSE_START_SECONDS, TimeUnit.SECONDS);
+      signalScheduler.schedule(
+          () -> runningNode.signal("CONT"), PAUSE_END_SECONDS, TimeUnit.SECONDS);
       OpenLoad.Result result =
           OpenLoad.run(
-              port, connections, new OpenLoad.Manner(rate, writes, again, repeats, 1), 0, END);
-      double usual =
-          Arrays.stream(result.timeline().goodput(), 10 * USUAL_FROM, 10 * PAUSE_FROM)
+              port,
+              connections,
+              new OpenLoad.Manner(rate, writeRatio, retryPolicy, maxRetries, 1),
+              0,
+              RUN_SECONDS);
+      double usualGoodput =
+          Arrays.stream(
+                  result.timeline().goodput(), 10 * USUAL_START_SECONDS, 10 * PAUSE_START_SECONDS)
               .average()
               .orElse(0);
-      Played one = new Played(subject.name(), multiple, again, result, usual);
-      played.add(one);
+      NodeRun run =
+          new NodeRun(process.name(), capacityMultiple, retryPolicy, result, usualGoodput);
+      runs.add(run);
       System.out.printf(
           Locale.ROOT,
-          "%-8s x%-4.1f %-8s usual %7.0f worth/s (%.2f of what is asked), refused %7.0f/s;"
-              + " back after start %.1f s, pause %.1f s, burst %.1f s; writes in 300 ms %.1f%%%n",
-          one.name(),
-          multiple,
-          again,
-          usual,
-          usual / (usualRate * (2 * (1 - writes) + 5 * writes)),
-          Arrays.stream(result.timeline().refusals(), 10 * USUAL_FROM, 10 * PAUSE_FROM)
+          "%-8s x%-4.1f %-8s usual goodput %7.0f weight/s (%.2f of the offered weight),"
+              + " refused %7.0f/s;"
+              + " recovery after start %.1f s, pause %.1f s, burst %.1f s;"
+              + " writes in 300 ms %.1f%%%n",
+          run.name(),
+          capacityMultiple,
+          retryPolicy,
+          usualGoodput,
+          usualGoodput / (usualRequestsPerSecond * (2 * (1 - writeRatio) + 5 * writeRatio)),
+          Arrays.stream(
+                  result.timeline().refusals(),
+                  10 * USUAL_START_SECONDS,
+                  10 * PAUSE_START_SECONDS)
               .average()
               .orElse(0),
-          one.backAfter(0, PAUSE_FROM),
-          one.backAfter(PAUSE_TO, BURST_FROM),
-          one.backAfter(BURST_TO, END),
+          run.recoverySeconds(0, PAUSE_START_SECONDS),
+          run.recoverySeconds(PAUSE_END_SECONDS, BURST_START_SECONDS),
+          run.recoverySeconds(BURST_END_SECONDS, RUN_SECONDS),
           100 * result.writesInTimePart());
     } finally {
-      signals.shutdownNow();
+      signalScheduler.shutdownNow();
     }
   }
 
-  private void draw() throws IOException {
+  private void drawCharts() throws IOException {
     List<XYChart> charts = new ArrayList<>();
-    for (double multiple : times) {
-      for (OpenLoad.Again again : manners) {
-        charts.add(chart(multiple, again));
+    for (double capacityMultiple : multiples) {
+      for (OpenLoad.Again retryPolicy : retryPolicies) {
+        charts.add(createChart(capacityMultiple, retryPolicy));
       }
     }
     BitmapEncoder.saveBitmap(
-        charts, times.length, manners.length, picture.toString(), BitmapEncoder.BitmapFormat.PNG);
-    System.out.println("drawn: " + picture);
+        charts,
+        multiples.length,
+        retryPolicies.length,
+        chartFile.toString(),
+        BitmapEncoder.BitmapFormat.PNG);
+    System.out.println("drawn: " + chartFile);
   }
 
-  private XYChart chart(double multiple, OpenLoad.Again again) {
+  private XYChart createChart(double capacityMultiple, OpenLoad.Again retryPolicy) {
     XYChart chart =
         new XYChartBuilder()
             .width(460)
             .height(300)
-            .title(multiple + " times, " + again)
+            .title(capacityMultiple + " times the capacity, " + retryPolicy)
             .xAxisTitle("seconds")
-            .yAxisTitle("worth in time, a second")
+            .yAxisTitle("priority weight served in time, per second")
             .build();
     chart.getStyler().setYAxisMin(0.0);
-    for (Played one : played) {
-      if (one.multiple() == multiple && one.again() == again) {
-        double[] goodput = one.result().timeline().goodput();
+    for (NodeRun run : runs) {
+      if (run.capacityMultiple() == capacityMultiple && run.retryPolicy() == retryPolicy) {
+        double[] goodput = run.result().timeline().goodput();
         double[] seconds = IntStream.range(0, goodput.length).mapToDouble(i -> i / 10.0).toArray();
-        chart.addSeries(one.name(), seconds, goodput).setMarker(SeriesMarkers.NONE);
+        chart.addSeries(run.name(), seconds, goodput).setMarker(SeriesMarkers.NONE);
       }
     }
     return chart;
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/BesideRelay.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/BesideRelay.java
@@ -11,63 +11,75 @@
 import picocli.CommandLine.Option;
 
 /**
- * Requests a second through a node beside a bare byte relay, each a process of its own on the same
- * one core, in turns within one run; and for each node its start time and memory.
+ * Measures requests per second through nodes and through a bare byte relay, for comparison. The
+ * nodes and the relay run as separate processes, which take turns on the same core within one run.
+ * The startup time and the memory of each process are measured as well.
  */
 @Command(
     name = "beside-relay",
-    description = "Measures nodes beside a bare relay, each on one core, in turns.",
+    description = "Compares nodes with a bare byte relay, each on one core, in turn.",
     mixinStandardHelpOptions = true)
 public final class BesideRelay implements Callable<Integer> {
-  /** The part of the answers that may be no values: a refusal costs a fraction of a request. */
-  private static final double MOST_REFUSED = 0.01;
+  /**
+   * A measurement is valid if at most this fraction of its answers has no value. A refusal takes
+   * less processor time than a served request, so that refusals distort the rate.
+   */
+  private static final double MAX_REFUSED_RATIO = 0.01;
 
   @Mixin private Nodes nodes;
 
-  @Option(names = "--rounds", description = "Turns of each (default: ${DEFAULT-VALUE}).")
+  @Option(
+      names = "--rounds",
+      description = "Measurements of each process (default: ${DEFAULT-VALUE}).")
   private int rounds = 5;
 
-  @Option(names = "--seconds", description = "Measured in each turn (default: ${DEFAULT-VALUE}).")
-  private int seconds = 5;
+  @Option(
+      names = "--seconds",
+      description = "Seconds of each measurement (default: ${DEFAULT-VALUE}).")
+  private int measuredSeconds = 5;
 
-  @Option(names = "--warm", description = "Unmeasured before that (default: ${DEFAULT-VALUE}).")
-  private int warm = 4;
+  @Option(
+      names = "--warm",
+      description = "Warm-up seconds before each measurement (default: ${DEFAULT-VALUE}).")
+  private int warmSeconds = 4;
 
-  @Option(names = "--connections", description = "Clients (default: ${DEFAULT-VALUE}).")
+  @Option(names = "--connections", description = "Client connections (default: ${DEFAULT-VALUE}).")
   private int connections = 64;
 
   @Option(names = "--value", description = "Bytes of a value (default: ${DEFAULT-VALUE}).")
   private int valueBytes = 100;
 
-  private final Map<String, List<Double>> rates = new LinkedHashMap<>();
-  private final Map<String, List<Double>> starts = new LinkedHashMap<>();
-  private final Map<String, List<Double>> memory = new LinkedHashMap<>();
+  private final Map<String, List<Double>> servedPerSecondByName = new LinkedHashMap<>();
+  private final Map<String, List<Double>> startupMillisByName = new LinkedHashMap<>();
+  private final Map<String, List<Double>> memoryMegabytesByName = new LinkedHashMap<>();
 
-  /** Turns with more refusals than {@link #MOST_REFUSED}: what they say of a node is void. */
-  private int voided;
+  /** The number of measurements with more refusals than {@link #MAX_REFUSED_RATIO} allows. */
+  private int invalidMeasurementCount;
 
   @Override
   public Integer call() throws Exception {
     try (Servers servers = new Servers(8, valueBytes)) {
       int port = Subject.freePort();
-      List<Subject> subjects = new ArrayList<>();
-      subjects.add(relay(port, servers));
-      subjects.addAll(nodes.subjects(port, servers));
+      List<Subject> processes = new ArrayList<>();
+      processes.add(createRelay(port, servers));
+      processes.addAll(nodes.subjects(port, servers));
       for (int round = 1; round <= rounds; round++) {
-        for (Subject subject : subjects) {
-          turn(round, subject, port);
+        for (Subject process : processes) {
+          measure(round, process, port);
         }
       }
     }
-    summary();
-    if (voided > 0) {
-      System.err.printf("%d turns with over 1%% refused: the ratios are void%n", voided);
+    printSummary();
+    if (invalidMeasurementCount > 0) {
+      System.err.printf(
+          "%d measurements had over 1%% refused answers: the ratios are invalid%n",
+          invalidMeasurementCount);
       return 1;
     }
     return 0;
   }
 
-  private Subject relay(int port, Servers servers) {
+  private Subject createRelay(int port, Servers servers) {
     List<String> arguments =
         new ArrayList<>(
             List.of(
@@ -79,48 +91,52 @@
     return Subject.java("relay", arguments);
   }
 
-  private void turn(int round, Subject subject, int port) throws Exception {
-    long began = System.nanoTime();
-    try (Subject.Running running = nodes.start(subject, port)) {
-      double started = (System.nanoTime() - began) / 1e6;
-      double resident = running.residentMegabytes();
-      Load.Result result = Load.run(port, connections, warm, seconds);
-      add(rates, subject.name(), result.perSecond());
-      voided += result.refusedPart() > MOST_REFUSED ? 1 : 0;
-      add(starts, subject.name(), started);
-      add(memory, subject.name(), resident);
+  private void measure(int round, Subject process, int port) throws Exception {
+    long startNanos = System.nanoTime();
+    try (Subject.Running runningProcess = nodes.start(process, port)) {
+      double startupMillis = (System.nanoTime() - startNanos) / 1e6;
+      double megabytes = runningProcess.residentMegabytes();
+      Load.Result result = Load.run(port, connections, warmSeconds, measuredSeconds);
+      addFigure(servedPerSecondByName, process.name(), result.perSecond());
+      invalidMeasurementCount += result.refusedPart() > MAX_REFUSED_RATIO ? 1 : 0;
+      addFigure(startupMillisByName, process.name(), startupMillis);
+      addFigure(memoryMegabytesByName, process.name(), megabytes);
       System.out.printf(
           "round %d  %-10s %8.0f served/s  p99 %5d us  %d refused (%.2f%%)  start %5.0f ms"
               + "  %4.0f MB%n",
           round,
-          subject.name(),
+          process.name(),
           result.perSecond(),
           result.p99Micros(),
           result.refused(),
           100 * result.refusedPart(),
-          started,
-          resident);
+          startupMillis,
+          megabytes);
     }
   }
 
-  private static void add(Map<String, List<Double>> figures, String name, double value) {
-    figures.computeIfAbsent(name, n -> new ArrayList<>()).add(value);
+  private static void addFigure(
+      Map<String, List<Double>> figuresByName, String processName, double value) {
+    figuresByName.computeIfAbsent(processName, n -> new ArrayList<>()).add(value);
   }
 
-  private void summary() {
+  private void printSummary() {
     System.out.println();
-    for (String name : rates.keySet()) {
-      List<Double> ratios =
+    for (String name : servedPerSecondByName.keySet()) {
+      List<Double> ratiosToRelay =
           IntStream.range(0, rounds)
-              .mapToObj(i -> rates.get(name).get(i) / rates.get("relay").get(i))
+              .mapToObj(
+                  i ->
+                      servedPerSecondByName.get(name).get(i)
+                          / servedPerSecondByName.get("relay").get(i))
               .toList();
       System.out.printf(
-          "%-10s of the relay %s   requests/s %s   start ms %s   MB %s%n",
+          "%-10s ratio to the relay %s   requests/s %s   start ms %s   MB %s%n",
           name,
-          Figures.spread(ratios, "%.3f"),
-          Figures.spread(rates.get(name), "%.0f"),
-          Figures.spread(starts.get(name), "%.0f"),
-          Figures.spread(memory.get(name), "%.1f"));
+          Figures.spread(ratiosToRelay, "%.3f"),
+          Figures.spread(servedPerSecondByName.get(name), "%.0f"),
+          Figures.spread(startupMillisByName.get(name), "%.0f"),
+          Figures.spread(memoryMegabytesByName.get(name), "%.1f"));
     }
   }
 }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/CoalescingCost.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/CoalescingCost.java
@@ -16,7 +16,7 @@
 import shalepaddle.coalescing.FlightWaiter;
 import shalepaddle.coalescing.RequestCoalescer;
 
-/** What the decisions on joining take of a read, with 64 reads of other keys open beside it. */
+/** Measures the time that request coalescing takes per read, with 64 reads in flight. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -24,44 +24,44 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class CoalescingCost {
-  private static final int KEYS = 5000;
-  private static final int OPEN = 64;
-  private static final long PATIENCE = 2_000_000_000L;
+  private static final int KEY_COUNT = 5000;
+  private static final int READS_IN_FLIGHT = 64;
+  private static final long DEADLINE_NANOS = 2_000_000_000L;
 
-  private final String[] keys = new String[KEYS];
-  private final RequestCoalescer<Integer> joining =
+  private final String[] keys = new String[KEY_COUNT];
+  private final RequestCoalescer<Integer> coalescer =
       new RequestCoalescer<>(CoalescingConfig.DEFAULTS);
 
   @SuppressWarnings({"unchecked", "rawtypes"})
-  private final FlightWaiter<Integer>[] open = new FlightWaiter[OPEN];
+  private final FlightWaiter<Integer>[] readsInFlight = new FlightWaiter[READS_IN_FLIGHT];
 
-  private int next;
-  private long now;
+  private int nextReadNumber;
+  private long nowNanos;
 
-  /** Keys as they come off a connection: each request has words of its own. */
+  /** Creates the keys, and starts the reads in flight. */
   public CoalescingCost() {
-    for (int i = 0; i < KEYS; i++) {
+    for (int i = 0; i < KEY_COUNT; i++) {
       keys[i] = "key" + i;
     }
-    for (int i = 0; i < OPEN; i++) {
-      open[i] = arrive();
+    for (int i = 0; i < READS_IN_FLIGHT; i++) {
+      readsInFlight[i] = joinNextRead();
     }
   }
 
-  private FlightWaiter<Integer> arrive() {
-    now += 30_000;
-    // A new string has no hash yet, as one that was just read.
-    String key = new String(keys[next++ % KEYS]);
-    return joining.join(key, "read", null, next, now + PATIENCE, now);
+  private FlightWaiter<Integer> joinNextRead() {
+    nowNanos += 30_000;
+    // Creates a new string, since the key of a newly parsed request has no cached hash code.
+    String key = new String(keys[nextReadNumber++ % KEY_COUNT]);
+    return coalescer.join(key, "read", null, nextReadNumber, nowNanos + DEADLINE_NANOS, nowNanos);
   }
 
-  /** A read that nobody joins: it arrives, and is answered later. */
+  /** Completes one read and starts another; no read waits for the answer of another read. */
   @Benchmark
   public FlightDecision<Integer> neverJoined() {
-    int place = next % OPEN;
-    FlightDecision<Integer> verdict =
-        joining.complete(open[place].flight(), FlightResult.SERVED, now);
-    open[place] = arrive();
-    return verdict;
+    int index = nextReadNumber % READS_IN_FLIGHT;
+    FlightDecision<Integer> decision =
+        coalescer.complete(readsInFlight[index].flight(), FlightResult.SERVED, nowNanos);
+    readsInFlight[index] = joinNextRead();
+    return decision;
   }
 }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/ColdCaches.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/ColdCaches.java
@@ -29,104 +29,133 @@
 import shalepaddle.testkit.Traffic;
 
 /**
- * What joining like reads spares the origin where caches are cold and popular keys are written: a
- * node without it and one with it, in turns, each with servers that have just started.
+ * Measures how many fetches from the origin request coalescing saves if caches are cold and popular
+ * keys are written. A node without coalescing and one with it take turns, and before each
+ * measurement the servers have just started.
  */
 @Command(
     name = "cold-caches",
-    description = "Measures fetches from the origin with and without joining, caches cold.",
+    description = "Measures fetches from the origin with and without coalescing, with cold caches.",
     mixinStandardHelpOptions = true)
 final class ColdCaches implements Callable<Integer> {
-  private static final int SERVERS = 8;
+  private static final int SERVER_COUNT = 8;
 
-  @Option(names = "--rounds", description = "Turns of each (default: ${DEFAULT-VALUE}).")
+  @Option(
+      names = "--rounds",
+      description = "Measurements of each node (default: ${DEFAULT-VALUE}).")
   private int rounds = 5;
 
-  @Option(names = "--seconds", description = "Measured in each turn (default: ${DEFAULT-VALUE}).")
-  private int seconds = 6;
+  @Option(
+      names = "--seconds",
+      description = "Seconds of each measurement (default: ${DEFAULT-VALUE}).")
+  private int measuredSeconds = 6;
 
-  @Option(names = "--rate", description = "Requests a second (default: ${DEFAULT-VALUE}).")
-  private double rate = 800;
+  @Option(names = "--rate", description = "Requests per second (default: ${DEFAULT-VALUE}).")
+  private double requestsPerSecond = 800;
 
-  @Option(names = "--keys", description = "Different keys (default: ${DEFAULT-VALUE}).")
-  private int keys = 2000;
+  @Option(names = "--keys", description = "Number of keys (default: ${DEFAULT-VALUE}).")
+  private int keyCount = 2000;
 
-  @Option(names = "--skew", description = "Zipf's exponent (default: ${DEFAULT-VALUE}).")
-  private double skew = 1;
+  @Option(
+      names = "--skew",
+      description = "Exponent of Zipf's law for keys (default: ${DEFAULT-VALUE}).")
+  private double zipfExponent = 1;
 
-  @Option(names = "--writes", description = "The part of writes (default: ${DEFAULT-VALUE}).")
-  private double writes = 0.02;
+  @Option(names = "--writes", description = "Fraction of writes (default: ${DEFAULT-VALUE}).")
+  private double writeRatio = 0.02;
 
   @Option(
       names = "--origin-workers",
-      description = "What the origin does at once, 60 ms each (default: ${DEFAULT-VALUE}).")
-  private int workers = 12;
+      description =
+          "Fetches that the origin runs in parallel, 60 ms each (default: ${DEFAULT-VALUE}).")
+  private int originWorkers = 12;
 
-  @Option(names = "--core", description = "The node's core (default: ${DEFAULT-VALUE}).")
+  @Option(names = "--core", description = "The core that nodes run on (default: ${DEFAULT-VALUE}).")
   private int core = 1;
 
-  @Option(names = "--picture", paramLabel = "FILE", description = "Draws it, as a PNG.")
-  private Path picture;
+  @Option(
+      names = "--picture",
+      paramLabel = "FILE",
+      description = "Writes a chart to this PNG file.")
+  private Path chartFile;
 
-  /** One turn. */
-  private record Turn(
-      int asked, int served, int refused, int failed, int fetches, double p50, double p99) {}
+  /**
+   * The result of one measurement of one node.
+   *
+   * @param fetchCount the number of fetches from the origin
+   * @param p50Millis median response time
+   * @param p99Millis 99th percentile of the response time
+   */
+  private record Measurement(
+      int requestCount,
+      int servedCount,
+      int refusedCount,
+      int failedCount,
+      int fetchCount,
+      double p50Millis,
+      double p99Millis) {}
 
-  private final Map<String, List<Turn>> turns = new LinkedHashMap<>();
+  private final Map<String, List<Measurement>> measurementsByNode = new LinkedHashMap<>();
 
   @Override
   public Integer call() throws Exception {
-    Path temporary = Files.createTempDirectory("cold-caches");
-    Path joining = temporary.resolve("joining.toml");
-    Files.writeString(joining, "[joining]\njoin = true\n");
+    Path directory = Files.createTempDirectory("cold-caches");
+    Path coalescingFile = directory.resolve("joining.toml");
+    Files.writeString(coalescingFile, "[joining]\njoin = true\n");
     for (int round = 1; round <= rounds; round++) {
-      turn(round, "alone", temporary, null);
-      turn(round, "joined", temporary, joining);
+      measure(round, "alone", directory, null);
+      measure(round, "joined", directory, coalescingFile);
     }
-    summary();
-    if (picture != null) {
-      draw();
+    printSummary();
+    if (chartFile != null) {
+      drawCharts();
     }
     return 0;
   }
 
-  private void turn(int round, String name, Path temporary, Path operator) throws Exception {
+  private void measure(int round, String nodeName, Path directory, Path operatorFile)
+      throws Exception {
     var group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     EventLoop loop = group.next();
-    LoopbackTransport wire = LoopbackTransport.sockets(loop);
-    EffectLog ledger = new EffectLog();
-    StandInOrigin origin = new StandInOrigin(wire, round, workers, 0.06);
+    LoopbackTransport transport = LoopbackTransport.sockets(loop);
+    EffectLog effects = new EffectLog();
+    StandInOrigin origin = new StandInOrigin(transport, round, originWorkers, 0.06);
     List<StandInServer> fleet = new ArrayList<>();
     try {
-      for (int i = 0; i < SERVERS; i++) {
-        new StandInServer(wire, "s" + i, "a", ServerModel.usual(), origin, ledger, fleet, i)
+      for (int i = 0; i < SERVER_COUNT; i++) {
+        new StandInServer(transport, "s" + i, "a", ServerModel.usual(), origin, effects, fleet, i)
             .start()
             .sync();
       }
       int port = Subject.freePort();
-      Path config = temporary.resolve(name + ".json");
+      Path configFile = directory.resolve(nodeName + ".json");
       List<Integer> ports =
-          fleet.stream().map(each -> Integer.parseInt(each.address().split(":", 0)[1])).toList();
-      Files.writeString(config, Subject.config(port, ports));
-      String[] further =
-          operator == null ? new String[0] : new String[] {"--operator", operator.toString()};
-      try (Subject.Running running =
-          Subject.node(name, Path.of(""), config, further).start(core, port)) {
-        Turn turn = ask(wire, loop, ledger, origin, port, round, operator != null);
-        turns.computeIfAbsent(name, n -> new ArrayList<>()).add(turn);
+          fleet.stream()
+              .map(server -> Integer.parseInt(server.address().split(":", 0)[1]))
+              .toList();
+      Files.writeString(configFile, Subject.config(port, ports));
+      String[] arguments =
+          operatorFile == null
+              ? new String[0]
+              : new String[] {"--operator", operatorFile.toString()};
+      try (Subject.Running runningNode =
+          Subject.node(nodeName, Path.of(""), configFile, arguments).start(core, port)) {
+        Measurement measurement =
+            runClients(transport, loop, effects, origin, port, round, operatorFile != null);
+        measurementsByNode.computeIfAbsent(nodeName, n -> new ArrayList<>()).add(measurement);
         System.out.printf(
-            "round %d  %-6s asked %d  served %d  refused %d  failed %d  fetches %d"
+            "round %d  %-6s requests %d  served %d  refused %d  failed %d  fetches %d"
                 + "  p50 %.0f ms  p99 %.0f ms  %.1f MB%n",
             round,
-            name,
-            turn.asked(),
-            turn.served(),
-            turn.refused(),
-            turn.failed(),
-            turn.fetches(),
-            turn.p50(),
-            turn.p99(),
-            running.residentMegabytes());
+            nodeName,
+            measurement.requestCount(),
+            measurement.servedCount(),
+            measurement.refusedCount(),
+            measurement.failedCount(),
+            measurement.fetchCount(),
+            measurement.p50Millis(),
+            measurement.p99Millis(),
+            runningNode.residentMegabytes());
       }
       loop.submit(() -> fleet.forEach(StandInServer::kill)).sync();
     } finally {
@@ -134,97 +163,102 @@
     }
   }
 
-  private Turn ask(
-      LoopbackTransport wire,
+  private Measurement runClients(
+      LoopbackTransport transport,
       EventLoop loop,
-      EffectLog ledger,
+      EffectLog effects,
       StandInOrigin origin,
       int port,
       int round,
-      boolean joins)
+      boolean isCoalescing)
       throws Exception {
     Traffic traffic =
         new Traffic(
-            rate,
-            keys,
-            skew,
+            requestsPerSecond,
+            keyCount,
+            zipfExponent,
             List.of(
-                new Traffic.RequestClass("read", 1 - writes, false, false, 2000, 0),
-                new Traffic.RequestClass("put", writes, true, false, 1000, 20)),
+                new Traffic.RequestClass("read", 1 - writeRatio, false, false, 2000, 0),
+                new Traffic.RequestClass("put", writeRatio, true, false, 1000, 20)),
             0);
-    StandInClients clients = new StandInClients(wire, ledger, traffic, 50, 900, 100 + round);
-    if (joins) {
+    StandInClients clients = new StandInClients(transport, effects, traffic, 50, 900, 100 + round);
+    if (isCoalescing) {
       clients.mayShareAnswers();
     }
     loop.submit(
             () -> {
               clients.add("node", new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-              clients.run(seconds * 1000L);
+              clients.run(measuredSeconds * 1000L);
             })
         .sync();
-    TimeUnit.MILLISECONDS.sleep(seconds * 1000L + 2500);
+    TimeUnit.MILLISECONDS.sleep(measuredSeconds * 1000L + 2500);
     return loop.submit(
             () -> {
-              clients.breaches().forEach(breach -> System.out.println("BREACH " + breach));
-              Histogram micros = clients.latencies();
-              Turn turn =
-                  new Turn(
+              clients.breaches().forEach(text -> System.out.println("violation: " + text));
+              Histogram latencyMicros = clients.latencies();
+              Measurement measurement =
+                  new Measurement(
                       clients.asked(),
                       clients.served(),
                       clients.refused(),
                       clients.failed(),
                       origin.fetches(),
-                      micros.getValueAtPercentile(50) / 1e3,
-                      micros.getValueAtPercentile(99) / 1e3);
+                      latencyMicros.getValueAtPercentile(50) / 1e3,
+                      latencyMicros.getValueAtPercentile(99) / 1e3);
               clients.close();
-              return turn;
+              return measurement;
             })
         .get();
   }
 
-  private void summary() {
+  private void printSummary() {
     System.out.println();
-    turns.forEach(
-        (name, own) ->
+    measurementsByNode.forEach(
+        (name, nodeMeasurements) ->
             System.out.printf(
-                "%-6s fetches %s   p99 ms %s   served of 1000 %s%n",
+                "%-6s fetches %s   p99 ms %s   served per 1000 requests %s%n",
                 name,
-                spread(own, Turn::fetches),
-                spread(own, Turn::p99),
-                spread(own, turn -> 1e3 * turn.served() / turn.asked())));
-    List<Turn> alone = turns.get("alone");
-    List<Turn> joined = turns.get("joined");
+                medianAndRange(nodeMeasurements, Measurement::fetchCount),
+                medianAndRange(nodeMeasurements, Measurement::p99Millis),
+                medianAndRange(nodeMeasurements, m -> 1e3 * m.servedCount() / m.requestCount())));
+    List<Measurement> measurementsWithoutCoalescing = measurementsByNode.get("alone");
+    List<Measurement> measurementsWithCoalescing = measurementsByNode.get("joined");
     List<Double> ratios = new ArrayList<>();
     for (int i = 0; i < rounds; i++) {
-      ratios.add((double) joined.get(i).fetches() / alone.get(i).fetches());
+      ratios.add(
+          (double) measurementsWithCoalescing.get(i).fetchCount()
+              / measurementsWithoutCoalescing.get(i).fetchCount());
     }
     System.out.printf(
-        "fetches with joining, of those without, by rounds: %s%n",
+        "fetches with coalescing, as a ratio to those without, per round, ascending: %s%n",
         ratios.stream().sorted().map("%.3f"::formatted).toList());
   }
 
-  private static String spread(List<Turn> turns, ToDoubleFunction<Turn> figure) {
-    return Figures.spread(turns.stream().mapToDouble(figure).boxed().toList(), "%.0f");
+  private static String medianAndRange(
+      List<Measurement> measurements, ToDoubleFunction<Measurement> figure) {
+    return Figures.spread(measurements.stream().mapToDouble(figure).boxed().toList(), "%.0f");
   }
 
-  private void draw() throws Exception {
-    CategoryChart fetches = chart("Fetches from the origin", Turn::fetches);
-    CategoryChart late = chart("99th percentile of answers, ms", Turn::p99);
+  private void drawCharts() throws Exception {
+    CategoryChart fetchChart = createChart("Fetches from the origin", Measurement::fetchCount);
+    CategoryChart p99Chart =
+        createChart("99th percentile of response times, ms", Measurement::p99Millis);
     BitmapEncoder.saveBitmap(
-        List.of(fetches, late), 1, 2, picture.toString(), BitmapEncoder.BitmapFormat.PNG);
-    System.out.println("drawn: " + picture);
+        List.of(fetchChart, p99Chart), 1, 2, chartFile.toString(), BitmapEncoder.BitmapFormat.PNG);
+    System.out.println("drawn: " + chartFile);
   }
 
-  private CategoryChart chart(String title, ToDoubleFunction<Turn> figure) {
+  private CategoryChart createChart(String title, ToDoubleFunction<Measurement> figure) {
     CategoryChart chart =
         new CategoryChartBuilder().width(560).height(380).title(title).xAxisTitle("round").build();
-    List<Integer> numbers = new ArrayList<>();
+    List<Integer> roundNumbers = new ArrayList<>();
     for (int i = 1; i <= rounds; i++) {
-      numbers.add(i);
+      roundNumbers.add(i);
     }
-    turns.forEach(
-        (name, own) ->
-            chart.addSeries(name, numbers, own.stream().map(figure::applyAsDouble).toList()));
+    measurementsByNode.forEach(
+        (name, nodeMeasurements) ->
+            chart.addSeries(
+                name, roundNumbers, nodeMeasurements.stream().map(figure::applyAsDouble).toList()));
     return chart;
   }
 }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/DecisionCost.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/DecisionCost.java
@@ -24,8 +24,9 @@
 import shalepaddle.policy.RoutingActions;
 
 /**
- * What the decisions on one read take, from its arrival to its one outcome, with 64 others open, as
- * servers grow in number: for keys that the servers hold, and for keys that nobody has asked for.
+ * Measures the time of the routing decisions per read, from the read's arrival to its outcome, with
+ * 64 reads in flight, by the number of servers. The time is measured for keys that the servers
+ * have cached, and for keys that were not requested before.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -34,45 +35,51 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class DecisionCost {
-  private static final int KEYS = 5000;
-  private static final int OPEN = 64;
+  private static final int KEY_COUNT = 5000;
+  private static final int READS_IN_FLIGHT = 64;
 
-  /** Seconds between requests: 20,000 a second. */
-  private static final double GAP = 5e-5;
+  /** Seconds between two reads, for 20,000 reads per second. */
+  private static final double SECONDS_PER_READ = 5e-5;
 
-  /** How many servers are ready. */
+  /** The number of cache servers. */
   @Param({"8", "34", "1000"})
   public int servers;
 
-  /** Whether servers hold what is asked for: {@code held}, or {@code missing}. */
+  /** Whether the servers have the requested keys cached: {@code held} or {@code missing}. */
   @Param({"held", "missing"})
   public String keys;
 
-  private final String[] ids = new String[OPEN];
-  private final long[] sentTo = new long[OPEN];
-  private RequestRouter balancer;
-  private int next;
-  private double now;
-  private int slot;
+  private final String[] requestIds = new String[READS_IN_FLIGHT];
 
-  /** A balancer that has seen each key of those that are held. */
+  /** The server that each read in flight was sent to, 0 if the read was not sent. */
+  private final long[] serverIds = new long[READS_IN_FLIGHT];
+
+  private RequestRouter router;
+  private int nextRequestNumber;
+  private double nowSeconds;
+
+  /** Index of the read that the router is deciding on. */
+  private int currentReadIndex;
+
+  /** Creates a router, and has it route each of the cached keys at least twice. */
   @Setup(Level.Trial)
-  public void start() {
-    balancer = new RequestRouter(settings(), 1, new Sent());
-    List<ServerEntry> list = new ArrayList<>();
+  public void setUpRouter() {
+    router = new RequestRouter(createSettings(), 1, new ServerRecorder());
+    List<ServerEntry> serverEntries = new ArrayList<>();
     for (long id = 1; id <= servers; id++) {
-      list.add(new ServerEntry(id, "a", "m", 0, ServerEntry.State.READY, 1, 0));
+      serverEntries.add(new ServerEntry(id, "a", "m", 0, ServerEntry.State.READY, 1, 0));
     }
-    balancer.onMembershipUpdate(now, new MembershipUpdate(MembershipUpdate.Kind.FULL, 1, list));
-    for (int i = 0; i < OPEN; i++) {
-      ask(i);
+    router.onMembershipUpdate(
+        nowSeconds, new MembershipUpdate(MembershipUpdate.Kind.FULL, 1, serverEntries));
+    for (int i = 0; i < READS_IN_FLIGHT; i++) {
+      routeNextRead(i);
     }
-    for (int i = 0; i < 2 * KEYS; i++) {
+    for (int i = 0; i < 2 * KEY_COUNT; i++) {
       read();
     }
   }
 
-  private static Settings settings() {
+  private static Settings createSettings() {
     Settings.ServiceClass read =
         new Settings.ServiceClass(
             "read",
@@ -104,59 +111,67 @@
         0.001);
   }
 
-  /** Notes where the request of the present slot goes. */
-  private final class Sent implements RoutingActions {
+  /** Records the server that the current read is sent to, or 0 if the read is not sent. */
+  private final class ServerRecorder implements RoutingActions {
     @Override
-    public void send(String requestId, long server, double within) {
-      sentTo[slot] = server;
+    public void send(String requestId, long server, double withinSeconds) {
+      serverIds[currentReadIndex] = server;
     }
 
     @Override
     public void cancel(String requestId, int attempt) {}
 
     @Override
-    public void reject(String requestId, double retryAfter) {
-      sentTo[slot] = 0;
+    public void reject(String requestId, double retryAfterSeconds) {
+      serverIds[currentReadIndex] = 0;
     }
 
     @Override
     public void fail(String requestId) {
-      sentTo[slot] = 0;
+      serverIds[currentReadIndex] = 0;
     }
 
     @Override
-    public void scheduleTimer(long token, double delay) {}
+    public void scheduleTimer(long token, double delaySeconds) {}
 
     @Override
-    public void subscribe(boolean on) {}
+    public void subscribe(boolean isSubscribed) {}
 
     @Override
     public void closeIdleConnections(long server) {}
   }
 
-  private void ask(int place) {
-    slot = place;
-    sentTo[place] = 0;
-    now += GAP;
-    int number = next++;
-    ids[place] = "r" + number;
-    String key = "key" + (keys.equals("held") ? number % KEYS : number);
-    balancer.onRequest(now, new Request(ids[place], key, "read", null, 2, 0, 0, false, false));
+  private void routeNextRead(int index) {
+    currentReadIndex = index;
+    serverIds[index] = 0;
+    nowSeconds += SECONDS_PER_READ;
+    int requestNumber = nextRequestNumber++;
+    requestIds[index] = "r" + requestNumber;
+    String key = "key" + (keys.equals("held") ? requestNumber % KEY_COUNT : requestNumber);
+    router.onRequest(
+        nowSeconds, new Request(requestIds[index], key, "read", null, 2, 0, 0, false, false));
   }
 
-  /** One read ends, and another arrives. */
+  /** Completes one read and routes the next one. */
   @Benchmark
   public long read() {
-    int place = next % OPEN;
-    if (sentTo[place] != 0) {
-      Outcome.CacheStatus note =
+    int index = nextRequestNumber % READS_IN_FLIGHT;
+    if (serverIds[index] != 0) {
+      Outcome.CacheStatus cacheStatus =
           keys.equals("held") ? Outcome.CacheStatus.HIT : Outcome.CacheStatus.MISS;
-      balancer.onOutcome(
-          now,
+      router.onOutcome(
+          nowSeconds,
           new Outcome(
-              ids[place], 0, sentTo[place], Outcome.Result.OK, OPEN * GAP, true, note, null));
+              requestIds[index],
+              0,
+              serverIds[index],
+              Outcome.Result.OK,
+              READS_IN_FLIGHT * SECONDS_PER_READ,
+              true,
+              cacheStatus,
+              null));
     }
-    ask(place);
-    return sentTo[place];
+    routeNextRead(index);
+    return serverIds[index];
   }
 }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Figures.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/Figures.java
@@ -2,14 +2,17 @@
 
 import java.util.List;
 
-/** Words for figures of several rounds. */
+/** Formats the figures that a measurement has for several rounds. */
 final class Figures {
   private Figures() {}
 
-  /** The median, with the least and the greatest, each in this format. */
+  /** Returns the median, minimum and maximum of the values, each in this format. */
   static String spread(List<Double> values, String format) {
-    List<Double> sorted = values.stream().sorted().toList();
+    List<Double> sortedValues = values.stream().sorted().toList();
     return (format + " (" + format + " to " + format + ")")
-        .formatted(sorted.get(sorted.size() / 2), sorted.get(0), sorted.get(sorted.size() - 1));
+        .formatted(
+            sortedValues.get(sortedValues.size() / 2),
+            sortedValues.get(0),
+            sortedValues.get(sortedValues.size() - 1));
   }
 }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Load.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/Load.java
@@ -21,38 +21,38 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.SynchronizedHistogram;
 
-/** Clients that ask again as soon as they are answered, one request on each connection. */
+/** Closed-loop load generator: each connection sends its next request once it has an answer. */
 final class Load {
-  private static final int KEYS = 5000;
+  private static final int KEY_COUNT = 5000;
 
-  private final LongAdder served = new LongAdder();
-  private final LongAdder refused = new LongAdder();
-  private final Histogram latencies = new SynchronizedHistogram(60_000_000_000L, 3);
-  private final AtomicBoolean measuring = new AtomicBoolean();
+  private final LongAdder servedCount = new LongAdder();
+  private final LongAdder refusedCount = new LongAdder();
+  private final Histogram latencyNanos = new SynchronizedHistogram(60_000_000_000L, 3);
+  private final AtomicBoolean isMeasuring = new AtomicBoolean();
 
   /**
-   * What was measured.
+   * The result of the time that was measured, without the warm-up.
    *
-   * @param perSecond values that came, a second
-   * @param p99Micros how long 99 of 100 of those took at most
-   * @param refused requests whose answer was no value, in all the time measured
-   * @param refusedPart their part of all answers
+   * @param perSecond values received per second
+   * @param p99Micros 99th percentile of the response time of values
+   * @param refused the number of answers without a value
+   * @param refusedPart the fraction of answers without a value
    */
   record Result(double perSecond, long p99Micros, long refused, double refusedPart) {}
 
-  /** Asks over so many connections, first unmeasured and then measured. */
-  static Result run(int port, int connections, int warmSeconds, int seconds)
+  /** Generates load over this many connections, first for warm-up and then measured. */
+  static Result run(int port, int connections, int warmSeconds, int measuredSeconds)
       throws InterruptedException {
-    return new Load().play(port, connections, warmSeconds, seconds);
+    return new Load().runClients(port, connections, warmSeconds, measuredSeconds);
   }
 
-  private Result play(int port, int connections, int warmSeconds, int seconds)
+  private Result runClients(int port, int connections, int warmSeconds, int measuredSeconds)
       throws InterruptedException {
     var group = new MultiThreadIoEventLoopGroup(3, NioIoHandler.newFactory());
     List<Channel> channels = new ArrayList<>();
     try {
       for (int i = 0; i < connections; i++) {
-        int number = i;
+        int connectionNumber = i;
         channels.add(
             new Bootstrap()
                 .group(group)
@@ -62,7 +62,7 @@
                     new ChannelInitializer<>() {
                       @Override
                       protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new Client(number));
+                        channel.pipeline().addLast(new Client(connectionNumber));
                       }
                     })
                 .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
@@ -70,36 +70,36 @@
                 .channel());
       }
       TimeUnit.SECONDS.sleep(warmSeconds);
-      long before = served.sum();
-      long refusedBefore = refused.sum();
-      long began = System.nanoTime();
-      measuring.set(true);
-      TimeUnit.SECONDS.sleep(seconds);
-      measuring.set(false);
-      double elapsed = (System.nanoTime() - began) / 1e9;
-      long values = served.sum() - before;
-      long others = refused.sum() - refusedBefore;
+      long servedCountBefore = servedCount.sum();
+      long refusedCountBefore = refusedCount.sum();
+      long startNanos = System.nanoTime();
+      isMeasuring.set(true);
+      TimeUnit.SECONDS.sleep(measuredSeconds);
+      isMeasuring.set(false);
+      double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
+      long valueCount = servedCount.sum() - servedCountBefore;
+      long refusalCount = refusedCount.sum() - refusedCountBefore;
       return new Result(
-          values / elapsed,
-          latencies.getValueAtPercentile(99) / 1000,
-          others,
-          (double) others / Math.max(1, values + others));
+          valueCount / elapsedSeconds,
+          latencyNanos.getValueAtPercentile(99) / 1000,
+          refusalCount,
+          (double) refusalCount / Math.max(1, valueCount + refusalCount));
     } finally {
       channels.forEach(Channel::close);
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
   }
 
-  /** One connection. */
+  /** A client connection. */
   private final class Client extends SimpleChannelInboundHandler<ByteBuf> {
-    private final int number;
-    private int sent;
-    private long sentAt;
-    private int lines;
-    private boolean value;
+    private final int connectionNumber;
+    private int sentCount;
+    private long sentNanos;
+    private int lineCount;
+    private boolean isValue;
 
-    Client(int number) {
-      this.number = number;
+    Client(int connectionNumber) {
+      this.connectionNumber = connectionNumber;
     }
 
     @Override
@@ -108,15 +108,16 @@
     }
 
     private void send(ChannelHandlerContext ctx) {
-      sentAt = System.nanoTime();
-      lines = 0;
+      sentNanos = System.nanoTime();
+      lineCount = 0;
+      // A meta get of the memcached protocol. The request id follows the O.
       String command =
           "mg key"
-              + (number * 31 + sent * 17) % KEYS
+              + (connectionNumber * 31 + sentCount * 17) % KEY_COUNT
               + " v Oc"
-              + number
+              + connectionNumber
               + "r"
-              + sent++
+              + sentCount++
               + " Pc=read,d=2000\r\n";
       ByteBuf bytes = ctx.alloc().buffer(command.length());
       bytes.writeCharSequence(command, StandardCharsets.US_ASCII);
@@ -125,23 +126,24 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // The other end is killed after its turn.
+      // The measured process is killed after its measurement, which resets this connection.
       ctx.close();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
       while (bytes.isReadable()) {
-        byte next = bytes.readByte();
-        if (lines == 0) {
-          // A value has two lines and holds none; a refusal has one.
-          value = next == 'V';
-          lines = value ? 1 : 2;
+        byte nextByte = bytes.readByte();
+        if (lineCount == 0) {
+          // An answer with a value has two lines, since values contain no line feed. Any other
+          // answer has one line and counts from 2, so that every answer ends at line count 3.
+          isValue = nextByte == 'V';
+          lineCount = isValue ? 1 : 2;
         }
-        if (next == '\n' && ++lines == 3) {
-          (value ? served : refused).increment();
-          if (measuring.get() && value) {
-            latencies.recordValue(System.nanoTime() - sentAt);
+        if (nextByte == '\n' && ++lineCount == 3) {
+          (isValue ? servedCount : refusedCount).increment();
+          if (isMeasuring.get() && isValue) {
+            latencyNanos.recordValue(System.nanoTime() - sentNanos);
           }
           send(ctx);
         }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Nodes.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/Nodes.java
@@ -10,36 +10,38 @@
 import java.util.Set;
 import picocli.CommandLine.Option;
 
-/** The nodes that a measurement sets side by side, and the core on which each runs in its turn. */
+/** Command-line options for the nodes that a measurement compares, and for their core. */
 final class Nodes {
   @Option(
       names = "--jar",
       paramLabel = "NAME=FOLDER",
-      description = "A node: the root of a checkout that is built (default: now=the current one).")
-  private Map<String, Path> jars = new LinkedHashMap<>(Map.of("now", Path.of("")));
+      description =
+          "A node to measure: a name, and the root of a built checkout"
+              + " (default: the current directory, named now).")
+  private Map<String, Path> foldersByNodeName = new LinkedHashMap<>(Map.of("now", Path.of("")));
 
-  @Option(names = "--core", description = "The core they run on (default: ${DEFAULT-VALUE}).")
+  @Option(names = "--core", description = "The core that nodes run on (default: ${DEFAULT-VALUE}).")
   private int core = 1;
 
-  /** What they are called. */
+  /** Returns the names of the nodes. */
   Set<String> names() {
-    return jars.keySet();
+    return foldersByNodeName.keySet();
   }
 
-  /** All of them, to listen on this port and to know these servers. */
+  /** Returns all nodes, configured to listen on this port and to use these servers. */
   List<Subject> subjects(int port, Servers servers) throws IOException {
-    Path temporary = Files.createTempDirectory("nodes");
-    List<Subject> subjects = new ArrayList<>();
-    for (var jar : jars.entrySet()) {
-      Path config = temporary.resolve(jar.getKey() + ".json");
-      Files.writeString(config, Subject.config(port, servers));
-      subjects.add(Subject.node(jar.getKey(), jar.getValue(), config));
+    Path directory = Files.createTempDirectory("nodes");
+    List<Subject> processes = new ArrayList<>();
+    for (var nodeFolder : foldersByNodeName.entrySet()) {
+      Path configFile = directory.resolve(nodeFolder.getKey() + ".json");
+      Files.writeString(configFile, Subject.config(port, servers));
+      processes.add(Subject.node(nodeFolder.getKey(), nodeFolder.getValue(), configFile));
     }
-    return subjects;
+    return processes;
   }
 
-  /** Starts one, and returns once it listens on the port. */
-  Subject.Running start(Subject subject, int port) throws IOException, InterruptedException {
-    return subject.start(core, port);
+  /** Starts a node, and returns once it listens on the port. */
+  Subject.Running start(Subject process, int port) throws IOException, InterruptedException {
+    return process.start(core, port);
   }
 }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/OpenLoad.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/OpenLoad.java
@@ -19,116 +19,86 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicLongArray;
 import java.util.concurrent.atomic.LongAdder;
-import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.SynchronizedHistogram;
 
 /**
- * Clients that ask at a rate, whatever becomes of what they asked: what comes does not slow down
- * with the node. A request goes on a connection on which nothing is owed, where there is one, and
- * behind others where there is none. Beside them one that sends {@code mn} a hundred times a
- * second, which the node answers by itself: how long that takes is the delay of its event loop.
+ * Open-loop load generator: clients send requests at a given rate, which does not slow down with
+ * the node. A request is sent on an idle connection if there is one, and otherwise pipelined behind
+ * other requests. One more client sends the no-op command {@code mn} 10 ms after each answer. The
+ * node answers {@code mn} without a cache server, so that the response time is the delay of the
+ * node's event loop.
  */
 final class OpenLoad {
-  private static final int LOOPS = 3;
-  private static final int KEYS = 5000;
+  private static final int EVENT_LOOPS = 3;
+  private static final int KEY_COUNT = 5000;
 
-  /** Requests behind one another on a connection at most; what comes then is counted as failed. */
-  private static final int MOST_OWED = 64;
+  /** The most requests that are pipelined on a connection; further requests fail. */
+  private static final int MAX_PIPELINED_REQUESTS = 64;
 
-  /** Requests that wait with their clients at most, on each loop; what comes then has failed. */
-  private static final int MOST_WAITING = 200_000;
+  /** The most requests that wait for a connection, per event loop; further requests fail. */
+  private static final int MAX_WAITING_REQUESTS = 200_000;
 
-  private static final long READ_AIM = TimeUnit.MILLISECONDS.toNanos(750);
-  private static final long WRITE_AIM = TimeUnit.MILLISECONDS.toNanos(300);
+  /** Latency objectives, as in the node's settings. */
+  private static final long READ_OBJECTIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(750);
 
-  /** So long clients go on with a request; what they send names it as its deadline. */
-  private static final long READ_TIME = TimeUnit.MILLISECONDS.toNanos(2000);
+  private static final long WRITE_OBJECTIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-  private static final long WRITE_TIME = TimeUnit.MILLISECONDS.toNanos(1000);
-  private static final int READ_WORTH = 2;
-  private static final int WRITE_WORTH = 5;
-  private static final int FIRST_BACK_OFF = 20;
+  /** Client deadlines, which are also sent with each request. */
+  private static final long READ_DEADLINE_NANOS = TimeUnit.MILLISECONDS.toNanos(2000);
 
-  /** What clients do that were refused, until their request's time is up. */
+  private static final long WRITE_DEADLINE_NANOS = TimeUnit.MILLISECONDS.toNanos(1000);
+
+  /** Priority weights, as in the node's settings. */
+  private static final int READ_WEIGHT = 2;
+
+  private static final int WRITE_WEIGHT = 5;
+  private static final int FIRST_BACK_OFF_MILLIS = 20;
+
+  /** When clients retry a refused request, if the retry is sent before the request's deadline. */
   enum Again {
-    /** They leave. */
+    /** Clients do not retry. */
     NEVER,
-    /** They ask again at once, whatever they were told. */
+    /** Clients retry at once, and ignore the node's advice. */
     AT_ONCE,
-    /** They come when they were told to, or some time later where nothing was advised. */
+    /** Clients retry after the advised time, but not before a random delay of 15 to 120 ms. */
     ADVISED,
-    /** They wait 20 ms, and twice as long each time, by a half more or less. */
+    /** Clients wait 20 ms, doubled with each of the first 6 retries, with a jitter of 50%. */
     BACK_OFF
   }
 
-  /** First tries a second, by the time in nanoseconds since the clients began. */
+  /** The rate of first attempts, by the time since the clients started. */
   @FunctionalInterface
   interface Rate {
-    double perSecond(long sinceBegin);
+    double perSecond(long elapsedNanos);
   }
 
   /**
-   * How the clients ask.
+   * The load that the clients generate.
    *
-   * @param writes the part of first tries that are writes
-   * @param repeats how often a client asks again at most
-   * @param depth requests behind one another on a connection at most; what finds none waits with
-   *     its client for as long as that goes on with it
+   * @param rate first attempts per second
+   * @param writes the fraction of requests that are writes
+   * @param retryPolicy when refused requests are retried
+   * @param maxRetries the most retries of a request
+   * @param maxPipelinedRequests the most requests that are pipelined on a connection; if this is
+   *     less than {@link OpenLoad#MAX_PIPELINED_REQUESTS}, further requests wait for a connection
+   *     until their deadline
    */
-  record Manner(Rate rate, double writes, Again again, int repeats, int depth) {
-    /** Always as many, who come again so often when they were told to. */
-    static Manner steady(double perSecond, double writes, int repeats) {
+  record Manner(
+      Rate rate, double writes, Again retryPolicy, int maxRetries, int maxPipelinedRequests) {
+    /** Returns a load of constant rate, with at most this many retries, at the advised times. */
+    static Manner steady(double perSecond, double writeRatio, int maxRetries) {
       return new Manner(
-          since -> perSecond,
-          writes,
-          repeats > 0 ? Again.ADVISED : Again.NEVER,
-          repeats,
-          MOST_OWED);
+          elapsedNanos -> perSecond,
+          writeRatio,
+          maxRetries > 0 ? Again.ADVISED : Again.NEVER,
+          maxRetries,
+          MAX_PIPELINED_REQUESTS);
     }
   }
 
-  /** Requests, each under the tenth of a second in which it was answered, since the begin. */
-  static final class Timeline {
-    static final long STEP_NANOS = 100_000_000L;
-
-    private final AtomicLongArray worth;
-    private final AtomicLongArray refusals;
-    private volatile long begin;
-
-    Timeline(int seconds) {
-      int steps = (int) (seconds * TimeUnit.SECONDS.toNanos(1) / STEP_NANOS);
-      worth = new AtomicLongArray(steps);
-      refusals = new AtomicLongArray(steps);
-    }
-
-    private void add(AtomicLongArray counts, long now, int more) {
-      int step = (int) ((now - begin) / STEP_NANOS);
-      if (step >= 0 && step < counts.length()) {
-        counts.addAndGet(step, more);
-      }
-    }
-
-    /** Worth served in time a second, in each step. */
-    double[] goodput() {
-      return perSecond(worth);
-    }
-
-    /** Refusals a second, in each step. */
-    double[] refusals() {
-      return perSecond(refusals);
-    }
-
-    private static double[] perSecond(AtomicLongArray counts) {
-      return IntStream.range(0, counts.length())
-          .mapToDouble(i -> counts.get(i) * 1e9 / STEP_NANOS)
-          .toArray();
-    }
-  }
-
-  /** What was measured of the requests that were first asked while it was. */
+  /** The result for requests whose first attempt was due in the measured time after warm-up. */
   record Result(
       double seconds,
       long reads,
@@ -139,11 +109,11 @@
       long failed,
       Histogram writeTimes,
       Histogram loopDelays,
-      Timeline timeline) {
+      GoodputTimeline timeline) {
 
-    /** Worth served in time, a second: a read counts 2, a write 5. */
+    /** Returns the priority weight of the requests served within their objectives, per second. */
     double goodput() {
-      return (READ_WORTH * readsInTime + WRITE_WORTH * writesInTime) / seconds;
+      return (READ_WEIGHT * readsInTime + WRITE_WEIGHT * writesInTime) / seconds;
     }
 
     double writesInTimePart() {
@@ -155,65 +125,72 @@
     }
   }
 
-  private final Manner manner;
-  private final LongAdder[] asked = {new LongAdder(), new LongAdder()};
-  private final LongAdder[] inTime = {new LongAdder(), new LongAdder()};
-  private final LongAdder refused = new LongAdder();
-  private final LongAdder failed = new LongAdder();
-  private final Histogram writeTimes = new SynchronizedHistogram(60_000_000_000L, 3);
-  private final Histogram loopDelays = new SynchronizedHistogram(60_000_000_000L, 3);
-  private final long measureFrom;
-  private final long measureTo;
-  private final Timeline timeline;
-
-  private OpenLoad(Manner manner, int warmSeconds, int seconds) {
-    this.manner = manner;
-    timeline = new Timeline(warmSeconds + seconds);
-    measureFrom = System.nanoTime() + TimeUnit.SECONDS.toNanos(warmSeconds);
-    measureTo = measureFrom + TimeUnit.SECONDS.toNanos(seconds);
+  private final Manner workload;
+
+  /** Measured requests: index 0 for reads, 1 for writes. */
+  private final LongAdder[] requestCounts = {new LongAdder(), new LongAdder()};
+
+  /** Measured requests served within their objective: index 0 for reads, 1 for writes. */
+  private final LongAdder[] inTimeCounts = {new LongAdder(), new LongAdder()};
+
+  private final LongAdder refusedCount = new LongAdder();
+  private final LongAdder failedCount = new LongAdder();
+  private final Histogram writeLatencyNanos = new SynchronizedHistogram(60_000_000_000L, 3);
+  private final Histogram loopDelayNanos = new SynchronizedHistogram(60_000_000_000L, 3);
+  private final long measureFromNanos;
+  private final long measureToNanos;
+  private final GoodputTimeline timeline;
+
+  private OpenLoad(Manner workload, int warmSeconds, int measuredSeconds) {
+    this.workload = workload;
+    timeline = new GoodputTimeline(warmSeconds + measuredSeconds);
+    measureFromNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(warmSeconds);
+    measureToNanos = measureFromNanos + TimeUnit.SECONDS.toNanos(measuredSeconds);
   }
 
-  /** Asks over so many connections, first unmeasured and then measured. */
-  static Result run(int port, int connections, Manner manner, int warmSeconds, int seconds)
+  /** Generates load over this many connections, first for warm-up and then measured. */
+  static Result run(
+      int port, int connections, Manner workload, int warmSeconds, int measuredSeconds)
       throws InterruptedException {
-    return new OpenLoad(manner, warmSeconds, seconds).play(port, connections);
+    return new OpenLoad(workload, warmSeconds, measuredSeconds).runClients(port, connections);
   }
 
-  private Result play(int port, int connections) throws InterruptedException {
-    var group = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
-    List<Part> parts = new ArrayList<>();
+  private Result runClients(int port, int connections) throws InterruptedException {
+    var group = new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
+    List<LoopClients> clientsByLoop = new ArrayList<>();
     try {
-      for (int i = 0; i < LOOPS; i++) {
-        parts.add(new Part(group.next(), i));
+      for (int i = 0; i < EVENT_LOOPS; i++) {
+        clientsByLoop.add(new LoopClients(group.next(), i));
       }
       for (int i = 0; i < connections; i++) {
-        connect(parts.get(i % LOOPS), port, false);
+        connect(clientsByLoop.get(i % EVENT_LOOPS), port, false);
       }
-      connect(parts.get(0), port, true);
-      timeline.begin = System.nanoTime();
-      parts.forEach(Part::start);
-      // What was asked last is answered, or its time is up.
-      TimeUnit.NANOSECONDS.sleep(measureTo - System.nanoTime() + 2_500_000_000L);
+      connect(clientsByLoop.get(0), port, true);
+      timeline.setStartNanos(System.nanoTime());
+      clientsByLoop.forEach(LoopClients::start);
+      // After 2.5 s more, the last requests are answered or their deadlines have passed.
+      TimeUnit.NANOSECONDS.sleep(measureToNanos - System.nanoTime() + 2_500_000_000L);
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
     return new Result(
-        (measureTo - measureFrom) / 1e9,
-        asked[0].sum(),
-        inTime[0].sum(),
-        asked[1].sum(),
-        inTime[1].sum(),
-        refused.sum(),
-        failed.sum(),
-        writeTimes,
-        loopDelays,
+        (measureToNanos - measureFromNanos) / 1e9,
+        requestCounts[0].sum(),
+        inTimeCounts[0].sum(),
+        requestCounts[1].sum(),
+        inTimeCounts[1].sum(),
+        refusedCount.sum(),
+        failedCount.sum(),
+        writeLatencyNanos,
+        loopDelayNanos,
         timeline);
   }
 
-  private void connect(Part part, int port, boolean probes) throws InterruptedException {
-    Client client = new Client(part, probes);
+  private void connect(LoopClients loopClients, int port, boolean isProbe)
+      throws InterruptedException {
+    Client client = new Client(loopClients, isProbe);
     new Bootstrap()
-        .group(part.loop)
+        .group(loopClients.loop)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
         .handler(
@@ -227,147 +204,157 @@
         .sync();
   }
 
-  /** One request; {@code asked} is when its first try was due. */
-  private record Ask(boolean write, int key, int tries, long asked) {
-    /** Whether its client goes on with it at that time. */
-    boolean wanted(long at) {
-      return at - asked < (write ? WRITE_TIME : READ_TIME);
+  /** An attempt of a request, whose first attempt was due at {@code dueNanos}. */
+  private record Request(boolean isWrite, int key, int retryCount, long dueNanos) {
+    /** Returns whether this time is before the request's deadline. */
+    boolean isBeforeDeadline(long atNanos) {
+      return atNanos - dueNanos < (isWrite ? WRITE_DEADLINE_NANOS : READ_DEADLINE_NANOS);
     }
   }
 
   /** The clients of one event loop. */
-  private final class Part {
+  private final class LoopClients {
     private final EventLoop loop;
-    private final int number;
+    private final int loopNumber;
     private final SplittableRandom random;
     private final List<Client> clients = new ArrayList<>();
-    private final ArrayDeque<Client> idle = new ArrayDeque<>();
-    private final ArrayDeque<Ask> waiting = new ArrayDeque<>();
-    private long ticked;
-    private double due;
+    private final ArrayDeque<Client> idleClients = new ArrayDeque<>();
+    private final ArrayDeque<Request> waitingRequests = new ArrayDeque<>();
+    private long lastTickNanos;
+    private double dueRequestCount;
 
-    Part(EventLoop loop, int number) {
+    LoopClients(EventLoop loop, int loopNumber) {
       this.loop = loop;
-      this.number = number;
-      this.random = new SplittableRandom(number + 1);
+      this.loopNumber = loopNumber;
+      this.random = new SplittableRandom(loopNumber + 1);
     }
 
     void start() {
       loop.execute(
           () -> {
-            ticked = timeline.begin;
+            lastTickNanos = timeline.startNanos();
             tick();
           });
     }
 
-    /** Asks what has come due since the last tick. */
+    /** Sends the requests that have come due since the last tick. */
     private void tick() {
       long now = System.nanoTime();
-      if (now - measureTo >= 0) {
+      if (now - measureToNanos >= 0) {
         return;
       }
-      double rate = manner.rate().perSecond(now - timeline.begin) / LOOPS / 1e9;
-      long at = ticked;
-      for (due += rate * (now - ticked); due >= 1; due--) {
-        at += (long) (1 / rate);
-        boolean write = random.nextDouble() < manner.writes();
-        Ask ask = new Ask(write, random.nextInt(KEYS), 0, Math.min(at, now));
-        if (measured(ask)) {
-          asked[ask.write() ? 1 : 0].increment();
+      double requestsPerNano =
+          workload.rate().perSecond(now - timeline.startNanos()) / EVENT_LOOPS / 1e9;
+      long dueNanos = lastTickNanos;
+      dueRequestCount += requestsPerNano * (now - lastTickNanos);
+      for (; dueRequestCount >= 1; dueRequestCount--) {
+        dueNanos += (long) (1 / requestsPerNano);
+        boolean isWrite = random.nextDouble() < workload.writes();
+        Request request =
+            new Request(isWrite, random.nextInt(KEY_COUNT), 0, Math.min(dueNanos, now));
+        if (isMeasured(request)) {
+          requestCounts[request.isWrite() ? 1 : 0].increment();
         }
-        send(ask);
+        send(request);
       }
-      ticked = now;
+      lastTickNanos = now;
       loop.schedule(this::tick, 1, TimeUnit.MILLISECONDS);
     }
 
-    private void send(Ask ask) {
-      Client client = idle.poll();
+    private void send(Request request) {
+      Client client = idleClients.poll();
       if (client == null) {
         client = clients.get(random.nextInt(clients.size()));
       }
-      if (client.owed.size() < manner.depth() && client.channel.isActive()) {
-        client.send(ask);
-      } else if (manner.depth() < MOST_OWED && waiting.size() < MOST_WAITING) {
-        waiting.add(ask);
+      if (client.outstandingRequests.size() < workload.maxPipelinedRequests()
+          && client.channel.isActive()) {
+        client.send(request);
+      } else if (workload.maxPipelinedRequests() < MAX_PIPELINED_REQUESTS
+          && waitingRequests.size() < MAX_WAITING_REQUESTS) {
+        waitingRequests.add(request);
       } else {
-        failed.increment();
+        failedCount.increment();
       }
     }
 
-    /** Nothing is owed on this connection: what waits longest may have it. */
-    private void idle(Client client) {
+    /** Sends the longest waiting request whose deadline has not passed on an idle connection. */
+    private void onIdle(Client client) {
       long now = System.nanoTime();
-      for (Ask ask = waiting.poll(); ask != null; ask = waiting.poll()) {
-        if (ask.wanted(now)) {
-          client.send(ask);
+      for (Request request = waitingRequests.poll();
+          request != null;
+          request = waitingRequests.poll()) {
+        if (request.isBeforeDeadline(now)) {
+          client.send(request);
           return;
         }
       }
-      idle.add(client);
+      idleClients.add(client);
     }
 
-    private String id() {
-      return Integer.toString(number) + 'x' + Long.toHexString(random.nextLong());
+    private String nextId() {
+      return Integer.toString(loopNumber) + 'x' + Long.toHexString(random.nextLong());
     }
   }
 
-  private boolean measured(Ask ask) {
-    return ask.asked() - measureFrom >= 0 && ask.asked() - measureTo < 0;
+  private boolean isMeasured(Request request) {
+    return request.dueNanos() - measureFromNanos >= 0 && request.dueNanos() - measureToNanos < 0;
   }
 
-  /** One connection. */
+  /** A client connection. */
   private final class Client extends SimpleChannelInboundHandler<ByteBuf> {
-    private final Part part;
-    private final boolean probes;
-    private final ArrayDeque<Ask> owed = new ArrayDeque<>();
-    private final StringBuilder line = new StringBuilder();
+    private final LoopClients loopClients;
+    private final boolean isProbe;
+    private final ArrayDeque<Request> outstandingRequests = new ArrayDeque<>();
+
+    /** The part of the next answer line that has been received. */
+    private final StringBuilder partialLine = new StringBuilder();
     private Channel channel;
-    private boolean valueNext;
-    private boolean flushing;
-    private long probedAt;
+    private boolean isValueNext;
+    private boolean isFlushScheduled;
+    private long probeSentNanos;
 
-    Client(Part part, boolean probes) {
-      this.part = part;
-      this.probes = probes;
+    Client(LoopClients loopClients, boolean isProbe) {
+      this.loopClients = loopClients;
+      this.isProbe = isProbe;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       channel = ctx.channel();
-      if (probes) {
-        probe();
+      if (isProbe) {
+        sendProbe();
       } else {
-        part.clients.add(this);
-        part.idle.add(this);
+        loopClients.clients.add(this);
+        loopClients.idleClients.add(this);
       }
     }
 
-    private void probe() {
+    private void sendProbe() {
       if (channel.isActive()) {
-        probedAt = System.nanoTime();
+        probeSentNanos = System.nanoTime();
         ByteBuf bytes = channel.alloc().buffer(8);
         bytes.writeCharSequence("mn\r\n", StandardCharsets.US_ASCII);
         channel.writeAndFlush(bytes, channel.voidPromise());
       }
     }
 
-    void send(Ask ask) {
-      owed.add(ask);
-      String tail = ask.tries() > 0 ? ",r=1" : "";
-      int key = ask.key();
+    void send(Request request) {
+      outstandingRequests.add(request);
+      String retryMark = request.retryCount() > 0 ? ",r=1" : "";
+      int key = request.key();
+      String id = loopClients.nextId();
       String command =
-          ask.write()
-              ? "ms key" + key + " 2 O" + part.id() + " Pc=put,d=1000" + tail + "\r\nhi\r\n"
-              : "mg key" + key + " v O" + part.id() + " Pc=read,d=2000" + tail + "\r\n";
+          request.isWrite()
+              ? "ms key" + key + " 2 O" + id + " Pc=put,d=1000" + retryMark + "\r\nhi\r\n"
+              : "mg key" + key + " v O" + id + " Pc=read,d=2000" + retryMark + "\r\n";
       ByteBuf bytes = channel.alloc().buffer(command.length());
       bytes.writeCharSequence(command, StandardCharsets.US_ASCII);
       channel.write(bytes, channel.voidPromise());
-      if (!flushing) {
-        flushing = true;
-        part.loop.execute(
+      if (!isFlushScheduled) {
+        isFlushScheduled = true;
+        loopClients.loop.execute(
             () -> {
-              flushing = false;
+              isFlushScheduled = false;
               channel.flush();
             });
       }
@@ -378,90 +365,96 @@
       while (bytes.isReadable()) {
         char c = (char) bytes.readByte();
         if (c != '\n') {
-          line.append(c);
+          partialLine.append(c);
         } else {
-          answer(line.toString());
-          line.setLength(0);
+          handleLine(partialLine.toString());
+          partialLine.setLength(0);
         }
       }
     }
 
-    private void answer(String text) {
+    private void handleLine(String answerLine) {
       long now = System.nanoTime();
-      if (probes) {
-        if (now - measureFrom >= 0 && now - measureTo < 0) {
-          loopDelays.recordValue(now - probedAt);
+      if (isProbe) {
+        if (now - measureFromNanos >= 0 && now - measureToNanos < 0) {
+          loopDelayNanos.recordValue(now - probeSentNanos);
         }
-        part.loop.schedule(this::probe, 10, TimeUnit.MILLISECONDS);
+        loopClients.loop.schedule(this::sendProbe, 10, TimeUnit.MILLISECONDS);
         return;
       }
-      if (text.startsWith("VA ")) {
-        valueNext = true;
+      if (answerLine.startsWith("VA ")) {
+        isValueNext = true;
         return;
       }
-      Ask ask = owed.poll();
-      boolean kept = false;
-      if (valueNext || text.startsWith("HD ")) {
-        valueNext = false;
-        served(ask, now - ask.asked());
-      } else if (text.startsWith("SERVER_ERROR busy")) {
-        kept = refused(ask, text, now);
-      } else if (measured(ask)) {
-        failed.increment();
+      Request request = outstandingRequests.poll();
+      boolean isRetriedAtOnce = false;
+      if (isValueNext || answerLine.startsWith("HD ")) {
+        isValueNext = false;
+        recordServed(request, now - request.dueNanos());
+      } else if (answerLine.startsWith("SERVER_ERROR busy")) {
+        isRetriedAtOnce = handleRefusal(request, answerLine, now);
+      } else if (isMeasured(request)) {
+        failedCount.increment();
       }
-      if (owed.isEmpty() && !kept) {
-        part.idle(this);
+      if (outstandingRequests.isEmpty() && !isRetriedAtOnce) {
+        loopClients.onIdle(this);
       }
     }
 
-    private void served(Ask ask, long took) {
-      boolean soon = took <= (ask.write() ? WRITE_AIM : READ_AIM);
-      if (soon) {
-        timeline.add(timeline.worth, ask.asked() + took, ask.write() ? WRITE_WORTH : READ_WORTH);
+    private void recordServed(Request request, long latencyNanos) {
+      boolean isWithinObjective =
+          latencyNanos <= (request.isWrite() ? WRITE_OBJECTIVE_NANOS : READ_OBJECTIVE_NANOS);
+      if (isWithinObjective) {
+        timeline.addServed(
+            request.dueNanos() + latencyNanos, request.isWrite() ? WRITE_WEIGHT : READ_WEIGHT);
       }
-      if (measured(ask)) {
-        if (soon) {
-          inTime[ask.write() ? 1 : 0].increment();
+      if (isMeasured(request)) {
+        if (isWithinObjective) {
+          inTimeCounts[request.isWrite() ? 1 : 0].increment();
         }
-        if (ask.write()) {
-          writeTimes.recordValue(took);
+        if (request.isWrite()) {
+          writeLatencyNanos.recordValue(latencyNanos);
         }
       }
     }
 
-    /** Returns whether its client asks again at once, on this connection. */
-    private boolean refused(Ask ask, String text, long now) {
-      timeline.add(timeline.refusals, now, 1);
-      if (measured(ask)) {
-        refused.increment();
+    /** Returns whether the request was retried at once, on this connection. */
+    private boolean handleRefusal(Request request, String answerLine, long now) {
+      timeline.addRefusal(now);
+      if (isMeasured(request)) {
+        refusedCount.increment();
       }
-      if (ask.tries() >= manner.repeats()) {
+      if (request.retryCount() >= workload.maxRetries()) {
         return false;
       }
-      Ask again = new Ask(ask.write(), ask.key(), ask.tries() + 1, ask.asked());
-      String advice = text.replaceAll("\\D", "");
-      long millis =
-          switch (manner.again()) {
+      Request retry =
+          new Request(
+              request.isWrite(), request.key(), request.retryCount() + 1, request.dueNanos());
+      String advisedMillis = answerLine.replaceAll("\\D", "");
+      long delayMillis =
+          switch (workload.retryPolicy()) {
             case NEVER -> Long.MAX_VALUE;
             case AT_ONCE -> 0;
             case ADVISED ->
                 Math.max(
-                    advice.isEmpty() ? 0 : Long.parseLong(advice), part.random.nextInt(15, 120));
+                    advisedMillis.isEmpty() ? 0 : Long.parseLong(advisedMillis),
+                    loopClients.random.nextInt(15, 120));
             case BACK_OFF ->
                 (long)
-                    (FIRST_BACK_OFF
-                        * Math.pow(2, Math.min(ask.tries(), 6))
-                        * (0.5 + part.random.nextDouble()));
+                    (FIRST_BACK_OFF_MILLIS
+                        * Math.pow(2, Math.min(request.retryCount(), 6))
+                        * (0.5 + loopClients.random.nextDouble()));
           };
-      if (!ask.wanted(now + TimeUnit.MILLISECONDS.toNanos(Math.min(millis, 1 << 20)))) {
+      long retryDelayNanos = TimeUnit.MILLISECONDS.toNanos(Math.min(delayMillis, 1 << 20));
+      if (!request.isBeforeDeadline(now + retryDelayNanos)) {
         return false;
       }
-      if (millis == 0) {
-        // Whoever does not wait does not look for another connection either.
-        send(again);
+      if (delayMillis == 0) {
+        // An immediate retry goes over the same connection.
+        send(retry);
         return true;
       }
-      part.loop.schedule(() -> part.send(again), millis, TimeUnit.MILLISECONDS);
+      loopClients.loop.schedule(() -> loopClients.send(retry), delayMillis, TimeUnit.MILLISECONDS);
       return false;
     }
 
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/PastCapacity.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/PastCapacity.java
@@ -15,13 +15,13 @@
 import picocli.CommandLine.Option;
 
 /**
- * What nodes do when they are asked more than they can: each is first measured for what it can do,
- * with clients that wait for their answers, and then asked once and several times as much by
- * clients that do not wait.
+ * Measures nodes under overload. First the capacity of each node is measured, with clients that
+ * wait for each answer before the next request. Then clients that do not wait for answers send
+ * requests at multiples of the capacity.
  */
 @Command(
     name = "past-capacity",
-    description = "Asks nodes several times what they can do, and shows what is served in time.",
+    description = "Sends nodes multiples of their capacity, and measures what they serve in time.",
     mixinStandardHelpOptions = true)
 final class PastCapacity implements Callable<Integer> {
   @Mixin private Nodes nodes;
@@ -29,113 +29,128 @@
   @Option(
       names = "--times",
       split = ",",
-      description = "Multiples of what it can do (default: 1,3).")
-  private double[] times = {1, 3};
+      description = "Loads, as multiples of each node's capacity (default: 1,3).")
+  private double[] multiples = {1, 3};
 
-  @Option(names = "--seconds", description = "Measured for each (default: ${DEFAULT-VALUE}).")
-  private int seconds = 8;
+  @Option(
+      names = "--seconds",
+      description = "Measured seconds for each multiple (default: ${DEFAULT-VALUE}).")
+  private int measuredSeconds = 8;
 
-  @Option(names = "--warm", description = "Unmeasured before that (default: ${DEFAULT-VALUE}).")
-  private int warm = 4;
+  @Option(names = "--warm", description = "Warm-up seconds (default: ${DEFAULT-VALUE}).")
+  private int warmSeconds = 4;
 
-  @Option(names = "--connections", description = "Clients (default: ${DEFAULT-VALUE}).")
+  @Option(names = "--connections", description = "Client connections (default: ${DEFAULT-VALUE}).")
   private int connections = 256;
 
-  @Option(names = "--writes", description = "The part of writes (default: ${DEFAULT-VALUE}).")
-  private double writes = 0.08;
+  @Option(names = "--writes", description = "Fraction of writes (default: ${DEFAULT-VALUE}).")
+  private double writeRatio = 0.08;
 
-  @Option(names = "--repeats", description = "Repeats after a refusal (default: ${DEFAULT-VALUE}).")
-  private int repeats = 0;
+  @Option(
+      names = "--repeats",
+      description = "Maximum number of retries of a request (default: ${DEFAULT-VALUE}).")
+  private int maxRetries = 0;
 
-  @Option(names = "--picture", paramLabel = "FILE", description = "Draws it, as a PNG.")
-  private Path picture;
+  @Option(
+      names = "--picture",
+      paramLabel = "FILE",
+      description = "Writes a chart to this PNG file.")
+  private Path chartFile;
 
-  /** One node at one multiple. */
-  private record Measured(String name, double multiple, OpenLoad.Result result) {}
+  /** The result of one node at one multiple of its capacity. */
+  private record Measurement(String nodeName, double capacityMultiple, OpenLoad.Result result) {}
 
-  private final List<Measured> measured = new ArrayList<>();
+  private final List<Measurement> measurements = new ArrayList<>();
 
   @Override
   public Integer call() throws Exception {
     try (Servers servers = new Servers(8, 100)) {
       int port = Subject.freePort();
-      for (Subject subject : nodes.subjects(port, servers)) {
-        measure(subject, port);
+      for (Subject process : nodes.subjects(port, servers)) {
+        measure(process, port);
       }
     }
-    if (picture != null) {
-      draw();
+    if (chartFile != null) {
+      drawCharts();
     }
     return 0;
   }
 
-  private void draw() throws IOException {
-    XYChart goodput = chart("Worth served in time, a second", m -> m.result().goodput());
-    XYChart writes =
-        chart("Writes answered in 300 ms, percent", m -> 100 * m.result().writesInTimePart());
+  private void drawCharts() throws IOException {
+    XYChart goodputChart =
+        createChart("Priority weight served in time, per second", m -> m.result().goodput());
+    XYChart writesChart =
+        createChart("Writes answered in 300 ms, percent", m -> 100 * m.result().writesInTimePart());
     BitmapEncoder.saveBitmap(
-        List.of(goodput, writes), 1, 2, picture.toString(), BitmapEncoder.BitmapFormat.PNG);
-    System.out.println("drawn: " + picture);
+        List.of(goodputChart, writesChart),
+        1,
+        2,
+        chartFile.toString(),
+        BitmapEncoder.BitmapFormat.PNG);
+    System.out.println("drawn: " + chartFile);
   }
 
-  private XYChart chart(String title, ToDoubleFunction<Measured> figure) {
+  private XYChart createChart(String title, ToDoubleFunction<Measurement> figure) {
     XYChart chart =
         new XYChartBuilder()
             .width(560)
             .height(380)
             .title(title)
-            .xAxisTitle("asked, as a multiple of what it can do")
+            .xAxisTitle("requests, as a multiple of capacity")
             .build();
     chart.getStyler().setYAxisMin(0.0);
     for (String name : nodes.names()) {
-      List<Measured> own = measured.stream().filter(m -> m.name().equals(name)).toList();
+      List<Measurement> nodeMeasurements =
+          measurements.stream().filter(m -> m.nodeName().equals(name)).toList();
       chart.addSeries(
           name,
-          own.stream().map(Measured::multiple).toList(),
-          own.stream().map(figure::applyAsDouble).toList());
+          nodeMeasurements.stream().map(Measurement::capacityMultiple).toList(),
+          nodeMeasurements.stream().map(figure::applyAsDouble).toList());
     }
     return chart;
   }
 
-  private void measure(Subject subject, int port) throws Exception {
-    try (Subject.Running running = nodes.start(subject, port)) {
-      double able = Load.run(port, 64, warm + 2, 5).perSecond();
-      System.out.printf("%-8s can do %.0f/s%n", subject.name(), able);
-      double once = Double.NaN;
-      for (double multiple : times) {
+  private void measure(Subject process, int port) throws Exception {
+    try (Subject.Running runningNode = nodes.start(process, port)) {
+      double capacityPerSecond = Load.run(port, 64, warmSeconds + 2, 5).perSecond();
+      System.out.printf("%-8s capacity %.0f requests/s%n", process.name(), capacityPerSecond);
+      double goodputAtFirstMultiple = Double.NaN;
+      for (double capacityMultiple : multiples) {
         OpenLoad.Result result =
             OpenLoad.run(
                 port,
                 connections,
-                OpenLoad.Manner.steady(able * multiple, writes, repeats),
-                warm,
-                seconds);
-        measured.add(new Measured(subject.name(), multiple, result));
-        once = Double.isNaN(once) ? result.goodput() : once;
+                OpenLoad.Manner.steady(
+                    capacityPerSecond * capacityMultiple, writeRatio, maxRetries),
+                warmSeconds,
+                measuredSeconds);
+        measurements.add(new Measurement(process.name(), capacityMultiple, result));
+        goodputAtFirstMultiple =
+            Double.isNaN(goodputAtFirstMultiple) ? result.goodput() : goodputAtFirstMultiple;
         System.out.printf(
-            "%-8s x%-4.1f goodput %8.0f worth/s (%.2f of the first)  writes in 300 ms %6.2f%%"
-                + "  reads in 750 ms %6.2f%%  refused %d  failed %d%n"
+            "%-8s x%-4.1f goodput %8.0f weight/s (%.2f of the goodput at the first multiple)"
+                + "  writes in 300 ms %6.2f%%  reads in 750 ms %6.2f%%  refused %d  failed %d%n"
                 + "             writes ms %s   loop delay ms %s   %.1f MB%n",
-            subject.name(),
-            multiple,
+            process.name(),
+            capacityMultiple,
             result.goodput(),
-            result.goodput() / once,
+            result.goodput() / goodputAtFirstMultiple,
             100 * result.writesInTimePart(),
             100 * result.readsInTimePart(),
             result.refused(),
             result.failed(),
-            percentiles(result.writeTimes()),
-            percentiles(result.loopDelays()),
-            running.residentMegabytes());
+            formatPercentilesMillis(result.writeTimes()),
+            formatPercentilesMillis(result.loopDelays()),
+            runningNode.residentMegabytes());
       }
     }
   }
 
-  private static String percentiles(Histogram nanos) {
+  private static String formatPercentilesMillis(Histogram latencyNanos) {
     return "p50 %.1f p99 %.1f max %.1f"
         .formatted(
-            nanos.getValueAtPercentile(50) / 1e6,
-            nanos.getValueAtPercentile(99) / 1e6,
-            nanos.getMaxValue() / 1e6);
+            latencyNanos.getValueAtPercentile(50) / 1e6,
+            latencyNanos.getValueAtPercentile(99) / 1e6,
+            latencyNanos.getMaxValue() / 1e6);
   }
 }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Relay.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/Relay.java
@@ -15,16 +15,16 @@
 import java.net.InetSocketAddress;
 
 /**
- * The least that a proxy on Netty can do: one event loop, a connection to a server for each of a
- * client's, bytes passed on unread. What a load balancer is measured against.
+ * A minimal proxy on Netty, as the baseline for load balancers: it has one event loop, opens one
+ * connection to a server for each client connection, and forwards bytes without parsing them.
  */
 final class Relay {
   private Relay() {}
 
-  /** Listens on the first port and passes on to the others in turn; never returns. */
+  /** Listens on the first port and forwards connections to the other ports in turn, forever. */
   public static void main(String[] ports) throws InterruptedException {
     var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    int[] next = {1};
+    int[] nextServerIndex = {1};
     new ServerBootstrap()
         .group(group)
         .channel(NioServerSocketChannel.class)
@@ -35,9 +35,9 @@
             new ChannelInitializer<>() {
               @Override
               protected void initChannel(Channel client) {
-                int port = Integer.parseInt(ports[next[0]]);
-                next[0] = next[0] % (ports.length - 1) + 1;
-                connect(client, port);
+                int serverPort = Integer.parseInt(ports[nextServerIndex[0]]);
+                nextServerIndex[0] = nextServerIndex[0] % (ports.length - 1) + 1;
+                connectToServer(client, serverPort);
               }
             })
         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(ports[0])))
@@ -47,17 +47,17 @@
         .sync();
   }
 
-  private static void connect(Channel client, int port) {
-    Pass back = new Pass(client);
-    var connected =
+  private static void connectToServer(Channel client, int serverPort) {
+    ForwardingHandler responseHandler = new ForwardingHandler(client);
+    var connectFuture =
         new Bootstrap()
             .group(client.eventLoop())
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            .handler(back)
-            .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-    client.pipeline().addLast(new Pass(connected.channel()));
-    connected.addListener(
+            .handler(responseHandler)
+            .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), serverPort));
+    client.pipeline().addLast(new ForwardingHandler(connectFuture.channel()));
+    connectFuture.addListener(
         done -> {
           if (done.isSuccess()) {
             client.config().setAutoRead(true);
@@ -67,33 +67,33 @@
         });
   }
 
-  /** Passes on what it reads. */
-  private static final class Pass extends ChannelInboundHandlerAdapter {
-    private final Channel to;
+  /** Forwards all bytes to the target channel, and closes the target when this channel closes. */
+  private static final class ForwardingHandler extends ChannelInboundHandlerAdapter {
+    private final Channel target;
 
-    Pass(Channel to) {
-      this.to = to;
+    ForwardingHandler(Channel target) {
+      this.target = target;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-      to.write(bytes, to.voidPromise());
+      target.write(bytes, target.voidPromise());
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // Either end may go as it likes.
+      // Either end may close its connection at any time.
       ctx.close();
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-      to.flush();
+      target.flush();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      to.close();
+      target.close();
     }
   }
 }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Servers.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/Servers.java
@@ -16,16 +16,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cache servers that answer every read at once: they must not be what is measured. */
+/** Cache servers that answer every request at once, so that they do not limit the measurement. */
 final class Servers implements AutoCloseable {
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
   private final List<Integer> ports = new ArrayList<>();
 
-  /** So many of them, with values of that length. */
-  Servers(int count, int valueBytes) throws InterruptedException {
-    byte[] value = ("v".repeat(valueBytes) + "\r\n").getBytes(StandardCharsets.US_ASCII);
-    for (int i = 0; i < count; i++) {
+  /** Starts this many servers, which answer reads with a value of this length. */
+  Servers(int serverCount, int valueBytes) throws InterruptedException {
+    byte[] valueLine = ("v".repeat(valueBytes) + "\r\n").getBytes(StandardCharsets.US_ASCII);
+    for (int i = 0; i < serverCount; i++) {
       Channel server =
           new ServerBootstrap()
               .group(group)
@@ -35,7 +35,7 @@
                   new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                      channel.pipeline().addLast(new Answers(value));
+                      channel.pipeline().addLast(new RequestHandler(valueLine));
                     }
                   })
               .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -50,40 +50,45 @@
   }
 
   /**
-   * Answers each read with the value and each write with a receipt, under the id that follows the
-   * first O after a space. What is written is a line of its own.
+   * Answers each read with the value and each write with {@code HD}. The answer repeats the request
+   * id, which begins with the first {@code O} after a space. The value of a write is a line of its
+   * own.
    */
-  private static final class Answers extends ByteToMessageDecoder {
-    private final byte[] value;
-    private boolean written;
+  private static final class RequestHandler extends ByteToMessageDecoder {
+    private final byte[] valueLine;
 
-    Answers(byte[] value) {
-      this.value = value;
+    /** Whether the last command was a write, whose value is the next line. */
+    private boolean isWrite;
+
+
+    RequestHandler(byte[] valueLine) {
+      this.valueLine = valueLine;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-      int length = in.bytesBefore((byte) '\n');
-      if (length < 0) {
+      int lineLength = in.bytesBefore((byte) '\n');
+      if (lineLength < 0) {
         return;
       }
-      String line = in.readCharSequence(length + 1, StandardCharsets.US_ASCII).toString();
-      if (written) {
-        written = false;
+      String line = in.readCharSequence(lineLength + 1, StandardCharsets.US_ASCII).toString();
+      if (isWrite) {
+        isWrite = false;
         return;
       }
-      written = line.startsWith("ms ");
-      int at = line.indexOf(" O");
-      String id = line.substring(at, line.indexOf(' ', at + 1));
-      String head = written ? "HD" + id + " c1\r\n" : "VA " + (value.length - 2) + id + " h1\r\n";
-      ByteBuf answer = ctx.alloc().buffer(head.length() + value.length);
-      answer.writeCharSequence(head, StandardCharsets.US_ASCII);
-      ctx.write(written ? answer : answer.writeBytes(value), ctx.voidPromise());
+      isWrite = line.startsWith("ms ");
+      int idStart = line.indexOf(" O");
+      String id = line.substring(idStart, line.indexOf(' ', idStart + 1));
+      String headLine =
+          isWrite ? "HD" + id + " c1\r\n" : "VA " + (valueLine.length - 2) + id + " h1\r\n";
+      ByteBuf answer = ctx.alloc().buffer(headLine.length() + valueLine.length);
+      answer.writeCharSequence(headLine, StandardCharsets.US_ASCII);
+      ctx.write(isWrite ? answer : answer.writeBytes(valueLine), ctx.voidPromise());
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // The other end is killed after its turn.
+      // The measured process is killed after its measurement, which resets this connection.
       ctx.close();
     }
 
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Subject.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/Subject.java
@@ -15,14 +15,15 @@
 import java.util.stream.Collectors;
 
 /**
- * A process to be measured, on one core and with the flags of a small machine.
+ * A process to be measured, which runs on one core and with JVM flags for a small machine.
  *
- * @param command what to run, without the core
- * @param folder where to run it
- * @param config the configuration that it is told, null for none
+ * @param name the name of the process in the results
+ * @param command the command line, without the pinning to a core
+ * @param folder the working directory
+ * @param configFile the configuration file, null for none
  */
-record Subject(String name, List<String> command, Path folder, Path config) {
-  private static final List<String> FLAGS =
+record Subject(String name, List<String> command, Path folder, Path configFile) {
+  private static final List<String> JVM_FLAGS =
       List.of(
           "-XX:+UseSerialGC",
           "-XX:TieredStopAtLevel=1",
@@ -33,16 +34,16 @@
           "-XX:MaxDirectMemorySize=48m",
           "-XX:ReservedCodeCacheSize=24m");
 
-  /** A Java program with these further arguments. */
+  /** Returns a Java process with these arguments after the JVM flags. */
   static Subject java(String name, List<String> arguments) {
     List<String> command = new ArrayList<>(List.of("java"));
-    command.addAll(FLAGS);
+    command.addAll(JVM_FLAGS);
     command.addAll(arguments);
     return new Subject(name, command, Path.of(""), null);
   }
 
-  /** The node that was built in this folder. */
-  static Subject node(String name, Path folder, Path config, String... further) {
+  /** Returns the node that was built in this folder, with these arguments after the usual ones. */
+  static Subject node(String name, Path folder, Path configFile, String... moreArguments) {
     List<String> arguments =
         new ArrayList<>(
             List.of(
@@ -50,11 +51,11 @@
                 "-jar",
                 "daemon/target/shalepaddle.jar",
                 "serve"));
-    arguments.addAll(List.of(further));
-    return new Subject(name, java(name, arguments).command(), folder, config);
+    arguments.addAll(List.of(moreArguments));
+    return new Subject(name, java(name, arguments).command(), folder, configFile);
   }
 
-  /** A process that listens; ended by {@link #close}. */
+  /** A running process, which {@link #close} kills. */
   record Running(Process process) implements AutoCloseable {
     double residentMegabytes() throws IOException {
       Path status = Path.of("/proc", Long.toString(process.pid()), "status");
@@ -65,10 +66,12 @@
           .orElse(Double.NaN);
     }
 
-    /** Sends it a signal, named without its SIG. */
-    void signal(String name) {
+    /** Sends the process a signal, whose name is given without the prefix SIG. */
+    void signal(String signalName) {
       try {
-        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
+        new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid()))
+            .start()
+            .waitFor();
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       } catch (InterruptedException e) {
@@ -82,30 +85,34 @@
     }
   }
 
-  /** Starts it on this core, and returns once it listens on the port. */
+  /** Starts the process on this core, and returns once it listens on the port. */
   Running start(int core, int port) throws IOException, InterruptedException {
-    List<String> pinned = new ArrayList<>(List.of("taskset", "-c", Integer.toString(core)));
-    pinned.addAll(command);
+    List<String> pinnedCommand = new ArrayList<>(List.of("taskset", "-c", Integer.toString(core)));
+    pinnedCommand.addAll(command);
     ProcessBuilder builder =
-        new ProcessBuilder(pinned)
+        new ProcessBuilder(pinnedCommand)
             .directory(folder.toAbsolutePath().toFile())
             .redirectOutput(Redirect.DISCARD)
             .redirectError(Redirect.DISCARD);
-    if (config != null) {
-      builder.environment().put("ROUTER_CONFIG", config.toString());
+    if (configFile != null) {
+      builder.environment().put("ROUTER_CONFIG", configFile.toString());
     }
-    Running running = new Running(builder.start());
-    while (!accepts(port)) {
-      if (!running.process().isAlive()) {
+    Running runningProcess = new Running(builder.start());
+    while (!isListening(port)) {
+      if (!runningProcess.process().isAlive()) {
         throw new IOException(
-            name + " ended before it listened, with code " + running.process().exitValue());
+            name
+                + " exited with code "
+                + runningProcess.process().exitValue()
+                + " before it listened on port "
+                + port);
       }
       TimeUnit.MILLISECONDS.sleep(2);
     }
-    return running;
+    return runningProcess;
   }
 
-  private static boolean accepts(int port) {
+  private static boolean isListening(int port) {
     try (Socket socket = new Socket()) {
       socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1000);
       return true;
@@ -115,26 +122,26 @@
   }
 
   static int freePort() throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return free.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     }
   }
 
-  /** A configuration with these servers, of which none ever leaves. */
+  /** Returns a node's configuration with these servers, whose endpoint list never changes. */
   static String config(int port, Servers servers) {
     return config(port, servers.ports());
   }
 
-  /** The same with servers that listen on these ports. */
-  static String config(int port, List<Integer> servers) {
-    String list =
-        servers.stream()
+  /** Returns a node's configuration with servers on these ports. */
+  static String config(int port, List<Integer> ports) {
+    String serverList =
+        ports.stream()
             .map(
-                server ->
+                serverPort ->
                     """
                     {"id":"s-%d","addr":"127.0.0.1:%d","zone":"a","kind":"m","cell":0,\
                     "state":"active","weight":1.0,"started_ms":0}"""
-                        .formatted(server, server))
+                        .formatted(serverPort, serverPort))
             .collect(Collectors.joining(","));
     return """
         {"listen":"127.0.0.1:%d","discovery":"127.0.0.1:9","seed":"1",
@@ -148,6 +155,6 @@
            {"name":"read","effect":"retryable","slo":0.75,"give-up":2,"credit":2},
            {"name":"put","effect":"fragile","slo":0.3,"give-up":1,"credit":5}]}}
         """
-        .formatted(port, list);
+        .formatted(port, serverList);
   }
 }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/package-info.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements of whole processes, side by side in one run. */
+/** Measures whole processes, which take turns within one run, and single decisions with JMH. */
 package shalepaddle.benchmarks;
--- a/capacity/src/main/java/shalepaddle/capacity/CapacityRun.java
+++ b/capacity/src/main/java/shalepaddle/capacity/CapacityRun.java
@@ -9,283 +9,370 @@
 import shalepaddle.changefeed.ChangeFeedPublisher;
 import shalepaddle.settings.FormatException;
 
-/** Measures each role in steps of its size, and fits slopes. */
+/** Measures parts of the system at several fleet sizes, and fits a slope to each figure. */
 public final class CapacityRun {
-  /** What can be measured. */
+  /** The parts of the system that can be measured. */
   public enum Role {
-    /** The decisions of one node, as servers grow in number. */
+    /** Routing decisions of one node, by the number of servers. */
     DECISIONS,
-    /** The list of servers on its way to a node. */
+    /** Size and parsing of the endpoint list, by the number of servers. */
     LIST,
-    /** All nodes before all servers, as nodes grow in number and traffic stays. */
+    /** The whole fleet at a constant total request rate, by the number of nodes. */
     FLEET,
-    /** Discovery that is asked, as nodes grow in number. */
+    /** Polling of discovery after an outage, by the number of nodes. */
     DISCOVERY,
-    /** The feed from a group of three members, as nodes grow in number. */
+    /** The change feed from a group of three members, by the number of nodes. */
     FEED
   }
 
-  /** What may befall the feed. */
-  private enum Weather {
-    WELL("all well", 0, -1),
-    LEADER("the leader's machine gone", 0, 0),
-    MEMBER("another member's machine gone", 0, 1),
-    LOSSY("1% lost", 0.01, -1);
+  /**
+   * The conditions under which the change feed is measured. Their descriptions are parts of the
+   * figures' names.
+   */
+  private enum FeedCondition {
+    NORMAL("all well", 0, -1),
+    LEADER_LOST("the leader's machine gone", 0, 0),
+    MEMBER_LOST("another member's machine gone", 0, 1),
+    PACKET_LOSS("1% lost", 0.01, -1);
 
-    private final String text;
-    private final double loss;
+    private final String description;
+    private final double packetLossRate;
 
-    /** Which member vanishes. */
-    private final int vanishes;
+    /** Number of the member whose machine is lost, -1 for none. */
+    private final int lostMember;
 
-    Weather(String text, double loss, int vanishes) {
-      this.text = text;
-      this.loss = loss;
-      this.vanishes = vanishes;
+    FeedCondition(String description, double packetLossRate, int lostMember) {
+      this.description = description;
+      this.packetLossRate = packetLossRate;
+      this.lostMember = lostMember;
     }
   }
 
-  /**
-   * Entries a second: the purges that the size that is coming asks for. Their bytes are assumed.
-   */
-  private static final double ENTRIES = 6;
+  /** Committed entries per second: the purges of the planned fleet. */
+  private static final double ENTRIES_PER_SECOND = 6;
 
-  private static final int BODY_BYTES = 120;
+  /** The size of an entry's body (assumed). */
+  private static final int ENTRY_BODY_BYTES = 120;
 
-  /** One way between two regions. */
-  private static final long BETWEEN_NANOS = 80_000_000;
+  /** The longest one-way delay between two regions. */
+  private static final long MAX_REGION_DELAY_NANOS = 80_000_000;
 
+  /** How long entries are committed, in seconds of virtual time. */
   private static final int FEED_SECONDS = 20;
 
-  /** Calls a second that a discovery works through, by the sites known. */
-  private static final double[] CALLS = {2.5, 6};
+  /** Calls per second that discovery can answer, for each of the known sites. */
+  private static final double[] DISCOVERY_CALLS_PER_SECOND = {2.5, 6};
 
-  private static final int READS = 20_000;
+  private static final int READS_PER_ROUND = 20_000;
 
   private final FleetSize size;
-  private final HollowFleet.Parts parts;
+  private final HollowFleet.Parts simulationPhases;
   private final long seed;
   private final Consumer<String> progress;
   private final List<Slope> slopes = new ArrayList<>();
 
   private CapacityRun(
-      FleetSize size, HollowFleet.Parts parts, long seed, Consumer<String> progress) {
+      FleetSize size, HollowFleet.Parts simulationPhases, long seed, Consumer<String> progress) {
     this.size = size;
-    this.parts = parts;
+    this.simulationPhases = simulationPhases;
     this.seed = seed;
     this.progress = progress;
   }
 
   /**
-   * Measures these roles up to this size and one step beyond.
+   * Measures these roles in steps up to twice this size.
    *
-   * @param seconds of virtual time that count in each fleet, half as many more before and after
-   * @param progress gets a line for each step
+   * @param seconds virtual time for which each fleet is measured. Before, caches fill for 1.5 times
+   *     this time; after, a restart of servers is simulated for twice this time.
+   * @param progress receives a line of text for each measurement
    */
   public static List<Slope> measure(
       FleetSize size, Set<Role> roles, double seconds, long seed, Consumer<String> progress)
       throws FormatException {
-    HollowFleet.Parts parts = new HollowFleet.Parts(1.5 * seconds, seconds, 2 * seconds);
-    CapacityRun scale = new CapacityRun(size, parts, seed, progress);
+    HollowFleet.Parts simulationPhases = new HollowFleet.Parts(1.5 * seconds, seconds, 2 * seconds);
+    CapacityRun run = new CapacityRun(size, simulationPhases, seed, progress);
     for (Role role : EnumSet.copyOf(roles)) {
       switch (role) {
-        case DECISIONS -> scale.decisions();
-        case LIST -> scale.lists();
-        case FLEET -> scale.fleets();
-        case DISCOVERY -> scale.discoveries();
-        case FEED -> scale.feeds();
+        case DECISIONS -> run.measureDecisions();
+        case LIST -> run.measureLists();
+        case FLEET -> run.measureFleets();
+        case DISCOVERY -> run.measureDiscovery();
+        case FEED -> run.measureFeeds();
       }
     }
-    return List.copyOf(scale.slopes);
+    return List.copyOf(run.slopes);
   }
 
   private FleetSize withServers(int servers) {
     return new FleetSize(size.nodes(), servers, size.perSecond(), size.zones());
   }
 
-  private void decisions() {
+  private void measureDecisions() {
     List<Integer> steps = size.serverSteps();
-    // Twice over: the first compiles.
+    // The first pass warms up the JIT compiler.
     for (int servers : steps) {
-      FleetSize step = withServers(servers);
-      DecisionCost.measure(step, READS, actions -> DecisionCost.real(step, actions));
+      FleetSize fleetSize = withServers(servers);
+      DecisionCost.measure(
+          fleetSize, READS_PER_ROUND, actions -> DecisionCost.real(fleetSize, actions));
     }
-    List<DecisionCost.Measured> measured = new ArrayList<>();
+    List<DecisionCost.Measured> measurements = new ArrayList<>();
     for (int servers : steps) {
-      FleetSize step = withServers(servers);
-      DecisionCost.Measured one =
-          DecisionCost.measure(step, READS, actions -> DecisionCost.real(step, actions));
-      measured.add(one);
+      FleetSize fleetSize = withServers(servers);
+      DecisionCost.Measured result =
+          DecisionCost.measure(
+              fleetSize, READS_PER_ROUND, actions -> DecisionCost.real(fleetSize, actions));
+      measurements.add(result);
       progress.accept(
-          "decisions  %4d servers  held %.2f us  missing %.2f us  list %.2f ms"
-              .formatted(servers, one.heldMicros(), one.missingMicros(), one.listMillis()));
+          "decisions  %4d servers  cached key %.2f us  new key %.2f us  new list %.2f ms"
+              .formatted(
+                  servers, result.heldMicros(), result.missingMicros(), result.listMillis()));
     }
-    fit("node", "decisions, held", "us/read", "servers", steps, measured, m -> m.heldMicros());
-    fit(
+    addSlope(
+        "node", "decisions, held", "us/read", "servers", steps, measurements, m -> m.heldMicros());
+    addSlope(
         "node",
         "decisions, missing",
         "us/read",
         "servers",
         steps,
-        measured,
+        measurements,
         m -> m.missingMicros());
-    fit("node", "a new list taken in", "ms", "servers", steps, measured, m -> m.listMillis());
+    addSlope(
+        "node", "a new list taken in", "ms", "servers", steps, measurements, m -> m.listMillis());
   }
 
-  private void lists() throws FormatException {
+  private void measureLists() throws FormatException {
     List<Integer> steps = size.serverSteps();
     for (int servers : steps) {
       ServerListPayload.measure(withServers(servers));
     }
-    List<ServerListPayload.Measured> measured = new ArrayList<>();
+    List<ServerListPayload.Measured> measurements = new ArrayList<>();
     for (int servers : steps) {
-      ServerListPayload.Measured one = ServerListPayload.measure(withServers(servers));
-      measured.add(one);
+      ServerListPayload.Measured result = ServerListPayload.measure(withServers(servers));
+      measurements.add(result);
       progress.accept(
-          "list       %4d servers  %.0f bytes  read in %.0f us"
-              .formatted(servers, one.bytes(), one.readMicros()));
+          "list       %4d servers  %.0f bytes  parsed in %.0f us"
+              .formatted(servers, result.bytes(), result.readMicros()));
     }
-    fit("node", "whole list", "bytes", "servers", steps, measured, m -> m.bytes());
-    fit("node", "whole list read", "us", "servers", steps, measured, m -> m.readMicros());
+    addSlope("node", "whole list", "bytes", "servers", steps, measurements, m -> m.bytes());
+    addSlope("node", "whole list read", "us", "servers", steps, measurements, m -> m.readMicros());
   }
 
-  private void fleets() {
+  private void measureFleets() {
     List<Integer> steps = size.nodeSteps();
     HollowFleet.play(size.withNodes(steps.get(0)), new HollowFleet.Parts(0.5, 0.5, 0.5), seed);
-    List<HollowFleet.Counted> counted = new ArrayList<>();
+    List<HollowFleet.Counted> results = new ArrayList<>();
     for (int nodes : steps) {
-      HollowFleet.Counted one = HollowFleet.play(size.withNodes(nodes), parts, seed);
-      counted.add(one);
+      HollowFleet.Counted result = HollowFleet.play(size.withNodes(nodes), simulationPhases, seed);
+      results.add(result);
       progress.accept(
-          ("fleet      %4d nodes  away %.2f%%  refused %.2f%%  missed %.1f%%  copies %.3f"
-                  + "  %.2f us a read  %.0f nodes a server  cold %.2f of its fall, %.0f callers"
-                  + "  %.0f kB a node")
+          ("fleet      %4d nodes  reads not at first choice %.2f%%  rejected %.2f%%  missed %.1f%%"
+                  + "  copies per key %.3f  %.2f us per read  %.0f nodes per server"
+                  + "  restarted server: %.2f of its overload limit, %.0f new callers per second"
+                  + "  %.0f kB per node")
               .formatted(
                   nodes,
-                  100 * one.awayPart(),
-                  100 * one.refusedPart(),
-                  100 * one.missPart(),
-                  one.copies(),
-                  one.microsPerRead(),
-                  one.nodesPerServer(),
-                  one.coldPart(),
-                  one.coldCallers(),
-                  one.bytesPerNode() / 1000));
+                  100 * result.awayPart(),
+                  100 * result.refusedPart(),
+                  100 * result.missPart(),
+                  result.copies(),
+                  result.microsPerRead(),
+                  result.nodesPerServer(),
+                  result.coldPart(),
+                  result.coldCallers(),
+                  result.bytesPerNode() / 1000));
     }
-    String by = "nodes";
-    fit("node", "reads sent away from home", "part", by, steps, counted, c -> c.awayPart());
-    fit("node", "reads refused", "part", by, steps, counted, c -> c.refusedPart());
-    fit("node", "decisions within a fleet", "us/read", by, steps, counted, c -> c.microsPerRead());
-    fit("node", "heap", "bytes", by, steps, counted, c -> c.bytesPerNode());
-    fit("cache server", "copies of a key", "servers", by, steps, counted, c -> c.copies());
-    fit("cache server", "reads missed", "part", by, steps, counted, c -> c.missPart());
-    fit("cache server", "nodes that ask it", "nodes", by, steps, counted, c -> c.nodesPerServer());
-    fit("cache server", "cold, of its fall", "part", by, steps, counted, c -> c.coldPart());
-    fit("cache server", "new callers, cold", "nodes/s", by, steps, counted, c -> c.coldCallers());
+    String sizeName = "nodes";
+    addSlope(
+        "node", "reads sent away from home", "part", sizeName, steps, results, c -> c.awayPart());
+    addSlope("node", "reads refused", "part", sizeName, steps, results, c -> c.refusedPart());
+    addSlope(
+        "node",
+        "decisions within a fleet",
+        "us/read",
+        sizeName,
+        steps,
+        results,
+        c -> c.microsPerRead());
+    addSlope("node", "heap", "bytes", sizeName, steps, results, c -> c.bytesPerNode());
+    addSlope(
+        "cache server", "copies of a key", "servers", sizeName, steps, results, c -> c.copies());
+    addSlope("cache server", "reads missed", "part", sizeName, steps, results, c -> c.missPart());
+    addSlope(
+        "cache server",
+        "nodes that ask it",
+        "nodes",
+        sizeName,
+        steps,
+        results,
+        c -> c.nodesPerServer());
+    addSlope(
+        "cache server", "cold, of its fall", "part", sizeName, steps, results, c -> c.coldPart());
+    addSlope(
+        "cache server",
+        "new callers, cold",
+        "nodes/s",
+        sizeName,
+        steps,
+        results,
+        c -> c.coldCallers());
   }
 
-  private void discoveries() {
+  private void measureDiscovery() {
     List<Integer> steps = size.nodeSteps();
-    for (double calls : CALLS) {
-      List<DiscoveryPolling.Counted> counted = new ArrayList<>();
+    for (double callsPerSecond : DISCOVERY_CALLS_PER_SECOND) {
+      List<DiscoveryPolling.Counted> results = new ArrayList<>();
       for (int nodes : steps) {
-        FleetSize step = size.withNodes(nodes);
-        DiscoveryPolling.Counted one =
-            DiscoveryPolling.play(step, calls, seed, DiscoveryPolling.real(step));
-        counted.add(one);
+        FleetSize fleetSize = size.withNodes(nodes);
+        DiscoveryPolling.Counted result =
+            DiscoveryPolling.play(
+                fleetSize, callsPerSecond, seed, DiscoveryPolling.real(fleetSize));
+        results.add(result);
         progress.accept(
-            "discovery  %4d nodes  %.1f calls/s  half %.1f s  last %.1f s  %.1f calls a node"
+            ("discovery  %4d nodes  %.1f calls/s  half of the nodes have the list after %.1f s,"
+                    + " all after %.1f s  %.1f calls per node")
                 .formatted(
-                    nodes, calls, one.medianSeconds(), one.lastSeconds(), one.callsPerNode()));
+                    nodes,
+                    callsPerSecond,
+                    result.medianSeconds(),
+                    result.lastSeconds(),
+                    result.callsPerNode()));
       }
-      String at = " at %.1f calls/s".formatted(calls);
-      fit(
+      String figureSuffix = " at %.1f calls/s".formatted(callsPerSecond);
+      addSlope(
           "discovery",
-          "last list after its return" + at,
+          "last list after its return" + figureSuffix,
           "s",
           "nodes",
           steps,
-          counted,
+          results,
           c -> c.lastSeconds());
-      fit(
+      addSlope(
           "discovery",
-          "calls a node" + at,
+          "calls a node" + figureSuffix,
           "calls",
           "nodes",
           steps,
-          counted,
+          results,
           c -> c.callsPerNode());
     }
   }
 
-  private HollowFeed.Counted feed(int nodes, Weather weather) {
+  private HollowFeed.Counted simulateFeed(int nodes, FeedCondition condition) {
     HollowFeed feed =
         new HollowFeed(
             new HollowFeed.Plan(
                 nodes,
                 3,
                 12,
-                BETWEEN_NANOS,
-                weather.loss,
-                ENTRIES,
-                BODY_BYTES,
+                MAX_REGION_DELAY_NANOS,
+                condition.packetLossRate,
+                ENTRIES_PER_SECOND,
+                ENTRY_BODY_BYTES,
                 FEED_SECONDS,
                 ChangeFeedPublisher.Limits.DEFAULT,
                 HollowFeed.real(3),
                 seed));
-    if (weather.vanishes >= 0) {
-      feed.vanish(8_000_000_000L, weather.vanishes, 6_000_000_000L);
+    if (condition.lostMember >= 0) {
+      feed.vanish(8_000_000_000L, condition.lostMember, 6_000_000_000L);
     }
     return feed.play(10_000_000_000L);
   }
 
-  private void feeds() {
+  private void measureFeeds() {
     List<Integer> steps = size.nodeSteps();
-    feed(steps.get(steps.size() - 1), Weather.WELL);
-    for (Weather weather : Weather.values()) {
-      List<HollowFeed.Counted> counted = new ArrayList<>();
+    simulateFeed(steps.get(steps.size() - 1), FeedCondition.NORMAL);
+    for (FeedCondition condition : FeedCondition.values()) {
+      List<HollowFeed.Counted> results = new ArrayList<>();
       for (int nodes : steps) {
-        HollowFeed.Counted one = feed(nodes, weather);
-        counted.add(one);
+        HollowFeed.Counted result = simulateFeed(nodes, condition);
+        results.add(result);
         progress.accept(
-            ("feed       %4d nodes  %s: half in %.3f s, 99%% in %.3f s, last %.3f s  %.0f bytes/s"
-                    + " a node  %.0f us/s a node, %.0f us/s a member  most on one %d  %s")
+            ("feed       %4d nodes  %s: entries applied after %.3f s (median), %.3f s (p99),"
+                    + " %.3f s (maximum)  %.0f bytes/s per node"
+                    + "  %.0f us/s per node, %.0f us/s per member"
+                    + "  most subscribers of one member %d  violations %s")
                 .formatted(
                     nodes,
-                    weather.text,
-                    one.medianSeconds(),
-                    one.ninetyNinthSeconds(),
-                    one.lastSeconds(),
-                    one.bytesPerSecond(),
-                    one.nodeMicros(),
-                    one.memberMicros(),
-                    one.mostFollowers(),
-                    one.breaches()));
+                    condition.description,
+                    result.medianSeconds(),
+                    result.ninetyNinthSeconds(),
+                    result.lastSeconds(),
+                    result.bytesPerSecond(),
+                    result.nodeMicros(),
+                    result.memberMicros(),
+                    result.mostFollowers(),
+                    result.breaches()));
       }
-      String by = "nodes";
-      String when = ", " + weather.text;
-      fit("feed", "half have it" + when, "s", by, steps, counted, c -> c.medianSeconds());
-      fit("feed", "99% have it" + when, "s", by, steps, counted, c -> c.ninetyNinthSeconds());
-      fit("feed", "last has it" + when, "s", by, steps, counted, c -> c.lastSeconds());
-      fit("node", "feed, both ways" + when, "bytes/s", by, steps, counted, c -> c.bytesPerSecond());
-      fit("node", "feed" + when, "us/s", by, steps, counted, c -> c.nodeMicros());
-      fit("member", "feed" + when, "us/s", by, steps, counted, c -> c.memberMicros());
-      fit("member", "followers" + when, "nodes", by, steps, counted, c -> c.mostFollowers());
+      String sizeName = "nodes";
+      String figureSuffix = ", " + condition.description;
+      addSlope(
+          "feed",
+          "half have it" + figureSuffix,
+          "s",
+          sizeName,
+          steps,
+          results,
+          c -> c.medianSeconds());
+      addSlope(
+          "feed",
+          "99% have it" + figureSuffix,
+          "s",
+          sizeName,
+          steps,
+          results,
+          c -> c.ninetyNinthSeconds());
+      addSlope(
+          "feed",
+          "last has it" + figureSuffix,
+          "s",
+          sizeName,
+          steps,
+          results,
+          c -> c.lastSeconds());
+      addSlope(
+          "node",
+          "feed, both ways" + figureSuffix,
+          "bytes/s",
+          sizeName,
+          steps,
+          results,
+          c -> c.bytesPerSecond());
+      addSlope(
+          "node", "feed" + figureSuffix, "us/s", sizeName, steps, results, c -> c.nodeMicros());
+      addSlope(
+          "member", "feed" + figureSuffix, "us/s", sizeName, steps, results, c -> c.memberMicros());
+      addSlope(
+          "member",
+          "followers" + figureSuffix,
+          "nodes",
+          sizeName,
+          steps,
+          results,
+          c -> c.mostFollowers());
     }
   }
 
-  private <T> void fit(
+  /**
+   * Adds the slope of one figure to the result.
+   *
+   * @param figure the name of the figure, which is written to the JSON report
+   * @param steps the sizes at which the figure was measured
+   * @param measurements the measurement at each of these sizes
+   * @param toValue returns the value of the figure in a measurement
+   */
+  private <T> void addSlope(
       String role,
       String figure,
       String unit,
-      String by,
+      String sizeName,
       List<Integer> steps,
-      List<T> measured,
-      ToDoubleFunction<T> value) {
+      List<T> measurements,
+      ToDoubleFunction<T> toValue) {
     List<Slope.Point> points = new ArrayList<>();
     for (int i = 0; i < steps.size(); i++) {
-      points.add(new Slope.Point(steps.get(i), value.applyAsDouble(measured.get(i))));
+      points.add(new Slope.Point(steps.get(i), toValue.applyAsDouble(measurements.get(i))));
     }
-    slopes.add(Slope.fit(role, figure, unit, by, points));
+    slopes.add(Slope.fit(role, figure, unit, sizeName, points));
   }
 }
--- a/capacity/src/main/java/shalepaddle/capacity/DecisionCost.java
+++ b/capacity/src/main/java/shalepaddle/capacity/DecisionCost.java
@@ -11,25 +11,25 @@
 import shalepaddle.policy.RoutingActions;
 
 /**
- * What the decisions on a read take at one node, from its arrival to its one outcome, and what a
- * node holds and does for the list, as servers grow in number.
+ * Measures the processor time that one node's routing decisions take per read, from its arrival to
+ * its outcome, and the time to process a new endpoint list, for a given number of servers.
  */
 final class DecisionCost {
-  /** Reads that are open: what a node of the coming size has in flight. */
-  private static final int OPEN = 30;
+  /** Reads in flight, as many as at a node of the planned fleet. */
+  private static final int READS_IN_FLIGHT = 30;
 
-  private static final int KEYS = 5000;
+  private static final int KEY_COUNT = 5000;
 
   /**
-   * What was measured.
+   * The measured times, each the median of the rounds.
    *
-   * @param heldMicros for a read of what its server holds, the median of the rounds
-   * @param missingMicros for a read of what nobody has asked for
-   * @param listMillis to take in the whole list anew, the table of slots with it
+   * @param heldMicros the time per read of a key that its server has cached
+   * @param missingMicros the time per read of a key that was not requested before
+   * @param listMillis the time per full endpoint list, including the rebuild of the slot table
    */
   record Measured(double heldMicros, double missingMicros, double listMillis) {}
 
-  /** A read to be decided on, and its outcome. */
+  /** The calls of a router whose time is measured. */
   interface Decider {
     void membership(double now, MembershipUpdate update);
 
@@ -38,106 +38,122 @@
     void outcome(double now, Outcome outcome);
   }
 
-  /** The decisions of the node. */
+  /** Creates a production router. */
   static Decider real(FleetSize size, RoutingActions actions) {
-    RequestRouter balancer = new RequestRouter(HollowSettings.of(0, size, false), 1, actions);
+    RequestRouter requestRouter = new RequestRouter(HollowSettings.of(0, size, false), 1, actions);
     return new Decider() {
       @Override
       public void membership(double now, MembershipUpdate update) {
-        balancer.onMembershipUpdate(now, update);
+        requestRouter.onMembershipUpdate(now, update);
       }
 
       @Override
       public void request(double now, Request request) {
-        balancer.onRequest(now, request);
+        requestRouter.onRequest(now, request);
       }
 
       @Override
       public void outcome(double now, Outcome outcome) {
-        balancer.onOutcome(now, outcome);
+        requestRouter.onOutcome(now, outcome);
       }
     };
   }
 
-  private final String[] ids = new String[OPEN];
-  private final long[] sentTo = new long[OPEN];
-  private final Decider decider;
-  private final double gap;
-  private int next;
-  private int slot;
+  private final String[] requestIds = new String[READS_IN_FLIGHT];
+
+  /** The server that each read in flight was sent to, 0 if the read was not sent. */
+  private final long[] serverIds = new long[READS_IN_FLIGHT];
+
+  private final Decider router;
+  private final double secondsPerRead;
+  private int nextRequestNumber;
+
+  /** Index of the read that the router is deciding on. */
+  private int currentReadIndex;
+
   private double now;
 
-  private DecisionCost(FleetSize size, Function<RoutingActions, Decider> deciders) {
-    decider = deciders.apply(new Noted());
-    gap = size.nodes() / size.perSecond();
+  private DecisionCost(FleetSize size, Function<RoutingActions, Decider> routerFactory) {
+    router = routerFactory.apply(new ServerRecorder());
+    secondsPerRead = size.nodes() / size.perSecond();
   }
 
   /**
-   * Measures one node before the servers of this size.
+   * Measures one node with the servers of a fleet of this size.
    *
-   * @param reads in each round
+   * @param readCount the number of reads in each round
    */
-  static Measured measure(FleetSize size, int reads, Function<RoutingActions, Decider> deciders) {
+  static Measured measure(
+      FleetSize size, int readCount, Function<RoutingActions, Decider> routerFactory) {
     List<ServerEntry> entries = new ArrayList<>();
     for (int server = 0; server < size.servers(); server++) {
       entries.add(HollowSettings.entry(server, size, 0));
     }
-    MembershipUpdate list = new MembershipUpdate(MembershipUpdate.Kind.FULL, 1, entries);
-    DecisionCost decisions = new DecisionCost(size, deciders);
-    decisions.decider.membership(0, list);
-    decisions.round(reads, true);
-    List<Double> held = new ArrayList<>();
-    List<Double> missing = new ArrayList<>();
-    List<Double> taken = new ArrayList<>();
+    MembershipUpdate fullList = new MembershipUpdate(MembershipUpdate.Kind.FULL, 1, entries);
+    DecisionCost costMeasurement = new DecisionCost(size, routerFactory);
+    costMeasurement.router.membership(0, fullList);
+    costMeasurement.measureRound(readCount, true);
+    List<Double> hitMicros = new ArrayList<>();
+    List<Double> missMicros = new ArrayList<>();
+    List<Double> updateMillis = new ArrayList<>();
     for (int round = 0; round < 5; round++) {
-      held.add(decisions.round(reads, true));
-      missing.add(decisions.round(reads, false));
-      long began = System.nanoTime();
-      // A server less and once more, so that the table is made anew.
-      decisions.decider.membership(
-          decisions.now,
+      hitMicros.add(costMeasurement.measureRound(readCount, true));
+      missMicros.add(costMeasurement.measureRound(readCount, false));
+      long startNanos = System.nanoTime();
+      // Removes one server and adds it again, so that the slot table is rebuilt twice.
+      costMeasurement.router.membership(
+          costMeasurement.now,
           new MembershipUpdate(
               MembershipUpdate.Kind.FULL, 1, entries.subList(0, entries.size() - 1)));
-      decisions.decider.membership(decisions.now, list);
-      taken.add((System.nanoTime() - began) / 2e6);
+      costMeasurement.router.membership(costMeasurement.now, fullList);
+      updateMillis.add((System.nanoTime() - startNanos) / 2e6);
     }
-    return new Measured(median(held), median(missing), median(taken));
+    return new Measured(median(hitMicros), median(missMicros), median(updateMillis));
   }
 
   static double median(List<Double> values) {
     return values.stream().sorted().skip(values.size() / 2).findFirst().orElseThrow();
   }
 
-  /** Microseconds a read. */
-  private double round(int reads, boolean held) {
-    long began = System.nanoTime();
-    for (int i = 0; i < reads; i++) {
-      read(held);
+  /** Routes this many reads, and returns the time per read in microseconds. */
+  private double measureRound(int readCount, boolean isHit) {
+    long startNanos = System.nanoTime();
+    for (int i = 0; i < readCount; i++) {
+      routeNextRead(isHit);
     }
-    return (System.nanoTime() - began) / 1e3 / reads;
+    return (System.nanoTime() - startNanos) / 1e3 / readCount;
   }
 
-  private void read(boolean held) {
-    slot = next % OPEN;
-    if (sentTo[slot] != 0) {
-      Outcome.CacheStatus note = held ? Outcome.CacheStatus.HIT : Outcome.CacheStatus.MISS;
-      decider.outcome(
+  private void routeNextRead(boolean isHit) {
+    currentReadIndex = nextRequestNumber % READS_IN_FLIGHT;
+    if (serverIds[currentReadIndex] != 0) {
+      Outcome.CacheStatus cacheStatus = isHit ? Outcome.CacheStatus.HIT : Outcome.CacheStatus.MISS;
+      router.outcome(
           now,
-          new Outcome(ids[slot], 0, sentTo[slot], Outcome.Result.OK, OPEN * gap, true, note, null));
+          new Outcome(
+              requestIds[currentReadIndex],
+              0,
+              serverIds[currentReadIndex],
+              Outcome.Result.OK,
+              READS_IN_FLIGHT * secondsPerRead,
+              true,
+              cacheStatus,
+              null));
     }
-    sentTo[slot] = 0;
-    now += gap;
-    int number = next++;
-    ids[slot] = "r" + number;
-    String key = held ? "k" + number % KEYS : "m" + number;
-    decider.request(now, new Request(ids[slot], key, "read", null, 2, 0, 0, false, false));
+    serverIds[currentReadIndex] = 0;
+    now += secondsPerRead;
+    int requestNumber = nextRequestNumber++;
+    requestIds[currentReadIndex] = "r" + requestNumber;
+    String key = isHit ? "k" + requestNumber % KEY_COUNT : "m" + requestNumber;
+    router.request(
+        now, new Request(requestIds[currentReadIndex], key, "read", null, 2, 0, 0, false, false));
   }
 
-  /** Notes where the read of the present slot goes. */
-  private final class Noted extends HollowActions {
+  /** Records the server that the current read is sent to. */
+  private final class ServerRecorder extends HollowActions {
     @Override
-    public void send(String requestId, long server, double within) {
-      sentTo[slot] = server;
+    public void send(String requestId, long server, double withinSeconds) {
+      serverIds[currentReadIndex] = server;
     }
   }
 }
--- a/capacity/src/main/java/shalepaddle/capacity/DiscoveryPolling.java
+++ b/capacity/src/main/java/shalepaddle/capacity/DiscoveryPolling.java
@@ -10,182 +10,202 @@
 import shalepaddle.policy.RoutingActions;
 
 /**
- * Hollow nodes that ask one discovery for the list, which works through calls in turn: all of them
- * start within a second while it is down, and are to have the list once it is back. Virtual time.
+ * Simulates an outage of discovery in virtual time, in seconds. All hollow nodes start within one
+ * second while discovery is down, poll it for the endpoint list, and must get the list after its
+ * return. Discovery processes one call at a time.
  */
 final class DiscoveryPolling {
-  /** When discovery is back, in seconds. */
-  private static final double BACK = 8;
+  /** The time at which discovery returns from the outage. */
+  private static final double DISCOVERY_RETURN_SECONDS = 8;
 
-  /** How long a call may wait for its turn before it is turned away (assumed). */
-  private static final double PATIENCE = 2;
+  /** How long a call may be queued before discovery rejects it (assumed). */
+  private static final double MAX_QUEUE_SECONDS = 2;
 
-  /** When a play is given up, in seconds after discovery is back. */
-  private static final double LONGEST = 3600;
+  /** Seconds after discovery's return at which the simulation ends even if nodes lack the list. */
+  private static final double MAX_RECOVERY_SECONDS = 3600;
 
   /**
-   * What was counted.
+   * The result of a simulation.
    *
-   * @param medianSeconds from discovery's return until half of the nodes have the list
-   * @param lastSeconds until the last one has it
-   * @param callsPerNode calls of each node until then, the mean
+   * @param medianSeconds the time from discovery's return until half of the nodes have the list, or
+   *     infinity if fewer nodes ever have it
+   * @param lastSeconds the time from discovery's return until the last node has the list, or
+   *     infinity if a node never has it
+   * @param callsPerNode mean number of calls per node, from the start to the end of the simulation
    */
   record Counted(double medianSeconds, double lastSeconds, double callsPerNode) {}
 
-  /** What keeps one node asking. */
+  /** Decides when one node polls discovery. */
   interface Feed {
     void told(double now, MembershipUpdate update);
 
     void timer(double now, long token);
   }
 
-  /** Makes the feed of a node. */
+  /** Creates the polling client of a node. */
   interface Feeds {
     Feed of(int node, RoutingActions actions);
   }
 
-  private record Event(double at, int node, long token) {}
+  /**
+   * A scheduled event.
+   *
+   * @param token the token of the node's timer, or one of the negative tokens below
+   */
+  private record Event(double atSeconds, int node, long token) {}
+
+  /** A call that is queued at discovery. */
+  private record Call(double queuedAtSeconds, int node) {}
 
-  /** A call that waits for its turn. */
-  private record Call(double since, int node) {}
+  /** Token of the event that discovery has answered the node's call. */
+  private static final long CALL_ANSWERED_TOKEN = -1;
 
-  /** The service is through with a call; a call has failed; a node starts. */
-  private static final long FREE = -1;
+  /** Token of the event that the node learns of the failure of its call. */
+  private static final long CALL_FAILED_TOKEN = -2;
 
-  private static final long FAILED = -2;
-  private static final long START = -3;
+  /** Token of the event that the node starts. */
+  private static final long NODE_STARTS_TOKEN = -3;
 
-  /** Seconds until a caller learns that its call has failed. */
-  private static final double NOTICE = 0.001;
+  /** Seconds from the failure of a call until the node learns of the failure. */
+  private static final double FAILURE_DELAY_SECONDS = 0.001;
 
   private final PriorityQueue<Event> events =
-      new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
-  private final ArrayDeque<Call> calls = new ArrayDeque<>();
-  private final List<Feed> feeds = new ArrayList<>();
-  private final MembershipUpdate known;
-  private final double perSecond;
+      new PriorityQueue<>((a, b) -> Double.compare(a.atSeconds, b.atSeconds));
+  private final ArrayDeque<Call> queuedCalls = new ArrayDeque<>();
+  private final List<Feed> clients = new ArrayList<>();
+  private final MembershipUpdate fullList;
+  private final double callsPerSecond;
   private double now;
-  private boolean busy;
-  private long asked;
+  private boolean isProcessingCall;
+  private long callCount;
 
-  private DiscoveryPolling(FleetSize size, double perSecond, Feeds made) {
-    this.perSecond = perSecond;
-    this.known =
+  private DiscoveryPolling(FleetSize size, double callsPerSecond, Feeds clientFactory) {
+    this.callsPerSecond = callsPerSecond;
+    this.fullList =
         new MembershipUpdate(
             MembershipUpdate.Kind.FULL, 1, List.of(HollowSettings.entry(0, size, 0)));
     for (int node = 0; node < size.nodes(); node++) {
-      feeds.add(made.of(node, new Asks(node)));
+      clients.add(clientFactory.of(node, new ClientActions(node)));
     }
   }
 
-  /** The feeds of the node's decisions. */
+  /** Returns a factory of polling clients that are production routers. */
   static Feeds real(FleetSize size) {
     return (node, actions) -> {
-      RequestRouter balancer =
+      RequestRouter router =
           new RequestRouter(HollowSettings.of(node, size, true), node, actions);
       return new Feed() {
         @Override
         public void told(double now, MembershipUpdate update) {
-          balancer.onMembershipUpdate(now, update);
+          router.onMembershipUpdate(now, update);
         }
 
         @Override
         public void timer(double now, long token) {
-          balancer.onTimer(now, token);
+          router.onTimer(now, token);
         }
       };
     };
   }
 
-  /** Plays one return of a discovery that works through so many calls a second. */
-  static Counted play(FleetSize size, double perSecond, long seed, Feeds made) {
-    DiscoveryPolling asking = new DiscoveryPolling(size, perSecond, made);
+  /**
+   * Simulates one outage of discovery and its recovery.
+   *
+   * @param callsPerSecond the calls that discovery can answer per second
+   */
+  static Counted play(FleetSize size, double callsPerSecond, long seed, Feeds clientFactory) {
+    DiscoveryPolling simulation = new DiscoveryPolling(size, callsPerSecond, clientFactory);
     SplittableRandom random = new SplittableRandom(seed);
     for (int node = 0; node < size.nodes(); node++) {
-      asking.events.add(new Event(random.nextDouble(), node, START));
+      simulation.events.add(new Event(random.nextDouble(), node, NODE_STARTS_TOKEN));
     }
-    return asking.play();
+    return simulation.run();
   }
 
-  private Counted play() {
-    List<Double> had = new ArrayList<>();
-    boolean[] has = new boolean[feeds.size()];
-    while (had.size() < feeds.size() && now < BACK + LONGEST) {
+  private Counted run() {
+    List<Double> listReceivedSeconds = new ArrayList<>();
+    boolean[] hasList = new boolean[clients.size()];
+    while (listReceivedSeconds.size() < clients.size()
+        && now < DISCOVERY_RETURN_SECONDS + MAX_RECOVERY_SECONDS) {
       Event event = events.poll();
-      now = event.at;
-      if (event.token == START) {
-        feeds
+      now = event.atSeconds;
+      if (event.token == NODE_STARTS_TOKEN) {
+        clients
             .get(event.node)
-            .told(now, new MembershipUpdate(MembershipUpdate.Kind.CACHED, 1, known.entries()));
-      } else if (event.token == FREE) {
-        busy = false;
-        if (!has[event.node]) {
-          has[event.node] = true;
-          had.add(now - BACK);
-          feeds.get(event.node).told(now, known);
+            .told(now, new MembershipUpdate(MembershipUpdate.Kind.CACHED, 1, fullList.entries()));
+      } else if (event.token == CALL_ANSWERED_TOKEN) {
+        isProcessingCall = false;
+        if (!hasList[event.node]) {
+          hasList[event.node] = true;
+          listReceivedSeconds.add(now - DISCOVERY_RETURN_SECONDS);
+          clients.get(event.node).told(now, fullList);
         }
-        nextCall();
-      } else if (event.token == FAILED) {
-        feeds
+        startNextCall();
+      } else if (event.token == CALL_FAILED_TOKEN) {
+        clients
             .get(event.node)
             .told(now, new MembershipUpdate(MembershipUpdate.Kind.FAILED, 1, List.of()));
       } else {
-        feeds.get(event.node).timer(now, event.token);
+        clients.get(event.node).timer(now, event.token);
       }
     }
-    double never = Double.POSITIVE_INFINITY;
+    double notReached = Double.POSITIVE_INFINITY;
     return new Counted(
-        had.size() > feeds.size() / 2 ? had.get(feeds.size() / 2) : never,
-        had.size() == feeds.size() ? had.get(had.size() - 1) : never,
-        (double) asked / feeds.size());
+        listReceivedSeconds.size() > clients.size() / 2
+            ? listReceivedSeconds.get(clients.size() / 2)
+            : notReached,
+        listReceivedSeconds.size() == clients.size()
+            ? listReceivedSeconds.get(listReceivedSeconds.size() - 1)
+            : notReached,
+        (double) callCount / clients.size());
   }
 
-  private void call(int node) {
-    asked++;
-    if (now < BACK) {
-      failed(node);
+  private void receiveCall(int node) {
+    callCount++;
+    if (now < DISCOVERY_RETURN_SECONDS) {
+      scheduleFailure(node);
       return;
     }
-    calls.add(new Call(now, node));
-    if (!busy) {
-      nextCall();
+    queuedCalls.add(new Call(now, node));
+    if (!isProcessingCall) {
+      startNextCall();
     }
   }
 
-  /** Those that have waited for too long are turned away, the next one has its turn. */
-  private void nextCall() {
-    while (!calls.isEmpty() && now - calls.peek().since > PATIENCE) {
-      failed(calls.poll().node);
+  /** Rejects calls that were queued for too long, and starts to process the next call. */
+  private void startNextCall() {
+    while (!queuedCalls.isEmpty() && now - queuedCalls.peek().queuedAtSeconds > MAX_QUEUE_SECONDS) {
+      scheduleFailure(queuedCalls.poll().node);
     }
-    Call next = calls.poll();
-    if (next != null) {
-      busy = true;
-      events.add(new Event(now + 1 / perSecond, next.node, FREE));
+    Call call = queuedCalls.poll();
+    if (call != null) {
+      isProcessingCall = true;
+      events.add(new Event(now + 1 / callsPerSecond, call.node, CALL_ANSWERED_TOKEN));
     }
   }
 
-  private void failed(int node) {
-    events.add(new Event(now + NOTICE, node, FAILED));
+  private void scheduleFailure(int node) {
+    events.add(new Event(now + FAILURE_DELAY_SECONDS, node, CALL_FAILED_TOKEN));
   }
 
-  /** What one node's feed does. */
-  private final class Asks extends HollowActions {
+  /** Carries out the actions of one node's polling client. */
+  private final class ClientActions extends HollowActions {
     private final int node;
 
-    Asks(int node) {
+    ClientActions(int node) {
       this.node = node;
     }
 
     @Override
-    public void subscribe(boolean on) {
-      if (on) {
-        call(node);
+    public void subscribe(boolean isSubscribed) {
+      if (isSubscribed) {
+        receiveCall(node);
       }
     }
 
     @Override
-    public void scheduleTimer(long token, double delay) {
-      events.add(new Event(now + delay, node, token));
+    public void scheduleTimer(long token, double delaySeconds) {
+      events.add(new Event(now + delaySeconds, node, token));
     }
   }
 }
--- a/capacity/src/main/java/shalepaddle/capacity/FleetSize.java
+++ b/capacity/src/main/java/shalepaddle/capacity/FleetSize.java
@@ -4,51 +4,60 @@
 import java.util.stream.IntStream;
 
 /**
- * The size that is asked for.
+ * The size of a fleet.
  *
- * @param nodes balancers
- * @param servers cache servers
- * @param perSecond requests a second of all nodes together
- * @param zones in which servers stand, each alike
+ * @param nodes the number of load balancers
+ * @param servers the number of cache servers
+ * @param perSecond requests per second over all nodes
+ * @param zones the number of zones, over which nodes and servers are spread evenly
  */
 public record FleetSize(int nodes, int servers, double perSecond, int zones) {
-  /** The size that is coming. */
+  /** The planned size of the fleet. */
   public static final FleetSize COMING = new FleetSize(430, 110, 270_000, 27);
 
-  /** Bytes of a hollow node: its table of slots, its sketch, and what it remembers of keys. */
+  /** Memory of a hollow node, for its slot table, hot-key sketch, and state per key. */
   private static final long NODE_BYTES = 2_500_000;
 
-  /** Refuses what makes no sense. */
+  /** Rejects sizes that are not positive. */
   public FleetSize {
     if (nodes < 1 || servers < 1 || zones < 1 || !(perSecond > 0)) {
-      throw new IllegalArgumentException("a size needs a node, a server, a zone and a request");
+      throw new IllegalArgumentException(
+          ("nodes, servers, zones and requests per second must be positive,"
+                  + " but are %d, %d, %d and %s")
+                  .formatted(nodes, servers, zones, perSecond));
     }
   }
 
-  /** The steps of nodes that make a slope: a sixteenth to the half, the whole, and one beyond. */
+  /**
+   * Returns the numbers of nodes to measure: 1/16, 1/8, 1/4, 1/2, 1 and 2 times {@link #nodes}.
+   */
   public List<Integer> nodeSteps() {
-    return steps(nodes);
+    return createSteps(nodes);
   }
 
-  /** The same of servers. */
+  /** Returns the numbers of servers to measure, in the same fractions as {@link #nodeSteps}. */
   public List<Integer> serverSteps() {
-    return steps(servers);
+    return createSteps(servers);
   }
 
-  private static List<Integer> steps(int whole) {
-    IntStream parts =
-        IntStream.of(16, 8, 4, 2).map(part -> Math.max(1, Math.round((float) whole / part)));
-    return IntStream.concat(parts, IntStream.of(whole, 2 * whole)).distinct().boxed().toList();
+  private static List<Integer> createSteps(int fullSize) {
+    IntStream fractionSizes =
+        IntStream.of(16, 8, 4, 2)
+            .map(divisor -> Math.max(1, Math.round((float) fullSize / divisor)));
+    return IntStream.concat(fractionSizes, IntStream.of(fullSize, 2 * fullSize))
+        .distinct()
+        .boxed()
+        .toList();
   }
 
-  /** The same fleet's traffic over another number of nodes. */
-  public FleetSize withNodes(int count) {
-    return new FleetSize(count, servers, perSecond, zones);
+  /** Returns a fleet with another number of nodes, and the same servers and request rate. */
+  public FleetSize withNodes(int nodeCount) {
+    return new FleetSize(nodeCount, servers, perSecond, zones);
   }
 
-  /** The memory that a run up to this size is expected to take at most, in bytes. */
+  /** Returns the estimated peak memory of a run up to this size, in bytes. */
   public long expectedBytes() {
-    long caches = 2L * servers * HollowFleet.KEYS / 8;
-    return 2L * nodes * NODE_BYTES + caches + (256L << 20);
+    long cacheBytes = 2L * servers * HollowFleet.KEYS / 8;
+    return 2L * nodes * NODE_BYTES + cacheBytes + (256L << 20);
   }
 }
--- a/capacity/src/main/java/shalepaddle/capacity/HollowActions.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowActions.java
@@ -2,27 +2,25 @@
 
 import shalepaddle.policy.RoutingActions;
 
-/**
- * Carries out nothing of what a hollow node decides; for what a play looks at, see who extends it.
- */
+/** Ignores all actions of a hollow node; subclasses override those that a simulation observes. */
 abstract class HollowActions implements RoutingActions {
   @Override
-  public void send(String requestId, long server, double within) {}
+  public void send(String requestId, long server, double withinSeconds) {}
 
   @Override
   public void cancel(String requestId, int attempt) {}
 
   @Override
-  public void reject(String requestId, double retryAfter) {}
+  public void reject(String requestId, double retryAfterSeconds) {}
 
   @Override
   public void fail(String requestId) {}
 
   @Override
-  public void scheduleTimer(long token, double delay) {}
+  public void scheduleTimer(long token, double delaySeconds) {}
 
   @Override
-  public void subscribe(boolean on) {}
+  public void subscribe(boolean isSubscribed) {}
 
   @Override
   public void closeIdleConnections(long server) {}
--- a/capacity/src/main/java/shalepaddle/capacity/HollowFeed.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowFeed.java
@@ -15,82 +15,72 @@
 import shalepaddle.changefeed.SubscriberMessage;
 
 /**
- * Many hollow nodes that follow the members of a group, with the real decisions on both sides, over
- * links of a network that delays, loses, cuts one way and breaks. Virtual time, one thread, a fixed
- * seed. What a node takes is held against the log: nothing twice or backwards, no hole, and within
- * the bound at each that was in contact.
+ * Simulates hollow nodes that subscribe to the members of a group, with the production publisher
+ * and subscriber, over links with delay, packet loss, one-way cuts and closed connections. The
+ * simulation has virtual time, in nanoseconds, one thread and a fixed seed. It checks that nodes
+ * apply the log in order, each entry once and without gaps, and in time while they are in contact.
  */
 final class HollowFeed {
-  private static final long SECOND = 1_000_000_000L;
+  private static final long SECOND_NANOS = 1_000_000_000L;
+  private static final long SYN_RETRANSMIT_NANOS = SECOND_NANOS;
+  private static final long TICK_NANOS = SECOND_NANOS / 10;
+  private static final int PACKET_HEADER_BYTES = 52;
+  private static final int FRAME_HEADER_BYTES = 24;
+  private static final int ENTRY_HEADER_BYTES = 12;
 
-  /** A lost packet is sent again after so long, on a connection that is up, and on a new one. */
-  private static final long AGAIN_NANOS = SECOND / 5;
+  /** Delay of the first retransmission of a lost packet; the delay doubles each time. */
+  private static final long RETRANSMIT_NANOS = SECOND_NANOS / 5;
 
-  private static final long AGAIN_NEW_NANOS = SECOND;
-
-  /** Bytes of a packet's headers, and of a message beside its bodies. */
-  private static final int PACKET_BYTES = 52;
-
-  private static final int FRAME_BYTES = 24;
-  private static final int ENTRY_BYTES = 12;
-
-  /** When a node that was in contact all the time must have an entry. */
-  private static final long BOUND = 5 * SECOND;
-
-  private static final long TICK = SECOND / 10;
+  /** A node that has been in contact since an entry's commit must apply it within this time. */
+  private static final long MAX_APPLY_NANOS = 5 * SECOND_NANOS;
 
   /**
-   * What is played.
+   * The parameters of a simulation.
    *
-   * @param nodes that follow
-   * @param members that publish
-   * @param regions over which both are spread
-   * @param betweenNanos one way between two regions, at the most
-   * @param loss of a packet, as a part
-   * @param perSecond entries that are agreed on
-   * @param bodyBytes of each
-   * @param seconds for which entries come
-   * @param limits of the publishers
-   * @param followers makes the decisions of a node
+   * @param nodes the number of subscribers
+   * @param members the number of publishers
+   * @param regions the number of regions, over which nodes and members are spread evenly
+   * @param maxDelayNanos the longest one-way delay between two regions
+   * @param packetLoss the probability that a packet is lost
+   * @param seconds how long entries are committed
+   * @param subscribers creates the subscriber of each node
    */
   record Plan(
       int nodes,
       int members,
       int regions,
-      long betweenNanos,
-      double loss,
-      double perSecond,
+      long maxDelayNanos,
+      double packetLoss,
+      double entriesPerSecond,
       int bodyBytes,
       int seconds,
       ChangeFeedPublisher.Limits limits,
-      Followers followers,
+      Followers subscribers,
       long seed) {}
 
-  /** Makes the decisions of a node. */
   interface Followers {
-    ChangeFeedSubscriber make(int node, long seed, long now, ChangeFeedSubscriber.Output carrier);
+    ChangeFeedSubscriber create(int node, long seed, long now, ChangeFeedSubscriber.Output output);
   }
 
-  /** The decisions that are built, before so many members. */
+  /** Returns a factory of production subscribers to this many members. */
   static Followers real(int members) {
-    return (node, seed, now, carrier) ->
+    return (node, seed, now, output) ->
         new ChangeFeedSubscriber(
-            "g", "n" + node, members, seed, now, ChangeFeedSubscriber.Timeouts.DEFAULT, carrier);
+            "g", "n" + node, members, seed, now, ChangeFeedSubscriber.Timeouts.DEFAULT, output);
   }
 
   /**
-   * What was counted.
+   * The result of a simulation. Delays are counted for nodes in contact.
    *
-   * @param medianSeconds from an entry's yes until a node in contact has it, over all of both
-   * @param ninetyNinthSeconds the same, of 99 in 100
-   * @param lastSeconds the greatest, over entries, of the time until the last node had it
-   * @param bytesPerSecond to and from a node, headers included
-   * @param nodeMicros processor time of a node's decisions in a second
-   * @param memberMicros the same of a member's
-   * @param mostFollowers of one member
-   * @param mostOutBytes that were on their way from one member
-   * @param snapshots that were sent
-   * @param breaches of what must hold
+   * @param medianSeconds median delay from an entry's commit until a node has applied it
+   * @param ninetyNinthSeconds 99th percentile of this delay
+   * @param lastSeconds the greatest such delay
+   * @param bytesPerSecond bytes that a node sends and receives per second on average, with headers
+   * @param nodeMicros processor time of a node's subscriber per second, on average
+   * @param memberMicros processor time of a member's publisher per second, on average
+   * @param mostFollowers the greatest number of subscribers of one member
+   * @param mostOutBytes the greatest number of bytes that one member had in flight
+   * @param breaches the first 20 violations of the feed's guarantees
    */
   record Counted(
       double medianSeconds,
@@ -104,145 +94,147 @@
       long snapshots,
       List<String> breaches) {}
 
-  private record Event(long at, long order, Runnable what) {}
-
-  private record Logged(ChangeEntry entry, long before, long at) {}
-
   /** One connection of a node to a member. */
   private final class Connection {
-    final long number = ++connections;
+    final long id = ++connectionCount;
     final Node node;
     final Member member;
-    final int life;
-    final long delay;
-    long lastDown;
-    long lastUp;
-    boolean ended;
+    final int incarnation;
+    final long delayNanos;
+    long nodeArrivalNanos;
+    long memberArrivalNanos;
+    boolean isClosed;
 
     Connection(Node node, Member member) {
       this.node = node;
       this.member = member;
-      this.life = member.life;
-      boolean near = node.region == member.region;
-      this.delay =
-          near
-              ? SECOND / 1000
-              : plan.betweenNanos / 4 + random.nextLong(1 + 3 * plan.betweenNanos / 4);
+      this.incarnation = member.incarnation;
+      boolean isSameRegion = node.region == member.region;
+      this.delayNanos =
+          isSameRegion
+              ? SECOND_NANOS / 1000
+              : plan.maxDelayNanos / 4 + random.nextLong(1 + 3 * plan.maxDelayNanos / 4);
     }
 
-    /** Whether both ends still hold it. */
-    boolean stands() {
-      return !ended && member.alive && member.life == life;
+    /** Whether neither end has closed the connection. */
+    boolean isOpen() {
+      return !isClosed && member.isAlive && member.incarnation == incarnation;
     }
 
-    private long arrival(long last, long cutUntil) {
-      long at = Math.max(now, cutUntil) + delay;
-      if (cutUntil > now) {
-        at += AGAIN_NANOS + random.nextLong(SECOND);
+    private long arrivalNanos(long previousArrivalNanos, long cutUntilNanos) {
+      long atNanos = Math.max(now, cutUntilNanos) + delayNanos;
+      if (cutUntilNanos > now) {
+        atNanos += RETRANSMIT_NANOS + random.nextLong(SECOND_NANOS);
       }
-      for (long again = AGAIN_NANOS; random.nextDouble() < plan.loss; again *= 2) {
-        at += again;
+      long retransmitNanos = RETRANSMIT_NANOS;
+      for (; random.nextDouble() < plan.packetLoss; retransmitNanos *= 2) {
+        atNanos += retransmitNanos;
       }
-      return Math.max(at, last);
+      return Math.max(atNanos, previousArrivalNanos);
     }
 
-    void down(PublisherMessage told) {
-      node.bytes += bytes(told);
-      lastDown = arrival(lastDown, node.cutFrom[member.number]);
-      at(lastDown, () -> node.comes(this, told));
+    void sendToNode(PublisherMessage message) {
+      node.wireBytes += encodedBytes(message);
+      nodeArrivalNanos = arrivalNanos(nodeArrivalNanos, node.inboundCutUntilNanos[member.id]);
+      schedule(nodeArrivalNanos, () -> node.receive(this, message));
     }
 
-    void up(SubscriberMessage said) {
-      node.bytes += PACKET_BYTES + FRAME_BYTES;
-      lastUp = arrival(lastUp, node.cutTo[member.number]);
-      at(
-          lastUp,
+    void sendToMember(SubscriberMessage message) {
+      node.wireBytes += PACKET_HEADER_BYTES + FRAME_HEADER_BYTES;
+      memberArrivalNanos = arrivalNanos(memberArrivalNanos, node.outboundCutUntilNanos[member.id]);
+      schedule(
+          memberArrivalNanos,
           () -> {
-            if (stands()) {
-              long began = System.nanoTime();
-              member.publisher.received(now, number, said);
-              member.nanos += System.nanoTime() - began;
+            if (isOpen()) {
+              long startNanos = System.nanoTime();
+              member.publisher.received(now, id, message);
+              member.cpuNanos += System.nanoTime() - startNanos;
             }
           });
     }
 
-    /** The node lets go of it; the member hears of that if anything comes through. */
-    void closedByNode() {
-      ended = true;
-      if (node.cutTo[member.number] <= now && member.alive && member.life == life) {
-        at(Math.max(now + delay, lastUp), () -> member.hearsOfEnd(this));
+    /** Closes the node's end, and notifies the member unless the link to the member is cut. */
+    void closeAtNode() {
+      isClosed = true;
+      if (node.outboundCutUntilNanos[member.id] <= now
+          && member.isAlive
+          && member.incarnation == incarnation) {
+        schedule(Math.max(now + delayNanos, memberArrivalNanos), () -> member.onDisconnected(this));
       }
     }
   }
 
-  private static int bytes(PublisherMessage told) {
-    int bytes = PACKET_BYTES + FRAME_BYTES;
-    if (told instanceof PublisherMessage.Entries entries) {
+  private static int encodedBytes(PublisherMessage message) {
+    int bytes = PACKET_HEADER_BYTES + FRAME_HEADER_BYTES;
+    if (message instanceof PublisherMessage.Entries entries) {
       for (ChangeEntry entry : entries.entries()) {
-        bytes += ENTRY_BYTES + entry.body().length;
+        bytes += ENTRY_HEADER_BYTES + entry.body().length;
       }
-    } else if (told instanceof PublisherMessage.Snapshot snapshot) {
+    } else if (message instanceof PublisherMessage.Snapshot snapshot) {
       bytes += snapshot.state().length;
     }
-    // One header for each packet of 1,400 bytes.
-    return bytes + bytes / 1400 * PACKET_BYTES;
+    // Adds a header for each further packet; a packet carries up to 1,400 bytes.
+    return bytes + bytes / 1400 * PACKET_HEADER_BYTES;
   }
 
-  /** A member of the group: its part of the log, and who follows it. */
+  /** A member of the group, with its subscribers by connection id. */
   private final class Member implements ChangeFeedPublisher.Output {
-    final int number;
+    final int id;
     final int region;
-    final Map<Long, Connection> followers = new HashMap<>();
-    boolean alive = true;
-    int life;
-    int applied;
-    long behindUntil;
-    long nanos;
-    int mostFollowers;
-    long mostOutBytes;
+    final Map<Long, Connection> subscribers = new HashMap<>();
+    boolean isAlive = true;
+    int incarnation;
+    int appliedCount;
+
+    /** Until this time no other member reaches this one, nor a node if the machine is lost. */
+    long isolatedUntilNanos;
+
+    long cpuNanos;
+    int maxSubscribers;
+    long maxInFlightBytes;
     ChangeFeedPublisher publisher;
 
-    Member(int number) {
-      this.number = number;
-      this.region = number * plan.regions / plan.members;
-      begins();
+    Member(int id) {
+      this.id = id;
+      this.region = id * plan.regions / plan.members;
+      start();
     }
 
-    void begins() {
+    void start() {
       publisher = new ChangeFeedPublisher("g", now, plan.limits, this);
       publisher.setLeaderKnown(now, true);
-      followers.clear();
+      subscribers.clear();
     }
 
-    /** Applies what the group has agreed on, up to there. */
-    void learns(int upTo) {
-      if (!alive) {
+    /** Applies this many of the committed entries. */
+    void applyUpTo(int entryCount) {
+      if (!isAlive) {
         return;
       }
-      long began = System.nanoTime();
-      while (applied < upTo) {
-        publisher.entryApplied(now, log.get(applied++).entry);
+      long startNanos = System.nanoTime();
+      while (appliedCount < entryCount) {
+        publisher.entryApplied(now, log.get(appliedCount++).entry());
       }
-      nanos += System.nanoTime() - began;
-      mostFollowers = Math.max(mostFollowers, publisher.subscriberCount());
+      cpuNanos += System.nanoTime() - startNanos;
+      maxSubscribers = Math.max(maxSubscribers, publisher.subscriberCount());
     }
 
     @Override
-    public void send(long connection, PublisherMessage told) {
-      snapshots += told instanceof PublisherMessage.Snapshot ? 1 : 0;
-      Connection to = followers.get(connection);
-      if (to != null) {
-        to.down(told);
+    public void send(long connectionId, PublisherMessage message) {
+      snapshotCount += message instanceof PublisherMessage.Snapshot ? 1 : 0;
+      Connection target = subscribers.get(connectionId);
+      if (target != null) {
+        target.sendToNode(message);
       }
     }
 
     @Override
-    public void close(long connection) {
-      Connection dropped = followers.remove(connection);
-      if (dropped != null && !dropped.ended) {
-        at(
-            Math.max(now + dropped.delay, dropped.lastDown),
-            () -> dropped.node.connectionEnded(dropped));
+    public void close(long connectionId) {
+      Connection removedConnection = subscribers.remove(connectionId);
+      if (removedConnection != null && !removedConnection.isClosed) {
+        schedule(
+            Math.max(now + removedConnection.delayNanos, removedConnection.nodeArrivalNanos),
+            () -> removedConnection.node.onDisconnected(removedConnection));
       }
     }
 
@@ -251,124 +243,123 @@
       return new PublisherMessage.Snapshot(publisher.lastIndex(), new byte[2000]);
     }
 
-    void hearsOfEnd(Connection connection) {
-      if (followers.remove(connection.number) != null) {
-        publisher.disconnected(connection.number);
+    void onDisconnected(Connection connection) {
+      if (subscribers.remove(connection.id) != null) {
+        publisher.disconnected(connection.id);
       }
     }
   }
 
-  /** A node. */
+  /** A hollow node and its connection to a member. */
   private final class Node implements ChangeFeedSubscriber.Output {
-    final int number;
+    final int id;
     final int region;
-    final long[] cutFrom = new long[plan.members];
-    final long[] cutTo = new long[plan.members];
-    ChangeFeedSubscriber follower;
+    final long[] inboundCutUntilNanos = new long[plan.members];
+    final long[] outboundCutUntilNanos = new long[plan.members];
+    ChangeFeedSubscriber subscriber;
     Connection connection;
-    long bytes;
-    long nanos;
-
-    /** The last entry that is in force here, by the log, and when contact began or ended. */
-    long inForce;
-
-    boolean contact;
-    long contactSince;
-    long stoppedUntil;
+    long wireBytes;
+    long cpuNanos;
+    long appliedIndex;
+    boolean isInContact;
+    long contactChangedNanos;
+    long pausedUntilNanos;
 
-    Node(int number) {
-      this.number = number;
-      this.region = number % plan.regions;
-      begins();
+    Node(int id) {
+      this.id = id;
+      this.region = id % plan.regions;
+      start();
     }
 
-    /** A new process: it knows nothing. */
-    void begins() {
+    /** Starts a new process, which has not applied any entry yet. */
+    void start() {
       if (connection != null) {
-        connection.closedByNode();
+        connection.closeAtNode();
         connection = null;
       }
-      inForce = 0;
-      contact = false;
-      contactSince = now;
-      follower = plan.followers.make(number, random.nextLong(), now, this);
-      arm();
+      appliedIndex = 0;
+      isInContact = false;
+      contactChangedNanos = now;
+      subscriber = plan.subscribers.create(id, random.nextLong(), now, this);
+      scheduleTick();
     }
 
-    /** Runs it, or lets it wait until it goes on. */
-    void run(Consumer<ChangeFeedSubscriber> what) {
-      if (stoppedUntil > now) {
-        at(stoppedUntil, () -> run(what));
+    /** Calls the subscriber now, or at the end of the pause if the process is paused. */
+    void callSubscriber(Consumer<ChangeFeedSubscriber> call) {
+      if (pausedUntilNanos > now) {
+        schedule(pausedUntilNanos, () -> callSubscriber(call));
         return;
       }
-      long began = System.nanoTime();
-      what.accept(follower);
-      nanos += System.nanoTime() - began;
-      arm();
+      long startNanos = System.nanoTime();
+      call.accept(subscriber);
+      cpuNanos += System.nanoTime() - startNanos;
+      scheduleTick();
     }
 
-    private void arm() {
-      ChangeFeedSubscriber present = follower;
-      long due = present.nextTickNanos();
-      at(
-          Math.max(due, now),
+    private void scheduleTick() {
+      ChangeFeedSubscriber currentSubscriber = subscriber;
+      long tickNanos = currentSubscriber.nextTickNanos();
+      schedule(
+          Math.max(tickNanos, now),
           () -> {
-            if (present == follower && present.nextTickNanos() <= now) {
-              run(f -> f.tick(now));
+            if (currentSubscriber == subscriber && currentSubscriber.nextTickNanos() <= now) {
+              callSubscriber(s -> s.tick(now));
             }
           });
     }
 
-    void comes(Connection from, PublisherMessage told) {
-      if (from == connection && !from.ended) {
-        run(
-            f -> {
-              if (from == connection) {
-                f.received(now, told);
+    void receive(Connection source, PublisherMessage message) {
+      if (source == connection && !source.isClosed) {
+        callSubscriber(
+            s -> {
+              if (source == connection) {
+                s.received(now, message);
               }
             });
       }
     }
 
-    void connectionEnded(Connection ended) {
-      if (ended == connection) {
+    void onDisconnected(Connection source) {
+      if (source == connection) {
         connection = null;
-        ended.ended = true;
-        run(f -> f.disconnected(now));
+        source.isClosed = true;
+        callSubscriber(s -> s.disconnected(now));
       }
     }
 
     @Override
     public void connect(int member) {
       close();
-      Member to = members.get(member);
-      Connection made = new Connection(this, to);
-      connection = made;
-      bytes += 3 * PACKET_BYTES;
-      if (cutFrom[member] > now || cutTo[member] > now || (!to.alive && to.behindUntil > now)) {
-        // Nothing comes back.
+      Member targetMember = members.get(member);
+      Connection newConnection = new Connection(this, targetMember);
+      connection = newConnection;
+      wireBytes += 3 * PACKET_HEADER_BYTES;
+      if (inboundCutUntilNanos[member] > now
+          || outboundCutUntilNanos[member] > now
+          || (!targetMember.isAlive && targetMember.isolatedUntilNanos > now)) {
+        // No packet comes back, and the subscriber's timeout ends the attempt.
         return;
       }
-      long syn = random.nextDouble() < 2 * plan.loss ? AGAIN_NEW_NANOS : 0;
-      if (!to.alive) {
-        at(now + 2 * made.delay, () -> connectionEnded(made));
+      long synDelayNanos = random.nextDouble() < 2 * plan.packetLoss ? SYN_RETRANSMIT_NANOS : 0;
+      if (!targetMember.isAlive) {
+        schedule(now + 2 * newConnection.delayNanos, () -> onDisconnected(newConnection));
         return;
       }
-      at(
-          now + syn + 2 * made.delay,
+      schedule(
+          now + synDelayNanos + 2 * newConnection.delayNanos,
           () -> {
-            if (made != connection) {
+            if (newConnection != connection) {
               return;
             }
-            if (!made.stands()) {
-              connectionEnded(made);
+            if (!newConnection.isOpen()) {
+              onDisconnected(newConnection);
               return;
             }
-            to.followers.put(made.number, made);
-            run(
-                f -> {
-                  if (made == connection) {
-                    f.connected(now);
+            targetMember.subscribers.put(newConnection.id, newConnection);
+            callSubscriber(
+                s -> {
+                  if (newConnection == connection) {
+                    s.connected(now);
                   }
                 });
           });
@@ -377,291 +368,293 @@
     @Override
     public void close() {
       if (connection != null) {
-        connection.closedByNode();
+        connection.closeAtNode();
         connection = null;
       }
     }
 
     @Override
-    public void send(SubscriberMessage said) {
+    public void send(SubscriberMessage message) {
       if (connection != null) {
-        connection.up(said);
+        connection.sendToMember(message);
       }
     }
 
     @Override
     public void apply(ChangeEntry entry) {
-      int place = (int) (entry.index() / 2) - 1;
-      if (log.get(place).before != inForce) {
-        breach("node %d has entry %d after %d".formatted(number, entry.index(), inForce));
+      // Published entries have the indexes 2, 4, 6 ...
+      int logPosition = (int) (entry.index() / 2) - 1;
+      if (log.get(logPosition).previousIndex() != appliedIndex) {
+        addViolation(
+            "node %d applied entry %d after entry %d".formatted(id, entry.index(), appliedIndex));
       }
-      takes(entry.index());
+      advanceTo(entry.index());
     }
 
     @Override
-    public boolean installSnapshot(long index, byte[] image) {
-      takes(index);
+    public boolean installSnapshot(long index, byte[] state) {
+      advanceTo(index);
       return true;
     }
 
-    private void takes(long index) {
-      if (index <= inForce) {
-        breach("node %d goes back from %d to %d".formatted(number, inForce, index));
+    private void advanceTo(long index) {
+      if (index <= appliedIndex) {
+        addViolation("node %d went back from entry %d to %d".formatted(id, appliedIndex, index));
       }
-      for (int place = (int) (inForce / 2); place < index / 2; place++) {
-        long took = now - log.get(place).at;
-        if (contact) {
-          times.add(took);
-          last[place] = Math.max(last[place], took);
+      for (int logPosition = (int) (appliedIndex / 2); logPosition < index / 2; logPosition++) {
+        long delayNanos = now - log.get(logPosition).committedNanos();
+        if (isInContact) {
+          applyDelaysNanos.add(delayNanos);
+          maxApplyDelaysNanos[logPosition] = Math.max(maxApplyDelaysNanos[logPosition], delayNanos);
         }
       }
-      inForce = index;
+      appliedIndex = index;
     }
 
     @Override
-    public void contactChanged(boolean in) {
-      contact = in;
-      contactSince = now;
+    public void contactChanged(boolean isInContact) {
+      this.isInContact = isInContact;
+      contactChangedNanos = now;
     }
 
     @Override
-    public void rejected(int member, String why) {}
+    public void rejected(int member, String reason) {}
   }
 
   private final Plan plan;
   private final SplittableRandom random;
-  private final PriorityQueue<Event> events =
-      new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private final List<Logged> log = new ArrayList<>();
+  private final PriorityQueue<FeedEvent> events = new PriorityQueue<>();
+  private final List<LoggedEntry> log = new ArrayList<>();
   private final List<Member> members = new ArrayList<>();
   private final List<Node> nodes = new ArrayList<>();
-  private final List<Long> times = new ArrayList<>();
-  private final List<String> breaches = new ArrayList<>();
-  private final long[] last;
+  private final List<Long> applyDelaysNanos = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
+  private final long[] maxApplyDelaysNanos;
   private long now;
-  private long order;
-  private long connections;
-  private long snapshots;
-
-  /** Nothing is agreed on until then. */
-  private long noLeaderUntil;
-
-  private int leader;
+  private long nextSequenceNumber;
+  private long connectionCount;
+  private long snapshotCount;
+  private long noLeaderUntilNanos;
+  private int leaderId;
 
   HollowFeed(Plan plan) {
     this.plan = plan;
     this.random = new SplittableRandom(plan.seed);
-    this.last = new long[(int) (plan.seconds * plan.perSecond) + 2];
+    this.maxApplyDelaysNanos = new long[(int) (plan.seconds * plan.entriesPerSecond) + 2];
     for (int member = 0; member < plan.members; member++) {
       members.add(new Member(member));
     }
     for (int node = 0; node < plan.nodes; node++) {
       nodes.add(new Node(node));
     }
-    at(TICK, this::tick);
+    schedule(TICK_NANOS, this::tick);
   }
 
-  private void at(long time, Runnable what) {
-    events.add(new Event(Math.max(time, now), order++, what));
+  private void schedule(long atNanos, Runnable action) {
+    events.add(new FeedEvent(Math.max(atNanos, now), nextSequenceNumber++, action));
   }
 
-  private void breach(String text) {
-    if (breaches.size() < 20) {
-      breaches.add("%.3f s: ".formatted(now / 1e9) + text);
+  private void addViolation(String violation) {
+    if (violations.size() < 20) {
+      violations.add("%.3f s: ".formatted(now / 1e9) + violation);
     }
   }
 
   private void tick() {
     for (Member member : members) {
-      if (member.alive) {
-        long began = System.nanoTime();
-        member.publisher.setLeaderKnown(now, member.behindUntil <= now && noLeaderUntil <= now);
+      if (member.isAlive) {
+        long startNanos = System.nanoTime();
+        member.publisher.setLeaderKnown(
+            now, member.isolatedUntilNanos <= now && noLeaderUntilNanos <= now);
         member.publisher.tick(now);
-        member.nanos += System.nanoTime() - began;
-        member.mostOutBytes = Math.max(member.mostOutBytes, member.publisher.inFlightBytes());
+        member.cpuNanos += System.nanoTime() - startNanos;
+        member.maxInFlightBytes =
+            Math.max(member.maxInFlightBytes, member.publisher.inFlightBytes());
       }
     }
-    at(now + TICK, this::tick);
+    schedule(now + TICK_NANOS, this::tick);
   }
 
-  /** An entry is agreed on: its yes is given now. */
-  private void agree() {
-    if (noLeaderUntil > now || !members.get(leader).alive) {
-      at(Math.max(noLeaderUntil, now + TICK), this::agree);
+  /** Commits an entry now, or after the election, since a group without a leader commits none. */
+  private void commitEntry() {
+    if (noLeaderUntilNanos > now || !members.get(leaderId).isAlive) {
+      schedule(Math.max(noLeaderUntilNanos, now + TICK_NANOS), this::commitEntry);
       return;
     }
-    long before = log.isEmpty() ? 0 : log.get(log.size() - 1).entry.index();
-    // Every second place of the log is none of the feed's.
-    ChangeEntry entry = new ChangeEntry(before + 2, new byte[plan.bodyBytes]);
-    log.add(new Logged(entry, before, now));
-    int upTo = log.size();
+    long previousIndex = log.isEmpty() ? 0 : log.get(log.size() - 1).entry().index();
+    // Every second index of the log belongs to an entry that is not published.
+    ChangeEntry entry = new ChangeEntry(previousIndex + 2, new byte[plan.bodyBytes]);
+    log.add(new LoggedEntry(entry, previousIndex, now));
+    int count = log.size();
     for (Member member : members) {
-      long delay =
-          member.number == leader
+      long delayNanos =
+          member.id == leaderId
               ? 0
-              : plan.betweenNanos / 4 + random.nextLong(1 + plan.betweenNanos);
-      at(Math.max(now + delay, member.behindUntil), () -> hears(member, upTo));
+              : plan.maxDelayNanos / 4 + random.nextLong(1 + plan.maxDelayNanos);
+      schedule(
+          Math.max(now + delayNanos, member.isolatedUntilNanos), () -> receiveLog(member, count));
     }
-    long agreedAt = now;
-    at(
-        now + BOUND,
+    long committedNanos = now;
+    schedule(
+        now + MAX_APPLY_NANOS,
         () -> {
           for (Node node : nodes) {
-            boolean all = node.contact && node.contactSince <= agreedAt && node.stoppedUntil <= now;
-            if (all && node.inForce < entry.index()) {
-              breach(
-                  "node %d is in contact and lacks entry %d".formatted(node.number, entry.index()));
+            boolean wasInContact = node.isInContact && node.contactChangedNanos <= committedNanos;
+            if (wasInContact && node.pausedUntilNanos <= now && node.appliedIndex < entry.index()) {
+              addViolation(
+                  "node %d is in contact and lacks entry %d".formatted(node.id, entry.index()));
             }
           }
         });
   }
 
-  private void hears(Member member, int upTo) {
-    if (member.behindUntil > now) {
-      at(member.behindUntil, () -> hears(member, upTo));
+  private void receiveLog(Member member, int entryCount) {
+    if (member.isolatedUntilNanos > now) {
+      schedule(member.isolatedUntilNanos, () -> receiveLog(member, entryCount));
     } else {
-      member.learns(upTo);
+      member.applyUpTo(entryCount);
     }
   }
 
-  // What may go wrong.
-
-  /** A member's machine vanishes without a word, for so long; it comes back with its log. */
-  void vanish(long time, int member, long nanos) {
-    at(time, () -> end(members.get(member), nanos, true));
+  /** Makes a member's machine unreachable for a duration; the member then restarts with its log. */
+  void vanish(long atNanos, int member, long durationNanos) {
+    schedule(atNanos, () -> stopMember(members.get(member), durationNanos, true));
   }
 
-  /** A member's process is killed, for so long. */
-  void kill(long time, int member, long nanos) {
-    at(time, () -> end(members.get(member), nanos, false));
+  /** Kills a member's process, which restarts with its log after a duration. */
+  void kill(long atNanos, int member, long durationNanos) {
+    schedule(atNanos, () -> stopMember(members.get(member), durationNanos, false));
   }
 
-  private void end(Member member, long nanos, boolean silent) {
-    if (!member.alive) {
+  private void stopMember(Member member, long durationNanos, boolean isUnreachable) {
+    if (!member.isAlive) {
       return;
     }
-    member.alive = false;
-    member.life++;
-    member.behindUntil = silent ? now + nanos : 0;
-    if (!silent) {
-      for (Connection connection : List.copyOf(member.followers.values())) {
-        at(now + connection.delay, () -> connection.node.connectionEnded(connection));
+    member.isAlive = false;
+    member.incarnation++;
+    member.isolatedUntilNanos = isUnreachable ? now + durationNanos : 0;
+    if (!isUnreachable) {
+      for (Connection connection : List.copyOf(member.subscribers.values())) {
+        schedule(now + connection.delayNanos, () -> connection.node.onDisconnected(connection));
       }
     }
-    if (member.number == leader) {
-      noLeaderUntil = now + SECOND + random.nextLong(SECOND / 2);
-      leader = (leader + 1) % plan.members;
+    if (member.id == leaderId) {
+      noLeaderUntilNanos = now + SECOND_NANOS + random.nextLong(SECOND_NANOS / 2);
+      leaderId = (leaderId + 1) % plan.members;
     }
-    at(
-        now + nanos,
+    schedule(
+        now + durationNanos,
         () -> {
-          member.alive = true;
-          member.behindUntil = 0;
-          member.begins();
-          // From its disk, a little behind; the rest comes from the others.
-          int known = member.applied;
-          member.applied = 0;
-          member.learns(Math.max(0, known - 3));
-          at(now + SECOND / 2, () -> member.learns(log.size()));
+          member.isAlive = true;
+          member.isolatedUntilNanos = 0;
+          member.start();
+          // The member's disk lacks the last 3 entries; other members send them 0.5 s later.
+          int storedCount = member.appliedCount;
+          member.appliedCount = 0;
+          member.applyUpTo(Math.max(0, storedCount - 3));
+          schedule(now + SECOND_NANOS / 2, () -> member.applyUpTo(log.size()));
         });
   }
 
-  /** A member hears nothing of the others for so long, and followers still hear it. */
-  void alone(long time, int member, long nanos) {
-    at(
-        time,
+  /** Isolates a member from the other members, but not from subscribers, for a duration. */
+  void alone(long atNanos, int member, long durationNanos) {
+    schedule(
+        atNanos,
         () -> {
-          Member cut = members.get(member);
-          if (cut.alive && member != leader) {
-            cut.behindUntil = Math.max(cut.behindUntil, now + nanos);
+          Member target = members.get(member);
+          if (target.isAlive && member != leaderId) {
+            target.isolatedUntilNanos = Math.max(target.isolatedUntilNanos, now + durationNanos);
           }
         });
   }
 
-  /** Nodes of a region and all members, or one, lose each other, one way or both. */
-  void cut(long time, int region, int member, boolean to, boolean from, long nanos) {
-    at(
-        time,
+  /** Cuts links of a region's nodes to and/or from a member, or all members if member is -1. */
+  void cut(
+      long atNanos, int region, int member, boolean cutsTo, boolean cutsFrom, long durationNanos) {
+    schedule(
+        atNanos,
         () -> {
           for (Node node : nodes) {
-            for (int other = 0; other < plan.members && node.region == region; other++) {
-              if (member < 0 || member == other) {
-                node.cutTo[other] = to ? now + nanos : node.cutTo[other];
-                node.cutFrom[other] = from ? now + nanos : node.cutFrom[other];
+            for (int id = 0; id < plan.members && node.region == region; id++) {
+              if (member < 0 || member == id) {
+                node.outboundCutUntilNanos[id] =
+                    cutsTo ? now + durationNanos : node.outboundCutUntilNanos[id];
+                node.inboundCutUntilNanos[id] =
+                    cutsFrom ? now + durationNanos : node.inboundCutUntilNanos[id];
               }
             }
           }
         });
   }
 
-  /** A node's process stands still for so long. */
-  void stop(long time, int node, long nanos) {
-    at(
-        time,
+  void stop(long atNanos, int node, long durationNanos) {
+    schedule(
+        atNanos,
         () -> {
-          Node stopped = nodes.get(node);
-          stopped.stoppedUntil = Math.max(stopped.stoppedUntil, now + nanos);
+          Node pausedNode = nodes.get(node);
+          pausedNode.pausedUntilNanos = Math.max(pausedNode.pausedUntilNanos, now + durationNanos);
         });
   }
 
-  /** A node's process starts anew. */
-  void restart(long time, int node) {
-    at(
-        time,
+  void restart(long atNanos, int node) {
+    schedule(
+        atNanos,
         () -> {
-          nodes.get(node).stoppedUntil = 0;
-          nodes.get(node).begins();
+          nodes.get(node).pausedUntilNanos = 0;
+          nodes.get(node).start();
         });
   }
 
-  /** Plays it to its end, and some seconds on, in which all come to know all. */
-  Counted play(long calmNanos) {
-    long gap = (long) (SECOND / plan.perSecond);
-    int entries = (int) (plan.seconds * plan.perSecond);
-    for (int i = 0; i < entries; i++) {
-      at(SECOND + i * gap + random.nextLong(gap), this::agree);
-    }
-    long end = (plan.seconds + 1) * SECOND + calmNanos;
-    while (!events.isEmpty() && events.peek().at <= end) {
-      Event event = events.poll();
-      now = event.at;
-      event.what.run();
-    }
-    now = end;
-    long head = log.get(log.size() - 1).entry.index();
+  /** Runs the simulation, then a time without new entries, in which nodes catch up. */
+  Counted play(long settleNanos) {
+    long periodNanos = (long) (SECOND_NANOS / plan.entriesPerSecond);
+    int totalEntries = (int) (plan.seconds * plan.entriesPerSecond);
+    for (int i = 0; i < totalEntries; i++) {
+      schedule(SECOND_NANOS + i * periodNanos + random.nextLong(periodNanos), this::commitEntry);
+    }
+    long endNanos = (plan.seconds + 1) * SECOND_NANOS + settleNanos;
+    while (!events.isEmpty() && events.peek().atNanos() <= endNanos) {
+      FeedEvent event = events.poll();
+      now = event.atNanos();
+      event.action().run();
+    }
+    now = endNanos;
+    long lastIndex = log.get(log.size() - 1).entry().index();
     for (Node node : nodes) {
-      if (node.inForce != head || !node.contact) {
-        breach("node %d ends with entry %d of %d".formatted(node.number, node.inForce, head));
+      if (node.appliedIndex != lastIndex || !node.isInContact) {
+        addViolation(
+            "node %d ended at entry %d of %d".formatted(node.id, node.appliedIndex, lastIndex));
       }
     }
-    return counted();
+    return createResult();
   }
 
-  private double part(double part) {
-    return times.isEmpty() ? 0 : times.get((int) (part * (times.size() - 1))) / 1e9;
+  private double percentileSeconds(double fraction) {
+    return applyDelaysNanos.isEmpty()
+        ? 0
+        : applyDelaysNanos.get((int) (fraction * (applyDelaysNanos.size() - 1))) / 1e9;
   }
 
-  private Counted counted() {
-    Collections.sort(times);
-    long latest = 0;
-    for (long time : last) {
-      latest = Math.max(latest, time);
+  private Counted createResult() {
+    Collections.sort(applyDelaysNanos);
+    long maxApplyDelayNanos = 0;
+    for (long entryDelayNanos : maxApplyDelaysNanos) {
+      maxApplyDelayNanos = Math.max(maxApplyDelayNanos, entryDelayNanos);
     }
     double seconds = now / 1e9;
-    double bytes = nodes.stream().mapToLong(node -> node.bytes).sum();
-    double nodeNanos = nodes.stream().mapToLong(node -> node.nanos).sum();
-    double memberNanos = members.stream().mapToLong(member -> member.nanos).sum();
+    double bytes = nodes.stream().mapToLong(node -> node.wireBytes).sum();
+    double nodeNanos = nodes.stream().mapToLong(node -> node.cpuNanos).sum();
+    double memberNanos = members.stream().mapToLong(member -> member.cpuNanos).sum();
     return new Counted(
-        part(0.5),
-        part(0.99),
-        latest / 1e9,
+        percentileSeconds(0.5),
+        percentileSeconds(0.99),
+        maxApplyDelayNanos / 1e9,
         bytes / plan.nodes / seconds,
         nodeNanos / 1000 / plan.nodes / seconds,
         memberNanos / 1000 / plan.members / seconds,
-        members.stream().mapToInt(member -> member.mostFollowers).max().orElse(0),
-        members.stream().mapToLong(member -> member.mostOutBytes).max().orElse(0),
-        snapshots,
-        breaches);
+        members.stream().mapToInt(member -> member.maxSubscribers).max().orElse(0),
+        members.stream().mapToLong(member -> member.maxInFlightBytes).max().orElse(0),
+        snapshotCount,
+        violations);
   }
 }
