--- a/capacity/src/main/java/shalepaddle/capacity/HollowFleet.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowFleet.java
@@ -16,42 +16,54 @@
 import shalepaddle.policy.RequestRouter;
 
 /**
- * Hollow nodes: the real decisions of many balancers before servers that are a set of keys and a
- * time to answer each. Virtual time, one thread, a fixed seed. First the caches fill, then it is
- * counted, then a zone's servers start anew and cold, and what all nodes together send them is set
- * against rule 4.
+ * Simulates a fleet of hollow nodes, with the production router in each, and cache servers that are
+ * modelled as a set of cached keys and two response times. The simulation runs in virtual time, in
+ * seconds, on one thread and with a fixed seed. First the caches fill, then the figures are
+ * counted, then the servers of one zone restart with empty caches. The load from all nodes on the
+ * restarted servers is compared with the overload limit of slow start: a server fails after
+ * {@link HollowSettings#OVERLOAD_FOR} seconds of load at {@link HollowSettings#OVERLOAD_FACTOR}
+ * times its present capacity. {@code RuleChecker} in the tests of core checks the same limit as its
+ * rule 4.
  */
 final class HollowFleet {
-  /** Keys that are asked for, by Zipf's law with an exponent of one (assumed). */
+  /** Number of different keys, which are drawn by Zipf's law with an exponent of one (assumed). */
   static final int KEYS = 1 << 18;
 
-  /** Seconds in which a server answers what it holds, and what it has to fetch (assumed). */
+  /** Response time of a server for a key that it has cached (assumed). */
   private static final double HIT_SECONDS = 0.048;
 
+  /** Response time of a server for a key that it has to fetch (assumed). */
   private static final double MISS_SECONDS = 0.15;
 
-  /** Seconds over which nodes hear of a change of the list (assumed). */
-  private static final double TOLD_WITHIN = 1;
+  /** Time until every node has learnt of a change of the endpoint list (assumed). */
+  private static final double MAX_LIST_DELAY_SECONDS = 1;
 
-  /** Timers of single requests, which all are answered in time here, are even and not zero. */
-  private static final long HELD = 1;
+  /**
+   * The bit that a router sets in the tokens of hold timers. A hold timer ends the time for which a
+   * read waits for a fetch before it is sent. A router's other timers have even tokens and are not
+   * simulated; deadline timers are not needed because every read that is sent is answered in time.
+   */
+  private static final long HOLD_FLAG = 1;
 
-  /** No balancer sets it: the node hears of a change of the list. */
-  private static final long NEWS = Long.MIN_VALUE;
+  /** Token of the event that a node receives the new endpoint list; no timer has this token. */
+  private static final long LIST_UPDATE_TOKEN = Long.MIN_VALUE;
 
   /**
-   * What was counted.
+   * The result of a simulation.
    *
-   * @param awayPart of the reads, those that went to another server than the key's first
-   * @param refusedPart those that were refused
-   * @param missPart those that a server did not hold
-   * @param copies servers that hold a key, in the mean over the keys that any holds
-   * @param microsPerRead processor time of the decisions on a read
-   * @param nodesPerServer nodes that asked a server within the time that was counted, the mean
-   * @param coldPart the most that a cold server got within the contract's window, as a part of what
-   *     pushes it over by rule 4, with its allowance for chance
-   * @param coldCallers the most nodes that asked one cold server for the first time in one second
-   * @param bytesPerNode heap that a node holds
+   * @param awayPart the fraction of reads that were sent to another server than the key's first
+   *     choice
+   * @param refusedPart the fraction of reads that were rejected or failed
+   * @param missPart the fraction of reads that missed in the cache
+   * @param copies mean number of servers that have a key cached, over all cached keys
+   * @param microsPerRead processor time of the routing decisions per read
+   * @param nodesPerServer mean number of nodes that sent reads to a server
+   * @param coldPart the greatest number of reads sent to a restarted server within
+   *     {@link HollowSettings#OVERLOAD_FOR} seconds, as a fraction of the number that overloads the
+   *     server. Two standard deviations and two reads are added to this limit for random variation.
+   * @param coldCallers the greatest number of nodes that sent their first read to one restarted
+   *     server within one second
+   * @param bytesPerNode heap per node
    */
   record Counted(
       double awayPart,
@@ -64,301 +76,340 @@
       double coldCallers,
       double bytesPerNode) {}
 
-  /** How long each part of a play takes, in seconds. */
+  /**
+   * The phases of a simulation, in seconds of virtual time.
+   *
+   * @param warm how long the caches fill
+   * @param counted how long the figures are counted
+   * @param cold how long the simulation goes on after the servers of one zone have restarted
+   */
   record Parts(double warm, double counted, double cold) {
-    double all() {
+    double totalSeconds() {
       return warm + counted + cold;
     }
   }
 
-  /** A read that a node has sent. Its id ends in its key: it may have waited since it was asked. */
-  private record Sent(int node, String id, int server) {}
+  /**
+   * A read that a node has sent. The read's key is the end of its id, since the router may send a
+   * read some time after the read's arrival.
+   */
+  private record SentRead(int node, String id, int server) {}
 
-  /** An answer that comes, or a timer that is due. */
-  private record Event(double at, int node, String id, int server, long token, boolean miss) {}
+  /**
+   * A scheduled event at a node.
+   *
+   * @param id the id of the read whose answer arrives, null for a timer
+   * @param token the timer's token, or {@link #LIST_UPDATE_TOKEN}
+   */
+  private record Event(
+      double atSeconds, int node, String id, int server, long token, boolean isMiss) {}
 
   private final FleetSize size;
-  private final Parts parts;
+  private final Parts simulationPhases;
   private final SplittableRandom random;
   private final PriorityQueue<Event> events =
-      new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
-  private final RequestRouter[] nodes;
-
-  /** Learns each key's first server: it is idle, and so sends nothing anywhere else. */
-  private final RequestRouter idle;
-
-  private final int[] homes = new int[KEYS];
-  private final Map<Long, Integer> numbers = new HashMap<>();
-  private final long[] ids;
-  private final BitSet[] held;
-  private final BitSet[] askers;
-  private final List<ArrayDeque<Double>> coldSends = new ArrayList<>();
-  private final List<BitSet> coldAskers = new ArrayList<>();
-  private final List<int[]> coldCalls = new ArrayList<>();
+      new PriorityQueue<>((a, b) -> Double.compare(a.atSeconds, b.atSeconds));
+  private final RequestRouter[] routers;
+
+  /** Determines each key's first-choice server: without load it sends every read there. */
+  private final RequestRouter idleRouter;
+
+  /** The first-choice server of each key, -1 if not determined yet. */
+  private final int[] firstChoices = new int[KEYS];
+
+  private final Map<Long, Integer> serverIndexById = new HashMap<>();
+  private final long[] serverIds;
+  private final BitSet[] cachedKeys;
+
+  /** The nodes that sent reads to each server while the figures were counted. */
+  private final BitSet[] requestingNodes;
+
+  /** The times at which reads were sent to each restarted server in the last overload window. */
+  private final List<ArrayDeque<Double>> coldSendSeconds = new ArrayList<>();
+
+  /** The nodes that sent reads to each restarted server. */
+  private final List<BitSet> coldRequestingNodes = new ArrayList<>();
+
+  /** How many nodes sent their first read to each restarted server, by second since restart. */
+  private final List<int[]> newCallersBySecond = new ArrayList<>();
+
   private double now;
-  private boolean counting;
+  private boolean isCounting;
 
-  /** When the cold ones started, infinite before. */
-  private double coldAt = Double.POSITIVE_INFINITY;
+  /** The time at which the servers of the first zone restarted, infinite before the restart. */
+  private double restartSeconds = Double.POSITIVE_INFINITY;
 
-  private long reads;
-  private long away;
-  private long refused;
-  private long misses;
-  private long busyNanos;
-  private double copies;
-  private double coldPart;
-  private double coldCallers;
-  private int serial;
+  private long countedReads;
+  private long otherServerReads;
+  private long rejectedReads;
+  private long missedReads;
+  private long decisionNanos;
+  private double copiesPerKey;
+  private double restartLoadRatio;
+  private double maxNewCallersPerSecond;
+  private int nextReadNumber;
 
-  /** What nodes are told of the cold servers' start. */
-  private MembershipUpdate news;
+  /** The endpoint list update after the restart of the first zone's servers. */
+  private MembershipUpdate listUpdate;
 
-  /** What the call to a node's decisions that is under way has sent. */
-  private final List<Sent> sent = new ArrayList<>();
+  /** The reads sent by the current call of a router. */
+  private final List<SentRead> sentReads = new ArrayList<>();
 
-  private HollowFleet(FleetSize size, Parts parts, long seed) {
+  private HollowFleet(FleetSize size, Parts simulationPhases, long seed) {
     this.size = size;
-    this.parts = parts;
+    this.simulationPhases = simulationPhases;
     this.random = new SplittableRandom(seed);
-    nodes = new RequestRouter[size.nodes()];
-    ids = new long[size.servers()];
-    held = new BitSet[size.servers()];
-    askers = new BitSet[size.servers()];
+    routers = new RequestRouter[size.nodes()];
+    serverIds = new long[size.servers()];
+    cachedKeys = new BitSet[size.servers()];
+    requestingNodes = new BitSet[size.servers()];
     for (int server = 0; server < size.servers(); server++) {
-      ids[server] = HollowSettings.id(server);
-      numbers.put(ids[server], server);
-      held[server] = new BitSet(KEYS);
-      askers[server] = new BitSet(size.nodes());
-      coldSends.add(new ArrayDeque<>());
-      coldAskers.add(new BitSet(size.nodes()));
-      coldCalls.add(new int[(int) Math.ceil(parts.cold()) + 1]);
+      serverIds[server] = HollowSettings.id(server);
+      serverIndexById.put(serverIds[server], server);
+      cachedKeys[server] = new BitSet(KEYS);
+      requestingNodes[server] = new BitSet(size.nodes());
+      coldSendSeconds.add(new ArrayDeque<>());
+      coldRequestingNodes.add(new BitSet(size.nodes()));
+      newCallersBySecond.add(new int[(int) Math.ceil(simulationPhases.cold()) + 1]);
     }
     for (int node = 0; node < size.nodes(); node++) {
-      nodes[node] =
-          new RequestRouter(HollowSettings.of(node, size, false), seed + node, new Carried(node));
-      nodes[node].onMembershipUpdate(now, list(MembershipUpdate.Kind.FULL, 0));
+      routers[node] =
+          new RequestRouter(
+              HollowSettings.of(node, size, false), seed + node, new NodeActions(node));
+      routers[node].onMembershipUpdate(now, createListUpdate(MembershipUpdate.Kind.FULL, 0));
     }
-    idle = new RequestRouter(HollowSettings.of(0, size, false), seed, new Carried(-1));
-    idle.onMembershipUpdate(now, list(MembershipUpdate.Kind.FULL, 0));
-    Arrays.fill(homes, -1);
+    idleRouter = new RequestRouter(HollowSettings.of(0, size, false), seed, new NodeActions(-1));
+    idleRouter.onMembershipUpdate(now, createListUpdate(MembershipUpdate.Kind.FULL, 0));
+    Arrays.fill(firstChoices, -1);
   }
 
-  /** Plays one fleet. */
-  static Counted play(FleetSize size, Parts parts, long seed) {
-    long before = usedHeap();
-    HollowFleet fleet = new HollowFleet(size, parts, seed);
-    fleet.play();
+  /** Simulates one fleet in all phases. */
+  static Counted play(FleetSize size, Parts simulationPhases, long seed) {
+    long heapBytesBefore = measureUsedHeapBytes();
+    HollowFleet fleet = new HollowFleet(size, simulationPhases, seed);
+    fleet.run();
     fleet.events.clear();
-    // What stands for servers is no node's.
-    Arrays.fill(fleet.held, null);
-    double bytes = (double) (usedHeap() - before) / size.nodes();
-    return fleet.counted(bytes);
+    // The modelled caches do not count as memory of a node.
+    Arrays.fill(fleet.cachedKeys, null);
+    double bytesPerNode = (double) (measureUsedHeapBytes() - heapBytesBefore) / size.nodes();
+    return fleet.createResult(bytesPerNode);
   }
 
-  private static long usedHeap() {
+  private static long measureUsedHeapBytes() {
     System.gc();
     Runtime runtime = Runtime.getRuntime();
     return runtime.totalMemory() - runtime.freeMemory();
   }
 
-  /** The servers of the first zone, or all of them. */
-  private MembershipUpdate list(MembershipUpdate.Kind kind, double startedAt) {
+  /** Returns the entries of all servers, or for a delta those of the first zone. */
+  private MembershipUpdate createListUpdate(MembershipUpdate.Kind kind, double startedAtSeconds) {
     List<ServerEntry> entries = new ArrayList<>();
-    for (int server = 0; server < ids.length; server++) {
-      boolean first = server % size.zones() == 0;
-      if (kind == MembershipUpdate.Kind.FULL || first) {
-        entries.add(HollowSettings.entry(server, size, startedAt));
+    for (int server = 0; server < serverIds.length; server++) {
+      boolean isInFirstZone = server % size.zones() == 0;
+      if (kind == MembershipUpdate.Kind.FULL || isInFirstZone) {
+        entries.add(HollowSettings.entry(server, size, startedAtSeconds));
       }
     }
     return new MembershipUpdate(kind, 1, entries);
   }
 
-  private boolean cold(int server) {
-    return now >= coldAt && server % size.zones() == 0;
+  private boolean isRestarted(int server) {
+    return now >= restartSeconds && server % size.zones() == 0;
   }
 
-  private void play() {
-    double end = parts.warm() + parts.counted();
-    run(parts.warm());
-    counting = true;
-    run(end);
-    counting = false;
-    copies = copies();
-    coldAt = end;
-    for (int server = 0; server < ids.length; server++) {
-      if (cold(server)) {
-        held[server].clear();
+  private void run() {
+    double countedUntilSeconds = simulationPhases.warm() + simulationPhases.counted();
+    runUntil(simulationPhases.warm());
+    isCounting = true;
+    runUntil(countedUntilSeconds);
+    isCounting = false;
+    copiesPerKey = meanCopiesPerKey();
+    restartSeconds = countedUntilSeconds;
+    for (int server = 0; server < serverIds.length; server++) {
+      if (isRestarted(server)) {
+        cachedKeys[server].clear();
       }
     }
-    news = list(MembershipUpdate.Kind.DELTA, coldAt);
-    // Each node hears of it at a time of its own: a timer that no balancer has set.
-    for (int node = 0; node < nodes.length; node++) {
+    listUpdate = createListUpdate(MembershipUpdate.Kind.DELTA, restartSeconds);
+    // Each node receives the update after its own random delay.
+    for (int node = 0; node < routers.length; node++) {
       events.add(
-          new Event(coldAt + random.nextDouble() * TOLD_WITHIN, node, null, -1, NEWS, false));
+          new Event(
+              restartSeconds + random.nextDouble() * MAX_LIST_DELAY_SECONDS,
+              node,
+              null,
+              -1,
+              LIST_UPDATE_TOKEN,
+              false));
     }
-    run(parts.all());
+    runUntil(simulationPhases.totalSeconds());
   }
 
-  private double copies() {
-    BitSet any = new BitSet(KEYS);
-    long all = 0;
-    for (BitSet keys : held) {
-      any.or(keys);
-      all += keys.cardinality();
+  private double meanCopiesPerKey() {
+    BitSet keysOnAnyServer = new BitSet(KEYS);
+    long copyCount = 0;
+    for (BitSet keys : cachedKeys) {
+      keysOnAnyServer.or(keys);
+      copyCount += keys.cardinality();
     }
-    return (double) all / Math.max(1, any.cardinality());
+    return (double) copyCount / Math.max(1, keysOnAnyServer.cardinality());
   }
 
-  private void run(double until) {
-    double next = now + gap();
-    while (next < until || (!events.isEmpty() && events.peek().at < until)) {
-      if (!events.isEmpty() && events.peek().at <= next) {
+  private void runUntil(double untilSeconds) {
+    double nextArrivalSeconds = now + drawInterarrivalSeconds();
+    while (nextArrivalSeconds < untilSeconds
+        || (!events.isEmpty() && events.peek().atSeconds < untilSeconds)) {
+      if (!events.isEmpty() && events.peek().atSeconds <= nextArrivalSeconds) {
         Event event = events.poll();
-        now = event.at;
-        happens(event);
-      } else if (next < until) {
-        now = next;
-        next = now + gap();
-        ask();
+        now = event.atSeconds;
+        handle(event);
+      } else if (nextArrivalSeconds < untilSeconds) {
+        now = nextArrivalSeconds;
+        nextArrivalSeconds = now + drawInterarrivalSeconds();
+        issueRead();
       } else {
         break;
       }
     }
-    now = until;
+    now = untilSeconds;
   }
 
-  private double gap() {
+  private double drawInterarrivalSeconds() {
     return -Math.log(1 - random.nextDouble()) / size.perSecond();
   }
 
-  private void ask() {
-    int node = random.nextInt(nodes.length);
-    int number = (int) Math.exp(random.nextDouble() * Math.log(KEYS + 1)) - 1;
-    String key = "k" + number;
-    if (homes[number] < 0) {
-      idle.onRequest(now, read(key, key));
-      homes[number] = sent.remove(0).server;
-      idle.onOutcome(now, outcome(key, homes[number], false, 0));
+  private void issueRead() {
+    int node = random.nextInt(routers.length);
+    int keyNumber = (int) Math.exp(random.nextDouble() * Math.log(KEYS + 1)) - 1;
+    String key = "k" + keyNumber;
+    if (firstChoices[keyNumber] < 0) {
+      idleRouter.onRequest(now, createRead(key, key));
+      firstChoices[keyNumber] = sentReads.remove(0).server;
+      idleRouter.onOutcome(now, createOutcome(key, firstChoices[keyNumber], false, 0));
     }
-    String id = serial++ + "k" + number;
-    reads += counting ? 1 : 0;
-    long began = System.nanoTime();
-    nodes[node].onRequest(now, read(id, key));
-    spent(began);
+    String id = nextReadNumber++ + "k" + keyNumber;
+    countedReads += isCounting ? 1 : 0;
+    long startNanos = System.nanoTime();
+    routers[node].onRequest(now, createRead(id, key));
+    finishCall(startNanos);
   }
 
-  private static Request read(String id, String key) {
+  private static Request createRead(String id, String key) {
     return new Request(id, key, "read", null, 2, 0, 0, false, false);
   }
 
-  private Outcome outcome(String id, int server, boolean miss, double elapsed) {
-    Outcome.CacheStatus note = miss ? Outcome.CacheStatus.MISS : Outcome.CacheStatus.HIT;
-    return new Outcome(id, 0, ids[server], Outcome.Result.OK, elapsed, true, note, null);
+  private Outcome createOutcome(String id, int server, boolean isMiss, double elapsedSeconds) {
+    Outcome.CacheStatus cacheStatus = isMiss ? Outcome.CacheStatus.MISS : Outcome.CacheStatus.HIT;
+    return new Outcome(
+        id, 0, serverIds[server], Outcome.Result.OK, elapsedSeconds, true, cacheStatus, null);
   }
 
-  private void happens(Event event) {
-    if (event.token == NEWS) {
-      nodes[event.node].onMembershipUpdate(now, news);
+  private void handle(Event event) {
+    if (event.token == LIST_UPDATE_TOKEN) {
+      routers[event.node].onMembershipUpdate(now, listUpdate);
       return;
     }
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     if (event.id == null) {
-      nodes[event.node].onTimer(now, event.token);
+      routers[event.node].onTimer(now, event.token);
     } else {
-      double elapsed = event.miss ? MISS_SECONDS : HIT_SECONDS;
-      nodes[event.node].onOutcome(now, outcome(event.id, event.server, event.miss, elapsed));
+      double elapsedSeconds = event.isMiss ? MISS_SECONDS : HIT_SECONDS;
+      routers[event.node].onOutcome(
+          now, createOutcome(event.id, event.server, event.isMiss, elapsedSeconds));
     }
-    spent(began);
+    finishCall(startNanos);
   }
 
-  /** The decisions are made; what they sent goes its way. */
-  private void spent(long began) {
-    busyNanos += counting ? System.nanoTime() - began : 0;
-    sent.forEach(this::goes);
-    sent.clear();
+  /** Adds the processor time of a router call, and delivers the reads that the call sent. */
+  private void finishCall(long startNanos) {
+    decisionNanos += isCounting ? System.nanoTime() - startNanos : 0;
+    sentReads.forEach(this::deliver);
+    sentReads.clear();
   }
 
-  private void goes(Sent read) {
-    int key = Integer.parseInt(read.id, read.id.indexOf('k') + 1, read.id.length(), 10);
+  private void deliver(SentRead read) {
+    int keyNumber = Integer.parseInt(read.id, read.id.indexOf('k') + 1, read.id.length(), 10);
     int server = read.server;
-    boolean miss = !held[server].get(key);
-    held[server].set(key);
-    if (counting) {
-      away += server == homes[key] ? 0 : 1;
-      misses += miss ? 1 : 0;
-      askers[server].set(read.node);
+    boolean isMiss = !cachedKeys[server].get(keyNumber);
+    cachedKeys[server].set(keyNumber);
+    if (isCounting) {
+      otherServerReads += server == firstChoices[keyNumber] ? 0 : 1;
+      missedReads += isMiss ? 1 : 0;
+      requestingNodes[server].set(read.node);
     }
-    if (cold(server)) {
-      sentCold(server, read.node);
+    if (isRestarted(server)) {
+      recordColdSend(server, read.node);
     }
-    double takes = miss ? MISS_SECONDS : HIT_SECONDS;
-    events.add(new Event(now + takes, read.node, read.id, server, 0, miss));
+    double responseSeconds = isMiss ? MISS_SECONDS : HIT_SECONDS;
+    events.add(new Event(now + responseSeconds, read.node, read.id, server, 0, isMiss));
   }
 
-  /** What one node's decisions lead to. */
-  private final class Carried extends HollowActions {
+  /** Carries out the actions of one node's router, or of {@link #idleRouter} if node is -1. */
+  private final class NodeActions extends HollowActions {
     private final int node;
 
-    Carried(int node) {
+    NodeActions(int node) {
       this.node = node;
     }
 
     @Override
-    public void send(String requestId, long id, double within) {
-      sent.add(new Sent(node, requestId, numbers.get(id)));
+    public void send(String requestId, long serverId, double withinSeconds) {
+      sentReads.add(new SentRead(node, requestId, serverIndexById.get(serverId)));
     }
 
     @Override
-    public void reject(String requestId, double retryAfter) {
-      refused += counting ? 1 : 0;
+    public void reject(String requestId, double retryAfterSeconds) {
+      rejectedReads += isCounting ? 1 : 0;
     }
 
     @Override
     public void fail(String requestId) {
-      refused += counting ? 1 : 0;
+      rejectedReads += isCounting ? 1 : 0;
     }
 
     @Override
-    public void scheduleTimer(long token, double delay) {
-      if ((token & HELD) != 0 && node >= 0) {
-        events.add(new Event(now + delay, node, null, -1, token, false));
+    public void scheduleTimer(long token, double delaySeconds) {
+      if ((token & HOLD_FLAG) != 0 && node >= 0) {
+        events.add(new Event(now + delaySeconds, node, null, -1, token, false));
       }
     }
   }
 
-  private void sentCold(int server, int node) {
-    ArrayDeque<Double> sends = coldSends.get(server);
-    sends.add(now);
-    double window = HollowSettings.OVERLOAD_FOR;
-    while (sends.peek() < now - window) {
-      sends.poll();
+  private void recordColdSend(int server, int node) {
+    ArrayDeque<Double> sendSeconds = coldSendSeconds.get(server);
+    sendSeconds.add(now);
+    double windowSeconds = HollowSettings.OVERLOAD_FOR;
+    while (sendSeconds.peek() < now - windowSeconds) {
+      sendSeconds.poll();
     }
-    double able = HollowSettings.capacity(size) * HollowSettings.warmth(now - coldAt);
-    double allowed = HollowSettings.OVERLOAD_FACTOR * able * window;
-    coldPart = Math.max(coldPart, sends.size() / (allowed + 2 * Math.sqrt(allowed) + 2));
-    if (!coldAskers.get(server).get(node)) {
-      coldAskers.get(server).set(node);
-      int[] calls = coldCalls.get(server);
-      coldCallers = Math.max(coldCallers, ++calls[(int) (now - coldAt)]);
+    double capacityPerSecond =
+        HollowSettings.capacity(size) * HollowSettings.warmth(now - restartSeconds);
+    double maxSends = HollowSettings.OVERLOAD_FACTOR * capacityPerSecond * windowSeconds;
+    restartLoadRatio =
+        Math.max(restartLoadRatio, sendSeconds.size() / (maxSends + 2 * Math.sqrt(maxSends) + 2));
+    if (!coldRequestingNodes.get(server).get(node)) {
+      coldRequestingNodes.get(server).set(node);
+      int[] newCallers = newCallersBySecond.get(server);
+      maxNewCallersPerSecond =
+          Math.max(maxNewCallersPerSecond, ++newCallers[(int) (now - restartSeconds)]);
     }
   }
 
-  private Counted counted(double bytesPerNode) {
-    double pairs = 0;
-    for (BitSet nodesOfServer : askers) {
-      pairs += nodesOfServer.cardinality();
+  private Counted createResult(double bytesPerNode) {
+    double nodeServerPairs = 0;
+    for (BitSet nodesOfServer : requestingNodes) {
+      nodeServerPairs += nodesOfServer.cardinality();
     }
-    double all = Math.max(1, reads);
+    double countedReadsOrOne = Math.max(1, countedReads);
     return new Counted(
-        away / all,
-        refused / all,
-        misses / all,
-        copies,
-        busyNanos / all / 1000,
-        pairs / ids.length,
-        coldPart,
-        coldCallers,
+        otherServerReads / countedReadsOrOne,
+        rejectedReads / countedReadsOrOne,
+        missedReads / countedReadsOrOne,
+        copiesPerKey,
+        decisionNanos / countedReadsOrOne / 1000,
+        nodeServerPairs / serverIds.length,
+        restartLoadRatio,
+        maxNewCallersPerSecond,
         bytesPerNode);
   }
 }
--- a/capacity/src/main/java/shalepaddle/capacity/HollowSettings.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowSettings.java
@@ -6,26 +6,35 @@
 import shalepaddle.model.ServerEntry;
 import shalepaddle.model.Settings;
 
-/** The settings and the list of a fleet of hollow nodes, alike but for a node's number and zone. */
+/** Settings and endpoint list entries of hollow nodes, which differ only in number and zone. */
 final class HollowSettings {
-  /** By the contract a cold server falls at so many times what it can do, for so many seconds. */
+  /**
+   * By the servers' contract ({@link Settings.Contract}), a server in slow start fails after {@link
+   * #OVERLOAD_FOR} seconds of load at this multiple of its present capacity.
+   */
   static final double OVERLOAD_FACTOR = 3;
 
+  /** How long a server in slow start must be overloaded until it fails, in seconds. */
   static final double OVERLOAD_FOR = 2;
 
-  /** What a server can do right after its start, and the seconds until it can do all. */
-  private static final double COLD_FROM = 0.1;
+  /** The fraction of its capacity that a server has at its start, by the servers' contract. */
+  private static final double SLOW_START_MIN_RATIO = 0.1;
 
-  private static final double WARM_WITHIN = 20;
+  /** Seconds from a server's start until it has its full capacity, by the servers' contract. */
+  private static final double SLOW_START_SECONDS = 20;
 
-  /** The part of what warm servers can do that is usually asked of them (assumed). */
-  private static final double USUAL = 0.6;
+  /** The usual load of warm servers, as a fraction of their capacity (assumed). */
+  private static final double USUAL_LOAD_RATIO = 0.6;
 
   private HollowSettings() {}
 
-  /** Those of one node, which is told the list or has to ask for it. */
-  static Settings of(int node, FleetSize size, boolean asks) {
-    Settings.ServiceClass read =
+  /**
+   * Returns the settings of one node.
+   *
+   * @param pollsDiscovery whether the node polls discovery for the endpoint list, or has it pushed
+   */
+  static Settings of(int node, FleetSize size, boolean pollsDiscovery) {
+    Settings.ServiceClass readClass =
         new Settings.ServiceClass(
             "read",
             0.75,
@@ -38,45 +47,56 @@
             0,
             false);
     return new Settings(
-        zone(node, size),
+        zoneName(node, size),
         IntStream.range(0, size.zones()).mapToObj(zone -> "z" + zone).toList(),
         List.of("m"),
         node,
         size.nodes(),
-        asks,
+        pollsDiscovery,
         false,
         Settings.Weights.NONE,
         new Settings.CacheMode(false, null, 0, 0),
         new Settings.Limits(3, true, true, false, false, false, 1, 0.15, 60, 32),
-        new Settings.Contract(0.05, 10, 2, COLD_FROM, WARM_WITHIN, OVERLOAD_FACTOR, OVERLOAD_FOR),
+        new Settings.Contract(
+            0.05,
+            10,
+            2,
+            SLOW_START_MIN_RATIO,
+            SLOW_START_SECONDS,
+            OVERLOAD_FACTOR,
+            OVERLOAD_FOR),
         new Settings.Prices(0, 0, 0, 0, 0, 0, 0, 0, 0),
-        List.of(read),
+        List.of(readClass),
         List.of(),
         1,
         0.005);
   }
 
-  private static String zone(int number, FleetSize size) {
-    return "z" + number % size.zones();
+  private static String zoneName(int nodeOrServer, FleetSize size) {
+    return "z" + nodeOrServer % size.zones();
   }
 
-  /** The number by which the decisions know a server. */
+  /** Returns the id by which the router identifies a server. */
   static long id(int server) {
     return MemberList.serverNumber("s-" + server);
   }
 
-  static ServerEntry entry(int server, FleetSize size, double startedAt) {
+  static ServerEntry entry(int server, FleetSize size, double startedAtSeconds) {
     return new ServerEntry(
-        id(server), zone(server, size), "m", 0, ServerEntry.State.READY, 1, startedAt);
+        id(server), zoneName(server, size), "m", 0, ServerEntry.State.READY, 1, startedAtSeconds);
   }
 
-  /** Requests a second that a warm server can do. */
+  /** Returns the capacity of a warm server, in requests per second. */
   static double capacity(FleetSize size) {
-    return size.perSecond() / size.servers() / USUAL;
+    return size.perSecond() / size.servers() / USUAL_LOAD_RATIO;
   }
 
-  /** The part of it that a server can do so long after its start, by the contract's least. */
-  static double warmth(double age) {
-    return Math.min(1, COLD_FROM + (1 - COLD_FROM) * age / WARM_WITHIN);
+  /**
+   * Returns the fraction of its full capacity that a server has at this age, by the servers'
+   * contract. The age is in seconds since the server's start.
+   */
+  static double warmth(double ageSeconds) {
+    return Math.min(
+        1, SLOW_START_MIN_RATIO + (1 - SLOW_START_MIN_RATIO) * ageSeconds / SLOW_START_SECONDS);
   }
 }
--- a/capacity/src/main/java/shalepaddle/capacity/ServerListPayload.java
+++ b/capacity/src/main/java/shalepaddle/capacity/ServerListPayload.java
@@ -9,21 +9,21 @@
 import shalepaddle.settings.FormatException;
 import shalepaddle.settings.JsonObject;
 
-/** The list of cache servers on its way to a node: its bytes, and what reading it takes. */
+/** Measures the size of the endpoint list as discovery sends it, and the time to parse it. */
 final class ServerListPayload {
-  private static final int READS = 200;
+  private static final int PARSE_COUNT = 200;
 
   /**
-   * What was measured.
+   * The measured size and time.
    *
-   * @param bytes of the whole list in discovery's form
-   * @param readMicros to read it, the median
+   * @param bytes the size of the full endpoint list in discovery's JSON
+   * @param readMicros the median time to parse the list
    */
   record Measured(double bytes, double readMicros) {}
 
   private ServerListPayload() {}
 
-  private static String entry(int server, FleetSize size) {
+  private static String createEntryJson(int server, FleetSize size) {
     return """
         {"id":"s-%08x","addr":"10.%d.%d.18:11211","zone":"z%d","kind":"m2","cell":%d,\
         "state":"active","weight":1.0,"started_ms":1796183058123}"""
@@ -31,19 +31,21 @@
   }
 
   static Measured measure(FleetSize size) throws FormatException {
-    String list =
+    String payload =
         IntStream.range(0, size.servers())
-            .mapToObj(server -> entry(server, size))
+            .mapToObj(server -> createEntryJson(server, size))
             .collect(Collectors.joining(",", "{\"version\":41,\"full\":true,\"servers\":[", "]}"));
-    List<Double> times = new ArrayList<>();
-    for (int i = 0; i < READS; i++) {
-      long began = System.nanoTime();
-      MemberList read = MemberList.parse(JsonObject.parse(list)).appliedTo(null);
-      times.add((System.nanoTime() - began) / 1e3);
-      if (read.members().size() != size.servers()) {
-        throw new FormatException("a list that lacks some");
+    List<Double> parseMicros = new ArrayList<>();
+    for (int i = 0; i < PARSE_COUNT; i++) {
+      long startNanos = System.nanoTime();
+      MemberList parsed = MemberList.parse(JsonObject.parse(payload)).appliedTo(null);
+      parseMicros.add((System.nanoTime() - startNanos) / 1e3);
+      if (parsed.members().size() != size.servers()) {
+        throw new FormatException(
+            "parsed %d servers, expected %d".formatted(parsed.members().size(), size.servers()));
       }
     }
-    return new Measured(list.getBytes(StandardCharsets.UTF_8).length, DecisionCost.median(times));
+    return new Measured(
+        payload.getBytes(StandardCharsets.UTF_8).length, DecisionCost.median(parseMicros));
   }
 }
--- a/capacity/src/main/java/shalepaddle/capacity/Slope.java
+++ b/capacity/src/main/java/shalepaddle/capacity/Slope.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * A figure against a size, and the straight line through it: {@code slope x size + constant}.
+ * A figure measured at several sizes, and the straight line fitted to it: {@code slope x size +
+ * constant}.
  *
- * @param role whose figure it is
- * @param figure what it is
- * @param unit its unit
- * @param size what was varied
- * @param points what was measured, by size
- * @param slope by how much it grows with each one more
- * @param constant what it is at none
- * @param noise the greatest distance of a point from the line, as a part of the greatest figure
+ * @param role the part of the system that the figure belongs to
+ * @param figure the name of the figure
+ * @param unit the figure's unit
+ * @param size the name of the size that was varied, such as nodes or servers
+ * @param points the measured values, in order of size
+ * @param slope the growth of the figure per unit of size
+ * @param constant the value of the fitted line at size 0
+ * @param noise the greatest distance of a point from the line, relative to the greatest value
  */
 public record Slope(
     String role,
@@ -24,27 +25,27 @@
     double constant,
     double noise) {
 
-  /** A figure that was measured at a size. */
+  /** The value that was measured at one size. */
   public record Point(double size, double value) {}
 
-  /** The line by least squares; through one point alone it is level. */
+  /** Fits a line by least squares. If all points have the same size, the slope is 0. */
   public static Slope fit(
       String role, String figure, String unit, String size, List<Point> points) {
     double meanSize = points.stream().mapToDouble(Point::size).average().orElseThrow();
     double meanValue = points.stream().mapToDouble(Point::value).average().orElseThrow();
-    double spread = 0;
-    double together = 0;
-    double greatest = 0;
+    double sumOfSquares = 0;
+    double sumOfProducts = 0;
+    double maxValue = 0;
     for (Point point : points) {
-      spread += (point.size - meanSize) * (point.size - meanSize);
-      together += (point.size - meanSize) * (point.value - meanValue);
-      greatest = Math.max(greatest, Math.abs(point.value));
+      sumOfSquares += (point.size - meanSize) * (point.size - meanSize);
+      sumOfProducts += (point.size - meanSize) * (point.value - meanValue);
+      maxValue = Math.max(maxValue, Math.abs(point.value));
     }
-    double slope = spread == 0 ? 0 : together / spread;
+    double slope = sumOfSquares == 0 ? 0 : sumOfProducts / sumOfSquares;
     double constant = meanValue - slope * meanSize;
-    double off = 0;
+    double maxDistance = 0;
     for (Point point : points) {
-      off = Math.max(off, Math.abs(point.value - slope * point.size - constant));
+      maxDistance = Math.max(maxDistance, Math.abs(point.value - slope * point.size - constant));
     }
     return new Slope(
         role,
@@ -54,21 +55,22 @@
         List.copyOf(points),
         slope,
         constant,
-        greatest == 0 ? 0 : off / greatest);
+        maxValue == 0 ? 0 : maxDistance / maxValue);
   }
 
-  /** What the line says at a size. */
+  /** Returns the value of the fitted line at a size. */
   public double at(double size) {
     return slope * size + constant;
   }
 
   /**
-   * By which power of the size it grows between the least and the greatest: 0 where it stays, 1
-   * where it is proportional, 2 where it is quadratic.
+   * Returns the power of the size with which the figure grows from the first point to the last: 0
+   * if it is constant, 1 if it is proportional to the size, 2 if it is quadratic.
    */
   public double power() {
-    Point first = points.get(0);
-    Point last = points.get(points.size() - 1);
-    return Math.log(last.value / first.value) / Math.log(last.size / first.size);
+    Point firstPoint = points.get(0);
+    Point lastPoint = points.get(points.size() - 1);
+    return Math.log(lastPoint.value / firstPoint.value)
+        / Math.log(lastPoint.size / firstPoint.size);
   }
 }
--- a/capacity/src/main/java/shalepaddle/capacity/SlopeChart.java
+++ b/capacity/src/main/java/shalepaddle/capacity/SlopeChart.java
@@ -9,37 +9,35 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/**
- * Slopes as small charts side by side: what was measured, the line, and the size that is coming.
- */
+/** Draws slopes as a grid of charts, with measured points, fitted line, and planned size. */
 public final class SlopeChart {
-  private static final int COLUMNS = 3;
+  private static final int COLUMN_COUNT = 3;
 
   private SlopeChart() {}
 
   /**
-   * Draws them.
+   * Draws one chart for each slope.
    *
-   * @param file a PNG
-   * @param nodes and
-   * @param servers the size that is asked for
+   * @param file the PNG to write
+   * @param nodes the planned number of nodes
+   * @param servers the planned number of cache servers
    */
   public static void draw(Path file, List<Slope> slopes, int nodes, int servers)
       throws IOException {
     List<XYChart> charts = new ArrayList<>();
     for (Slope slope : slopes) {
-      charts.add(chart(slope, slope.size().equals("nodes") ? nodes : servers));
+      charts.add(createChart(slope, slope.size().equals("nodes") ? nodes : servers));
     }
-    int rows = (charts.size() + COLUMNS - 1) / COLUMNS;
-    while (charts.size() < rows * COLUMNS) {
+    int rowCount = (charts.size() + COLUMN_COUNT - 1) / COLUMN_COUNT;
+    while (charts.size() < rowCount * COLUMN_COUNT) {
       charts.add(new XYChartBuilder().width(420).height(300).build());
     }
-    String name = file.toString();
+    String fileName = file.toString();
     BitmapEncoder.saveBitmap(
-        new ArrayList<>(charts), rows, COLUMNS, name, BitmapEncoder.BitmapFormat.PNG);
+        new ArrayList<>(charts), rowCount, COLUMN_COUNT, fileName, BitmapEncoder.BitmapFormat.PNG);
   }
 
-  private static XYChart chart(Slope slope, int asked) {
+  private static XYChart createChart(Slope slope, int plannedSize) {
     XYChart chart =
         new XYChartBuilder()
             .width(420)
@@ -52,11 +50,11 @@
     double[] sizes = slope.points().stream().mapToDouble(Slope.Point::size).toArray();
     double[] values = slope.points().stream().mapToDouble(Slope.Point::value).toArray();
     chart.addSeries("measured", sizes, values);
-    double[] ends = {sizes[0], sizes[sizes.length - 1]};
+    double[] endSizes = {sizes[0], sizes[sizes.length - 1]};
     chart
-        .addSeries("line", ends, new double[] {slope.at(ends[0]), slope.at(ends[1])})
+        .addSeries("line", endSizes, new double[] {slope.at(endSizes[0]), slope.at(endSizes[1])})
         .setMarker(SeriesMarkers.NONE);
-    chart.addSeries("asked", new double[] {asked}, new double[] {slope.at(asked)});
+    chart.addSeries("planned", new double[] {plannedSize}, new double[] {slope.at(plannedSize)});
     return chart;
   }
 }
--- a/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
@@ -14,106 +14,128 @@
 import shalepaddle.policy.RoutingActions;
 
 /**
- * Each scale test in a small and fixed form, which fails where a slope gets steeper by the factor
- * that it states; each is seen to find a variant that is broken on purpose.
+ * Runs the capacity measurements at small, fixed sizes, and fails if a figure grows with the size
+ * by more than the stated factor. The checks of decisions and of discovery also run on variants
+ * that are broken on purpose, which they must detect.
  */
 class CapacityRunTest {
-  private static final FleetSize SMALL = new FleetSize(54, 55, 34_000, 5);
-  private static final int EIGHTFOLD = 8;
+  private static final FleetSize SMALL_FLEET = new FleetSize(54, 55, 34_000, 5);
+  private static final int SERVER_FACTOR = 8;
 
-  /** Measured: eight times the servers take four times as long. Proportional is the most. */
-  private static final double MOST_GROWTH = EIGHTFOLD;
+  /**
+   * How many times as long the decisions of a read may take with eight times the servers: at most
+   * in proportion to the servers. Measured: four times as long.
+   */
+  private static final double MAX_DECISION_TIME_GROWTH = SERVER_FACTOR;
 
-  private interface Deciders
+  private interface RouterFactoryBySize
       extends Function<FleetSize, Function<RoutingActions, DecisionCost.Decider>> {}
 
-  /** Rounds of which the median counts: one alone is off by half now and then. */
-  private static final int ROUNDS = 3;
-
-  /** How many times as long a read takes before eight times the servers. */
-  private static double growth(int reads, Deciders deciders) {
-    FleetSize large = new FleetSize(54, EIGHTFOLD * 55, 34_000, 5);
-    DecisionCost.measure(large, reads, deciders.apply(large));
-    double[] growths = new double[ROUNDS];
-    for (int i = 0; i < ROUNDS; i++) {
-      DecisionCost.Measured few = DecisionCost.measure(SMALL, reads, deciders.apply(SMALL));
-      DecisionCost.Measured many = DecisionCost.measure(large, reads, deciders.apply(large));
+  /** The number of rounds whose median is checked; a single round is sometimes off by half. */
+  private static final int ROUND_COUNT = 3;
+
+  /** Returns how many times as long a read's decisions take with eight times the servers. */
+  private static double measureDecisionTimeGrowth(
+      int readsPerRound, RouterFactoryBySize routerFactoryBySize) {
+    FleetSize largeFleet = new FleetSize(54, SERVER_FACTOR * 55, 34_000, 5);
+    DecisionCost.measure(largeFleet, readsPerRound, routerFactoryBySize.apply(largeFleet));
+    double[] growths = new double[ROUND_COUNT];
+    for (int i = 0; i < ROUND_COUNT; i++) {
+      DecisionCost.Measured smallCost =
+          DecisionCost.measure(SMALL_FLEET, readsPerRound, routerFactoryBySize.apply(SMALL_FLEET));
+      DecisionCost.Measured largeCost =
+          DecisionCost.measure(largeFleet, readsPerRound, routerFactoryBySize.apply(largeFleet));
       growths[i] =
           Math.max(
-              many.heldMicros() / few.heldMicros(), many.missingMicros() / few.missingMicros());
+              largeCost.heldMicros() / smallCost.heldMicros(),
+              largeCost.missingMicros() / smallCost.missingMicros());
     }
     Arrays.sort(growths);
-    return growths[ROUNDS / 2];
+    return growths[ROUND_COUNT / 2];
   }
 
   @Test
-  void decisionsGrowNoFasterThanTheServers() {
-    double growth = growth(2000, size -> actions -> DecisionCost.real(size, actions));
-    assertTrue(growth < MOST_GROWTH, "eight times the servers take " + growth + " times as long");
+  void decisionTimeGrowsNoFasterThanServerCount() {
+    double decisionTimeGrowth =
+        measureDecisionTimeGrowth(2000, size -> actions -> DecisionCost.real(size, actions));
+    assertTrue(
+        decisionTimeGrowth < MAX_DECISION_TIME_GROWTH,
+        "with eight times the servers, decisions take " + decisionTimeGrowth + " times as long");
   }
 
-  /** Looks at each pair of servers on each read. */
-  private static DecisionCost.Decider quadratic(FleetSize size, RoutingActions actions) {
-    DecisionCost.Decider real = DecisionCost.real(size, actions);
-    long[] servers = new long[size.servers()];
+  /** Creates a router that iterates over all pairs of servers for each read. */
+  private static DecisionCost.Decider createQuadraticRouter(
+      FleetSize size, RoutingActions actions) {
+    DecisionCost.Decider productionRouter = DecisionCost.real(size, actions);
+    long[] serverValues = new long[size.servers()];
     return new DecisionCost.Decider() {
       @Override
       public void membership(double now, MembershipUpdate update) {
-        real.membership(now, update);
+        productionRouter.membership(now, update);
       }
 
       @Override
       public void request(double now, Request request) {
-        for (int a = 0; a < servers.length; a++) {
-          for (int b = 0; b < servers.length; b++) {
-            servers[a] = Long.rotateLeft(servers[a] ^ servers[b], 7) % 1_000_003;
+        for (int a = 0; a < serverValues.length; a++) {
+          for (int b = 0; b < serverValues.length; b++) {
+            serverValues[a] = Long.rotateLeft(serverValues[a] ^ serverValues[b], 7) % 1_000_003;
           }
         }
-        real.request(now, request);
+        productionRouter.request(now, request);
       }
 
       @Override
       public void outcome(double now, Outcome outcome) {
-        real.outcome(now, outcome);
+        productionRouter.outcome(now, outcome);
       }
     };
   }
 
   @Test
-  void decisionsThatAreQuadraticInTheServersAreFound() {
-    double growth = growth(200, size -> actions -> quadratic(size, actions));
-    assertTrue(growth > MOST_GROWTH, "only " + growth);
+  void detectsDecisionTimeQuadraticInServerCount() {
+    double decisionTimeGrowth =
+        measureDecisionTimeGrowth(200, size -> actions -> createQuadraticRouter(size, actions));
+    assertTrue(
+        decisionTimeGrowth > MAX_DECISION_TIME_GROWTH,
+        "with eight times the servers, the quadratic router's decisions take only "
+            + decisionTimeGrowth
+            + " times as long");
   }
 
-  /** What the returns of a discovery at these sizes break of its bounds. */
-  private static List<String> breaches(
-      double perSecond, Function<FleetSize, DiscoveryPolling.Feeds> feeds) {
-    List<String> breaches = new ArrayList<>();
+  /** Simulates the return of discovery at several sizes, and reports each exceeded limit. */
+  private static List<String> findViolations(
+      double callsPerSecond, Function<FleetSize, DiscoveryPolling.Feeds> clientFactory) {
+    List<String> violations = new ArrayList<>();
     for (int nodes : new int[] {27, 54, 108}) {
-      FleetSize size = SMALL.withNodes(nodes);
-      DiscoveryPolling.Counted counted =
-          DiscoveryPolling.play(size, perSecond, 7, feeds.apply(size));
-      // Calls are worked through in turn: no feed is sooner. Half as much again, and a round.
-      double most = 1.5 * nodes / perSecond + 4;
-      if (counted.lastSeconds() > most) {
-        breaches.add(nodes + " nodes: last list after " + counted.lastSeconds() + " s of " + most);
+      FleetSize size = SMALL_FLEET.withNodes(nodes);
+      DiscoveryPolling.Counted result =
+          DiscoveryPolling.play(size, callsPerSecond, 7, clientFactory.apply(size));
+      // Discovery answers one call at a time, so that the last node has the list after nodes /
+      // callsPerSecond at the earliest. The limit is 1.5 times this time plus 4 s for a round of
+      // polls.
+      double maxSeconds = 1.5 * nodes / callsPerSecond + 4;
+      if (result.lastSeconds() > maxSeconds) {
+        violations.add(
+            "%d nodes: the last node had the list after %s s, limit %s s"
+                .formatted(nodes, result.lastSeconds(), maxSeconds));
       }
-      // Measured: 6 while it is down, and one more for each 30 nodes.
-      if (counted.callsPerNode() > 2 * (6 + nodes / 30.0)) {
-        breaches.add(nodes + " nodes: " + counted.callsPerNode() + " calls each");
+      // Measured: 6 calls per node in the outage, and one more for each 30 nodes of the fleet. The
+      // limit is twice this number.
+      if (result.callsPerNode() > 2 * (6 + nodes / 30.0)) {
+        violations.add(nodes + " nodes: " + result.callsPerNode() + " calls per node");
       }
     }
-    return breaches;
+    return violations;
   }
 
   @Test
-  void discoveryIsAskedAgainWithoutAStorm() {
-    assertEquals(List.of(), breaches(2.5, DiscoveryPolling::real));
-    assertEquals(List.of(), breaches(6, DiscoveryPolling::real));
+  void nodesReceiveListWithoutStormOfCallsWhenDiscoveryReturns() {
+    assertEquals(List.of(), findViolations(2.5, DiscoveryPolling::real));
+    assertEquals(List.of(), findViolations(6, DiscoveryPolling::real));
   }
 
-  /** Asks again at once. */
-  private static DiscoveryPolling.Feeds hasty(FleetSize size) {
+  /** Creates clients that poll again 50 ms after each failure, without backoff. */
+  private static DiscoveryPolling.Feeds createClientsWithoutBackoff(FleetSize size) {
     return (node, actions) ->
         new DiscoveryPolling.Feed() {
           @Override
@@ -131,52 +153,66 @@
   }
 
   @Test
-  void aStormOfCallsIsFound() {
-    List<String> found = breaches(2.5, CapacityRunTest::hasty);
-    assertTrue(found.stream().anyMatch(breach -> breach.endsWith("calls each")), found.toString());
+  void detectsStormOfCallsFromClientsWithoutBackoff() {
+    List<String> violations = findViolations(2.5, CapacityRunTest::createClientsWithoutBackoff);
+    assertTrue(
+        violations.stream().anyMatch(violation -> violation.endsWith("calls per node")),
+        violations.toString());
   }
 
-  private static HollowFleet.Counted fleet(int nodes) {
-    return HollowFleet.play(SMALL.withNodes(nodes), new HollowFleet.Parts(1, 0.5, 2), 3);
+  private static HollowFleet.Counted simulateFleet(int nodes) {
+    return HollowFleet.play(SMALL_FLEET.withNodes(nodes), new HollowFleet.Parts(1, 0.5, 2), 3);
   }
 
   @Test
-  void coldServersStandUpToAllNodesTogether() {
-    HollowFleet.Counted few = fleet(27);
-    HollowFleet.Counted many = fleet(216);
-    assertTrue(few.coldPart() > 0.1 && few.coldPart() < 1, "of its fall: " + few);
-    assertTrue(many.coldPart() > 0.1 && many.coldPart() < 1, "of its fall: " + many);
-    // Measured: 0.42 at 27 and 0.43 at 108 nodes; it does not grow with them.
-    assertTrue(many.coldPart() < 1.5 * few.coldPart(), few + " and " + many);
+  void loadOnRestartedServersDoesNotGrowWithNodeCount() {
+    HollowFleet.Counted smallResult = simulateFleet(27);
+    HollowFleet.Counted largeResult = simulateFleet(216);
+    assertTrue(
+        smallResult.coldPart() > 0.1 && smallResult.coldPart() < 1,
+        "load of restarted servers with 27 nodes: " + smallResult);
+    assertTrue(
+        largeResult.coldPart() > 0.1 && largeResult.coldPart() < 1,
+        "load of restarted servers with 216 nodes: " + largeResult);
+    // Measured: 0.42 of the overload limit at 27 nodes and 0.43 at 108 nodes, so the load does not
+    // grow with the nodes.
+    assertTrue(
+        largeResult.coldPart() < 1.5 * smallResult.coldPart(),
+        "load of restarted servers with 27 and 216 nodes: " + smallResult + " and " + largeResult);
   }
 
   @Test
-  void whatReachesAServerIsTheSameWhoeverSendsIt() {
-    HollowFleet.Counted few = fleet(27);
-    HollowFleet.Counted many = fleet(216);
-    assertEquals(0, many.refusedPart(), 0.001);
-    assertTrue(many.copies() < 1.3 * few.copies(), few + " and " + many);
-    assertTrue(many.missPart() < 1.3 * few.missPart(), few + " and " + many);
+  void copiesAndMissesDoNotGrowWithNodeCount() {
+    HollowFleet.Counted smallResult = simulateFleet(27);
+    HollowFleet.Counted largeResult = simulateFleet(216);
+    assertEquals(0, largeResult.refusedPart(), 0.001);
+    assertTrue(
+        largeResult.copies() < 1.3 * smallResult.copies(),
+        "copies per key with 27 and 216 nodes: " + smallResult + " and " + largeResult);
+    assertTrue(
+        largeResult.missPart() < 1.3 * smallResult.missPart(),
+        "misses with 27 and 216 nodes: " + smallResult + " and " + largeResult);
   }
 
   @Test
-  void aPlayIsTheSameEachTime() {
-    HollowFleet.Counted one = fleet(14);
-    HollowFleet.Counted other = fleet(14);
-    assertEquals(one.awayPart(), other.awayPart());
-    assertEquals(one.missPart(), other.missPart());
-    assertEquals(one.coldPart(), other.coldPart());
+  void fleetSimulationIsDeterministic() {
+    HollowFleet.Counted firstRun = simulateFleet(14);
+    HollowFleet.Counted secondRun = simulateFleet(14);
+    assertEquals(firstRun.awayPart(), secondRun.awayPart());
+    assertEquals(firstRun.missPart(), secondRun.missPart());
+    assertEquals(firstRun.coldPart(), secondRun.coldPart());
   }
 
   @Test
-  void theListGrowsInProportion() throws Exception {
-    double few = ServerListPayload.measure(SMALL).bytes();
-    double many = ServerListPayload.measure(new FleetSize(54, EIGHTFOLD * 55, 34_000, 5)).bytes();
-    assertEquals(EIGHTFOLD, many / few, 0.2);
+  void listSizeIsProportionalToServerCount() throws Exception {
+    double smallListBytes = ServerListPayload.measure(SMALL_FLEET).bytes();
+    double largeListBytes =
+        ServerListPayload.measure(new FleetSize(54, SERVER_FACTOR * 55, 34_000, 5)).bytes();
+    assertEquals(SERVER_FACTOR, largeListBytes / smallListBytes, 0.2);
   }
 
   @Test
-  void stepsEndOneBeyondTheSizeThatIsAskedFor() {
+  void nodeStepsDoubleWithoutDuplicatesUpToTwiceNodeCount() {
     assertEquals(List.of(27, 54, 108, 215, 430, 860), FleetSize.COMING.nodeSteps());
     assertEquals(List.of(1, 2), new FleetSize(1, 1, 1, 1).nodeSteps());
   }
--- a/capacity/src/test/java/shalepaddle/capacity/ChangeFeedSimulationTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/ChangeFeedSimulationTest.java
@@ -11,144 +11,168 @@
 import shalepaddle.changefeed.ChangeFeedSubscriber;
 
 /**
- * Days of nodes that follow a group, in virtual time, by seeds: members vanish, are killed, restart
- * one after the other and lose sight of each other; regions are cut off one way or both; nodes
- * stand still and start anew; what is kept is short, so that those who come back need a snapshot.
- * Never an older state after a newer one, never a hole, and each that is in contact has an entry in
- * time.
+ * Runs simulations of nodes that subscribe to a group, with random faults by seed: members become
+ * unreachable, are killed, restart one after the other or are isolated; links of a region are cut
+ * in one or both directions; nodes are paused and restarted; members retain few entries, so that
+ * nodes that reconnect need a snapshot. A node must never go back to an older state or skip an
+ * entry, and while it is in contact it must apply each entry in time.
  */
 class ChangeFeedSimulationTest {
-  private static final long SECOND = 1_000_000_000L;
-  private static final int DAYS = Integer.getInteger("feed.days", 300);
-  private static final long CALM = 12 * SECOND;
+  private static final long SECOND_NANOS = 1_000_000_000L;
+  private static final int SEED_COUNT = Integer.getInteger("feed.days", 300);
+  private static final long SETTLE_NANOS = 12 * SECOND_NANOS;
 
-  private static HollowFeed.Plan plan(
-      int nodes, double loss, long keptBytes, long seed, HollowFeed.Followers followers) {
-    ChangeFeedPublisher.Limits usual = ChangeFeedPublisher.Limits.DEFAULT;
+  private static HollowFeed.Plan createPlan(
+      int nodes,
+      double packetLossRate,
+      long retainedBytes,
+      long seed,
+      HollowFeed.Followers subscriberFactory) {
+    ChangeFeedPublisher.Limits defaultLimits = ChangeFeedPublisher.Limits.DEFAULT;
     ChangeFeedPublisher.Limits limits =
         new ChangeFeedPublisher.Limits(
-            usual.maxSubscribers(),
-            keptBytes,
+            defaultLimits.maxSubscribers(),
+            retainedBytes,
             4000,
-            usual.heartbeatNanos(),
-            usual.ackTimeoutNanos(),
-            usual.leaderLossTimeoutNanos());
-    return new HollowFeed.Plan(nodes, 3, 5, 80_000_000L, loss, 6, 120, 25, limits, followers, seed);
+            defaultLimits.heartbeatNanos(),
+            defaultLimits.ackTimeoutNanos(),
+            defaultLimits.leaderLossTimeoutNanos());
+    return new HollowFeed.Plan(
+        nodes, 3, 5, 80_000_000L, packetLossRate, 6, 120, 25, limits, subscriberFactory, seed);
   }
 
-  private static HollowFeed day(long seed, HollowFeed.Followers followers) {
+  /** Creates a simulation with a random fleet and up to six random faults. */
+  private static HollowFeed createFeedWithFaults(
+      long seed, HollowFeed.Followers subscriberFactory) {
     SplittableRandom random = new SplittableRandom(seed);
     int nodes = 4 + random.nextInt(12);
-    double loss = random.nextBoolean() ? 0 : random.nextDouble() * 0.05;
-    long kept = random.nextBoolean() ? 1 << 20 : 2000;
-    HollowFeed feed = new HollowFeed(plan(nodes, loss, kept, seed, followers));
-    int troubles = 1 + random.nextInt(6);
-    for (int i = 0; i < troubles; i++) {
-      long at = SECOND + random.nextLong(20 * SECOND);
-      long nanos = SECOND / 10 + random.nextLong(6 * SECOND);
+    double packetLossRate = random.nextBoolean() ? 0 : random.nextDouble() * 0.05;
+    long retainedBytes = random.nextBoolean() ? 1 << 20 : 2000;
+    HollowFeed simulation =
+        new HollowFeed(createPlan(nodes, packetLossRate, retainedBytes, seed, subscriberFactory));
+    int faultCount = 1 + random.nextInt(6);
+    for (int i = 0; i < faultCount; i++) {
+      long atNanos = SECOND_NANOS + random.nextLong(20 * SECOND_NANOS);
+      long durationNanos = SECOND_NANOS / 10 + random.nextLong(6 * SECOND_NANOS);
       int member = random.nextInt(3);
       int node = random.nextInt(nodes);
       switch (random.nextInt(8)) {
-        case 0 -> feed.vanish(at, member, nanos);
-        case 1 -> feed.kill(at, member, nanos);
+        case 0 -> simulation.vanish(atNanos, member, durationNanos);
+        case 1 -> simulation.kill(atNanos, member, durationNanos);
         case 2 -> {
-          for (int each = 0; each < 3; each++) {
-            feed.kill(at + 2L * each * SECOND, each, SECOND);
+          for (int restartedMember = 0; restartedMember < 3; restartedMember++) {
+            simulation.kill(
+                atNanos + 2L * restartedMember * SECOND_NANOS, restartedMember, SECOND_NANOS);
           }
         }
-        case 3 -> feed.alone(at, member, 2 * nanos);
-        case 4 -> feed.cut(at, random.nextInt(5), -1, true, true, nanos);
-        case 5 -> feed.cut(at, random.nextInt(5), member, random.nextBoolean(), true, nanos);
-        case 6 -> feed.stop(at, node, nanos);
-        default -> feed.restart(at, node);
+        case 3 -> simulation.alone(atNanos, member, 2 * durationNanos);
+        case 4 -> simulation.cut(atNanos, random.nextInt(5), -1, true, true, durationNanos);
+        case 5 ->
+            simulation.cut(
+                atNanos, random.nextInt(5), member, random.nextBoolean(), true, durationNanos);
+        case 6 -> simulation.stop(atNanos, node, durationNanos);
+        default -> simulation.restart(atNanos, node);
       }
     }
-    return feed;
+    return simulation;
   }
 
-  private static List<String> play(int days, HollowFeed.Followers followers) {
-    List<String> breaches = new ArrayList<>();
-    for (long seed = 1; seed <= days && breaches.size() < 5; seed++) {
-      long of = seed;
-      HollowFeed.Counted counted = day(seed, followers).play(CALM);
-      counted.breaches().forEach(breach -> breaches.add("seed " + of + ", " + breach));
+  /** Runs a simulation with random faults for each seed, and returns their violations. */
+  private static List<String> findViolations(
+      int seedCount, HollowFeed.Followers subscriberFactory) {
+    List<String> violations = new ArrayList<>();
+    for (long seed = 1; seed <= seedCount && violations.size() < 5; seed++) {
+      long currentSeed = seed;
+      HollowFeed.Counted result = createFeedWithFaults(seed, subscriberFactory).play(SETTLE_NANOS);
+      result
+          .breaches()
+          .forEach(violation -> violations.add("seed " + currentSeed + ", " + violation));
     }
-    return breaches;
+    return violations;
   }
 
   @Test
-  void nothingIsLostDoubledOrTakenBack() {
-    assertEquals(List.of(), play(DAYS, HollowFeed.real(3)));
+  void appliesEachEntryOnceInOrderAndInTimeDespiteFaults() {
+    assertEquals(List.of(), findViolations(SEED_COUNT, HollowFeed.real(3)));
   }
 
-  /** Changes what a follower is made with, and nothing else. */
-  private static HollowFeed.Followers broken(ChangeFeedSubscriber.Timeouts pace) {
-    return (node, seed, now, carrier) ->
-        new ChangeFeedSubscriber("g", "n" + node, 3, seed, now, pace, carrier);
+  /** Creates production subscribers with these timeouts. */
+  private static HollowFeed.Followers subscribersWith(ChangeFeedSubscriber.Timeouts timeouts) {
+    return (node, seed, now, output) ->
+        new ChangeFeedSubscriber("g", "n" + node, 3, seed, now, timeouts, output);
   }
 
   @Test
-  void aNodeThatWaitsForeverOnASilentMemberIsFound() {
-    ChangeFeedSubscriber.Timeouts usual = ChangeFeedSubscriber.Timeouts.DEFAULT;
-    ChangeFeedSubscriber.Timeouts patient =
+  void detectsSubscriberThatWaitsTooLongForSilentMember() {
+    ChangeFeedSubscriber.Timeouts defaultTimeouts = ChangeFeedSubscriber.Timeouts.DEFAULT;
+    ChangeFeedSubscriber.Timeouts longTimeouts =
         new ChangeFeedSubscriber.Timeouts(
-            60 * SECOND,
-            usual.connectTimeoutNanos(),
-            usual.initialBackoffNanos(),
-            usual.maxBackoffNanos(),
-            usual.ackIntervalNanos(),
-            60 * SECOND);
-    List<String> found = play(DAYS, broken(patient));
-    assertTrue(found.stream().anyMatch(breach -> breach.contains("lacks entry")), found.toString());
+            60 * SECOND_NANOS,
+            defaultTimeouts.connectTimeoutNanos(),
+            defaultTimeouts.initialBackoffNanos(),
+            defaultTimeouts.maxBackoffNanos(),
+            defaultTimeouts.ackIntervalNanos(),
+            60 * SECOND_NANOS);
+    List<String> violations = findViolations(SEED_COUNT, subscribersWith(longTimeouts));
+    assertTrue(
+        violations.stream().anyMatch(violation -> violation.contains("lacks entry")),
+        violations.toString());
   }
 
   @Test
-  void aMemberThatPublishesWhatItLostSightOfIsFound() {
-    ChangeFeedPublisher.Limits usual = ChangeFeedPublisher.Limits.DEFAULT;
-    ChangeFeedPublisher.Limits never =
+  void detectsIsolatedPublisherThatDoesNotRejectSubscribers() {
+    ChangeFeedPublisher.Limits defaultLimits = ChangeFeedPublisher.Limits.DEFAULT;
+    ChangeFeedPublisher.Limits limitsWithLongTimeout =
         new ChangeFeedPublisher.Limits(
-            usual.maxSubscribers(),
-            usual.maxRetainedBytes(),
-            usual.windowBytes(),
-            usual.heartbeatNanos(),
-            usual.ackTimeoutNanos(),
-            1000 * SECOND);
+            defaultLimits.maxSubscribers(),
+            defaultLimits.maxRetainedBytes(),
+            defaultLimits.windowBytes(),
+            defaultLimits.heartbeatNanos(),
+            defaultLimits.ackTimeoutNanos(),
+            1000 * SECOND_NANOS);
     HollowFeed.Plan plan =
-        new HollowFeed.Plan(9, 3, 3, 80_000_000L, 0, 6, 120, 25, never, HollowFeed.real(3), 1);
-    HollowFeed feed = new HollowFeed(plan);
-    feed.alone(3 * SECOND, 1, 15 * SECOND);
-    List<String> found = feed.play(CALM).breaches();
-    assertTrue(found.stream().anyMatch(breach -> breach.contains("lacks entry")), found.toString());
+        new HollowFeed.Plan(
+            9, 3, 3, 80_000_000L, 0, 6, 120, 25, limitsWithLongTimeout, HollowFeed.real(3), 1);
+    HollowFeed simulation = new HollowFeed(plan);
+    simulation.alone(3 * SECOND_NANOS, 1, 15 * SECOND_NANOS);
+    List<String> violations = simulation.play(SETTLE_NANOS).breaches();
+    assertTrue(
+        violations.stream().anyMatch(violation -> violation.contains("lacks entry")),
+        violations.toString());
   }
 
   @Test
-  void aSlowNodeHoldsUpNeitherTheOthersNorMemory() {
-    HollowFeed feed = new HollowFeed(plan(12, 0, 2000, 5, HollowFeed.real(3)));
+  void pausedNodesNeitherDelayOtherNodesNorFillMemory() {
+    HollowFeed simulation = new HollowFeed(createPlan(12, 0, 2000, 5, HollowFeed.real(3)));
     for (int node = 0; node < 4; node++) {
-      feed.stop(2 * SECOND, node, 18 * SECOND);
+      simulation.stop(2 * SECOND_NANOS, node, 18 * SECOND_NANOS);
     }
-    HollowFeed.Counted counted = feed.play(CALM);
-    assertEquals(List.of(), counted.breaches());
-    assertTrue(counted.snapshots() >= 4, "snapshots: " + counted.snapshots());
-    // A window, and one message that went over it.
-    assertTrue(counted.mostOutBytes() <= 12 * (4000 + 2000), "out: " + counted.mostOutBytes());
+    HollowFeed.Counted result = simulation.play(SETTLE_NANOS);
+    assertEquals(List.of(), result.breaches());
+    assertTrue(result.snapshots() >= 4, "snapshots sent by members: " + result.snapshots());
+    // Each of the 12 nodes has at most a window of 4,000 bytes and one further message in flight.
+    assertTrue(
+        result.mostOutBytes() <= 12 * (4000 + 2000),
+        "most bytes in flight of one member: " + result.mostOutBytes());
   }
 
   @Test
-  void allNodesStartWithinTheSameSecond() {
-    HollowFeed feed = new HollowFeed(plan(430, 0, 1 << 20, 6, HollowFeed.real(3)));
+  void deliversInTimeWhenAllNodesRestartWithinOneSecond() {
+    HollowFeed simulation = new HollowFeed(createPlan(430, 0, 1 << 20, 6, HollowFeed.real(3)));
     for (int node = 0; node < 430; node++) {
-      feed.restart(10 * SECOND + node * 1_000_000L, node);
+      simulation.restart(10 * SECOND_NANOS + node * 1_000_000L, node);
     }
-    HollowFeed.Counted counted = feed.play(CALM);
-    assertEquals(List.of(), counted.breaches());
-    assertTrue(counted.lastSeconds() < 1.1, "last: " + counted.lastSeconds());
+    HollowFeed.Counted result = simulation.play(SETTLE_NANOS);
+    assertEquals(List.of(), result.breaches());
+    assertTrue(
+        result.lastSeconds() < 1.1,
+        "greatest delay until a node applied an entry, in seconds: " + result.lastSeconds());
   }
 
   @Test
-  void purgesAreEverywhereInTimeWhileAMemberIsGone() {
+  void deliversInTimeWhileMemberIsUnreachable() {
     for (long seed = 1; seed <= 5; seed++) {
-      HollowFeed feed =
+      HollowFeed simulation =
           new HollowFeed(
               new HollowFeed.Plan(
                   215,
@@ -162,12 +186,18 @@
                   ChangeFeedPublisher.Limits.DEFAULT,
                   HollowFeed.real(3),
                   seed));
-      feed.vanish(6 * SECOND, 1, 6 * SECOND);
-      HollowFeed.Counted counted = feed.play(CALM);
-      assertEquals(List.of(), counted.breaches());
-      assertTrue(counted.lastSeconds() < 1.1, "last: " + counted.lastSeconds());
-      assertTrue(counted.bytesPerSecond() < 2000, "bytes/s: " + counted.bytesPerSecond());
-      assertTrue(counted.mostFollowers() < 0.6 * 215, "on one: " + counted.mostFollowers());
+      simulation.vanish(6 * SECOND_NANOS, 1, 6 * SECOND_NANOS);
+      HollowFeed.Counted result = simulation.play(SETTLE_NANOS);
+      assertEquals(List.of(), result.breaches());
+      assertTrue(
+          result.lastSeconds() < 1.1,
+          "greatest delay until a node applied an entry, in seconds: " + result.lastSeconds());
+      assertTrue(
+          result.bytesPerSecond() < 2000,
+          "bytes per second of one node: " + result.bytesPerSecond());
+      assertTrue(
+          result.mostFollowers() < 0.6 * 215,
+          "most subscribers of one member: " + result.mostFollowers());
     }
   }
 }
--- a/capacity/src/test/java/shalepaddle/capacity/SlopeTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/SlopeTest.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The line through points, and what it says of them. */
+/** Tests the line that {@link Slope} fits to points, and the figures derived from it. */
 class SlopeTest {
-  private static Slope through(double... values) {
+  private static Slope fit(double... values) {
     List<Slope.Point> points =
         java.util.stream.IntStream.range(0, values.length)
             .mapToObj(i -> new Slope.Point(1 << i, values[i]))
@@ -16,8 +16,8 @@
   }
 
   @Test
-  void aLineIsFoundAgain() {
-    Slope line = through(5, 7, 11, 19);
+  void fitRecoversSlopeAndConstantOfLine() {
+    Slope line = fit(5, 7, 11, 19);
     assertEquals(2, line.slope(), 1e-9);
     assertEquals(3, line.constant(), 1e-9);
     assertEquals(0, line.noise(), 1e-9);
@@ -25,14 +25,14 @@
   }
 
   @Test
-  void whatIsOffTheLineIsTold() {
-    assertEquals(0.4, through(1, 1, 5, 1).noise(), 0.3);
+  void fitReportsDistanceFromLineAsNoise() {
+    assertEquals(0.4, fit(1, 1, 5, 1).noise(), 0.3);
   }
 
   @Test
-  void thePowerTellsProportionalFromQuadratic() {
-    assertEquals(0, through(4, 4, 4).power(), 1e-9);
-    assertEquals(1, through(3, 6, 12).power(), 1e-9);
-    assertEquals(2, through(1, 4, 16).power(), 1e-9);
+  void growthExponentDistinguishesProportionalFromQuadratic() {
+    assertEquals(0, fit(4, 4, 4).power(), 1e-9);
+    assertEquals(1, fit(3, 6, 12).power(), 1e-9);
+    assertEquals(2, fit(1, 4, 16).power(), 1e-9);
   }
 }
