--- a/benchmarks/src/main/java/shalepaddle/benchmarks/ColdCaches.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/ColdCaches.java
@@ -123,7 +123,7 @@
     List<StandInServer> fleet = new ArrayList<>();
     try {
       for (int i = 0; i < SERVER_COUNT; i++) {
-        new StandInServer(transport, "s" + i, "a", ServerModel.usual(), origin, effects, fleet, i)
+        new StandInServer(transport, "s" + i, "a", ServerModel.defaults(), origin, effects, fleet, i)
             .start()
             .sync();
       }
@@ -183,25 +183,25 @@
             0);
     StandInClients clients = new StandInClients(transport, effects, traffic, 50, 900, 100 + round);
     if (isCoalescing) {
-      clients.mayShareAnswers();
+      clients.allowSharedResponses();
     }
     loop.submit(
             () -> {
-              clients.add("node", new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+              clients.addTarget("node", new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
               clients.run(measuredSeconds * 1000L);
             })
         .sync();
     TimeUnit.MILLISECONDS.sleep(measuredSeconds * 1000L + 2500);
     return loop.submit(
             () -> {
-              clients.breaches().forEach(text -> System.out.println("violation: " + text));
-              Histogram latencyMicros = clients.latencies();
+              clients.violations().forEach(text -> System.out.println("violation: " + text));
+              Histogram latencyMicros = clients.latencyMicros();
               Measurement measurement =
                   new Measurement(
-                      clients.asked(),
-                      clients.served(),
-                      clients.refused(),
-                      clients.failed(),
+                      clients.requests(),
+                      clients.servedRequests(),
+                      clients.refusedRequests(),
+                      clients.failedRequests(),
                       origin.fetches(),
                       latencyMicros.getValueAtPercentile(50) / 1e3,
                       latencyMicros.getValueAtPercentile(99) / 1e3);
--- a/cli/src/main/java/shalepaddle/cli/Embedded.java
+++ b/cli/src/main/java/shalepaddle/cli/Embedded.java
@@ -88,7 +88,7 @@
    */
   Embedded(int serverCount, Traffic traffic, int port)
       throws IOException, FormatException, InterruptedException, ExecutionException {
-    ServerModel model = ServerModel.usual().working(4, 0.005).cold(0.12, 10, 3, 2);
+    ServerModel model = ServerModel.defaults().withWorkers(4, 0.005).withColdStart(0.12, 10, 3, 2);
     try {
       onLoop(
           serverTransport,
@@ -108,7 +108,7 @@
             return null;
           });
       discovery.start().sync();
-      String serverList = onLoop(serverTransport, discovery::list);
+      String serverList = onLoop(serverTransport, discovery::listJson);
       node =
           new Node(
               NodeConfig.parse(JsonObject.parse(config(port, serverList))), OperatorFile.DEFAULTS);
@@ -124,7 +124,7 @@
       onLoop(
           clientTransport,
           () -> {
-            clients.add("node", address);
+            clients.addTarget("node", address);
             return null;
           });
     } catch (IOException | FormatException | RuntimeException e) {
@@ -227,8 +227,8 @@
    * @param durationMillis how long the origin stays slow
    */
   void slowOrigin(double slowdownFactor, long afterMillis, long durationMillis) {
-    schedule(afterMillis, () -> origin.slowness(slowdownFactor));
-    schedule(afterMillis + durationMillis, () -> origin.slowness(1));
+    schedule(afterMillis, () -> origin.setSlowdown(slowdownFactor));
+    schedule(afterMillis + durationMillis, () -> origin.setSlowdown(1));
   }
 
   private void schedule(long delayMillis, Runnable task) {
@@ -242,38 +242,38 @@
             serverTransport,
             () ->
                 fleet.stream()
-                    .map(s -> new Load(s.id(), displayedState(s), s.inFlight(), s.served()))
+                    .map(s -> new Load(s.id(), displayedState(s), s.inFlight(), s.servedRequests()))
                     .toList());
-    int hits = onLoop(serverTransport, () -> fleet.stream().mapToInt(StandInServer::hits).sum());
+    int hits = onLoop(serverTransport, () -> fleet.stream().mapToInt(StandInServer::cacheHits).sum());
     int misses =
-        onLoop(serverTransport, () -> fleet.stream().mapToInt(StandInServer::misses).sum());
+        onLoop(serverTransport, () -> fleet.stream().mapToInt(StandInServer::cacheMisses).sum());
     int originFetches = onLoop(serverTransport, origin::fetches);
     return onLoop(
         clientTransport,
         () ->
             new Sample(
-                clients.asked(),
-                clients.served(),
-                clients.refused(),
-                clients.failed(),
-                clients.unsent(),
+                clients.requests(),
+                clients.servedRequests(),
+                clients.refusedRequests(),
+                clients.failedRequests(),
+                clients.unsentRequests(),
                 hits,
                 misses,
                 originFetches,
-                clients.latencies().copy(),
+                clients.latencyMicros().copy(),
                 serverSamples));
   }
 
   /** Returns a server's state as it is printed: up, leaving or down. */
   private String displayedState(StandInServer server) {
-    return !server.running()
+    return !server.isRunning()
         ? "down"
         : discovery.member(server.id()).state() == StandInDiscovery.State.ACTIVE ? "up" : "leaving";
   }
 
   /** Returns the number of requests in flight. */
   int open() throws InterruptedException, ExecutionException {
-    return onLoop(clientTransport, clients::open);
+    return onLoop(clientTransport, clients::outstanding);
   }
 
   /**
@@ -285,7 +285,7 @@
     // The servers record executed requests in the effect log on their event loop. Waiting for a
     // task there makes these records visible to the check, which runs on the clients' event loop.
     boolean hasServerCollapsed =
-        onLoop(serverTransport, () -> fleet.stream().anyMatch(StandInServer::fallen));
+        onLoop(serverTransport, () -> fleet.stream().anyMatch(StandInServer::collapsed));
     List<String> violations = new ArrayList<>();
     if (hasServerCollapsed) {
       violations.add("a cold server received more load than it can survive");
@@ -294,8 +294,8 @@
         onLoop(
             clientTransport,
             () -> {
-              clients.check(TimeUnit.MILLISECONDS.toNanos(MAX_LATENESS_MILLIS));
-              return List.copyOf(clients.breaches());
+              clients.checkEffects(TimeUnit.MILLISECONDS.toNanos(MAX_LATENESS_MILLIS));
+              return List.copyOf(clients.violations());
             }));
     return violations;
   }
--- a/cli/src/main/java/shalepaddle/cli/SimulateCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/SimulateCommand.java
@@ -109,19 +109,19 @@
             nextSeed++) {
           ScenarioPlan drawnPlan =
               hasOverlappingFaults
-                  ? ScenarioPlan.crossing(nextSeed, loadSeconds * 1000L)
+                  ? ScenarioPlan.ofConcurrentEvents(nextSeed, loadSeconds * 1000L)
                   : ScenarioPlan.of(nextSeed, loadSeconds * 1000L);
-          ScenarioPlan plan = coalescesReads ? drawnPlan.joined() : drawnPlan;
+          ScenarioPlan plan = coalescesReads ? drawnPlan.withCoalescing() : drawnPlan;
           completionService.submit(() -> ScenarioSimulation.play(plan));
         }
         ScenarioReport report = completionService.take().get();
-        requests += report.asked();
-        servedRequests += report.served();
-        sharedAnswers += report.shared();
-        if (!report.good()) {
+        requests += report.requests();
+        servedRequests += report.servedRequests();
+        sharedAnswers += report.sharedReads();
+        if (!report.passed()) {
           failingSeeds.add(report.plan().seed());
         }
-        if (printsAll || !report.good()) {
+        if (printsAll || !report.passed()) {
           print(report);
         }
         if (i % 50 == 0 || i == scenarioCount) {
@@ -153,16 +153,16 @@
     out.printf(
         "seed %d: %d servers, %d nodes, %d requests, %d served, %d refused, %d failed, p99 %d ms%n",
         plan.seed(),
-        plan.servers(),
-        plan.nodes(),
-        report.asked(),
-        report.served(),
-        report.refused(),
-        report.failed(),
+        plan.serverCount(),
+        plan.nodeCount(),
+        report.requests(),
+        report.servedRequests(),
+        report.refusedRequests(),
+        report.failedRequests(),
         report.p99Micros() / 1000);
-    if (!report.good()) {
+    if (!report.passed()) {
       out.println("  " + plan);
-      report.breaches().forEach(violation -> out.println("  " + violation));
+      report.violations().forEach(violation -> out.println("  " + violation));
     }
   }
 }
--- a/cli/src/test/java/shalepaddle/cli/ChangeFeedIT.java
+++ b/cli/src/test/java/shalepaddle/cli/ChangeFeedIT.java
@@ -171,7 +171,7 @@
         injectFault(commandNumber, random);
         Thread.sleep(random.nextInt(60));
       }
-      links.forEach(FaultyLink::heal);
+      links.forEach(FaultyLink::clearFaults);
       for (String name : processes.keySet()) {
         signal(name, "CONT");
       }
@@ -205,9 +205,9 @@
     switch (commandNumber) {
       case 20 -> {
         // The first process of subscribers loses contact with all three members.
-        links.subList(0, 3).forEach(FaultyLink::lose);
+        links.subList(0, 3).forEach(FaultyLink::discardData);
         Thread.sleep(3500);
-        links.subList(0, 3).forEach(FaultyLink::heal);
+        links.subList(0, 3).forEach(FaultyLink::clearFaults);
       }
       case 50 -> processes.get("a").destroyForcibly().waitFor();
       case 70 -> startMember("a");
@@ -217,10 +217,10 @@
         if (commandNumber % 10 == 5) {
           FaultyLink link = links.get(random.nextInt(links.size()));
           switch (random.nextInt(4)) {
-            case 0 -> link.lose();
-            case 1 -> link.cut();
-            case 2 -> link.delay(1 + random.nextInt(80));
-            default -> links.forEach(FaultyLink::heal);
+            case 0 -> link.discardData();
+            case 1 -> link.closeConnections();
+            case 2 -> link.setDelayMillis(1 + random.nextInt(80));
+            default -> links.forEach(FaultyLink::clearFaults);
           }
         }
       }
--- a/cli/src/test/java/shalepaddle/cli/ClusterIT.java
+++ b/cli/src/test/java/shalepaddle/cli/ClusterIT.java
@@ -220,9 +220,9 @@
           continue;
         }
         switch (random.nextInt(7)) {
-          case 0 -> link.lose();
-          case 1 -> link.cut();
-          case 2 -> link.delay(1 + random.nextInt(80));
+          case 0 -> link.discardData();
+          case 1 -> link.closeConnections();
+          case 2 -> link.setDelayMillis(1 + random.nextInt(80));
           case 3 -> {
             faultyMachine.signal("STOP");
             Thread.sleep(random.nextInt(1500));
@@ -234,10 +234,10 @@
           }
           default ->
               currentMachines.forEach(
-                  machine -> machine.links.values().forEach(FaultyLink::heal));
+                  machine -> machine.links.values().forEach(FaultyLink::clearFaults));
         }
       }
-      machines.values().forEach(machine -> machine.links.values().forEach(FaultyLink::heal));
+      machines.values().forEach(machine -> machine.links.values().forEach(FaultyLink::clearFaults));
       verify(client, run);
     } finally {
       for (Machine machine : allMachines.values()) {
@@ -258,7 +258,7 @@
     lostMachine.kill();
     lostMachine.deleteFolder();
     for (Machine machine : machines.values()) {
-      machine.links.values().forEach(FaultyLink::heal);
+      machine.links.values().forEach(FaultyLink::clearFaults);
     }
     Machine replacement = addMachine(newName);
     assertEquals(0, replacement.start("join", initialMembers).waitFor());
--- a/daemon/src/test/java/shalepaddle/daemon/AcceptFailureIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/AcceptFailureIT.java
@@ -24,8 +24,8 @@
     try (Fleet fleet = new Fleet(2);
         StoppableNode node = new StoppableNode(folder, fleet, 256);
         ScriptedPeer earlierClient = ScriptedPeer.connect(node.address())) {
-      assertEquals("VA 5 Oa", earlierClient.write(formatReadCommand("a")).line());
-      assertEquals("value", earlierClient.line());
+      assertEquals("VA 5 Oa", earlierClient.write(formatReadCommand("a")).readLine());
+      assertEquals("value", earlierClient.readLine());
       for (int i = 0; i < 5; i++) {
         node.descriptors().set(node.descriptors().inUse());
         long sentAtNanos = System.nanoTime();
@@ -33,15 +33,15 @@
           clientDuringShortage.write(formatReadCommand("b" + i));
           TimeUnit.MILLISECONDS.sleep(30);
           node.descriptors().set(256);
-          assertEquals("VA 5 Ob" + i, clientDuringShortage.line());
+          assertEquals("VA 5 Ob" + i, clientDuringShortage.readLine());
         }
         long answerMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos);
         assertTrue(answerMillis < 300, "request answered after " + answerMillis + " ms");
       }
       try (ScriptedPeer laterClient = ScriptedPeer.connect(node.address())) {
-        assertEquals("MN", laterClient.write("mn\r\n").line());
+        assertEquals("MN", laterClient.write("mn\r\n").readLine());
       }
-      assertEquals("VA 5 Oc", earlierClient.write(formatReadCommand("c")).line());
+      assertEquals("VA 5 Oc", earlierClient.write(formatReadCommand("c")).readLine());
     }
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/AnswerTimeIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/AnswerTimeIT.java
@@ -56,7 +56,7 @@
     // The first request of a process takes longer than later ones, so it is sent before the test.
     ScriptedPeer warmupClient = connect();
     warmupClient.write(formatReadCommand("warm", 300, ""));
-    warmupClient.line();
+    warmupClient.readLine();
   }
 
   @AfterEach
@@ -106,11 +106,11 @@
   void answersInTimeAfterInvalidCommandOnSameConnection(int deadlineMillis) throws Exception {
     ScriptedPeer client = connect();
     client.write("mg key v\r\n");
-    assertTrue(client.line().startsWith("CLIENT_ERROR"));
+    assertTrue(client.readLine().startsWith("CLIENT_ERROR"));
     TimeUnit.MILLISECONDS.sleep(20);
     long sentAtNanos = System.nanoTime();
     client.write(formatReadCommand("a", deadlineMillis, ""));
-    assertTrue(client.line().startsWith("SERVER_ERROR"));
+    assertTrue(client.readLine().startsWith("SERVER_ERROR"));
     assertInTime(millisSince(sentAtNanos), deadlineMillis);
   }
 
@@ -126,11 +126,11 @@
     awaitStartOfRetryPeriod();
     for (int i = 0; i < 3; i++) {
       client.write(formatReadCommand("retry" + i, 2000, ",r=1"));
-      assertTrue(client.line().startsWith("SERVER_ERROR busy"));
+      assertTrue(client.readLine().startsWith("SERVER_ERROR busy"));
     }
     long sentAtNanos = System.nanoTime();
     client.write(formatWriteCommand("a", 100));
-    assertTrue(client.line().startsWith("SERVER_ERROR"));
+    assertTrue(client.readLine().startsWith("SERVER_ERROR"));
     assertInTime(millisSince(sentAtNanos), 100);
   }
 
@@ -147,9 +147,9 @@
     client.write(commands.toString());
     long lastAnswerMillis = 0;
     for (int i = 0; i < 300; i++) {
-      String line = client.line();
+      String line = client.readLine();
       if (line.startsWith("VA ")) {
-        client.line();
+        client.readLine();
       }
       lastAnswerMillis = millisSince(sentAtNanos);
     }
@@ -169,7 +169,7 @@
     client.write(formatReadCommand("a", 400, ""));
     TimeUnit.MILLISECONDS.sleep(280);
     node.resume();
-    assertTrue(client.line().startsWith("SERVER_ERROR"));
+    assertTrue(client.readLine().startsWith("SERVER_ERROR"));
     assertInTime(millisSince(sentAtNanos), 400);
   }
 
--- a/daemon/src/test/java/shalepaddle/daemon/DirectClient.java
+++ b/daemon/src/test/java/shalepaddle/daemon/DirectClient.java
@@ -81,9 +81,9 @@
 
   /** Reads an answer and its value, if any; returns false if the connection was closed. */
   private static boolean readAnswer(ScriptedPeer client) throws IOException {
-    String line = client.line();
+    String line = client.readLine();
     if (line != null && line.startsWith("VA ")) {
-      client.line();
+      client.readLine();
     }
     return line != null;
   }
--- a/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
@@ -169,7 +169,7 @@
     for (int i = 0; i < SERVER_COUNT; i++) {
       StandInServer server =
           new StandInServer(
-              transport, "s" + i, "a", ServerModel.usual(), origin, effectLog, servers, seed + i);
+              transport, "s" + i, "a", ServerModel.defaults(), origin, effectLog, servers, seed + i);
       server.start().sync();
     }
     runOnLoop(
@@ -220,7 +220,7 @@
 
   private NodeProcess startNode() throws Exception {
     String name = "n" + startedNodes++;
-    String serverList = callOnLoop(discovery::list);
+    String serverList = callOnLoop(discovery::listJson);
     FaultyCalls calls = new FaultyCalls(library, folder.resolve(name + ".control"));
     calls.stepWallClock(drawClockStep());
     StoppableNode daemon =
@@ -232,7 +232,7 @@
 
   private void awaitReady(NodeProcess node) throws Exception {
     if (node.daemon.awaitListening()) {
-      runOnLoop(() -> clients.add(node.name, node.daemon.address()));
+      runOnLoop(() -> clients.addTarget(node.name, node.daemon.address()));
     } else {
       violations.add(node.name + " did not listen after its start");
     }
@@ -289,45 +289,45 @@
     switch (kind) {
       case KILL_SERVER -> killServer(server, durationMillis);
       case SILENT_SERVER -> {
-        server.silent(true);
-        schedule(durationMillis, () -> server.silent(false));
+        server.setUnresponsive(true);
+        schedule(durationMillis, () -> server.setUnresponsive(false));
       }
       case FAULTY_SERVER -> {
-        server.fault(
+        server.injectFault(
             ANSWER_FAULTS.get(random.nextInt(ANSWER_FAULTS.size())), random.nextDouble());
-        schedule(durationMillis, server::mend);
+        schedule(durationMillis, server::clearFaults);
       }
-      case RESET_CONNECTIONS -> server.resetConnections(random.nextDouble());
-      case CLOSE_IDLE_CONNECTIONS -> servers.forEach(StandInServer::closeIdle);
+      case RESET_CONNECTIONS -> server.closeConnections(random.nextDouble());
+      case CLOSE_IDLE_CONNECTIONS -> servers.forEach(StandInServer::closeIdleConnections);
       case DISCOVERY_DOWN -> {
-        discovery.down();
+        discovery.stop();
         schedule(durationMillis, discovery::start);
       }
       case DISCOVERY_SILENT -> {
-        discovery.silent(true);
-        schedule(durationMillis, () -> discovery.silent(false));
+        discovery.setSilent(true);
+        schedule(durationMillis, () -> discovery.setSilent(false));
       }
       case MUTE_WATCHES -> discovery.muteWatches();
       case SLOW_ORIGIN -> {
-        origin.slowness(10);
-        schedule(durationMillis, () -> origin.slowness(1));
+        origin.setSlowdown(10);
+        schedule(durationMillis, () -> origin.setSlowdown(1));
       }
       case BAD_CLIENTS -> {
         NodeProcess node = drawNode();
         if (node != null && !node.isPaused) {
-          misbehavingClients.come(node.daemon.address(), 10);
+          misbehavingClients.connect(node.daemon.address(), 10);
         }
       }
       case BURST -> {
-        clients.rush(2);
-        schedule(durationMillis, () -> clients.rush(1));
+        clients.setRateFactor(2);
+        schedule(durationMillis, () -> clients.setRateFactor(1));
       }
       default -> throw new IllegalArgumentException(kind.name());
     }
   }
 
   private void killServer(StandInServer server, int downMillis) {
-    if (server.running()) {
+    if (server.isRunning()) {
       server.kill();
       schedule(
           downMillis,
@@ -357,8 +357,8 @@
     runOnLoop(
         () -> {
           // The delivery of the signals may take 50 ms more.
-          clients.paused(node.name, pauseMillis + 50);
-          misbehavingClients.paused(pauseMillis + 50);
+          clients.recordPause(node.name, pauseMillis + 50);
+          misbehavingClients.recordPause(pauseMillis + 50);
         });
     node.daemon.stopFor(pauseMillis);
     node.isPaused = false;
@@ -370,7 +370,7 @@
     }
     node.isEnding = true;
     node.daemon.terminate();
-    schedule(CONNECTS_AFTER_SIGTERM_MILLIS, () -> clients.leaving(node.name));
+    schedule(CONNECTS_AFTER_SIGTERM_MILLIS, () -> clients.markRestarting(node.name));
     awaitReady(startNode());
   }
 
@@ -381,7 +381,7 @@
     node.isKilled = true;
     runOnLoop(
         () -> {
-          clients.excuse(node.name);
+          clients.markKilled(node.name);
         });
     node.daemon.process().destroyForcibly();
     awaitReady(startNode());
@@ -389,7 +389,7 @@
 
   private void reload(NodeProcess node) throws Exception {
     if (node != null) {
-      String serverList = callOnLoop(discovery::list);
+      String serverList = callOnLoop(discovery::listJson);
       node.daemon.configure(config(node.daemon.address().getPort(), serverList));
       node.daemon.hangUp();
     }
@@ -453,9 +453,9 @@
     runOnLoop(
         () -> {
           clients.stop();
-          servers.forEach(StandInServer::mend);
-          servers.forEach(server -> server.silent(false));
-          discovery.silent(false);
+          servers.forEach(StandInServer::clearFaults);
+          servers.forEach(server -> server.setUnresponsive(false));
+          discovery.setSilent(false);
           nodes.forEach(node -> node.calls.clear());
         });
   }
@@ -481,12 +481,12 @@
   private void collectViolations() throws Exception {
     runOnLoop(
         () -> {
-          if (clients.open() > 0) {
-            violations.add(clients.open() + " requests were still in flight at the end");
+          if (clients.outstanding() > 0) {
+            violations.add(clients.outstanding() + " requests were still in flight at the end");
           }
-          clients.check(MAX_DELIVERY_NANOS);
-          violations.addAll(clients.breaches());
-          violations.addAll(misbehavingClients.breaches());
+          clients.checkEffects(MAX_DELIVERY_NANOS);
+          violations.addAll(clients.violations());
+          violations.addAll(misbehavingClients.violations());
         });
     for (NodeProcess node : nodes) {
       for (String line : node.daemon.logged()) {
@@ -528,11 +528,11 @@
                 .formatted(
                     seed,
                     startedNodes,
-                    clients.asked(),
-                    clients.served(),
-                    clients.refused(),
-                    clients.failed(),
-                    clients.crossed(),
+                    clients.requests(),
+                    clients.servedRequests(),
+                    clients.refusedRequests(),
+                    clients.failedRequests(),
+                    clients.closeRaces(),
                     injectedFaults));
   }
 
--- a/daemon/src/test/java/shalepaddle/daemon/SystemCallFailureIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/SystemCallFailureIT.java
@@ -132,13 +132,13 @@
     String command =
         isWrite ? "ms key-%s 5 O%s Pc=put,d=%d\r\nvalue\r\n" : "mg key-%s v O%s Pc=read,d=%d\r\n";
     client.write(command.formatted(id, id, DEADLINE_MILLIS));
-    String line = client.line();
+    String line = client.readLine();
     if (line == null) {
       throw new IOException("connection closed before the answer");
     }
     outcome.answers++;
     if (!isWrite && line.equals("VA 5 O" + id)) {
-      assertEquals("value", client.line());
+      assertEquals("value", client.readLine());
       outcome.successfulAnswers++;
     } else if (isWrite && (line + " ").startsWith("HD O" + id + " ")) {
       outcome.successfulAnswers++;
@@ -335,7 +335,7 @@
       long sentAtNanos = System.nanoTime();
       try (ScriptedPeer client = ScriptedPeer.connect(managementAddress)) {
         client.write("GET /api/ready HTTP/1.1\r\n\r\n");
-        assertEquals("HTTP/1.1 200 OK", client.line());
+        assertEquals("HTTP/1.1 200 OK", client.readLine());
       }
       answerMillis.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos));
     }
--- a/daemon/src/test/java/shalepaddle/daemon/WallClockIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/WallClockIT.java
@@ -70,8 +70,8 @@
       for (int i = 0; i < REQUEST_COUNT; i++) {
         String id = "r" + nextRequestNumber++;
         client.write("mg key-%s v O%s Pc=read,d=1000\r\n".formatted(id, id));
-        if (client.line().equals("VA 5 O" + id)) {
-          client.line();
+        if (client.readLine().equals("VA 5 O" + id)) {
+          client.readLine();
           servedRequests++;
         }
       }
--- a/engine/src/test/java/shalepaddle/loop/TimersTest.java
+++ b/engine/src/test/java/shalepaddle/loop/TimersTest.java
@@ -64,7 +64,7 @@
                 }
               })
           .sync();
-      assertTrue(allTimersRan.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+      assertTrue(allTimersRan.await(ScriptedPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
       assertEquals(List.of(), earlyTimerDelaysNanos);
       // 200 ms are ten ticks; without ticks each of the 1000 timers would wake up the loop.
       assertTrue(turns.size() <= 12, turns.size() + " turns ran timers");
@@ -91,7 +91,7 @@
                 timers.runNoLaterThan(TICK_NANOS, () -> order.add("cancelled")).cancel();
               })
           .sync();
-      assertTrue(allTimersRan.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+      assertTrue(allTimersRan.await(ScriptedPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
       assertEquals(List.of("by", "after"), order);
     }
   }
@@ -125,7 +125,7 @@
                 }
               })
           .sync();
-      assertTrue(allTimersRan.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+      assertTrue(allTimersRan.await(ScriptedPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
       // One wake-up is scheduled when a timer is set and one when the timer is due. If each wake-up
       // scheduled another one while timers are set, there would be thousands of wake-ups.
       assertTrue(
@@ -153,7 +153,7 @@
           "a timer in real time was delayed by a stall");
       assertEquals(
           1, activeTimeTimerRan.getCount(), "a stall of the loop was counted as active time");
-      assertTrue(activeTimeTimerRan.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+      assertTrue(activeTimeTimerRan.await(ScriptedPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
 
--- a/engine/src/test/java/shalepaddle/node/AdminServerTest.java
+++ b/engine/src/test/java/shalepaddle/node/AdminServerTest.java
@@ -60,15 +60,15 @@
   }
 
   private static Response readResponse(ScriptedPeer caller) throws IOException {
-    int status = Integer.parseInt(caller.line().split(" ", 0)[1]);
+    int status = Integer.parseInt(caller.readLine().split(" ", 0)[1]);
     int contentLength = 0;
-    for (String line = caller.line(); !line.isEmpty(); line = caller.line()) {
+    for (String line = caller.readLine(); !line.isEmpty(); line = caller.readLine()) {
       if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
         contentLength = Integer.parseInt(line.substring(15).strip());
       }
     }
-    String body = new String(caller.bytes(contentLength), StandardCharsets.UTF_8);
-    assertTrue(caller.ended(), "the connection is not closed after one call");
+    String body = new String(caller.readBytes(contentLength), StandardCharsets.UTF_8);
+    assertTrue(caller.closedByPeer(), "the connection is not closed after one call");
     return new Response(status, body);
   }
 
@@ -165,29 +165,29 @@
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     awaitMetric("app_outstanding", 1);
     assertEquals(1, readMetric("app_forwards"));
     cache.write("VA 1 Oa1\r\nx\r\n");
-    client.line();
-    client.line();
+    client.readLine();
+    client.readLine();
     awaitMetric("app_results{service=\"read\",disposition=\"succeeded\"}", 1);
     awaitMetric("app_outstanding", 0);
     client.write(NodeFixture.put("a2", 2000, "v"));
-    cache.line();
-    cache.line();
+    cache.readLine();
+    cache.readLine();
     cache.write("SERVER_ERROR failed\r\n");
-    client.line();
+    client.readLine();
     awaitMetric("app_results{service=\"put\",disposition=\"aborted\"}", 1);
     client.write(NodeFixture.put("a3", 2000, "v"));
-    cache.line();
-    cache.line();
+    cache.readLine();
+    cache.readLine();
     cache.write("SERVER_ERROR busy\r\n");
-    client.line();
+    client.readLine();
     awaitMetric("app_results{service=\"put\",disposition=\"declined\"}", 1);
     // A request also ends when its client disconnects.
     client.write(NodeFixture.get("a4", 2000));
-    cache.line();
+    cache.readLine();
     awaitMetric("app_outstanding", 1);
     client.close();
     awaitMetric("app_outstanding", 0);
@@ -200,20 +200,20 @@
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     assertEquals(200, call("PUT", "/api/exclude?member=" + serverId).status());
     assertEquals(200, call("PUT", "/api/exclude?member=" + serverId).status());
     assertEquals(1, readMetric("app_ejected"));
     // The attempt in flight completes; its connection is not used again.
     cache.write("VA 1 Oa1\r\nx\r\n");
-    assertEquals("VA 1 Oa1", client.line());
-    client.line();
-    assertTrue(cache.ended());
+    assertEquals("VA 1 Oa1", client.readLine());
+    client.readLine();
+    assertTrue(cache.closedByPeer());
     client.write(NodeFixture.get("a2", 2000));
-    assertEquals("SERVER_ERROR busy", client.line());
+    assertEquals("SERVER_ERROR busy", client.readLine());
     // The exclusion outlasts lists that remove the server and add it again.
     ScriptedPeer discovery = rig.acceptDiscovery();
-    while (!discovery.line().isEmpty()) {}
+    while (!discovery.readLine().isEmpty()) {}
     discovery.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     discovery.write(NodeFixture.chunk(NodeFixture.members(8, true) + "\n"));
     awaitMetric("app_discovered", 0);
@@ -222,7 +222,7 @@
         NodeFixture.chunk(NodeFixture.members(9, true, rig.cache.getLocalPort()) + "\n"));
     awaitMetric("app_discovered", 1);
     client.write(NodeFixture.get("a3", 2000));
-    assertEquals("SERVER_ERROR busy", client.line());
+    assertEquals("SERVER_ERROR busy", client.readLine());
     assertEquals(200, call("PUT", "/api/include?member=" + serverId).status());
     assertEquals(0, readMetric("app_ejected"));
     // The server is in slow start: for a second, a node without load may send it nothing.
@@ -231,13 +231,13 @@
       rig.cache.setSoTimeout(100);
       try {
         ScriptedPeer newConnection = rig.acceptCache();
-        assertTrue(newConnection.line().contains("Ob" + i + " "));
+        assertTrue(newConnection.readLine().contains("Ob" + i + " "));
         newConnection.write("VA 1 Ob" + i + "\r\nx\r\n");
-        assertEquals("VA 1 Ob" + i, client.line());
+        assertEquals("VA 1 Ob" + i, client.readLine());
         break;
       } catch (SocketTimeoutException e) {
-        assertEquals("SERVER_ERROR busy", client.line());
-        assertEquals("MN", client.line());
+        assertEquals("SERVER_ERROR busy", client.readLine());
+        assertEquals("MN", client.readLine());
         assertTrue(i < 100);
       }
     }
@@ -263,11 +263,11 @@
           excludeThread.start();
           excludeThread.join(300);
         });
-    assertEquals("SERVER_ERROR busy", client.line());
+    assertEquals("SERVER_ERROR busy", client.readLine());
     rig.cache.setSoTimeout(200);
     try {
       serverConnections[0] = rig.acceptCache();
-      assertTrue(serverConnections[0].ended(), "a request was sent to the excluded server");
+      assertTrue(serverConnections[0].closedByPeer(), "a request was sent to the excluded server");
     } catch (IOException e) {
       // No connection was opened.
     }
@@ -281,8 +281,8 @@
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.put("a1", 2000, "v"));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
-    cache.line();
+    cache.readLine();
+    cache.readLine();
     // The new settings make the class idempotent, with two attempts, and add another class.
     String newText =
         text.replace(
@@ -299,38 +299,38 @@
     assertEquals(0, readMetric("app_results{service=\"more\",disposition=\"succeeded\"}"));
     // An open request keeps its settings: it is not idempotent and may have run, so it fails.
     cache.write("SERVER_ERROR failed\r\n");
-    assertEquals("SERVER_ERROR failed", client.line());
+    assertEquals("SERVER_ERROR failed", client.readLine());
     client.write(NodeFixture.put("a2", 2000, "v"));
     for (int attempt = 0; attempt < 2; attempt++) {
-      assertTrue(cache.line().contains("Oa2 "));
-      cache.line();
+      assertTrue(cache.readLine().contains("Oa2 "));
+      cache.readLine();
       cache.write("SERVER_ERROR failed\r\n");
     }
-    assertEquals("SERVER_ERROR busy", client.line());
+    assertEquals("SERVER_ERROR busy", client.readLine());
     client.write("mg key v Oa3 Pc=more,d=900\r\n");
-    cache.line();
+    cache.readLine();
     cache.write("VA 1 Oa3\r\nx\r\n");
-    assertEquals("VA 1 Oa3", client.line());
-    client.line();
+    assertEquals("VA 1 Oa3", client.readLine());
+    client.readLine();
     // A removed class is still accepted for a short time, then rejected; its metrics stay.
     Files.writeString(file, text);
     rig.node.reload(file.toString(), startupJson);
     awaitMetric("app_sighup_applied", 2);
     client.write("mg key v Oa4 Pc=more,d=900\r\n");
-    cache.line();
+    cache.readLine();
     cache.write("VA 1 Oa4\r\nx\r\n");
-    assertEquals("VA 1 Oa4", client.line());
-    client.line();
+    assertEquals("VA 1 Oa4", client.readLine());
+    client.readLine();
     int tries = 0;
     for (String answer = "VA"; answer.startsWith("VA"); tries++) {
       String id = "b" + tries;
       client.write("mg key v O" + id + " Pc=more,d=900\r\nmn\r\n");
       Thread.sleep(100);
       cache.write("VA 1 O" + id + "\r\nx\r\n");
-      answer = client.line();
-      while (!client.line().equals("MN")) {}
+      answer = client.readLine();
+      while (!client.readLine().equals("MN")) {}
       if (answer.startsWith("VA")) {
-        cache.line();
+        cache.readLine();
       }
       assertTrue(tries < 50);
     }
@@ -342,7 +342,7 @@
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     Thread drainThread = new Thread(rig.node::drain);
     drainThread.start();
     long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
@@ -351,7 +351,7 @@
     }
     awaitMetric("app_outstanding", 1);
     cache.write("VA 1 Oa1\r\nx\r\n");
-    client.line();
+    client.readLine();
     client.close();
     drainThread.join();
   }
--- a/engine/src/test/java/shalepaddle/node/ClientConnectionsTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientConnectionsTest.java
@@ -18,10 +18,10 @@
       throws Exception {
     client.write(NodeFixture.get(id, 5000));
     try (ScriptedPeer cache = rig.acceptCache()) {
-      assertTrue(cache.line().contains("O" + id + " "));
+      assertTrue(cache.readLine().contains("O" + id + " "));
       cache.write("VA 1 O" + id + "\r\nx\r\n");
-      assertEquals("VA 1 O" + id, client.line());
-      assertEquals("x", client.line());
+      assertEquals("VA 1 O" + id, client.readLine());
+      assertEquals("x", client.readLine());
     }
   }
 
@@ -35,7 +35,7 @@
       serveRequest(rig, rig.client(), "a1");
       // At most half of the descriptors are for clients: the oldest connections were closed.
       for (ScriptedPeer client : silentClients.subList(0, 64)) {
-        assertTrue(client.ended());
+        assertTrue(client.closedByPeer());
       }
     }
   }
@@ -46,12 +46,12 @@
       ScriptedPeer waitingClient = rig.client();
       waitingClient.write(NodeFixture.get("a1", 60_000));
       ScriptedPeer cache = rig.acceptCache();
-      assertTrue(cache.line().contains("Oa1 "));
+      assertTrue(cache.readLine().contains("Oa1 "));
       for (int i = 0; i < 128; i++) {
         rig.client().write("mg ke");
       }
       cache.write("VA 1 Oa1\r\nx\r\n");
-      assertEquals("VA 1 Oa1", waitingClient.line());
+      assertEquals("VA 1 Oa1", waitingClient.readLine());
     }
   }
 
@@ -79,12 +79,12 @@
         clients.add(rig.client());
         clients.get(i).write(NodeFixture.get("a" + i, 5000));
         cache = cache == null ? rig.acceptCache() : cache;
-        assertTrue(cache.line().contains("Oa" + i + " "));
+        assertTrue(cache.readLine().contains("Oa" + i + " "));
         cache.write("VA 1 Oa" + i + "\r\nx\r\n");
-        assertEquals("VA 1 Oa" + i, clients.get(i).line());
+        assertEquals("VA 1 Oa" + i, clients.get(i).readLine());
       }
-      assertEquals("x", clients.get(0).line());
-      assertTrue(clients.get(0).ended());
+      assertEquals("x", clients.get(0).readLine());
+      assertTrue(clients.get(0).closedByPeer());
       long closedAfterMillis = (System.nanoTime() - startedAtNanos) / 1_000_000;
       assertTrue(
           closedAfterMillis < 3000,
@@ -95,7 +95,7 @@
   @Test
   void closesClientThatSendsNothing() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
-      assertTrue(rig.client().ended());
+      assertTrue(rig.client().closedByPeer());
     }
   }
 
@@ -104,8 +104,8 @@
     try (NodeFixture rig = new NodeFixture()) {
       ScriptedPeer client = rig.client();
       client.write("mn\r\n");
-      assertEquals("MN", client.line());
-      assertTrue(client.ended());
+      assertEquals("MN", client.readLine());
+      assertTrue(client.closedByPeer());
     }
   }
 
@@ -148,9 +148,9 @@
         slowClient.write(command.substring(i, i + 1));
       }
       ScriptedPeer cache = rig.acceptCache();
-      assertTrue(cache.line().contains("Oa1 "));
+      assertTrue(cache.readLine().contains("Oa1 "));
       cache.write("VA 1 Oa1\r\nx\r\n");
-      assertEquals("VA 1 Oa1", slowClient.line());
+      assertEquals("VA 1 Oa1", slowClient.readLine());
     }
   }
 
@@ -163,7 +163,7 @@
       ScriptedPeer client = rig.client();
       client.write(NodeFixture.get("a1", 6000));
       ScriptedPeer cache = rig.acceptCache();
-      cache.line();
+      cache.readLine();
       long startedAtNanos = System.nanoTime();
       Thread drainThread = new Thread(rig.node::drain);
       drainThread.start();
@@ -172,9 +172,9 @@
       client.write(NodeFixture.get("a2", 6000));
       // The deadline of a1, which was open before the drain, is shortened too: a1 fails, since it
       // may have run.
-      assertEquals("SERVER_ERROR failed", client.line());
-      assertEquals("SERVER_ERROR failed", client.line());
-      assertNull(client.line());
+      assertEquals("SERVER_ERROR failed", client.readLine());
+      assertEquals("SERVER_ERROR failed", client.readLine());
+      assertNull(client.readLine());
       client.close();
       drainThread.join();
       long endedAfterMillis = (System.nanoTime() - startedAtNanos) / 1_000_000;
--- a/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
@@ -102,11 +102,11 @@
     String lastId = nextId();
     ScriptedPeer client = rig.client().write(NodeFixture.get(lastId, DEADLINE_MILLIS));
     int otherRequests = 0;
-    for (String line = cache.line(); ; line = cache.line()) {
+    for (String line = cache.readLine(); ; line = cache.readLine()) {
       assertTrue(line != null, "the server connection ended before the new request");
       serve(cache, line);
       if (line.contains("O" + lastId + " ")) {
-        assertEquals("VA 1 O" + lastId, client.line());
+        assertEquals("VA 1 O" + lastId, client.readLine());
         client.close();
         return otherRequests;
       }
@@ -122,12 +122,12 @@
     for (int batch = 0; batch < BATCH_COUNT; batch++) {
       ScriptedPeer firstClient = rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
       cache = cache == null ? rig.acceptCache() : cache;
-      String inFlightLine = cache.line();
+      String inFlightLine = cache.readLine();
       List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
       rig.settled();
       disconnect(waitingClients);
       serve(cache, inFlightLine);
-      firstClient.line();
+      firstClient.readLine();
       forwardedCount += countForwardedBeforeNewRequest(cache);
     }
     assertEquals(0, forwardedCount, "requests forwarded of " + BATCH_COUNT * BATCH_SIZE);
@@ -186,10 +186,10 @@
       rig.settled();
       disconnect(waitingClients);
     }
-    assertTrue(cache.line().startsWith("ms "));
-    cache.bytes(valueBytes + 2);
+    assertTrue(cache.readLine().startsWith("ms "));
+    cache.readBytes(valueBytes + 2);
     cache.write("HD Ow c1\r\n");
-    assertEquals("HD Ow c1", firstClient.line());
+    assertEquals("HD Ow c1", firstClient.readLine());
     assertEquals(
         0,
         countForwardedBeforeNewRequest(cache),
@@ -206,7 +206,7 @@
       List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
       ScriptedPeer cache = rig.acceptCache();
       for (int i = 0; i < BATCH_SIZE; i++) {
-        cache.line();
+        cache.readLine();
       }
       disconnect(waitingClients);
       cache.reset();
@@ -223,13 +223,13 @@
         rig.client().write(NodeFixture.get("last" + requestCount, DEADLINE_MILLIS));
     ScriptedPeer cache = rig.acceptCache();
     int otherRequests = 0;
-    String line = cache.line();
-    for (; !line.contains("Olast" + requestCount + " "); line = cache.line()) {
+    String line = cache.readLine();
+    for (; !line.contains("Olast" + requestCount + " "); line = cache.readLine()) {
       serve(cache, line);
       otherRequests++;
     }
     serve(cache, line);
-    client.line();
+    client.readLine();
     client.close();
     cache.close();
     rig.settled();
@@ -245,7 +245,7 @@
     for (int batch = 0; batch < BATCH_COUNT; batch++) {
       ScriptedPeer firstClient = rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
       cache = cache == null ? rig.acceptCache() : cache;
-      String inFlightLine = cache.line();
+      String inFlightLine = cache.readLine();
       List<ScriptedPeer> waitingClients = new ArrayList<>();
       for (int i = 0; i < BATCH_SIZE / requestsPerClient; i++) {
         ScriptedPeer client = rig.client();
@@ -261,7 +261,7 @@
       rig.settled();
       disconnect(waitingClients);
       serve(cache, inFlightLine);
-      firstClient.line();
+      firstClient.readLine();
       forwardedCount += countForwardedBeforeNewRequest(cache);
     }
     assertEquals(0, forwardedCount, "requests forwarded of " + BATCH_COUNT * BATCH_SIZE);
@@ -275,7 +275,7 @@
     for (int batch = 0; batch < BATCH_COUNT; batch++) {
       ScriptedPeer firstClient = rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
       cache = cache == null ? rig.acceptCache() : cache;
-      String inFlightLine = cache.line();
+      String inFlightLine = cache.readLine();
       List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
       for (int i = 0; i < BATCH_SIZE; i++) {
         // After the unknown command the node pauses reading, after the malformed write it closes.
@@ -284,7 +284,7 @@
       rig.settled();
       disconnect(waitingClients);
       serve(cache, inFlightLine);
-      firstClient.line();
+      firstClient.readLine();
       forwardedCount += countForwardedBeforeNewRequest(cache);
     }
     assertEquals(0, forwardedCount, "requests forwarded of " + BATCH_COUNT * BATCH_SIZE);
@@ -297,8 +297,8 @@
     rig = startWithoutShedding(ONE_IN_FLIGHT_SETTINGS);
     ScriptedPeer firstClient = rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
     ScriptedPeer cache = rig.acceptCache();
-    serve(cache, cache.line());
-    firstClient.line();
+    serve(cache, cache.readLine());
+    firstClient.readLine();
     int forwardedCount = 0;
     for (int batch = 0; batch < BATCH_COUNT * BATCH_SIZE / batchSize; batch++) {
       rig.pausedWhile(
@@ -328,14 +328,14 @@
       ScriptedPeer firstClient =
           rig.client().write(NodeFixture.put(nextId(), DEADLINE_MILLIS, "v"));
       cache = cache == null ? rig.acceptCache() : cache;
-      String inFlightLine = cache.line();
-      cache.line();
+      String inFlightLine = cache.readLine();
+      cache.readLine();
       List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
       rig.settled();
       disconnect(waitingClients);
       String id = inFlightLine.replaceAll(".* O(\\S+) .*", "$1");
       cache.write("HD O" + id + " c1\r\n");
-      firstClient.line();
+      firstClient.readLine();
       forwardedCount += countForwardedBeforeNewRequest(cache);
     }
     assertEquals(0, forwardedCount, "requests forwarded of " + BATCH_COUNT * BATCH_SIZE);
--- a/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
@@ -71,13 +71,13 @@
     List<ScriptedPeer> clients = connectClients(100);
     readFromAll(clients);
     ScriptedPeer cache = rig.acceptCache();
-    String line = cache.line();
+    String line = cache.readLine();
     assertTrue(line.matches("mg key v Or\\d+ Pc=read,d=\\d+"), line);
     String idToken = line.split(" ", 0)[3];
     cache.write("VA 5 " + idToken + " h0\r\nabcde\r\n");
     for (int i = 0; i < 100; i++) {
-      assertEquals("VA 5 Or" + i, clients.get(i).line());
-      assertEquals("abcde", clients.get(i).line());
+      assertEquals("VA 5 Or" + i, clients.get(i).readLine());
+      assertEquals("abcde", clients.get(i).readLine());
     }
     rig.settled();
     CoalescingSnapshot snapshot = coalescingSnapshot();
@@ -92,7 +92,7 @@
     firstClient.write(NodeFixture.get("first", 2000));
     awaitWaiters(1);
     ScriptedPeer cache = rig.acceptCache();
-    assertTrue(cache.line().contains(" Ofirst "));
+    assertTrue(cache.readLine().contains(" Ofirst "));
     List<ScriptedPeer> otherClients = connectClients(10);
     for (int i = 0; i < 10; i++) {
       otherClients.get(i).write(NodeFixture.get("r" + i, 2000));
@@ -107,8 +107,8 @@
     }
     cache.write("VA 2 Ofirst h0\r\nok\r\n");
     for (int i = 0; i < 10; i++) {
-      assertEquals("VA 2 Or" + i, otherClients.get(i).line());
-      assertEquals("ok", otherClients.get(i).line());
+      assertEquals("VA 2 Or" + i, otherClients.get(i).readLine());
+      assertEquals("ok", otherClients.get(i).readLine());
     }
     assertEquals(1, coalescingSnapshot().flights());
   }
@@ -124,10 +124,10 @@
     Engine.Ticket ticket = rig.node.engine().submit(new Call(sameRead, Payload.NONE, replies::add));
     awaitWaiters(2);
     ScriptedPeer cache = rig.acceptCache();
-    assertTrue(cache.line().contains(" Osocket "));
+    assertTrue(cache.readLine().contains(" Osocket "));
     cache.write("VA 2 Osocket\r\nok\r\n");
-    assertEquals("VA 2 Osocket", client.line());
-    Reply reply = replies.poll(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+    assertEquals("VA 2 Osocket", client.readLine());
+    Reply reply = replies.poll(ScriptedPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     Reply.Value served = assertInstanceOf(Reply.Value.class, reply);
     assertEquals("ok", served.value().toString(StandardCharsets.US_ASCII));
     served.value().release();
@@ -150,11 +150,11 @@
     // The policy does not know the key, so it delays the second read until the first one ends.
     ScriptedPeer cache = rig.acceptCache();
     for (int i = 0; i < 2; i++) {
-      String idToken = cache.line().split(" ", 0)[3];
+      String idToken = cache.readLine().split(" ", 0)[3];
       cache.write("VA 2 " + idToken + " h0\r\nok\r\n");
     }
     for (int i = 0; i < 2; i++) {
-      assertEquals("VA 2 Or" + i, clients.get(i).line());
+      assertEquals("VA 2 Or" + i, clients.get(i).readLine());
     }
   }
 }
--- a/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
+++ b/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
@@ -24,8 +24,8 @@
 
   /** Reads an HTTP request and returns its first line. */
   private static String readRequest(ScriptedPeer discovery) throws IOException {
-    String requestLine = discovery.line();
-    while (!discovery.line().isEmpty()) {
+    String requestLine = discovery.readLine();
+    while (!discovery.readLine().isEmpty()) {
       // Skips the header lines.
     }
     return requestLine;
@@ -37,7 +37,7 @@
   void followsWatchFromKnownVersion() throws Exception {
     try (NodeFixture rig = new NodeFixture();
         ServerSocket newServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      newServer.setSoTimeout(ScriptedPeer.PATIENCE_MILLIS);
+      newServer.setSoTimeout(ScriptedPeer.TIMEOUT_MILLIS);
       ScriptedPeer discovery = rig.acceptDiscovery();
       assertEquals(WATCH_REQUEST.formatted(7), readRequest(discovery));
       String list = NodeFixture.members(8, true, newServer.getLocalPort()) + "\n";
@@ -68,11 +68,11 @@
   private static void serveRequest(NodeFixture rig, ServerSocket server, String id)
       throws Exception {
     server.setSoTimeout(100);
-    for (int i = 0; i < ScriptedPeer.PATIENCE_MILLIS / 100; i++) {
+    for (int i = 0; i < ScriptedPeer.TIMEOUT_MILLIS / 100; i++) {
       try (ScriptedPeer client = ScriptedPeer.connect(rig.address)) {
         client.write(NodeFixture.get(id + i, 60_000));
         ScriptedPeer cache = new ScriptedPeer(server.accept());
-        String line = cache.line();
+        String line = cache.readLine();
         if (line == null) {
           // The node opened this connection before it applied the last list, and closed it without
           // a request.
@@ -81,7 +81,7 @@
         }
         assertTrue(line.contains("O" + id + i + " "), line);
         cache.write("VA 0 O" + id + i + "\r\n\r\n");
-        assertEquals("VA 0 O" + id + i, client.line());
+        assertEquals("VA 0 O" + id + i, client.readLine());
         cache.close();
         return;
       } catch (java.net.SocketTimeoutException e) {
@@ -115,7 +115,7 @@
       discovery.write(
           RESPONSE_HEAD
               + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
-      assertTrue(discovery.ended());
+      assertTrue(discovery.closedByPeer());
       assertEquals(WATCH_REQUEST.formatted(8), readRequest(rig.acceptDiscovery()));
     }
   }
@@ -157,7 +157,7 @@
       rig.node.reload(configFile.toString(), JsonObject.parse(newText));
       try (ScriptedPeer newWatch = new ScriptedPeer(newService.accept())) {
         assertEquals(WATCH_REQUEST.formatted(8), readRequest(newWatch));
-        assertTrue(secondWatch.ended());
+        assertTrue(secondWatch.closedByPeer());
         newWatch.write(
             RESPONSE_HEAD
                 + NodeFixture.chunk(NodeFixture.members(9, true, rig.cache.getLocalPort()) + "\n"));
@@ -170,9 +170,9 @@
   void sharesConnectionWhenNoOtherCanBeOpened() throws Exception {
     ServerSocket newServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     try (NodeFixture rig = new NodeFixture(3)) {
-      newServer.setSoTimeout(ScriptedPeer.PATIENCE_MILLIS);
+      newServer.setSoTimeout(ScriptedPeer.TIMEOUT_MILLIS);
       rig.client().write(NodeFixture.get("a1", 60_000));
-      assertTrue(rig.acceptCache().line().contains("Oa1 "));
+      assertTrue(rig.acceptCache().readLine().contains("Oa1 "));
       // The server has moved: the connection to its old address only completes open attempts.
       ScriptedPeer discovery = rig.acceptDiscovery();
       readRequest(discovery);
@@ -186,12 +186,12 @@
       assertEquals(WATCH_REQUEST.formatted(8), readRequest(rig.acceptDiscovery()));
       rig.client().write(NodeFixture.get("a2", 60_000));
       ScriptedPeer newConnection = new ScriptedPeer(newServer.accept());
-      assertTrue(newConnection.line().contains("Oa2 "));
+      assertTrue(newConnection.readLine().contains("Oa2 "));
       // No further connection can be opened now, so a3 must share the open one. The node must not
       // loop endlessly over attempts that find no connection of their own.
       newServer.close();
       rig.client().write(NodeFixture.get("a3", 60_000));
-      assertTrue(newConnection.line().contains("Oa3 "));
+      assertTrue(newConnection.readLine().contains("Oa3 "));
     }
   }
 
@@ -343,7 +343,7 @@
           WATCH_REQUEST.formatted(8), readRequest(thirdWatch), "the older list was not applied");
       ScriptedPeer client = rig.client();
       client.write(NodeFixture.get("late", 200));
-      assertTrue(client.line().startsWith("SERVER_ERROR"));
+      assertTrue(client.readLine().startsWith("SERVER_ERROR"));
       rig.cache.setSoTimeout(20);
       assertThrows(java.net.SocketTimeoutException.class, rig.cache::accept);
       // A server that has restarted after it was draining is used again, even if the list that
@@ -433,9 +433,9 @@
       try (NodeFixture rig = new NodeFixture(agent, leavingServer, ",\"discovery\":\"push\"")) {
         ScriptedPeer client = rig.client().write(NodeFixture.get("first", 5000));
         try (ScriptedPeer cache = new ScriptedPeer(readyServer.accept())) {
-          assertTrue(cache.line().contains("Ofirst "));
+          assertTrue(cache.readLine().contains("Ofirst "));
           cache.write("VA 1 Ofirst\r\nx\r\n");
-          assertEquals("VA 1 Ofirst", client.line());
+          assertEquals("VA 1 Ofirst", client.readLine());
         }
       }
       agentThread.join();
@@ -449,7 +449,7 @@
         ServerSocket knownServer = NodeFixture.listen();
         NodeFixture rig = new NodeFixture(agent, knownServer, ",\"discovery\":\"push\"")) {
       ScriptedPeer client = rig.client().write("mn\r\n");
-      assertEquals("MN", client.line());
+      assertEquals("MN", client.readLine());
     }
   }
 }
--- a/engine/src/test/java/shalepaddle/node/DrainTest.java
+++ b/engine/src/test/java/shalepaddle/node/DrainTest.java
@@ -44,7 +44,7 @@
   @AfterEach
   void awaitDrainAndClose() throws Exception {
     if (drainThread != null) {
-      drainThread.join(ScriptedPeer.PATIENCE_MILLIS);
+      drainThread.join(ScriptedPeer.TIMEOUT_MILLIS);
       assertFalse(drainThread.isAlive());
     }
     rig.close();
@@ -69,7 +69,7 @@
         new Thread(
             () -> {
               try {
-                for (String line = cache.line(); line != null; line = cache.line()) {
+                for (String line = cache.readLine(); line != null; line = cache.readLine()) {
                   String id = line.replaceAll(".* O(\\S+) .*", "$1");
                   arrivedIds.add(id);
                   Thread.sleep(3);
@@ -99,10 +99,10 @@
       } catch (IOException e) {
         // The connection is closed; responses that were sent before that can still be read.
       }
-      line = client.line();
+      line = client.readLine();
       if (line != null && line.startsWith("VA")) {
         answeredIds.add(line.substring("VA 1 O".length()));
-        client.line();
+        client.readLine();
       } else if (line != null) {
         // A rejection answers the oldest open request.
         assertEquals("SERVER_ERROR busy", line.substring(0, "SERVER_ERROR busy".length()));
@@ -126,9 +126,9 @@
     rig.settled();
     long startedAtNanos = startDrain();
     ScriptedPeer lateClient = rig.client();
-    assertTrue(lateClient.ended());
-    assertTrue(incompleteClient.ended());
-    assertTrue(earlyClient.ended());
+    assertTrue(lateClient.closedByPeer());
+    assertTrue(incompleteClient.closedByPeer());
+    assertTrue(earlyClient.closedByPeer());
     assertTrue(
         millisSince(startedAtNanos) < 790,
         "the client connection was closed after " + millisSince(startedAtNanos) + " ms");
@@ -142,17 +142,17 @@
     rig = new NodeFixture(servicesSetting(0.1));
     ScriptedPeer client = rig.client().write(NodeFixture.get("a1", 5000));
     serveAll();
-    assertEquals("VA 1 Oa1", client.line());
-    client.line();
+    assertEquals("VA 1 Oa1", client.readLine());
+    client.readLine();
     CountDownLatch handOverEnded = new CountDownLatch(1);
     long startedAtNanos = System.nanoTime();
     rig.node.loop().execute(() -> rig.node.balancer().handOver(handOverEnded::countDown));
-    assertTrue(client.ended());
+    assertTrue(client.closedByPeer());
     assertTrue(
         millisSince(startedAtNanos) < 790,
         "the client connection was closed after " + millisSince(startedAtNanos) + " ms");
     client.close();
-    assertTrue(handOverEnded.await(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+    assertTrue(handOverEnded.await(ScriptedPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
   }
 
   @Test
@@ -168,7 +168,7 @@
           }
         });
     for (ScriptedPeer client : lateClients) {
-      assertEquals("MN", client.line());
+      assertEquals("MN", client.readLine());
       client.close();
     }
   }
--- a/engine/src/test/java/shalepaddle/node/EngineSubmissionTest.java
+++ b/engine/src/test/java/shalepaddle/node/EngineSubmissionTest.java
@@ -66,7 +66,7 @@
   }
 
   private Reply awaitReply() throws InterruptedException {
-    Reply reply = replies.poll(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+    Reply reply = replies.poll(ScriptedPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     assertTrue(reply != null, "no reply was received in time");
     return reply;
   }
@@ -75,7 +75,7 @@
   void servesReadWithValue() throws Exception {
     submit(request("a1", false, 2), Payload.NONE, replies::add);
     ScriptedPeer cache = rig.acceptCache();
-    assertTrue(cache.line().matches("mg key v Oa1 Pc=read,d=\\d+"));
+    assertTrue(cache.readLine().matches("mg key v Oa1 Pc=read,d=\\d+"));
     cache.write("VA 5 Oa1 h1\r\nabcde\r\n");
     Reply.Value served = (Reply.Value) awaitReply();
     assertEquals("abcde", served.value().toString(StandardCharsets.US_ASCII));
@@ -88,8 +88,8 @@
     ValuePayload value = new ValuePayload();
     submit(request("w1", true, 2), value, replies::add);
     ScriptedPeer cache = rig.acceptCache();
-    assertTrue(cache.line().matches("ms key 5 Ow1 Pc=put,d=\\d+"));
-    assertEquals("value", cache.line());
+    assertTrue(cache.readLine().matches("ms key 5 Ow1 Pc=put,d=\\d+"));
+    assertEquals("value", cache.readLine());
     cache.write("HD Ow1 c9\r\n");
     assertEquals(new Reply.Receipt("9"), awaitReply());
     rig.settled();
@@ -100,13 +100,13 @@
   void failsWriteThatMayHaveRunAndRejectsWriteThatHasNotRun() throws Exception {
     submit(request("w1", true, 2), new ValuePayload(), replies::add);
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
-    cache.line();
+    cache.readLine();
+    cache.readLine();
     cache.write("SERVER_ERROR failed\r\n");
     assertEquals(new Reply.Failed(true), awaitReply());
     submit(request("w2", true, 2), new ValuePayload(), replies::add);
-    cache.line();
-    cache.line();
+    cache.readLine();
+    cache.readLine();
     cache.write("SERVER_ERROR busy\r\n");
     assertEquals(new Reply.Rejected(0), awaitReply());
   }
@@ -121,12 +121,12 @@
           throw new IllegalStateException("thrown by the test");
         });
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
-    cache.line();
+    cache.readLine();
+    cache.readLine();
     cache.write("HD Ow1 c9\r\n");
     submit(request("w2", true, 2), new ValuePayload(), replies::add);
-    cache.line();
-    cache.line();
+    cache.readLine();
+    cache.readLine();
     cache.write("HD Ow2 c10\r\n");
     assertEquals(new Reply.Receipt("10"), awaitReply());
     assertEquals(0, value.bytes.refCnt());
--- a/engine/src/test/java/shalepaddle/node/EngineTest.java
+++ b/engine/src/test/java/shalepaddle/node/EngineTest.java
@@ -83,7 +83,7 @@
     }
 
     Reply awaitReply() throws InterruptedException {
-      Reply reply = replies.poll(ScriptedPeer.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+      Reply reply = replies.poll(ScriptedPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
       assertTrue(reply != null, "no reply to " + id);
       return reply;
     }
@@ -91,8 +91,8 @@
 
   private ScriptedPeer acceptWrite(String id) throws Exception {
     ScriptedPeer cache = rig.acceptCache();
-    assertTrue(cache.line().contains("O" + id + " "));
-    assertEquals("value", cache.line());
+    assertTrue(cache.readLine().contains("O" + id + " "));
+    assertEquals("value", cache.readLine());
     return cache;
   }
 
@@ -124,7 +124,7 @@
     Engine.Ticket ticket = engine.submit(write.toCall());
     ScriptedPeer cache = acceptWrite("w1");
     ticket.cancel();
-    assertTrue(cache.ended());
+    assertTrue(cache.closedByPeer());
     rig.settled();
     assertEquals(0, write.bytes.refCnt());
     assertNull(write.replies.poll());
@@ -136,18 +136,18 @@
     Engine.Ticket ticket = engine.submit(write.toCall());
     ScriptedPeer cache = rig.acceptCache();
     // The server reads the line and a part of the value; the rest is still buffered in the node.
-    assertTrue(cache.line().startsWith("ms key 8388608 Ow1 "));
-    cache.bytes(1000);
+    assertTrue(cache.readLine().startsWith("ms key 8388608 Ow1 "));
+    cache.readBytes(1000);
     assertTrue(write.bytes.refCnt() > 0);
     ticket.cancel();
     rig.settled();
     assertEquals(0, write.bytes.refCnt());
     assertNull(write.replies.poll());
     // The connection is closed: a write that was cut short cannot run.
-    while (cache.bytes(1 << 16).length == 1 << 16) {
+    while (cache.readBytes(1 << 16).length == 1 << 16) {
       // Skips the bytes that the node had written to the socket before.
     }
-    assertTrue(cache.ended());
+    assertTrue(cache.closedByPeer());
   }
 
   @RepeatedTest(20)
@@ -196,7 +196,7 @@
       rejectedCount += otherWrite.awaitReply() instanceof Reply.Rejected ? 1 : 0;
     }
     int arrivedCount = 0;
-    for (String line = cache.line(); line != null; line = cache.line()) {
+    for (String line = cache.readLine(); line != null; line = cache.readLine()) {
       arrivedCount += line.startsWith("ms ") ? 1 : 0;
     }
     // Exactly the calls that did not reach the server are rejected; the others may have run.
--- a/engine/src/test/java/shalepaddle/node/EventLoopStallTest.java
+++ b/engine/src/test/java/shalepaddle/node/EventLoopStallTest.java
@@ -36,13 +36,13 @@
     client.write(NodeFixture.get(id, 2000));
     ScriptedPeer cache = rig.acceptCache();
     serve(cache, id);
-    assertEquals("VA 1 O" + id, client.line());
-    assertEquals("x", client.line());
+    assertEquals("VA 1 O" + id, client.readLine());
+    assertEquals("x", client.readLine());
     return cache;
   }
 
   private static void serve(ScriptedPeer cache, String id) throws Exception {
-    String line = cache.line();
+    String line = cache.readLine();
     assertTrue(line != null && line.contains("O" + id + " "), line);
     cache.write("VA 1 O" + id + "\r\nx\r\n");
   }
@@ -61,7 +61,7 @@
           client.write(NodeFixture.get("a2", 6500));
         });
     serve(cache, "a2");
-    assertEquals("VA 1 Oa2", client.line());
+    assertEquals("VA 1 Oa2", client.readLine());
   }
 
   /** A turn accepts a limited number of connections, and does not check whether more wait. */
@@ -77,7 +77,7 @@
     Thread.sleep(1500);
     ScriptedPeer client = rig.client().write(NodeFixture.get("a2", 1000));
     serve(cache, "a2");
-    assertEquals("VA 1 Oa2", client.line());
+    assertEquals("VA 1 Oa2", client.readLine());
   }
 
   @Test
@@ -90,7 +90,7 @@
           client.write(",d=4500\r\n");
         });
     serve(rig.acceptCache(), "a1");
-    assertEquals("VA 1 Oa1", client.line());
+    assertEquals("VA 1 Oa1", client.readLine());
   }
 
   @Test
@@ -101,7 +101,7 @@
     for (int i = 0; i < 60; i++) {
       clients.add(rig.client());
     }
-    rig.client().write("mn\r\n").line(); // All earlier clients are accepted.
+    rig.client().write("mn\r\n").readLine(); // All earlier clients are accepted.
     Thread.sleep(100); // Unused connections may now be closed for new ones.
     rig.pausedWhile(
         () -> {
@@ -113,7 +113,7 @@
           }
         });
     for (ScriptedPeer client : clients) {
-      assertEquals("MN", client.line());
+      assertEquals("MN", client.readLine());
     }
   }
 
@@ -122,7 +122,7 @@
     ScriptedPeer client = rig.client();
     ScriptedPeer cache = serveFirstRead(client, "a1");
     client.write(NodeFixture.get("a2", 1000));
-    String line = cache.line();
+    String line = cache.readLine();
     assertTrue(line.contains("Oa2 "), line);
     // The server answers in the stall, in which the time allowed for its answer passes.
     rig.pausedWhile(
@@ -131,8 +131,8 @@
           cache.write("VA 1 Oa2\r\nx\r\n");
           Thread.sleep(100);
         });
-    assertEquals("VA 1 Oa2", client.line());
-    assertEquals("x", client.line());
+    assertEquals("VA 1 Oa2", client.readLine());
+    assertEquals("x", client.readLine());
     // The connection to this server is kept: the next request is sent on it.
     client.write(NodeFixture.get("a3", 2000));
     serve(cache, "a3");
@@ -143,7 +143,7 @@
     ScriptedPeer client = rig.client();
     ScriptedPeer cache = serveFirstRead(client, "a1");
     client.write(NodeFixture.get("a2", 3000));
-    cache.line();
+    cache.readLine();
     cache.write("VA 10 Oa2\r\n01234");
     rig.settled();
     rig.pausedWhile(
@@ -152,8 +152,8 @@
         });
     Thread.sleep(50);
     cache.write("56789\r\n");
-    assertEquals("VA 10 Oa2", client.line());
-    assertEquals("0123456789", client.line());
+    assertEquals("VA 10 Oa2", client.readLine());
+    assertEquals("0123456789", client.readLine());
   }
 
   @Test
@@ -167,10 +167,10 @@
           Thread.sleep(300);
         });
     ScriptedPeer newConnection = rig.acceptCache();
-    assertTrue(newConnection.line().contains("Oa2 "));
-    newConnection.line();
+    assertTrue(newConnection.readLine().contains("Oa2 "));
+    newConnection.readLine();
     newConnection.write("HD Oa2 c1\r\n");
-    assertEquals("HD Oa2 c1", client.line());
+    assertEquals("HD Oa2 c1", client.readLine());
   }
 
   @Test
@@ -179,36 +179,36 @@
     ScriptedPeer cache = serveFirstRead(reader, "a1");
     ScriptedPeer writer = rig.client();
     writer.write(NodeFixture.put("w1", 300, "v"));
-    String writeLine = cache.line();
+    String writeLine = cache.readLine();
     assertTrue(writeLine.startsWith("ms ") && writeLine.contains("Ow1 "), writeLine);
-    cache.line();
+    cache.readLine();
     rig.pausedWhile(
         () -> {
           reader.write(NodeFixture.get("a2", 300));
           Thread.sleep(1000);
         });
-    assertEquals("SERVER_ERROR failed", writer.line());
+    assertEquals("SERVER_ERROR failed", writer.readLine());
     // A request's deadline counts from when the client sent it: a2's has passed in the stall, so
     // a2 is not forwarded.
-    String rejection = reader.line();
+    String rejection = reader.readLine();
     assertTrue(rejection.startsWith("SERVER_ERROR busy"), rejection);
-    assertTrue(cache.ended(), "more bytes were sent on the connection of the write");
+    assertTrue(cache.closedByPeer(), "more bytes were sent on the connection of the write");
     assertFalse(rig.sendsOnNewConnection(100), "a2 was forwarded after its deadline");
     // Neither client gets another response.
     writer.write("mn\r\n");
     reader.write("mn\r\n");
-    assertEquals("MN", writer.line());
-    assertEquals("MN", reader.line());
+    assertEquals("MN", writer.readLine());
+    assertEquals("MN", reader.readLine());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {300, 3000})
   void keepsWatchOpenWhenDiscoverySendsInStall(int stallMillis) throws Exception {
     ScriptedPeer watch = rig.acceptDiscovery();
-    String line = watch.line();
+    String line = watch.readLine();
     assertTrue(line.startsWith("GET "), line);
     while (!line.isEmpty()) {
-      line = watch.line();
+      line = watch.readLine();
     }
     watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
     rig.settled();
@@ -236,9 +236,9 @@
   @Test
   void reopensSilentWatchAfterStallAsSoonAsWithoutStall() throws Exception {
     ScriptedPeer watch = rig.acceptDiscovery();
-    String line = watch.line();
+    String line = watch.readLine();
     while (!line.isEmpty()) {
-      line = watch.line();
+      line = watch.readLine();
     }
     watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
     rig.settled();
--- a/engine/src/test/java/shalepaddle/node/IdempotencyWindowRetryTest.java
+++ b/engine/src/test/java/shalepaddle/node/IdempotencyWindowRetryTest.java
@@ -38,7 +38,7 @@
   /** Checks that the client gets an error when the window ends, while its request waits. */
   private static void assertAnsweredWhenWindowEnds(ScriptedPeer writer, long sentAtNanos)
       throws IOException {
-    String answer = writer.line();
+    String answer = writer.readLine();
     long answeredAfterMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos);
     assertTrue(answer.startsWith("SERVER_ERROR") && !answer.contains("busy"), answer);
     assertTrue(
@@ -47,7 +47,7 @@
   }
 
   private static void assertNextRequest(ScriptedPeer cache, String id) throws IOException {
-    String line = cache.line();
+    String line = cache.readLine();
     assertTrue(
         line != null && line.contains("O" + id + " "),
         "expected request " + id + ", got " + line);
@@ -56,7 +56,7 @@
   private ScriptedPeer acceptWrite() throws IOException {
     ScriptedPeer cache = rig.acceptCache();
     assertNextRequest(cache, "k1");
-    assertEquals("v", cache.line());
+    assertEquals("v", cache.readLine());
     return cache;
   }
 
@@ -73,8 +73,8 @@
     assertNextRequest(newConnection, "r1");
     assertAnsweredWhenWindowEnds(writer, sentAtNanos);
     newConnection.write("VA 1 Or1\r\nx\r\n");
-    assertEquals("VA 1 Or1", reader.line());
-    assertEquals("x", reader.line());
+    assertEquals("VA 1 Or1", reader.readLine());
+    assertEquals("x", reader.readLine());
     reader.write(NodeFixture.get("r2", 20_000));
     assertNextRequest(newConnection, "r2");
   }
@@ -94,13 +94,13 @@
     // This response does not say whether the write k1 ran, so the node retries k1.
     cache.write("SERVER_ERROR failed\r\n");
     assertAnsweredWhenWindowEnds(writer, sentAtNanos);
-    cache.bytes(valueBytes + 2);
+    cache.readBytes(valueBytes + 2);
     cache.write("HD Ow1 c1\r\n");
-    assertEquals("HD Ow1 c1", otherWriter.line());
+    assertEquals("HD Ow1 c1", otherWriter.readLine());
     ScriptedPeer lastReader = rig.client().write(NodeFixture.get("r1", 20_000));
     assertNextRequest(cache, "r1");
     cache.write("VA 1 Or1\r\nx\r\n");
-    assertEquals("VA 1 Or1", lastReader.line());
+    assertEquals("VA 1 Or1", lastReader.readLine());
   }
 
   @Test
@@ -114,10 +114,10 @@
     ScriptedPeer newConnection = rig.acceptCache();
     assertNextRequest(newConnection, "r1");
     newConnection.write("VA 1 Or1\r\nx\r\n");
-    assertEquals("VA 1 Or1", reader.line());
+    assertEquals("VA 1 Or1", reader.readLine());
     assertNextRequest(newConnection, "k1");
-    assertEquals("v", newConnection.line());
+    assertEquals("v", newConnection.readLine());
     newConnection.write("HD Ok1 c1\r\n");
-    assertEquals("HD Ok1 c1", writer.line());
+    assertEquals("HD Ok1 c1", writer.readLine());
   }
 }
--- a/engine/src/test/java/shalepaddle/node/LargeValuesTest.java
+++ b/engine/src/test/java/shalepaddle/node/LargeValuesTest.java
@@ -68,7 +68,7 @@
   private ScriptedPeer sendRead(ScriptedPeer client, String id) throws Exception {
     client.write(NodeFixture.get(id, 2000));
     ScriptedPeer cache = rig.acceptCache();
-    assertTrue(cache.line().contains("O" + id + " "));
+    assertTrue(cache.readLine().contains("O" + id + " "));
     return cache;
   }
 
@@ -79,13 +79,13 @@
     ScriptedPeer client = rig.client();
     ScriptedPeer cache = sendRead(client, "a1");
     writeInBackground(cache, replyBytes("a1", value));
-    assertEquals("VA " + valueBytes + " Oa1", client.line());
-    assertArrayEquals(value, client.bytes(valueBytes));
-    assertEquals("", client.line());
+    assertEquals("VA " + valueBytes + " Oa1", client.readLine());
+    assertArrayEquals(value, client.readBytes(valueBytes));
+    assertEquals("", client.readLine());
     client.write(NodeFixture.get("a2", 2000));
-    assertTrue(cache.line().contains("Oa2 "), "the server connection is not used again");
+    assertTrue(cache.readLine().contains("Oa2 "), "the server connection is not used again");
     cache.write("VA 1 Oa2\r\nx\r\n");
-    assertEquals("VA 1 Oa2", client.line());
+    assertEquals("VA 1 Oa2", client.readLine());
   }
 
   @Test
@@ -95,15 +95,15 @@
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 400));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     cache.write(Arrays.copyOf(reply, 50_000));
-    assertEquals("VA 200000 Oa1", client.line());
-    assertArrayEquals(Arrays.copyOf(value, 40_000), client.bytes(40_000));
+    assertEquals("VA 200000 Oa1", client.readLine());
+    assertArrayEquals(Arrays.copyOf(value, 40_000), client.readBytes(40_000));
     TimeUnit.MILLISECONDS.sleep(700);
     cache.write(Arrays.copyOfRange(reply, 50_000, reply.length));
     assertArrayEquals(
-        Arrays.copyOfRange(value, 40_000, value.length), client.bytes(value.length - 40_000));
-    assertEquals("", client.line());
+        Arrays.copyOfRange(value, 40_000, value.length), client.readBytes(value.length - 40_000));
+    assertEquals("", client.readLine());
   }
 
   @Test
@@ -120,13 +120,13 @@
           caseNumber < headBytes ? caseNumber : headBytes + valueOffsets[caseNumber - headBytes];
       client.write(NodeFixture.get(id, 5000));
       cache = cache == null ? rig.acceptCache() : cache;
-      cache.line();
+      cache.readLine();
       cache.write(Arrays.copyOf(reply, splitOffset));
       rig.settled();
       cache.write(Arrays.copyOfRange(reply, splitOffset, reply.length));
-      assertEquals("VA 70000 O" + id, client.line());
-      assertArrayEquals(value, client.bytes(value.length));
-      assertEquals("", client.line());
+      assertEquals("VA 70000 O" + id, client.readLine());
+      assertArrayEquals(value, client.readBytes(value.length));
+      assertEquals("", client.readLine());
     }
   }
 
@@ -137,10 +137,10 @@
     ScriptedPeer cache = sendRead(client, "a1");
     cache.write(Arrays.copyOf(reply, 300_000));
     cache.close();
-    assertEquals("VA 1048576 Oa1", client.line());
+    assertEquals("VA 1048576 Oa1", client.readLine());
     int receivedBytes = 0;
     try {
-      receivedBytes = client.bytes(1 << 20).length;
+      receivedBytes = client.readBytes(1 << 20).length;
     } catch (IOException e) {
       // A reset also shows the client that the value is incomplete.
     }
@@ -153,7 +153,7 @@
     ScriptedPeer cache = sendRead(client, "a1");
     cache.write(Arrays.copyOf(replyBytes("a1", randomValue(1 << 20)), 10_000));
     cache.close();
-    assertEquals("SERVER_ERROR busy", client.line());
+    assertEquals("SERVER_ERROR busy", client.readLine());
   }
 
   @Test
@@ -161,15 +161,15 @@
     ScriptedPeer client = rig.client();
     ScriptedPeer cache = sendRead(client, "a1");
     Thread writerThread = writeInBackground(cache, replyBytes("a1", randomValue(MAX_VALUE_BYTES)));
-    assertEquals("VA 4194304 Oa1", client.line());
+    assertEquals("VA 4194304 Oa1", client.readLine());
     client.close();
-    assertTrue(cache.ended());
+    assertTrue(cache.closedByPeer());
     writerThread.join();
     // Other requests are still served.
     ScriptedPeer otherClient = rig.client();
     ScriptedPeer newConnection = sendRead(otherClient, "a2");
     newConnection.write("VA 1 Oa2\r\nx\r\n");
-    assertEquals("VA 1 Oa2", otherClient.line());
+    assertEquals("VA 1 Oa2", otherClient.readLine());
   }
 
   @Test
@@ -179,16 +179,16 @@
     client.write(NodeFixture.get("a1", 5000) + NodeFixture.get("a2", 5000));
     ScriptedPeer oneConnection = rig.acceptCache();
     ScriptedPeer otherConnection = rig.acceptCache();
-    boolean isFirstRequestOnOneConnection = oneConnection.line().contains("Oa1 ");
-    otherConnection.line();
+    boolean isFirstRequestOnOneConnection = oneConnection.readLine().contains("Oa1 ");
+    otherConnection.readLine();
     writeInBackground(
         isFirstRequestOnOneConnection ? otherConnection : oneConnection, replyBytes("a2", value));
     rig.settled();
     (isFirstRequestOnOneConnection ? oneConnection : otherConnection).write("VA 1 Oa1\r\nx\r\n");
-    assertEquals("VA 1 Oa1", client.line());
-    assertEquals("x", client.line());
-    assertEquals("VA 500000 Oa2", client.line());
-    assertArrayEquals(value, client.bytes(value.length));
+    assertEquals("VA 1 Oa1", client.readLine());
+    assertEquals("x", client.readLine());
+    assertEquals("VA 500000 Oa2", client.readLine());
+    assertArrayEquals(value, client.readBytes(value.length));
   }
 
   @Test
@@ -196,9 +196,9 @@
     ScriptedPeer client = rig.client();
     ScriptedPeer cache = sendRead(client, "a1");
     cache.write("VA " + (MAX_VALUE_BYTES + 1) + " Oa1\r\n");
-    assertEquals("SERVER_ERROR busy", client.line());
+    assertEquals("SERVER_ERROR busy", client.readLine());
     client.write("ms key " + (MAX_VALUE_BYTES + 1) + " Oa2 Pc=put,d=900\r\n");
-    assertTrue(client.line().startsWith("CLIENT_ERROR "));
+    assertTrue(client.readLine().startsWith("CLIENT_ERROR "));
   }
 
   @Test
@@ -215,10 +215,10 @@
     }
     client.write("\r\n");
     ScriptedPeer cache = rig.acceptCache();
-    assertTrue(cache.line().startsWith("ms key " + MAX_VALUE_BYTES + " Oa1 "));
-    assertArrayEquals(value, cache.bytes(MAX_VALUE_BYTES));
-    assertEquals("", cache.line());
+    assertTrue(cache.readLine().startsWith("ms key " + MAX_VALUE_BYTES + " Oa1 "));
+    assertArrayEquals(value, cache.readBytes(MAX_VALUE_BYTES));
+    assertEquals("", cache.readLine());
     cache.write("HD Oa1 c1\r\n");
-    assertEquals("HD Oa1 c1", client.line());
+    assertEquals("HD Oa1 c1", client.readLine());
   }
 }
--- a/engine/src/test/java/shalepaddle/node/NodeFixture.java
+++ b/engine/src/test/java/shalepaddle/node/NodeFixture.java
@@ -88,14 +88,14 @@
     // The size is fixed, since the default differs between machines.
     socket.setReceiveBufferSize(1 << 16);
     socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 50);
-    socket.setSoTimeout(ScriptedPeer.PATIENCE_MILLIS);
+    socket.setSoTimeout(ScriptedPeer.TIMEOUT_MILLIS);
     return socket;
   }
 
   /** Accepts the next connection to either of two servers. */
   static ScriptedPeer acceptEither(ServerSocket oneServer, ServerSocket otherServer)
       throws IOException {
-    for (int i = 0; i < ScriptedPeer.PATIENCE_MILLIS / 20; i++) {
+    for (int i = 0; i < ScriptedPeer.TIMEOUT_MILLIS / 20; i++) {
       ServerSocket server = i % 2 == 0 ? oneServer : otherServer;
       server.setSoTimeout(20);
       try {
@@ -260,7 +260,7 @@
 
   /** Waits until the node accepts no more connections. */
   void awaitClosedListener() throws Exception {
-    for (int i = 0; i < ScriptedPeer.PATIENCE_MILLIS / 10; i++) {
+    for (int i = 0; i < ScriptedPeer.TIMEOUT_MILLIS / 10; i++) {
       try {
         ScriptedPeer.connect(address).close();
       } catch (ConnectException e) {
--- a/engine/src/test/java/shalepaddle/node/NodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/NodeTest.java
@@ -49,10 +49,10 @@
     String command = "mg key v Oa1 Pc=read,t=acme,d=2000,x=y\r\n";
     client.write(command);
     ScriptedPeer cache = rig.acceptCache();
-    assertForwarded(command, cache.line());
+    assertForwarded(command, cache.readLine());
     cache.write("VA 7 Oa1" + responseFlags + "\r\nval\r\nue\r\n");
-    assertEquals("VA 7 Oa1", client.line());
-    assertEquals("val\r\nue\r\n", toText(client.bytes(9)));
+    assertEquals("VA 7 Oa1", client.readLine());
+    assertEquals("val\r\nue\r\n", toText(client.readBytes(9)));
   }
 
   private static String toText(byte[] bytes) {
@@ -65,10 +65,10 @@
     String command = "ms key 4 Oa1 Pc=put,d=2000,k=77\r\n\r\n\r\n\r\n";
     client.write(command);
     ScriptedPeer cache = rig.acceptCache();
-    assertForwarded(command, cache.line());
-    assertEquals("\r\n\r\n\r\n", toText(cache.bytes(6)));
+    assertForwarded(command, cache.readLine());
+    assertEquals("\r\n\r\n\r\n", toText(cache.readBytes(6)));
     cache.write("HD Oa1 c99\r\n");
-    assertEquals("HD Oa1 c99", client.line());
+    assertEquals("HD Oa1 c99", client.readLine());
   }
 
   @Test
@@ -78,12 +78,12 @@
       client.write(new byte[] {b});
     }
     ScriptedPeer cache = rig.acceptCache();
-    assertTrue(cache.line().startsWith("ms key 5 Oa1 "));
-    assertEquals("hello\r\n", toText(cache.bytes(7)));
+    assertTrue(cache.readLine().startsWith("ms key 5 Oa1 "));
+    assertEquals("hello\r\n", toText(cache.readBytes(7)));
     for (byte b : "HD Oa1 c1\r\n".getBytes(StandardCharsets.ISO_8859_1)) {
       cache.write(new byte[] {b});
     }
-    assertEquals("HD Oa1 c1", client.line());
+    assertEquals("HD Oa1 c1", client.readLine());
   }
 
   @Test
@@ -92,17 +92,17 @@
     client.write(NodeFixture.get("a1", 2000) + "mn\r\n" + NodeFixture.get("a2", 2000));
     ScriptedPeer firstConnection = rig.acceptCache();
     ScriptedPeer secondConnection = rig.acceptCache();
-    String id = firstConnection.line().contains("Oa1 ") ? "a1" : "a2";
+    String id = firstConnection.readLine().contains("Oa1 ") ? "a1" : "a2";
     ScriptedPeer connectionAnsweredLast = id.equals("a1") ? firstConnection : secondConnection;
     ScriptedPeer connectionAnsweredFirst = id.equals("a1") ? secondConnection : firstConnection;
-    assertTrue(secondConnection.line().contains(id.equals("a1") ? "Oa2 " : "Oa1 "));
+    assertTrue(secondConnection.readLine().contains(id.equals("a1") ? "Oa2 " : "Oa1 "));
     connectionAnsweredFirst.write("VA 1 Oa2\r\n2\r\n");
     connectionAnsweredLast.write("VA 1 Oa1\r\n1\r\n");
-    assertEquals("VA 1 Oa1", client.line());
-    assertEquals("1", client.line());
-    assertEquals("MN", client.line());
-    assertEquals("VA 1 Oa2", client.line());
-    assertEquals("2", client.line());
+    assertEquals("VA 1 Oa1", client.readLine());
+    assertEquals("1", client.readLine());
+    assertEquals("MN", client.readLine());
+    assertEquals("VA 1 Oa2", client.readLine());
+    assertEquals("2", client.readLine());
   }
 
   @Test
@@ -111,10 +111,10 @@
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     for (int i = 1; i < 4; i++) {
-      assertTrue(cache.line().contains("Oa" + i + " "));
+      assertTrue(cache.readLine().contains("Oa" + i + " "));
       cache.write("VA 1 Oa" + i + "\r\nx\r\n");
-      assertEquals("VA 1 Oa" + i, client.line());
-      assertEquals("x", client.line());
+      assertEquals("VA 1 Oa" + i, client.readLine());
+      assertEquals("x", client.readLine());
       client.write(NodeFixture.get("a" + (i + 1), 2000));
     }
   }
@@ -140,9 +140,9 @@
             ? NodeFixture.put("a1", 2000, "v")
             : NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     cache.write(reply + "\r\n");
-    assertEquals(expectedAnswer, client.line());
+    assertEquals(expectedAnswer, client.readLine());
   }
 
   @Test
@@ -150,10 +150,10 @@
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     cache.write("VA 1 Oa2\r\nx\r\n");
-    assertTrue(cache.ended());
-    assertEquals("SERVER_ERROR busy", client.line());
+    assertTrue(cache.closedByPeer());
+    assertEquals("SERVER_ERROR busy", client.readLine());
   }
 
   @Test
@@ -161,7 +161,7 @@
     rig.cache.close();
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.put("a1", 2000, "v"));
-    assertEquals("SERVER_ERROR busy", client.line());
+    assertEquals("SERVER_ERROR busy", client.readLine());
   }
 
   @Test
@@ -169,10 +169,10 @@
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.put("a1", 2000, "v"));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
-    cache.line();
+    cache.readLine();
+    cache.readLine();
     cache.reset();
-    assertEquals("SERVER_ERROR failed", client.line());
+    assertEquals("SERVER_ERROR failed", client.readLine());
   }
 
   @Test
@@ -181,15 +181,15 @@
     for (int i = 0; i < 4; i++) {
       client.write(NodeFixture.get("a" + i, 2000));
       ScriptedPeer cache = rig.acceptCache();
-      assertTrue(cache.line().contains("Oa" + i + " "));
+      assertTrue(cache.readLine().contains("Oa" + i + " "));
       cache.reset();
-      assertEquals("SERVER_ERROR busy", client.line());
+      assertEquals("SERVER_ERROR busy", client.readLine());
     }
     client.write(NodeFixture.get("b", 2000));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     cache.write("VA 1 Ob\r\nx\r\n");
-    assertEquals("VA 1 Ob", client.line());
+    assertEquals("VA 1 Ob", client.readLine());
   }
 
   @Test
@@ -197,16 +197,16 @@
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     rig.cache.close();
     client.write(NodeFixture.get("a2", 20_000));
     assertTrue(
-        cache.line().startsWith("mg key v Oa2 "),
+        cache.readLine().startsWith("mg key v Oa2 "),
         "a2 was not sent on the open connection, though no other could be opened");
     try (ServerSocket restartedServer = NodeFixture.listen(rig.cache.getLocalPort())) {
       client.write(NodeFixture.get("a3", 20_000));
       try (ScriptedPeer newConnection = new ScriptedPeer(restartedServer.accept())) {
-        assertTrue(newConnection.line().startsWith("mg key v Oa3 "));
+        assertTrue(newConnection.readLine().startsWith("mg key v Oa3 "));
       }
     }
   }
@@ -222,18 +222,18 @@
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     cache.write("SERVER_ERROR busy\r\n");
     assertEquals(
-        "SERVER_ERROR busy", client.line(), "a Retry-After was sent before rates are measured");
+        "SERVER_ERROR busy", client.readLine(), "a Retry-After was sent before rates are measured");
     // Rates are measured over a second.
     Thread.sleep(1100);
     client.write(NodeFixture.get("a2", 2000));
-    cache.line();
+    cache.readLine();
     cache.write("SERVER_ERROR busy\r\n");
     assertEquals(
         "SERVER_ERROR busy 400",
-        client.line(),
+        client.readLine(),
         "the Retry-After is not max-retry-after, 400 ms, though the server serves no request");
   }
 
@@ -244,23 +244,23 @@
     for (int i = 0; i < 100; i++) {
       client.write(NodeFixture.get("a" + i, 2000));
       ScriptedPeer cache = rig.acceptCache();
-      cache.line();
+      cache.readLine();
       cache.write("VA 1 Oa" + i + "\r\nx\r\n");
-      assertEquals("VA 1 Oa" + i, client.line());
-      client.line();
+      assertEquals("VA 1 Oa" + i, client.readLine());
+      client.readLine();
       // The connection is idle for this time before it is used again.
       Thread.sleep(20);
       client.write(NodeFixture.get("b" + i, 2000));
-      reusedLine = cache.line();
+      reusedLine = cache.readLine();
       if (reusedLine == null) {
         ScriptedPeer newConnection = rig.acceptCache();
-        assertTrue(newConnection.line().contains("Ob" + i + " "));
+        assertTrue(newConnection.readLine().contains("Ob" + i + " "));
         newConnection.write("VA 1 Ob" + i + "\r\nx\r\n");
-        assertEquals("VA 1 Ob" + i, client.line());
+        assertEquals("VA 1 Ob" + i, client.readLine());
         return;
       }
       cache.reset();
-      assertEquals("SERVER_ERROR busy", client.line());
+      assertEquals("SERVER_ERROR busy", client.readLine());
     }
     assertNull(reusedLine, "requests are still sent on connections that were idle");
   }
@@ -286,19 +286,19 @@
       lastClient.write(NodeFixture.put("b" + i, 20_000, "v".repeat(1 << 16)));
     }
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     ScriptedPeer otherClient = rig.client();
     otherClient.write("mn\r\n");
-    assertEquals("MN", otherClient.line());
+    assertEquals("MN", otherClient.readLine());
     // For writes that the node reads only after the reset, there is no server to connect to.
     rig.cache.close();
     cache.reset();
-    assertEquals("SERVER_ERROR failed", client.line());
+    assertEquals("SERVER_ERROR failed", client.readLine());
     for (int i = 1; i < writesPerClient; i++) {
-      assertTrue(client.line().startsWith("SERVER_ERROR "));
-      assertTrue(lastClient.line().startsWith("SERVER_ERROR "));
+      assertTrue(client.readLine().startsWith("SERVER_ERROR "));
+      assertTrue(lastClient.readLine().startsWith("SERVER_ERROR "));
     }
-    assertEquals("SERVER_ERROR busy", lastClient.line());
+    assertEquals("SERVER_ERROR busy", lastClient.readLine());
   }
 
   @Test
@@ -307,18 +307,18 @@
     client.write(NodeFixture.put("a1", 200, "v") + NodeFixture.get("a2", 200));
     ScriptedPeer cache = rig.acceptCache();
     ScriptedPeer otherConnection = rig.acceptCache();
-    assertEquals("SERVER_ERROR failed", client.line());
-    assertEquals("SERVER_ERROR busy", client.line());
-    cache.line();
-    otherConnection.line();
-    while (cache.line() != null) {
+    assertEquals("SERVER_ERROR failed", client.readLine());
+    assertEquals("SERVER_ERROR busy", client.readLine());
+    cache.readLine();
+    otherConnection.readLine();
+    while (cache.readLine() != null) {
       // Skips the value of the write, if the write was sent on this connection.
     }
-    while (otherConnection.line() != null) {
+    while (otherConnection.readLine() != null) {
       // Skips the value of the write, if the write was sent on this connection.
     }
     client.write("mn\r\n");
-    assertEquals("MN", client.line());
+    assertEquals("MN", client.readLine());
   }
 
   @Test
@@ -326,9 +326,9 @@
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 60_000));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     client.close();
-    assertTrue(cache.ended());
+    assertTrue(cache.closedByPeer());
   }
 
   @ParameterizedTest
@@ -352,16 +352,16 @@
       throws Exception {
     ScriptedPeer client = rig.client();
     client.write(command + "\r\nmn\r\n");
-    assertEquals(expectedAnswer, client.line());
-    assertEquals("MN", client.line());
+    assertEquals(expectedAnswer, client.readLine());
+    assertEquals("MN", client.readLine());
   }
 
   @Test
   void skipsValueOfBadWrite() throws Exception {
     ScriptedPeer client = rig.client();
     client.write("ms key 4 Pc=put,d=5\r\nmn\r\n\r\nmn\r\n");
-    assertEquals("CLIENT_ERROR bad or missing id", client.line());
-    assertEquals("MN", client.line());
+    assertEquals("CLIENT_ERROR bad or missing id", client.readLine());
+    assertEquals("MN", client.readLine());
   }
 
   @ParameterizedTest
@@ -379,18 +379,18 @@
     ScriptedPeer client = rig.client();
     ScriptedPeer otherClient = rig.client();
     client.write(commandText);
-    assertTrue(client.line().startsWith("CLIENT_ERROR "));
-    assertNull(client.line());
+    assertTrue(client.readLine().startsWith("CLIENT_ERROR "));
+    assertNull(client.readLine());
     otherClient.write("mn\r\n");
-    assertEquals("MN", otherClient.line());
+    assertEquals("MN", otherClient.readLine());
   }
 
   @Test
   void closesConnectionWhenLineIsTooLong() throws Exception {
     ScriptedPeer client = rig.client();
     client.write("\0".repeat(MetaLine.MAX_LINE_BYTES));
-    assertEquals("CLIENT_ERROR line too long", client.line());
-    assertNull(client.line());
+    assertEquals("CLIENT_ERROR line too long", client.readLine());
+    assertNull(client.readLine());
   }
 
   @Test
@@ -400,56 +400,56 @@
     ScriptedPeer leavingClient = rig.client();
     leavingClient.write(NodeFixture.get("a1", 60_000));
     ScriptedPeer cache = rig.acceptCache();
-    assertTrue(cache.line().contains("Oa1 "));
+    assertTrue(cache.readLine().contains("Oa1 "));
     ScriptedPeer stayingClient = rig.client();
     stayingClient.write(NodeFixture.get("a2", 60_000));
-    assertTrue(cache.line().contains("Oa2 "));
+    assertTrue(cache.readLine().contains("Oa2 "));
     leavingClient.close();
     // The next request goes on a new connection: one with a cancelled attempt is not used again.
     ScriptedPeer laterClient = rig.client();
     laterClient.write(NodeFixture.get("a3", 60_000));
-    assertTrue(rig.acceptCache().line().contains("Oa3 "));
+    assertTrue(rig.acceptCache().readLine().contains("Oa3 "));
     cache.write("VA 1 Oa1\r\n1\r\nVA 1 Oa2\r\n2\r\n");
-    assertEquals("VA 1 Oa2", stayingClient.line());
-    assertTrue(cache.ended());
+    assertEquals("VA 1 Oa2", stayingClient.readLine());
+    assertTrue(cache.closedByPeer());
   }
 
   @Test
   void drainServesRequestsAndClosesConnectionsAfterResponses() throws Exception {
     ScriptedPeer idleClient = rig.client();
     idleClient.write("mn\r\n");
-    assertEquals("MN", idleClient.line());
+    assertEquals("MN", idleClient.readLine());
     ScriptedPeer waitingClient = rig.client();
     waitingClient.write(NodeFixture.get("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     ScriptedPeer unusedClient = rig.client();
     Thread drainThread = new Thread(rig.node::drain);
     drainThread.start();
     // Clients that connect at the beginning of the restart are still accepted.
     ScriptedPeer lateClient = rig.client();
     lateClient.write("mn\r\n");
-    assertEquals("MN", lateClient.line());
+    assertEquals("MN", lateClient.readLine());
     unusedClient.write("mn\r\n");
-    assertEquals("MN", unusedClient.line());
+    assertEquals("MN", unusedClient.readLine());
     rig.awaitClosedListener();
     // Guards against clients that no process serves in a restart: a draining node still serves
     // open connections, with deadlines shortened to the time left until its drain must end.
     idleClient.write(NodeFixture.get("a2", 20_000));
     ScriptedPeer newConnection = rig.acceptCache();
-    assertTrue(deadlineMillis(newConnection.line()) < 3000);
+    assertTrue(deadlineMillis(newConnection.readLine()) < 3000);
     newConnection.write("VA 1 Oa2\r\nx\r\n");
-    assertEquals("VA 1 Oa2", idleClient.line());
-    assertEquals("x", idleClient.line());
-    assertTrue(idleClient.ended());
-    assertTrue(unusedClient.ended());
-    assertTrue(lateClient.ended());
+    assertEquals("VA 1 Oa2", idleClient.readLine());
+    assertEquals("x", idleClient.readLine());
+    assertTrue(idleClient.closedByPeer());
+    assertTrue(unusedClient.closedByPeer());
+    assertTrue(lateClient.closedByPeer());
     // Guards against closing a connection before its response is flushed.
     cache.write("VA 5 Oa1\r\nhello\r\n");
-    assertEquals("VA 5 Oa1", waitingClient.line());
-    assertEquals("hello", waitingClient.line());
-    assertTrue(waitingClient.ended());
-    drainThread.join(ScriptedPeer.PATIENCE_MILLIS);
+    assertEquals("VA 5 Oa1", waitingClient.readLine());
+    assertEquals("hello", waitingClient.readLine());
+    assertTrue(waitingClient.closedByPeer());
+    drainThread.join(ScriptedPeer.TIMEOUT_MILLIS);
     assertFalse(drainThread.isAlive());
   }
 
@@ -457,7 +457,7 @@
   void closesClientThatStopsSendingWithinCommand() throws Exception {
     ScriptedPeer client = rig.client();
     client.write("mg ke");
-    assertTrue(client.ended());
+    assertTrue(client.closedByPeer());
   }
 
   @Test
@@ -467,18 +467,18 @@
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 5000));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     // The duplicate must not be read as the response to the write below, which is sent only once.
     cache.write("VA 1 Oa1\r\nx\r\nVA 1 Oa1\r\nx\r\n");
-    assertEquals("VA 1 Oa1", client.line());
-    assertEquals("x", client.line());
+    assertEquals("VA 1 Oa1", client.readLine());
+    assertEquals("x", client.readLine());
     client.write(NodeFixture.put("a2", 5000, "v"));
     ScriptedPeer newConnection = rig.acceptCache();
-    newConnection.line();
-    newConnection.line();
+    newConnection.readLine();
+    newConnection.readLine();
     newConnection.write("HD Oa2 c1\r\n");
-    assertEquals("HD Oa2 c1", client.line());
-    assertTrue(cache.ended());
+    assertEquals("HD Oa2 c1", client.readLine());
+    assertTrue(cache.closedByPeer());
   }
 
   @ParameterizedTest
@@ -487,17 +487,17 @@
     ScriptedPeer client = rig.client();
     client.write(NodeFixture.get("a1", 5000));
     ScriptedPeer cache = rig.acceptCache();
-    cache.line();
+    cache.readLine();
     cache.write("VA 1 Oa1\r\nx\r\n" + trailingBytes);
-    assertEquals("VA 1 Oa1", client.line());
-    assertEquals("x", client.line());
-    assertTrue(cache.ended());
+    assertEquals("VA 1 Oa1", client.readLine());
+    assertEquals("x", client.readLine());
+    assertTrue(cache.closedByPeer());
     client.write(NodeFixture.put("a2", 5000, "v"));
     ScriptedPeer newConnection = rig.acceptCache();
-    newConnection.line();
-    newConnection.line();
+    newConnection.readLine();
+    newConnection.readLine();
     newConnection.write("HD Oa2 c1\r\n");
-    assertEquals("HD Oa2 c1", client.line());
+    assertEquals("HD Oa2 c1", client.readLine());
   }
 
   @ParameterizedTest
@@ -521,24 +521,24 @@
               ,"caps":{"attempts-cap":2,"parallel-tries":true,"multiplex":32,\
               "connect-timeout":0.15,"conn-idle":60}""");
       ScriptedPeer discovery = rig.acceptDiscovery();
-      discovery.line();
+      discovery.readLine();
       String list =
           NodeFixture.members(8, true, rig.cache.getLocalPort(), secondServer.getLocalPort())
               + "\n";
       discovery.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
-      assertTrue(rig.acceptDiscovery().line().contains("since=8 "));
+      assertTrue(rig.acceptDiscovery().readLine().contains("since=8 "));
       ScriptedPeer client = rig.client();
       client.write(NodeFixture.get("a1", 60_000));
       ScriptedPeer brokenConnection = NodeFixture.acceptEither(rig.cache, secondServer);
-      brokenConnection.line();
+      brokenConnection.readLine();
       brokenConnection.write(malformedResponse);
       try (ScriptedPeer workingConnection = NodeFixture.acceptEither(rig.cache, secondServer)) {
-        assertTrue(workingConnection.line().contains("Oa1 "));
+        assertTrue(workingConnection.readLine().contains("Oa1 "));
         workingConnection.write("VA 1 Oa1\r\ny\r\n");
-        assertEquals("VA 1 Oa1", client.line());
-        assertEquals("y", client.line());
+        assertEquals("VA 1 Oa1", client.readLine());
+        assertEquals("y", client.readLine());
       }
-      assertTrue(brokenConnection.ended());
+      assertTrue(brokenConnection.closedByPeer());
     }
   }
 
@@ -546,13 +546,13 @@
   void closesClientAfterRepeatedErrors() throws Exception {
     ScriptedPeer client = rig.client();
     client.write("nonsense\r\n".repeat(300));
-    String line = client.line();
+    String line = client.readLine();
     while (line != null) {
       assertEquals("ERROR", line);
-      line = client.line();
+      line = client.readLine();
     }
     ScriptedPeer otherClient = rig.client();
     otherClient.write("mn\r\n");
-    assertEquals("MN", otherClient.line());
+    assertEquals("MN", otherClient.readLine());
   }
 }
--- a/engine/src/test/java/shalepaddle/node/ServerConnectionRejectedTest.java
+++ b/engine/src/test/java/shalepaddle/node/ServerConnectionRejectedTest.java
@@ -33,11 +33,11 @@
     client = rig.client();
     client.write(NodeFixture.get("a1", 5000));
     openConnection = rig.acceptCache();
-    assertTrue(openConnection.line().contains("Oa1 "));
+    assertTrue(openConnection.readLine().contains("Oa1 "));
     secondClient = rig.client();
     secondClient.write(secondRequest);
     newConnection = rig.acceptCache();
-    assertTrue(newConnection.line().contains("Ob1 "));
+    assertTrue(newConnection.readLine().contains("Ob1 "));
   }
 
   private void rejectNewConnection() throws Exception {
@@ -54,30 +54,30 @@
   void sendsRequestAgainOnOpenConnection() throws Exception {
     sendOnOpenAndNewConnection(2, NodeFixture.get("b1", 5000));
     rejectNewConnection();
-    assertTrue(openConnection.line().contains("Ob1 "));
+    assertTrue(openConnection.readLine().contains("Ob1 "));
     openConnection.write("VA 1 Oa1\r\nx\r\nVA 1 Ob1\r\ny\r\n");
-    assertEquals("VA 1 Oa1", client.line());
-    assertEquals("VA 1 Ob1", secondClient.line());
+    assertEquals("VA 1 Oa1", client.readLine());
+    assertEquals("VA 1 Ob1", secondClient.readLine());
   }
 
   @Test
   void sendsNonIdempotentWriteAgainOnOpenConnection() throws Exception {
     sendOnOpenAndNewConnection(2, NodeFixture.put("b1", 5000, "v"));
     rejectNewConnection();
-    assertTrue(openConnection.line().contains("Ob1 "));
-    assertEquals("v", openConnection.line());
+    assertTrue(openConnection.readLine().contains("Ob1 "));
+    assertEquals("v", openConnection.readLine());
     openConnection.write("VA 1 Oa1\r\nx\r\nHD Ob1 cdone\r\n");
-    assertEquals("HD Ob1 cdone", secondClient.line());
+    assertEquals("HD Ob1 cdone", secondClient.readLine());
   }
 
   @Test
   void doesNotOpenMoreConnectionsForSomeTimeAfterRejection() throws Exception {
     sendOnOpenAndNewConnection(2, NodeFixture.get("b1", 5000));
     rejectNewConnection();
-    assertTrue(openConnection.line().contains("Ob1 "));
+    assertTrue(openConnection.readLine().contains("Ob1 "));
     ScriptedPeer thirdClient = rig.client();
     thirdClient.write(NodeFixture.put("c1", 5000, "v"));
-    assertTrue(openConnection.line().contains("Oc1 "));
+    assertTrue(openConnection.readLine().contains("Oc1 "));
     rig.cache.setSoTimeout(20);
     assertThrows(SocketTimeoutException.class, rig::acceptCache);
   }
@@ -86,18 +86,18 @@
   void rejectionOfConnectionCountsAsAttemptOfRequest() throws Exception {
     sendOnOpenAndNewConnection(1, NodeFixture.put("b1", 5000, "v"));
     rejectNewConnection();
-    assertEquals("SERVER_ERROR busy", secondClient.line());
+    assertEquals("SERVER_ERROR busy", secondClient.readLine());
     openConnection.write("VA 1 Oa1\r\nx\r\n");
-    assertEquals("VA 1 Oa1", client.line());
+    assertEquals("VA 1 Oa1", client.readLine());
   }
 
   @Test
   void doesNotSendRequestAgainWhenConnectionStaysOpen() throws Exception {
     sendOnOpenAndNewConnection(1, NodeFixture.get("b1", 5000));
     newConnection.write("SERVER_ERROR busy\r\n");
-    assertEquals("SERVER_ERROR busy", secondClient.line());
+    assertEquals("SERVER_ERROR busy", secondClient.readLine());
     secondClient.write(NodeFixture.put("b2", 5000, "v"));
-    String line = newConnection.line();
+    String line = newConnection.readLine();
     assertTrue(
         line != null && line.contains("Ob2 "), "the new connection is not used again: " + line);
   }
--- a/engine/src/test/java/shalepaddle/node/ServerDrainingTest.java
+++ b/engine/src/test/java/shalepaddle/node/ServerDrainingTest.java
@@ -47,7 +47,7 @@
 
   private void sendList(int version, String state) throws Exception {
     ScriptedPeer discovery = rig.acceptDiscovery();
-    while (!discovery.line().isEmpty()) {
+    while (!discovery.readLine().isEmpty()) {
       // Skips the header lines of the call.
     }
     int port = rig.cache.getLocalPort();
@@ -69,7 +69,7 @@
     rig = new NodeFixture(CAPS_SETTING.formatted(28, false, 1) + ADMIN_SERVER_SETTING);
     client = rig.client().write(NodeFixture.get("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
-    assertTrue(cache.line().contains("Oa1 "));
+    assertTrue(cache.readLine().contains("Oa1 "));
     waitingClient = rig.client().write(NodeFixture.put("b1", 20_000, "v"));
     rig.settled();
     sendList(8, state);
@@ -78,21 +78,21 @@
       try (ScriptedPeer caller = ScriptedPeer.connect(rig.node.adminAddress())) {
         String serverId = "s-" + rig.cache.getLocalPort();
         caller.write("PUT /api/exclude?member=" + serverId + " HTTP/1.1\r\nHost: node\r\n\r\n");
-        assertTrue(caller.line().contains(" 200 "));
+        assertTrue(caller.readLine().contains(" 200 "));
       }
     }
     try (ScriptedPeer otherConnection = new ScriptedPeer(otherServer.accept())) {
-      assertTrue(otherConnection.line().contains("Ob1 "));
-      otherConnection.line();
+      assertTrue(otherConnection.readLine().contains("Ob1 "));
+      otherConnection.readLine();
       otherConnection.write("HD Ob1 c1\r\n");
-      assertEquals("HD Ob1 c1", waitingClient.line());
+      assertEquals("HD Ob1 c1", waitingClient.readLine());
     }
     // The attempt in flight may complete; the node sends nothing more to its server.
     cache.write("VA 1 Oa1\r\nx\r\n");
-    assertEquals("VA 1 Oa1", client.line());
+    assertEquals("VA 1 Oa1", client.readLine());
     rig.settled();
     rig.node.close();
-    assertNull(cache.line());
+    assertNull(cache.readLine());
   }
 
   /**
@@ -104,27 +104,27 @@
     rig = new NodeFixture(CAPS_SETTING.formatted(1, true, 32));
     client = rig.client().write(NodeFixture.get("a1", 20_000));
     ScriptedPeer openConnection = rig.acceptCache();
-    assertTrue(openConnection.line().contains("Oa1 "));
+    assertTrue(openConnection.readLine().contains("Oa1 "));
     waitingClient = rig.client().write(NodeFixture.put("b1", 20_000, "v"));
     ScriptedPeer newConnection = rig.acceptCache();
-    assertTrue(newConnection.line().contains("Ob1 "));
-    newConnection.line();
+    assertTrue(newConnection.readLine().contains("Ob1 "));
+    newConnection.readLine();
     sendList(8, "leaving");
     // When a request goes to the other server, the node has applied the list.
     ScriptedPeer probeClient = rig.client().write(NodeFixture.get("c1", 20_000));
     try (ScriptedPeer otherConnection = new ScriptedPeer(otherServer.accept())) {
-      assertTrue(otherConnection.line().contains("Oc1 "));
+      assertTrue(otherConnection.readLine().contains("Oc1 "));
       otherConnection.write("VA 1 Oc1\r\nx\r\n");
-      assertEquals("VA 1 Oc1", probeClient.line());
+      assertEquals("VA 1 Oc1", probeClient.readLine());
       newConnection.write("SERVER_ERROR busy\r\n");
       newConnection.close();
-      assertTrue(otherConnection.line().contains("Ob1 "));
-      otherConnection.line();
+      assertTrue(otherConnection.readLine().contains("Ob1 "));
+      otherConnection.readLine();
       otherConnection.write("HD Ob1 c1\r\n");
-      assertEquals("HD Ob1 c1", waitingClient.line());
+      assertEquals("HD Ob1 c1", waitingClient.readLine());
     }
     openConnection.write("VA 1 Oa1\r\nx\r\n");
-    assertEquals("VA 1 Oa1", client.line());
-    assertFalse(client.line().isEmpty());
+    assertEquals("VA 1 Oa1", client.readLine());
+    assertFalse(client.readLine().isEmpty());
   }
 }
--- a/simulation/src/main/java/shalepaddle/simulation/DelayedConnect.java
+++ b/simulation/src/main/java/shalepaddle/simulation/DelayedConnect.java
@@ -8,30 +8,39 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** A connection that comes up late, or is given up before. */
+/**
+ * Delays the connect of a channel. Closing the channel before the delay has passed cancels the
+ * connect.
+ */
 final class DelayedConnect extends ChannelDuplexHandler {
-  private final long millis;
-  private ScheduledFuture<?> underWay;
-  private ChannelPromise connected;
+  private final long delayMillis;
+  private ScheduledFuture<?> pendingConnect;
+  private ChannelPromise connectPromise;
 
-  DelayedConnect(long millis) {
-    this.millis = millis;
+  DelayedConnect(long delayMillis) {
+    this.delayMillis = delayMillis;
   }
 
   @Override
   public void connect(
-      ChannelHandlerContext ctx, SocketAddress remote, SocketAddress local, ChannelPromise done) {
-    connected = done;
-    underWay =
+      ChannelHandlerContext ctx,
+      SocketAddress remoteAddress,
+      SocketAddress localAddress,
+      ChannelPromise promise) {
+    connectPromise = promise;
+    pendingConnect =
         ctx.executor()
-            .schedule(() -> ctx.connect(remote, local, done), millis, TimeUnit.MILLISECONDS);
+            .schedule(
+                () -> ctx.connect(remoteAddress, localAddress, promise),
+                delayMillis,
+                TimeUnit.MILLISECONDS);
   }
 
   @Override
-  public void close(ChannelHandlerContext ctx, ChannelPromise done) {
-    if (underWay != null && underWay.cancel(false)) {
-      connected.tryFailure(new ClosedChannelException());
+  public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
+    if (pendingConnect != null && pendingConnect.cancel(false)) {
+      connectPromise.tryFailure(new ClosedChannelException());
     }
-    ctx.close(done);
+    ctx.close(promise);
   }
 }
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioPlan.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioPlan.java
@@ -8,226 +8,244 @@
 import shalepaddle.testkit.Fault;
 
 /**
- * What happens on a day: drawn from its seed alone.
+ * A scenario, drawn from its seed alone.
  *
- * @param seed what it was drawn from, and what everything else on the day is drawn from
- * @param servers cache servers at the beginning
- * @param nodes load balancers
- * @param asksForList whether the list of servers comes only when asked for
- * @param maxAttempts attempts that a request may have
- * @param parallel whether two of them may be out together
- * @param perConnection attempts that share a connection to a server
- * @param ratePerSecond requests a second, all load balancers together
- * @param skew how unevenly keys are asked for
- * @param goneShare the part of requests whose clients leave before their answer
- * @param lagMillis how late the list tells of changes
- * @param millis how long clients ask
- * @param troubles what goes wrong, in the order of time
- * @param joining whether like reads share an answer; then few keys are asked for, so that many do
- * @param world what else a deployment may be like
+ * @param seed seed of the scenario and of all random draws while it runs
+ * @param serverCount number of cache servers at the start
+ * @param nodeCount number of load balancers
+ * @param polling whether load balancers poll discovery for the endpoint list instead of
+ *     watching it
+ * @param maxAttempts maximum number of attempts per request
+ * @param parallelAttempts whether two attempts of a request may be in flight at the same time
+ * @param attemptsPerConnection attempts that may share a connection to a server
+ * @param ratePerSecond requests per second, all load balancers together
+ * @param zipfExponent exponent of the Zipf distribution of keys
+ * @param disconnectShare share of the requests whose clients disconnect before the response
+ * @param discoveryLagMillis delay in milliseconds until discovery sends a change
+ * @param durationMillis how long clients send requests, in milliseconds
+ * @param events faults and other events, ordered by start time
+ * @param coalescing whether equal reads are coalesced; if so, clients request fewer keys, so that
+ *     many reads are equal
+ * @param deployment further properties of the deployment
  */
 public record ScenarioPlan(
     long seed,
-    int servers,
-    int nodes,
-    boolean asksForList,
+    int serverCount,
+    int nodeCount,
+    boolean polling,
     int maxAttempts,
-    boolean parallel,
-    int perConnection,
+    boolean parallelAttempts,
+    int attemptsPerConnection,
     double ratePerSecond,
-    double skew,
-    double goneShare,
-    long lagMillis,
-    long millis,
-    List<Trouble> troubles,
-    boolean joining,
-    World world) {
+    double zipfExponent,
+    double disconnectShare,
+    long discoveryLagMillis,
+    long durationMillis,
+    List<Event> events,
+    boolean coalescing,
+    Deployment deployment) {
 
   /**
-   * What else a deployment may be like.
+   * Further properties of a deployment.
    *
-   * @param cancel whether attempts may be called off
-   * @param lateShare the part of connections to servers and discovery that comes up late
-   * @param lateMillis how late that is
-   * @param indented whether lists come over many lines, in pieces cut anywhere
-   * @param hurry how many times shorter deadlines and aims are
+   * @param mayCancelAttempts whether attempts may be cancelled
+   * @param delayedConnectShare share of the connections to servers and discovery that are established with a
+   *     delay
+   * @param connectDelayMillis delay of these connections in milliseconds
+   * @param indentedLists whether endpoint lists are indented over many lines and split into chunks at
+   *     arbitrary positions
+   * @param deadlineDivisor divisor of all deadlines and latency objectives
    */
-  public record World(
-      boolean cancel, double lateShare, long lateMillis, boolean indented, int hurry) {
-    /** As days are drawn without anything else said. */
-    public static final World USUAL = new World(true, 0, 0, false, 1);
+  public record Deployment(
+      boolean mayCancelAttempts, double delayedConnectShare, long connectDelayMillis, boolean indentedLists, int deadlineDivisor) {
+    /** The deployment of {@link ScenarioPlan#of}. */
+    public static final Deployment DEFAULT = new Deployment(true, 0, 0, false, 1);
   }
 
-  /** A day in the usual world. */
+  /** A scenario in the default deployment. */
   public ScenarioPlan(
       long seed,
-      int servers,
-      int nodes,
-      boolean asksForList,
+      int serverCount,
+      int nodeCount,
+      boolean polling,
       int maxAttempts,
-      boolean parallel,
-      int perConnection,
+      boolean parallelAttempts,
+      int attemptsPerConnection,
       double ratePerSecond,
-      double skew,
-      double goneShare,
-      long lagMillis,
-      long millis,
-      List<Trouble> troubles,
-      boolean joining) {
+      double zipfExponent,
+      double disconnectShare,
+      long discoveryLagMillis,
+      long durationMillis,
+      List<Event> events,
+      boolean coalescing) {
     this(
         seed,
-        servers,
-        nodes,
-        asksForList,
+        serverCount,
+        nodeCount,
+        polling,
         maxAttempts,
-        parallel,
-        perConnection,
+        parallelAttempts,
+        attemptsPerConnection,
         ratePerSecond,
-        skew,
-        goneShare,
-        lagMillis,
-        millis,
-        troubles,
-        joining,
-        World.USUAL);
+        zipfExponent,
+        disconnectShare,
+        discoveryLagMillis,
+        durationMillis,
+        events,
+        coalescing,
+        Deployment.DEFAULT);
   }
 
-  /** A kind of trouble. */
+  /** The kind of an event. */
   public enum Kind {
-    /** A server's process dies and comes back cold. */
+    /** A server's process is killed and restarts cold. */
     KILL,
-    /** Several servers die together. */
-    KILL_SOME,
-    /** A server is drained, leaves and is replaced by another under a new id. */
+    /** Several servers are killed together. */
+    KILL_SEVERAL,
+    /** A server is drained, leaves the endpoint list, and is replaced by one with a new id. */
     REPLACE,
-    /** A server's machine says nothing, with its connections open. */
-    SILENT,
-    /** Part of a server's answers has a fault. */
+    /** A server stops reading and responding but keeps its connections open. */
+    SERVER_UNRESPONSIVE,
+    /** A share of a server's responses has a fault. */
     FAULT,
-    /** Part of all servers' answers has a fault. */
+    /** A share of all servers' responses has a fault. */
     FAULT_EVERYWHERE,
-    /** A server breaks off part of its connections. */
-    RESET,
+    /** A server closes a share of its connections. */
+    CLOSE_CONNECTIONS,
     /** All servers close their idle connections. */
-    CLOSE_IDLE,
+    CLOSE_IDLE_CONNECTIONS,
     /** The origin slows down. */
     SLOW_ORIGIN,
-    /** Discovery goes down and comes back. */
+    /** Discovery goes down and restarts. */
     DISCOVERY_DOWN,
-    /** Discovery says nothing, with its connections open. */
+    /** Discovery sends no changes but keeps its connections open. */
     DISCOVERY_SILENT,
-    /** A load balancer's event loop does not run. */
+    /** A load balancer's event loop is suspended. */
     NODE_PAUSE,
-    /** A load balancer restarts as planned, and another takes its place. */
+    /** A load balancer drains for a planned restart, and a new one accepts its clients. */
     RESTART,
-    /** Clients ask several times as much. */
-    RUSH,
-    /** A server reads slowly. */
+    /** Clients send requests at several times their usual rate. */
+    LOAD_SPIKE,
+    /** A server reads only a few bytes at a time. */
     SLOW_READER,
-    /** Clients come that break the protocol. */
-    RUDE,
-    /** The watches that are open fall silent for good. */
+    /** Clients that violate the protocol connect to all load balancers. */
+    MISBEHAVING_CLIENTS,
+    /** All discovery watches that are open now stop sending for good. */
     MUTE_WATCHES,
-    /** All load balancers take their configuration anew. */
-    RETUNE
+    /** All load balancers reload their configuration. */
+    RELOAD_CONFIGURATION
   }
 
   private static final List<Fault> FAULTS = List.of(Fault.values());
 
-  /** The kinds that {@link #of} draws from: its days stay what they were. */
-  private static final List<Kind> USUAL_KINDS =
-      List.copyOf(EnumSet.complementOf(EnumSet.of(Kind.MUTE_WATCHES, Kind.RETUNE)));
+  /**
+   * The kinds of events that {@link #of} draws. Kinds that were added to the enum later are left
+   * out, so that the scenario of a seed stays the same.
+   */
+  private static final List<Kind> BASE_KINDS =
+      List.copyOf(EnumSet.complementOf(EnumSet.of(Kind.MUTE_WATCHES, Kind.RELOAD_CONFIGURATION)));
 
-  /** The kinds that {@link #crossing} brings together. */
-  private static final List<Kind> CROSSING_KINDS =
+  /** The kinds of events that {@link #ofConcurrentEvents} adds at almost the same time. */
+  private static final List<Kind> CONCURRENT_KINDS =
       List.of(
           Kind.REPLACE,
           Kind.RESTART,
-          Kind.CLOSE_IDLE,
-          Kind.RESET,
+          Kind.CLOSE_IDLE_CONNECTIONS,
+          Kind.CLOSE_CONNECTIONS,
           Kind.NODE_PAUSE,
-          Kind.SILENT,
+          Kind.SERVER_UNRESPONSIVE,
           Kind.KILL,
           Kind.SLOW_READER,
           Kind.DISCOVERY_DOWN,
           Kind.MUTE_WATCHES,
-          Kind.RETUNE,
-          Kind.RUDE);
+          Kind.RELOAD_CONFIGURATION,
+          Kind.MISBEHAVING_CLIENTS);
 
   /**
-   * Something that goes wrong.
+   * An event of the scenario.
    *
-   * @param atMillis when it begins
-   * @param kind what it is
-   * @param which the server or load balancer, counted from 0, where it is one
-   * @param millis how long it lasts, where it lasts
-   * @param strength the part of answers or connections, or the factor, where there is one
-   * @param fault what is wrong with answers, null where nothing is
+   * @param atMillis start of the event, in milliseconds after clients start to send requests
+   * @param kind kind of the event
+   * @param targetIndex index of the affected server or load balancer, if the event affects a single one
+   * @param durationMillis duration of the event in milliseconds, if its kind has a duration
+   * @param strength the affected share, the factor, the number of clients or of bytes, depending on
+   *     the kind
+   * @param fault the fault of responses; null for kinds without one
    */
-  public record Trouble(
-      long atMillis, Kind kind, int which, long millis, double strength, Fault fault) {}
+  public record Event(
+      long atMillis, Kind kind, int targetIndex, long durationMillis, double strength, Fault fault) {}
 
-  /** The day of this seed, on which clients ask for so long. */
-  public static ScenarioPlan of(long seed, long millis) {
+  /**
+   * Draws the scenario of this seed.
+   *
+   * @param durationMillis how long clients send requests, in milliseconds
+   */
+  public static ScenarioPlan of(long seed, long durationMillis) {
     SplittableRandom random = new SplittableRandom(seed);
-    int servers = 4 + random.nextInt(6);
-    int nodes = 1 + random.nextInt(3);
-    List<Trouble> troubles = new ArrayList<>();
-    int count = 2 + random.nextInt(7);
-    for (int i = 0; i < count; i++) {
-      Kind kind = USUAL_KINDS.get(random.nextInt(USUAL_KINDS.size()));
+    int serverCount = 4 + random.nextInt(6);
+    int nodeCount = 1 + random.nextInt(3);
+    List<Event> events = new ArrayList<>();
+    int eventCount = 2 + random.nextInt(7);
+    for (int i = 0; i < eventCount; i++) {
+      Kind kind = BASE_KINDS.get(random.nextInt(BASE_KINDS.size()));
       Fault fault = FAULTS.get(random.nextInt(FAULTS.size()));
-      long at = millis / 10 + random.nextLong(millis * 7 / 10);
-      troubles.add(trouble(at, kind, nodes, servers, fault, random));
+      long atMillis = durationMillis / 10 + random.nextLong(durationMillis * 7 / 10);
+      events.add(drawEvent(atMillis, kind, nodeCount, serverCount, fault, random));
     }
-    troubles.sort(Comparator.comparingLong(Trouble::atMillis));
-    boolean parallel = random.nextBoolean();
+    events.sort(Comparator.comparingLong(Event::atMillis));
+    boolean parallelAttempts = random.nextBoolean();
     return new ScenarioPlan(
         seed,
-        servers,
-        nodes,
+        serverCount,
+        nodeCount,
         random.nextBoolean(),
         1 + random.nextInt(4),
-        parallel,
-        parallel ? 1 + random.nextInt(8) : 1,
+        parallelAttempts,
+        parallelAttempts ? 1 + random.nextInt(8) : 1,
         60 + random.nextInt(120),
         0.6 + random.nextDouble(),
         random.nextInt(3) == 0 ? 0.03 : 0,
         random.nextInt(3) == 0 ? random.nextInt(5000) : random.nextInt(300),
-        millis,
-        List.copyOf(troubles),
+        durationMillis,
+        List.copyOf(events),
         false);
   }
 
-  private static Trouble trouble(
-      long at, Kind kind, int nodes, int servers, Fault fault, SplittableRandom random) {
-    return new Trouble(
-        at,
+  private static Event drawEvent(
+      long atMillis,
+      Kind kind,
+      int nodeCount,
+      int serverCount,
+      Fault fault,
+      SplittableRandom random) {
+    return new Event(
+        atMillis,
         kind,
-        random.nextInt(kind == Kind.NODE_PAUSE || kind == Kind.RESTART ? nodes : servers),
+        random.nextInt(kind == Kind.NODE_PAUSE || kind == Kind.RESTART ? nodeCount : serverCount),
         kind == Kind.NODE_PAUSE ? 40 + random.nextInt(1200) : 500 + random.nextInt(6000),
-        strength(kind, random),
+        drawStrength(kind, random),
         kind == Kind.FAULT || kind == Kind.FAULT_EVERYWHERE ? fault : null);
   }
 
   /**
-   * The day of this seed, and on it several things at almost the same moment, in another world:
-   * each order of any two of them comes up on some seed. Many clients leave before their answers.
+   * Draws the scenario of this seed with additional events at almost the same time, in a randomly
+   * drawn deployment. Many clients disconnect before their response. Over many seeds, any two kinds
+   * of these events occur in either order.
    */
-  public static ScenarioPlan crossing(long seed, long millis) {
-    ScenarioPlan usual = of(seed, millis);
+  public static ScenarioPlan ofConcurrentEvents(long seed, long durationMillis) {
+    ScenarioPlan basePlan = of(seed, durationMillis);
     SplittableRandom random = new SplittableRandom(~seed);
-    List<Trouble> troubles = new ArrayList<>(usual.troubles);
-    long moment = millis / 10 + random.nextLong(millis * 5 / 10);
-    int together = 2 + random.nextInt(4);
-    for (int i = 0; i < together; i++) {
-      Kind kind = CROSSING_KINDS.get(random.nextInt(CROSSING_KINDS.size()));
-      long at = moment + random.nextLong(400);
-      troubles.add(trouble(at, kind, usual.nodes, usual.servers, null, random));
+    List<Event> events = new ArrayList<>(basePlan.events);
+    long windowStartMillis = durationMillis / 10 + random.nextLong(durationMillis * 5 / 10);
+    int concurrentEventCount = 2 + random.nextInt(4);
+    for (int i = 0; i < concurrentEventCount; i++) {
+      Kind kind = CONCURRENT_KINDS.get(random.nextInt(CONCURRENT_KINDS.size()));
+      long atMillis = windowStartMillis + random.nextLong(400);
+      events.add(drawEvent(atMillis, kind, basePlan.nodeCount, basePlan.serverCount, null, random));
     }
-    troubles.sort(Comparator.comparingLong(Trouble::atMillis));
-    World world =
-        new World(
+    events.sort(Comparator.comparingLong(Event::atMillis));
+    Deployment deployment =
+        new Deployment(
             random.nextBoolean(),
             random.nextBoolean() ? 0.5 * random.nextDouble() : 0,
             50 + random.nextInt(900),
@@ -235,50 +253,50 @@
             1 + random.nextInt(8));
     return new ScenarioPlan(
         seed,
-        usual.servers,
-        usual.nodes,
-        usual.asksForList,
-        usual.maxAttempts,
-        usual.parallel,
-        usual.perConnection,
-        usual.ratePerSecond,
-        usual.skew,
+        basePlan.serverCount,
+        basePlan.nodeCount,
+        basePlan.polling,
+        basePlan.maxAttempts,
+        basePlan.parallelAttempts,
+        basePlan.attemptsPerConnection,
+        basePlan.ratePerSecond,
+        basePlan.zipfExponent,
         0.05 + 0.25 * random.nextDouble(),
-        usual.lagMillis,
-        millis,
-        List.copyOf(troubles),
+        basePlan.discoveryLagMillis,
+        durationMillis,
+        List.copyOf(events),
         false,
-        world);
+        deployment);
   }
 
-  /** The same day with load balancers that let like reads share an answer. */
-  public ScenarioPlan joined() {
+  /** Returns this scenario with load balancers that coalesce equal reads. */
+  public ScenarioPlan withCoalescing() {
     return new ScenarioPlan(
         seed,
-        servers,
-        nodes,
-        asksForList,
+        serverCount,
+        nodeCount,
+        polling,
         maxAttempts,
-        parallel,
-        perConnection,
+        parallelAttempts,
+        attemptsPerConnection,
         ratePerSecond,
-        skew,
-        goneShare,
-        lagMillis,
-        millis,
-        troubles,
+        zipfExponent,
+        disconnectShare,
+        discoveryLagMillis,
+        durationMillis,
+        events,
         true,
-        world);
+        deployment);
   }
 
-  private static double strength(Kind kind, SplittableRandom random) {
+  private static double drawStrength(Kind kind, SplittableRandom random) {
     return switch (kind) {
-      case FAULT, RESET -> 0.1 + 0.9 * random.nextDouble();
+      case FAULT, CLOSE_CONNECTIONS -> 0.1 + 0.9 * random.nextDouble();
       case FAULT_EVERYWHERE -> 0.02 + 0.15 * random.nextDouble();
       case SLOW_ORIGIN -> 2 + 6 * random.nextDouble();
       case SLOW_READER -> 10 + random.nextInt(200);
-      case RUDE -> 5 + random.nextInt(60);
-      case RUSH -> 2 + 3 * random.nextDouble();
+      case MISBEHAVING_CLIENTS -> 5 + random.nextInt(60);
+      case LOAD_SPIKE -> 2 + 3 * random.nextDouble();
       default -> 1;
     };
   }
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioReport.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioReport.java
@@ -3,35 +3,36 @@
 import java.util.List;
 
 /**
- * How a day went.
+ * The result of a simulated scenario.
  *
- * @param plan what happened on it
- * @param breaches every breach of a rule and every leak, in words; none on a good day
- * @param asked requests that were due
- * @param served requests that were served
- * @param refused requests that were refused
- * @param failed requests that failed
- * @param crossed requests that crossed the end of their connection
- * @param fetches what the origin was asked for
- * @param shared reads served with an answer that another's try brought
- * @param p99Micros the 99th percentile of the time to an answer that served
- * @param digest a figure made of every answer and its time: the same in every run of the same code
+ * @param plan the scenario
+ * @param violations descriptions of all rule violations and leaks; empty if the scenario passed
+ * @param requests number of requests started
+ * @param servedRequests number of requests served
+ * @param refusedRequests number of requests refused
+ * @param failedRequests number of requests that failed
+ * @param closeRaces number of requests resent because their connection was closed just after they
+ *     were sent
+ * @param originFetches number of fetches from the origin
+ * @param sharedReads number of reads served with the response to another read's attempt
+ * @param p99Micros 99th percentile of the latency of served requests, in microseconds
+ * @param digest a hash over all results and their times; the same in every run of the same code
  */
 public record ScenarioReport(
     ScenarioPlan plan,
-    List<String> breaches,
-    int asked,
-    int served,
-    int refused,
-    int failed,
-    int crossed,
-    int fetches,
-    long shared,
+    List<String> violations,
+    int requests,
+    int servedRequests,
+    int refusedRequests,
+    int failedRequests,
+    int closeRaces,
+    int originFetches,
+    long sharedReads,
     long p99Micros,
     long digest) {
 
-  /** Whether nothing broke. */
-  public boolean good() {
-    return breaches.isEmpty();
+  /** Whether the scenario passed without any violation or leak. */
+  public boolean passed() {
+    return violations.isEmpty();
   }
 }
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
@@ -44,70 +44,81 @@
 import shalepaddle.testkit.Traffic;
 
 /**
- * Plays a {@link ScenarioPlan}: load balancers with their real engine, front, connections and
- * discovery client on local connections, and stand-ins for all else, in one thread and in virtual
- * time.
+ * Runs a {@link ScenarioPlan}: load balancers with their real engine, front, connections and
+ * discovery client on in-process connections, and stand-ins for everything else, in one thread and
+ * in virtual time.
  *
- * <p>The rules are checked on what clients, cache servers and discovery saw, not on what the engine
- * says of itself. At the end everything is closed, and whatever is left then is a leak: a request,
- * a connection, a timer, a byte of a buffer.
+ * <p>The rules are checked against what clients, cache servers and discovery observed, not against
+ * what the engine reports. At the end everything is closed; any request, connection, timer or
+ * buffer that remains is a leak.
  */
 public final class ScenarioSimulation {
-  /** What an answer may be late by, as the rules on sockets have it. */
+  /**
+   * How long after its deadline a response may arrive; equal to {@code grace-to-answer} in {@link
+   * ScenarioNodeConfig}.
+   */
   private static final int GRACE_MILLIS = 50;
 
-  /** New connections go on coming for so long after a planned restart has begun. */
-  private static final int NEW_CONNECTIONS_MILLIS = 300;
+  /**
+   * How long after the start of a planned restart clients still open connections to the old load
+   * balancer.
+   */
+  private static final int NEW_CONNECTIONS_PERIOD_MILLIS = 300;
 
-  /** How long past its time a drained load balancer may wait for clients that are to leave. */
-  private static final int LINGER_MILLIS = 400;
+  /** How long beyond its maximum drain time a load balancer may wait for clients to disconnect. */
+  private static final int MAX_DRAIN_OVERRUN_MILLIS = 400;
 
-  private static final int KEYS = 2000;
-  private static final int JOINED_KEYS = 40;
-  private static final int DRAIN_GRACE_MILLIS = 2000;
-  private static final int DEADLINE_MILLIS = 2000;
-  private static final double COLD_SHARE = 0.12;
-  private static final double WARM_SECONDS = 10;
-  private static final double FALL_MULTIPLE = 3;
-  private static final double FALL_SECONDS = 2;
+  private static final int KEY_COUNT = 2000;
+  private static final int COALESCING_KEY_COUNT = 40;
+  static final int DRAIN_GRACE_MILLIS = 2000;
+  private static final int MAX_DEADLINE_MILLIS = 2000;
+  static final double COLD_CAPACITY_SHARE = 0.12;
+  static final double WARM_UP_SECONDS = 10;
+  static final double COLLAPSE_MULTIPLE = 3;
+  static final double COLLAPSE_WINDOW_SECONDS = 2;
 
-  /** How long an attempt that was decided before an answer may be on its way. */
-  private static final long SETTLE_NANOS = 2_000_000;
+  /**
+   * Maximum time between the end of a request and the arrival at a server of an attempt that the
+   * load balancer decided to send before that end.
+   */
+  private static final long MAX_ATTEMPT_DELAY_NANOS = 2_000_000;
 
-  private static final long EPOCH_MILLIS = 1_767_225_600_000L;
+  /** Unix time at which virtual time starts, 2026-01-01. */
+  private static final long START_UNIX_MILLIS = 1_767_225_600_000L;
 
-  private static List<Traffic.RequestClass> classes(int hurry) {
+  private static List<Traffic.RequestClass> requestClasses(int deadlineDivisor) {
     return List.of(
-        new Traffic.RequestClass("read", 0.85, false, false, DEADLINE_MILLIS / hurry, 0),
-        new Traffic.RequestClass("put", 0.1, true, false, 1000 / hurry, 20),
-        new Traffic.RequestClass("note", 0.05, true, true, 1500 / hurry, 3000));
+        new Traffic.RequestClass(
+            "read", 0.85, false, false, MAX_DEADLINE_MILLIS / deadlineDivisor, 0),
+        new Traffic.RequestClass("put", 0.1, true, false, 1000 / deadlineDivisor, 20),
+        new Traffic.RequestClass("note", 0.05, true, true, 1500 / deadlineDivisor, 3000));
   }
 
   private final ScenarioPlan plan;
   private final Tampering tampering;
-  private final VirtualTime time = new VirtualTime();
+  private final VirtualTime virtualTime = new VirtualTime();
   private final UnpooledByteBufAllocator allocator = new UnpooledByteBufAllocator(false, true);
-  private final LoopbackTransport wire =
-      LoopbackTransport.local(time.loop(LocalIoHandler.newFactory()), allocator);
-  private final EffectLog ledger = new EffectLog();
+  private final LoopbackTransport loopback =
+      LoopbackTransport.local(virtualTime.newLoop(LocalIoHandler.newFactory()), allocator);
+  private final EffectLog effectLog = new EffectLog();
   private final List<StandInServer> fleet = new ArrayList<>();
-  private final List<Instance> instances = new ArrayList<>();
-  private final Map<String, String> zones = new LinkedHashMap<>();
-  private final List<String> breaches = new ArrayList<>();
-  private final SplittableRandom delays;
+  private final List<Node> nodes = new ArrayList<>();
+  private final Map<String, String> zonesByServerId = new LinkedHashMap<>();
+  private final List<String> violations = new ArrayList<>();
+  private final SplittableRandom connectDelayRandom;
   private final StandInOrigin origin;
   private final StandInClients clients;
-  private final MisbehavingClients rude;
+  private final MisbehavingClients misbehavingClients;
 
-  /** For how long load balancers did not run, by their names. */
-  private final Map<String, Long> heldMillis = new HashMap<>();
+  /** Total time for which each load balancer was paused, by its name. */
+  private final Map<String, Long> pausedMillis = new HashMap<>();
 
-  private final Set<String> restarted = new HashSet<>();
-  private final Set<String> drained = new HashSet<>();
-  private int replaced;
+  private final Set<String> restartedNodes = new HashSet<>();
+  private final Set<String> drainedNodes = new HashSet<>();
+  private int replacementCount;
 
-  /** One load balancer and the discovery service that it alone asks. */
-  private record Instance(
+  /** A load balancer and its own discovery service. */
+  private record Node(
       String name,
       SocketAddress address,
       ManualIoEventLoop loop,
@@ -115,173 +126,162 @@
       StandInDiscovery discovery) {}
 
   /**
-   * What somebody does to the load balancers' connections, to see that the checks find it.
+   * Handlers that tests add to the load balancers' connections to make the load balancers
+   * violate a rule, and so verify that the checks detect the violation.
    *
-   * @param opened shown each connection to a server or discovery
-   * @param accepted shown each connection of a client
+   * @param onOpened called with each connection that is opened to a server or discovery
+   * @param onAccepted called with each connection that is accepted from a client
    */
-  record Tampering(Consumer<Channel> opened, Consumer<Channel> accepted) {
+  record Tampering(Consumer<Channel> onOpened, Consumer<Channel> onAccepted) {
     static final Tampering NONE = new Tampering(channel -> {}, channel -> {});
   }
 
   private ScenarioSimulation(ScenarioPlan plan, Tampering tampering) {
     this.plan = plan;
     this.tampering = tampering;
-    origin = new StandInOrigin(wire, plan.seed() + 1, 12, 0.06);
-    rude = new MisbehavingClients(wire, plan.seed() + 3);
-    delays = new SplittableRandom(plan.seed() + 4);
+    origin = new StandInOrigin(loopback, plan.seed() + 1, 12, 0.06);
+    misbehavingClients = new MisbehavingClients(loopback, plan.seed() + 3);
+    connectDelayRandom = new SplittableRandom(plan.seed() + 4);
     Traffic traffic =
         new Traffic(
             plan.ratePerSecond(),
-            plan.joining() ? JOINED_KEYS : KEYS,
-            plan.skew(),
-            classes(plan.world().hurry()),
-            plan.goneShare());
-    clients = new StandInClients(wire, ledger, traffic, GRACE_MILLIS, 80, plan.seed() + 2);
-    if (plan.joining()) {
-      clients.mayShareAnswers();
+            plan.coalescing() ? COALESCING_KEY_COUNT : KEY_COUNT,
+            plan.zipfExponent(),
+            requestClasses(plan.deployment().deadlineDivisor()),
+            plan.disconnectShare());
+    clients = new StandInClients(loopback, effectLog, traffic, GRACE_MILLIS, 80, plan.seed() + 2);
+    if (plan.coalescing()) {
+      clients.allowSharedResponses();
     }
   }
 
-  /** Plays this day. */
+  /** Runs this scenario and checks all rules. */
   public static ScenarioReport play(ScenarioPlan plan) {
     return play(plan, Tampering.NONE);
   }
 
-  /** Plays this day with load balancers whose connections somebody has tampered with. */
+  /** Runs this scenario with load balancers whose connections are tampered with. */
   static ScenarioReport play(ScenarioPlan plan, Tampering tampering) {
     return new ScenarioSimulation(plan, tampering).play();
   }
 
   private ScenarioReport play() {
-    for (int i = 0; i < plan.servers(); i++) {
+    for (int i = 0; i < plan.serverCount(); i++) {
       addServer("s" + i).start();
     }
-    time.pass(1);
-    for (int i = 0; i < plan.nodes(); i++) {
-      addInstance("n" + i);
-      time.pass(1);
+    virtualTime.advance(1);
+    for (int i = 0; i < plan.nodeCount(); i++) {
+      addNode("n" + i);
+      virtualTime.advance(1);
     }
-    time.pass(200);
-    clients.run(plan.millis());
-    for (ScenarioPlan.Trouble trouble : plan.troubles()) {
-      later(trouble.atMillis(), () -> begin(trouble));
+    virtualTime.advance(200);
+    clients.run(plan.durationMillis());
+    for (ScenarioPlan.Event event : plan.events()) {
+      schedule(event.atMillis(), () -> startEvent(event));
     }
-    time.pass(plan.millis() + 4 * DEADLINE_MILLIS);
-    end();
-    clients.check(SETTLE_NANOS);
-    breaches.addAll(clients.breaches());
-    breaches.addAll(rude.breaches());
+    virtualTime.advance(plan.durationMillis() + 4 * MAX_DEADLINE_MILLIS);
+    shutDown();
+    clients.checkEffects(MAX_ATTEMPT_DELAY_NANOS);
+    violations.addAll(clients.violations());
+    violations.addAll(misbehavingClients.violations());
     checkServers();
     return new ScenarioReport(
         plan,
-        List.copyOf(breaches),
-        clients.asked(),
-        clients.served(),
-        clients.refused(),
-        clients.failed(),
-        clients.crossed(),
+        List.copyOf(violations),
+        clients.requests(),
+        clients.servedRequests(),
+        clients.refusedRequests(),
+        clients.failedRequests(),
+        clients.closeRaces(),
         origin.fetches(),
-        instances.stream().mapToLong(ScenarioSimulation::shared).sum(),
-        clients.latencies().getValueAtPercentile(99),
+        nodes.stream().mapToLong(ScenarioSimulation::sharedReads).sum(),
+        clients.latencyMicros().getValueAtPercentile(99),
         clients.digest());
   }
 
-  private static long shared(Instance instance) {
-    CoalescingSnapshot joining = instance.balancer().coalescingSnapshot();
-    return joining == null ? 0 : joining.shared();
+  private static long sharedReads(Node node) {
+    CoalescingSnapshot coalescingSnapshot = node.balancer().coalescingSnapshot();
+    return coalescingSnapshot == null ? 0 : coalescingSnapshot.shared();
   }
 
-  private void later(long millis, Runnable step) {
-    wire.loop().schedule(step, millis, TimeUnit.MILLISECONDS);
+  private void schedule(long delayMillis, Runnable task) {
+    loopback.loop().schedule(task, delayMillis, TimeUnit.MILLISECONDS);
   }
 
   private StandInServer addServer(String id) {
     ServerModel model =
-        ServerModel.usual()
-            .working(4, 0.02)
-            .cold(COLD_SHARE, WARM_SECONDS, FALL_MULTIPLE, FALL_SECONDS);
+        ServerModel.defaults()
+            .withWorkers(4, 0.02)
+            .withColdStart(COLD_CAPACITY_SHARE, WARM_UP_SECONDS, COLLAPSE_MULTIPLE, COLLAPSE_WINDOW_SECONDS);
     String zone = fleet.size() % 2 == 0 ? "a" : "b";
-    zones.put(id, zone);
+    zonesByServerId.put(id, zone);
     return new StandInServer(
-        wire, id, zone, model, origin, ledger, fleet, 31 * plan.seed() + fleet.size());
+        loopback, id, zone, model, origin, effectLog, fleet, 31 * plan.seed() + fleet.size());
   }
 
-  /** Starts a load balancer with the list as it is now; clients ask it once it listens. */
-  private void addInstance(String name) {
-    StandInDiscovery discovery = new StandInDiscovery(wire);
+  /** Starts a load balancer with the current endpoint list; once it listens, clients use it. */
+  private void addNode(String name) {
+    StandInDiscovery discovery = new StandInDiscovery(loopback);
     for (StandInServer server : fleet) {
       StandInDiscovery.Member member =
-          instances.isEmpty()
-              ? member(server, StandInDiscovery.State.ACTIVE, 0)
-              : instances.get(0).discovery().member(server.id());
+          nodes.isEmpty()
+              ? newMember(server, StandInDiscovery.State.ACTIVE, 0)
+              : nodes.get(0).discovery().member(server.id());
       if (member != null && member.state() != StandInDiscovery.State.LEFT) {
         discovery.put(member);
       }
     }
-    discovery.lag(plan.lagMillis());
-    if (plan.world().indented()) {
-      discovery.indent();
+    discovery.setLagMillis(plan.discoveryLagMillis());
+    if (plan.deployment().indentedLists()) {
+      discovery.indentLists();
     }
-    discovery.start().addListener(done -> addInstance(name, discovery));
+    discovery.start().addListener(done -> addNode(name, discovery));
   }
 
-  private void addInstance(String name, StandInDiscovery discovery) throws FormatException {
-    Pauses pauses = new Pauses();
-    LoopClock clock = new LoopClock(time.ticker(), pauses);
+  private void addNode(String name, StandInDiscovery discovery) throws FormatException {
+    LoopListener loopListener = new LoopListener();
+    LoopClock clock = new LoopClock(virtualTime.ticker(), loopListener);
     ManualIoEventLoop loop =
-        time.loop(WatchedIoHandler.factory(LocalIoHandler.newFactory(), clock));
+        virtualTime.newLoop(WatchedIoHandler.factory(LocalIoHandler.newFactory(), clock));
     LoadBalancer balancer =
         new LoadBalancer(
-            NodeConfig.parse(JsonObject.parse(config(discovery))),
-            plan.joining()
+            NodeConfig.parse(JsonObject.parse(configJson(discovery))),
+            plan.coalescing()
                 ? new OperatorFile(OverloadConfig.DEFAULT, CoalescingConfig.DEFAULTS)
                 : OperatorFile.DEFAULTS,
             loop,
             clock,
-            new Clock(time.ticker(), EPOCH_MILLIS + time.millis()),
-            transport(),
-            new Log(time.ticker(), line -> logged(name, line)));
-    pauses.balancer = balancer;
-    SocketAddress address = wire.address();
-    instances.add(new Instance(name, address, loop, balancer, discovery));
+            new Clock(virtualTime.ticker(), START_UNIX_MILLIS + virtualTime.elapsedMillis()),
+            newTransport(),
+            new Log(virtualTime.ticker(), line -> checkLogLine(name, line)));
+    loopListener.balancer = balancer;
+    SocketAddress address = loopback.newAddress();
+    nodes.add(new Node(name, address, loop, balancer, discovery));
     loop.execute(balancer::start);
     loop.execute(
         () ->
             balancer
                 .listen(address)
-                .addListener(done -> wire.loop().execute(() -> clients.add(name, address))));
+                .addListener(done -> loopback.loop().execute(() -> clients.addTarget(name, address))));
   }
 
-  /** Work takes no virtual time: whoever finds its loop late for good mistakes a pause for load. */
-  private void logged(String name, String line) {
-    if (line.startsWith("overload: CPU")) {
-      breaches.add(name + " took a pause for " + line + ", at " + time.millis() + " ms");
-    }
-  }
-
-  private static final class Pauses implements LoopClock.Listener {
-    private LoadBalancer balancer;
-
-    @Override
-    public void onStall(long nanos) {
-      if (balancer != null) {
-        balancer.recordStall(nanos);
-      }
-    }
-
-    @Override
-    public void onTurnEnd(long begunAt, long now) {
-      balancer.recordLoopTurn(begunAt, now);
-    }
-
-    @Override
-    public void onTaskFailure(RuntimeException cause) {
-      throw cause;
+  /**
+   * Work takes no virtual time, so a load balancer that reports CPU overload has mistaken a pause
+   * for load.
+   */
+  private void checkLogLine(String nodeName, String logLine) {
+    if (logLine.startsWith("overload: CPU")) {
+      violations.add(
+          nodeName
+              + " mistook a pause for load: "
+              + logLine
+              + ", at "
+              + virtualTime.elapsedMillis()
+              + " ms");
     }
   }
 
-  private Transport transport() {
+  private Transport newTransport() {
     return new Transport() {
       @Override
       public ByteBufAllocator allocator() {
@@ -290,303 +290,275 @@
 
       @Override
       public Bootstrap connector(EventLoop loop) {
-        return LoopbackTransport.local(loop, allocator, ScenarioSimulation.this::opened)
+        return LoopbackTransport.local(loop, allocator, ScenarioSimulation.this::onOpened)
             .connector();
       }
 
       @Override
       public ServerBootstrap acceptor(EventLoop loop) {
-        return LoopbackTransport.local(loop, allocator, tampering.accepted()).acceptor();
+        return LoopbackTransport.local(loop, allocator, tampering.onAccepted()).acceptor();
       }
     };
   }
 
-  private void opened(Channel channel) {
-    tampering.opened().accept(channel);
-    if (delays.nextDouble() < plan.world().lateShare()) {
-      channel.pipeline().addFirst(new DelayedConnect(plan.world().lateMillis()));
+  private void onOpened(Channel channel) {
+    tampering.onOpened().accept(channel);
+    if (connectDelayRandom.nextDouble() < plan.deployment().delayedConnectShare()) {
+      channel.pipeline().addFirst(new DelayedConnect(plan.deployment().connectDelayMillis()));
     }
   }
 
-  private String config(StandInDiscovery discovery) {
-    int hurry = plan.world().hurry();
-    return """
-        {"listen":"127.0.0.1:0","discovery":"%s","seed":"%x",
-         "limits":{"memory_mb":128,"sockets":512},"known":%s,
-         "settings":{"instances":%d,"discovery":"%s","zone":"a","azs":["a","b"],
-          "caps":{"attempts-cap":%d,"cancel":%b,"parallel-tries":%b,"multiplex":%d,
-                  "connect-timeout":0.15,"conn-idle":30,"retry-after":true,"max-retry-after":1},
-          "contract":{"grace-to-answer":0.05,"ask-within":10,"drain-grace":%s,"cold-from":%s,
-                      "warm-within":%s,"overload-factor":%s,"overload-for":%s},
-          "services":[
-           {"name":"read","effect":"retryable","slo":%s,"give-up":%s,"credit":2,"late-share":0.3},
-           {"name":"put","effect":"fragile","slo":%s,"give-up":%s,"credit":5,"late-share":0.3},
-           {"name":"note","effect":"dedup","group":"zone","repeat-window":5,"slo":%s,
-            "give-up":%s,"credit":3,"late-share":0.3}]}}
-        """
-        .formatted(
-            discovery.address(),
-            plan.seed() + instances.size(),
-            discovery.list(),
-            plan.nodes(),
-            plan.asksForList() ? "ask" : "push",
-            plan.maxAttempts(),
-            plan.world().cancel(),
-            plan.parallel(),
-            plan.perConnection(),
-            DRAIN_GRACE_MILLIS / 1e3,
-            COLD_SHARE,
-            WARM_SECONDS,
-            FALL_MULTIPLE,
-            FALL_SECONDS,
-            0.75 / hurry,
-            2.0 / hurry,
-            0.3 / hurry,
-            1.0 / hurry,
-            0.5 / hurry,
-            1.5 / hurry);
+  private String configJson(StandInDiscovery discovery) {
+    return ScenarioNodeConfig.json(plan, discovery, nodes.size());
   }
 
-  // The list.
-
-  private StandInDiscovery.Member member(
+  private StandInDiscovery.Member newMember(
       StandInServer server, StandInDiscovery.State state, long startedMillis) {
     return new StandInDiscovery.Member(
-        server.id(), server.address(), zones.get(server.id()), 0, state, startedMillis);
+        server.id(), server.address(), zonesByServerId.get(server.id()), 0, state, startedMillis);
   }
 
-  private void list(StandInServer server, StandInDiscovery.State state) {
-    for (Instance instance : instances) {
-      StandInDiscovery.Member before = instance.discovery().member(server.id());
-      long started = before == null ? 0 : before.startedMillis();
-      instance.discovery().put(member(server, state, started));
+  private void publishState(StandInServer server, StandInDiscovery.State state) {
+    for (Node node : nodes) {
+      StandInDiscovery.Member previousMember = node.discovery().member(server.id());
+      long startedMillis = previousMember == null ? 0 : previousMember.startedMillis();
+      node.discovery().put(newMember(server, state, startedMillis));
     }
   }
 
-  private void listStarted(StandInServer server) {
-    long now = EPOCH_MILLIS + time.millis();
-    for (Instance instance : instances) {
-      instance.discovery().put(member(server, StandInDiscovery.State.ACTIVE, now));
+  private void publishStart(StandInServer server) {
+    long startedMillis = START_UNIX_MILLIS + virtualTime.elapsedMillis();
+    for (Node node : nodes) {
+      node.discovery().put(newMember(server, StandInDiscovery.State.ACTIVE, startedMillis));
     }
   }
 
-  // What goes wrong.
-
-  private void begin(ScenarioPlan.Trouble trouble) {
-    StandInServer server = fleet.get(trouble.which() % fleet.size());
-    long millis = trouble.millis();
-    switch (trouble.kind()) {
-      case KILL -> killFor(server, millis);
-      case KILL_SOME -> {
-        for (int i = 0; i < Math.max(1, plan.servers() / 4); i++) {
-          killFor(fleet.get((trouble.which() + i) % plan.servers()), millis);
+  private void startEvent(ScenarioPlan.Event event) {
+    StandInServer server = fleet.get(event.targetIndex() % fleet.size());
+    long durationMillis = event.durationMillis();
+    switch (event.kind()) {
+      case KILL -> killFor(server, durationMillis);
+      case KILL_SEVERAL -> {
+        for (int i = 0; i < Math.max(1, plan.serverCount() / 4); i++) {
+          killFor(fleet.get((event.targetIndex() + i) % plan.serverCount()), durationMillis);
         }
       }
       case REPLACE -> replace(server);
-      case SILENT -> {
-        server.silent(true);
-        later(millis, () -> server.silent(false));
+      case SERVER_UNRESPONSIVE -> {
+        server.setUnresponsive(true);
+        schedule(durationMillis, () -> server.setUnresponsive(false));
       }
       case FAULT -> {
-        server.fault(trouble.fault(), trouble.strength());
-        later(millis, server::mend);
+        server.injectFault(event.fault(), event.strength());
+        schedule(durationMillis, server::clearFaults);
       }
       case FAULT_EVERYWHERE -> {
-        fleet.forEach(each -> each.fault(trouble.fault(), trouble.strength()));
-        later(millis, () -> fleet.forEach(StandInServer::mend));
+        fleet.forEach(target -> target.injectFault(event.fault(), event.strength()));
+        schedule(durationMillis, () -> fleet.forEach(StandInServer::clearFaults));
       }
-      case RESET -> server.resetConnections(trouble.strength());
-      case CLOSE_IDLE -> fleet.forEach(StandInServer::closeIdle);
+      case CLOSE_CONNECTIONS -> server.closeConnections(event.strength());
+      case CLOSE_IDLE_CONNECTIONS -> fleet.forEach(StandInServer::closeIdleConnections);
       case SLOW_ORIGIN -> {
-        origin.slowness(trouble.strength());
-        later(millis, () -> origin.slowness(1));
+        origin.setSlowdown(event.strength());
+        schedule(durationMillis, () -> origin.setSlowdown(1));
       }
       case DISCOVERY_DOWN -> {
-        instances.forEach(instance -> instance.discovery().down());
-        later(millis, () -> instances.forEach(instance -> instance.discovery().start()));
+        nodes.forEach(node -> node.discovery().stop());
+        schedule(durationMillis, () -> nodes.forEach(node -> node.discovery().start()));
       }
       case DISCOVERY_SILENT -> {
-        instances.forEach(instance -> instance.discovery().silent(true));
-        later(millis, () -> instances.forEach(instance -> instance.discovery().silent(false)));
+        nodes.forEach(node -> node.discovery().setSilent(true));
+        schedule(durationMillis, () -> nodes.forEach(node -> node.discovery().setSilent(false)));
       }
       case NODE_PAUSE -> {
-        Instance instance = instances.get(trouble.which() % instances.size());
-        time.hold(instance.loop(), millis);
-        clients.paused(instance.name(), millis);
-        heldMillis.merge(instance.name(), millis, Long::sum);
-        rude.paused(millis);
+        Node node = nodes.get(event.targetIndex() % nodes.size());
+        virtualTime.suspend(node.loop(), durationMillis);
+        clients.recordPause(node.name(), durationMillis);
+        pausedMillis.merge(node.name(), durationMillis, Long::sum);
+        misbehavingClients.recordPause(durationMillis);
       }
       case SLOW_READER -> {
-        server.slowReader((int) trouble.strength());
-        later(millis, () -> server.slowReader(0));
+        server.limitReadBytes((int) event.strength());
+        schedule(durationMillis, () -> server.limitReadBytes(0));
       }
-      case RUDE ->
-          instances.forEach(instance -> rude.come(instance.address(), (int) trouble.strength()));
-      case RESTART -> restart(trouble.which());
-      case MUTE_WATCHES -> instances.forEach(instance -> instance.discovery().muteWatches());
-      case RETUNE -> instances.forEach(this::retune);
-      case RUSH -> {
-        clients.rush(trouble.strength());
-        later(millis, () -> clients.rush(1));
+      case MISBEHAVING_CLIENTS ->
+          nodes.forEach(node -> misbehavingClients.connect(node.address(), (int) event.strength()));
+      case RESTART -> restart(event.targetIndex());
+      case MUTE_WATCHES -> nodes.forEach(node -> node.discovery().muteWatches());
+      case RELOAD_CONFIGURATION -> nodes.forEach(this::reloadConfiguration);
+      case LOAD_SPIKE -> {
+        clients.setRateFactor(event.strength());
+        schedule(durationMillis, () -> clients.setRateFactor(1));
       }
     }
   }
 
-  private void retune(Instance instance) {
+  private void reloadConfiguration(Node node) {
     try {
-      NodeConfig same = NodeConfig.parse(JsonObject.parse(config(instance.discovery())));
-      instance.loop().execute(() -> instance.balancer().applyConfiguration(same));
+      NodeConfig unchangedConfig = NodeConfig.parse(JsonObject.parse(configJson(node.discovery())));
+      node.loop().execute(() -> node.balancer().applyConfiguration(unchangedConfig));
     } catch (FormatException e) {
       throw new IllegalStateException(e);
     }
   }
 
   /**
-   * A load balancer ends as planned while another that has started before takes new connections.
-   * What is left of it once it is drained is a leak.
+   * Starts a load balancer, then drains the old one while the new one accepts connections. The old
+   * load balancer must be drained within its maximum drain time plus a margin and the time for
+   * which it was paused.
    */
-  private void restart(int which) {
-    Instance old = instances.get(which % instances.size());
-    if (!restarted.add(old.name())) {
+  private void restart(int nodeIndex) {
+    Node oldNode = nodes.get(nodeIndex % nodes.size());
+    if (!restartedNodes.add(oldNode.name())) {
       return;
     }
-    addInstance(old.name() + "x");
-    later(NEW_CONNECTIONS_MILLIS, () -> clients.leaving(old.name()));
-    old.loop().execute(() -> old.balancer().drain(() -> drained.add(old.name())));
-    long latest = old.balancer().maxDrainMillis();
-    later(
-        latest + LINGER_MILLIS,
-        () -> later(heldMillis.getOrDefault(old.name(), 0L), () -> checkDrained(old)));
+    addNode(oldNode.name() + "x");
+    schedule(NEW_CONNECTIONS_PERIOD_MILLIS, () -> clients.markRestarting(oldNode.name()));
+    oldNode.loop().execute(() -> oldNode.balancer().drain(() -> drainedNodes.add(oldNode.name())));
+    long maxDrainMillis = oldNode.balancer().maxDrainMillis();
+    schedule(
+        maxDrainMillis + MAX_DRAIN_OVERRUN_MILLIS,
+        () ->
+            schedule(
+                pausedMillis.getOrDefault(oldNode.name(), 0L), () -> checkNodeDrained(oldNode)));
   }
 
-  private void checkDrained(Instance old) {
-    if (!drained.contains(old.name())) {
-      breaches.add(old.name() + " was not drained in time");
+  private void checkNodeDrained(Node oldNode) {
+    if (!drainedNodes.contains(oldNode.name())) {
+      violations.add(oldNode.name() + " was not drained in time");
     }
   }
 
-  private void killFor(StandInServer server, long millis) {
-    if (!server.running() || leaving(server)) {
+  private void killFor(StandInServer server, long downMillis) {
+    if (!server.isRunning() || isLeaving(server)) {
       return;
     }
     server.kill();
-    later(
-        millis,
+    schedule(
+        downMillis,
         () -> {
-          if (!server.running() && !leaving(server)) {
+          if (!server.isRunning() && !isLeaving(server)) {
             server.startCold();
-            listStarted(server);
+            publishStart(server);
           }
         });
   }
 
-  private boolean leaving(StandInServer server) {
-    StandInDiscovery.Member member = instances.get(0).discovery().member(server.id());
+  private boolean isLeaving(StandInServer server) {
+    StandInDiscovery.Member member = nodes.get(0).discovery().member(server.id());
     return member.state() != StandInDiscovery.State.ACTIVE;
   }
 
-  /** A server leaves as it should, and another takes its place under a new id. */
+  /** Drains and removes a server, and replaces it by one with a new id. */
   private void replace(StandInServer server) {
-    if (!server.running() || leaving(server)) {
+    if (!server.isRunning() || isLeaving(server)) {
       return;
     }
-    list(server, StandInDiscovery.State.LEAVING);
-    later(plan.lagMillis() + DRAIN_GRACE_MILLIS, server::drain);
-    later(
-        plan.lagMillis() + 2 * DRAIN_GRACE_MILLIS,
+    publishState(server, StandInDiscovery.State.LEAVING);
+    schedule(plan.discoveryLagMillis() + DRAIN_GRACE_MILLIS, server::drain);
+    schedule(
+        plan.discoveryLagMillis() + 2 * DRAIN_GRACE_MILLIS,
         () -> {
           server.kill();
-          list(server, StandInDiscovery.State.LEFT);
-          StandInServer next = addServer("t" + replaced++);
-          next.startCold().addListener(done -> listStarted(next));
+          publishState(server, StandInDiscovery.State.LEFT);
+          StandInServer replacement = addServer("t" + replacementCount++);
+          replacement.startCold().addListener(done -> publishStart(replacement));
         });
   }
 
-  // What must hold.
-
   private void checkServers() {
     for (StandInServer server : fleet) {
-      if (server.fallen()) {
-        breaches.add(server.id() + " was pushed over when it was cold");
+      if (server.collapsed()) {
+        violations.add(server.id() + " collapsed under overload while it was warming up");
       }
     }
-    for (String id : clients.ids()) {
-      EffectLog.Entry entry = ledger.of(id);
+    for (String id : clients.endedRequestIds()) {
+      EffectLog.Entry entry = effectLog.entryOf(id);
       if (entry.arrivals().size() > plan.maxAttempts()) {
-        breaches.add(id + " had " + entry.arrivals().size() + " attempts");
+        violations.add(id + " had " + entry.arrivals().size() + " attempts");
       }
-      if (!plan.parallel() && entry.mostOut() > 1) {
-        breaches.add(
-            id + " had " + entry.mostOut() + " attempts out together: " + entry.arrivals());
+      if (!plan.parallelAttempts() && entry.maxInFlight() > 1) {
+        violations.add(
+            id + " had " + entry.maxInFlight() + " attempts in flight together: " + entry.arrivals());
       }
       for (EffectLog.Arrival arrival : entry.arrivals()) {
-        checkDrain(id, arrival);
+        checkDrainGrace(id, arrival);
       }
     }
   }
 
-  private void checkDrain(String id, EffectLog.Arrival arrival) {
-    String name = clients.targetOf(id);
-    for (Instance instance : instances) {
-      if (!instance.name().equals(name)) {
+  private void checkDrainGrace(String requestId, EffectLog.Arrival arrival) {
+    String nodeName = clients.targetOf(requestId);
+    for (Node node : nodes) {
+      if (!node.name().equals(nodeName)) {
         continue;
       }
-      long told = instance.discovery().toldAt(arrival.server(), StandInDiscovery.State.LEAVING);
-      long late = (arrival.atNanos() - told) / 1_000_000 - DRAIN_GRACE_MILLIS - GRACE_MILLIS;
-      if (told >= 0 && late > 0) {
-        breaches.add(
-            id + " went to " + arrival.server() + " " + late + " ms past the grace of its drain");
+      long drainSentNanos =
+          node.discovery().firstSentNanos(arrival.serverId(), StandInDiscovery.State.LEAVING);
+      long lateMillis =
+          (arrival.atNanos() - drainSentNanos) / 1_000_000 - DRAIN_GRACE_MILLIS - GRACE_MILLIS;
+      if (drainSentNanos >= 0 && lateMillis > 0) {
+        violations.add(
+            requestId
+                + " was sent to "
+                + arrival.serverId()
+                + " "
+                + lateMillis
+                + " ms after the grace of its drain");
       }
     }
   }
 
-  /** Ends the day in order, and looks for what is left. */
-  private void end() {
-    if (clients.open() > 0) {
-      breaches.add(clients.open() + " requests never ended");
+  /** Shuts down clients, load balancers and servers, and checks for leaks. */
+  private void shutDown() {
+    if (clients.outstanding() > 0) {
+      violations.add(clients.outstanding() + " requests never ended");
     }
-    for (Instance instance : instances) {
-      expectNone(instance, "open requests", instance.balancer().openRequests());
-      expectTrueFigures(instance);
+    for (Node node : nodes) {
+      checkNoneLeft(node, "open requests", node.balancer().openRequests());
+      checkRequestTotals(node);
     }
     clients.close();
-    time.pass(1000);
-    for (Instance instance : instances) {
-      expectNone(instance, "clients' connections", instance.balancer().clientConnections());
-      instance.loop().execute(instance.balancer()::close);
+    virtualTime.advance(1000);
+    for (Node node : nodes) {
+      checkNoneLeft(node, "client connections", node.balancer().clientConnections());
+      node.loop().execute(node.balancer()::close);
     }
-    time.pass(1000);
-    for (Instance instance : instances) {
-      expectNone(instance, "timers", instance.balancer().pendingTimers());
-      expectNone(instance, "connections to servers", instance.balancer().serverConnections());
-      instance.discovery().down();
+    virtualTime.advance(1000);
+    for (Node node : nodes) {
+      checkNoneLeft(node, "timers", node.balancer().pendingTimers());
+      checkNoneLeft(node, "server connections", node.balancer().serverConnections());
+      node.discovery().stop();
     }
     fleet.forEach(StandInServer::kill);
-    time.pass(1000);
-    time.close();
-    long bytes = allocator.metric().usedHeapMemory() + allocator.metric().usedDirectMemory();
-    if (bytes > 0) {
-      breaches.add(bytes + " bytes of buffers leaked");
+    virtualTime.advance(1000);
+    virtualTime.close();
+    long leakedBytes = allocator.metric().usedHeapMemory() + allocator.metric().usedDirectMemory();
+    if (leakedBytes > 0) {
+      violations.add(leakedBytes + " bytes of buffers leaked");
     }
   }
 
-  /** Every request that was taken has ended under exactly one disposition, or its client left. */
-  private void expectTrueFigures(Instance instance) {
-    RequestMetricsSnapshot figures = instance.balancer().requestMetrics();
-    long ended = figures.disconnected();
-    for (RequestMetricsSnapshot.Results results : figures.results()) {
-      ended += results.succeeded() + results.rejected() + results.failed();
+  /**
+   * Checks that each request that the load balancer received has exactly one result or ended with
+   * its client's disconnect.
+   */
+  private void checkRequestTotals(Node node) {
+    RequestMetricsSnapshot metrics = node.balancer().requestMetrics();
+    long endedRequests = metrics.disconnected();
+    for (RequestMetricsSnapshot.Results results : metrics.results()) {
+      endedRequests += results.succeeded() + results.rejected() + results.failed();
     }
-    if (ended != figures.received() || figures.outstanding() != 0) {
-      breaches.add(
-          "%s took %d requests, of which %d ended and %d are outstanding"
-              .formatted(instance.name(), figures.received(), ended, figures.outstanding()));
+    if (endedRequests != metrics.received() || metrics.outstanding() != 0) {
+      violations.add(
+          "%s received %d requests, of which %d ended and %d are outstanding"
+              .formatted(node.name(), metrics.received(), endedRequests, metrics.outstanding()));
     }
   }
 
-  private void expectNone(Instance instance, String what, int count) {
+  private void checkNoneLeft(Node node, String resource, int count) {
     if (count > 0) {
-      breaches.add(instance.name() + " was left with " + count + " " + what);
+      violations.add(node.name() + " still has " + count + " " + resource);
     }
   }
 }
--- a/simulation/src/main/java/shalepaddle/simulation/VirtualTime.java
+++ b/simulation/src/main/java/shalepaddle/simulation/VirtualTime.java
@@ -9,95 +9,103 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Event loops that run in one thread, in turns and in steps of a millisecond that nobody waits for.
+ * Runs event loops in one thread and in virtual time, in steps of a millisecond without waiting.
  *
- * <p>Within a step the loops run one after the other until none has anything to do; then the time
- * goes on. So everything happens in the same order in every run, and a minute takes what its work
- * takes. A loop that is held does not run while the others do, like a process that gets no
- * processor.
+ * <p>Within a step the loops run in turns until none has work left; then virtual time advances. So
+ * everything happens in the same order in every run, and a virtual minute takes only the real time
+ * that its tasks need. A suspended loop does not run while the others do, like a process without
+ * CPU time.
  */
 final class VirtualTime {
-  /** Turns within a step; more mean that two loops answer each other for ever. */
-  private static final int MAX_TURNS = 100_000;
+  /** More turns in one step indicate that two loops keep triggering each other endlessly. */
+  private static final int MAX_TURNS_PER_STEP = 100_000;
 
   private static final long STEP_NANOS = 1_000_000;
 
-  /** One loop, and until when it is held. */
-  private static final class Held {
+  /** An event loop and the virtual time until which it is suspended. */
+  private static final class ManagedLoop {
     private final ManualIoEventLoop loop;
-    private long until;
+    private long suspendedUntilNanos;
 
-    Held(ManualIoEventLoop loop) {
+    ManagedLoop(ManualIoEventLoop loop) {
       this.loop = loop;
     }
   }
 
   private final MockTicker ticker = Ticker.newMockTicker();
-  private final List<Held> loops = new ArrayList<>();
+  private final List<ManagedLoop> loops = new ArrayList<>();
 
   Ticker ticker() {
     return ticker;
   }
 
-  /** Milliseconds since the beginning. */
-  long millis() {
+  /** Virtual time since the start, in milliseconds. */
+  long elapsedMillis() {
     return TimeUnit.NANOSECONDS.toMillis(ticker.nanoTime() - ticker.initialNanoTime());
   }
 
-  /** One more loop of this thread. */
-  ManualIoEventLoop loop(IoHandlerFactory transport) {
+  /** Creates an event loop that runs in the thread of this simulation. */
+  ManualIoEventLoop newLoop(IoHandlerFactory transport) {
     ManualIoEventLoop loop = new ManualIoEventLoop(null, Thread.currentThread(), transport, ticker);
-    loops.add(new Held(loop));
+    loops.add(new ManagedLoop(loop));
     return loop;
   }
 
-  /** Does not run the loop for so long. */
-  void hold(ManualIoEventLoop loop, long millis) {
-    for (Held held : loops) {
-      if (held.loop == loop) {
-        long until = ticker.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        held.until = held.until - until > 0 ? held.until : until;
+  /** Suspends the loop for this duration; overlapping suspensions end at the latest end. */
+  void suspend(ManualIoEventLoop loop, long durationMillis) {
+    for (ManagedLoop managedLoop : loops) {
+      if (managedLoop.loop == loop) {
+        long suspendUntilNanos = ticker.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMillis);
+        managedLoop.suspendedUntilNanos =
+            managedLoop.suspendedUntilNanos - suspendUntilNanos > 0
+                ? managedLoop.suspendedUntilNanos
+                : suspendUntilNanos;
       }
     }
   }
 
-  /** Lets so much time pass. */
-  void pass(long millis) {
-    for (long i = 0; i < millis; i++) {
-      settle();
+  /** Advances virtual time by this duration, and runs the loops at each step. */
+  void advance(long durationMillis) {
+    for (long i = 0; i < durationMillis; i++) {
+      runUntilIdle();
       ticker.advance(STEP_NANOS, TimeUnit.NANOSECONDS);
     }
-    settle();
+    runUntilIdle();
   }
 
-  /** Runs all loops until none has anything to do at this moment. */
-  private void settle() {
-    long now = ticker.nanoTime();
-    int turns = 0;
-    boolean busy = true;
-    while (busy) {
-      busy = false;
-      // By number: what runs may add a loop.
+  /** Runs all loops until none has work left at the present time. */
+  private void runUntilIdle() {
+    long nowNanos = ticker.nanoTime();
+    int turnCount = 0;
+    boolean mayHaveWork = true;
+    while (mayHaveWork) {
+      mayHaveWork = false;
+      // Iterates by index because a task may add a loop.
       for (int i = 0; i < loops.size(); i++) {
-        Held held = loops.get(i);
-        if (held.until - now <= 0 && held.loop.runNow() > 0) {
-          busy = true;
+        ManagedLoop managedLoop = loops.get(i);
+        if (managedLoop.suspendedUntilNanos - nowNanos <= 0 && managedLoop.loop.runNow() > 0) {
+          mayHaveWork = true;
         }
       }
-      if (++turns > MAX_TURNS) {
-        throw new IllegalStateException("no rest at " + millis() + " ms");
+      if (++turnCount > MAX_TURNS_PER_STEP) {
+        throw new IllegalStateException(
+            "event loops still have work after "
+                + MAX_TURNS_PER_STEP
+                + " turns at "
+                + elapsedMillis()
+                + " ms");
       }
     }
   }
 
-  /** Ends all loops. */
+  /** Shuts down all loops, including suspended ones. */
   void close() {
-    for (Held held : loops) {
-      held.until = ticker.nanoTime();
-      held.loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+    for (ManagedLoop managedLoop : loops) {
+      managedLoop.suspendedUntilNanos = ticker.nanoTime();
+      managedLoop.loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
     for (int i = 0; i < 10; i++) {
-      loops.forEach(held -> held.loop.runNow());
+      loops.forEach(managedLoop -> managedLoop.loop.runNow());
       ticker.advance(STEP_NANOS, TimeUnit.NANOSECONDS);
     }
   }
--- a/simulation/src/test/java/shalepaddle/simulation/InjectedRaceViolationTest.java
+++ b/simulation/src/test/java/shalepaddle/simulation/InjectedRaceViolationTest.java
@@ -17,11 +17,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Load balancers that do the wrong thing where two events cross: each is found, by its own name, on
- * a day that is good where nobody tampers.
+ * Verifies that the checks of a simulation detect load balancers that handle a race of two events
+ * wrongly, and report each kind of violation by its own message. Without tampering the same
+ * scenario passes.
  */
 class InjectedRaceViolationTest {
-  private static final ScenarioPlan DAY =
+  private static final ScenarioPlan PLAN =
       new ScenarioPlan(
           8,
           5,
@@ -36,49 +37,55 @@
           100,
           10_000,
           List.of(
-              new ScenarioPlan.Trouble(1000, ScenarioPlan.Kind.MUTE_WATCHES, 0, 0, 1, null),
-              new ScenarioPlan.Trouble(5500, ScenarioPlan.Kind.REPLACE, 1, 0, 1, null),
-              new ScenarioPlan.Trouble(4000, ScenarioPlan.Kind.RESTART, 0, 0, 1, null),
-              new ScenarioPlan.Trouble(4050, ScenarioPlan.Kind.RETUNE, 0, 0, 1, null)),
+              new ScenarioPlan.Event(1000, ScenarioPlan.Kind.MUTE_WATCHES, 0, 0, 1, null),
+              new ScenarioPlan.Event(5500, ScenarioPlan.Kind.REPLACE, 1, 0, 1, null),
+              new ScenarioPlan.Event(4000, ScenarioPlan.Kind.RESTART, 0, 0, 1, null),
+              new ScenarioPlan.Event(4050, ScenarioPlan.Kind.RELOAD_CONFIGURATION, 0, 0, 1, null)),
           false,
-          new ScenarioPlan.World(false, 0.2, 60, true, 2));
+          new ScenarioPlan.Deployment(false, 0.2, 60, true, 2));
 
-  /** What is wrong with these load balancers. */
+  /** A fault of the load balancers, simulated by tampering with their connections. */
   enum Variant {
-    /** What is to be written to a server goes out 400 ms later, whoever has left meanwhile. */
+    /**
+     * One in five reads is sent to its server 400 ms late, even if its client has disconnected
+     * meanwhile.
+     */
     SENDS_LATE("after it had ended (gone)") {
       @Override
-      Consumer<Channel> opened() {
-        return adding(
+      Consumer<Channel> onOpened() {
+        return addHandlerFirst(
             () ->
-                new Tamper() {
+                new TamperingHandler() {
                   @Override
                   public void write(
-                      ChannelHandlerContext ctx, Object message, ChannelPromise done) {
-                    if (begins(message, "mg ") && drawn()) {
+                      ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
+                    if (startsWith(message, "mg ") && selects()) {
                       ctx.executor()
                           .schedule(
-                              () -> ctx.writeAndFlush(message, done), 400, TimeUnit.MILLISECONDS);
+                              () -> ctx.writeAndFlush(message, promise),
+                              400,
+                              TimeUnit.MILLISECONDS);
                     } else {
-                      ctx.write(message, done);
+                      ctx.write(message, promise);
                     }
                   }
                 });
       }
     },
-    /** The end of a client's connection is seen half a second late. */
-    SEES_LEAVING_LATE("after it had ended (gone)") {
+    /** The close of a client's connection is noticed 500 ms late. */
+    NOTICES_DISCONNECT_LATE("after it had ended (gone)") {
       @Override
-      Consumer<Channel> opened() {
-        // A request that waits meanwhile: its connection comes up just as late.
-        return adding(() -> new DelayedConnect(120));
+      Consumer<Channel> onOpened() {
+        // Delays connects by 120 ms, so that requests still wait for their connection when their
+        // client disconnects.
+        return addHandlerFirst(() -> new DelayedConnect(120));
       }
 
       @Override
-      Consumer<Channel> accepted() {
-        return adding(
+      Consumer<Channel> onAccepted() {
+        return addHandlerFirst(
             () ->
-                new Tamper() {
+                new TamperingHandler() {
                   @Override
                   public void channelInactive(ChannelHandlerContext ctx) {
                     ctx.executor().schedule(ctx::fireChannelInactive, 500, TimeUnit.MILLISECONDS);
@@ -86,33 +93,34 @@
                 });
       }
     },
-    /** A watch that has fallen silent is taken for one on which nothing changes. */
-    TRUSTS_SILENT_WATCHES("past the grace of its drain") {
+    /** Injected heartbeats make a load balancer take a silent watch for one without changes. */
+    TRUSTS_SILENT_WATCHES("ms after the grace of its drain") {
       @Override
-      Consumer<Channel> opened() {
-        return adding(
+      Consumer<Channel> onOpened() {
+        return addHandlerFirst(
             () ->
-                new Tamper() {
-                  private boolean chunked;
+                new TamperingHandler() {
+                  private boolean responseStarted;
 
                   @Override
                   public void channelRead(ChannelHandlerContext ctx, Object message) {
-                    if (!chunked && begins(message, "HTTP/1.1 200")) {
-                      chunked = true;
-                      beat(ctx);
+                    if (!responseStarted && startsWith(message, "HTTP/1.1 200")) {
+                      responseStarted = true;
+                      scheduleHeartbeat(ctx);
                     }
                     ctx.fireChannelRead(message);
                   }
 
-                  private void beat(ChannelHandlerContext ctx) {
+                  private void scheduleHeartbeat(ChannelHandlerContext ctx) {
                     ctx.executor()
                         .schedule(
                             () -> {
                               if (ctx.channel().isActive()) {
-                                ByteBuf blank = ctx.alloc().buffer();
-                                blank.writeCharSequence("1\r\n\n\r\n", StandardCharsets.US_ASCII);
-                                ctx.fireChannelRead(blank);
-                                beat(ctx);
+                                ByteBuf heartbeatChunk = ctx.alloc().buffer();
+                                heartbeatChunk.writeCharSequence(
+                                    "1\r\n\n\r\n", StandardCharsets.US_ASCII);
+                                ctx.fireChannelRead(heartbeatChunk);
+                                scheduleHeartbeat(ctx);
                               }
                             },
                             1,
@@ -121,110 +129,116 @@
                 });
       }
     },
-    /** A drain closes connections at once, whatever is owed on them. */
-    DRAINS_AT_ONCE("ended without an answer") {
+    /** A drain closes client connections at once, even if responses are outstanding on them. */
+    CLOSES_AT_ONCE_ON_DRAIN("ended without an answer") {
       @Override
-      Consumer<Channel> accepted() {
-        return adding(
+      Consumer<Channel> onAccepted() {
+        return addHandlerFirst(
             () ->
-                new Tamper() {
+                new TamperingHandler() {
                   @Override
                   public void channelActive(ChannelHandlerContext ctx) {
-                    // In the middle of the drain.
-                    long drains = 4100 - ctx.executor().ticker().nanoTime() / 1_000_000;
+                    // Closes during the drain, which starts 4000 ms into the scenario.
+                    long closeDelayMillis = 4100 - ctx.executor().ticker().nanoTime() / 1_000_000;
                     ctx.executor()
-                        .schedule(() -> ctx.close(), drains + SINCE, TimeUnit.MILLISECONDS);
+                        .schedule(
+                            () -> ctx.close(),
+                            closeDelayMillis + START_MILLIS,
+                            TimeUnit.MILLISECONDS);
                     ctx.fireChannelActive();
                   }
                 });
       }
     },
-    /** A connection is never ended by a drain. */
-    NEVER_ENDS_A_DRAIN("was not drained in time") {
+    /** A drain never closes client connections. */
+    NEVER_CLOSES_ON_DRAIN("was not drained in time") {
       @Override
-      Consumer<Channel> accepted() {
-        return adding(
+      Consumer<Channel> onAccepted() {
+        return addHandlerFirst(
             () ->
-                new Tamper() {
+                new TamperingHandler() {
                   @Override
-                  public void close(ChannelHandlerContext ctx, ChannelPromise done) {
-                    done.setSuccess();
+                  public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
+                    promise.setSuccess();
                   }
                 });
       }
     },
-    /** A write that found its connection broken is sent once more. */
-    REPEATS_WRITES("took effect 2 times") {
+    /** One in five writes is sent to its server twice. */
+    SENDS_WRITES_TWICE("took effect 2 times") {
       @Override
-      Consumer<Channel> opened() {
-        return adding(
+      Consumer<Channel> onOpened() {
+        return addHandlerFirst(
             () ->
-                new Tamper() {
+                new TamperingHandler() {
                   @Override
                   public void write(
-                      ChannelHandlerContext ctx, Object message, ChannelPromise done) {
-                    if (begins(message, "ms ") && drawn()) {
+                      ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
+                    if (startsWith(message, "ms ") && selects()) {
                       ctx.write(((ByteBuf) message).retainedDuplicate());
                     }
-                    ctx.write(message, done);
+                    ctx.write(message, promise);
                   }
                 });
       }
     };
 
-    /** When the day began to run, after what sets it up. */
-    private static final long SINCE = 204;
+    /** Virtual time in milliseconds at which the scenario starts, after its setup. */
+    private static final long START_MILLIS = 204;
 
-    private final String found;
+    private final String expectedMessage;
 
-    Variant(String found) {
-      this.found = found;
+    Variant(String expectedMessage) {
+      this.expectedMessage = expectedMessage;
     }
 
-    Consumer<Channel> opened() {
+    /** Tampers with each connection that a load balancer opens to a server or discovery. */
+    Consumer<Channel> onOpened() {
       return channel -> {};
     }
 
-    Consumer<Channel> accepted() {
+    /** Tampers with each connection that a load balancer accepts from a client. */
+    Consumer<Channel> onAccepted() {
       return channel -> {};
     }
   }
 
-  private static Consumer<Channel> adding(
+  private static Consumer<Channel> addHandlerFirst(
       java.util.function.Supplier<ChannelDuplexHandler> handler) {
     return channel -> channel.pipeline().addFirst(handler.get());
   }
 
-  /** Does as it should, but for what a variant changes. */
-  private abstract static class Tamper extends ChannelDuplexHandler {
-    private int seen;
+  /** Passes all events to the next handler, except for those that a variant overrides. */
+  private abstract static class TamperingHandler extends ChannelDuplexHandler {
+    private int messageCount;
 
-    /** One in five. */
-    boolean drawn() {
-      return seen++ % 5 == 2;
+    /** Whether to tamper with this message; true for one in five messages. */
+    boolean selects() {
+      return messageCount++ % 5 == 2;
     }
 
-    static boolean begins(Object message, String with) {
+    static boolean startsWith(Object message, String prefix) {
       return message instanceof ByteBuf bytes
-          && bytes.toString(StandardCharsets.ISO_8859_1).startsWith(with);
+          && bytes.toString(StandardCharsets.ISO_8859_1).startsWith(prefix);
     }
   }
 
   @Test
-  void theDayIsGoodWithoutTampering() {
-    ScenarioReport report = ScenarioSimulation.play(DAY);
-    assertEquals(List.of(), report.breaches());
-    assertTrue(report.served() > report.asked() / 3, report::toString);
+  void playReportsNoViolationWithoutTampering() {
+    ScenarioReport report = ScenarioSimulation.play(PLAN);
+    assertEquals(List.of(), report.violations());
+    assertTrue(report.servedRequests() > report.requests() / 3, report::toString);
   }
 
   @ParameterizedTest
   @EnumSource(Variant.class)
-  void isFound(Variant variant) {
+  void playReportsViolationWhenConnectionsAreTamperedWith(Variant variant) {
     ScenarioReport report =
         ScenarioSimulation.play(
-            DAY, new ScenarioSimulation.Tampering(variant.opened(), variant.accepted()));
+            PLAN, new ScenarioSimulation.Tampering(variant.onOpened(), variant.onAccepted()));
     assertTrue(
-        report.breaches().stream().anyMatch(breach -> breach.contains(variant.found)),
-        report.breaches().toString());
+        report.violations().stream()
+            .anyMatch(violation -> violation.contains(variant.expectedMessage)),
+        report.violations().toString());
   }
 }
