--- a/simulation/src/test/java/shalepaddle/simulation/InjectedViolationTest.java
+++ b/simulation/src/test/java/shalepaddle/simulation/InjectedViolationTest.java
@@ -16,11 +16,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Load balancers that break a rule now and then: each kind of breach has to be found, and by its
- * own name. The same day is good where nobody tampers.
+ * Verifies that the checks of a simulation detect load balancers that violate a rule from time to
+ * time, and report each kind of violation by its own message. Without tampering the same scenario
+ * passes.
  */
 class InjectedViolationTest {
-  private static final ScenarioPlan QUIET =
+  private static final ScenarioPlan PLAN =
       new ScenarioPlan(
           5,
           5,
@@ -35,169 +36,170 @@
           100,
           8000,
           List.of(
-              new ScenarioPlan.Trouble(1000, ScenarioPlan.Kind.REPLACE, 1, 0, 1, null),
-              new ScenarioPlan.Trouble(3000, ScenarioPlan.Kind.NODE_PAUSE, 0, 300, 1, null),
-              new ScenarioPlan.Trouble(4000, ScenarioPlan.Kind.RUDE, 0, 0, 60, null)),
+              new ScenarioPlan.Event(1000, ScenarioPlan.Kind.REPLACE, 1, 0, 1, null),
+              new ScenarioPlan.Event(3000, ScenarioPlan.Kind.NODE_PAUSE, 0, 300, 1, null),
+              new ScenarioPlan.Event(4000, ScenarioPlan.Kind.MISBEHAVING_CLIENTS, 0, 0, 60, null)),
           false);
 
-  private static void unchanged(Channel channel) {}
+  private static void leaveUnchanged(Channel channel) {}
 
-  private static Consumer<Channel> adding(Supplier<ChannelDuplexHandler> handler) {
+  private static Consumer<Channel> addHandlerFirst(Supplier<ChannelDuplexHandler> handler) {
     return channel -> channel.pipeline().addFirst(handler.get());
   }
 
-  /** What is done with a message instead of passing it on. */
-  private interface Instead {
-    void write(ChannelHandlerContext ctx, ByteBuf bytes, ChannelPromise done);
+  /** Handles an outbound message instead of passing it on. */
+  private interface Replacement {
+    void write(ChannelHandlerContext ctx, ByteBuf bytes, ChannelPromise promise);
   }
 
-  private static Consumer<Channel> rarely(String begin, Instead instead) {
-    return adding(() -> new Rarely(begin, instead));
+  private static Consumer<Channel> replaceEveryTenth(String prefix, Replacement replacement) {
+    return addHandlerFirst(() -> new ReplaceEveryTenth(prefix, replacement));
   }
 
-  /** Does something else with one in so many messages that go out and begin like this. */
-  private static class Rarely extends ChannelDuplexHandler {
-    private int seen;
-    private final String begin;
-    private final Instead instead;
+  /** Passes every tenth outbound message that begins with the prefix to the replacement. */
+  private static class ReplaceEveryTenth extends ChannelDuplexHandler {
+    private int matchCount;
+    private final String prefix;
+    private final Replacement replacement;
 
-    Rarely(String begin, Instead instead) {
-      this.begin = begin;
-      this.instead = instead;
+    ReplaceEveryTenth(String prefix, Replacement replacement) {
+      this.prefix = prefix;
+      this.replacement = replacement;
     }
 
     @Override
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
       if (message instanceof ByteBuf bytes
-          && bytes.toString(StandardCharsets.ISO_8859_1).startsWith(begin)
-          && seen++ % 10 == 3) {
-        instead.write(ctx, bytes, promise);
+          && bytes.toString(StandardCharsets.ISO_8859_1).startsWith(prefix)
+          && matchCount++ % 10 == 3) {
+        replacement.write(ctx, bytes, promise);
       } else {
         ctx.write(message, promise);
       }
     }
   }
 
-  private static void assertFound(String what, ScenarioSimulation.Tampering tampering) {
-    ScenarioReport report = ScenarioSimulation.play(QUIET, tampering);
+  private static void assertViolationReported(
+      String expectedText, ScenarioSimulation.Tampering tampering) {
+    ScenarioReport report = ScenarioSimulation.play(PLAN, tampering);
     assertTrue(
-        report.breaches().stream().anyMatch(breach -> breach.contains(what)),
-        report.breaches().toString());
+        report.violations().stream().anyMatch(violation -> violation.contains(expectedText)),
+        report.violations().toString());
   }
 
   @Test
-  void theDayIsGoodWithoutTampering() {
-    assertEquals(List.of(), ScenarioSimulation.play(QUIET).breaches());
+  void playReportsNoViolationWithoutTampering() {
+    assertEquals(List.of(), ScenarioSimulation.play(PLAN).violations());
   }
 
   @Test
-  void anUnsafeWriteSentTwiceIsFound() {
-    assertFound(
+  void playReportsViolationWhenUnsafeWriteIsSentTwice() {
+    assertViolationReported(
         "took effect 2 times",
         new ScenarioSimulation.Tampering(
-            rarely(
+            replaceEveryTenth(
                 "ms ",
-                (ctx, bytes, done) -> {
+                (ctx, bytes, promise) -> {
                   ctx.write(bytes.retainedDuplicate());
-                  ctx.write(bytes, done);
+                  ctx.write(bytes, promise);
                 }),
-            InjectedViolationTest::unchanged));
+            InjectedViolationTest::leaveUnchanged));
   }
 
   @Test
-  void aDroppedAnswerIsFound() {
-    assertFound(
+  void playReportsViolationWhenResponseIsDropped() {
+    assertViolationReported(
         "no answer in time",
         new ScenarioSimulation.Tampering(
-            InjectedViolationTest::unchanged,
-            rarely(
+            InjectedViolationTest::leaveUnchanged,
+            replaceEveryTenth(
                 "VA ",
-                (ctx, bytes, done) -> {
+                (ctx, bytes, promise) -> {
                   bytes.release();
                 })));
   }
 
   @Test
-  void aSecondAnswerIsFound() {
-    assertFound(
+  void playReportsViolationWhenResponseIsSentTwice() {
+    assertViolationReported(
         "more than one answer",
         new ScenarioSimulation.Tampering(
-            InjectedViolationTest::unchanged,
-            rarely(
+            InjectedViolationTest::leaveUnchanged,
+            replaceEveryTenth(
                 "VA ",
-                (ctx, bytes, done) -> {
+                (ctx, bytes, promise) -> {
                   ctx.write(bytes.retainedDuplicate());
-                  ctx.write(bytes, done);
+                  ctx.write(bytes, promise);
                 })));
   }
 
   @Test
-  void aConnectionClosedUnderARequestIsFound() {
-    assertFound(
+  void playReportsViolationWhenConnectionClosesBeforeResponse() {
+    assertViolationReported(
         "ended without an answer",
         new ScenarioSimulation.Tampering(
-            InjectedViolationTest::unchanged,
-            rarely(
+            InjectedViolationTest::leaveUnchanged,
+            replaceEveryTenth(
                 "VA ",
-                (ctx, bytes, done) -> {
+                (ctx, bytes, promise) -> {
                   bytes.release();
                   ctx.close();
                 })));
   }
 
   @Test
-  void anothersValueIsFound() {
-    assertFound(
-        "served with another's answer",
+  void playReportsViolationWhenValueBelongsToAnotherRequest() {
+    assertViolationReported(
+        "served with another request's response",
         new ScenarioSimulation.Tampering(
-            InjectedViolationTest::unchanged,
-            rarely(
+            InjectedViolationTest::leaveUnchanged,
+            replaceEveryTenth(
                 "VA ",
-                (ctx, bytes, done) -> {
-                  int bar = bytes.indexOf(0, bytes.writerIndex(), (byte) '|');
-                  bytes.setByte(bar + 1, 'x');
-                  ctx.write(bytes, done);
+                (ctx, bytes, promise) -> {
+                  int separator = bytes.indexOf(0, bytes.writerIndex(), (byte) '|');
+                  bytes.setByte(separator + 1, 'x');
+                  ctx.write(bytes, promise);
                 })));
   }
 
   @Test
-  void aRefusalOfAWriteThatRanIsFound() {
-    assertFound(
+  void playReportsViolationWhenExecutedWriteIsRefused() {
+    assertViolationReported(
         "was refused and took effect",
         new ScenarioSimulation.Tampering(
-            InjectedViolationTest::unchanged,
-            rarely(
+            InjectedViolationTest::leaveUnchanged,
+            replaceEveryTenth(
                 "HD ",
-                (ctx, bytes, done) -> {
+                (ctx, bytes, promise) -> {
                   bytes
                       .clear()
                       .writeCharSequence("SERVER_ERROR busy\r\n", StandardCharsets.US_ASCII);
-                  ctx.write(bytes, done);
+                  ctx.write(bytes, promise);
                 })));
   }
 
   @Test
-  void aSendAfterTheAnswerIsFound() {
-    assertFound(
+  void playReportsViolationWhenAttemptIsSentAfterResponse() {
+    assertViolationReported(
         "after it had ended",
         new ScenarioSimulation.Tampering(
-            rarely(
+            replaceEveryTenth(
                 "ms ",
-                (ctx, bytes, done) -> {
-                  ByteBuf late = bytes.retainedDuplicate();
-                  ctx.write(bytes, done);
+                (ctx, bytes, promise) -> {
+                  ByteBuf lateCopy = bytes.retainedDuplicate();
+                  ctx.write(bytes, promise);
                   ctx.executor()
-                      .schedule(() -> ctx.writeAndFlush(late), 700, TimeUnit.MILLISECONDS);
+                      .schedule(() -> ctx.writeAndFlush(lateCopy), 700, TimeUnit.MILLISECONDS);
                 }),
-            InjectedViolationTest::unchanged));
+            InjectedViolationTest::leaveUnchanged));
   }
 
   @Test
-  void aDrainThatIsNotKeptIsFound() {
-    assertFound(
-        "past the grace of its drain",
+  void playReportsViolationWhenAttemptIsSentAfterDrainGrace() {
+    assertViolationReported(
+        "ms after the grace of its drain",
         new ScenarioSimulation.Tampering(
-            adding(
+            addHandlerFirst(
                 () ->
                     new ChannelDuplexHandler() {
                       @Override
@@ -211,16 +213,16 @@
                         ctx.fireChannelRead(bytes);
                       }
                     }),
-            InjectedViolationTest::unchanged));
+            InjectedViolationTest::leaveUnchanged));
   }
 
   @Test
-  void aRudeClientThatIsNotTurnedDownIsFound() {
-    assertFound(
+  void playReportsViolationWhenMisbehavingClientGetsNeitherErrorNorClose() {
+    assertViolationReported(
         "got neither an error nor a close",
         new ScenarioSimulation.Tampering(
-            InjectedViolationTest::unchanged,
-            adding(
+            InjectedViolationTest::leaveUnchanged,
+            addHandlerFirst(
                 () ->
                     new ChannelDuplexHandler() {
                       @Override
@@ -234,24 +236,24 @@
                       }
 
                       @Override
-                      public void close(ChannelHandlerContext ctx, ChannelPromise done) {
-                        // Connections are left open for good.
-                        done.setSuccess();
+                      public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
+                        // Never closes the connection.
+                        promise.setSuccess();
                       }
                     })));
   }
 
   @Test
-  void aLeakedBufferIsFound() {
-    assertFound(
+  void playReportsViolationWhenBufferLeaks() {
+    assertViolationReported(
         "bytes of buffers leaked",
         new ScenarioSimulation.Tampering(
-            InjectedViolationTest::unchanged,
-            rarely(
+            InjectedViolationTest::leaveUnchanged,
+            replaceEveryTenth(
                 "VA ",
-                (ctx, bytes, done) -> {
+                (ctx, bytes, promise) -> {
                   ctx.alloc().buffer(64);
-                  ctx.write(bytes, done);
+                  ctx.write(bytes, promise);
                 })));
   }
 }
--- a/simulation/src/test/java/shalepaddle/simulation/RaceWindowTest.java
+++ b/simulation/src/test/java/shalepaddle/simulation/RaceWindowTest.java
@@ -12,12 +12,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Days on which several things go wrong at almost the same moment, in deployments that differ in
- * deadlines, in how connections come up and in what may be called off, and many clients leave: the
- * four rules hold, and nothing is sent for a client that has left.
+ * Scenarios in which several events occur at almost the same time, in deployments that differ in
+ * deadlines, connect delays and whether attempts may be cancelled, while many clients disconnect.
+ * Each request must get exactly one response in time; attempts must be limited in number and
+ * repeated only where that is safe; no server may get a request after the grace of its drain, or be
+ * overloaded while it is warming up; and no attempt may be sent for a client that has disconnected.
  */
 class RaceWindowTest {
-  private static final int MILLIS = 8000;
+  private static final int DURATION_MILLIS = 8000;
 
   static LongStream seeds() {
     return LongStream.rangeClosed(2001, 2150);
@@ -25,27 +27,28 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void nothingBreaks(long seed) {
-    ScenarioReport report = ScenarioSimulation.play(ScenarioPlan.crossing(seed, MILLIS));
-    assertEquals(List.of(), report.breaches(), report::toString);
+  void playReportsNoViolationWhenEventsOverlap(long seed) {
+    ScenarioReport report = ScenarioSimulation.play(ScenarioPlan.ofConcurrentEvents(seed, DURATION_MILLIS));
+    assertEquals(List.of(), report.violations(), report::toString);
   }
 
-  /** Guards against a draw that leaves out what it is for. */
+  /** Guards against a draw that never yields some kind of event, or two kinds in some order. */
   @Test
-  void eachTwoKindsMeetOnSomeSeed() {
-    List<String> pairs = new ArrayList<>();
+  void ofConcurrentEventsDrawsEveryPairOfKindsInEitherOrder() {
+    List<String> kindPairs = new ArrayList<>();
     for (long seed = 1; seed <= 2000; seed++) {
-      ScenarioPlan usual = ScenarioPlan.of(seed, MILLIS);
-      List<ScenarioPlan.Trouble> added =
-          new ArrayList<>(ScenarioPlan.crossing(seed, MILLIS).troubles());
-      usual.troubles().forEach(added::remove);
-      for (int i = 0; i < added.size(); i++) {
-        for (int j = i + 1; j < added.size(); j++) {
-          pairs.add(added.get(i).kind() + " " + added.get(j).kind());
+      ScenarioPlan basePlan = ScenarioPlan.of(seed, DURATION_MILLIS);
+      List<ScenarioPlan.Event> addedEvents =
+          new ArrayList<>(ScenarioPlan.ofConcurrentEvents(seed, DURATION_MILLIS).events());
+      basePlan.events().forEach(addedEvents::remove);
+      for (int i = 0; i < addedEvents.size(); i++) {
+        for (int j = i + 1; j < addedEvents.size(); j++) {
+          kindPairs.add(addedEvents.get(i).kind() + " " + addedEvents.get(j).kind());
         }
       }
     }
-    assertEquals(12 * 12, Set.copyOf(pairs).size(), "in either order");
-    assertTrue(pairs.size() > 2000);
+    assertEquals(
+        12 * 12, Set.copyOf(kindPairs).size(), "number of distinct ordered pairs of event kinds");
+    assertTrue(kindPairs.size() > 2000);
   }
 }
--- a/testkit/src/main/java/shalepaddle/testkit/EffectLog.java
+++ b/testkit/src/main/java/shalepaddle/testkit/EffectLog.java
@@ -6,87 +6,98 @@
 import java.util.Map;
 
 /**
- * What cache servers received and carried out, request by request: the truth that a load balancer's
- * answers are held against. Grows with the requests of a run; it is made for one.
+ * Records, per request, which servers received it and how often it took effect. Checks compare the
+ * responses of load balancers with this log. The log grows with the number of requests and is meant
+ * for a single run.
  */
 public final class EffectLog {
   /**
-   * A command that came to a server, whole.
+   * A request that a server received completely.
    *
-   * @param server the server's id
-   * @param group the dedup group that it belongs to
-   * @param atNanos when its last byte came; where the server did not read as it should, since when:
-   *     it came no sooner
+   * @param serverId the server's id
+   * @param group the server's idempotency group
+   * @param atNanos when the server read the last byte of the request. If the server was reading
+   *     slowly or not at all before, the time at which this began, because the bytes may have
+   *     arrived at any time since
    */
-  public record Arrival(String server, String group, long atNanos) {}
+  public record Arrival(String serverId, String group, long atNanos) {}
 
-  /** All that is known of one request. */
+  /** The record of one request. */
   public static final class Entry {
     private final List<Arrival> arrivals = new ArrayList<>(1);
-    private final Map<String, Long> keptSince = new HashMap<>(2);
-    private int effects;
+    private final Map<String, Long> lastEffectNanosByGroup = new HashMap<>(2);
+    private int effectCount;
     private String receipt;
-    private int out;
-    private int mostOut;
+    private int inFlight;
+    private int maxInFlight;
 
-    /** What came to servers, in order. */
+    /** Arrivals of the request at servers, in order. */
     public List<Arrival> arrivals() {
       return arrivals;
     }
 
-    /** How many of them were out together at most: neither answered nor given up. */
-    public int mostOut() {
-      return mostOut;
+    /**
+     * Maximum number of attempts of the request that were in flight at the same time, that is,
+     * received by a server and neither answered nor disconnected yet.
+     */
+    public int maxInFlight() {
+      return maxInFlight;
     }
 
-    /** How often it took effect: a keyed repeat that its group dropped is none. */
-    public int effects() {
-      return effects;
+    /**
+     * How often the request took effect. A repeat that the idempotency group dropped doesn't count.
+     */
+    public int effectCount() {
+      return effectCount;
     }
 
-    /** The receipt of its last effect, null if it had none. */
+    /**
+     * The receipt of the write's last effect, a number that its response carries; null if the
+     * request never took effect.
+     */
     public String receipt() {
       return receipt;
     }
   }
 
-  private static final Entry NOTHING = new Entry();
+  private static final Entry EMPTY = new Entry();
 
   private final Map<String, Entry> entries = new HashMap<>();
-  private long receipts;
+  private long lastReceiptNumber;
 
-  /** What is known of the request of this id; an entry without anything if nothing is. */
-  public Entry of(String id) {
-    return entries.getOrDefault(id, NOTHING);
+  /** The record of the request with this id; an empty record if no server received the request. */
+  public Entry entryOf(String id) {
+    return entries.getOrDefault(id, EMPTY);
   }
 
-  /** Requests that came to any server. */
+  /** Number of requests that any server received. */
   public int size() {
     return entries.size();
   }
 
-  void arrived(String id, Arrival arrival) {
+  void recordArrival(String id, Arrival arrival) {
     Entry entry = entries.computeIfAbsent(id, i -> new Entry());
     entry.arrivals.add(arrival);
-    entry.mostOut = Math.max(entry.mostOut, ++entry.out);
+    entry.maxInFlight = Math.max(entry.maxInFlight, ++entry.inFlight);
   }
 
-  /** What had arrived is answered, or its connection has ended. */
-  void settled(String id) {
-    entries.get(id).out--;
+  /** Records that an arrived request was answered or that its connection closed. */
+  void recordEnd(String id) {
+    entries.get(id).inFlight--;
   }
 
   /**
-   * A request is carried out; returns its receipt. One with an idempotency key that its group has
-   * carried out within the window takes no effect again.
+   * Records that a server executes a request, and returns the receipt of its last effect. A request
+   * with an idempotency key takes no effect again if its group executed it within the window.
    */
-  String carriedOut(String id, String group, boolean keyed, long windowNanos, long now) {
+  String recordExecution(
+      String id, String group, boolean hasIdempotencyKey, long windowNanos, long nowNanos) {
     Entry entry = entries.computeIfAbsent(id, i -> new Entry());
-    Long since = keyed ? entry.keptSince.get(group) : null;
-    if (since == null || now - since > windowNanos) {
-      entry.effects++;
-      entry.receipt = Long.toHexString(++receipts);
-      entry.keptSince.put(group, now);
+    Long lastEffectNanos = hasIdempotencyKey ? entry.lastEffectNanosByGroup.get(group) : null;
+    if (lastEffectNanos == null || nowNanos - lastEffectNanos > windowNanos) {
+      entry.effectCount++;
+      entry.receipt = Long.toHexString(++lastReceiptNumber);
+      entry.lastEffectNanosByGroup.put(group, nowNanos);
     }
     return entry.receipt;
   }
--- a/testkit/src/main/java/shalepaddle/testkit/Fault.java
+++ b/testkit/src/main/java/shalepaddle/testkit/Fault.java
@@ -1,29 +1,29 @@
 package shalepaddle.testkit;
 
-/** What a {@link StandInServer} can do wrong with an answer, or with a whole connection. */
+/** Faults that a {@link StandInServer} can inject into a response or its connection. */
 public enum Fault {
-  /** Breaks the connection off before a byte of the answer: the request has run. */
-  RESET_BEFORE_ANSWER,
-  /** Breaks the connection off in the middle of the answer. */
-  RESET_WITHIN_ANSWER,
-  /** Gives the answer and then ends the connection. */
-  CLOSE_AFTER_ANSWER,
-  /** Gives half of the answer and nothing more, with the connection open. */
-  HALF_ANSWER,
-  /** Gives no answer, nor any after it on that connection. */
+  /** Closes the connection before the first byte of the response, after the request has run. */
+  CLOSE_BEFORE_RESPONSE,
+  /** Closes the connection in the middle of the response. */
+  CLOSE_WITHIN_RESPONSE,
+  /** Sends the response, then closes the connection. */
+  CLOSE_AFTER_RESPONSE,
+  /** Sends the first half of the response and nothing more, and leaves the connection open. */
+  HALF_RESPONSE,
+  /** Sends neither this response nor any later one on the connection, and leaves it open. */
   STALL,
-  /** Gives bytes that are no answer. */
-  NOISE,
-  /** Gives the answer under another request's id. */
+  /** Sends bytes that are not a valid response. */
+  GARBAGE,
+  /** Sends the response with the id of another request. */
   WRONG_ID,
-  /** Gives the answer with a length of 3 GB, and goes on sending for a while. */
-  ENDLESS,
-  /** Gives the answer twice. */
-  TWICE,
-  /** Gives the answer with bytes behind it. */
-  TRAILING_NOISE,
-  /** Says that it failed, though the request has run. */
+  /** Announces a value of 3 GB and sends only its first 10 KiB, in small pieces. */
+  OVERSIZED_RESPONSE,
+  /** Sends the response twice. */
+  DUPLICATE_RESPONSE,
+  /** Sends the response followed by garbage bytes. */
+  TRAILING_GARBAGE,
+  /** Responds with an error although the request has run. */
   ERROR,
-  /** Turns the request away without running it. */
+  /** Rejects the request as busy, without running it. */
   BUSY
 }
--- a/testkit/src/main/java/shalepaddle/testkit/FaultyLink.java
+++ b/testkit/src/main/java/shalepaddle/testkit/FaultyLink.java
@@ -11,121 +11,127 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * One way from a process to another that can be troubled: whoever connects here is joined with the
- * target. A connection carries both directions; where each of two processes speaks on a connection
- * of its own, a link for each makes one-way trouble.
+ * A TCP proxy into which network faults can be injected: each connection to it is forwarded to the
+ * target. A connection carries both directions. To simulate a one-way fault between two processes
+ * that each send on a connection of their own, put one link in front of each process.
  *
- * <p>Threads for each connection; all methods may be called from any thread.
+ * <p>Uses threads for each connection. All methods may be called from any thread.
  */
 public final class FaultyLink implements AutoCloseable {
   private final ServerSocket listener = new ServerSocket();
   private final InetSocketAddress target;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-  private volatile boolean silent;
+  private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
+  private volatile boolean discarding;
   private volatile int delayMillis;
 
-  /** A link to there, with no trouble yet. */
+  /** Starts a proxy to the target, without faults. */
   public FaultyLink(InetSocketAddress target) throws IOException {
     this.target = target;
     listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
-    thread(
+    startThread(
         () -> {
           while (true) {
-            Socket from = listener.accept();
-            open.add(from);
-            thread(() -> join(from));
+            Socket source = listener.accept();
+            sockets.add(source);
+            startThread(() -> forward(source));
           }
         });
   }
 
-  /** Where to connect in the target's place. */
+  /** The address to connect to instead of the target's. */
   public InetSocketAddress address() {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
   }
 
-  /** All that is sent is taken and lost, on connections that stay open, until it is healed. */
-  public void lose() {
-    silent = true;
+  /** Discards all data while the connections stay open, until {@link #clearFaults} is called. */
+  public void discardData() {
+    discarding = true;
   }
 
-  /** Ends what is open, perhaps in the middle of a message; new connections are joined as ever. */
-  public void cut() {
-    open.forEach(FaultyLink::end);
-    open.clear();
+  /**
+   * Closes all open connections, possibly in the middle of a message. New connections are
+   * forwarded.
+   */
+  public void closeConnections() {
+    sockets.forEach(FaultyLink::closeQuietly);
+    sockets.clear();
   }
 
-  /** From now on what is sent comes so much later. */
-  public void delay(int millis) {
-    delayMillis = millis;
+  /** Delays each chunk of data by this many milliseconds from now on. */
+  public void setDelayMillis(int delayMillis) {
+    this.delayMillis = delayMillis;
   }
 
-  /** No trouble from now on. What has lost bytes is ended: its ends can't agree any more. */
-  public void heal() {
+  /**
+   * Ends all faults. If data was discarded, closes all connections, because their streams have
+   * gaps.
+   */
+  public void clearFaults() {
     delayMillis = 0;
-    if (silent) {
-      silent = false;
-      cut();
+    if (discarding) {
+      discarding = false;
+      closeConnections();
     }
   }
 
-  private void join(Socket from) throws IOException {
-    try (from;
-        Socket to = new Socket()) {
-      from.setTcpNoDelay(true);
-      to.setTcpNoDelay(true);
-      to.connect(target, 2000);
-      open.add(to);
-      thread(() -> pump(to, from));
-      pump(from, to);
+  private void forward(Socket source) throws IOException {
+    try (source;
+        Socket destination = new Socket()) {
+      source.setTcpNoDelay(true);
+      destination.setTcpNoDelay(true);
+      destination.connect(target, 2000);
+      sockets.add(destination);
+      startThread(() -> copy(destination, source));
+      copy(source, destination);
     } finally {
-      open.remove(from);
+      sockets.remove(source);
     }
   }
 
-  private void pump(Socket from, Socket to) throws IOException {
-    byte[] bytes = new byte[16 << 10];
+  private void copy(Socket source, Socket destination) throws IOException {
+    byte[] buffer = new byte[16 << 10];
     try {
-      InputStream in = from.getInputStream();
-      OutputStream out = to.getOutputStream();
-      for (int read = in.read(bytes); read >= 0; read = in.read(bytes)) {
-        int late = delayMillis;
-        if (late > 0) {
-          Thread.sleep(late);
+      InputStream in = source.getInputStream();
+      OutputStream out = destination.getOutputStream();
+      for (int readBytes = in.read(buffer); readBytes >= 0; readBytes = in.read(buffer)) {
+        int currentDelayMillis = delayMillis;
+        if (currentDelayMillis > 0) {
+          Thread.sleep(currentDelayMillis);
         }
-        if (!silent) {
-          out.write(bytes, 0, read);
+        if (!discarding) {
+          out.write(buffer, 0, readBytes);
         }
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      end(from);
-      end(to);
-      open.remove(from);
-      open.remove(to);
+      closeQuietly(source);
+      closeQuietly(destination);
+      sockets.remove(source);
+      sockets.remove(destination);
     }
   }
 
-  private static void end(Socket socket) {
+  private static void closeQuietly(Socket socket) {
     try {
       socket.close();
     } catch (IOException e) {
-      // It is of no more use.
+      // Ignored because the socket is no longer needed.
     }
   }
 
-  private interface Work {
+  private interface IoTask {
     void run() throws IOException;
   }
 
-  private static void thread(Work work) {
+  private static void startThread(IoTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                work.run();
+                task.run();
               } catch (IOException e) {
-                // One of its ends has gone, or the link is closed.
+                // Expected when one end closes the connection or the link is closed.
               }
             },
             "link");
@@ -136,6 +142,6 @@
   @Override
   public void close() throws IOException {
     listener.close();
-    cut();
+    closeConnections();
   }
 }
--- a/testkit/src/main/java/shalepaddle/testkit/LoopbackTransport.java
+++ b/testkit/src/main/java/shalepaddle/testkit/LoopbackTransport.java
@@ -25,123 +25,137 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 
-/** How stand-ins reach others and are reached, and the event loop that they run on. */
+/** Opens and accepts the connections of stand-ins, and has the event loop that they run on. */
 public final class LoopbackTransport {
-  /** Ports of local addresses: they are names and take none of the machine's. */
-  private static final AtomicInteger NEXT_LOCAL = new AtomicInteger(10_000);
+  /**
+   * Next port number for an in-process address. The address is only a name and uses no real port.
+   */
+  private static final AtomicInteger NEXT_LOCAL_PORT = new AtomicInteger(10_000);
 
   private final EventLoop loop;
   private final ByteBufAllocator allocator;
-  private final boolean local;
-  private final Consumer<Channel> tap;
+  private final boolean inProcess;
+  private final Consumer<Channel> interceptor;
 
   private LoopbackTransport(
-      EventLoop loop, ByteBufAllocator allocator, boolean local, Consumer<Channel> tap) {
-    this.tap = tap;
+      EventLoop loop,
+      ByteBufAllocator allocator,
+      boolean inProcess,
+      Consumer<Channel> interceptor) {
+    this.interceptor = interceptor;
     this.loop = loop;
     this.allocator = allocator;
-    this.local = local;
+    this.inProcess = inProcess;
   }
 
-  /** Loopback sockets; the loop is one of the Java platform's selector. */
+  /** Creates a transport over loopback sockets; its event loop must be one for NIO. */
   public static LoopbackTransport sockets(EventLoop loop) {
     return new LoopbackTransport(loop, ByteBufAllocator.DEFAULT, false, channel -> {});
   }
 
   /**
-   * Connections within this process. Addresses look like those of sockets, so that they can be
-   * written into lists, and are names.
+   * Creates a transport over in-process connections. Their addresses are names that look like
+   * socket addresses, so that they can be written into endpoint lists.
    *
-   * @param allocator where all buffers come from, also those of the other end if that uses it
+   * @param allocator allocates all buffers of this end of the connections
    */
   public static LoopbackTransport local(EventLoop loop, ByteBufAllocator allocator) {
     return local(loop, allocator, channel -> {});
   }
 
   /**
-   * The same with somebody on the line: each new connection, opened or accepted, is shown to the
-   * tap before anything is added to its pipeline. What the tap adds first sees bytes as the other
-   * end sends them, and last what goes there.
+   * Creates a transport over in-process connections with an interceptor. Each new connection, both
+   * opened and accepted, is passed to the interceptor before any other handler is in the pipeline.
+   * A handler that the interceptor adds at the start of the pipeline sees inbound bytes as the
+   * other end sent them, and is the last one to see outbound bytes.
    */
   public static LoopbackTransport local(
-      EventLoop loop, ByteBufAllocator allocator, Consumer<Channel> tap) {
-    return new LoopbackTransport(loop, allocator, true, tap);
+      EventLoop loop, ByteBufAllocator allocator, Consumer<Channel> interceptor) {
+    return new LoopbackTransport(loop, allocator, true, interceptor);
   }
 
-  /** The event loop that everything on this wire runs on. */
+  /** The event loop that everything on this transport runs on. */
   public EventLoop loop() {
     return loop;
   }
 
-  /** The loop's time in nanoseconds, from an arbitrary start. */
-  public long now() {
+  /** The event loop's time in nanoseconds, from an arbitrary start. */
+  public long nowNanos() {
     return loop.ticker().nanoTime();
   }
 
-  /** Opens connections; an address may be one of a socket also where the wire is local. */
+  /**
+   * A bootstrap that opens connections. Also if the transport is in-process, the bootstrap accepts
+   * socket addresses.
+   */
   public Bootstrap connector() {
     Bootstrap bootstrap = new Bootstrap().group(loop).option(ChannelOption.ALLOCATOR, allocator);
-    return local
-        ? bootstrap.channelFactory(() -> tapped(new LocalChannel())).resolver(new LocalResolvers())
+    return inProcess
+        ? bootstrap
+            .channelFactory(() -> intercept(new LocalChannel()))
+            .resolver(new LocalAddressResolverGroup())
         : bootstrap
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2000);
   }
 
-  /** Accepts connections; to be bound to an {@link #address}. */
+  /** A bootstrap that accepts connections; bind it to an {@link #newAddress}. */
   public ServerBootstrap acceptor() {
     ServerBootstrap bootstrap =
         new ServerBootstrap().group(loop).childOption(ChannelOption.ALLOCATOR, allocator);
-    return local
-        ? bootstrap.channelFactory(TappedServer::new)
+    return inProcess
+        ? bootstrap.channelFactory(InterceptedServerChannel::new)
         : bootstrap
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_BACKLOG, 1024)
             .childOption(ChannelOption.TCP_NODELAY, true);
   }
 
-  private LocalChannel tapped(LocalChannel channel) {
-    tap.accept(channel);
+  private LocalChannel intercept(LocalChannel channel) {
+    interceptor.accept(channel);
     return channel;
   }
 
-  private final class TappedServer extends LocalServerChannel {
+  private final class InterceptedServerChannel extends LocalServerChannel {
     @Override
     protected LocalChannel newLocalChannel(LocalChannel peer) {
-      return tapped(super.newLocalChannel(peer));
+      return intercept(super.newLocalChannel(peer));
     }
   }
 
-  /** Listens there, and shows each connection that is accepted before anything is read from it. */
-  ChannelFuture listen(SocketAddress address, Consumer<Channel> accepted) {
+  /**
+   * Listens on the address, and passes each accepted connection to {@code onAccept} before anything
+   * is read from the connection.
+   */
+  ChannelFuture listen(SocketAddress address, Consumer<Channel> onAccept) {
     return acceptor()
         .childHandler(
             new ChannelInitializer<>() {
               @Override
               protected void initChannel(Channel channel) {
-                accepted.accept(channel);
+                onAccept.accept(channel);
               }
             })
         .bind(address);
   }
 
-  /** A new address to listen at. */
-  public SocketAddress address() {
-    return local
-        ? new LocalAddress("127.0.0.1:" + NEXT_LOCAL.getAndIncrement())
+  /** An address to listen on: a new name in-process, an ephemeral port with sockets. */
+  public SocketAddress newAddress() {
+    return inProcess
+        ? new LocalAddress("127.0.0.1:" + NEXT_LOCAL_PORT.getAndIncrement())
         : new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
   }
 
-  /** The address as lists have it. */
-  public static String text(SocketAddress bound) {
-    return bound instanceof LocalAddress name
+  /** The address in the form used in endpoint lists. */
+  public static String addressText(SocketAddress address) {
+    return address instanceof LocalAddress name
         ? name.id()
-        : "127.0.0.1:" + ((InetSocketAddress) bound).getPort();
+        : "127.0.0.1:" + ((InetSocketAddress) address).getPort();
   }
 
-  /** Takes the address of a socket for the name of a local one. */
-  private static final class LocalResolvers extends AddressResolverGroup<SocketAddress> {
+  /** Resolves a socket address to the in-process address with the same text. */
+  private static final class LocalAddressResolverGroup extends AddressResolverGroup<SocketAddress> {
     @Override
     protected AddressResolver<SocketAddress> newResolver(EventExecutor executor) {
       return new AbstractAddressResolver<>(executor, SocketAddress.class) {
@@ -152,12 +166,12 @@
 
         @Override
         protected void doResolve(SocketAddress address, Promise<SocketAddress> promise) {
-          promise.setSuccess(new LocalAddress(text(address)));
+          promise.setSuccess(new LocalAddress(addressText(address)));
         }
 
         @Override
         protected void doResolveAll(SocketAddress address, Promise<List<SocketAddress>> promise) {
-          promise.setSuccess(List.of(new LocalAddress(text(address))));
+          promise.setSuccess(List.of(new LocalAddress(addressText(address))));
         }
       };
     }
--- a/testkit/src/main/java/shalepaddle/testkit/MetaRequest.java
+++ b/testkit/src/main/java/shalepaddle/testkit/MetaRequest.java
@@ -9,69 +9,69 @@
 import java.util.Map;
 
 /**
- * A command as a cache server reads it.
+ * A command received by a cache server.
  *
- * @param write whether it is {@code ms}, else {@code mg}
- * @param key what it is about
- * @param id the request's id
- * @param properties names and values of its flag {@code P}
- * @param value a write's value, null for a read
+ * @param isWrite true for {@code ms}, false for {@code mg}
+ * @param key the key that is read or written
+ * @param id the request id
+ * @param properties names and values from the command's {@code P} flag
+ * @param value the value of a write, null for a read
  */
-// Never compared; owned by the stand-in that reads it.
+// An array is safe here: requests are never compared, and only the decoding stand-in uses it.
 @SuppressWarnings("ArrayRecordComponent")
 record MetaRequest(
-    boolean write, String key, String id, Map<String, String> properties, byte[] value) {
+    boolean isWrite, String key, String id, Map<String, String> properties, byte[] value) {
 
-  /** Milliseconds for which the sender waits. */
+  /** The client's deadline in milliseconds. */
   long deadlineMillis() {
     return Long.parseLong(properties.getOrDefault("d", "0"));
   }
 
-  /** Reads commands; one that cannot be read is a failure of the pipeline. */
+  /** Decodes commands; throws if a command is unknown or malformed. */
   static final class Decoder extends ByteToMessageDecoder {
-    private String[] words;
+    private String[] tokens;
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-      if (words == null) {
-        int length = in.bytesBefore((byte) '\n');
-        if (length < 0) {
+      if (tokens == null) {
+        int lineBytes = in.bytesBefore((byte) '\n');
+        if (lineBytes < 0) {
           return;
         }
-        String line = in.readSlice(length).toString(StandardCharsets.ISO_8859_1);
+        String line = in.readSlice(lineBytes).toString(StandardCharsets.ISO_8859_1);
         in.skipBytes(1);
-        words = line.substring(0, line.length() - 1).split(" ");
+        tokens = line.substring(0, line.length() - 1).split(" ");
       }
-      boolean write = words[0].equals("ms");
+      boolean isWrite = tokens[0].equals("ms");
       byte[] value = null;
-      if (write) {
-        int length = Integer.parseInt(words[2]);
-        if (in.readableBytes() < length + 2) {
+      if (isWrite) {
+        int valueBytes = Integer.parseInt(tokens[2]);
+        if (in.readableBytes() < valueBytes + 2) {
           return;
         }
-        value = new byte[length];
+        value = new byte[valueBytes];
         in.readBytes(value).skipBytes(2);
-      } else if (!words[0].equals("mg")) {
-        throw new IllegalArgumentException("no such command: " + words[0]);
+      } else if (!tokens[0].equals("mg")) {
+        throw new IllegalArgumentException("unknown command: " + tokens[0]);
       }
-      out.add(request(words, write, value));
-      words = null;
+      out.add(toRequest(tokens, isWrite, value));
+      tokens = null;
     }
 
-    private static MetaRequest request(String[] words, boolean write, byte[] value) {
+    private static MetaRequest toRequest(String[] tokens, boolean isWrite, byte[] value) {
       String id = null;
       Map<String, String> properties = new HashMap<>();
-      for (int i = write ? 3 : 2; i < words.length; i++) {
-        if (words[i].startsWith("O")) {
-          id = words[i].substring(1);
-        } else if (words[i].startsWith("P")) {
-          for (String pair : words[i].substring(1).split(",", 0)) {
-            int equals = pair.indexOf('=');
-            properties.put(pair.substring(0, equals), pair.substring(equals + 1));
+      for (int i = isWrite ? 3 : 2; i < tokens.length; i++) {
+        if (tokens[i].startsWith("O")) {
+          id = tokens[i].substring(1);
+        } else if (tokens[i].startsWith("P")) {
+          for (String pair : tokens[i].substring(1).split(",", 0)) {
+            int equalsIndex = pair.indexOf('=');
+            properties.put(pair.substring(0, equalsIndex), pair.substring(equalsIndex + 1));
           }
         }
       }
-      return new MetaRequest(write, words[1], id, properties, value);
+      return new MetaRequest(isWrite, tokens[1], id, properties, value);
     }
   }
 }
--- a/testkit/src/main/java/shalepaddle/testkit/MisbehavingClients.java
+++ b/testkit/src/main/java/shalepaddle/testkit/MisbehavingClients.java
@@ -14,14 +14,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Clients that break the protocol, or make no use of their connection. Each is owed an error or a
- * close within 3 s, and never a value.
+ * Clients that violate the protocol or leave their connection unused. A load balancer must answer
+ * each client with an error or close its connection within 3 s, and must never serve the client.
  */
 public final class MisbehavingClients {
-  private static final long PATIENCE_MILLIS = 3000;
+  private static final long TIMEOUT_MILLIS = 3000;
 
-  /** What they send, each on a connection of its own. */
-  private static final List<String> SENDS =
+  /** The payloads of misbehaving clients; each client sends one of them. */
+  private static final List<String> PAYLOADS =
       List.of(
           "",
           "x",
@@ -39,104 +39,108 @@
           "mg key v Orude8 Pc=read,d=100",
           "ERROR\r\n".repeat(200));
 
-  private final LoopbackTransport wire;
+  private final LoopbackTransport transport;
   private final SplittableRandom random;
   private final ProcessPauses pauses = new ProcessPauses();
-  private final List<String> breaches = new ArrayList<>();
-  private int sent;
-  private int open;
+  private final List<String> violations = new ArrayList<>();
+  private int startedClients;
+  private int openConnections;
 
-  /** Clients that have not come yet. */
-  public MisbehavingClients(LoopbackTransport wire, long seed) {
-    this.wire = wire;
+  /** Creates the clients without connecting any. */
+  public MisbehavingClients(LoopbackTransport transport, long seed) {
+    this.transport = transport;
     this.random = new SplittableRandom(seed);
   }
 
-  /** Their load balancer does not run for so long from now on. */
-  public void paused(long millis) {
-    pauses.add(wire.now(), millis);
+  /** Announces that the load balancer is paused for this duration from now on. */
+  public void recordPause(long pauseMillis) {
+    pauses.add(transport.nowNanos(), pauseMillis);
   }
 
-  /** So many of them come at once. */
-  public void come(SocketAddress address, int count) {
-    for (int i = 0; i < count; i++) {
-      String text = SENDS.get(random.nextInt(SENDS.size()));
-      sent++;
-      open++;
-      wire.connector()
+  /** Connects this number of clients at once. */
+  public void connect(SocketAddress address, int clientCount) {
+    for (int i = 0; i < clientCount; i++) {
+      String payload = PAYLOADS.get(random.nextInt(PAYLOADS.size()));
+      startedClients++;
+      openConnections++;
+      transport.connector()
           .handler(
               new ChannelInitializer<>() {
                 @Override
                 protected void initChannel(Channel channel) {
-                  channel.pipeline().addLast(new Rude(text));
+                  channel.pipeline().addLast(new MisbehavingClient(payload));
                 }
               })
           .connect(address)
           .addListener(
-              done -> {
-                if (!done.isSuccess()) {
-                  open--;
+              future -> {
+                if (!future.isSuccess()) {
+                  openConnections--;
                 }
               });
     }
   }
 
-  /** One of them. */
-  private final class Rude extends SimpleChannelInboundHandler<ByteBuf> {
-    private final String text;
-    private final StringBuilder got = new StringBuilder();
-    private boolean answered;
+  /** A client that sends its payload and checks how the load balancer reacts. */
+  private final class MisbehavingClient extends SimpleChannelInboundHandler<ByteBuf> {
+    private final String payload;
+    private final StringBuilder receivedText = new StringBuilder();
+    private boolean answeredOrClosed;
 
-    Rude(String text) {
-      this.text = text;
+    MisbehavingClient(String payload) {
+      this.payload = payload;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      if (!text.isEmpty()) {
-        ByteBuf bytes = ctx.alloc().buffer(text.length());
-        bytes.writeCharSequence(text, StandardCharsets.ISO_8859_1);
+      if (!payload.isEmpty()) {
+        ByteBuf bytes = ctx.alloc().buffer(payload.length());
+        bytes.writeCharSequence(payload, StandardCharsets.ISO_8859_1);
         ctx.writeAndFlush(bytes);
       }
-      wait(ctx, wire.now(), TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS), 0);
+      scheduleCheck(ctx, transport.nowNanos(), TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS), 0);
     }
 
-    /** Waits for an end, and for as long again as the load balancer did not run meanwhile. */
-    private void wait(ChannelHandlerContext ctx, long since, long nanos, long granted) {
+    /**
+     * Schedules the check for an error or a close. The check is postponed by the time for which the
+     * load balancer was paused meanwhile.
+     */
+    private void scheduleCheck(
+        ChannelHandlerContext ctx, long connectedAtNanos, long delayNanos, long postponedNanos) {
       ctx.executor()
           .schedule(
               () -> {
-                long stood = pauses.within(since, wire.now());
-                if (!answered && stood > granted) {
-                  wait(ctx, since, stood - granted, stood);
+                long pausedNanos = pauses.pausedNanos(connectedAtNanos, transport.nowNanos());
+                if (!answeredOrClosed && pausedNanos > postponedNanos) {
+                  scheduleCheck(ctx, connectedAtNanos, pausedNanos - postponedNanos, pausedNanos);
                   return;
                 }
-                if (!answered) {
-                  breach("got neither an error nor a close");
+                if (!answeredOrClosed) {
+                  recordViolation("got neither an error nor a close");
                 }
                 ctx.close();
               },
-              nanos,
+              delayNanos,
               TimeUnit.NANOSECONDS);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
-      got.append(bytes.toString(StandardCharsets.ISO_8859_1));
-      if (got.length() > 10_000) {
-        got.setLength(10_000);
+      receivedText.append(bytes.toString(StandardCharsets.ISO_8859_1));
+      if (receivedText.length() > 10_000) {
+        receivedText.setLength(10_000);
       }
-      answered |= got.indexOf("ERROR") >= 0;
-      if (got.indexOf("VA ") >= 0 || got.indexOf("HD ") >= 0) {
-        breach("was served");
+      answeredOrClosed |= receivedText.indexOf("ERROR") >= 0;
+      if (receivedText.indexOf("VA ") >= 0 || receivedText.indexOf("HD ") >= 0) {
+        recordViolation("was served");
         ctx.close();
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      answered = true;
-      open--;
+      answeredOrClosed = true;
+      openConnections--;
     }
 
     @Override
@@ -144,24 +148,24 @@
       ctx.close();
     }
 
-    private void breach(String what) {
-      String begin = text.length() > 40 ? text.substring(0, 40) + "..." : text;
-      breaches.add("a client that sent '" + begin.strip() + "' " + what);
+    private void recordViolation(String message) {
+      String payloadStart = payload.length() > 40 ? payload.substring(0, 40) + "..." : payload;
+      violations.add("a client that sent '" + payloadStart.strip() + "' " + message);
     }
   }
 
-  /** What load balancers did against the rules. */
-  public List<String> breaches() {
-    return Collections.unmodifiableList(breaches);
+  /** Descriptions of the violations by load balancers. */
+  public List<String> violations() {
+    return Collections.unmodifiableList(violations);
   }
 
-  /** How many have come. */
-  public int sent() {
-    return sent;
+  /** Number of clients started. */
+  public int started() {
+    return startedClients;
   }
 
-  /** How many are there. */
-  public int open() {
-    return open;
+  /** Number of clients whose connection is not closed yet. */
+  public int openConnections() {
+    return openConnections;
   }
 }
--- a/testkit/src/main/java/shalepaddle/testkit/ProcessPauses.java
+++ b/testkit/src/main/java/shalepaddle/testkit/ProcessPauses.java
@@ -4,40 +4,48 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The times in which a load balancer did not run, in nanoseconds of the wire. */
+/**
+ * The periods in which a load balancer's process was paused. Times are nanoseconds of {@link
+ * LoopbackTransport#nowNanos}.
+ */
 final class ProcessPauses {
-  private record Pause(long from, long to) {}
+  private record Pause(long startNanos, long endNanos) {}
 
   private final List<Pause> pauses = new ArrayList<>();
 
-  /** It does not run for so long from this time on; to be told in the order of time. */
-  void add(long from, long millis) {
-    Pause next = new Pause(from, from + TimeUnit.MILLISECONDS.toNanos(millis));
-    int last = pauses.size() - 1;
-    if (last >= 0 && pauses.get(last).to() >= from) {
-      // One that begins within another is one with it.
-      Pause before = pauses.remove(last);
-      next = new Pause(before.from(), Math.max(before.to(), next.to()));
+  /** Adds a pause. Pauses must be added in the order of their start times. */
+  void add(long startNanos, long durationMillis) {
+    Pause newPause =
+        new Pause(startNanos, startNanos + TimeUnit.MILLISECONDS.toNanos(durationMillis));
+    int lastIndex = pauses.size() - 1;
+    if (lastIndex >= 0 && pauses.get(lastIndex).endNanos() >= startNanos) {
+      // Overlapping pauses are merged.
+      Pause previousPause = pauses.remove(lastIndex);
+      newPause =
+          new Pause(
+              previousPause.startNanos(), Math.max(previousPause.endNanos(), newPause.endNanos()));
     }
-    pauses.add(next);
+    pauses.add(newPause);
   }
 
-  /** How long it did not run between two times. */
-  long within(long begin, long end) {
-    long sum = 0;
+  /** How long the process was paused between two times, in nanoseconds. */
+  long pausedNanos(long beginNanos, long endNanos) {
+    long pausedNanos = 0;
     for (Pause pause : pauses) {
-      sum += Math.max(0, Math.min(pause.to(), end) - Math.max(pause.from(), begin));
+      pausedNanos +=
+          Math.max(
+              0, Math.min(pause.endNanos(), endNanos) - Math.max(pause.startNanos(), beginNanos));
     }
-    return sum;
+    return pausedNanos;
   }
 
-  /** The first time from this one on at which it ran. */
-  long runs(long at) {
+  /** Returns the end of the pause that this time falls into; without one, the time itself. */
+  long resumeNanos(long timeNanos) {
     for (Pause pause : pauses) {
-      if (pause.from() <= at && at < pause.to()) {
-        return pause.to();
+      if (pause.startNanos() <= timeNanos && timeNanos < pause.endNanos()) {
+        return pause.endNanos();
       }
     }
-    return at;
+    return timeNanos;
   }
 }
--- a/testkit/src/main/java/shalepaddle/testkit/ScriptedPeer.java
+++ b/testkit/src/main/java/shalepaddle/testkit/ScriptedPeer.java
@@ -8,30 +8,36 @@
 import java.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
 
-/** One end of a TCP connection over loopback, written and read by a test. */
+/**
+ * One end of a TCP connection over loopback, which a test writes to and reads from with blocking
+ * calls.
+ */
 public final class ScriptedPeer implements Closeable {
-  /** Long enough for a slow machine; a test that waits for it has failed. */
-  public static final int PATIENCE_MILLIS = 20_000;
+  /**
+   * Timeout for connecting and for each read; long enough for a slow machine, so that a test that
+   * runs into it has failed.
+   */
+  public static final int TIMEOUT_MILLIS = 20_000;
 
   private final Socket socket;
   private final InputStream in;
 
-  /** This end of the connection. */
+  /** Takes over a connected socket. */
   public ScriptedPeer(Socket socket) throws IOException {
     this.socket = socket;
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(PATIENCE_MILLIS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     in = new BufferedInputStream(socket.getInputStream());
   }
 
-  /** A new connection to this address. */
+  /** Opens a connection to this address. */
   public static ScriptedPeer connect(SocketAddress address) throws IOException {
     Socket socket = new Socket();
-    socket.connect(address, PATIENCE_MILLIS);
+    socket.connect(address, TIMEOUT_MILLIS);
     return new ScriptedPeer(socket);
   }
 
-  /** Sends a text, a byte for each character. */
+  /** Sends a text as ISO-8859-1. */
   public ScriptedPeer write(String text) throws IOException {
     return write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
@@ -42,8 +48,8 @@
     return this;
   }
 
-  /** The next line without its CRLF; null at the end of the stream. */
-  public String line() throws IOException {
+  /** Reads the next line and returns it without its CRLF; null at the end of the stream. */
+  public String readLine() throws IOException {
     StringBuilder line = new StringBuilder();
     for (int c = in.read(); c >= 0; c = in.read()) {
       if (c == '\n') {
@@ -54,13 +60,13 @@
     return null;
   }
 
-  /** Exactly so many bytes. */
-  public byte[] bytes(int count) throws IOException {
+  /** Reads this many bytes; fewer only at the end of the stream. */
+  public byte[] readBytes(int count) throws IOException {
     return in.readNBytes(count);
   }
 
-  /** Whether the other end has closed: nothing comes any more. */
-  public boolean ended() {
+  /** Waits for the next byte; returns true if the other end closes the connection instead. */
+  public boolean closedByPeer() {
     try {
       return in.read() < 0;
     } catch (IOException e) {
@@ -68,7 +74,7 @@
     }
   }
 
-  /** Breaks the connection off with a reset. */
+  /** Closes the connection with a TCP reset. */
   public void reset() throws IOException {
     socket.setSoLinger(true, 0);
     socket.close();
--- a/testkit/src/main/java/shalepaddle/testkit/ServerModel.java
+++ b/testkit/src/main/java/shalepaddle/testkit/ServerModel.java
@@ -1,69 +1,83 @@
 package shalepaddle.testkit;
 
 /**
- * How a {@link StandInServer} behaves while nothing is wrong.
+ * How a {@link StandInServer} behaves as long as no fault is injected.
  *
- * @param workers requests that it works on at once
- * @param meanSeconds the mean work of a request in seconds; drawn evenly from half to one and a
- *     half
- * @param queue requests that may wait for a worker; more are turned away
- * @param keys keys that it keeps, the least recently used goes first
- * @param connections connections that it holds; more are closed at once
- * @param valueBytes length of the values that it serves, at least
- * @param coldShare the part of its capacity that it has when it starts
- * @param warmSeconds how long after its start it has all of it; the share grows evenly
- * @param fallMultiple the multiple of its present capacity that makes it fall over when it is asked
- *     for so much, 0 for never
- * @param fallSeconds for how long
- * @param dedupSeconds how long its group drops the repeats of a keyed write
+ * @param workers requests that it processes in parallel
+ * @param meanServiceSeconds mean processing time of a request in seconds; each time is drawn uniformly
+ *     from 0.5 to 1.5 times the mean
+ * @param maxQueued requests that may wait for a worker; further ones are rejected
+ * @param maxKeys keys that its cache holds; the least recently used one is evicted
+ * @param maxConnections connections that it accepts; further ones are closed at once
+ * @param minValueBytes minimum length of the values that it serves
+ * @param coldCapacityShare share of its capacity that is available right after a cold start
+ * @param warmUpSeconds time in seconds after a cold start until its full capacity is available; the
+ *     share grows linearly
+ * @param collapseMultiple it collapses if it receives more than this multiple of its current capacity
+ *     while it warms up; 0 to never collapse
+ * @param collapseWindowSeconds period in seconds over which the received load is measured
+ * @param dedupWindowSeconds how long its idempotency group drops repeats of a write with an idempotency
+ *     key, in seconds
  */
 public record ServerModel(
     int workers,
-    double meanSeconds,
-    int queue,
-    int keys,
-    int connections,
-    int valueBytes,
-    double coldShare,
-    double warmSeconds,
-    double fallMultiple,
-    double fallSeconds,
-    double dedupSeconds) {
+    double meanServiceSeconds,
+    int maxQueued,
+    int maxKeys,
+    int maxConnections,
+    int minValueBytes,
+    double coldCapacityShare,
+    double warmUpSeconds,
+    double collapseMultiple,
+    double collapseWindowSeconds,
+    double dedupWindowSeconds) {
 
-  /** A server of four workers that answers in 3 ms, and is warm from the start. */
-  public static ServerModel usual() {
+  /** Four workers with a mean processing time of 3 ms, at full capacity from the start. */
+  public static ServerModel defaults() {
     return new ServerModel(4, 0.003, 64, 10_000, 64, 16, 1, 0, 0, 0, 5);
   }
 
-  /** The same, but it starts cold, and falls over as the four rules have it. */
-  public ServerModel cold(double share, double seconds, double multiple, double within) {
+  /**
+   * A copy with a reduced capacity after a cold start and with a collapse under overload.
+   *
+   * @param coldCapacityShare share of its capacity right after a cold start
+   * @param warmUpSeconds time in seconds until its full capacity is available
+   * @param collapseMultiple received load, as a multiple of its current capacity, above which it
+   *     collapses
+   * @param collapseWindowSeconds period in seconds over which the received load is measured
+   */
+  public ServerModel withColdStart(
+      double coldCapacityShare,
+      double warmUpSeconds,
+      double collapseMultiple,
+      double collapseWindowSeconds) {
     return new ServerModel(
         workers,
-        meanSeconds,
-        queue,
-        keys,
-        connections,
-        valueBytes,
-        share,
-        seconds,
-        multiple,
-        within,
-        dedupSeconds);
+        meanServiceSeconds,
+        maxQueued,
+        maxKeys,
+        maxConnections,
+        minValueBytes,
+        coldCapacityShare,
+        warmUpSeconds,
+        collapseMultiple,
+        collapseWindowSeconds,
+        dedupWindowSeconds);
   }
 
-  /** The same with other workers and another mean of their work. */
-  public ServerModel working(int workers, double meanSeconds) {
+  /** A copy with this number of workers and this mean processing time. */
+  public ServerModel withWorkers(int workers, double meanServiceSeconds) {
     return new ServerModel(
         workers,
-        meanSeconds,
-        queue,
-        keys,
-        connections,
-        valueBytes,
-        coldShare,
-        warmSeconds,
-        fallMultiple,
-        fallSeconds,
-        dedupSeconds);
+        meanServiceSeconds,
+        maxQueued,
+        maxKeys,
+        maxConnections,
+        minValueBytes,
+        coldCapacityShare,
+        warmUpSeconds,
+        collapseMultiple,
+        collapseWindowSeconds,
+        dedupWindowSeconds);
   }
 }
--- a/testkit/src/main/java/shalepaddle/testkit/SharedResponseCheck.java
+++ b/testkit/src/main/java/shalepaddle/testkit/SharedResponseCheck.java
@@ -6,71 +6,84 @@
 import java.util.Map;
 
 /**
- * Whether a read may have been answered with the value that a server made for another: where a load
- * balancer lets like reads share an answer. Grows with the requests of a run; it is made for one.
+ * Checks whether a read may be served with a value that a server returned for another read, as load
+ * balancers do that coalesce equal reads. Its memory grows with the number of requests, so an
+ * instance is meant for a single run.
  */
 final class SharedResponseCheck {
-  /** How far apart two requests are sent at least so that their order at the other end is known. */
-  private static final long APART_NANOS = 1_000_000;
+  /**
+   * Two requests sent at least this far apart arrive at the load balancer in the order of sending.
+   */
+  private static final long MIN_ORDERED_GAP_NANOS = 1_000_000;
 
-  private record Sent(String target, String key, String type, long at) {}
+  private record SentRequest(String target, String key, String requestClass, long atNanos) {}
 
-  private final Map<String, Sent> reads = new HashMap<>();
-  private final Map<String, Sent> writes = new HashMap<>();
-  private final Map<String, List<Sent>> writesOfKey = new HashMap<>();
+  private final Map<String, SentRequest> reads = new HashMap<>();
+  private final Map<String, SentRequest> writes = new HashMap<>();
+  private final Map<String, List<SentRequest>> writesByTargetAndKey = new HashMap<>();
 
-  /** A read of this id went out to a load balancer. */
-  void read(String id, String target, String key, String type, long at) {
-    reads.put(id, new Sent(target, key, type, at));
+  /** Records that a read was sent to a load balancer. */
+  void recordRead(String id, String target, String key, String requestClass, long atNanos) {
+    reads.put(id, new SentRequest(target, key, requestClass, atNanos));
   }
 
-  /** A write of this id went out to a load balancer; the second time, since the first was lost. */
-  void wrote(String id, String target, String key, long at) {
-    Sent sent = new Sent(target, key, null, at);
-    Sent lost = writes.put(id, sent);
-    if (lost != null) {
-      writesOfKey.get(lost.target() + ' ' + key).remove(lost);
+  /**
+   * Records that a write was sent to a load balancer. If the same write is recorded again, its
+   * first transmission was lost and only the second transmission counts.
+   */
+  void recordWrite(String id, String target, String key, long atNanos) {
+    SentRequest sentWrite = new SentRequest(target, key, null, atNanos);
+    SentRequest previousWrite = writes.put(id, sentWrite);
+    if (previousWrite != null) {
+      writesByTargetAndKey.get(previousWrite.target() + ' ' + key).remove(previousWrite);
     }
-    writesOfKey.computeIfAbsent(target + ' ' + key, k -> new ArrayList<>()).add(sent);
+    writesByTargetAndKey.computeIfAbsent(target + ' ' + key, k -> new ArrayList<>()).add(sentWrite);
   }
 
   /**
-   * What is wrong with this value for the read of this id, null if nothing is.
+   * Returns a description of the violation if the read with this id must not be served with this
+   * value; null if it may.
    *
-   * @param value as a {@link StandInServer} made it: the key, and the id of the request
-   * @param paused how long the load balancer stood still between two times: what came in order may
-   *     have been read in another then
+   * @param value as a {@link StandInServer} produces it: the key and the id of the request
+   * @param pausedNanosLookup returns how long the load balancer was paused between two times; after
+   *     a pause it may have read requests in another order than they were sent
    */
-  String wrong(String id, String value, Paused paused) {
-    Sent reader = reads.get(id);
-    int bar = value.indexOf('|');
-    int end = value.indexOf('.') < 0 ? value.length() : value.indexOf('.');
-    if (bar < 0 || end < bar || !value.substring(0, bar).equals(reader.key())) {
+  String findViolation(String id, String value, PauseLookup pausedNanosLookup) {
+    SentRequest checkedRead = reads.get(id);
+    int separatorIndex = value.indexOf('|');
+    int idEnd = value.indexOf('.') < 0 ? value.length() : value.indexOf('.');
+    if (separatorIndex < 0
+        || idEnd < separatorIndex
+        || !value.substring(0, separatorIndex).equals(checkedRead.key())) {
       return "served with another key's value";
     }
-    String maker = value.substring(bar + 1, end);
-    Sent made = reads.get(maker);
-    if (maker.equals(id)) {
+    String sourceId = value.substring(separatorIndex + 1, idEnd);
+    SentRequest sourceRead = reads.get(sourceId);
+    if (sourceId.equals(id)) {
       return null;
     }
-    if (made == null
-        || !made.target().equals(reader.target())
-        || !made.key().equals(reader.key())
-        || !made.type().equals(reader.type())) {
-      return "served with the value of " + maker + ", which is no like read";
+    if (sourceRead == null
+        || !sourceRead.target().equals(checkedRead.target())
+        || !sourceRead.key().equals(checkedRead.key())
+        || !sourceRead.requestClass().equals(checkedRead.requestClass())) {
+      return "served with the value of " + sourceId + ", which is not an equal read";
     }
-    for (Sent write : writesOfKey.getOrDefault(reader.target() + ' ' + reader.key(), List.of())) {
-      if (write.at() - made.at() > APART_NANOS
-          && reader.at() - write.at() > APART_NANOS
-          && paused.within(made.at(), reader.at()) == 0) {
-        return "served with the value of " + maker + ", asked for before a write that came first";
+    for (SentRequest write :
+        writesByTargetAndKey.getOrDefault(
+            checkedRead.target() + ' ' + checkedRead.key(), List.of())) {
+      if (write.atNanos() - sourceRead.atNanos() > MIN_ORDERED_GAP_NANOS
+          && checkedRead.atNanos() - write.atNanos() > MIN_ORDERED_GAP_NANOS
+          && pausedNanosLookup.pausedNanos(sourceRead.atNanos(), checkedRead.atNanos()) == 0) {
+        return "served with the value of "
+            + sourceId
+            + ", requested before a write that preceded this read";
       }
     }
     return null;
   }
 
-  /** How long a load balancer stood still between two times. */
-  interface Paused {
-    long within(long begin, long end);
+  /** Looks up how long a load balancer was paused between two times, in nanoseconds. */
+  interface PauseLookup {
+    long pausedNanos(long beginNanos, long endNanos);
   }
 }
--- a/testkit/src/main/java/shalepaddle/testkit/StandInClients.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInClients.java
@@ -6,7 +6,6 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.ByteToMessageDecoder;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -25,71 +24,71 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * Clients of one or several load balancers, which ask at a given rate whether or not they are
- * answered, and hold every answer against what was asked: that it is the one answer, in time, of
- * this request; and with the {@link EffectLog}, that what was refused has not run.
+ * Clients of one or several load balancers. They send requests at a given rate, independent of the
+ * responses (open loop), and check that each request gets exactly one response, in time, and that
+ * the response belongs to the request. With the {@link EffectLog} they also check that a refused
+ * write had no effect.
  *
- * <p>Each keeps its connections, one request on each at a time, and opens more when all are in use.
- * A request that crosses the end of its connection is sent once more on a new one, as the protocol
- * has it.
+ * <p>Connections are reused, with one request on each at a time, and more are opened when all are
+ * in use. As the protocol prescribes, a request is sent once more on a new connection
+ * if the load balancer closes its first connection just as the request is sent.
  */
 public final class StandInClients {
-  /** A request that finds its connection ended within so long has crossed that end. */
-  private static final long CROSSED_NANOS = 2_000_000;
+  /**
+   * If the connection of a request closes within this time after the request was sent, the request
+   * counts as sent after the load balancer's close, and is resent.
+   */
+  private static final long RESEND_AFTER_CLOSE_WINDOW_NANOS = 2_000_000;
 
-  /** Breaches that are told one by one. */
-  private static final int MAX_BREACHES = 50;
+  /** Maximum number of violations that are recorded; further ones are dropped. */
+  private static final int MAX_VIOLATIONS = 50;
 
-  /** Connections to one load balancer at most. */
+  /** Maximum number of connections to one load balancer. */
   private final int maxConnections;
 
-  private final LoopbackTransport wire;
-  private final EffectLog ledger;
+  private final LoopbackTransport transport;
+  private final EffectLog effectLog;
   private final Traffic traffic;
   private final long graceNanos;
   private final SplittableRandom random;
-  private final DiscreteSampler keys;
-  private final ZigguratSampler.Exponential gaps;
+  private final DiscreteSampler keySampler;
+  private final ZigguratSampler.Exponential interArrivalSeconds;
   private final Map<String, Target> targets = new LinkedHashMap<>();
-  private final List<Target> dealt = new ArrayList<>();
+  private final List<Target> activeTargets = new ArrayList<>();
 
-  /** What is under way, and on which connection. */
-  private final Map<Ask, Connection> under = new LinkedHashMap<>();
+  /** Outstanding requests, each with the connection that it was sent on. */
+  private final Map<ClientRequest, Connection> connectionsByRequest = new LinkedHashMap<>();
 
-  private final Map<String, Fate> fates = new LinkedHashMap<>();
-  private final List<String> breaches = new ArrayList<>();
-  private final Histogram latencies = new Histogram(3_600_000_000L, 3);
+  private final RequestOutcomes outcomes = new RequestOutcomes();
+  private final List<String> violations = new ArrayList<>();
+  private final Histogram latencyMicros = new Histogram(3_600_000_000L, 3);
 
-  /** Null where each answer must have been made for its own request. */
-  private SharedResponseCheck shared;
+  /** Checks coalesced reads; null if each response must have been produced for its own request. */
+  private SharedResponseCheck sharedResponseCheck;
 
-  private double rate;
-  private long until;
+  private double ratePerSecond;
+  private long stopAtNanos;
 
-  /** When the next request is due. */
-  private long dueAt;
+  /** When the next request is to be sent. */
+  private long nextDueAtNanos;
 
-  private int asked;
-  private int served;
-  private int refused;
-  private int failed;
-  private int unsent;
-  private int crossed;
-  private int open;
+  private int startedRequests;
+  private int servedRequests;
+  private int refusedRequests;
+  private int failedRequests;
+  private int unsentRequests;
+  private int closeRaces;
+  private int outstandingRequests;
 
-  /** How a request ended for its client, for the checks at the end. */
-  private record Fate(
-      Traffic.RequestClass type, String target, String end, long endedAt, String receipt) {}
-
-  /** A load balancer, and the connections to it. */
+  /** A load balancer and the connections to it. */
   private static final class Target {
     private final String name;
     private final SocketAddress address;
-    private final ArrayDeque<Connection> idle = new ArrayDeque<>();
+    private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
     private final ProcessPauses pauses = new ProcessPauses();
-    private int connections;
-    private boolean excused;
-    private boolean leaving;
+    private int connectionCount;
+    private boolean killed;
+    private boolean restarting;
 
     Target(String name, SocketAddress address) {
       this.name = name;
@@ -97,380 +96,407 @@
     }
   }
 
-  /** One request of a client's. */
-  private final class Ask {
+  /** A request of a client. */
+  private final class ClientRequest {
     private final String id;
     private final String key;
-    private final Traffic.RequestClass type;
-    private final long dueAt = wire.now();
+    private final Traffic.RequestClass requestClass;
+    private final long dueAtNanos = transport.nowNanos();
     private Target target;
-    private long sentAt;
-    private boolean again;
-    private ScheduledFuture<?> patience;
+    private long sentAtNanos;
+    private boolean resent;
+    private ScheduledFuture<?> timeoutTask;
 
-    Ask(String id, String key, Traffic.RequestClass type, Target target) {
+    ClientRequest(String id, String key, Traffic.RequestClass requestClass, Target target) {
       this.id = id;
       this.key = key;
-      this.type = type;
+      this.requestClass = requestClass;
       this.target = target;
     }
 
-    private String command() {
+    private String commandText() {
       String properties =
           " O"
               + id
               + " Pc="
-              + type.name()
+              + requestClass.name()
               + ",d="
-              + type.deadlineMillis()
-              + (type.keyed() ? ",k=k" + id : "")
+              + requestClass.deadlineMillis()
+              + (requestClass.hasIdempotencyKey() ? ",k=k" + id : "")
               + "\r\n";
-      return type.write()
+      return requestClass.isWrite()
           ? "ms "
               + key
               + " "
-              + type.valueBytes()
+              + requestClass.valueBytes()
               + properties
-              + "v".repeat(type.valueBytes())
+              + "v".repeat(requestClass.valueBytes())
               + "\r\n"
           : "mg " + key + " v" + properties;
     }
 
-    private void over(String end, String receipt) {
-      if (patience != null) {
-        patience.cancel(false);
+    /** Ends the request. The receipt is the number in the response to a served write, else null. */
+    private void complete(String result, String receipt) {
+      if (timeoutTask != null) {
+        timeoutTask.cancel(false);
       }
-      open--;
-      fates.put(id, new Fate(type, target.name, end, wire.now(), receipt));
+      outstandingRequests--;
+      outcomes.put(
+          id,
+          new RequestOutcomes.Outcome(requestClass, target.name, result, transport.nowNanos(), receipt));
     }
   }
 
   /**
-   * Clients that ask nobody yet.
+   * Creates clients without a load balancer; {@link #addTarget} adds one.
    *
-   * @param graceMillis how late an answer may be
-   * @param maxConnections connections to one load balancer at most; a request that finds none is
-   *     not sent
+   * @param graceMillis how long after its deadline a response may arrive
+   * @param maxConnections maximum number of connections to one load balancer; a request for which
+   *     no connection is free is not sent
    */
   public StandInClients(
-      LoopbackTransport wire,
-      EffectLog ledger,
+      LoopbackTransport transport,
+      EffectLog effectLog,
       Traffic traffic,
       long graceMillis,
       int maxConnections,
       long seed) {
-    this.wire = wire;
-    this.ledger = ledger;
+    this.transport = transport;
+    this.effectLog = effectLog;
     this.traffic = traffic;
     this.graceNanos = TimeUnit.MILLISECONDS.toNanos(graceMillis);
     this.maxConnections = maxConnections;
     this.random = new SplittableRandom(seed);
-    SplittableRandom drawn = random.split();
-    this.keys = RejectionInversionZipfSampler.of(drawn::nextLong, traffic.keys(), traffic.skew());
-    this.gaps = ZigguratSampler.Exponential.of(drawn::nextLong);
+    SplittableRandom samplerRandom = random.split();
+    this.keySampler =
+        RejectionInversionZipfSampler.of(samplerRandom::nextLong, traffic.keyCount(), traffic.zipfExponent());
+    this.interArrivalSeconds = ZigguratSampler.Exponential.of(samplerRandom::nextLong);
   }
 
   /**
-   * The load balancers may answer like reads with one value. It must be of the same key and class,
-   * and must not have been asked for before a write of the key that came before the read.
+   * Allows load balancers to serve equal reads with one value. The value must belong to the same
+   * key and class, and must not have been requested before a write of the key that preceded the
+   * read.
    */
-  public void mayShareAnswers() {
-    shared = new SharedResponseCheck();
+  public void allowSharedResponses() {
+    sharedResponseCheck = new SharedResponseCheck();
   }
 
-  /** From now on a load balancer of this name is asked as well. */
-  public void add(String name, SocketAddress address) {
+  /** Sends requests to this load balancer as well from now on. */
+  public void addTarget(String name, SocketAddress address) {
     Target target = new Target(name, address);
     targets.put(name, target);
-    dealt.add(target);
+    activeTargets.add(target);
   }
 
   /**
-   * The load balancer of this name restarts as planned: clients open no more connections to it, use
-   * those that they have for as long as these stay open, and lose nothing by it.
+   * Announces a planned restart of the load balancer: clients open no more connections to it, use
+   * their existing connections until these are closed, and must lose no request.
    */
-  public void leaving(String name) {
+  public void markRestarting(String name) {
     Target target = targets.get(name);
-    target.leaving = true;
-    if (target.connections == 0) {
-      dealt.remove(target);
+    target.restarting = true;
+    if (target.connectionCount == 0) {
+      activeTargets.remove(target);
     }
   }
 
-  /** The load balancer of this name dies: what it has taken is its clients' loss. */
-  public void excuse(String name) {
+  /**
+   * Announces that the load balancer is killed: its clients lose the requests that it has accepted,
+   * which is no violation.
+   */
+  public void markKilled(String name) {
     Target target = targets.get(name);
-    target.excused = true;
-    dealt.remove(target);
+    target.killed = true;
+    activeTargets.remove(target);
   }
 
   /**
-   * The load balancer of this name does not run for so long from now on: its answers may be late by
-   * that, and it hears of what happens when it runs again.
+   * Announces that the load balancer is paused from now on for this time: its responses may be late
+   * by that much, and it notices events only after the pause.
    */
-  public void paused(String name, long millis) {
-    targets.get(name).pauses.add(wire.now(), millis);
+  public void recordPause(String name, long pauseMillis) {
+    targets.get(name).pauses.add(transport.nowNanos(), pauseMillis);
   }
 
-  /** Asks at the traffic's rate for so long. */
-  public void run(long millis) {
-    rate = traffic.ratePerSecond();
-    dueAt = wire.now();
-    until = dueAt + TimeUnit.MILLISECONDS.toNanos(millis);
-    next();
+  /** Sends requests at the rate of the traffic for this duration. */
+  public void run(long durationMillis) {
+    ratePerSecond = traffic.ratePerSecond();
+    nextDueAtNanos = transport.nowNanos();
+    stopAtNanos = nextDueAtNanos + TimeUnit.MILLISECONDS.toNanos(durationMillis);
+    scheduleNextRequest();
   }
 
-  /** Asks no more; what is under way goes on. */
+  /** Stops sending new requests; outstanding requests continue. */
   public void stop() {
-    until = wire.now();
+    stopAtNanos = transport.nowNanos();
   }
 
-  /** Asks at so many times the rate from now on. */
-  public void rush(double times) {
-    rate = times * traffic.ratePerSecond();
+  /** Multiplies the request rate of the traffic by this factor from now on. */
+  public void setRateFactor(double factor) {
+    ratePerSecond = factor * traffic.ratePerSecond();
   }
 
-  /** Sets the next request, from when the one before it was due: what is late adds no lateness. */
-  private void next() {
-    dueAt += (long) (gaps.sample() / rate * 1e9);
-    wire.loop()
+  /**
+   * Schedules the next request relative to the time at which the previous one was due, so that
+   * delays do not add up.
+   */
+  private void scheduleNextRequest() {
+    nextDueAtNanos += (long) (interArrivalSeconds.sample() / ratePerSecond * 1e9);
+    transport.loop()
         .schedule(
             () -> {
-              if (wire.now() - until < 0) {
-                ask();
-                next();
+              if (transport.nowNanos() - stopAtNanos < 0) {
+                sendNextRequest();
+                scheduleNextRequest();
               }
             },
-            dueAt - wire.now(),
+            nextDueAtNanos - transport.nowNanos(),
             TimeUnit.NANOSECONDS);
   }
 
-  private void ask() {
-    if (dealt.isEmpty()) {
-      unsent++;
+  private void sendNextRequest() {
+    if (activeTargets.isEmpty()) {
+      unsentRequests++;
       return;
     }
-    Traffic.RequestClass type = draw();
-    Target target = dealt.get(random.nextInt(dealt.size()));
-    String key = "key" + keys.sample();
-    Ask ask = new Ask("r" + Integer.toHexString(asked++), key, type, target);
-    open++;
-    boolean goes = random.nextDouble() < traffic.goneShare();
-    send(ask);
-    if (goes) {
-      wire.loop()
+    Traffic.RequestClass requestClass = drawRequestClass();
+    Target target = activeTargets.get(random.nextInt(activeTargets.size()));
+    String key = "key" + keySampler.sample();
+    ClientRequest request =
+        new ClientRequest("r" + Integer.toHexString(startedRequests++), key, requestClass, target);
+    outstandingRequests++;
+    boolean willDisconnect = random.nextDouble() < traffic.disconnectShare();
+    send(request);
+    if (willDisconnect) {
+      transport.loop()
           .schedule(
-              () -> leave(ask),
-              random.nextInt(Math.max(1, type.deadlineMillis() / 4)),
+              () -> disconnect(request),
+              random.nextInt(Math.max(1, requestClass.deadlineMillis() / 4)),
               TimeUnit.MILLISECONDS);
     }
   }
 
-  private void leave(Ask ask) {
-    Connection connection = under.get(ask);
+  private void disconnect(ClientRequest request) {
+    Connection connection = connectionsByRequest.get(request);
     if (connection != null) {
-      connection.left = true;
+      connection.clientDisconnected = true;
       connection.channel.close();
     }
   }
 
-  private Traffic.RequestClass draw() {
+  private Traffic.RequestClass drawRequestClass() {
     double draw = random.nextDouble();
-    for (Traffic.RequestClass type : traffic.classes()) {
-      draw -= type.share();
+    for (Traffic.RequestClass requestClass : traffic.classes()) {
+      draw -= requestClass.share();
       if (draw < 0) {
-        return type;
+        return requestClass;
       }
     }
     return traffic.classes().get(traffic.classes().size() - 1);
   }
 
-  private void send(Ask ask) {
-    for (Connection c = ask.target.idle.pollLast(); c != null; c = ask.target.idle.pollLast()) {
-      if (c.channel.isActive()) {
-        c.write(ask);
+  private void send(ClientRequest request) {
+    for (Connection connection = request.target.idleConnections.pollLast();
+        connection != null;
+        connection = request.target.idleConnections.pollLast()) {
+      if (connection.channel.isActive()) {
+        connection.write(request);
         return;
       }
     }
-    if (ask.target.leaving || ask.target.connections >= maxConnections) {
-      unsent++;
-      ask.over("unsent", null);
+    if (request.target.restarting || request.target.connectionCount >= maxConnections) {
+      unsentRequests++;
+      request.complete("unsent", null);
       return;
     }
-    connect(ask);
+    connect(request);
   }
 
-  /** Sends what crossed the end of its connection once more, to another where its own leaves. */
-  private void sendAgain(Ask ask) {
-    if (!ask.target.leaving) {
-      connect(ask);
+  /**
+   * Resends a request whose connection closed just after the request was sent; to another load
+   * balancer if its own is restarting.
+   */
+  private void resend(ClientRequest request) {
+    if (!request.target.restarting) {
+      connect(request);
       return;
     }
-    List<Target> others = dealt.stream().filter(target -> !target.leaving).toList();
-    if (others.isEmpty()) {
-      unsent++;
-      ask.over("unsent", null);
+    List<Target> otherTargets =
+        activeTargets.stream().filter(target -> !target.restarting).toList();
+    if (otherTargets.isEmpty()) {
+      unsentRequests++;
+      request.complete("unsent", null);
     } else {
-      ask.target = others.get(random.nextInt(others.size()));
-      connect(ask);
+      request.target = otherTargets.get(random.nextInt(otherTargets.size()));
+      connect(request);
     }
   }
 
-  private void connect(Ask ask) {
-    Connection connection = new Connection(ask.target);
-    ask.target.connections++;
-    ChannelFuture connected =
-        wire.connector()
+  private void connect(ClientRequest request) {
+    Connection connection = new Connection(request.target);
+    request.target.connectionCount++;
+    ChannelFuture connectFuture =
+        transport.connector()
             .handler(
                 new ChannelInitializer<>() {
                   @Override
                   protected void initChannel(Channel channel) {
                     connection.channel = channel;
-                    channel.pipeline().addLast(new Answers(), connection);
+                    channel.pipeline().addLast(new MetaResponse.Decoder(), connection);
                   }
                 })
-            .connect(ask.target.address);
-    connected.addListener(
-        done -> {
-          if (done.isSuccess()) {
-            connected.channel().closeFuture().addListener(closed -> connection.closed());
-            connection.write(ask);
+            .connect(request.target.address);
+    connectFuture.addListener(
+        future -> {
+          if (future.isSuccess()) {
+            connectFuture.channel().closeFuture().addListener(closed -> connection.onClosed());
+            connection.write(request);
           } else {
-            ask.target.connections--;
-            unsent++;
-            ask.over("unsent", null);
+            request.target.connectionCount--;
+            unsentRequests++;
+            request.complete("unsent", null);
           }
         });
   }
 
-  /** One connection to a load balancer. */
-  private final class Connection extends SimpleChannelInboundHandler<Answer> {
+  /** A connection to a load balancer. */
+  private final class Connection extends SimpleChannelInboundHandler<MetaResponse> {
     private final Target target;
     private Channel channel;
-    private Ask ask;
-    private boolean used;
-    private boolean left;
+    private ClientRequest currentRequest;
+    private boolean hasReceivedResponse;
+    private boolean clientDisconnected;
 
     Connection(Target target) {
       this.target = target;
     }
 
-    void write(Ask next) {
-      ask = next;
-      under.put(next, this);
-      next.sentAt = wire.now();
-      if (shared != null && next.type.write()) {
-        shared.wrote(next.id, target.name, next.key, next.sentAt);
-      } else if (shared != null) {
-        shared.read(next.id, target.name, next.key, next.type.name(), next.sentAt);
+    void write(ClientRequest request) {
+      currentRequest = request;
+      connectionsByRequest.put(request, this);
+      request.sentAtNanos = transport.nowNanos();
+      if (sharedResponseCheck != null && request.requestClass.isWrite()) {
+        sharedResponseCheck.recordWrite(request.id, target.name, request.key, request.sentAtNanos);
+      } else if (sharedResponseCheck != null) {
+        sharedResponseCheck.recordRead(
+            request.id, target.name, request.key, request.requestClass.name(), request.sentAtNanos);
       }
-      wait(
-          next,
-          TimeUnit.MILLISECONDS.toNanos(next.type.deadlineMillis()) + graceNanos + CROSSED_NANOS,
+      scheduleTimeout(
+          request,
+          TimeUnit.MILLISECONDS.toNanos(request.requestClass.deadlineMillis())
+              + graceNanos
+              + RESEND_AFTER_CLOSE_WINDOW_NANOS,
           0);
       ByteBuf bytes = channel.alloc().buffer();
-      bytes.writeCharSequence(next.command(), StandardCharsets.ISO_8859_1);
+      bytes.writeCharSequence(request.commandText(), StandardCharsets.ISO_8859_1);
       channel.writeAndFlush(bytes);
     }
 
     /**
-     * Waits for the answer, and for as long again as the load balancer did not run since it was
-     * due: a pause before that takes nothing from the client's time.
+     * Schedules the timeout of a request. The timeout is postponed by the time for which the load
+     * balancer was paused after the response was due; earlier pauses do not extend the client's
+     * deadline.
      */
-    private void wait(Ask next, long nanos, long granted) {
-      next.patience =
-          wire.loop()
+    private void scheduleTimeout(ClientRequest request, long delayNanos, long postponedNanos) {
+      request.timeoutTask =
+          transport.loop()
               .schedule(
                   () -> {
-                    long due =
-                        next.sentAt + TimeUnit.MILLISECONDS.toNanos(next.type.deadlineMillis());
-                    long stood = target.pauses.within(due, wire.now());
-                    if (stood > granted) {
-                      wait(next, stood - granted, stood);
+                    long responseDueNanos =
+                        request.sentAtNanos
+                            + TimeUnit.MILLISECONDS.toNanos(request.requestClass.deadlineMillis());
+                    long pausedNanos = target.pauses.pausedNanos(responseDueNanos, transport.nowNanos());
+                    if (pausedNanos > postponedNanos) {
+                      scheduleTimeout(request, pausedNanos - postponedNanos, pausedNanos);
                     } else {
-                      breach(next, "no answer in time");
+                      recordViolation(request, "no answer in time");
                       channel.close();
                     }
                   },
-                  nanos,
+                  delayNanos,
                   TimeUnit.NANOSECONDS);
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, Answer answer) {
-      Ask done = ask;
-      if (done == null) {
-        breach(target.name + ": more than one answer: " + answer.line());
+    protected void channelRead0(ChannelHandlerContext ctx, MetaResponse response) {
+      ClientRequest request = currentRequest;
+      if (request == null) {
+        recordViolation(target.name + ": more than one answer: " + response.firstLine());
         channel.close();
         return;
       }
-      take(done, answer);
-      ask = null;
-      used = true;
-      under.remove(done);
-      target.idle.add(this);
+      handleResponse(request, response);
+      currentRequest = null;
+      hasReceivedResponse = true;
+      connectionsByRequest.remove(request);
+      target.idleConnections.add(this);
     }
 
-    private void take(Ask done, Answer answer) {
-      String line = answer.line();
-      if (line.startsWith("VA ") && !done.type.write()) {
-        String expected = done.key + "|" + done.id;
-        if (!line.endsWith(" O" + done.id)) {
-          breach(done, "served with another's answer: " + line);
-        } else if (shared != null) {
-          String wrong = shared.wrong(done.id, answer.value(), target.pauses::within);
-          if (wrong != null) {
-            breach(done, wrong);
+    private void handleResponse(ClientRequest request, MetaResponse response) {
+      String line = response.firstLine();
+      if (line.startsWith("VA ") && !request.requestClass.isWrite()) {
+        String expectedPrefix = request.key + "|" + request.id;
+        if (!line.endsWith(" O" + request.id)) {
+          recordViolation(request, "served with another request's response: " + line);
+        } else if (sharedResponseCheck != null) {
+          String violation =
+              sharedResponseCheck.findViolation(request.id, response.value(), target.pauses::pausedNanos);
+          if (violation != null) {
+            recordViolation(request, violation);
           }
-        } else if (!answer.value().startsWith(expected)) {
-          breach(done, "served with another's answer: " + line);
+        } else if (!response.value().startsWith(expectedPrefix)) {
+          recordViolation(request, "served with another request's response: " + line);
         }
-        serve(done, null);
-      } else if (line.startsWith("HD O" + done.id + " c") && done.type.write()) {
-        serve(done, line.substring(line.lastIndexOf(" c") + 2));
+        recordServed(request, null);
+      } else if (line.startsWith("HD O" + request.id + " c") && request.requestClass.isWrite()) {
+        recordServed(request, line.substring(line.lastIndexOf(" c") + 2));
       } else if (line.startsWith("SERVER_ERROR busy")) {
-        refused++;
-        done.over("refused", null);
+        refusedRequests++;
+        request.complete("refused", null);
       } else if (line.startsWith("SERVER_ERROR")) {
-        failed++;
-        done.over("failed", null);
+        failedRequests++;
+        request.complete("failed", null);
       } else {
-        breach(done, "answered " + line);
-        done.over("failed", null);
+        recordViolation(request, "unexpected response: " + line);
+        request.complete("failed", null);
       }
     }
 
-    private void serve(Ask done, String receipt) {
-      served++;
-      latencies.recordValue(Math.min(3_600_000_000L, (wire.now() - done.dueAt) / 1000));
-      done.over("served", receipt);
+    private void recordServed(ClientRequest request, String receipt) {
+      servedRequests++;
+      latencyMicros.recordValue(
+          Math.min(3_600_000_000L, (transport.nowNanos() - request.dueAtNanos) / 1000));
+      request.complete("served", receipt);
     }
 
-    /** It has ended, from whichever side. */
-    void closed() {
-      target.connections--;
-      target.idle.remove(this);
-      if (target.leaving && target.connections == 0) {
-        dealt.remove(target);
+    /** Ends or resends the current request after either side has closed the connection. */
+    void onClosed() {
+      target.connectionCount--;
+      target.idleConnections.remove(this);
+      if (target.restarting && target.connectionCount == 0) {
+        activeTargets.remove(target);
       }
-      Ask lost = ask;
-      ask = null;
-      if (lost == null) {
+      ClientRequest lostRequest = currentRequest;
+      currentRequest = null;
+      if (lostRequest == null) {
         return;
       }
-      under.remove(lost);
-      if (left || target.excused) {
-        lost.over("gone", null);
-      } else if (used && !lost.again && wire.now() - lost.sentAt <= CROSSED_NANOS) {
-        crossed++;
-        lost.again = true;
-        lost.patience.cancel(false);
-        sendAgain(lost);
+      connectionsByRequest.remove(lostRequest);
+      if (clientDisconnected || target.killed) {
+        lostRequest.complete("gone", null);
+      } else if (hasReceivedResponse
+          && !lostRequest.resent
+          && transport.nowNanos() - lostRequest.sentAtNanos <= RESEND_AFTER_CLOSE_WINDOW_NANOS) {
+        closeRaces++;
+        lostRequest.resent = true;
+        lostRequest.timeoutTask.cancel(false);
+        resend(lostRequest);
       } else {
-        if (lost.patience.cancel(false)) {
-          breach(lost, "its connection ended without an answer");
+        if (lostRequest.timeoutTask.cancel(false)) {
+          recordViolation(lostRequest, "its connection ended without an answer");
         }
-        lost.over("lost", null);
+        lostRequest.complete("lost", null);
       }
     }
 
@@ -480,166 +506,107 @@
     }
   }
 
-  private void breach(Ask ask, String what) {
-    breach(
-        ask.id
+  private void recordViolation(ClientRequest request, String message) {
+    recordViolation(
+        request.id
             + " ("
-            + ask.type.name()
+            + request.requestClass.name()
             + " at "
-            + ask.target.name
-            + ", asked at "
-            + ask.sentAt / 1_000_000
+            + request.target.name
+            + ", sent at "
+            + request.sentAtNanos / 1_000_000
             + " ms): "
-            + what);
+            + message);
   }
 
-  private void breach(String what) {
-    if (breaches.size() < MAX_BREACHES) {
-      breaches.add(what + ", at " + wire.now() / 1_000_000 + " ms");
+  private void recordViolation(String message) {
+    if (violations.size() < MAX_VIOLATIONS) {
+      violations.add(message + ", at " + transport.nowNanos() / 1_000_000 + " ms");
     }
   }
 
   /**
-   * Holds all answers against what servers did, once nothing is under way any more.
+   * Compares all results with the effects at servers. Must be called only after the last request
+   * has ended.
    *
-   * @param settleNanos how long after an answer something sent before it may still arrive
+   * @param maxAttemptDelayNanos how long after the end of a request an attempt that was already on
+   *     its way to a server may still arrive
    */
-  public void check(long settleNanos) {
-    for (var each : fates.entrySet()) {
-      String id = each.getKey();
-      Fate fate = each.getValue();
-      EffectLog.Entry done = ledger.of(id);
-      String told = id + " (" + fate.type().name() + " at " + fate.target() + ") ";
-      if (done.effects() > 1) {
-        breach(told + "took effect " + done.effects() + " times");
-      }
-      if (fate.end().equals("refused") && fate.type().write() && done.effects() > 0) {
-        breach(told + "was refused and took effect");
-      }
-      if (fate.receipt() != null && !fate.receipt().equals(done.receipt())) {
-        breach(told + "was served with a receipt that nobody gave");
-      }
-      long heard = targets.get(fate.target()).pauses.runs(fate.endedAt());
-      for (EffectLog.Arrival arrival : done.arrivals()) {
-        if (arrival.atNanos() - heard > settleNanos) {
-          breach(
-              told
-                  + "was sent to "
-                  + arrival.server()
-                  + " "
-                  + (arrival.atNanos() - heard) / 1_000_000
-                  + " ms after it had ended ("
-                  + fate.end()
-                  + ")");
-        }
-      }
-    }
+  public void checkEffects(long maxAttemptDelayNanos) {
+    outcomes.check(
+        effectLog,
+        outcome -> targets.get(outcome.target()).pauses.resumeNanos(outcome.endedAtNanos()),
+        maxAttemptDelayNanos,
+        this::recordViolation);
   }
 
-  /** A figure made of every answer and its time. */
+  /** A hash over the results of all requests and their times, to compare runs. */
   public long digest() {
-    long digest = 7;
-    for (var fate : fates.entrySet()) {
-      digest = 31 * digest + fate.getKey().hashCode();
-      digest = 31 * digest + fate.getValue().end().hashCode();
-      digest = 31 * digest + fate.getValue().endedAt();
-    }
-    return digest;
+    return outcomes.digest();
   }
 
-  /** All requests that have ended, by their ids. */
-  public Set<String> ids() {
-    return Collections.unmodifiableSet(fates.keySet());
+  /** The ids of all requests that have ended. */
+  public Set<String> endedRequestIds() {
+    return outcomes.endedRequestIds();
   }
 
-  /** Which load balancer a request went to; null for one that was never sent. */
+  /** Name of the load balancer that a request was sent to; null if the request is unknown. */
   public String targetOf(String id) {
-    Fate fate = fates.get(id);
-    return fate == null ? null : fate.target();
+    return outcomes.targetOf(id);
   }
 
-  /** Closes all connections. */
+  /** Stops sending requests and closes all idle connections. */
   public void close() {
     stop();
     for (Target target : targets.values()) {
-      for (Connection connection : List.copyOf(target.idle)) {
+      for (Connection connection : List.copyOf(target.idleConnections)) {
         connection.channel.close();
       }
     }
   }
 
-  /** What load balancers did against the rules, as far as clients can tell. */
-  public List<String> breaches() {
-    return Collections.unmodifiableList(breaches);
+  /** Descriptions of the violations by load balancers that clients detected. */
+  public List<String> violations() {
+    return Collections.unmodifiableList(violations);
   }
 
-  /** Microseconds to the answers that served. */
-  public Histogram latencies() {
-    return latencies;
+  /** Latencies of the served requests in microseconds. */
+  public Histogram latencyMicros() {
+    return latencyMicros;
   }
 
-  /** Requests that were due. */
-  public int asked() {
-    return asked;
+  /** Number of requests started. */
+  public int requests() {
+    return startedRequests;
   }
 
-  /** Requests served. */
-  public int served() {
-    return served;
+  /** Number of requests served. */
+  public int servedRequests() {
+    return servedRequests;
   }
 
-  /** Requests refused. */
-  public int refused() {
-    return refused;
+  /** Number of requests refused. */
+  public int refusedRequests() {
+    return refusedRequests;
   }
 
-  /** Requests that failed. */
-  public int failed() {
-    return failed;
+  /** Number of requests that failed. */
+  public int failedRequests() {
+    return failedRequests;
   }
 
-  /** Requests for which no connection was to be had. */
-  public int unsent() {
-    return unsent;
+  /** Number of requests for which no connection was available. */
+  public int unsentRequests() {
+    return unsentRequests;
   }
 
-  /** Requests that crossed the end of their connection. */
-  public int crossed() {
-    return crossed;
+  /** Number of requests resent because their connection closed just after they were sent. */
+  public int closeRaces() {
+    return closeRaces;
   }
 
-  /** Requests under way. */
-  public int open() {
-    return open;
-  }
-
-  /** An answer as it was read: its line, and its value if it has one. */
-  private record Answer(String line, String value) {}
-
-  private static final class Answers extends ByteToMessageDecoder {
-    private String line;
-
-    @Override
-    protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-      if (line == null) {
-        int length = in.bytesBefore((byte) '\n');
-        if (length < 0) {
-          return;
-        }
-        line = in.readSlice(length).toString(StandardCharsets.ISO_8859_1).stripTrailing();
-        in.skipBytes(1);
-      }
-      String value = null;
-      if (line.startsWith("VA ")) {
-        int length = Integer.parseInt(line.split(" ", 0)[1]);
-        if (in.readableBytes() < length + 2) {
-          return;
-        }
-        value = in.readSlice(length).toString(StandardCharsets.ISO_8859_1);
-        in.skipBytes(2);
-      }
-      out.add(new Answer(line, value));
-      line = null;
-    }
+  /** Number of outstanding requests. */
+  public int outstanding() {
+    return outstandingRequests;
   }
 }
--- a/testkit/src/main/java/shalepaddle/testkit/StandInDiscovery.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInDiscovery.java
@@ -31,40 +31,44 @@
 import java.util.stream.Collectors;
 
 /**
- * A discovery service: the list of servers over HTTP, whole or as a watch of its changes. It can
- * lag behind, fall silent and go down, and notes when a change was first written to anybody.
+ * A discovery service that serves the endpoint list over HTTP, as a full list or as a watch of its
+ * changes. It can lag, fall silent and go down, and records when each change was first sent to any
+ * client.
  */
 public final class StandInDiscovery {
-  private static final String PATH = "/catalog/members";
+  private static final String LIST_PATH = "/catalog/members";
 
-  /** Characters in a piece where lists are cut anywhere. */
-  private static final int PIECE = 37;
+  /** Characters per chunk if lists are indented and split at arbitrary positions. */
+  private static final int CHUNK_CHARS = 37;
 
   private static final long HEARTBEAT_MILLIS = 2000;
 
-  /** What a watch that has fallen silent misses counts as told so long after that. */
-  private static final long SILENCE_BINDS_MILLIS = 6000;
+  /**
+   * A change that a muted watch misses counts as sent this long after the watch was muted, since
+   * clients must detect a silent watch by then.
+   */
+  private static final long MUTED_CHANGES_COUNT_AS_SENT_MILLIS = 6000;
 
-  /** What the list says of a server. */
+  /** State of a server in the endpoint list. */
   public enum State {
     ACTIVE,
     LEAVING,
     LEFT;
 
-    private String text() {
+    private String wireName() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
   /**
-   * One line of the list.
+   * An entry of the endpoint list.
    *
-   * @param id the server's id
-   * @param address where it listens
-   * @param zone where it stands
-   * @param cell the cell it belongs to
-   * @param state what is said of it
-   * @param startedMillis when it last started, Unix time, 0 for long ago
+   * @param id id of the server
+   * @param address address on which the server listens
+   * @param zone zone of the server
+   * @param cell cell of the server
+   * @param state state of the server
+   * @param startedMillis Unix time of the last start of the server; 0 if it started long ago
    */
   public record Member(
       String id, String address, String zone, int cell, State state, long startedMillis) {
@@ -72,149 +76,158 @@
       return """
           {"id":"%s","addr":"%s","zone":"%s","kind":"m","cell":%d,"state":"%s","weight":1.0,\
           "started_ms":%d}"""
-          .formatted(id, address, zone, cell, state.text(), startedMillis);
+          .formatted(id, address, zone, cell, state.wireName(), startedMillis);
     }
   }
 
-  /** A line with the version that brought it, and when it may be told. */
-  private record Line(Member member, long version, long tellAtNanos) {}
+  /** An entry with the list version that last changed it and the time from which it may be sent. */
+  private record VersionedMember(Member member, long version, long sendableAtNanos) {}
 
-  private final LoopbackTransport wire;
-  private final Map<String, Line> lines = new LinkedHashMap<>();
-  private final Map<String, Long> toldAt = new HashMap<>();
+  private final LoopbackTransport transport;
+  private final Map<String, VersionedMember> members = new LinkedHashMap<>();
+  private final Map<String, Long> firstSentNanosByState = new HashMap<>();
   private final Set<Watch> watches = new LinkedHashSet<>();
-  private long version;
+  private long latestVersion;
   private long lagNanos;
-  private boolean silent;
+  private boolean silenced;
   private boolean indented;
   private SocketAddress address;
-  private Channel listener;
+  private Channel serverChannel;
 
-  /** A service that does not listen yet, and has an empty list. */
-  public StandInDiscovery(LoopbackTransport wire) {
-    this.wire = wire;
+  /** Creates a service with an empty list that does not listen yet. */
+  public StandInDiscovery(LoopbackTransport transport) {
+    this.transport = transport;
   }
 
-  /** Listens, for the first time or again after it was {@link #down}. */
+  /** Starts to listen, for the first time or again after {@link #stop}. */
   public ChannelFuture start() {
-    ChannelFuture bound =
-        wire.listen(
-            address == null ? wire.address() : address,
+    ChannelFuture bindFuture =
+        transport.listen(
+            address == null ? transport.newAddress() : address,
             channel -> channel.pipeline().addLast(new HttpServerCodec(), new Watch(channel)));
-    bound.addListener(
+    bindFuture.addListener(
         done -> {
           if (done.isSuccess()) {
-            listener = bound.channel();
-            address = listener.localAddress();
+            serverChannel = bindFuture.channel();
+            address = serverChannel.localAddress();
           }
         });
-    return bound;
+    return bindFuture;
   }
 
-  /** Goes down: watches end, and calls are refused. */
-  public void down() {
-    if (listener != null) {
-      listener.close();
-      listener = null;
+  /** Goes down: closes all watches and refuses connections. */
+  public void stop() {
+    if (serverChannel != null) {
+      serverChannel.close();
+      serverChannel = null;
     }
     for (Watch watch : List.copyOf(watches)) {
       watch.channel.close();
     }
   }
 
-  /** Says nothing, with its connections open. */
-  public void silent(boolean on) {
-    silent = on;
-    if (!on) {
-      tellAll();
+  /** While enabled, sends nothing on watches but keeps their connections open. */
+  public void setSilent(boolean enabled) {
+    silenced = enabled;
+    if (!enabled) {
+      sendChangesToAll();
     }
   }
 
   /**
-   * The watches that are open now say nothing more, and stay open: what they miss counts as told
-   * some seconds later, whether or not anybody hears of it.
+   * Stops sending on all watches that are open now, for good, but keeps their connections open.
+   * Changes that these watches miss count as sent some seconds later, even if no client receives
+   * them.
    */
   public void muteWatches() {
     for (Watch watch : watches) {
       watch.muted = true;
-      watch.mutedAt = wire.now();
+      watch.mutedAtNanos = transport.nowNanos();
     }
   }
 
-  /** From now on lists come over many lines, in pieces cut anywhere. */
-  public void indent() {
+  /**
+   * From now on indents lists over many lines and splits them into chunks at arbitrary positions.
+   */
+  public void indentLists() {
     indented = true;
   }
 
-  /** What changes from now on is told so much later. */
-  public void lag(long millis) {
-    lagNanos = TimeUnit.MILLISECONDS.toNanos(millis);
+  /** Delays each change made from now on by this time before it is sent. */
+  public void setLagMillis(long lagMillis) {
+    lagNanos = TimeUnit.MILLISECONDS.toNanos(lagMillis);
   }
 
-  /** Changes the list. */
+  /** Adds or replaces the entry of a server. */
   public void put(Member member) {
-    lines.put(member.id(), new Line(member, ++version, wire.now() + lagNanos));
-    wire.loop().schedule(this::tellAll, lagNanos, TimeUnit.NANOSECONDS);
+    members.put(
+        member.id(), new VersionedMember(member, ++latestVersion, transport.nowNanos() + lagNanos));
+    transport.loop().schedule(this::sendChangesToAll, lagNanos, TimeUnit.NANOSECONDS);
   }
 
-  /** The line of this server, null if there never was one. */
+  /** The entry of this server; null if the server was never in the list. */
   public Member member(String id) {
-    Line line = lines.get(id);
-    return line == null ? null : line.member();
+    VersionedMember entry = members.get(id);
+    return entry == null ? null : entry.member();
   }
 
-  /** Where it listens, as configurations have it; known once it has started. */
+  /** The address in the form used in configurations; available once the service has started. */
   public String address() {
-    return LoopbackTransport.text(address);
+    return LoopbackTransport.addressText(address);
   }
 
   /**
-   * When anybody was first told that this server is in that state, or counted as told; -1 if nobody
-   * was.
+   * Time at which this state of the server was first sent to any client, in the transport's
+   * nanoseconds; -1 if the state was never sent. A state that a muted watch misses counts as
+   * sent as well, at a later time; see {@link #muteWatches}.
    */
-  public long toldAt(String id, State state) {
-    return toldAt.getOrDefault(id + state, -1L);
+  public long firstSentNanos(String id, State state) {
+    return firstSentNanosByState.getOrDefault(id + state, -1L);
   }
 
-  /** The whole list as it is now, in its own form. */
-  public String list() {
-    return json(true, 0, version);
+  /** The current full list as JSON, including changes that are still delayed. */
+  public String listJson() {
+    return membersJson(true, 0, latestVersion);
   }
 
-  private String json(boolean full, long since, long upTo) {
-    String servers =
-        lines.values().stream()
-            .filter(line -> line.version() > since && line.version() <= upTo)
-            .filter(line -> !full || line.member().state() != State.LEFT)
-            .map(line -> line.member().json())
+  private String membersJson(boolean fullList, long sinceVersion, long upToVersion) {
+    String serversJson =
+        members.values().stream()
+            .filter(entry -> entry.version() > sinceVersion && entry.version() <= upToVersion)
+            .filter(entry -> !fullList || entry.member().state() != State.LEFT)
+            .map(entry -> entry.member().json())
             .collect(Collectors.joining(","));
-    return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(upTo, full, servers);
+    return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}"
+        .formatted(upToVersion, fullList, serversJson);
   }
 
-  /** The version that may be told by now: lines are told in their order. */
-  private long tellable() {
-    long now = wire.now();
-    long upTo = version;
-    for (Line line : lines.values()) {
-      if (line.tellAtNanos() > now) {
-        upTo = Math.min(upTo, line.version() - 1);
+  /**
+   * The latest version that may be sent now. Changes are sent in order, so a delayed change holds
+   * back all later ones.
+   */
+  private long latestSendableVersion() {
+    long nowNanos = transport.nowNanos();
+    long upToVersion = latestVersion;
+    for (VersionedMember entry : members.values()) {
+      if (entry.sendableAtNanos() > nowNanos) {
+        upToVersion = Math.min(upToVersion, entry.version() - 1);
       }
     }
-    return upTo;
+    return upToVersion;
   }
 
-  private void tellAll() {
+  private void sendChangesToAll() {
     for (Watch watch : List.copyOf(watches)) {
-      watch.tell();
+      watch.sendChanges();
     }
   }
 
-  /** One connection, and the watch on it once it was asked for. */
+  /** A client connection, which becomes a watch if the client requests one. */
   private final class Watch extends SimpleChannelInboundHandler<HttpObject> {
     private final Channel channel;
-    private long told;
+    private long sentVersion;
     private boolean muted;
-    private long mutedAt;
+    private long mutedAtNanos;
 
     Watch(Channel channel) {
       this.channel = channel;
@@ -226,74 +239,78 @@
         return;
       }
       QueryStringDecoder query = new QueryStringDecoder(request.uri());
-      if (!query.path().equals(PATH)) {
-        answer(HttpResponseStatus.NOT_FOUND, "");
+      if (!query.path().equals(LIST_PATH)) {
+        respond(HttpResponseStatus.NOT_FOUND, "");
       } else if (query.parameters().containsKey("follow")) {
-        var head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        channel.writeAndFlush(head);
-        long since = Long.parseLong(query.parameters().getOrDefault("since", List.of("0")).get(0));
-        told = Math.min(since, version);
+        var responseHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        responseHead.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+        channel.writeAndFlush(responseHead);
+        long sinceVersion =
+            Long.parseLong(query.parameters().getOrDefault("since", List.of("0")).get(0));
+        sentVersion = Math.min(sinceVersion, latestVersion);
         watches.add(this);
         channel.closeFuture().addListener(done -> watches.remove(this));
-        tell();
-        beat();
+        sendChanges();
+        scheduleHeartbeat();
       } else {
-        long upTo = tellable();
-        answer(HttpResponseStatus.OK, json(true, 0, upTo));
-        note(0, upTo);
+        long upToVersion = latestSendableVersion();
+        respond(HttpResponseStatus.OK, membersJson(true, 0, upToVersion));
+        recordSent(0, upToVersion);
       }
     }
 
-    private void answer(HttpResponseStatus status, String body) {
+    private void respond(HttpResponseStatus status, String body) {
       ByteBuf bytes = Unpooled.copiedBuffer(body, StandardCharsets.UTF_8);
       var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, bytes);
       response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length());
       channel.writeAndFlush(response);
     }
 
-    /** Tells what has changed since it was told last. */
-    private void tell() {
-      long upTo = tellable();
-      if (muted && upTo > told) {
-        long binds = mutedAt + TimeUnit.MILLISECONDS.toNanos(SILENCE_BINDS_MILLIS);
-        note(told, upTo, Math.max(wire.now(), binds));
-        told = upTo;
-      } else if (!silent && upTo > told) {
-        line(json(false, told, upTo));
-        note(told, upTo);
-        told = upTo;
+    /** Sends all changes since the last version sent. */
+    private void sendChanges() {
+      long upToVersion = latestSendableVersion();
+      if (muted && upToVersion > sentVersion) {
+        long countsAsSentAtNanos =
+            mutedAtNanos + TimeUnit.MILLISECONDS.toNanos(MUTED_CHANGES_COUNT_AS_SENT_MILLIS);
+        recordSent(sentVersion, upToVersion, Math.max(transport.nowNanos(), countsAsSentAtNanos));
+        sentVersion = upToVersion;
+      } else if (!silenced && upToVersion > sentVersion) {
+        sendMessage(membersJson(false, sentVersion, upToVersion));
+        recordSent(sentVersion, upToVersion);
+        sentVersion = upToVersion;
       }
     }
 
-    private void beat() {
-      wire.loop()
+    private void scheduleHeartbeat() {
+      transport.loop()
           .schedule(
               () -> {
                 if (channel.isActive()) {
-                  if (!silent && !muted) {
-                    line("");
+                  if (!silenced && !muted) {
+                    sendMessage("");
                   }
-                  beat();
+                  scheduleHeartbeat();
                 }
               },
               HEARTBEAT_MILLIS,
               TimeUnit.MILLISECONDS);
     }
 
-    private void line(String text) {
+    private void sendMessage(String text) {
       if (indented) {
-        String laidOut = text.replace("{", "{\n  ").replace(",", ",\n  ").replace("]", "\n]");
-        for (int from = 0; from < laidOut.length(); from += PIECE) {
-          piece(laidOut.substring(from, Math.min(laidOut.length(), from + PIECE)));
+        String indentedText = text.replace("{", "{\n  ").replace(",", ",\n  ").replace("]", "\n]");
+        for (int chunkStart = 0; chunkStart < indentedText.length(); chunkStart += CHUNK_CHARS) {
+          sendChunk(
+              indentedText.substring(
+                  chunkStart, Math.min(indentedText.length(), chunkStart + CHUNK_CHARS)));
         }
-        piece("\n\n");
+        sendChunk("\n\n");
       } else {
-        piece(text + "\n");
+        sendChunk(text + "\n");
       }
     }
 
-    private void piece(String text) {
+    private void sendChunk(String text) {
       channel.writeAndFlush(new DefaultHttpContent(ByteBufUtil.writeUtf8(channel.alloc(), text)));
     }
 
@@ -303,14 +320,15 @@
     }
   }
 
-  private void note(long since, long upTo) {
-    note(since, upTo, wire.now());
+  private void recordSent(long sinceVersion, long upToVersion) {
+    recordSent(sinceVersion, upToVersion, transport.nowNanos());
   }
 
-  private void note(long since, long upTo, long at) {
-    for (Line line : lines.values()) {
-      if (line.version() > since && line.version() <= upTo) {
-        toldAt.merge(line.member().id() + line.member().state(), at, Math::min);
+  private void recordSent(long sinceVersion, long upToVersion, long sentAtNanos) {
+    for (VersionedMember entry : members.values()) {
+      if (entry.version() > sinceVersion && entry.version() <= upToVersion) {
+        firstSentNanosByState.merge(
+            entry.member().id() + entry.member().state(), sentAtNanos, Math::min);
       }
     }
   }
--- a/testkit/src/main/java/shalepaddle/testkit/StandInOrigin.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInOrigin.java
@@ -6,78 +6,85 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** The slow store behind the cache servers: so many fetches at once, the others wait in order. */
+/**
+ * The slow store behind the cache servers. It processes a limited number of fetches and writes in
+ * parallel; further ones wait in order of arrival.
+ */
 public final class StandInOrigin {
-  private final LoopbackTransport wire;
+  private final LoopbackTransport transport;
   private final SplittableRandom random;
   private final int workers;
-  private final double meanSeconds;
-  private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
-  private final Map<String, Integer> fetches = new HashMap<>();
-  private double slowness = 1;
-  private int busy;
-  private int total;
+  private final double meanServiceSeconds;
+  private final ArrayDeque<Runnable> queuedCallbacks = new ArrayDeque<>();
+  private final Map<String, Integer> fetchesByKey = new HashMap<>();
+  private double slowdownFactor = 1;
+  private int busyWorkers;
+  private int fetchCount;
 
   /**
-   * An origin that nobody has asked yet.
+   * Creates an idle origin.
    *
-   * @param workers fetches and writes that it works on at once
-   * @param meanSeconds the mean time of one; times are drawn evenly from half to one and a half
+   * @param workers fetches and writes that it processes in parallel
+   * @param meanServiceSeconds mean processing time in seconds; each time is drawn uniformly from
+   *     0.5 to 1.5 times the mean
    */
-  public StandInOrigin(LoopbackTransport wire, long seed, int workers, double meanSeconds) {
-    this.wire = wire;
+  public StandInOrigin(
+      LoopbackTransport transport, long seed, int workers, double meanServiceSeconds) {
+    this.transport = transport;
     this.random = new SplittableRandom(seed);
     this.workers = workers;
-    this.meanSeconds = meanSeconds;
+    this.meanServiceSeconds = meanServiceSeconds;
   }
 
-  /** From now on everything takes so many times as long. */
-  public void slowness(double times) {
-    slowness = times;
+  /** Multiplies all processing times from now on by this factor; 1 is normal. */
+  public void setSlowdown(double factor) {
+    slowdownFactor = factor;
   }
 
-  /** Fetches of all keys. */
+  /** Number of fetches, all keys together. */
   public int fetches() {
-    return total;
+    return fetchCount;
   }
 
-  /** Fetches of this key. */
+  /** Number of fetches of this key. */
   public int fetches(String key) {
-    return fetches.getOrDefault(key, 0);
+    return fetchesByKey.getOrDefault(key, 0);
   }
 
-  /** Fetches and writes that wait for a worker. */
-  public int waiting() {
-    return waiting.size();
+  /** Number of fetches and writes that wait for a worker. */
+  public int queued() {
+    return queuedCallbacks.size();
   }
 
-  void fetch(String key, Runnable done) {
-    total++;
-    fetches.merge(key, 1, Integer::sum);
-    work(done);
+  void fetch(String key, Runnable onDone) {
+    fetchCount++;
+    fetchesByKey.merge(key, 1, Integer::sum);
+    process(onDone);
   }
 
-  void write(Runnable done) {
-    work(done);
+  void write(Runnable onDone) {
+    process(onDone);
   }
 
-  private void work(Runnable done) {
-    if (busy == workers) {
-      waiting.add(done);
+  private void process(Runnable onDone) {
+    if (busyWorkers == workers) {
+      queuedCallbacks.add(onDone);
       return;
     }
-    busy++;
-    long nanos = (long) (1e9 * meanSeconds * slowness * (0.5 + random.nextDouble()));
-    wire.loop()
+    busyWorkers++;
+    long serviceNanos =
+        (long) (1e9 * meanServiceSeconds * slowdownFactor * (0.5 + random.nextDouble()));
+    transport
+        .loop()
         .schedule(
             () -> {
-              busy--;
-              if (!waiting.isEmpty()) {
-                work(waiting.poll());
+              busyWorkers--;
+              if (!queuedCallbacks.isEmpty()) {
+                process(queuedCallbacks.poll());
               }
-              done.run();
+              onDone.run();
             },
-            nanos,
+            serviceNanos,
             TimeUnit.NANOSECONDS);
   }
 }
--- a/testkit/src/main/java/shalepaddle/testkit/StandInServer.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInServer.java
@@ -5,10 +5,8 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.FixedRecvByteBufAllocator;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.util.ReferenceCountUtil;
 import java.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -22,289 +20,245 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A cache server that reads through: what it lacks it fetches from the origin, each miss by itself;
- * a write goes to the origin and voids the copies of its key at all servers. Requests of a
- * connection are begun as they come and answered in their order.
+ * A read-through cache server. Each miss fetches from the origin by itself, so concurrent misses on
+ * a key are not coalesced. A write goes to the origin and removes the copies of its key at all
+ * servers. Requests of a connection are started as they arrive and answered in order of arrival.
  *
- * <p>A write takes effect when a worker begins it. One whose connection has ended by then is thrown
- * away. Everything that comes, and every effect, is written down in the {@link EffectLog}.
+ * <p>A write takes effect when a worker starts it. A request whose connection has closed by then is
+ * discarded. Every arrival and every effect is recorded in the {@link EffectLog}.
  */
 public final class StandInServer {
-  /** So much of an endless answer is sent, in so many pieces. */
-  private static final int ENDLESS_PIECES = 40;
+  /** Number of pieces that are sent of an oversized value. */
+  private static final int OVERSIZED_PIECE_COUNT = 40;
 
-  private static final int ENDLESS_PIECE_BYTES = 256;
+  private static final int OVERSIZED_PIECE_BYTES = 256;
 
-  /** In so long a connection that is read again has read what waited. */
+  /** How long a connection may take to read the buffered bytes after reading has resumed. */
   private static final long CATCH_UP_MILLIS = 100;
 
-  private final LoopbackTransport wire;
+  private final LoopbackTransport transport;
   private final String id;
   private final String group;
   private final ServerModel model;
   private final StandInOrigin origin;
-  private final EffectLog ledger;
+  private final EffectLog effectLog;
   private final List<StandInServer> fleet;
   private final SplittableRandom random;
-  private final Map<Fault, Double> faults = new EnumMap<>(Fault.class);
-  private final Set<Connection> open = new LinkedHashSet<>();
-  private final ArrayDeque<Job> queue = new ArrayDeque<>();
-  private final ArrayDeque<Asked> asked = new ArrayDeque<>();
-  private final Map<String, Boolean> cache = new LinkedHashMap<>(16, 0.75f, true);
+  private final WarmUp warmUp;
+  private final Map<Fault, Double> faultShares = new EnumMap<>(Fault.class);
+  private final Set<Connection> connections = new LinkedHashSet<>();
+  private final ArrayDeque<Job> queuedJobs = new ArrayDeque<>();
+  private final Map<String, Boolean> cachedKeys = new LinkedHashMap<>(16, 0.75f, true);
   private SocketAddress address;
-  private Channel listener;
-  private long startedAt;
-  private boolean cold;
-  private boolean fallen;
-  private boolean silent;
-  private int slowBytes;
-  private int cutAt = -1;
+  private Channel serverChannel;
+  private boolean unresponsive;
+  private int readLimitBytes;
+  private int truncateAfterBytes = -1;
   private boolean draining;
-  private int working;
-  private int served;
-  private int turnedAway;
-  private int hits;
-  private int misses;
-
-  /** Work that came in, for as long as it counts towards a fall. */
-  private record Asked(long atNanos, double seconds) {}
+  private int busyWorkers;
+  private int servedRequests;
+  private int rejectedRequests;
+  private int cacheHits;
+  private int cacheMisses;
 
   /**
-   * A server that does not listen yet.
+   * Creates a server that does not listen yet, and adds it to {@code fleet}.
    *
-   * @param id its name in the list
-   * @param group the dedup group that it belongs to
-   * @param fleet all servers whose copies its writes void; itself is added
+   * @param id id of the server in the endpoint list
+   * @param group idempotency group of the server
+   * @param fleet all servers; a write to this server removes the copies at all of them
    */
   public StandInServer(
-      LoopbackTransport wire,
+      LoopbackTransport transport,
       String id,
       String group,
       ServerModel model,
       StandInOrigin origin,
-      EffectLog ledger,
+      EffectLog effectLog,
       List<StandInServer> fleet,
       long seed) {
-    this.wire = wire;
+    this.transport = transport;
     this.id = id;
     this.group = group;
     this.model = model;
     this.origin = origin;
-    this.ledger = ledger;
+    this.effectLog = effectLog;
     this.fleet = fleet;
     this.random = new SplittableRandom(seed);
+    this.warmUp = new WarmUp(transport, model);
     fleet.add(this);
   }
 
-  /** Listens, for the first time or again; the future tells when. It begins with what it held. */
+  /**
+   * Starts to listen, for the first time or again on the same address; the cache is kept. The
+   * future completes when the server listens.
+   */
   public ChannelFuture start() {
-    ChannelFuture bound = wire.listen(address == null ? wire.address() : address, this::accept);
-    bound.addListener(
+    ChannelFuture bindFuture =
+        transport.listen(address == null ? transport.newAddress() : address, this::onAccepted);
+    bindFuture.addListener(
         done -> {
           if (done.isSuccess()) {
-            listener = bound.channel();
-            address = listener.localAddress();
+            serverChannel = bindFuture.channel();
+            address = serverChannel.localAddress();
           }
         });
-    return bound;
+    return bindFuture;
   }
 
-  /** The process starts anew, with nothing in its cache and little of its capacity. */
+  /** Restarts the process with an empty cache and a reduced capacity. */
   public ChannelFuture startCold() {
-    startedAt = wire.now();
-    cold = true;
-    fallen = false;
+    warmUp.start();
     draining = false;
-    cache.clear();
-    asked.clear();
+    cachedKeys.clear();
     return start();
   }
 
-  /** The process dies: connections end, new ones are refused, what was queued never runs. */
+  /** Kills the process: closes connections, refuses new ones, and discards queued requests. */
   public void kill() {
-    if (listener != null) {
-      listener.close();
-      listener = null;
+    if (serverChannel != null) {
+      serverChannel.close();
+      serverChannel = null;
     }
-    queue.clear();
-    for (Connection connection : List.copyOf(open)) {
+    queuedJobs.clear();
+    for (Connection connection : List.copyOf(connections)) {
       connection.channel.close();
     }
   }
 
-  /** From now on turns away whatever is new. */
+  /** Rejects all new requests from now on. */
   public void drain() {
     draining = true;
   }
 
-  /** The machine stands still, or is cut off: connections stay open, and nothing is read. */
-  public void silent(boolean on) {
-    silent = on;
-    for (Connection connection : open) {
-      connection.pace();
+  /** While enabled, simulates a frozen or unreachable machine: open connections are not read. */
+  public void setUnresponsive(boolean enabled) {
+    unresponsive = enabled;
+    for (Connection connection : connections) {
+      connection.updateReadMode();
     }
   }
 
-  /** From now on that part of the answers has this fault; 0 ends it. */
-  public void fault(Fault fault, double share) {
-    faults.put(fault, share);
+  /** Injects the fault into this share of the responses from now on; a share of 0 ends it. */
+  public void injectFault(Fault fault, double share) {
+    faultShares.put(fault, share);
   }
 
-  /** Ends all faults of answers. */
-  public void mend() {
-    faults.clear();
+  /** Ends the injection of all response faults. */
+  public void clearFaults() {
+    faultShares.clear();
   }
 
   /**
-   * From now on reads so many bytes at most every 10 ms on each connection; 0 reads as usual. What
-   * is sent to it backs up at the sender.
+   * Reads at most this many bytes every 10 ms on each connection from now on, so that data backs up
+   * at the sender; 0 reads without a limit.
    */
-  public void slowReader(int bytes) {
-    slowBytes = bytes;
-    for (Connection connection : open) {
-      connection.pace();
+  public void limitReadBytes(int bytesPerRead) {
+    readLimitBytes = bytesPerRead;
+    for (Connection connection : connections) {
+      connection.updateReadMode();
     }
   }
 
-  /** The next answer is cut off after so many bytes, and its connection with it. */
-  public void resetAtByte(int bytes) {
-    cutAt = bytes;
+  /** Truncates the next response to this many bytes, then closes its connection. */
+  public void truncateNextResponse(int maxBytes) {
+    truncateAfterBytes = maxBytes;
   }
 
-  /** Ends every connection on which nothing is under way, as one that was idle for too long. */
-  public void closeIdle() {
-    for (Connection connection : List.copyOf(open)) {
-      if (connection.order.isEmpty()) {
+  /** Closes every connection without outstanding requests, as on an idle timeout. */
+  public void closeIdleConnections() {
+    for (Connection connection : List.copyOf(connections)) {
+      if (connection.outstandingJobs.isEmpty()) {
         connection.channel.close();
       }
     }
   }
 
-  /** Breaks off that part of the connections, whatever is under way on them. */
-  public void resetConnections(double share) {
-    for (Connection connection : List.copyOf(open)) {
+  /** Closes this share of the connections, chosen at random, regardless of outstanding requests. */
+  public void closeConnections(double share) {
+    for (Connection connection : List.copyOf(connections)) {
       if (random.nextDouble() < share) {
         connection.channel.close();
       }
     }
   }
 
-  /** Its name in the list. */
+  /** The server's id in the endpoint list. */
   public String id() {
     return id;
   }
 
-  /** The dedup group that it belongs to. */
+  /** The server's idempotency group. */
   public String group() {
     return group;
   }
 
-  /** Where it listens, as lists have it; known once it has started. */
+  /** The address in the form used in endpoint lists; available once the server has started. */
   public String address() {
-    return LoopbackTransport.text(address);
+    return LoopbackTransport.addressText(address);
   }
 
-  /** Whether it listens. */
-  public boolean running() {
-    return listener != null;
+  /** Whether the server listens. */
+  public boolean isRunning() {
+    return serverChannel != null;
   }
 
-  /** Whether it was pushed over when it was cold. */
-  public boolean fallen() {
-    return fallen;
+  /** Whether the server collapsed under overload during a warm-up. */
+  public boolean collapsed() {
+    return warmUp.collapsed();
   }
 
-  /** Requests that wait or are worked on. */
+  /** Number of requests that are queued or being processed. */
   public int inFlight() {
-    return queue.size() + working;
+    return queuedJobs.size() + busyWorkers;
   }
 
-  /** Connections that are open. */
+  /** Number of open connections. */
   public int connections() {
-    return open.size();
-  }
-
-  /** Answers with a value or a receipt. */
-  public int served() {
-    return served;
+    return connections.size();
   }
 
-  /** Requests turned away without being run. */
-  public int turnedAway() {
-    return turnedAway;
+  /** Number of successful responses: values of reads, and receipts of writes. */
+  public int servedRequests() {
+    return servedRequests;
   }
 
-  /** Reads that found their key here. */
-  public int hits() {
-    return hits;
+  /** Number of requests rejected without being run. */
+  public int rejected() {
+    return rejectedRequests;
   }
 
-  /** Reads that did not. */
-  public int misses() {
-    return misses;
+  /** Number of reads that hit the cache. */
+  public int cacheHits() {
+    return cacheHits;
   }
 
-  /** The part of its capacity that it has now. */
-  private double share() {
-    if (!cold || model.warmSeconds() <= 0) {
-      return 1;
-    }
-    double age = (wire.now() - startedAt) / 1e9;
-    return Math.min(1, model.coldShare() + (1 - model.coldShare()) * age / model.warmSeconds());
+  /** Number of reads that missed the cache. */
+  public int cacheMisses() {
+    return cacheMisses;
   }
 
-  private void accept(Channel channel) {
-    if (open.size() >= model.connections()) {
+  private void onAccepted(Channel channel) {
+    if (connections.size() >= model.maxConnections()) {
       channel.close();
       return;
     }
     Connection connection = new Connection(channel);
-    open.add(connection);
-    channel.closeFuture().addListener(done -> open.remove(connection));
-    connection.pace();
-    channel.pipeline().addLast(connection.gate, new MetaRequest.Decoder(), connection);
+    connections.add(connection);
+    channel.closeFuture().addListener(done -> connections.remove(connection));
+    connection.updateReadMode();
+    channel.pipeline().addLast(connection.inboundBuffer, new MetaRequest.Decoder(), connection);
   }
 
-  /**
-   * Holds back what comes while the machine is silent: a local connection reads once more after it
-   * is told not to.
-   */
-  private final class Gate extends ChannelInboundHandlerAdapter {
-    private final ArrayDeque<Object> held = new ArrayDeque<>();
-
-    @Override
-    public void channelRead(ChannelHandlerContext ctx, Object message) {
-      if (silent) {
-        held.add(message);
-      } else {
-        open(ctx);
-        ctx.fireChannelRead(message);
-      }
-    }
-
-    private void open(ChannelHandlerContext ctx) {
-      for (Object message = held.poll(); message != null; message = held.poll()) {
-        ctx.fireChannelRead(message);
-      }
-    }
-
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-      held.forEach(ReferenceCountUtil::release);
-      held.clear();
-      ctx.fireChannelInactive();
-    }
-  }
-
-  /** One connection, and the answers that it is owed in their order. */
+  /** A connection with its outstanding requests in the order of their arrival. */
   private final class Connection extends SimpleChannelInboundHandler<MetaRequest> {
     private final Channel channel;
-    private final ArrayDeque<Job> order = new ArrayDeque<>();
-    private final Gate gate = new Gate();
+    private final ArrayDeque<Job> outstandingJobs = new ArrayDeque<>();
+    private final InboundBuffer inboundBuffer = new InboundBuffer(() -> unresponsive);
     private boolean stalled;
 
-    /** Since when what comes may have waited to be read, -1 where it is read at once. */
-    private long behindSince = -1;
+    /** Time since which bytes may have been waiting unread; -1 while bytes are read at once. */
+    private long readDelayedSinceNanos = -1;
 
     Connection(Channel channel) {
       this.channel = channel;
@@ -312,101 +266,107 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, MetaRequest request) {
-      long since = behindSince >= 0 ? behindSince : wire.now();
-      ledger.arrived(request.id(), new EffectLog.Arrival(id, group, since));
+      long arrivedAtNanos = readDelayedSinceNanos >= 0 ? readDelayedSinceNanos : transport.nowNanos();
+      effectLog.recordArrival(request.id(), new EffectLog.Arrival(id, group, arrivedAtNanos));
       Job job = new Job(this, request, drawFault());
-      order.add(job);
-      double work = model.meanSeconds() * (0.5 + random.nextDouble());
-      weigh(work);
-      if (job.fault == Fault.BUSY || draining || fallen || queue.size() >= model.queue()) {
-        turnedAway++;
-        job.answer("SERVER_ERROR busy\r\n");
+      outstandingJobs.add(job);
+      double workSeconds = model.meanServiceSeconds() * (0.5 + random.nextDouble());
+      warmUp.checkOverload(workSeconds);
+      if (job.fault == Fault.BUSY
+          || draining
+          || warmUp.collapsed()
+          || queuedJobs.size() >= model.maxQueued()) {
+        rejectedRequests++;
+        job.respond("SERVER_ERROR busy\r\n");
         return;
       }
-      job.seconds = work;
-      queue.add(job);
-      work();
-    }
-
-    /** Reads as it should now: at once, slowly, or not at all. */
-    private void pace() {
-      boolean reads = !silent && slowBytes == 0;
-      channel.config().setAutoRead(reads);
-      if (!reads && behindSince < 0) {
-        behindSince = wire.now();
-      } else if (reads && behindSince >= 0) {
-        ChannelHandlerContext context = channel.pipeline().context(gate);
-        if (context != null) {
-          gate.open(context);
+      job.workSeconds = workSeconds;
+      queuedJobs.add(job);
+      startQueuedJobs();
+    }
+
+    /** Makes the connection read at once, with a limit, or not at all, as currently set. */
+    private void updateReadMode() {
+      boolean autoRead = !unresponsive && readLimitBytes == 0;
+      channel.config().setAutoRead(autoRead);
+      if (!autoRead && readDelayedSinceNanos < 0) {
+        readDelayedSinceNanos = transport.nowNanos();
+      } else if (autoRead && readDelayedSinceNanos >= 0) {
+        ChannelHandlerContext bufferContext = channel.pipeline().context(inboundBuffer);
+        if (bufferContext != null) {
+          inboundBuffer.deliverBufferedData(bufferContext);
         }
-        wire.loop().schedule(this::caughtUp, CATCH_UP_MILLIS, TimeUnit.MILLISECONDS);
+        transport.loop().schedule(this::onCaughtUp, CATCH_UP_MILLIS, TimeUnit.MILLISECONDS);
       }
-      if (slowBytes > 0 && !silent && channel.isActive()) {
-        channel.config().setRecvByteBufAllocator(new FixedRecvByteBufAllocator(slowBytes));
+      if (readLimitBytes > 0 && !unresponsive && channel.isActive()) {
+        channel.config().setRecvByteBufAllocator(new FixedRecvByteBufAllocator(readLimitBytes));
         channel.read();
-        wire.loop().schedule(this::pace, 10, TimeUnit.MILLISECONDS);
+        transport.loop().schedule(this::updateReadMode, 10, TimeUnit.MILLISECONDS);
       }
     }
 
-    private void caughtUp() {
+    private void onCaughtUp() {
       if (channel.config().isAutoRead()) {
-        behindSince = -1;
+        readDelayedSinceNanos = -1;
       }
     }
 
-    /** Gives the answers that are ready, as far as none before them is missing. */
-    private void advance() {
-      for (Job job = order.peek(); job != null && job.answer != null && !stalled; ) {
-        order.poll();
-        ledger.settled(job.request.id());
-        give(job);
-        job = order.peek();
+    /** Sends all ready responses up to the first request without a response. */
+    private void sendReadyResponses() {
+      for (Job job = outstandingJobs.peek(); job != null && job.response != null && !stalled; ) {
+        outstandingJobs.poll();
+        effectLog.recordEnd(job.request.id());
+        sendResponse(job);
+        job = outstandingJobs.peek();
       }
     }
 
-    private void give(Job job) {
-      String answer = job.answer;
-      String half = answer.substring(0, answer.length() / 2);
-      if (cutAt >= 0) {
-        String cut = answer.substring(0, Math.min(cutAt, answer.length()));
-        cutAt = -1;
-        write(cut).addListener(ChannelFutureListener.CLOSE);
+    private void sendResponse(Job job) {
+      String response = job.response;
+      String firstHalf = response.substring(0, response.length() / 2);
+      if (truncateAfterBytes >= 0) {
+        String truncatedResponse =
+            response.substring(0, Math.min(truncateAfterBytes, response.length()));
+        truncateAfterBytes = -1;
+        write(truncatedResponse).addListener(ChannelFutureListener.CLOSE);
         return;
       }
       if (job.fault == null) {
-        write(answer);
+        write(response);
         return;
       }
       switch (job.fault) {
-        case RESET_BEFORE_ANSWER -> channel.close();
-        case RESET_WITHIN_ANSWER -> write(half).addListener(ChannelFutureListener.CLOSE);
-        case CLOSE_AFTER_ANSWER -> write(answer).addListener(ChannelFutureListener.CLOSE);
-        case HALF_ANSWER -> {
-          write(half);
+        case CLOSE_BEFORE_RESPONSE -> channel.close();
+        case CLOSE_WITHIN_RESPONSE -> write(firstHalf).addListener(ChannelFutureListener.CLOSE);
+        case CLOSE_AFTER_RESPONSE -> write(response).addListener(ChannelFutureListener.CLOSE);
+        case HALF_RESPONSE -> {
+          write(firstHalf);
           stalled = true;
         }
         case STALL -> stalled = true;
-        case NOISE -> write("\u0000\u0007?!\u00ff\r\nEND\r\n");
-        case WRONG_ID -> write(answer.replace("O" + job.request.id(), "Oother"));
-        case ENDLESS -> {
+        case GARBAGE -> write("\u0000\u0007?!\u00ff\r\nEND\r\n");
+        case WRONG_ID -> write(response.replace("O" + job.request.id(), "Oother"));
+        case OVERSIZED_RESPONSE -> {
           stalled = true;
           write("VA 3221225472 O" + job.request.id() + "\r\n");
-          endless(ENDLESS_PIECES);
+          sendOversizedValue(OVERSIZED_PIECE_COUNT);
         }
-        case TWICE -> {
-          write(answer);
-          write(answer);
+        case DUPLICATE_RESPONSE -> {
+          write(response);
+          write(response);
         }
-        case TRAILING_NOISE -> write(answer + "\u0001\u0002noise");
+        case TRAILING_GARBAGE -> write(response + "\u0001\u0002noise");
         case ERROR -> write("SERVER_ERROR failed\r\n");
-        default -> write(answer);
+        default -> write(response);
       }
     }
 
-    private void endless(int pieces) {
-      if (pieces > 0 && channel.isActive()) {
-        write("x".repeat(ENDLESS_PIECE_BYTES));
-        wire.loop().schedule(() -> endless(pieces - 1), 5, TimeUnit.MILLISECONDS);
+    private void sendOversizedValue(int remainingPieces) {
+      if (remainingPieces > 0 && channel.isActive()) {
+        write("x".repeat(OVERSIZED_PIECE_BYTES));
+        transport
+            .loop()
+            .schedule(() -> sendOversizedValue(remainingPieces - 1), 5, TimeUnit.MILLISECONDS);
       }
     }
 
@@ -418,78 +378,58 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      order.forEach(job -> ledger.settled(job.request.id()));
-      order.clear();
+      outstandingJobs.forEach(job -> effectLog.recordEnd(job.request.id()));
+      outstandingJobs.clear();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // It closes on what it cannot read, whatever else waits.
+      // Closes the connection on invalid input, even if requests are outstanding.
       ctx.close();
     }
   }
 
   private Fault drawFault() {
     double draw = random.nextDouble();
-    for (var fault : faults.entrySet()) {
-      draw -= fault.getValue();
+    for (var faultShare : faultShares.entrySet()) {
+      draw -= faultShare.getValue();
       if (draw < 0) {
-        return fault.getKey();
+        return faultShare.getKey();
       }
     }
     return null;
   }
 
-  /** Falls over if it is asked for too much for too long while it is cold. */
-  private void weigh(double seconds) {
-    if (model.fallMultiple() <= 0 || !cold || share() >= 1) {
-      return;
-    }
-    long now = wire.now();
-    long window = (long) (model.fallSeconds() * 1e9);
-    asked.add(new Asked(now, seconds));
-    while (now - asked.peek().atNanos() > window) {
-      asked.poll();
-    }
-    double sum = 0;
-    for (Asked work : asked) {
-      sum += work.seconds();
-    }
-    double able = model.workers() * share() * model.fallSeconds();
-    if (now - startedAt >= window && sum > model.fallMultiple() * able) {
-      fallen = true;
-    }
-  }
-
-  private void work() {
-    while (working < model.workers() && !queue.isEmpty()) {
-      Job job = queue.poll();
+  private void startQueuedJobs() {
+    while (busyWorkers < model.workers() && !queuedJobs.isEmpty()) {
+      Job job = queuedJobs.poll();
       if (!job.connection.channel.isActive()) {
-        continue; // Its caller has gone before it began.
+        continue; // The client disconnected before a worker was free.
       }
-      working++;
-      job.begin();
-      long nanos = (long) (job.seconds / share() * 1e9);
-      wire.loop()
+      busyWorkers++;
+      job.start();
+      long serviceNanos = (long) (job.workSeconds / warmUp.capacityShare() * 1e9);
+      transport
+          .loop()
           .schedule(
               () -> {
-                working--;
-                job.worked();
-                work();
+                busyWorkers--;
+                job.onWorkDone();
+                startQueuedJobs();
               },
-              nanos,
+              serviceNanos,
               TimeUnit.NANOSECONDS);
     }
   }
 
-  /** One request on its way through the server. */
+  /** A received request and its response, until the response is sent. */
   private final class Job {
     private final Connection connection;
     private final MetaRequest request;
     private final Fault fault;
-    private double seconds;
+    private double workSeconds;
     private String receipt;
-    private String answer;
+    private String response;
 
     Job(Connection connection, MetaRequest request, Fault fault) {
       this.connection = connection;
@@ -497,62 +437,73 @@
       this.fault = fault;
     }
 
-    void begin() {
-      if (request.write()) {
-        boolean keyed = request.properties().containsKey("k");
-        long window = (long) (model.dedupSeconds() * 1e9);
-        receipt = ledger.carriedOut(request.id(), group, keyed, window, wire.now());
+    void start() {
+      if (request.isWrite()) {
+        boolean hasIdempotencyKey = request.properties().containsKey("k");
+        long windowNanos = (long) (model.dedupWindowSeconds() * 1e9);
+        receipt =
+            effectLog.recordExecution(
+                request.id(), group, hasIdempotencyKey, windowNanos, transport.nowNanos());
         for (StandInServer server : fleet) {
-          server.cache.remove(request.key());
+          server.cachedKeys.remove(request.key());
         }
       }
     }
 
-    void worked() {
-      if (request.write()) {
+    void onWorkDone() {
+      if (request.isWrite()) {
         origin.write(
             () -> {
-              served++;
-              answer("HD O" + request.id() + " c" + receipt + "\r\n");
+              servedRequests++;
+              respond("HD O" + request.id() + " c" + receipt + "\r\n");
             });
-      } else if (cache.containsKey(request.key())) {
-        cache.get(request.key()); // It is the one used last now.
-        hits++;
-        serve("h1");
+      } else if (cachedKeys.containsKey(request.key())) {
+        cachedKeys.get(request.key()); // Marks the key as most recently used.
+        cacheHits++;
+        respondWithValue("h1");
       } else {
-        misses++;
+        cacheMisses++;
         origin.fetch(
             request.key(),
             () -> {
-              keep(request.key());
-              serve("h0");
+              addToCache(request.key());
+              respondWithValue("h0");
             });
       }
     }
 
-    private void serve(String note) {
-      served++;
-      String value = value(request.key(), request.id(), model.valueBytes());
-      answer("VA " + value.length() + " O" + request.id() + " " + note + "\r\n" + value + "\r\n");
+    private void respondWithValue(String cacheStatus) {
+      servedRequests++;
+      String value = makeValue(request.key(), request.id(), model.minValueBytes());
+      respond(
+          "VA "
+              + value.length()
+              + " O"
+              + request.id()
+              + " "
+              + cacheStatus
+              + "\r\n"
+              + value
+              + "\r\n");
     }
 
-    void answer(String text) {
-      answer = text;
-      connection.advance();
+    void respond(String text) {
+      response = text;
+      connection.sendReadyResponses();
     }
   }
 
-  private void keep(String key) {
-    cache.put(key, true);
-    if (cache.size() > model.keys()) {
-      cache.remove(cache.keySet().iterator().next());
+  private void addToCache(String key) {
+    cachedKeys.put(key, true);
+    if (cachedKeys.size() > model.maxKeys()) {
+      cachedKeys.remove(cachedKeys.keySet().iterator().next());
     }
   }
 
-  /** The value that a server makes of a key for the request of this id, so long at least. */
-  static String value(String key, String id, int length) {
+  /** The value of a key as served to the request with this id, padded to a minimum length. */
+  static String makeValue(String key, String id, int minLength) {
     StringBuilder value = new StringBuilder(key).append('|').append(id);
-    while (value.length() < length) {
+    while (value.length() < minLength) {
       value.append('.');
     }
     return value.toString();
--- a/testkit/src/main/java/shalepaddle/testkit/Traffic.java
+++ b/testkit/src/main/java/shalepaddle/testkit/Traffic.java
@@ -3,37 +3,37 @@
 import java.util.List;
 
 /**
- * What {@link StandInClients} ask for.
+ * The load that {@link StandInClients} generate.
  *
- * @param ratePerSecond requests a second; they come at random, one independent of the other
- * @param keys how many different keys there are
- * @param skew the exponent of Zipf's law by which they are drawn, 0 for evenly
- * @param classes the classes of requests
- * @param goneShare the part of requests whose client closes its connection before the answer
+ * @param ratePerSecond requests per second, as a Poisson process
+ * @param keyCount number of different keys
+ * @param zipfExponent exponent of the Zipf distribution from which keys are drawn, 0 for uniform
+ * @param classes the request classes
+ * @param disconnectShare share of the requests whose client disconnects before the response
  */
 public record Traffic(
-    double ratePerSecond, int keys, double skew, List<RequestClass> classes, double goneShare) {
+    double ratePerSecond, int keyCount, double zipfExponent, List<RequestClass> classes, double disconnectShare) {
 
   /**
-   * A class of requests.
+   * A request class.
    *
-   * @param name its name in the settings
-   * @param share its part of all requests
-   * @param write whether it writes
-   * @param keyed whether it carries an idempotency key
-   * @param deadlineMillis how long its clients wait
-   * @param valueBytes length of the values written
+   * @param name name of the class in the settings
+   * @param share share of the class among all requests
+   * @param isWrite whether the requests of the class are writes
+   * @param hasIdempotencyKey whether the requests of the class carry an idempotency key
+   * @param deadlineMillis how long clients wait for a response, in milliseconds
+   * @param valueBytes length of the values written, in bytes
    */
   public record RequestClass(
       String name,
       double share,
-      boolean write,
-      boolean keyed,
+      boolean isWrite,
+      boolean hasIdempotencyKey,
       int deadlineMillis,
       int valueBytes) {}
 
-  /** The same at another rate. */
-  public Traffic at(double rate) {
-    return new Traffic(rate, keys, skew, classes, goneShare);
+  /** A copy with this rate in requests per second. */
+  public Traffic withRate(double ratePerSecond) {
+    return new Traffic(ratePerSecond, keyCount, zipfExponent, classes, disconnectShare);
   }
 }
--- a/testkit/src/main/java/shalepaddle/testkit/package-info.java
+++ b/testkit/src/main/java/shalepaddle/testkit/package-info.java
@@ -1,11 +1,11 @@
 /**
- * Stand-ins for everything that a load balancer talks to: cache servers that read through, their
- * origin, discovery, and clients; each with faults that can be switched on while it runs. They
- * speak the published protocols with code of their own, so that a mistake of the load balancer's is
- * not made here as well, and know nothing of it.
+ * Stand-ins for everything that a load balancer talks to: read-through cache servers, their origin,
+ * discovery, and clients. Faults can be injected into each while it runs. The stand-ins implement
+ * the published protocols in code of their own and don't depend on the load balancer, so that a
+ * mistake in its code is not repeated here.
  *
- * <p>All of it runs on the one event loop of a {@link shalepaddle.testkit.LoopbackTransport}: over
- * loopback sockets in real time, or within one process in virtual time. All that is drawn is drawn
- * from seeds. Methods are to be called on that loop unless they say otherwise.
+ * <p>All of them run on the event loop of a {@link shalepaddle.testkit.LoopbackTransport}, either
+ * over loopback sockets in real time or within one process in virtual time. All random numbers are
+ * drawn from seeds. Methods must be called on that event loop unless documented otherwise.
  */
 package shalepaddle.testkit;
--- a/testkit/src/test/java/shalepaddle/testkit/SharedResponseCheckTest.java
+++ b/testkit/src/test/java/shalepaddle/testkit/SharedResponseCheckTest.java
@@ -6,52 +6,54 @@
 import org.junit.jupiter.api.Test;
 
 class SharedResponseCheckTest {
-  private static final long MILLI = 1_000_000;
-  private static final SharedResponseCheck.Paused NEVER = (begin, end) -> 0;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final SharedResponseCheck.PauseLookup NOT_PAUSED = (beginNanos, endNanos) -> 0;
 
-  private final SharedResponseCheck answers = new SharedResponseCheck();
+  private final SharedResponseCheck check = new SharedResponseCheck();
 
-  private void read(String id, String target, String key, long millis) {
-    answers.read(id, target, key, "read", millis * MILLI);
+  private void recordRead(String id, String target, String key, long atMillis) {
+    check.recordRead(id, target, key, "read", atMillis * NANOS_PER_MILLI);
   }
 
   @Test
-  void aLikeReadsValueIsRight() {
-    read("a", "n0", "k", 0);
-    read("b", "n0", "k", 10);
-    assertNull(answers.wrong("b", "k|a....", NEVER));
-    assertNull(answers.wrong("b", "k|b", NEVER));
-    assertNull(answers.wrong("a", "k|b", NEVER), "made in the name of one that came later");
+  void findViolationAcceptsValueOfEqualRead() {
+    recordRead("a", "n0", "k", 0);
+    recordRead("b", "n0", "k", 10);
+    assertNull(check.findViolation("b", "k|a....", NOT_PAUSED));
+    assertNull(check.findViolation("b", "k|b", NOT_PAUSED));
+    assertNull(check.findViolation("a", "k|b", NOT_PAUSED), "value of an equal read that was sent later");
   }
 
   @Test
-  void anotherKeysOrTargetsOrClassesValueIsWrong() {
-    read("a", "n0", "other", 0);
-    read("b", "n1", "k", 0);
-    answers.read("c", "n0", "k", "scan", 0);
-    read("r", "n0", "k", 10);
-    assertEquals("served with another key's value", answers.wrong("r", "other|a", NEVER));
-    for (String maker : new String[] {"a", "b", "c", "unknown"}) {
+  void findViolationRejectsValueOfOtherKeyTargetOrClass() {
+    recordRead("a", "n0", "other", 0);
+    recordRead("b", "n1", "k", 0);
+    check.recordRead("c", "n0", "k", "scan", 0);
+    recordRead("r", "n0", "k", 10);
+    assertEquals("served with another key's value", check.findViolation("r", "other|a", NOT_PAUSED));
+    for (String sourceId : new String[] {"a", "b", "c", "unknown"}) {
       assertEquals(
-          "served with the value of " + maker + ", which is no like read",
-          answers.wrong("r", "k|" + maker, NEVER));
+          "served with the value of " + sourceId + ", which is not an equal read",
+          check.findViolation("r", "k|" + sourceId, NOT_PAUSED));
     }
-    assertEquals("served with another key's value", answers.wrong("r", "noise", NEVER));
+    assertEquals("served with another key's value", check.findViolation("r", "noise", NOT_PAUSED));
   }
 
   @Test
-  void whatWasAskedForBeforeAWriteIsWrongAfterIt() {
-    read("a", "n0", "k", 0);
-    answers.wrote("w0", "n0", "k", 5 * MILLI);
-    answers.wrote("w1", "n0", "other", 15 * MILLI);
-    answers.wrote("w2", "n0", "k", 15 * MILLI);
-    answers.wrote("w2", "n1", "k", 15 * MILLI);
-    read("b", "n0", "k", 10);
-    read("c", "n0", "k", 20);
+  void findViolationRejectsValueRequestedBeforeWriteThatPrecedesRead() {
+    recordRead("a", "n0", "k", 0);
+    check.recordWrite("w0", "n0", "k", 5 * NANOS_PER_MILLI);
+    check.recordWrite("w1", "n0", "other", 15 * NANOS_PER_MILLI);
+    check.recordWrite("w2", "n0", "k", 15 * NANOS_PER_MILLI);
+    check.recordWrite("w2", "n1", "k", 15 * NANOS_PER_MILLI);
+    recordRead("b", "n0", "k", 10);
+    recordRead("c", "n0", "k", 20);
     assertEquals(
-        "served with the value of a, asked for before a write that came first",
-        answers.wrong("b", "k|a", NEVER));
-    assertNull(answers.wrong("c", "k|b", NEVER));
-    assertNull(answers.wrong("b", "k|a", (begin, end) -> 1), "their order is not known");
+        "served with the value of a, requested before a write that preceded this read",
+        check.findViolation("b", "k|a", NOT_PAUSED));
+    assertNull(check.findViolation("c", "k|b", NOT_PAUSED));
+    assertNull(
+        check.findViolation("b", "k|a", (beginNanos, endNanos) -> 1),
+        "value of an equal read, whose order with the write is unknown because of a pause");
   }
 }
--- a/testkit/src/test/java/shalepaddle/testkit/StandInServerTest.java
+++ b/testkit/src/test/java/shalepaddle/testkit/StandInServerTest.java
@@ -22,42 +22,43 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a stand-in server does with requests that are written to it byte by byte. */
+/** Sends protocol bytes to a stand-in server, and checks its responses and injected faults. */
 class StandInServerTest {
   private final MockTicker ticker = Ticker.newMockTicker();
   private final ManualIoEventLoop loop =
       new ManualIoEventLoop(null, Thread.currentThread(), LocalIoHandler.newFactory(), ticker);
-  private final LoopbackTransport wire =
+  private final LoopbackTransport transport =
       LoopbackTransport.local(loop, new UnpooledByteBufAllocator(false, true));
-  private final EffectLog ledger = new EffectLog();
+  private final EffectLog effectLog = new EffectLog();
   private final List<StandInServer> fleet = new ArrayList<>();
-  private final StandInOrigin origin = new StandInOrigin(wire, 1, 4, 0.02);
-  private final StandInServer server = server("s1", ServerModel.usual());
+  private final StandInOrigin origin = new StandInOrigin(transport, 1, 4, 0.02);
+  private final StandInServer server = startServer("s1", ServerModel.defaults());
 
-  private StandInServer server(String id, ServerModel model) {
-    StandInServer server = new StandInServer(wire, id, "a", model, origin, ledger, fleet, 7);
+  private StandInServer startServer(String id, ServerModel model) {
+    StandInServer server =
+        new StandInServer(transport, id, "a", model, origin, effectLog, fleet, 7);
     server.start();
-    pass(1);
+    advance(1);
     return server;
   }
 
-  private void pass(int millis) {
+  private void advance(int millis) {
     for (int i = 0; i < millis; i++) {
       while (loop.runNow() > 0) {
-        // Until nothing is left to do at this moment.
+        // Runs until no work is left at the current time.
       }
       ticker.advanceMillis(1);
     }
   }
 
-  /** A node's end of a connection. */
+  /** A load balancer's end of a connection. */
   private final class Node extends SimpleChannelInboundHandler<ByteBuf> {
-    final StringBuilder got = new StringBuilder();
+    final StringBuilder receivedText = new StringBuilder();
     final Channel channel;
 
-    Node(StandInServer to) {
+    Node(StandInServer target) {
       channel =
-          wire.connector()
+          transport.connector()
               .handler(
                   new ChannelInitializer<>() {
                     @Override
@@ -65,173 +66,188 @@
                       channel.pipeline().addLast(Node.this);
                     }
                   })
-              .connect(new LocalAddress(to.address()))
+              .connect(new LocalAddress(target.address()))
               .channel();
-      pass(1);
+      advance(1);
     }
 
     Node send(String text) {
       ByteBuf bytes = channel.alloc().buffer();
       bytes.writeCharSequence(text, StandardCharsets.ISO_8859_1);
       channel.writeAndFlush(bytes);
-      pass(100);
+      advance(100);
       return this;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
-      got.append(bytes.toString(StandardCharsets.ISO_8859_1));
+      receivedText.append(bytes.toString(StandardCharsets.ISO_8859_1));
     }
   }
 
-  private static String get(String id) {
+  private static String readCommand(String id) {
     return "mg key v O" + id + " Pc=read,d=500\r\n";
   }
 
-  private static String put(String id, String more) {
-    return "ms key 5 O" + id + " Pc=put,d=500" + more + "\r\nvalue\r\n";
+  private static String writeCommand(String id, String extraProperties) {
+    return "ms key 5 O" + id + " Pc=put,d=500" + extraProperties + "\r\nvalue\r\n";
   }
 
   @Test
-  void fetchesWhatItLacksOnceAndServesItThen() {
-    Node node = new Node(server).send(get("a1")).send(get("a2"));
+  void fetchesOnMissAndServesNextReadFromCache() {
+    Node node = new Node(server).send(readCommand("a1")).send(readCommand("a2"));
     assertEquals(
         "VA 16 Oa1 h0\r\nkey|a1..........\r\nVA 16 Oa2 h1\r\nkey|a2..........\r\n",
-        node.got.toString());
+        node.receivedText.toString());
     assertEquals(1, origin.fetches("key"));
   }
 
   @Test
-  void twoMissesOnOneKeyFetchTwice() {
-    new Node(server).send(get("a1") + get("a2"));
+  void fetchesTwiceOnConcurrentMissesOfOneKey() {
+    new Node(server).send(readCommand("a1") + readCommand("a2"));
     assertEquals(2, origin.fetches("key"));
   }
 
   @Test
-  void aWriteTakesEffectOnceAndVoidsTheCopiesOfItsKeyEverywhere() {
-    StandInServer other = server("s2", ServerModel.usual());
-    Node node = new Node(other).send(get("a1"));
-    Node writer = new Node(server).send(put("w1", ""));
-    assertEquals("HD Ow1 c" + ledger.of("w1").receipt() + "\r\n", writer.got.toString());
-    assertEquals(1, ledger.of("w1").effects());
-    node.send(get("a2"));
+  void writeTakesEffectOnceAndRemovesCopiesAtAllServers() {
+    StandInServer otherServer = startServer("s2", ServerModel.defaults());
+    Node node = new Node(otherServer).send(readCommand("a1"));
+    Node writingNode = new Node(server).send(writeCommand("w1", ""));
+    assertEquals(
+        "HD Ow1 c" + effectLog.entryOf("w1").receipt() + "\r\n", writingNode.receivedText.toString());
+    assertEquals(1, effectLog.entryOf("w1").effectCount());
+    node.send(readCommand("a2"));
     assertEquals(2, origin.fetches("key"));
   }
 
   @Test
-  void repeatsOfAKeyedWriteAreDroppedWithinTheWindowAlone() {
-    Node node = new Node(server).send(put("w1", ",k=5c0f")).send(put("w1", ",k=5c0f"));
-    assertEquals(1, ledger.of("w1").effects());
-    pass(6000);
-    node.send(put("w1", ",k=5c0f"));
-    assertEquals(2, ledger.of("w1").effects());
-    new Node(server).send(put("w2", "")).send(put("w2", ""));
-    assertEquals(2, ledger.of("w2").effects());
+  void dropsRepeatsOfWriteWithIdempotencyKeyOnlyWithinWindow() {
+    Node node =
+        new Node(server).send(writeCommand("w1", ",k=5c0f")).send(writeCommand("w1", ",k=5c0f"));
+    assertEquals(1, effectLog.entryOf("w1").effectCount());
+    advance(6000);
+    node.send(writeCommand("w1", ",k=5c0f"));
+    assertEquals(2, effectLog.entryOf("w1").effectCount());
+    new Node(server).send(writeCommand("w2", "")).send(writeCommand("w2", ""));
+    assertEquals(2, effectLog.entryOf("w2").effectCount());
   }
 
   @ParameterizedTest
   @CsvSource({
-    "RESET_BEFORE_ANSWER, '', false, 1",
-    "RESET_WITHIN_ANSWER, 'HD O', false, 1",
-    "CLOSE_AFTER_ANSWER, 'HD Ow1 c', false, 1",
-    "HALF_ANSWER, 'HD O', true, 1",
+    "CLOSE_BEFORE_RESPONSE, '', false, 1",
+    "CLOSE_WITHIN_RESPONSE, 'HD O', false, 1",
+    "CLOSE_AFTER_RESPONSE, 'HD Ow1 c', false, 1",
+    "HALF_RESPONSE, 'HD O', true, 1",
     "STALL, '', true, 1",
     "WRONG_ID, 'HD Oother c', true, 1",
-    "ENDLESS, 'VA 3221225472 Ow1', true, 1",
+    "OVERSIZED_RESPONSE, 'VA 3221225472 Ow1', true, 1",
     "ERROR, 'SERVER_ERROR failed', true, 1",
     "BUSY, 'SERVER_ERROR busy', true, 0",
   })
-  void aFaultIsWhatItsNameSays(Fault fault, String begin, boolean open, int effects) {
-    server.fault(fault, 1);
-    Node node = new Node(server).send(put("w1", ""));
-    assertTrue(node.got.toString().startsWith(begin), node.got.toString());
-    assertEquals(begin.isEmpty(), node.got.isEmpty());
-    assertEquals(open, node.channel.isActive());
-    assertEquals(effects, ledger.of("w1").effects());
+  void injectFaultChangesResponseToWrite(
+      Fault fault, String expectedPrefix, boolean expectedConnectionOpen, int expectedEffects) {
+    server.injectFault(fault, 1);
+    Node node = new Node(server).send(writeCommand("w1", ""));
+    assertTrue(
+        node.receivedText.toString().startsWith(expectedPrefix), node.receivedText.toString());
+    assertEquals(expectedPrefix.isEmpty(), node.receivedText.isEmpty());
+    assertEquals(expectedConnectionOpen, node.channel.isActive());
+    assertEquals(expectedEffects, effectLog.entryOf("w1").effectCount());
   }
 
   @Test
-  void anAnswerIsGivenTwiceOrWithBytesBehindIt() {
-    server.fault(Fault.TWICE, 1);
-    String one = "HD Ow1 c1\r\n";
-    assertEquals(one + one, new Node(server).send(put("w1", "")).got.toString());
-    server.mend();
-    server.fault(Fault.TRAILING_NOISE, 1);
+  void injectFaultSendsResponseTwiceOrWithTrailingGarbage() {
+    server.injectFault(Fault.DUPLICATE_RESPONSE, 1);
+    String oneResponse = "HD Ow1 c1\r\n";
+    assertEquals(
+        oneResponse + oneResponse,
+        new Node(server).send(writeCommand("w1", "")).receivedText.toString());
+    server.clearFaults();
+    server.injectFault(Fault.TRAILING_GARBAGE, 1);
     assertTrue(
-        new Node(server).send(put("w2", "")).got.toString().startsWith("HD Ow2 c2\r\n\u0001"));
+        new Node(server)
+            .send(writeCommand("w2", ""))
+            .receivedText
+            .toString()
+            .startsWith("HD Ow2 c2\r\n\u0001"));
   }
 
   @Test
-  void anAnswerIsCutOffAtAByte() {
-    server.resetAtByte(5);
-    Node node = new Node(server).send(put("w1", ""));
-    assertEquals("HD Ow", node.got.toString());
+  void truncateNextResponseSendsTruncatedResponseAndClosesConnection() {
+    server.truncateNextResponse(5);
+    Node node = new Node(server).send(writeCommand("w1", ""));
+    assertEquals("HD Ow", node.receivedText.toString());
     assertFalse(node.channel.isActive());
   }
 
   @Test
-  void aSilentMachineReadsNothingUntilItIsBack() {
+  void readsNothingWhileUnresponsiveAndCatchesUpAfterwards() {
     Node node = new Node(server);
-    server.silent(true);
-    node.send(put("w1", ""));
-    assertEquals(0, ledger.of("w1").effects());
+    server.setUnresponsive(true);
+    node.send(writeCommand("w1", ""));
+    assertEquals(0, effectLog.entryOf("w1").effectCount());
     assertTrue(node.channel.isActive());
-    server.silent(false);
-    pass(200);
-    assertEquals(1, ledger.of("w1").effects());
+    server.setUnresponsive(false);
+    advance(200);
+    assertEquals(1, effectLog.entryOf("w1").effectCount());
   }
 
   @Test
-  void aSlowReaderTakesAFewBytesAtATime() {
-    server.slowReader(4);
+  void limitReadBytesStillServesWriteReadInSmallPieces() {
+    server.limitReadBytes(4);
     Node node = new Node(server).send("m").send("s key 5 Ow1 Pc=put,d=500\r\nva").send("lue\r\n");
-    pass(500);
-    assertTrue(node.got.toString().startsWith("HD Ow1"), node.got.toString());
+    advance(500);
+    assertTrue(node.receivedText.toString().startsWith("HD Ow1"), node.receivedText.toString());
   }
 
   @Test
-  void whatWaitsWhenItsConnectionEndsNeverRuns() {
-    ServerModel one = ServerModel.usual().working(1, 0.05);
-    StandInServer slow = server("s2", one);
-    Node node = new Node(slow);
-    ByteBuf both = node.channel.alloc().buffer();
-    both.writeCharSequence(put("w1", "") + put("w2", ""), StandardCharsets.ISO_8859_1);
-    node.channel.writeAndFlush(both);
-    pass(2);
+  void neverRunsQueuedRequestWhoseConnectionCloses() {
+    ServerModel oneWorkerModel = ServerModel.defaults().withWorkers(1, 0.05);
+    StandInServer slowServer = startServer("s2", oneWorkerModel);
+    Node node = new Node(slowServer);
+    ByteBuf twoWrites = node.channel.alloc().buffer();
+    twoWrites.writeCharSequence(
+        writeCommand("w1", "") + writeCommand("w2", ""), StandardCharsets.ISO_8859_1);
+    node.channel.writeAndFlush(twoWrites);
+    advance(2);
     node.channel.close();
-    pass(500);
-    assertEquals(1, ledger.of("w1").effects());
-    assertEquals(0, ledger.of("w2").effects());
-    assertEquals(1, ledger.of("w2").arrivals().size());
+    advance(500);
+    assertEquals(1, effectLog.entryOf("w1").effectCount());
+    assertEquals(0, effectLog.entryOf("w2").effectCount());
+    assertEquals(1, effectLog.entryOf("w2").arrivals().size());
   }
 
   @ParameterizedTest
   @CsvSource({"8, false", "60, true"})
-  void aColdServerIsPushedOverByWhatIsTooMuchForIt(int requestsPerSecond, boolean fallen) {
-    // Four workers and 20 ms of work: 200 a second when warm, 24 when it starts, and thrice that.
-    StandInServer cold = server("s2", ServerModel.usual().working(4, 0.02).cold(0.12, 1000, 3, 2));
-    cold.kill();
-    cold.startCold();
-    pass(1);
-    Node node = new Node(cold);
+  void collapsesOnlyUnderOverloadWhileCold(int requestsPerSecond, boolean expectedCollapse) {
+    // Four workers and 20 ms per request: 200 requests per second when warm, and 12 % of that, 24,
+    // right after the cold start. The server collapses if it receives more than three times its
+    // current capacity.
+    StandInServer coldServer =
+        startServer("s2", ServerModel.defaults().withWorkers(4, 0.02).withColdStart(0.12, 1000, 3, 2));
+    coldServer.kill();
+    coldServer.startCold();
+    advance(1);
+    Node node = new Node(coldServer);
     for (int i = 0; i < 40; i++) {
       StringBuilder burst = new StringBuilder();
       for (int j = 0; j < requestsPerSecond / 4; j++) {
-        burst.append(get("r" + i + "x" + j));
+        burst.append(readCommand("r" + i + "x" + j));
       }
       node.send(burst.toString());
     }
-    assertEquals(fallen, cold.fallen());
+    assertEquals(expectedCollapse, coldServer.collapsed());
   }
 
   @Test
-  void aDeadServerRefusesConnectionsAndComesBackEmpty() {
-    new Node(server).send(get("a1"));
+  void refusesConnectionsWhenKilledAndRestartsWithEmptyCache() {
+    new Node(server).send(readCommand("a1"));
     server.kill();
-    pass(1);
+    advance(1);
     assertFalse(new Node(server).channel.isActive());
     server.startCold();
-    pass(1);
-    assertTrue(new Node(server).send(get("a2")).got.toString().contains(" h0\r\n"));
+    advance(1);
+    assertTrue(
+        new Node(server).send(readCommand("a2")).receivedText.toString().contains(" h0\r\n"));
   }
 }
