--- a/benchmarks/src/main/java/shalepaddle/benchmarks/AfterTrigger.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/AfterTrigger.java
@@ -49,7 +49,7 @@
   /** Timeline steps of 0.1 s over which goodput is averaged, since single steps vary too much. */
   private static final int AVERAGED_STEPS = 10;
 
-  @Mixin private Nodes nodes;
+  @Mixin private NodeOptions nodes;
 
   @Option(
       names = "--times",
@@ -62,8 +62,10 @@
       split = ",",
       description =
           "How clients retry refused requests: ${COMPLETION-CANDIDATES} (default: all but NEVER).")
-  private OpenLoad.Again[] retryPolicies = {
-    OpenLoad.Again.AT_ONCE, OpenLoad.Again.ADVISED, OpenLoad.Again.BACK_OFF
+  private OpenLoopLoad.RetryPolicy[] retryPolicies = {
+    OpenLoopLoad.RetryPolicy.AT_ONCE,
+    OpenLoopLoad.RetryPolicy.ADVISED,
+    OpenLoopLoad.RetryPolicy.BACK_OFF
   };
 
   @Option(names = "--connections", description = "Client connections (default: ${DEFAULT-VALUE}).")
@@ -92,8 +94,8 @@
   private record NodeRun(
       String name,
       double capacityMultiple,
-      OpenLoad.Again retryPolicy,
-      OpenLoad.Result result,
+      OpenLoopLoad.RetryPolicy retryPolicy,
+      OpenLoopLoad.Result result,
       double usualGoodput) {
 
     /**
@@ -117,22 +119,22 @@
 
   @Override
   public Integer call() throws Exception {
-    try (Servers servers = new Servers(8, 100)) {
-      int port = Subject.freePort();
-      List<Subject> processes = nodes.subjects(port, servers);
+    try (StubCacheServers servers = new StubCacheServers(8, 100)) {
+      int port = MeasuredProcess.findFreePort();
+      List<MeasuredProcess> processes = nodes.processes(port, servers);
       // All nodes get the same load, in multiples of the lowest capacity, to compare their curves.
       double minCapacityPerSecond = Double.POSITIVE_INFINITY;
-      for (Subject process : processes) {
-        try (Subject.Running runningNode = nodes.start(process, port)) {
-          double capacityPerSecond = Load.run(port, 64, 6, 5).perSecond();
+      for (MeasuredProcess process : processes) {
+        try (MeasuredProcess.RunningProcess runningNode = nodes.start(process, port)) {
+          double capacityPerSecond = ClosedLoopLoad.run(port, 64, 6, 5).servedPerSecond();
           System.out.printf(
               Locale.ROOT, "%-8s capacity %.0f requests/s%n", process.name(), capacityPerSecond);
           minCapacityPerSecond = Math.min(minCapacityPerSecond, capacityPerSecond);
         }
       }
       for (double capacityMultiple : multiples) {
-        for (OpenLoad.Again retryPolicy : retryPolicies) {
-          for (Subject process : processes) {
+        for (OpenLoopLoad.RetryPolicy retryPolicy : retryPolicies) {
+          for (MeasuredProcess process : processes) {
             runNode(process, port, capacityMultiple, minCapacityPerSecond, retryPolicy);
           }
         }
@@ -145,14 +147,14 @@
   }
 
   private void runNode(
-      Subject process,
+      MeasuredProcess process,
       int port,
       double capacityMultiple,
       double capacityPerSecond,
-      OpenLoad.Again retryPolicy)
+      OpenLoopLoad.RetryPolicy retryPolicy)
       throws Exception {
     double usualRequestsPerSecond = capacityPerSecond * capacityMultiple;
-    OpenLoad.Rate rate =
+    OpenLoopLoad.Rate rate =
         elapsedNanos -> {
           double seconds = elapsedNanos / 1e9;
           return seconds >= BURST_START_SECONDS && seconds < BURST_END_SECONDS
@@ -160,16 +162,16 @@
               : usualRequestsPerSecond;
         };
     ScheduledExecutorService signalScheduler = Executors.newSingleThreadScheduledExecutor();
-    try (Subject.Running runningNode = nodes.start(process, port)) {
+    try (MeasuredProcess.RunningProcess runningNode = nodes.start(process, port)) {
       signalScheduler.schedule(
-          () -> runningNode.signal("STOP"), PAUSE_START_SECONDS, TimeUnit.SECONDS);
+          () -> runningNode.sendSignal("STOP"), PAUSE_START_SECONDS, TimeUnit.SECONDS);
       signalScheduler.schedule(
-          () -> runningNode.signal("CONT"), PAUSE_END_SECONDS, TimeUnit.SECONDS);
-      OpenLoad.Result result =
-          OpenLoad.run(
+          () -> runningNode.sendSignal("CONT"), PAUSE_END_SECONDS, TimeUnit.SECONDS);
+      OpenLoopLoad.Result result =
+          OpenLoopLoad.run(
               port,
               connections,
-              new OpenLoad.Manner(rate, writeRatio, retryPolicy, maxRetries, 1),
+              new OpenLoopLoad.Workload(rate, writeRatio, retryPolicy, maxRetries, 1),
               0,
               RUN_SECONDS);
       double usualGoodput =
@@ -192,15 +194,13 @@
           usualGoodput,
           usualGoodput / (usualRequestsPerSecond * (2 * (1 - writeRatio) + 5 * writeRatio)),
           Arrays.stream(
-                  result.timeline().refusals(),
-                  10 * USUAL_START_SECONDS,
-                  10 * PAUSE_START_SECONDS)
+                  result.timeline().refusals(), 10 * USUAL_START_SECONDS, 10 * PAUSE_START_SECONDS)
               .average()
               .orElse(0),
           run.recoverySeconds(0, PAUSE_START_SECONDS),
           run.recoverySeconds(PAUSE_END_SECONDS, BURST_START_SECONDS),
           run.recoverySeconds(BURST_END_SECONDS, RUN_SECONDS),
-          100 * result.writesInTimePart());
+          100 * result.writesInTimeRatio());
     } finally {
       signalScheduler.shutdownNow();
     }
@@ -209,7 +209,7 @@
   private void drawCharts() throws IOException {
     List<XYChart> charts = new ArrayList<>();
     for (double capacityMultiple : multiples) {
-      for (OpenLoad.Again retryPolicy : retryPolicies) {
+      for (OpenLoopLoad.RetryPolicy retryPolicy : retryPolicies) {
         charts.add(createChart(capacityMultiple, retryPolicy));
       }
     }
@@ -222,7 +222,7 @@
     System.out.println("drawn: " + chartFile);
   }
 
-  private XYChart createChart(double capacityMultiple, OpenLoad.Again retryPolicy) {
+  private XYChart createChart(double capacityMultiple, OpenLoopLoad.RetryPolicy retryPolicy) {
     XYChart chart =
         new XYChartBuilder()
             .width(460)
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/BesideRelay.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/BesideRelay.java
@@ -26,7 +26,7 @@
    */
   private static final double MAX_REFUSED_RATIO = 0.01;
 
-  @Mixin private Nodes nodes;
+  @Mixin private NodeOptions nodes;
 
   @Option(
       names = "--rounds",
@@ -58,13 +58,13 @@
 
   @Override
   public Integer call() throws Exception {
-    try (Servers servers = new Servers(8, valueBytes)) {
-      int port = Subject.freePort();
-      List<Subject> processes = new ArrayList<>();
+    try (StubCacheServers servers = new StubCacheServers(8, valueBytes)) {
+      int port = MeasuredProcess.findFreePort();
+      List<MeasuredProcess> processes = new ArrayList<>();
       processes.add(createRelay(port, servers));
-      processes.addAll(nodes.subjects(port, servers));
+      processes.addAll(nodes.processes(port, servers));
       for (int round = 1; round <= rounds; round++) {
-        for (Subject process : processes) {
+        for (MeasuredProcess process : processes) {
           measure(round, process, port);
         }
       }
@@ -79,7 +79,7 @@
     return 0;
   }
 
-  private Subject createRelay(int port, Servers servers) {
+  private MeasuredProcess createRelay(int port, StubCacheServers servers) {
     List<String> arguments =
         new ArrayList<>(
             List.of(
@@ -88,17 +88,18 @@
                 Relay.class.getName(),
                 Integer.toString(port)));
     servers.ports().forEach(server -> arguments.add(Integer.toString(server)));
-    return Subject.java("relay", arguments);
+    return MeasuredProcess.javaProcess("relay", arguments);
   }
 
-  private void measure(int round, Subject process, int port) throws Exception {
+  private void measure(int round, MeasuredProcess process, int port) throws Exception {
     long startNanos = System.nanoTime();
-    try (Subject.Running runningProcess = nodes.start(process, port)) {
+    try (MeasuredProcess.RunningProcess runningProcess = nodes.start(process, port)) {
       double startupMillis = (System.nanoTime() - startNanos) / 1e6;
       double megabytes = runningProcess.residentMegabytes();
-      Load.Result result = Load.run(port, connections, warmSeconds, measuredSeconds);
-      addFigure(servedPerSecondByName, process.name(), result.perSecond());
-      invalidMeasurementCount += result.refusedPart() > MAX_REFUSED_RATIO ? 1 : 0;
+      ClosedLoopLoad.Result result =
+          ClosedLoopLoad.run(port, connections, warmSeconds, measuredSeconds);
+      addFigure(servedPerSecondByName, process.name(), result.servedPerSecond());
+      invalidMeasurementCount += result.refusedRatio() > MAX_REFUSED_RATIO ? 1 : 0;
       addFigure(startupMillisByName, process.name(), startupMillis);
       addFigure(memoryMegabytesByName, process.name(), megabytes);
       System.out.printf(
@@ -106,10 +107,10 @@
               + "  %4.0f MB%n",
           round,
           process.name(),
-          result.perSecond(),
+          result.servedPerSecond(),
           result.p99Micros(),
-          result.refused(),
-          100 * result.refusedPart(),
+          result.refusedCount(),
+          100 * result.refusedRatio(),
           startupMillis,
           megabytes);
     }
@@ -133,10 +134,10 @@
       System.out.printf(
           "%-10s ratio to the relay %s   requests/s %s   start ms %s   MB %s%n",
           name,
-          Figures.spread(ratiosToRelay, "%.3f"),
-          Figures.spread(servedPerSecondByName.get(name), "%.0f"),
-          Figures.spread(startupMillisByName.get(name), "%.0f"),
-          Figures.spread(memoryMegabytesByName.get(name), "%.1f"));
+          Figures.medianAndRange(ratiosToRelay, "%.3f"),
+          Figures.medianAndRange(servedPerSecondByName.get(name), "%.0f"),
+          Figures.medianAndRange(startupMillisByName.get(name), "%.0f"),
+          Figures.medianAndRange(memoryMegabytesByName.get(name), "%.1f"));
     }
   }
 }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Load.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/ClosedLoopLoad.java
@@ -22,7 +22,7 @@
 import org.HdrHistogram.SynchronizedHistogram;
 
 /** Closed-loop load generator: each connection sends its next request once it has an answer. */
-final class Load {
+final class ClosedLoopLoad {
   private static final int KEY_COUNT = 5000;
 
   private final LongAdder servedCount = new LongAdder();
@@ -33,17 +33,17 @@
   /**
    * The result of the time that was measured, without the warm-up.
    *
-   * @param perSecond values received per second
+   * @param servedPerSecond values received per second
    * @param p99Micros 99th percentile of the response time of values
-   * @param refused the number of answers without a value
-   * @param refusedPart the fraction of answers without a value
+   * @param refusedCount the number of answers without a value
+   * @param refusedRatio the fraction of answers without a value
    */
-  record Result(double perSecond, long p99Micros, long refused, double refusedPart) {}
+  record Result(double servedPerSecond, long p99Micros, long refusedCount, double refusedRatio) {}
 
   /** Generates load over this many connections, first for warm-up and then measured. */
   static Result run(int port, int connections, int warmSeconds, int measuredSeconds)
       throws InterruptedException {
-    return new Load().runClients(port, connections, warmSeconds, measuredSeconds);
+    return new ClosedLoopLoad().runClients(port, connections, warmSeconds, measuredSeconds);
   }
 
   private Result runClients(int port, int connections, int warmSeconds, int measuredSeconds)
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/ColdCaches.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/ColdCaches.java
@@ -123,23 +123,25 @@
     List<StandInServer> fleet = new ArrayList<>();
     try {
       for (int i = 0; i < SERVER_COUNT; i++) {
-        new StandInServer(transport, "s" + i, "a", ServerModel.defaults(), origin, effects, fleet, i)
+        new StandInServer(
+                transport, "s" + i, "a", ServerModel.defaults(), origin, effects, fleet, i)
             .start()
             .sync();
       }
-      int port = Subject.freePort();
+      int port = MeasuredProcess.findFreePort();
       Path configFile = directory.resolve(nodeName + ".json");
       List<Integer> ports =
           fleet.stream()
               .map(server -> Integer.parseInt(server.address().split(":", 0)[1]))
               .toList();
-      Files.writeString(configFile, Subject.config(port, ports));
+      Files.writeString(configFile, MeasuredProcess.createNodeConfig(port, ports));
       String[] arguments =
           operatorFile == null
               ? new String[0]
               : new String[] {"--operator", operatorFile.toString()};
-      try (Subject.Running runningNode =
-          Subject.node(nodeName, Path.of(""), configFile, arguments).start(core, port)) {
+      try (MeasuredProcess.RunningProcess runningNode =
+          MeasuredProcess.nodeProcess(nodeName, Path.of(""), configFile, arguments)
+              .start(core, port)) {
         Measurement measurement =
             runClients(transport, loop, effects, origin, port, round, operatorFile != null);
         measurementsByNode.computeIfAbsent(nodeName, n -> new ArrayList<>()).add(measurement);
@@ -187,7 +189,8 @@
     }
     loop.submit(
             () -> {
-              clients.addTarget("node", new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+              clients.addTarget(
+                  "node", new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
               clients.run(measuredSeconds * 1000L);
             })
         .sync();
@@ -236,7 +239,8 @@
 
   private static String medianAndRange(
       List<Measurement> measurements, ToDoubleFunction<Measurement> figure) {
-    return Figures.spread(measurements.stream().mapToDouble(figure).boxed().toList(), "%.0f");
+    return Figures.medianAndRange(
+        measurements.stream().mapToDouble(figure).boxed().toList(), "%.0f");
   }
 
   private void drawCharts() throws Exception {
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/DecisionCost.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/DecisionCost.java
@@ -25,8 +25,8 @@
 
 /**
  * Measures the time of the routing decisions per read, from the read's arrival to its outcome, with
- * 64 reads in flight, by the number of servers. The time is measured for keys that the servers
- * have cached, and for keys that were not requested before.
+ * 64 reads in flight, by the number of servers. The time is measured for keys that the servers have
+ * cached, and for keys that were not requested before.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Figures.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/Figures.java
@@ -7,7 +7,7 @@
   private Figures() {}
 
   /** Returns the median, minimum and maximum of the values, each in this format. */
-  static String spread(List<Double> values, String format) {
+  static String medianAndRange(List<Double> values, String format) {
     List<Double> sortedValues = values.stream().sorted().toList();
     return (format + " (" + format + " to " + format + ")")
         .formatted(
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/GoodputTimeline.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/GoodputTimeline.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 import java.util.stream.IntStream;
 
-/** Goodput and refusals of an {@link OpenLoad} over time, in steps of 0.1 s since its start. */
+/** Goodput and refusals of an {@link OpenLoopLoad} over time, in steps of 0.1 s since its start. */
 final class GoodputTimeline {
   private static final long STEP_NANOS = 100_000_000L;
 
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Subject.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/MeasuredProcess.java
@@ -22,7 +22,7 @@
  * @param folder the working directory
  * @param configFile the configuration file, null for none
  */
-record Subject(String name, List<String> command, Path folder, Path configFile) {
+record MeasuredProcess(String name, List<String> command, Path folder, Path configFile) {
   private static final List<String> JVM_FLAGS =
       List.of(
           "-XX:+UseSerialGC",
@@ -35,15 +35,16 @@
           "-XX:ReservedCodeCacheSize=24m");
 
   /** Returns a Java process with these arguments after the JVM flags. */
-  static Subject java(String name, List<String> arguments) {
+  static MeasuredProcess javaProcess(String name, List<String> arguments) {
     List<String> command = new ArrayList<>(List.of("java"));
     command.addAll(JVM_FLAGS);
     command.addAll(arguments);
-    return new Subject(name, command, Path.of(""), null);
+    return new MeasuredProcess(name, command, Path.of(""), null);
   }
 
   /** Returns the node that was built in this folder, with these arguments after the usual ones. */
-  static Subject node(String name, Path folder, Path configFile, String... moreArguments) {
+  static MeasuredProcess nodeProcess(
+      String name, Path folder, Path configFile, String... moreArguments) {
     List<String> arguments =
         new ArrayList<>(
             List.of(
@@ -52,11 +53,11 @@
                 "daemon/target/shalepaddle.jar",
                 "serve"));
     arguments.addAll(List.of(moreArguments));
-    return new Subject(name, java(name, arguments).command(), folder, configFile);
+    return new MeasuredProcess(name, javaProcess(name, arguments).command(), folder, configFile);
   }
 
   /** A running process, which {@link #close} kills. */
-  record Running(Process process) implements AutoCloseable {
+  record RunningProcess(Process process) implements AutoCloseable {
     double residentMegabytes() throws IOException {
       Path status = Path.of("/proc", Long.toString(process.pid()), "status");
       return Files.readAllLines(status).stream()
@@ -67,7 +68,7 @@
     }
 
     /** Sends the process a signal, whose name is given without the prefix SIG. */
-    void signal(String signalName) {
+    void sendSignal(String signalName) {
       try {
         new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid()))
             .start()
@@ -86,7 +87,7 @@
   }
 
   /** Starts the process on this core, and returns once it listens on the port. */
-  Running start(int core, int port) throws IOException, InterruptedException {
+  RunningProcess start(int core, int port) throws IOException, InterruptedException {
     List<String> pinnedCommand = new ArrayList<>(List.of("taskset", "-c", Integer.toString(core)));
     pinnedCommand.addAll(command);
     ProcessBuilder builder =
@@ -97,7 +98,7 @@
     if (configFile != null) {
       builder.environment().put("ROUTER_CONFIG", configFile.toString());
     }
-    Running runningProcess = new Running(builder.start());
+    RunningProcess runningProcess = new RunningProcess(builder.start());
     while (!isListening(port)) {
       if (!runningProcess.process().isAlive()) {
         throw new IOException(
@@ -121,19 +122,19 @@
     }
   }
 
-  static int freePort() throws IOException {
+  static int findFreePort() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return socket.getLocalPort();
     }
   }
 
   /** Returns a node's configuration with these servers, whose endpoint list never changes. */
-  static String config(int port, Servers servers) {
-    return config(port, servers.ports());
+  static String createNodeConfig(int port, StubCacheServers servers) {
+    return createNodeConfig(port, servers.ports());
   }
 
   /** Returns a node's configuration with servers on these ports. */
-  static String config(int port, List<Integer> ports) {
+  static String createNodeConfig(int port, List<Integer> ports) {
     String serverList =
         ports.stream()
             .map(
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Nodes.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/NodeOptions.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 
 /** Command-line options for the nodes that a measurement compares, and for their core. */
-final class Nodes {
+final class NodeOptions {
   @Option(
       names = "--jar",
       paramLabel = "NAME=FOLDER",
@@ -29,19 +29,21 @@
   }
 
   /** Returns all nodes, configured to listen on this port and to use these servers. */
-  List<Subject> subjects(int port, Servers servers) throws IOException {
+  List<MeasuredProcess> processes(int port, StubCacheServers servers) throws IOException {
     Path directory = Files.createTempDirectory("nodes");
-    List<Subject> processes = new ArrayList<>();
+    List<MeasuredProcess> processes = new ArrayList<>();
     for (var nodeFolder : foldersByNodeName.entrySet()) {
       Path configFile = directory.resolve(nodeFolder.getKey() + ".json");
-      Files.writeString(configFile, Subject.config(port, servers));
-      processes.add(Subject.node(nodeFolder.getKey(), nodeFolder.getValue(), configFile));
+      Files.writeString(configFile, MeasuredProcess.createNodeConfig(port, servers));
+      processes.add(
+          MeasuredProcess.nodeProcess(nodeFolder.getKey(), nodeFolder.getValue(), configFile));
     }
     return processes;
   }
 
   /** Starts a node, and returns once it listens on the port. */
-  Subject.Running start(Subject process, int port) throws IOException, InterruptedException {
+  MeasuredProcess.RunningProcess start(MeasuredProcess process, int port)
+      throws IOException, InterruptedException {
     return process.start(core, port);
   }
 }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/OpenLoad.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/OpenLoopLoad.java
@@ -30,7 +30,7 @@
  * node answers {@code mn} without a cache server, so that the response time is the delay of the
  * node's event loop.
  */
-final class OpenLoad {
+final class OpenLoopLoad {
   private static final int EVENT_LOOPS = 3;
   private static final int KEY_COUNT = 5000;
 
@@ -57,7 +57,7 @@
   private static final int FIRST_BACK_OFF_MILLIS = 20;
 
   /** When clients retry a refused request, if the retry is sent before the request's deadline. */
-  enum Again {
+  enum RetryPolicy {
     /** Clients do not retry. */
     NEVER,
     /** Clients retry at once, and ignore the node's advice. */
@@ -78,21 +78,25 @@
    * The load that the clients generate.
    *
    * @param rate first attempts per second
-   * @param writes the fraction of requests that are writes
+   * @param writeRatio the fraction of requests that are writes
    * @param retryPolicy when refused requests are retried
    * @param maxRetries the most retries of a request
    * @param maxPipelinedRequests the most requests that are pipelined on a connection; if this is
-   *     less than {@link OpenLoad#MAX_PIPELINED_REQUESTS}, further requests wait for a connection
-   *     until their deadline
+   *     less than {@link OpenLoopLoad#MAX_PIPELINED_REQUESTS}, further requests wait for a
+   *     connection until their deadline
    */
-  record Manner(
-      Rate rate, double writes, Again retryPolicy, int maxRetries, int maxPipelinedRequests) {
+  record Workload(
+      Rate rate,
+      double writeRatio,
+      RetryPolicy retryPolicy,
+      int maxRetries,
+      int maxPipelinedRequests) {
     /** Returns a load of constant rate, with at most this many retries, at the advised times. */
-    static Manner steady(double perSecond, double writeRatio, int maxRetries) {
-      return new Manner(
+    static Workload constantRate(double perSecond, double writeRatio, int maxRetries) {
+      return new Workload(
           elapsedNanos -> perSecond,
           writeRatio,
-          maxRetries > 0 ? Again.ADVISED : Again.NEVER,
+          maxRetries > 0 ? RetryPolicy.ADVISED : RetryPolicy.NEVER,
           maxRetries,
           MAX_PIPELINED_REQUESTS);
     }
@@ -100,32 +104,32 @@
 
   /** The result for requests whose first attempt was due in the measured time after warm-up. */
   record Result(
-      double seconds,
-      long reads,
-      long readsInTime,
-      long writes,
-      long writesInTime,
-      long refused,
-      long failed,
-      Histogram writeTimes,
-      Histogram loopDelays,
+      double measuredSeconds,
+      long readCount,
+      long readsInTimeCount,
+      long writeCount,
+      long writesInTimeCount,
+      long refusedCount,
+      long failedCount,
+      Histogram writeLatencyNanos,
+      Histogram loopDelayNanos,
       GoodputTimeline timeline) {
 
     /** Returns the priority weight of the requests served within their objectives, per second. */
     double goodput() {
-      return (READ_WEIGHT * readsInTime + WRITE_WEIGHT * writesInTime) / seconds;
+      return (READ_WEIGHT * readsInTimeCount + WRITE_WEIGHT * writesInTimeCount) / measuredSeconds;
     }
 
-    double writesInTimePart() {
-      return writes == 0 ? Double.NaN : (double) writesInTime / writes;
+    double writesInTimeRatio() {
+      return writeCount == 0 ? Double.NaN : (double) writesInTimeCount / writeCount;
     }
 
-    double readsInTimePart() {
-      return (double) readsInTime / reads;
+    double readsInTimeRatio() {
+      return (double) readsInTimeCount / readCount;
     }
   }
 
-  private final Manner workload;
+  private final Workload workload;
 
   /** Measured requests: index 0 for reads, 1 for writes. */
   private final LongAdder[] requestCounts = {new LongAdder(), new LongAdder()};
@@ -141,7 +145,7 @@
   private final long measureToNanos;
   private final GoodputTimeline timeline;
 
-  private OpenLoad(Manner workload, int warmSeconds, int measuredSeconds) {
+  private OpenLoopLoad(Workload workload, int warmSeconds, int measuredSeconds) {
     this.workload = workload;
     timeline = new GoodputTimeline(warmSeconds + measuredSeconds);
     measureFromNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(warmSeconds);
@@ -150,9 +154,9 @@
 
   /** Generates load over this many connections, first for warm-up and then measured. */
   static Result run(
-      int port, int connections, Manner workload, int warmSeconds, int measuredSeconds)
+      int port, int connections, Workload workload, int warmSeconds, int measuredSeconds)
       throws InterruptedException {
-    return new OpenLoad(workload, warmSeconds, measuredSeconds).runClients(port, connections);
+    return new OpenLoopLoad(workload, warmSeconds, measuredSeconds).runClients(port, connections);
   }
 
   private Result runClients(int port, int connections) throws InterruptedException {
@@ -249,7 +253,7 @@
       dueRequestCount += requestsPerNano * (now - lastTickNanos);
       for (; dueRequestCount >= 1; dueRequestCount--) {
         dueNanos += (long) (1 / requestsPerNano);
-        boolean isWrite = random.nextDouble() < workload.writes();
+        boolean isWrite = random.nextDouble() < workload.writeRatio();
         Request request =
             new Request(isWrite, random.nextInt(KEY_COUNT), 0, Math.min(dueNanos, now));
         if (isMeasured(request)) {
@@ -308,6 +312,7 @@
 
     /** The part of the next answer line that has been received. */
     private final StringBuilder partialLine = new StringBuilder();
+
     private Channel channel;
     private boolean isValueNext;
     private boolean isFlushScheduled;
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/PastCapacity.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/PastCapacity.java
@@ -24,7 +24,7 @@
     description = "Sends nodes multiples of their capacity, and measures what they serve in time.",
     mixinStandardHelpOptions = true)
 final class PastCapacity implements Callable<Integer> {
-  @Mixin private Nodes nodes;
+  @Mixin private NodeOptions nodes;
 
   @Option(
       names = "--times",
@@ -58,15 +58,16 @@
   private Path chartFile;
 
   /** The result of one node at one multiple of its capacity. */
-  private record Measurement(String nodeName, double capacityMultiple, OpenLoad.Result result) {}
+  private record Measurement(
+      String nodeName, double capacityMultiple, OpenLoopLoad.Result result) {}
 
   private final List<Measurement> measurements = new ArrayList<>();
 
   @Override
   public Integer call() throws Exception {
-    try (Servers servers = new Servers(8, 100)) {
-      int port = Subject.freePort();
-      for (Subject process : nodes.subjects(port, servers)) {
+    try (StubCacheServers servers = new StubCacheServers(8, 100)) {
+      int port = MeasuredProcess.findFreePort();
+      for (MeasuredProcess process : nodes.processes(port, servers)) {
         measure(process, port);
       }
     }
@@ -80,7 +81,8 @@
     XYChart goodputChart =
         createChart("Priority weight served in time, per second", m -> m.result().goodput());
     XYChart writesChart =
-        createChart("Writes answered in 300 ms, percent", m -> 100 * m.result().writesInTimePart());
+        createChart(
+            "Writes answered in 300 ms, percent", m -> 100 * m.result().writesInTimeRatio());
     BitmapEncoder.saveBitmap(
         List.of(goodputChart, writesChart),
         1,
@@ -110,17 +112,17 @@
     return chart;
   }
 
-  private void measure(Subject process, int port) throws Exception {
-    try (Subject.Running runningNode = nodes.start(process, port)) {
-      double capacityPerSecond = Load.run(port, 64, warmSeconds + 2, 5).perSecond();
+  private void measure(MeasuredProcess process, int port) throws Exception {
+    try (MeasuredProcess.RunningProcess runningNode = nodes.start(process, port)) {
+      double capacityPerSecond = ClosedLoopLoad.run(port, 64, warmSeconds + 2, 5).servedPerSecond();
       System.out.printf("%-8s capacity %.0f requests/s%n", process.name(), capacityPerSecond);
       double goodputAtFirstMultiple = Double.NaN;
       for (double capacityMultiple : multiples) {
-        OpenLoad.Result result =
-            OpenLoad.run(
+        OpenLoopLoad.Result result =
+            OpenLoopLoad.run(
                 port,
                 connections,
-                OpenLoad.Manner.steady(
+                OpenLoopLoad.Workload.constantRate(
                     capacityPerSecond * capacityMultiple, writeRatio, maxRetries),
                 warmSeconds,
                 measuredSeconds);
@@ -135,12 +137,12 @@
             capacityMultiple,
             result.goodput(),
             result.goodput() / goodputAtFirstMultiple,
-            100 * result.writesInTimePart(),
-            100 * result.readsInTimePart(),
-            result.refused(),
-            result.failed(),
-            formatPercentilesMillis(result.writeTimes()),
-            formatPercentilesMillis(result.loopDelays()),
+            100 * result.writesInTimeRatio(),
+            100 * result.readsInTimeRatio(),
+            result.refusedCount(),
+            result.failedCount(),
+            formatPercentilesMillis(result.writeLatencyNanos()),
+            formatPercentilesMillis(result.loopDelayNanos()),
             runningNode.residentMegabytes());
       }
     }
--- a/benchmarks/src/main/java/shalepaddle/benchmarks/Servers.java
+++ b/benchmarks/src/main/java/shalepaddle/benchmarks/StubCacheServers.java
@@ -17,13 +17,13 @@
 import java.util.List;
 
 /** Cache servers that answer every request at once, so that they do not limit the measurement. */
-final class Servers implements AutoCloseable {
+final class StubCacheServers implements AutoCloseable {
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
   private final List<Integer> ports = new ArrayList<>();
 
   /** Starts this many servers, which answer reads with a value of this length. */
-  Servers(int serverCount, int valueBytes) throws InterruptedException {
+  StubCacheServers(int serverCount, int valueBytes) throws InterruptedException {
     byte[] valueLine = ("v".repeat(valueBytes) + "\r\n").getBytes(StandardCharsets.US_ASCII);
     for (int i = 0; i < serverCount; i++) {
       Channel server =
@@ -60,7 +60,6 @@
     /** Whether the last command was a write, whose value is the next line. */
     private boolean isWrite;
 
-
     RequestHandler(byte[] valueLine) {
       this.valueLine = valueLine;
     }
--- a/capacity/src/main/java/shalepaddle/capacity/CapacityRun.java
+++ b/capacity/src/main/java/shalepaddle/capacity/CapacityRun.java
@@ -66,13 +66,13 @@
   private static final int READS_PER_ROUND = 20_000;
 
   private final FleetSize size;
-  private final HollowFleet.Parts simulationPhases;
+  private final HollowFleet.Phases simulationPhases;
   private final long seed;
   private final Consumer<String> progress;
   private final List<Slope> slopes = new ArrayList<>();
 
   private CapacityRun(
-      FleetSize size, HollowFleet.Parts simulationPhases, long seed, Consumer<String> progress) {
+      FleetSize size, HollowFleet.Phases simulationPhases, long seed, Consumer<String> progress) {
     this.size = size;
     this.simulationPhases = simulationPhases;
     this.seed = seed;
@@ -89,7 +89,8 @@
   public static List<Slope> measure(
       FleetSize size, Set<Role> roles, double seconds, long seed, Consumer<String> progress)
       throws FormatException {
-    HollowFleet.Parts simulationPhases = new HollowFleet.Parts(1.5 * seconds, seconds, 2 * seconds);
+    HollowFleet.Phases simulationPhases =
+        new HollowFleet.Phases(1.5 * seconds, seconds, 2 * seconds);
     CapacityRun run = new CapacityRun(size, simulationPhases, seed, progress);
     for (Role role : EnumSet.copyOf(roles)) {
       switch (role) {
@@ -113,22 +114,31 @@
     for (int servers : steps) {
       FleetSize fleetSize = withServers(servers);
       DecisionCost.measure(
-          fleetSize, READS_PER_ROUND, actions -> DecisionCost.real(fleetSize, actions));
+          fleetSize, READS_PER_ROUND, actions -> DecisionCost.createRouter(fleetSize, actions));
     }
-    List<DecisionCost.Measured> measurements = new ArrayList<>();
+    List<DecisionCost.Measurement> measurements = new ArrayList<>();
     for (int servers : steps) {
       FleetSize fleetSize = withServers(servers);
-      DecisionCost.Measured result =
+      DecisionCost.Measurement result =
           DecisionCost.measure(
-              fleetSize, READS_PER_ROUND, actions -> DecisionCost.real(fleetSize, actions));
+              fleetSize, READS_PER_ROUND, actions -> DecisionCost.createRouter(fleetSize, actions));
       measurements.add(result);
       progress.accept(
           "decisions  %4d servers  cached key %.2f us  new key %.2f us  new list %.2f ms"
               .formatted(
-                  servers, result.heldMicros(), result.missingMicros(), result.listMillis()));
+                  servers,
+                  result.cachedReadMicros(),
+                  result.uncachedReadMicros(),
+                  result.listUpdateMillis()));
     }
     addSlope(
-        "node", "decisions, held", "us/read", "servers", steps, measurements, m -> m.heldMicros());
+        "node",
+        "decisions, held",
+        "us/read",
+        "servers",
+        steps,
+        measurements,
+        m -> m.cachedReadMicros());
     addSlope(
         "node",
         "decisions, missing",
@@ -136,9 +146,15 @@
         "servers",
         steps,
         measurements,
-        m -> m.missingMicros());
+        m -> m.uncachedReadMicros());
     addSlope(
-        "node", "a new list taken in", "ms", "servers", steps, measurements, m -> m.listMillis());
+        "node",
+        "a new list taken in",
+        "ms",
+        "servers",
+        steps,
+        measurements,
+        m -> m.listUpdateMillis());
   }
 
   private void measureLists() throws FormatException {
@@ -146,24 +162,25 @@
     for (int servers : steps) {
       ServerListPayload.measure(withServers(servers));
     }
-    List<ServerListPayload.Measured> measurements = new ArrayList<>();
+    List<ServerListPayload.Measurement> measurements = new ArrayList<>();
     for (int servers : steps) {
-      ServerListPayload.Measured result = ServerListPayload.measure(withServers(servers));
+      ServerListPayload.Measurement result = ServerListPayload.measure(withServers(servers));
       measurements.add(result);
       progress.accept(
           "list       %4d servers  %.0f bytes  parsed in %.0f us"
-              .formatted(servers, result.bytes(), result.readMicros()));
+              .formatted(servers, result.bytes(), result.parseMicros()));
     }
     addSlope("node", "whole list", "bytes", "servers", steps, measurements, m -> m.bytes());
-    addSlope("node", "whole list read", "us", "servers", steps, measurements, m -> m.readMicros());
+    addSlope("node", "whole list read", "us", "servers", steps, measurements, m -> m.parseMicros());
   }
 
   private void measureFleets() {
     List<Integer> steps = size.nodeSteps();
-    HollowFleet.play(size.withNodes(steps.get(0)), new HollowFleet.Parts(0.5, 0.5, 0.5), seed);
-    List<HollowFleet.Counted> results = new ArrayList<>();
+    HollowFleet.simulate(size.withNodes(steps.get(0)), new HollowFleet.Phases(0.5, 0.5, 0.5), seed);
+    List<HollowFleet.Result> results = new ArrayList<>();
     for (int nodes : steps) {
-      HollowFleet.Counted result = HollowFleet.play(size.withNodes(nodes), simulationPhases, seed);
+      HollowFleet.Result result =
+          HollowFleet.simulate(size.withNodes(nodes), simulationPhases, seed);
       results.add(result);
       progress.accept(
           ("fleet      %4d nodes  reads not at first choice %.2f%%  rejected %.2f%%  missed %.1f%%"
@@ -172,20 +189,26 @@
                   + "  %.0f kB per node")
               .formatted(
                   nodes,
-                  100 * result.awayPart(),
-                  100 * result.refusedPart(),
-                  100 * result.missPart(),
-                  result.copies(),
+                  100 * result.otherServerRatio(),
+                  100 * result.rejectedRatio(),
+                  100 * result.missRatio(),
+                  result.copiesPerKey(),
                   result.microsPerRead(),
                   result.nodesPerServer(),
-                  result.coldPart(),
-                  result.coldCallers(),
+                  result.restartLoadRatio(),
+                  result.maxNewCallersPerSecond(),
                   result.bytesPerNode() / 1000));
     }
     String sizeName = "nodes";
     addSlope(
-        "node", "reads sent away from home", "part", sizeName, steps, results, c -> c.awayPart());
-    addSlope("node", "reads refused", "part", sizeName, steps, results, c -> c.refusedPart());
+        "node",
+        "reads sent away from home",
+        "part",
+        sizeName,
+        steps,
+        results,
+        c -> c.otherServerRatio());
+    addSlope("node", "reads refused", "part", sizeName, steps, results, c -> c.rejectedRatio());
     addSlope(
         "node",
         "decisions within a fleet",
@@ -196,8 +219,14 @@
         c -> c.microsPerRead());
     addSlope("node", "heap", "bytes", sizeName, steps, results, c -> c.bytesPerNode());
     addSlope(
-        "cache server", "copies of a key", "servers", sizeName, steps, results, c -> c.copies());
-    addSlope("cache server", "reads missed", "part", sizeName, steps, results, c -> c.missPart());
+        "cache server",
+        "copies of a key",
+        "servers",
+        sizeName,
+        steps,
+        results,
+        c -> c.copiesPerKey());
+    addSlope("cache server", "reads missed", "part", sizeName, steps, results, c -> c.missRatio());
     addSlope(
         "cache server",
         "nodes that ask it",
@@ -207,7 +236,13 @@
         results,
         c -> c.nodesPerServer());
     addSlope(
-        "cache server", "cold, of its fall", "part", sizeName, steps, results, c -> c.coldPart());
+        "cache server",
+        "cold, of its fall",
+        "part",
+        sizeName,
+        steps,
+        results,
+        c -> c.restartLoadRatio());
     addSlope(
         "cache server",
         "new callers, cold",
@@ -215,18 +250,18 @@
         sizeName,
         steps,
         results,
-        c -> c.coldCallers());
+        c -> c.maxNewCallersPerSecond());
   }
 
   private void measureDiscovery() {
     List<Integer> steps = size.nodeSteps();
     for (double callsPerSecond : DISCOVERY_CALLS_PER_SECOND) {
-      List<DiscoveryPolling.Counted> results = new ArrayList<>();
+      List<DiscoveryPolling.Result> results = new ArrayList<>();
       for (int nodes : steps) {
         FleetSize fleetSize = size.withNodes(nodes);
-        DiscoveryPolling.Counted result =
-            DiscoveryPolling.play(
-                fleetSize, callsPerSecond, seed, DiscoveryPolling.real(fleetSize));
+        DiscoveryPolling.Result result =
+            DiscoveryPolling.simulate(
+                fleetSize, callsPerSecond, seed, DiscoveryPolling.routerClients(fleetSize));
         results.add(result);
         progress.accept(
             ("discovery  %4d nodes  %.1f calls/s  half of the nodes have the list after %.1f s,"
@@ -234,8 +269,8 @@
                 .formatted(
                     nodes,
                     callsPerSecond,
-                    result.medianSeconds(),
-                    result.lastSeconds(),
+                    result.medianRecoverySeconds(),
+                    result.maxRecoverySeconds(),
                     result.callsPerNode()));
       }
       String figureSuffix = " at %.1f calls/s".formatted(callsPerSecond);
@@ -246,7 +281,7 @@
           "nodes",
           steps,
           results,
-          c -> c.lastSeconds());
+          c -> c.maxRecoverySeconds());
       addSlope(
           "discovery",
           "calls a node" + figureSuffix,
@@ -258,7 +293,7 @@
     }
   }
 
-  private HollowFeed.Counted simulateFeed(int nodes, FeedCondition condition) {
+  private HollowFeed.Result simulateFeed(int nodes, FeedCondition condition) {
     HollowFeed feed =
         new HollowFeed(
             new HollowFeed.Plan(
@@ -271,21 +306,21 @@
                 ENTRY_BODY_BYTES,
                 FEED_SECONDS,
                 ChangeFeedPublisher.Limits.DEFAULT,
-                HollowFeed.real(3),
+                HollowFeed.subscriberFactory(3),
                 seed));
     if (condition.lostMember >= 0) {
-      feed.vanish(8_000_000_000L, condition.lostMember, 6_000_000_000L);
+      feed.loseMember(8_000_000_000L, condition.lostMember, 6_000_000_000L);
     }
-    return feed.play(10_000_000_000L);
+    return feed.simulate(10_000_000_000L);
   }
 
   private void measureFeeds() {
     List<Integer> steps = size.nodeSteps();
     simulateFeed(steps.get(steps.size() - 1), FeedCondition.NORMAL);
     for (FeedCondition condition : FeedCondition.values()) {
-      List<HollowFeed.Counted> results = new ArrayList<>();
+      List<HollowFeed.Result> results = new ArrayList<>();
       for (int nodes : steps) {
-        HollowFeed.Counted result = simulateFeed(nodes, condition);
+        HollowFeed.Result result = simulateFeed(nodes, condition);
         results.add(result);
         progress.accept(
             ("feed       %4d nodes  %s: entries applied after %.3f s (median), %.3f s (p99),"
@@ -296,13 +331,13 @@
                     nodes,
                     condition.description,
                     result.medianSeconds(),
-                    result.ninetyNinthSeconds(),
-                    result.lastSeconds(),
+                    result.p99Seconds(),
+                    result.maxSeconds(),
                     result.bytesPerSecond(),
-                    result.nodeMicros(),
-                    result.memberMicros(),
-                    result.mostFollowers(),
-                    result.breaches()));
+                    result.nodeMicrosPerSecond(),
+                    result.memberMicrosPerSecond(),
+                    result.maxSubscribers(),
+                    result.violations()));
       }
       String sizeName = "nodes";
       String figureSuffix = ", " + condition.description;
@@ -315,21 +350,9 @@
           results,
           c -> c.medianSeconds());
       addSlope(
-          "feed",
-          "99% have it" + figureSuffix,
-          "s",
-          sizeName,
-          steps,
-          results,
-          c -> c.ninetyNinthSeconds());
+          "feed", "99% have it" + figureSuffix, "s", sizeName, steps, results, c -> c.p99Seconds());
       addSlope(
-          "feed",
-          "last has it" + figureSuffix,
-          "s",
-          sizeName,
-          steps,
-          results,
-          c -> c.lastSeconds());
+          "feed", "last has it" + figureSuffix, "s", sizeName, steps, results, c -> c.maxSeconds());
       addSlope(
           "node",
           "feed, both ways" + figureSuffix,
@@ -339,9 +362,21 @@
           results,
           c -> c.bytesPerSecond());
       addSlope(
-          "node", "feed" + figureSuffix, "us/s", sizeName, steps, results, c -> c.nodeMicros());
+          "node",
+          "feed" + figureSuffix,
+          "us/s",
+          sizeName,
+          steps,
+          results,
+          c -> c.nodeMicrosPerSecond());
       addSlope(
-          "member", "feed" + figureSuffix, "us/s", sizeName, steps, results, c -> c.memberMicros());
+          "member",
+          "feed" + figureSuffix,
+          "us/s",
+          sizeName,
+          steps,
+          results,
+          c -> c.memberMicrosPerSecond());
       addSlope(
           "member",
           "followers" + figureSuffix,
@@ -349,7 +384,7 @@
           sizeName,
           steps,
           results,
-          c -> c.mostFollowers());
+          c -> c.maxSubscribers());
     }
   }
 
--- a/capacity/src/main/java/shalepaddle/capacity/DecisionCost.java
+++ b/capacity/src/main/java/shalepaddle/capacity/DecisionCost.java
@@ -23,37 +23,38 @@
   /**
    * The measured times, each the median of the rounds.
    *
-   * @param heldMicros the time per read of a key that its server has cached
-   * @param missingMicros the time per read of a key that was not requested before
-   * @param listMillis the time per full endpoint list, including the rebuild of the slot table
+   * @param cachedReadMicros the time per read of a key that its server has cached
+   * @param uncachedReadMicros the time per read of a key that was not requested before
+   * @param listUpdateMillis the time per full endpoint list, including the rebuild of the slot
+   *     table
    */
-  record Measured(double heldMicros, double missingMicros, double listMillis) {}
+  record Measurement(double cachedReadMicros, double uncachedReadMicros, double listUpdateMillis) {}
 
   /** The calls of a router whose time is measured. */
-  interface Decider {
-    void membership(double now, MembershipUpdate update);
+  interface MeasuredRouter {
+    void onMembershipUpdate(double now, MembershipUpdate update);
 
-    void request(double now, Request request);
+    void onRequest(double now, Request request);
 
-    void outcome(double now, Outcome outcome);
+    void onOutcome(double now, Outcome outcome);
   }
 
   /** Creates a production router. */
-  static Decider real(FleetSize size, RoutingActions actions) {
+  static MeasuredRouter createRouter(FleetSize size, RoutingActions actions) {
     RequestRouter requestRouter = new RequestRouter(HollowSettings.of(0, size, false), 1, actions);
-    return new Decider() {
+    return new MeasuredRouter() {
       @Override
-      public void membership(double now, MembershipUpdate update) {
+      public void onMembershipUpdate(double now, MembershipUpdate update) {
         requestRouter.onMembershipUpdate(now, update);
       }
 
       @Override
-      public void request(double now, Request request) {
+      public void onRequest(double now, Request request) {
         requestRouter.onRequest(now, request);
       }
 
       @Override
-      public void outcome(double now, Outcome outcome) {
+      public void onOutcome(double now, Outcome outcome) {
         requestRouter.onOutcome(now, outcome);
       }
     };
@@ -64,7 +65,7 @@
   /** The server that each read in flight was sent to, 0 if the read was not sent. */
   private final long[] serverIds = new long[READS_IN_FLIGHT];
 
-  private final Decider router;
+  private final MeasuredRouter router;
   private final double secondsPerRead;
   private int nextRequestNumber;
 
@@ -73,7 +74,7 @@
 
   private double now;
 
-  private DecisionCost(FleetSize size, Function<RoutingActions, Decider> routerFactory) {
+  private DecisionCost(FleetSize size, Function<RoutingActions, MeasuredRouter> routerFactory) {
     router = routerFactory.apply(new ServerRecorder());
     secondsPerRead = size.nodes() / size.perSecond();
   }
@@ -83,15 +84,15 @@
    *
    * @param readCount the number of reads in each round
    */
-  static Measured measure(
-      FleetSize size, int readCount, Function<RoutingActions, Decider> routerFactory) {
+  static Measurement measure(
+      FleetSize size, int readCount, Function<RoutingActions, MeasuredRouter> routerFactory) {
     List<ServerEntry> entries = new ArrayList<>();
     for (int server = 0; server < size.servers(); server++) {
-      entries.add(HollowSettings.entry(server, size, 0));
+      entries.add(HollowSettings.createEntry(server, size, 0));
     }
     MembershipUpdate fullList = new MembershipUpdate(MembershipUpdate.Kind.FULL, 1, entries);
     DecisionCost costMeasurement = new DecisionCost(size, routerFactory);
-    costMeasurement.router.membership(0, fullList);
+    costMeasurement.router.onMembershipUpdate(0, fullList);
     costMeasurement.measureRound(readCount, true);
     List<Double> hitMicros = new ArrayList<>();
     List<Double> missMicros = new ArrayList<>();
@@ -101,14 +102,14 @@
       missMicros.add(costMeasurement.measureRound(readCount, false));
       long startNanos = System.nanoTime();
       // Removes one server and adds it again, so that the slot table is rebuilt twice.
-      costMeasurement.router.membership(
+      costMeasurement.router.onMembershipUpdate(
           costMeasurement.now,
           new MembershipUpdate(
               MembershipUpdate.Kind.FULL, 1, entries.subList(0, entries.size() - 1)));
-      costMeasurement.router.membership(costMeasurement.now, fullList);
+      costMeasurement.router.onMembershipUpdate(costMeasurement.now, fullList);
       updateMillis.add((System.nanoTime() - startNanos) / 2e6);
     }
-    return new Measured(median(hitMicros), median(missMicros), median(updateMillis));
+    return new Measurement(median(hitMicros), median(missMicros), median(updateMillis));
   }
 
   static double median(List<Double> values) {
@@ -128,7 +129,7 @@
     currentReadIndex = nextRequestNumber % READS_IN_FLIGHT;
     if (serverIds[currentReadIndex] != 0) {
       Outcome.CacheStatus cacheStatus = isHit ? Outcome.CacheStatus.HIT : Outcome.CacheStatus.MISS;
-      router.outcome(
+      router.onOutcome(
           now,
           new Outcome(
               requestIds[currentReadIndex],
@@ -145,12 +146,12 @@
     int requestNumber = nextRequestNumber++;
     requestIds[currentReadIndex] = "r" + requestNumber;
     String key = isHit ? "k" + requestNumber % KEY_COUNT : "m" + requestNumber;
-    router.request(
+    router.onRequest(
         now, new Request(requestIds[currentReadIndex], key, "read", null, 2, 0, 0, false, false));
   }
 
   /** Records the server that the current read is sent to. */
-  private final class ServerRecorder extends HollowActions {
+  private final class ServerRecorder extends NoOpRoutingActions {
     @Override
     public void send(String requestId, long server, double withinSeconds) {
       serverIds[currentReadIndex] = server;
--- a/capacity/src/main/java/shalepaddle/capacity/DiscoveryPolling.java
+++ b/capacity/src/main/java/shalepaddle/capacity/DiscoveryPolling.java
@@ -27,24 +27,24 @@
   /**
    * The result of a simulation.
    *
-   * @param medianSeconds the time from discovery's return until half of the nodes have the list, or
-   *     infinity if fewer nodes ever have it
-   * @param lastSeconds the time from discovery's return until the last node has the list, or
+   * @param medianRecoverySeconds the time from discovery's return until half of the nodes have the
+   *     list, or infinity if fewer nodes ever have it
+   * @param maxRecoverySeconds the time from discovery's return until the last node has the list, or
    *     infinity if a node never has it
    * @param callsPerNode mean number of calls per node, from the start to the end of the simulation
    */
-  record Counted(double medianSeconds, double lastSeconds, double callsPerNode) {}
+  record Result(double medianRecoverySeconds, double maxRecoverySeconds, double callsPerNode) {}
 
   /** Decides when one node polls discovery. */
-  interface Feed {
-    void told(double now, MembershipUpdate update);
+  interface PollingClient {
+    void onMembershipUpdate(double now, MembershipUpdate update);
 
-    void timer(double now, long token);
+    void onTimer(double now, long token);
   }
 
   /** Creates the polling client of a node. */
-  interface Feeds {
-    Feed of(int node, RoutingActions actions);
+  interface PollingClientFactory {
+    PollingClient create(int node, RoutingActions actions);
   }
 
   /**
@@ -72,36 +72,36 @@
   private final PriorityQueue<Event> events =
       new PriorityQueue<>((a, b) -> Double.compare(a.atSeconds, b.atSeconds));
   private final ArrayDeque<Call> queuedCalls = new ArrayDeque<>();
-  private final List<Feed> clients = new ArrayList<>();
+  private final List<PollingClient> clients = new ArrayList<>();
   private final MembershipUpdate fullList;
   private final double callsPerSecond;
   private double now;
   private boolean isProcessingCall;
   private long callCount;
 
-  private DiscoveryPolling(FleetSize size, double callsPerSecond, Feeds clientFactory) {
+  private DiscoveryPolling(
+      FleetSize size, double callsPerSecond, PollingClientFactory clientFactory) {
     this.callsPerSecond = callsPerSecond;
     this.fullList =
         new MembershipUpdate(
-            MembershipUpdate.Kind.FULL, 1, List.of(HollowSettings.entry(0, size, 0)));
+            MembershipUpdate.Kind.FULL, 1, List.of(HollowSettings.createEntry(0, size, 0)));
     for (int node = 0; node < size.nodes(); node++) {
-      clients.add(clientFactory.of(node, new ClientActions(node)));
+      clients.add(clientFactory.create(node, new ClientActions(node)));
     }
   }
 
   /** Returns a factory of polling clients that are production routers. */
-  static Feeds real(FleetSize size) {
+  static PollingClientFactory routerClients(FleetSize size) {
     return (node, actions) -> {
-      RequestRouter router =
-          new RequestRouter(HollowSettings.of(node, size, true), node, actions);
-      return new Feed() {
+      RequestRouter router = new RequestRouter(HollowSettings.of(node, size, true), node, actions);
+      return new PollingClient() {
         @Override
-        public void told(double now, MembershipUpdate update) {
+        public void onMembershipUpdate(double now, MembershipUpdate update) {
           router.onMembershipUpdate(now, update);
         }
 
         @Override
-        public void timer(double now, long token) {
+        public void onTimer(double now, long token) {
           router.onTimer(now, token);
         }
       };
@@ -113,7 +113,8 @@
    *
    * @param callsPerSecond the calls that discovery can answer per second
    */
-  static Counted play(FleetSize size, double callsPerSecond, long seed, Feeds clientFactory) {
+  static Result simulate(
+      FleetSize size, double callsPerSecond, long seed, PollingClientFactory clientFactory) {
     DiscoveryPolling simulation = new DiscoveryPolling(size, callsPerSecond, clientFactory);
     SplittableRandom random = new SplittableRandom(seed);
     for (int node = 0; node < size.nodes(); node++) {
@@ -122,7 +123,7 @@
     return simulation.run();
   }
 
-  private Counted run() {
+  private Result run() {
     List<Double> listReceivedSeconds = new ArrayList<>();
     boolean[] hasList = new boolean[clients.size()];
     while (listReceivedSeconds.size() < clients.size()
@@ -132,25 +133,27 @@
       if (event.token == NODE_STARTS_TOKEN) {
         clients
             .get(event.node)
-            .told(now, new MembershipUpdate(MembershipUpdate.Kind.CACHED, 1, fullList.entries()));
+            .onMembershipUpdate(
+                now, new MembershipUpdate(MembershipUpdate.Kind.CACHED, 1, fullList.entries()));
       } else if (event.token == CALL_ANSWERED_TOKEN) {
         isProcessingCall = false;
         if (!hasList[event.node]) {
           hasList[event.node] = true;
           listReceivedSeconds.add(now - DISCOVERY_RETURN_SECONDS);
-          clients.get(event.node).told(now, fullList);
+          clients.get(event.node).onMembershipUpdate(now, fullList);
         }
         startNextCall();
       } else if (event.token == CALL_FAILED_TOKEN) {
         clients
             .get(event.node)
-            .told(now, new MembershipUpdate(MembershipUpdate.Kind.FAILED, 1, List.of()));
+            .onMembershipUpdate(
+                now, new MembershipUpdate(MembershipUpdate.Kind.FAILED, 1, List.of()));
       } else {
-        clients.get(event.node).timer(now, event.token);
+        clients.get(event.node).onTimer(now, event.token);
       }
     }
     double notReached = Double.POSITIVE_INFINITY;
-    return new Counted(
+    return new Result(
         listReceivedSeconds.size() > clients.size() / 2
             ? listReceivedSeconds.get(clients.size() / 2)
             : notReached,
@@ -189,7 +192,7 @@
   }
 
   /** Carries out the actions of one node's polling client. */
-  private final class ClientActions extends HollowActions {
+  private final class ClientActions extends NoOpRoutingActions {
     private final int node;
 
     ClientActions(int node) {
--- a/capacity/src/main/java/shalepaddle/capacity/FleetSize.java
+++ b/capacity/src/main/java/shalepaddle/capacity/FleetSize.java
@@ -13,7 +13,7 @@
  */
 public record FleetSize(int nodes, int servers, double perSecond, int zones) {
   /** The planned size of the fleet. */
-  public static final FleetSize COMING = new FleetSize(430, 110, 270_000, 27);
+  public static final FleetSize PLANNED = new FleetSize(430, 110, 270_000, 27);
 
   /** Memory of a hollow node, for its slot table, hot-key sketch, and state per key. */
   private static final long NODE_BYTES = 2_500_000;
@@ -24,13 +24,11 @@
       throw new IllegalArgumentException(
           ("nodes, servers, zones and requests per second must be positive,"
                   + " but are %d, %d, %d and %s")
-                  .formatted(nodes, servers, zones, perSecond));
+              .formatted(nodes, servers, zones, perSecond));
     }
   }
 
-  /**
-   * Returns the numbers of nodes to measure: 1/16, 1/8, 1/4, 1/2, 1 and 2 times {@link #nodes}.
-   */
+  /** Returns the numbers of nodes to measure: 1/16, 1/8, 1/4, 1/2, 1 and 2 times {@link #nodes}. */
   public List<Integer> nodeSteps() {
     return createSteps(nodes);
   }
@@ -57,7 +55,7 @@
 
   /** Returns the estimated peak memory of a run up to this size, in bytes. */
   public long expectedBytes() {
-    long cacheBytes = 2L * servers * HollowFleet.KEYS / 8;
+    long cacheBytes = 2L * servers * HollowFleet.KEY_COUNT / 8;
     return 2L * nodes * NODE_BYTES + cacheBytes + (256L << 20);
   }
 }
--- a/capacity/src/main/java/shalepaddle/capacity/HollowFeed.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowFeed.java
@@ -41,7 +41,7 @@
    * @param members the number of publishers
    * @param regions the number of regions, over which nodes and members are spread evenly
    * @param maxDelayNanos the longest one-way delay between two regions
-   * @param packetLoss the probability that a packet is lost
+   * @param packetLossRate the probability that a packet is lost
    * @param seconds how long entries are committed
    * @param subscribers creates the subscriber of each node
    */
@@ -50,20 +50,20 @@
       int members,
       int regions,
       long maxDelayNanos,
-      double packetLoss,
+      double packetLossRate,
       double entriesPerSecond,
       int bodyBytes,
       int seconds,
       ChangeFeedPublisher.Limits limits,
-      Followers subscribers,
+      SubscriberFactory subscribers,
       long seed) {}
 
-  interface Followers {
+  interface SubscriberFactory {
     ChangeFeedSubscriber create(int node, long seed, long now, ChangeFeedSubscriber.Output output);
   }
 
   /** Returns a factory of production subscribers to this many members. */
-  static Followers real(int members) {
+  static SubscriberFactory subscriberFactory(int members) {
     return (node, seed, now, output) ->
         new ChangeFeedSubscriber(
             "g", "n" + node, members, seed, now, ChangeFeedSubscriber.Timeouts.DEFAULT, output);
@@ -73,26 +73,26 @@
    * The result of a simulation. Delays are counted for nodes in contact.
    *
    * @param medianSeconds median delay from an entry's commit until a node has applied it
-   * @param ninetyNinthSeconds 99th percentile of this delay
-   * @param lastSeconds the greatest such delay
+   * @param p99Seconds 99th percentile of this delay
+   * @param maxSeconds the greatest such delay
    * @param bytesPerSecond bytes that a node sends and receives per second on average, with headers
-   * @param nodeMicros processor time of a node's subscriber per second, on average
-   * @param memberMicros processor time of a member's publisher per second, on average
-   * @param mostFollowers the greatest number of subscribers of one member
-   * @param mostOutBytes the greatest number of bytes that one member had in flight
-   * @param breaches the first 20 violations of the feed's guarantees
+   * @param nodeMicrosPerSecond processor time of a node's subscriber per second, on average
+   * @param memberMicrosPerSecond processor time of a member's publisher per second, on average
+   * @param maxSubscribers the greatest number of subscribers of one member
+   * @param maxInFlightBytes the greatest number of bytes that one member had in flight
+   * @param violations the first 20 violations of the feed's guarantees
    */
-  record Counted(
+  record Result(
       double medianSeconds,
-      double ninetyNinthSeconds,
-      double lastSeconds,
+      double p99Seconds,
+      double maxSeconds,
       double bytesPerSecond,
-      double nodeMicros,
-      double memberMicros,
-      int mostFollowers,
-      long mostOutBytes,
-      long snapshots,
-      List<String> breaches) {}
+      double nodeMicrosPerSecond,
+      double memberMicrosPerSecond,
+      int maxSubscribers,
+      long maxInFlightBytes,
+      long snapshotCount,
+      List<String> violations) {}
 
   /** One connection of a node to a member. */
   private final class Connection {
@@ -127,7 +127,7 @@
         atNanos += RETRANSMIT_NANOS + random.nextLong(SECOND_NANOS);
       }
       long retransmitNanos = RETRANSMIT_NANOS;
-      for (; random.nextDouble() < plan.packetLoss; retransmitNanos *= 2) {
+      for (; random.nextDouble() < plan.packetLossRate; retransmitNanos *= 2) {
         atNanos += retransmitNanos;
       }
       return Math.max(atNanos, previousArrivalNanos);
@@ -340,7 +340,7 @@
         // No packet comes back, and the subscriber's timeout ends the attempt.
         return;
       }
-      long synDelayNanos = random.nextDouble() < 2 * plan.packetLoss ? SYN_RETRANSMIT_NANOS : 0;
+      long synDelayNanos = random.nextDouble() < 2 * plan.packetLossRate ? SYN_RETRANSMIT_NANOS : 0;
       if (!targetMember.isAlive) {
         schedule(now + 2 * newConnection.delayNanos, () -> onDisconnected(newConnection));
         return;
@@ -517,12 +517,12 @@
   }
 
   /** Makes a member's machine unreachable for a duration; the member then restarts with its log. */
-  void vanish(long atNanos, int member, long durationNanos) {
+  void loseMember(long atNanos, int member, long durationNanos) {
     schedule(atNanos, () -> stopMember(members.get(member), durationNanos, true));
   }
 
   /** Kills a member's process, which restarts with its log after a duration. */
-  void kill(long atNanos, int member, long durationNanos) {
+  void killMember(long atNanos, int member, long durationNanos) {
     schedule(atNanos, () -> stopMember(members.get(member), durationNanos, false));
   }
 
@@ -557,7 +557,7 @@
   }
 
   /** Isolates a member from the other members, but not from subscribers, for a duration. */
-  void alone(long atNanos, int member, long durationNanos) {
+  void isolateMember(long atNanos, int member, long durationNanos) {
     schedule(
         atNanos,
         () -> {
@@ -569,7 +569,7 @@
   }
 
   /** Cuts links of a region's nodes to and/or from a member, or all members if member is -1. */
-  void cut(
+  void cutRegion(
       long atNanos, int region, int member, boolean cutsTo, boolean cutsFrom, long durationNanos) {
     schedule(
         atNanos,
@@ -587,7 +587,7 @@
         });
   }
 
-  void stop(long atNanos, int node, long durationNanos) {
+  void pauseNode(long atNanos, int node, long durationNanos) {
     schedule(
         atNanos,
         () -> {
@@ -596,7 +596,7 @@
         });
   }
 
-  void restart(long atNanos, int node) {
+  void restartNode(long atNanos, int node) {
     schedule(
         atNanos,
         () -> {
@@ -606,7 +606,7 @@
   }
 
   /** Runs the simulation, then a time without new entries, in which nodes catch up. */
-  Counted play(long settleNanos) {
+  Result simulate(long settleNanos) {
     long periodNanos = (long) (SECOND_NANOS / plan.entriesPerSecond);
     int totalEntries = (int) (plan.seconds * plan.entriesPerSecond);
     for (int i = 0; i < totalEntries; i++) {
@@ -635,7 +635,7 @@
         : applyDelaysNanos.get((int) (fraction * (applyDelaysNanos.size() - 1))) / 1e9;
   }
 
-  private Counted createResult() {
+  private Result createResult() {
     Collections.sort(applyDelaysNanos);
     long maxApplyDelayNanos = 0;
     for (long entryDelayNanos : maxApplyDelaysNanos) {
@@ -645,7 +645,7 @@
     double bytes = nodes.stream().mapToLong(node -> node.wireBytes).sum();
     double nodeNanos = nodes.stream().mapToLong(node -> node.cpuNanos).sum();
     double memberNanos = members.stream().mapToLong(member -> member.cpuNanos).sum();
-    return new Counted(
+    return new Result(
         percentileSeconds(0.5),
         percentileSeconds(0.99),
         maxApplyDelayNanos / 1e9,
--- a/capacity/src/main/java/shalepaddle/capacity/HollowFleet.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowFleet.java
@@ -20,14 +20,14 @@
  * modelled as a set of cached keys and two response times. The simulation runs in virtual time, in
  * seconds, on one thread and with a fixed seed. First the caches fill, then the figures are
  * counted, then the servers of one zone restart with empty caches. The load from all nodes on the
- * restarted servers is compared with the overload limit of slow start: a server fails after
- * {@link HollowSettings#OVERLOAD_FOR} seconds of load at {@link HollowSettings#OVERLOAD_FACTOR}
- * times its present capacity. {@code RuleChecker} in the tests of core checks the same limit as its
- * rule 4.
+ * restarted servers is compared with the overload limit of slow start: a server fails after {@link
+ * HollowSettings#OVERLOAD_SECONDS} seconds of load at {@link HollowSettings#OVERLOAD_RATIO} times
+ * its present capacity. {@code RuleChecker} in the tests of core checks the same limit as its rule
+ * 4.
  */
 final class HollowFleet {
   /** Number of different keys, which are drawn by Zipf's law with an exponent of one (assumed). */
-  static final int KEYS = 1 << 18;
+  static final int KEY_COUNT = 1 << 18;
 
   /** Response time of a server for a key that it has cached (assumed). */
   private static final double HIT_SECONDS = 0.048;
@@ -51,41 +51,42 @@
   /**
    * The result of a simulation.
    *
-   * @param awayPart the fraction of reads that were sent to another server than the key's first
-   *     choice
-   * @param refusedPart the fraction of reads that were rejected or failed
-   * @param missPart the fraction of reads that missed in the cache
-   * @param copies mean number of servers that have a key cached, over all cached keys
+   * @param otherServerRatio the fraction of reads that were sent to another server than the key's
+   *     first choice
+   * @param rejectedRatio the fraction of reads that were rejected or failed
+   * @param missRatio the fraction of reads that missed in the cache
+   * @param copiesPerKey mean number of servers that have a key cached, over all cached keys
    * @param microsPerRead processor time of the routing decisions per read
    * @param nodesPerServer mean number of nodes that sent reads to a server
-   * @param coldPart the greatest number of reads sent to a restarted server within
-   *     {@link HollowSettings#OVERLOAD_FOR} seconds, as a fraction of the number that overloads the
+   * @param restartLoadRatio the greatest number of reads sent to a restarted server within {@link
+   *     HollowSettings#OVERLOAD_SECONDS} seconds, as a fraction of the number that overloads the
    *     server. Two standard deviations and two reads are added to this limit for random variation.
-   * @param coldCallers the greatest number of nodes that sent their first read to one restarted
-   *     server within one second
+   * @param maxNewCallersPerSecond the greatest number of nodes that sent their first read to one
+   *     restarted server within one second
    * @param bytesPerNode heap per node
    */
-  record Counted(
-      double awayPart,
-      double refusedPart,
-      double missPart,
-      double copies,
+  record Result(
+      double otherServerRatio,
+      double rejectedRatio,
+      double missRatio,
+      double copiesPerKey,
       double microsPerRead,
       double nodesPerServer,
-      double coldPart,
-      double coldCallers,
+      double restartLoadRatio,
+      double maxNewCallersPerSecond,
       double bytesPerNode) {}
 
   /**
    * The phases of a simulation, in seconds of virtual time.
    *
-   * @param warm how long the caches fill
-   * @param counted how long the figures are counted
-   * @param cold how long the simulation goes on after the servers of one zone have restarted
+   * @param warmUpSeconds how long the caches fill
+   * @param countedSeconds how long the figures are counted
+   * @param restartedSeconds how long the simulation goes on after the servers of one zone have
+   *     restarted
    */
-  record Parts(double warm, double counted, double cold) {
+  record Phases(double warmUpSeconds, double countedSeconds, double restartedSeconds) {
     double totalSeconds() {
-      return warm + counted + cold;
+      return warmUpSeconds + countedSeconds + restartedSeconds;
     }
   }
 
@@ -105,7 +106,7 @@
       double atSeconds, int node, String id, int server, long token, boolean isMiss) {}
 
   private final FleetSize size;
-  private final Parts simulationPhases;
+  private final Phases simulationPhases;
   private final SplittableRandom random;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>((a, b) -> Double.compare(a.atSeconds, b.atSeconds));
@@ -115,7 +116,7 @@
   private final RequestRouter idleRouter;
 
   /** The first-choice server of each key, -1 if not determined yet. */
-  private final int[] firstChoices = new int[KEYS];
+  private final int[] firstChoices = new int[KEY_COUNT];
 
   private final Map<Long, Integer> serverIndexById = new HashMap<>();
   private final long[] serverIds;
@@ -155,7 +156,7 @@
   /** The reads sent by the current call of a router. */
   private final List<SentRead> sentReads = new ArrayList<>();
 
-  private HollowFleet(FleetSize size, Parts simulationPhases, long seed) {
+  private HollowFleet(FleetSize size, Phases simulationPhases, long seed) {
     this.size = size;
     this.simulationPhases = simulationPhases;
     this.random = new SplittableRandom(seed);
@@ -164,13 +165,13 @@
     cachedKeys = new BitSet[size.servers()];
     requestingNodes = new BitSet[size.servers()];
     for (int server = 0; server < size.servers(); server++) {
-      serverIds[server] = HollowSettings.id(server);
+      serverIds[server] = HollowSettings.serverId(server);
       serverIndexById.put(serverIds[server], server);
-      cachedKeys[server] = new BitSet(KEYS);
+      cachedKeys[server] = new BitSet(KEY_COUNT);
       requestingNodes[server] = new BitSet(size.nodes());
       coldSendSeconds.add(new ArrayDeque<>());
       coldRequestingNodes.add(new BitSet(size.nodes()));
-      newCallersBySecond.add(new int[(int) Math.ceil(simulationPhases.cold()) + 1]);
+      newCallersBySecond.add(new int[(int) Math.ceil(simulationPhases.restartedSeconds()) + 1]);
     }
     for (int node = 0; node < size.nodes(); node++) {
       routers[node] =
@@ -184,7 +185,7 @@
   }
 
   /** Simulates one fleet in all phases. */
-  static Counted play(FleetSize size, Parts simulationPhases, long seed) {
+  static Result simulate(FleetSize size, Phases simulationPhases, long seed) {
     long heapBytesBefore = measureUsedHeapBytes();
     HollowFleet fleet = new HollowFleet(size, simulationPhases, seed);
     fleet.run();
@@ -207,7 +208,7 @@
     for (int server = 0; server < serverIds.length; server++) {
       boolean isInFirstZone = server % size.zones() == 0;
       if (kind == MembershipUpdate.Kind.FULL || isInFirstZone) {
-        entries.add(HollowSettings.entry(server, size, startedAtSeconds));
+        entries.add(HollowSettings.createEntry(server, size, startedAtSeconds));
       }
     }
     return new MembershipUpdate(kind, 1, entries);
@@ -218,8 +219,9 @@
   }
 
   private void run() {
-    double countedUntilSeconds = simulationPhases.warm() + simulationPhases.counted();
-    runUntil(simulationPhases.warm());
+    double countedUntilSeconds =
+        simulationPhases.warmUpSeconds() + simulationPhases.countedSeconds();
+    runUntil(simulationPhases.warmUpSeconds());
     isCounting = true;
     runUntil(countedUntilSeconds);
     isCounting = false;
@@ -246,7 +248,7 @@
   }
 
   private double meanCopiesPerKey() {
-    BitSet keysOnAnyServer = new BitSet(KEYS);
+    BitSet keysOnAnyServer = new BitSet(KEY_COUNT);
     long copyCount = 0;
     for (BitSet keys : cachedKeys) {
       keysOnAnyServer.or(keys);
@@ -280,7 +282,7 @@
 
   private void issueRead() {
     int node = random.nextInt(routers.length);
-    int keyNumber = (int) Math.exp(random.nextDouble() * Math.log(KEYS + 1)) - 1;
+    int keyNumber = (int) Math.exp(random.nextDouble() * Math.log(KEY_COUNT + 1)) - 1;
     String key = "k" + keyNumber;
     if (firstChoices[keyNumber] < 0) {
       idleRouter.onRequest(now, createRead(key, key));
@@ -345,7 +347,7 @@
   }
 
   /** Carries out the actions of one node's router, or of {@link #idleRouter} if node is -1. */
-  private final class NodeActions extends HollowActions {
+  private final class NodeActions extends NoOpRoutingActions {
     private final int node;
 
     NodeActions(int node) {
@@ -378,13 +380,14 @@
   private void recordColdSend(int server, int node) {
     ArrayDeque<Double> sendSeconds = coldSendSeconds.get(server);
     sendSeconds.add(now);
-    double windowSeconds = HollowSettings.OVERLOAD_FOR;
+    double windowSeconds = HollowSettings.OVERLOAD_SECONDS;
     while (sendSeconds.peek() < now - windowSeconds) {
       sendSeconds.poll();
     }
     double capacityPerSecond =
-        HollowSettings.capacity(size) * HollowSettings.warmth(now - restartSeconds);
-    double maxSends = HollowSettings.OVERLOAD_FACTOR * capacityPerSecond * windowSeconds;
+        HollowSettings.capacityPerSecond(size)
+            * HollowSettings.slowStartRatio(now - restartSeconds);
+    double maxSends = HollowSettings.OVERLOAD_RATIO * capacityPerSecond * windowSeconds;
     restartLoadRatio =
         Math.max(restartLoadRatio, sendSeconds.size() / (maxSends + 2 * Math.sqrt(maxSends) + 2));
     if (!coldRequestingNodes.get(server).get(node)) {
@@ -395,13 +398,13 @@
     }
   }
 
-  private Counted createResult(double bytesPerNode) {
+  private Result createResult(double bytesPerNode) {
     double nodeServerPairs = 0;
     for (BitSet nodesOfServer : requestingNodes) {
       nodeServerPairs += nodesOfServer.cardinality();
     }
     double countedReadsOrOne = Math.max(1, countedReads);
-    return new Counted(
+    return new Result(
         otherServerReads / countedReadsOrOne,
         rejectedReads / countedReadsOrOne,
         missedReads / countedReadsOrOne,
--- a/capacity/src/main/java/shalepaddle/capacity/HollowSettings.java
+++ b/capacity/src/main/java/shalepaddle/capacity/HollowSettings.java
@@ -10,12 +10,12 @@
 final class HollowSettings {
   /**
    * By the servers' contract ({@link Settings.Contract}), a server in slow start fails after {@link
-   * #OVERLOAD_FOR} seconds of load at this multiple of its present capacity.
+   * #OVERLOAD_SECONDS} seconds of load at this multiple of its present capacity.
    */
-  static final double OVERLOAD_FACTOR = 3;
+  static final double OVERLOAD_RATIO = 3;
 
   /** How long a server in slow start must be overloaded until it fails, in seconds. */
-  static final double OVERLOAD_FOR = 2;
+  static final double OVERLOAD_SECONDS = 2;
 
   /** The fraction of its capacity that a server has at its start, by the servers' contract. */
   private static final double SLOW_START_MIN_RATIO = 0.1;
@@ -63,8 +63,8 @@
             2,
             SLOW_START_MIN_RATIO,
             SLOW_START_SECONDS,
-            OVERLOAD_FACTOR,
-            OVERLOAD_FOR),
+            OVERLOAD_RATIO,
+            OVERLOAD_SECONDS),
         new Settings.Prices(0, 0, 0, 0, 0, 0, 0, 0, 0),
         List.of(readClass),
         List.of(),
@@ -77,17 +77,23 @@
   }
 
   /** Returns the id by which the router identifies a server. */
-  static long id(int server) {
+  static long serverId(int server) {
     return MemberList.serverNumber("s-" + server);
   }
 
-  static ServerEntry entry(int server, FleetSize size, double startedAtSeconds) {
+  static ServerEntry createEntry(int server, FleetSize size, double startedAtSeconds) {
     return new ServerEntry(
-        id(server), zoneName(server, size), "m", 0, ServerEntry.State.READY, 1, startedAtSeconds);
+        serverId(server),
+        zoneName(server, size),
+        "m",
+        0,
+        ServerEntry.State.READY,
+        1,
+        startedAtSeconds);
   }
 
   /** Returns the capacity of a warm server, in requests per second. */
-  static double capacity(FleetSize size) {
+  static double capacityPerSecond(FleetSize size) {
     return size.perSecond() / size.servers() / USUAL_LOAD_RATIO;
   }
 
@@ -95,7 +101,7 @@
    * Returns the fraction of its full capacity that a server has at this age, by the servers'
    * contract. The age is in seconds since the server's start.
    */
-  static double warmth(double ageSeconds) {
+  static double slowStartRatio(double ageSeconds) {
     return Math.min(
         1, SLOW_START_MIN_RATIO + (1 - SLOW_START_MIN_RATIO) * ageSeconds / SLOW_START_SECONDS);
   }
--- a/capacity/src/main/java/shalepaddle/capacity/HollowActions.java
+++ b/capacity/src/main/java/shalepaddle/capacity/NoOpRoutingActions.java
@@ -3,7 +3,7 @@
 import shalepaddle.policy.RoutingActions;
 
 /** Ignores all actions of a hollow node; subclasses override those that a simulation observes. */
-abstract class HollowActions implements RoutingActions {
+abstract class NoOpRoutingActions implements RoutingActions {
   @Override
   public void send(String requestId, long server, double withinSeconds) {}
 
--- a/capacity/src/main/java/shalepaddle/capacity/ServerListPayload.java
+++ b/capacity/src/main/java/shalepaddle/capacity/ServerListPayload.java
@@ -17,9 +17,9 @@
    * The measured size and time.
    *
    * @param bytes the size of the full endpoint list in discovery's JSON
-   * @param readMicros the median time to parse the list
+   * @param parseMicros the median time to parse the list
    */
-  record Measured(double bytes, double readMicros) {}
+  record Measurement(double bytes, double parseMicros) {}
 
   private ServerListPayload() {}
 
@@ -30,7 +30,7 @@
         .formatted(server, server % 256, server / 256, server % size.zones(), server / 8);
   }
 
-  static Measured measure(FleetSize size) throws FormatException {
+  static Measurement measure(FleetSize size) throws FormatException {
     String payload =
         IntStream.range(0, size.servers())
             .mapToObj(server -> createEntryJson(server, size))
@@ -45,7 +45,7 @@
             "parsed %d servers, expected %d".formatted(parsed.members().size(), size.servers()));
       }
     }
-    return new Measured(
+    return new Measurement(
         payload.getBytes(StandardCharsets.UTF_8).length, DecisionCost.median(parseMicros));
   }
 }
--- a/capacity/src/main/java/shalepaddle/capacity/Slope.java
+++ b/capacity/src/main/java/shalepaddle/capacity/Slope.java
@@ -59,7 +59,7 @@
   }
 
   /** Returns the value of the fitted line at a size. */
-  public double at(double size) {
+  public double valueAt(double size) {
     return slope * size + constant;
   }
 
@@ -67,7 +67,7 @@
    * Returns the power of the size with which the figure grows from the first point to the last: 0
    * if it is constant, 1 if it is proportional to the size, 2 if it is quadratic.
    */
-  public double power() {
+  public double growthExponent() {
     Point firstPoint = points.get(0);
     Point lastPoint = points.get(points.size() - 1);
     return Math.log(lastPoint.value / firstPoint.value)
--- a/capacity/src/main/java/shalepaddle/capacity/SlopeChart.java
+++ b/capacity/src/main/java/shalepaddle/capacity/SlopeChart.java
@@ -52,9 +52,11 @@
     chart.addSeries("measured", sizes, values);
     double[] endSizes = {sizes[0], sizes[sizes.length - 1]};
     chart
-        .addSeries("line", endSizes, new double[] {slope.at(endSizes[0]), slope.at(endSizes[1])})
+        .addSeries(
+            "line", endSizes, new double[] {slope.valueAt(endSizes[0]), slope.valueAt(endSizes[1])})
         .setMarker(SeriesMarkers.NONE);
-    chart.addSeries("planned", new double[] {plannedSize}, new double[] {slope.at(plannedSize)});
+    chart.addSeries(
+        "planned", new double[] {plannedSize}, new double[] {slope.valueAt(plannedSize)});
     return chart;
   }
 }
--- a/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
@@ -29,7 +29,7 @@
   private static final double MAX_DECISION_TIME_GROWTH = SERVER_FACTOR;
 
   private interface RouterFactoryBySize
-      extends Function<FleetSize, Function<RoutingActions, DecisionCost.Decider>> {}
+      extends Function<FleetSize, Function<RoutingActions, DecisionCost.MeasuredRouter>> {}
 
   /** The number of rounds whose median is checked; a single round is sometimes off by half. */
   private static final int ROUND_COUNT = 3;
@@ -41,14 +41,14 @@
     DecisionCost.measure(largeFleet, readsPerRound, routerFactoryBySize.apply(largeFleet));
     double[] growths = new double[ROUND_COUNT];
     for (int i = 0; i < ROUND_COUNT; i++) {
-      DecisionCost.Measured smallCost =
+      DecisionCost.Measurement smallCost =
           DecisionCost.measure(SMALL_FLEET, readsPerRound, routerFactoryBySize.apply(SMALL_FLEET));
-      DecisionCost.Measured largeCost =
+      DecisionCost.Measurement largeCost =
           DecisionCost.measure(largeFleet, readsPerRound, routerFactoryBySize.apply(largeFleet));
       growths[i] =
           Math.max(
-              largeCost.heldMicros() / smallCost.heldMicros(),
-              largeCost.missingMicros() / smallCost.missingMicros());
+              largeCost.cachedReadMicros() / smallCost.cachedReadMicros(),
+              largeCost.uncachedReadMicros() / smallCost.uncachedReadMicros());
     }
     Arrays.sort(growths);
     return growths[ROUND_COUNT / 2];
@@ -57,36 +57,37 @@
   @Test
   void decisionTimeGrowsNoFasterThanServerCount() {
     double decisionTimeGrowth =
-        measureDecisionTimeGrowth(2000, size -> actions -> DecisionCost.real(size, actions));
+        measureDecisionTimeGrowth(
+            2000, size -> actions -> DecisionCost.createRouter(size, actions));
     assertTrue(
         decisionTimeGrowth < MAX_DECISION_TIME_GROWTH,
         "with eight times the servers, decisions take " + decisionTimeGrowth + " times as long");
   }
 
   /** Creates a router that iterates over all pairs of servers for each read. */
-  private static DecisionCost.Decider createQuadraticRouter(
+  private static DecisionCost.MeasuredRouter createQuadraticRouter(
       FleetSize size, RoutingActions actions) {
-    DecisionCost.Decider productionRouter = DecisionCost.real(size, actions);
+    DecisionCost.MeasuredRouter productionRouter = DecisionCost.createRouter(size, actions);
     long[] serverValues = new long[size.servers()];
-    return new DecisionCost.Decider() {
+    return new DecisionCost.MeasuredRouter() {
       @Override
-      public void membership(double now, MembershipUpdate update) {
-        productionRouter.membership(now, update);
+      public void onMembershipUpdate(double now, MembershipUpdate update) {
+        productionRouter.onMembershipUpdate(now, update);
       }
 
       @Override
-      public void request(double now, Request request) {
+      public void onRequest(double now, Request request) {
         for (int a = 0; a < serverValues.length; a++) {
           for (int b = 0; b < serverValues.length; b++) {
             serverValues[a] = Long.rotateLeft(serverValues[a] ^ serverValues[b], 7) % 1_000_003;
           }
         }
-        productionRouter.request(now, request);
+        productionRouter.onRequest(now, request);
       }
 
       @Override
-      public void outcome(double now, Outcome outcome) {
-        productionRouter.outcome(now, outcome);
+      public void onOutcome(double now, Outcome outcome) {
+        productionRouter.onOutcome(now, outcome);
       }
     };
   }
@@ -104,20 +105,21 @@
 
   /** Simulates the return of discovery at several sizes, and reports each exceeded limit. */
   private static List<String> findViolations(
-      double callsPerSecond, Function<FleetSize, DiscoveryPolling.Feeds> clientFactory) {
+      double callsPerSecond,
+      Function<FleetSize, DiscoveryPolling.PollingClientFactory> clientFactory) {
     List<String> violations = new ArrayList<>();
     for (int nodes : new int[] {27, 54, 108}) {
       FleetSize size = SMALL_FLEET.withNodes(nodes);
-      DiscoveryPolling.Counted result =
-          DiscoveryPolling.play(size, callsPerSecond, 7, clientFactory.apply(size));
+      DiscoveryPolling.Result result =
+          DiscoveryPolling.simulate(size, callsPerSecond, 7, clientFactory.apply(size));
       // Discovery answers one call at a time, so that the last node has the list after nodes /
       // callsPerSecond at the earliest. The limit is 1.5 times this time plus 4 s for a round of
       // polls.
       double maxSeconds = 1.5 * nodes / callsPerSecond + 4;
-      if (result.lastSeconds() > maxSeconds) {
+      if (result.maxRecoverySeconds() > maxSeconds) {
         violations.add(
             "%d nodes: the last node had the list after %s s, limit %s s"
-                .formatted(nodes, result.lastSeconds(), maxSeconds));
+                .formatted(nodes, result.maxRecoverySeconds(), maxSeconds));
       }
       // Measured: 6 calls per node in the outage, and one more for each 30 nodes of the fleet. The
       // limit is twice this number.
@@ -130,23 +132,23 @@
 
   @Test
   void nodesReceiveListWithoutStormOfCallsWhenDiscoveryReturns() {
-    assertEquals(List.of(), findViolations(2.5, DiscoveryPolling::real));
-    assertEquals(List.of(), findViolations(6, DiscoveryPolling::real));
+    assertEquals(List.of(), findViolations(2.5, DiscoveryPolling::routerClients));
+    assertEquals(List.of(), findViolations(6, DiscoveryPolling::routerClients));
   }
 
   /** Creates clients that poll again 50 ms after each failure, without backoff. */
-  private static DiscoveryPolling.Feeds createClientsWithoutBackoff(FleetSize size) {
+  private static DiscoveryPolling.PollingClientFactory createClientsWithoutBackoff(FleetSize size) {
     return (node, actions) ->
-        new DiscoveryPolling.Feed() {
+        new DiscoveryPolling.PollingClient() {
           @Override
-          public void told(double now, MembershipUpdate update) {
+          public void onMembershipUpdate(double now, MembershipUpdate update) {
             if (update.kind() != MembershipUpdate.Kind.FULL) {
               actions.scheduleTimer(0, 0.05);
             }
           }
 
           @Override
-          public void timer(double now, long token) {
+          public void onTimer(double now, long token) {
             actions.subscribe(true);
           }
         };
@@ -160,47 +162,47 @@
         violations.toString());
   }
 
-  private static HollowFleet.Counted simulateFleet(int nodes) {
-    return HollowFleet.play(SMALL_FLEET.withNodes(nodes), new HollowFleet.Parts(1, 0.5, 2), 3);
+  private static HollowFleet.Result simulateFleet(int nodes) {
+    return HollowFleet.simulate(SMALL_FLEET.withNodes(nodes), new HollowFleet.Phases(1, 0.5, 2), 3);
   }
 
   @Test
   void loadOnRestartedServersDoesNotGrowWithNodeCount() {
-    HollowFleet.Counted smallResult = simulateFleet(27);
-    HollowFleet.Counted largeResult = simulateFleet(216);
+    HollowFleet.Result smallResult = simulateFleet(27);
+    HollowFleet.Result largeResult = simulateFleet(216);
     assertTrue(
-        smallResult.coldPart() > 0.1 && smallResult.coldPart() < 1,
+        smallResult.restartLoadRatio() > 0.1 && smallResult.restartLoadRatio() < 1,
         "load of restarted servers with 27 nodes: " + smallResult);
     assertTrue(
-        largeResult.coldPart() > 0.1 && largeResult.coldPart() < 1,
+        largeResult.restartLoadRatio() > 0.1 && largeResult.restartLoadRatio() < 1,
         "load of restarted servers with 216 nodes: " + largeResult);
     // Measured: 0.42 of the overload limit at 27 nodes and 0.43 at 108 nodes, so the load does not
     // grow with the nodes.
     assertTrue(
-        largeResult.coldPart() < 1.5 * smallResult.coldPart(),
+        largeResult.restartLoadRatio() < 1.5 * smallResult.restartLoadRatio(),
         "load of restarted servers with 27 and 216 nodes: " + smallResult + " and " + largeResult);
   }
 
   @Test
   void copiesAndMissesDoNotGrowWithNodeCount() {
-    HollowFleet.Counted smallResult = simulateFleet(27);
-    HollowFleet.Counted largeResult = simulateFleet(216);
-    assertEquals(0, largeResult.refusedPart(), 0.001);
+    HollowFleet.Result smallResult = simulateFleet(27);
+    HollowFleet.Result largeResult = simulateFleet(216);
+    assertEquals(0, largeResult.rejectedRatio(), 0.001);
     assertTrue(
-        largeResult.copies() < 1.3 * smallResult.copies(),
+        largeResult.copiesPerKey() < 1.3 * smallResult.copiesPerKey(),
         "copies per key with 27 and 216 nodes: " + smallResult + " and " + largeResult);
     assertTrue(
-        largeResult.missPart() < 1.3 * smallResult.missPart(),
+        largeResult.missRatio() < 1.3 * smallResult.missRatio(),
         "misses with 27 and 216 nodes: " + smallResult + " and " + largeResult);
   }
 
   @Test
   void fleetSimulationIsDeterministic() {
-    HollowFleet.Counted firstRun = simulateFleet(14);
-    HollowFleet.Counted secondRun = simulateFleet(14);
-    assertEquals(firstRun.awayPart(), secondRun.awayPart());
-    assertEquals(firstRun.missPart(), secondRun.missPart());
-    assertEquals(firstRun.coldPart(), secondRun.coldPart());
+    HollowFleet.Result firstRun = simulateFleet(14);
+    HollowFleet.Result secondRun = simulateFleet(14);
+    assertEquals(firstRun.otherServerRatio(), secondRun.otherServerRatio());
+    assertEquals(firstRun.missRatio(), secondRun.missRatio());
+    assertEquals(firstRun.restartLoadRatio(), secondRun.restartLoadRatio());
   }
 
   @Test
@@ -213,7 +215,7 @@
 
   @Test
   void nodeStepsDoubleWithoutDuplicatesUpToTwiceNodeCount() {
-    assertEquals(List.of(27, 54, 108, 215, 430, 860), FleetSize.COMING.nodeSteps());
+    assertEquals(List.of(27, 54, 108, 215, 430, 860), FleetSize.PLANNED.nodeSteps());
     assertEquals(List.of(1, 2), new FleetSize(1, 1, 1, 1).nodeSteps());
   }
 }
--- a/capacity/src/test/java/shalepaddle/capacity/ChangeFeedSimulationTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/ChangeFeedSimulationTest.java
@@ -27,7 +27,7 @@
       double packetLossRate,
       long retainedBytes,
       long seed,
-      HollowFeed.Followers subscriberFactory) {
+      HollowFeed.SubscriberFactory subscriberFactory) {
     ChangeFeedPublisher.Limits defaultLimits = ChangeFeedPublisher.Limits.DEFAULT;
     ChangeFeedPublisher.Limits limits =
         new ChangeFeedPublisher.Limits(
@@ -43,7 +43,7 @@
 
   /** Creates a simulation with a random fleet and up to six random faults. */
   private static HollowFeed createFeedWithFaults(
-      long seed, HollowFeed.Followers subscriberFactory) {
+      long seed, HollowFeed.SubscriberFactory subscriberFactory) {
     SplittableRandom random = new SplittableRandom(seed);
     int nodes = 4 + random.nextInt(12);
     double packetLossRate = random.nextBoolean() ? 0 : random.nextDouble() * 0.05;
@@ -57,21 +57,21 @@
       int member = random.nextInt(3);
       int node = random.nextInt(nodes);
       switch (random.nextInt(8)) {
-        case 0 -> simulation.vanish(atNanos, member, durationNanos);
-        case 1 -> simulation.kill(atNanos, member, durationNanos);
+        case 0 -> simulation.loseMember(atNanos, member, durationNanos);
+        case 1 -> simulation.killMember(atNanos, member, durationNanos);
         case 2 -> {
           for (int restartedMember = 0; restartedMember < 3; restartedMember++) {
-            simulation.kill(
+            simulation.killMember(
                 atNanos + 2L * restartedMember * SECOND_NANOS, restartedMember, SECOND_NANOS);
           }
         }
-        case 3 -> simulation.alone(atNanos, member, 2 * durationNanos);
-        case 4 -> simulation.cut(atNanos, random.nextInt(5), -1, true, true, durationNanos);
+        case 3 -> simulation.isolateMember(atNanos, member, 2 * durationNanos);
+        case 4 -> simulation.cutRegion(atNanos, random.nextInt(5), -1, true, true, durationNanos);
         case 5 ->
-            simulation.cut(
+            simulation.cutRegion(
                 atNanos, random.nextInt(5), member, random.nextBoolean(), true, durationNanos);
-        case 6 -> simulation.stop(atNanos, node, durationNanos);
-        default -> simulation.restart(atNanos, node);
+        case 6 -> simulation.pauseNode(atNanos, node, durationNanos);
+        default -> simulation.restartNode(atNanos, node);
       }
     }
     return simulation;
@@ -79,13 +79,14 @@
 
   /** Runs a simulation with random faults for each seed, and returns their violations. */
   private static List<String> findViolations(
-      int seedCount, HollowFeed.Followers subscriberFactory) {
+      int seedCount, HollowFeed.SubscriberFactory subscriberFactory) {
     List<String> violations = new ArrayList<>();
     for (long seed = 1; seed <= seedCount && violations.size() < 5; seed++) {
       long currentSeed = seed;
-      HollowFeed.Counted result = createFeedWithFaults(seed, subscriberFactory).play(SETTLE_NANOS);
+      HollowFeed.Result result =
+          createFeedWithFaults(seed, subscriberFactory).simulate(SETTLE_NANOS);
       result
-          .breaches()
+          .violations()
           .forEach(violation -> violations.add("seed " + currentSeed + ", " + violation));
     }
     return violations;
@@ -93,11 +94,12 @@
 
   @Test
   void appliesEachEntryOnceInOrderAndInTimeDespiteFaults() {
-    assertEquals(List.of(), findViolations(SEED_COUNT, HollowFeed.real(3)));
+    assertEquals(List.of(), findViolations(SEED_COUNT, HollowFeed.subscriberFactory(3)));
   }
 
   /** Creates production subscribers with these timeouts. */
-  private static HollowFeed.Followers subscribersWith(ChangeFeedSubscriber.Timeouts timeouts) {
+  private static HollowFeed.SubscriberFactory subscribersWith(
+      ChangeFeedSubscriber.Timeouts timeouts) {
     return (node, seed, now, output) ->
         new ChangeFeedSubscriber("g", "n" + node, 3, seed, now, timeouts, output);
   }
@@ -132,10 +134,20 @@
             1000 * SECOND_NANOS);
     HollowFeed.Plan plan =
         new HollowFeed.Plan(
-            9, 3, 3, 80_000_000L, 0, 6, 120, 25, limitsWithLongTimeout, HollowFeed.real(3), 1);
+            9,
+            3,
+            3,
+            80_000_000L,
+            0,
+            6,
+            120,
+            25,
+            limitsWithLongTimeout,
+            HollowFeed.subscriberFactory(3),
+            1);
     HollowFeed simulation = new HollowFeed(plan);
-    simulation.alone(3 * SECOND_NANOS, 1, 15 * SECOND_NANOS);
-    List<String> violations = simulation.play(SETTLE_NANOS).breaches();
+    simulation.isolateMember(3 * SECOND_NANOS, 1, 15 * SECOND_NANOS);
+    List<String> violations = simulation.simulate(SETTLE_NANOS).violations();
     assertTrue(
         violations.stream().anyMatch(violation -> violation.contains("lacks entry")),
         violations.toString());
@@ -143,30 +155,32 @@
 
   @Test
   void pausedNodesNeitherDelayOtherNodesNorFillMemory() {
-    HollowFeed simulation = new HollowFeed(createPlan(12, 0, 2000, 5, HollowFeed.real(3)));
+    HollowFeed simulation =
+        new HollowFeed(createPlan(12, 0, 2000, 5, HollowFeed.subscriberFactory(3)));
     for (int node = 0; node < 4; node++) {
-      simulation.stop(2 * SECOND_NANOS, node, 18 * SECOND_NANOS);
+      simulation.pauseNode(2 * SECOND_NANOS, node, 18 * SECOND_NANOS);
     }
-    HollowFeed.Counted result = simulation.play(SETTLE_NANOS);
-    assertEquals(List.of(), result.breaches());
-    assertTrue(result.snapshots() >= 4, "snapshots sent by members: " + result.snapshots());
+    HollowFeed.Result result = simulation.simulate(SETTLE_NANOS);
+    assertEquals(List.of(), result.violations());
+    assertTrue(result.snapshotCount() >= 4, "snapshots sent by members: " + result.snapshotCount());
     // Each of the 12 nodes has at most a window of 4,000 bytes and one further message in flight.
     assertTrue(
-        result.mostOutBytes() <= 12 * (4000 + 2000),
-        "most bytes in flight of one member: " + result.mostOutBytes());
+        result.maxInFlightBytes() <= 12 * (4000 + 2000),
+        "most bytes in flight of one member: " + result.maxInFlightBytes());
   }
 
   @Test
   void deliversInTimeWhenAllNodesRestartWithinOneSecond() {
-    HollowFeed simulation = new HollowFeed(createPlan(430, 0, 1 << 20, 6, HollowFeed.real(3)));
+    HollowFeed simulation =
+        new HollowFeed(createPlan(430, 0, 1 << 20, 6, HollowFeed.subscriberFactory(3)));
     for (int node = 0; node < 430; node++) {
-      simulation.restart(10 * SECOND_NANOS + node * 1_000_000L, node);
+      simulation.restartNode(10 * SECOND_NANOS + node * 1_000_000L, node);
     }
-    HollowFeed.Counted result = simulation.play(SETTLE_NANOS);
-    assertEquals(List.of(), result.breaches());
+    HollowFeed.Result result = simulation.simulate(SETTLE_NANOS);
+    assertEquals(List.of(), result.violations());
     assertTrue(
-        result.lastSeconds() < 1.1,
-        "greatest delay until a node applied an entry, in seconds: " + result.lastSeconds());
+        result.maxSeconds() < 1.1,
+        "greatest delay until a node applied an entry, in seconds: " + result.maxSeconds());
   }
 
   @Test
@@ -184,20 +198,20 @@
                   120,
                   15,
                   ChangeFeedPublisher.Limits.DEFAULT,
-                  HollowFeed.real(3),
+                  HollowFeed.subscriberFactory(3),
                   seed));
-      simulation.vanish(6 * SECOND_NANOS, 1, 6 * SECOND_NANOS);
-      HollowFeed.Counted result = simulation.play(SETTLE_NANOS);
-      assertEquals(List.of(), result.breaches());
+      simulation.loseMember(6 * SECOND_NANOS, 1, 6 * SECOND_NANOS);
+      HollowFeed.Result result = simulation.simulate(SETTLE_NANOS);
+      assertEquals(List.of(), result.violations());
       assertTrue(
-          result.lastSeconds() < 1.1,
-          "greatest delay until a node applied an entry, in seconds: " + result.lastSeconds());
+          result.maxSeconds() < 1.1,
+          "greatest delay until a node applied an entry, in seconds: " + result.maxSeconds());
       assertTrue(
           result.bytesPerSecond() < 2000,
           "bytes per second of one node: " + result.bytesPerSecond());
       assertTrue(
-          result.mostFollowers() < 0.6 * 215,
-          "most subscribers of one member: " + result.mostFollowers());
+          result.maxSubscribers() < 0.6 * 215,
+          "most subscribers of one member: " + result.maxSubscribers());
     }
   }
 }
--- a/capacity/src/test/java/shalepaddle/capacity/SlopeTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/SlopeTest.java
@@ -21,7 +21,7 @@
     assertEquals(2, line.slope(), 1e-9);
     assertEquals(3, line.constant(), 1e-9);
     assertEquals(0, line.noise(), 1e-9);
-    assertEquals(863, line.at(430), 1e-6);
+    assertEquals(863, line.valueAt(430), 1e-6);
   }
 
   @Test
@@ -31,8 +31,8 @@
 
   @Test
   void growthExponentDistinguishesProportionalFromQuadratic() {
-    assertEquals(0, fit(4, 4, 4).power(), 1e-9);
-    assertEquals(1, fit(3, 6, 12).power(), 1e-9);
-    assertEquals(2, fit(1, 4, 16).power(), 1e-9);
+    assertEquals(0, fit(4, 4, 4).growthExponent(), 1e-9);
+    assertEquals(1, fit(3, 6, 12).growthExponent(), 1e-9);
+    assertEquals(2, fit(1, 4, 16).growthExponent(), 1e-9);
   }
 }
--- a/cli/src/main/java/shalepaddle/cli/CapacityCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/CapacityCommand.java
@@ -33,29 +33,27 @@
     mixinStandardHelpOptions = true)
 final class CapacityCommand implements Callable<Integer> {
   @Option(names = "--nodes", description = "Nodes (default: ${DEFAULT-VALUE}).")
-  private int nodes = FleetSize.COMING.nodes();
+  private int nodes = FleetSize.PLANNED.nodes();
 
   @Option(names = "--servers", description = "Cache servers (default: ${DEFAULT-VALUE}).")
-  private int servers = FleetSize.COMING.servers();
+  private int servers = FleetSize.PLANNED.servers();
 
   @Option(
       names = "--zones",
       description = "Zones that contain servers (default: ${DEFAULT-VALUE}).")
-  private int zones = FleetSize.COMING.zones();
+  private int zones = FleetSize.PLANNED.zones();
 
   @Option(
       names = "--rate",
       description = "Requests per second to all nodes together (default: ${DEFAULT-VALUE}).")
-  private double requestsPerSecond = FleetSize.COMING.perSecond();
+  private double requestsPerSecond = FleetSize.PLANNED.perSecond();
 
   @Option(
       names = "--seconds",
       description = "Virtual seconds measured at each size (default: ${DEFAULT-VALUE}).")
   private double seconds = 2;
 
-  @Option(
-      names = "--seed",
-      description = "Seed of the random numbers (default: ${DEFAULT-VALUE}).")
+  @Option(names = "--seed", description = "Seed of the random numbers (default: ${DEFAULT-VALUE}).")
   private long seed = 1;
 
   @Option(
@@ -116,7 +114,7 @@
           "%-12s  %-40s %12.4g %-8s at %d %s = %.4g x size + %.4g, deviation up to %.0f%%%n",
           line.role(),
           line.figure(),
-          line.at(requestedSize),
+          line.valueAt(requestedSize),
           line.unit(),
           requestedSize,
           line.size(),
--- a/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/ClusterCommand.java
@@ -55,7 +55,7 @@
   }
 
   /** Options that name a group and the addresses of its members. */
-  static final class Group {
+  static final class GroupOptions {
     @Option(names = "--group", required = true, description = "The group's name.")
     private String groupName;
 
@@ -70,7 +70,7 @@
       return groupName;
     }
 
-    Map<String, InetSocketAddress> addresses() throws FormatException {
+    Map<String, InetSocketAddress> parseMemberAddresses() throws FormatException {
       Map<String, InetSocketAddress> addresses = new TreeMap<>();
       for (var member : memberAddresses.entrySet()) {
         addresses.put(member.getKey(), MemberList.parseAddress(member.getValue()));
@@ -79,7 +79,7 @@
     }
 
     GroupClient connect() throws IOException, FormatException {
-      return new GroupClient(groupName, addresses(), System.err::println);
+      return new GroupClient(groupName, parseMemberAddresses(), System.err::println);
     }
   }
 
@@ -109,14 +109,14 @@
         description = "Address at which other members reach this one (default: that of --listen).")
     private String advertisedAddress;
 
-    MemberConfig toConfig(Group group) throws FormatException {
+    MemberConfig toConfig(GroupOptions group) throws FormatException {
       return new MemberConfig(
           group.groupName,
           memberName,
           folder,
           MemberList.parseAddress(listenAddress),
           advertisedAddress == null ? null : MemberList.parseAddress(advertisedAddress),
-          new TreeMap<>(group.addresses()));
+          new TreeMap<>(group.parseMemberAddresses()));
     }
   }
 
@@ -131,7 +131,7 @@
    * @param subcommand the subcommand's name, for the message
    * @return the exit code: 2 after invalid arguments, 1 after an I/O error, else the action's own
    */
-  static int told(String subcommand, Action action) throws InterruptedException {
+  static int runAction(String subcommand, Action action) throws InterruptedException {
     try {
       return action.run();
     } catch (FormatException | IllegalArgumentException e) {
@@ -149,12 +149,12 @@
       description = "Creates the folder of an initial member; run once for each of them.",
       mixinStandardHelpOptions = true)
   static final class Init implements Callable<Integer> {
-    @Mixin private Group group;
+    @Mixin private GroupOptions group;
     @Mixin private MemberOptions options;
 
     @Override
     public Integer call() throws InterruptedException {
-      return told(
+      return runAction(
           "init",
           () -> {
             MemberFolder.initialize(options.toConfig(group));
@@ -169,12 +169,12 @@
       description = "Creates the folder of a new member, or of one that replaces a lost machine.",
       mixinStandardHelpOptions = true)
   static final class Join implements Callable<Integer> {
-    @Mixin private Group group;
+    @Mixin private GroupOptions group;
     @Mixin private MemberOptions options;
 
     @Override
     public Integer call() throws InterruptedException {
-      return told(
+      return runAction(
           "join",
           () -> {
             MemberFolder.prepareJoin(options.toConfig(group));
@@ -189,7 +189,7 @@
       description = "Runs a member until the process is terminated.",
       mixinStandardHelpOptions = true)
   static final class Member implements Callable<Integer> {
-    @Mixin private Group group;
+    @Mixin private GroupOptions group;
     @Mixin private MemberOptions options;
 
     @Option(
@@ -200,7 +200,7 @@
 
     @Override
     public Integer call() throws InterruptedException {
-      return told(
+      return runAction(
           "member",
           () -> {
             CountDownLatch terminationLatch = new CountDownLatch(1);
@@ -255,16 +255,16 @@
       description = "Prints the group's status as each member sees it; exits with 1 if none leads.",
       mixinStandardHelpOptions = true)
   static final class Status implements Callable<Integer> {
-    @Mixin private Group group;
+    @Mixin private GroupOptions group;
 
     @Override
     public Integer call() throws InterruptedException {
-      return told(
+      return runAction(
           "status",
           () -> {
             boolean hasLeader = false;
             try (GroupClient client = group.connect()) {
-              for (String member : group.addresses().keySet()) {
+              for (String member : group.parseMemberAddresses().keySet()) {
                 hasLeader |= printStatus(client, member);
               }
             }
@@ -317,7 +317,7 @@
       description = "Excludes a cache server on all nodes, or includes it again.",
       mixinStandardHelpOptions = true)
   static final class ChangeExclusion implements Callable<Integer> {
-    @Mixin private Group group;
+    @Mixin private GroupOptions group;
 
     @Parameters(index = "0", paramLabel = "exclude|include")
     private String action;
@@ -339,7 +339,7 @@
 
     @Override
     public Integer call() throws InterruptedException {
-      return told(
+      return runAction(
           "say",
           () -> {
             if (!action.equals("exclude") && !action.equals("include")) {
@@ -368,11 +368,11 @@
       description = "Prints the cache servers that the group has excluded.",
       mixinStandardHelpOptions = true)
   static final class ListExclusions implements Callable<Integer> {
-    @Mixin private Group group;
+    @Mixin private GroupOptions group;
 
     @Override
     public Integer call() throws InterruptedException {
-      return told(
+      return runAction(
           "held",
           () -> {
             try (GroupClient client = group.connect()) {
@@ -389,14 +389,14 @@
       description = "Removes a member permanently; its name can't be used again.",
       mixinStandardHelpOptions = true)
   static final class Remove implements Callable<Integer> {
-    @Mixin private Group group;
+    @Mixin private GroupOptions group;
 
     @Parameters(index = "0", paramLabel = "NAME")
     private String memberName;
 
     @Override
     public Integer call() throws InterruptedException {
-      return told(
+      return runAction(
           "remove",
           () -> {
             try (GroupClient client = group.connect()) {
--- a/cli/src/main/java/shalepaddle/cli/Embedded.java
+++ b/cli/src/main/java/shalepaddle/cli/EmbeddedDeployment.java
@@ -29,7 +29,7 @@
  * A real node and stand-ins for its environment, connected by loopback sockets of this process:
  * cache servers in two zones, their origin and discovery run on one event loop, clients on another.
  */
-final class Embedded implements AutoCloseable {
+final class EmbeddedDeployment implements AutoCloseable {
   private static final int MAX_CLIENT_CONNECTIONS = 200;
 
   /**
@@ -54,31 +54,31 @@
   /**
    * Counts since the start and the servers' state at one moment.
    *
-   * @param asked requests that were due
-   * @param served requests that were served successfully
-   * @param refused requests that were refused
-   * @param failed requests that failed
-   * @param unsent requests for which there was no connection
-   * @param hits reads that the servers answered from their caches
-   * @param misses reads that the servers could not answer from their caches
-   * @param fetches fetches from the origin
+   * @param requests requests that were due
+   * @param servedRequests requests that were served successfully
+   * @param refusedRequests requests that were refused
+   * @param failedRequests requests that failed
+   * @param withoutConnection requests for which there was no connection
+   * @param cacheHits reads that the servers answered from their caches
+   * @param cacheMisses reads that the servers could not answer from their caches
+   * @param originFetches fetches from the origin
    * @param latencies times to the answer in microseconds
    * @param servers the state of each server
    */
   record Sample(
-      int asked,
-      int served,
-      int refused,
-      int failed,
-      int unsent,
-      int hits,
-      int misses,
-      int fetches,
+      int requests,
+      int servedRequests,
+      int refusedRequests,
+      int failedRequests,
+      int withoutConnection,
+      int cacheHits,
+      int cacheMisses,
+      int originFetches,
       Histogram latencies,
-      List<Load> servers) {}
+      List<ServerSample> servers) {}
 
   /** State of one server and its numbers of requests in flight and of served requests. */
-  record Load(String id, String state, int inFlight, int served) {}
+  record ServerSample(String id, String state, int requestsInFlight, int servedRequests) {}
 
   /**
    * Starts the stand-ins and the node.
@@ -86,7 +86,7 @@
    * @param serverCount number of cache servers
    * @param port on which the node listens; 0 for any free one
    */
-  Embedded(int serverCount, Traffic traffic, int port)
+  EmbeddedDeployment(int serverCount, Traffic traffic, int port)
       throws IOException, FormatException, InterruptedException, ExecutionException {
     ServerModel model = ServerModel.defaults().withWorkers(4, 0.005).withColdStart(0.12, 10, 3, 2);
     try {
@@ -172,17 +172,17 @@
   }
 
   /** Lets the clients send requests for the given duration. */
-  void run(long durationMillis) {
+  void startLoad(long durationMillis) {
     clientTransport.loop().execute(() -> clients.run(durationMillis));
   }
 
   /** Stops sending requests; those in flight continue. */
-  void stop() {
+  void stopLoad() {
     clientTransport.loop().execute(clients::stop);
   }
 
   /** Kills a server after a delay; the server restarts with a cold cache 3 s later. */
-  void kill(int serverIndex, long afterMillis) {
+  void killServer(int serverIndex, long afterMillis) {
     schedule(
         afterMillis,
         () -> {
@@ -203,7 +203,7 @@
   }
 
   /** Starts draining a server after a delay; the server shuts down 4 s later. */
-  void drain(int serverIndex, long afterMillis) {
+  void drainServer(int serverIndex, long afterMillis) {
     schedule(
         afterMillis,
         () -> {
@@ -236,15 +236,19 @@
   }
 
   /** Returns the current counts and the state of each server. */
-  Sample sample() throws InterruptedException, ExecutionException {
-    List<Load> serverSamples =
+  Sample takeSample() throws InterruptedException, ExecutionException {
+    List<ServerSample> serverSamples =
         onLoop(
             serverTransport,
             () ->
                 fleet.stream()
-                    .map(s -> new Load(s.id(), displayedState(s), s.inFlight(), s.servedRequests()))
+                    .map(
+                        s ->
+                            new ServerSample(
+                                s.id(), displayedState(s), s.inFlight(), s.servedRequests()))
                     .toList());
-    int hits = onLoop(serverTransport, () -> fleet.stream().mapToInt(StandInServer::cacheHits).sum());
+    int hits =
+        onLoop(serverTransport, () -> fleet.stream().mapToInt(StandInServer::cacheHits).sum());
     int misses =
         onLoop(serverTransport, () -> fleet.stream().mapToInt(StandInServer::cacheMisses).sum());
     int originFetches = onLoop(serverTransport, origin::fetches);
@@ -272,7 +276,7 @@
   }
 
   /** Returns the number of requests in flight. */
-  int open() throws InterruptedException, ExecutionException {
+  int requestsInFlight() throws InterruptedException, ExecutionException {
     return onLoop(clientTransport, clients::outstanding);
   }
 
@@ -281,7 +285,7 @@
    * commands that reached a server after their request's end, and overloaded cold servers. Call
    * this method when no request is in flight.
    */
-  List<String> breaches() throws InterruptedException, ExecutionException {
+  List<String> violations() throws InterruptedException, ExecutionException {
     // The servers record executed requests in the effect log on their event loop. Waiting for a
     // task there makes these records visible to the check, which runs on the clients' event loop.
     boolean hasServerCollapsed =
--- a/cli/src/main/java/shalepaddle/cli/FollowCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/FollowCommand.java
@@ -30,7 +30,7 @@
   private static final int MAX_SUBSCRIBERS = 1000;
   private static final long PRINT_INTERVAL_MILLIS = 200;
 
-  @Mixin private ClusterCommand.Group group;
+  @Mixin private ClusterCommand.GroupOptions group;
 
   @Option(
       names = "--name",
@@ -84,14 +84,15 @@
 
   @Override
   public Integer call() throws InterruptedException {
-    return ClusterCommand.told(
+    return ClusterCommand.runAction(
         "follow",
         () -> {
           if (subscriberCount < 1 || subscriberCount > MAX_SUBSCRIBERS) {
             throw new IllegalArgumentException(
                 "--many is " + subscriberCount + ", expected 1 to " + MAX_SUBSCRIBERS);
           }
-          List<InetSocketAddress> memberAddresses = List.copyOf(group.addresses().values());
+          List<InetSocketAddress> memberAddresses =
+              List.copyOf(group.parseMemberAddresses().values());
           MultiThreadIoEventLoopGroup eventLoops =
               new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
           EventLoop loop = eventLoops.next();
--- a/cli/src/main/java/shalepaddle/cli/SimulateCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/SimulateCommand.java
@@ -76,8 +76,7 @@
         String[] bounds = text.split("\\.\\.", -1);
         try {
           SeedRange range =
-              new SeedRange(
-                  Long.parseLong(bounds[0]), Long.parseLong(bounds[bounds.length - 1]));
+              new SeedRange(Long.parseLong(bounds[0]), Long.parseLong(bounds[bounds.length - 1]));
           if (bounds.length <= 2 && range.firstSeed <= range.lastSeed) {
             return range;
           }
--- a/cli/src/main/java/shalepaddle/cli/TryCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/TryCommand.java
@@ -125,9 +125,9 @@
                 new Traffic.RequestClass("read", 0.93, false, false, 2000, 0),
                 new Traffic.RequestClass("put", 0.07, true, false, 1000, 64)),
             0);
-    Embedded embedded;
+    EmbeddedDeployment embedded;
     try {
-      embedded = new Embedded(serverCount, traffic, port);
+      embedded = new EmbeddedDeployment(serverCount, traffic, port);
     } catch (IOException e) {
       System.err.println("try: cannot listen on 127.0.0.1:" + port + ": " + e.getMessage());
       return 2;
@@ -174,25 +174,25 @@
     return 1000L * (second >= 0 ? second : Math.max(1, loadSeconds / 3));
   }
 
-  private int runAndPrint(Embedded embedded) throws Exception {
+  private int runAndPrint(EmbeddedDeployment embedded) throws Exception {
     PrintStream out = new PrintStream(System.out, true, StandardCharsets.UTF_8);
     if (killSecond != null) {
-      embedded.kill(1, faultDelayMillis(killSecond));
+      embedded.killServer(1, faultDelayMillis(killSecond));
     }
     if (drainSecond != null) {
-      embedded.drain(2, faultDelayMillis(drainSecond));
+      embedded.drainServer(2, faultDelayMillis(drainSecond));
     }
     if (slowOriginSecond != null) {
       embedded.slowOrigin(
           5, faultDelayMillis(slowOriginSecond), Math.max(1000, 1000L * loadSeconds / 3));
     }
-    embedded.run(1000L * loadSeconds);
-    Embedded.Sample previousSample = embedded.sample();
+    embedded.startLoad(1000L * loadSeconds);
+    EmbeddedDeployment.Sample previousSample = embedded.takeSample();
     for (int second = 1; second <= loadSeconds; second++) {
       if (stopLatch.await(1, TimeUnit.SECONDS)) {
         break;
       }
-      Embedded.Sample currentSample = embedded.sample();
+      EmbeddedDeployment.Sample currentSample = embedded.takeSample();
       out.println(
           printsJson
               ? formatSecondAsJson(second, previousSample, currentSample)
@@ -202,15 +202,15 @@
     return stopAndSummarize(embedded, out);
   }
 
-  private int stopAndSummarize(Embedded embedded, PrintStream out) throws Exception {
-    embedded.stop();
+  private int stopAndSummarize(EmbeddedDeployment embedded, PrintStream out) throws Exception {
+    embedded.stopLoad();
     for (long remainingMillis = MAX_COMPLETION_WAIT_MILLIS;
-        remainingMillis > 0 && embedded.open() > 0;
+        remainingMillis > 0 && embedded.requestsInFlight() > 0;
         remainingMillis -= 20) {
       TimeUnit.MILLISECONDS.sleep(20);
     }
-    List<String> violations = embedded.breaches();
-    Embedded.Sample finalSample = embedded.sample();
+    List<String> violations = embedded.violations();
+    EmbeddedDeployment.Sample finalSample = embedded.takeSample();
     out.println(
         printsJson
             ? formatSummaryAsJson(finalSample, violations)
@@ -223,26 +223,28 @@
   }
 
   private static Histogram latenciesSince(
-      Embedded.Sample previousSample, Embedded.Sample currentSample) {
+      EmbeddedDeployment.Sample previousSample, EmbeddedDeployment.Sample currentSample) {
     Histogram latencies = currentSample.latencies().copy();
     latencies.subtract(previousSample.latencies());
     return latencies;
   }
 
   private static String formatSecondAsText(
-      int second, Embedded.Sample previousSample, Embedded.Sample currentSample) {
+      int second,
+      EmbeddedDeployment.Sample previousSample,
+      EmbeddedDeployment.Sample currentSample) {
     Histogram latencies = latenciesSince(previousSample, currentSample);
-    int hits = currentSample.hits() - previousSample.hits();
+    int hits = currentSample.cacheHits() - previousSample.cacheHits();
     StringBuilder bars = new StringBuilder();
-    for (Embedded.Load server : currentSample.servers()) {
+    for (EmbeddedDeployment.ServerSample server : currentSample.servers()) {
       int barLevel =
           Math.min(
               BAR_CHARACTERS.length() - 1,
-              server.inFlight() * (BAR_CHARACTERS.length() - 1) / FULL_BAR_REQUESTS);
+              server.requestsInFlight() * (BAR_CHARACTERS.length() - 1) / FULL_BAR_REQUESTS);
       bars.append(
           server.state().equals("down")
               ? 'x'
-              : server.inFlight() > 0 && barLevel == 0
+              : server.requestsInFlight() > 0 && barLevel == 0
                   ? BAR_CHARACTERS.charAt(1)
                   : BAR_CHARACTERS.charAt(barLevel));
     }
@@ -251,44 +253,45 @@
         "%4d s  offered %5d/s  served %5d/s  hits %3.0f%%  p50 %6.1f ms  p99 %6.1f ms"
             + "  refused %4d  failed %4d  [%s]",
         second,
-        currentSample.asked() - previousSample.asked(),
-        currentSample.served() - previousSample.served(),
-        percent(hits, hits + currentSample.misses() - previousSample.misses()),
+        currentSample.requests() - previousSample.requests(),
+        currentSample.servedRequests() - previousSample.servedRequests(),
+        percent(hits, hits + currentSample.cacheMisses() - previousSample.cacheMisses()),
         latencies.getValueAtPercentile(50) / 1e3,
         latencies.getValueAtPercentile(99) / 1e3,
-        currentSample.refused() - previousSample.refused(),
-        currentSample.failed() - previousSample.failed(),
+        currentSample.refusedRequests() - previousSample.refusedRequests(),
+        currentSample.failedRequests() - previousSample.failedRequests(),
         bars);
   }
 
-  private static String formatSummaryAsText(Embedded.Sample finalSample, List<String> violations) {
+  private static String formatSummaryAsText(
+      EmbeddedDeployment.Sample finalSample, List<String> violations) {
     StringBuilder table = new StringBuilder("\n");
-    appendRow(table, "offered", "%d", finalSample.asked());
+    appendRow(table, "offered", "%d", finalSample.requests());
     appendRow(
         table,
         "served",
         "%d  (%.2f%%)",
-        finalSample.served(),
-        percent(finalSample.served(), finalSample.asked()));
+        finalSample.servedRequests(),
+        percent(finalSample.servedRequests(), finalSample.requests()));
     appendRow(
         table,
         "refused",
         "%d  (%.2f%%)",
-        finalSample.refused(),
-        percent(finalSample.refused(), finalSample.asked()));
+        finalSample.refusedRequests(),
+        percent(finalSample.refusedRequests(), finalSample.requests()));
     appendRow(
         table,
         "failed",
         "%d  (%.2f%%)",
-        finalSample.failed(),
-        percent(finalSample.failed(), finalSample.asked()));
-    appendRow(table, "no connection", "%d", finalSample.unsent());
+        finalSample.failedRequests(),
+        percent(finalSample.failedRequests(), finalSample.requests()));
+    appendRow(table, "no connection", "%d", finalSample.withoutConnection());
     appendRow(
         table,
         "hits",
         "%.1f%% of reads",
-        percent(finalSample.hits(), finalSample.hits() + finalSample.misses()));
-    appendRow(table, "origin fetches", "%d", finalSample.fetches());
+        percent(finalSample.cacheHits(), finalSample.cacheHits() + finalSample.cacheMisses()));
+    appendRow(table, "origin fetches", "%d", finalSample.originFetches());
     Histogram latencies = finalSample.latencies();
     appendRow(
         table,
@@ -298,8 +301,8 @@
         latencies.getValueAtPercentile(90) / 1e3,
         latencies.getValueAtPercentile(99) / 1e3,
         latencies.getMaxValue() / 1e3);
-    for (Embedded.Load server : finalSample.servers()) {
-      appendRow(table, server.id(), "%d served, %s", server.served(), server.state());
+    for (EmbeddedDeployment.ServerSample server : finalSample.servers()) {
+      appendRow(table, server.id(), "%d served, %s", server.servedRequests(), server.state());
     }
     appendRow(table, "rules broken", "%d", violations.size());
     violations.forEach(violation -> table.append("  ").append(violation).append('\n'));
@@ -312,22 +315,25 @@
   }
 
   private static String formatSecondAsJson(
-      int second, Embedded.Sample previousSample, Embedded.Sample currentSample)
+      int second, EmbeddedDeployment.Sample previousSample, EmbeddedDeployment.Sample currentSample)
       throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator line = new JsonFactory().createGenerator(text)) {
       line.writeStartObject();
       line.writeNumberField("second", second);
-      line.writeNumberField("offered", currentSample.asked() - previousSample.asked());
-      line.writeNumberField("served", currentSample.served() - previousSample.served());
-      line.writeNumberField("refused", currentSample.refused() - previousSample.refused());
-      line.writeNumberField("failed", currentSample.failed() - previousSample.failed());
-      line.writeNumberField("hits", currentSample.hits() - previousSample.hits());
-      line.writeNumberField("misses", currentSample.misses() - previousSample.misses());
+      line.writeNumberField("offered", currentSample.requests() - previousSample.requests());
+      line.writeNumberField(
+          "served", currentSample.servedRequests() - previousSample.servedRequests());
+      line.writeNumberField(
+          "refused", currentSample.refusedRequests() - previousSample.refusedRequests());
+      line.writeNumberField(
+          "failed", currentSample.failedRequests() - previousSample.failedRequests());
+      line.writeNumberField("hits", currentSample.cacheHits() - previousSample.cacheHits());
+      line.writeNumberField("misses", currentSample.cacheMisses() - previousSample.cacheMisses());
       writeLatencies(line, latenciesSince(previousSample, currentSample));
       line.writeObjectFieldStart("in_flight");
-      for (Embedded.Load server : currentSample.servers()) {
-        line.writeNumberField(server.id(), server.inFlight());
+      for (EmbeddedDeployment.ServerSample server : currentSample.servers()) {
+        line.writeNumberField(server.id(), server.requestsInFlight());
       }
       line.writeEndObject();
       line.writeEndObject();
@@ -335,20 +341,20 @@
     return text.toString();
   }
 
-  private static String formatSummaryAsJson(Embedded.Sample finalSample, List<String> violations)
-      throws IOException {
+  private static String formatSummaryAsJson(
+      EmbeddedDeployment.Sample finalSample, List<String> violations) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator line = new JsonFactory().createGenerator(text)) {
       line.writeStartObject();
       line.writeObjectFieldStart("summary");
-      line.writeNumberField("offered", finalSample.asked());
-      line.writeNumberField("served", finalSample.served());
-      line.writeNumberField("refused", finalSample.refused());
-      line.writeNumberField("failed", finalSample.failed());
-      line.writeNumberField("no_connection", finalSample.unsent());
-      line.writeNumberField("hits", finalSample.hits());
-      line.writeNumberField("misses", finalSample.misses());
-      line.writeNumberField("origin_fetches", finalSample.fetches());
+      line.writeNumberField("offered", finalSample.requests());
+      line.writeNumberField("served", finalSample.servedRequests());
+      line.writeNumberField("refused", finalSample.refusedRequests());
+      line.writeNumberField("failed", finalSample.failedRequests());
+      line.writeNumberField("no_connection", finalSample.withoutConnection());
+      line.writeNumberField("hits", finalSample.cacheHits());
+      line.writeNumberField("misses", finalSample.cacheMisses());
+      line.writeNumberField("origin_fetches", finalSample.originFetches());
       writeLatencies(line, finalSample.latencies());
       line.writeArrayFieldStart("rules_broken");
       for (String violation : violations) {
--- a/cli/src/test/java/shalepaddle/cli/ClusterIT.java
+++ b/cli/src/test/java/shalepaddle/cli/ClusterIT.java
@@ -108,6 +108,7 @@
 
   /** Index of the entry of each committed proposal, by the proposal's id. */
   private final Map<String, Long> committedIndexes = new ConcurrentHashMap<>();
+
   private final ConcurrentLinkedQueue<String> violations = new ConcurrentLinkedQueue<>();
   private final AtomicLong highestCommittedIndex = new AtomicLong();
 
--- a/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupMember.java
@@ -194,7 +194,7 @@
   public MemberStatus status() {
     RaftMember joinedMember = raftMember;
     return joinedMember == null
-        ? MemberStatus.initial(config.name(), MemberRole.JOINING)
+        ? MemberStatus.initialStatus(config.name(), MemberRole.JOINING)
         : joinedMember.status();
   }
 
--- a/cluster/src/main/java/shalepaddle/cluster/GroupRequest.java
+++ b/cluster/src/main/java/shalepaddle/cluster/GroupRequest.java
@@ -13,8 +13,8 @@
   STATUS("standing"),
   /**
    * Adds the named member as a learner and returns the initial members. Only the leader handles the
-   * request, but a member that was added already gets the response from any member
-   * that knows of the addition.
+   * request, but a member that was added already gets the response from any member that knows of
+   * the addition.
    */
   JOIN("join"),
   /** Makes the named learner a voter. Handled only by the leader. */
--- a/cluster/src/main/java/shalepaddle/cluster/MemberFolder.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberFolder.java
@@ -30,13 +30,13 @@
   /**
    * Creates the directory of a member that joins an existing group.
    *
-   * @throws MemberFolderException if the directory already contains a member, or the member has
-   *     the name of an initial member
+   * @throws MemberFolderException if the directory already contains a member, or the member has the
+   *     name of an initial member
    * @throws IOException if the disk fails
    */
   public static void prepareJoin(MemberConfig config) throws IOException {
     if (config.initialMembers().containsKey(config.name())) {
-      throw MemberFolderException.initialMember(config.name());
+      throw MemberFolderException.ofInitialMember(config.name());
     }
     create(config, false);
   }
@@ -45,7 +45,7 @@
     try (FileLogDirectory directory = new FileLogDirectory(config.folder())) {
       Optional<LogOwner> owner = RaftLogStore.readOwner(directory);
       if (owner.isPresent()) {
-        throw MemberFolderException.occupied(config.folder(), owner.get());
+        throw MemberFolderException.ofOccupiedFolder(config.folder(), owner.get());
       }
       // The constructor writes a header that records the member as the owner of the directory.
       RaftLogStore logStore = new RaftLogStore(directory, config.group(), config.name());
@@ -66,7 +66,7 @@
     FileLogDirectory directory = new FileLogDirectory(config.folder());
     try {
       if (RaftLogStore.readOwner(directory).isEmpty()) {
-        throw MemberFolderException.empty(config.folder());
+        throw MemberFolderException.ofEmptyFolder(config.folder());
       }
       return new RaftLogStore(directory, config.group(), config.name());
     } catch (IOException e) {
--- a/cluster/src/main/java/shalepaddle/cluster/MemberFolderException.java
+++ b/cluster/src/main/java/shalepaddle/cluster/MemberFolderException.java
@@ -13,7 +13,7 @@
   }
 
   /** No member was created in the directory. */
-  static MemberFolderException empty(Path folder) {
+  static MemberFolderException ofEmptyFolder(Path folder) {
     return new MemberFolderException(
         folder
             + " contains no member: create it with init if it is an initial member of a new group,"
@@ -22,14 +22,14 @@
   }
 
   /** The directory already contains a member. */
-  static MemberFolderException occupied(Path folder, LogOwner owner) {
+  static MemberFolderException ofOccupiedFolder(Path folder, LogOwner owner) {
     return new MemberFolderException(
         "%s already contains member '%s' of group '%s': nothing was changed"
             .formatted(folder, owner.member(), owner.group()));
   }
 
   /** A member that joins has the name of an initial member. */
-  static MemberFolderException initialMember(String name) {
+  static MemberFolderException ofInitialMember(String name) {
     return new MemberFolderException(
         "'%s' is an initial member of the group and may have voted: join under a new name"
             .formatted(name));
--- a/cluster/src/main/java/shalepaddle/encoding/AppendEntriesCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/AppendEntriesCodec.java
@@ -20,7 +20,7 @@
 
   static AppendEntriesRequest readRequest(RaftMessageCodec.Header header, CborValues.Reader in)
       throws IOException {
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createAppendEntriesRequestBuilder()
         .setGroupId(header.group())
         .setSender(header.sender())
@@ -43,7 +43,7 @@
 
   static AppendEntriesSuccessResponse readSuccess(
       RaftMessageCodec.Header header, CborValues.Reader in) throws IOException {
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createAppendEntriesSuccessResponseBuilder()
         .setGroupId(header.group())
         .setSender(header.sender())
@@ -63,7 +63,7 @@
 
   static AppendEntriesFailureResponse readFailure(
       RaftMessageCodec.Header header, CborValues.Reader in) throws IOException {
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createAppendEntriesFailureResponseBuilder()
         .setGroupId(header.group())
         .setSender(header.sender())
--- a/cluster/src/main/java/shalepaddle/encoding/ChangeFeedCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/ChangeFeedCodec.java
@@ -68,7 +68,7 @@
             out.put(SNAPSHOT_FORMAT).put(snapshot.index()).put(snapshot.state());
           } else if (value instanceof PublisherMessage.Heartbeat heartbeat) {
             out.put(HEARTBEAT_FORMAT).put(heartbeat.index());
-          } else if (value instanceof PublisherMessage.Rejected rejection) {
+          } else if (value instanceof PublisherMessage.Rejection rejection) {
             out.put(REJECTED_FORMAT).put(rejection.reason());
           }
         });
@@ -92,7 +92,7 @@
                     in.readList(from -> new ChangeEntry(readIndex(from), from.readBytes())));
             case SNAPSHOT_FORMAT -> new PublisherMessage.Snapshot(readIndex(in), in.readBytes());
             case HEARTBEAT_FORMAT -> new PublisherMessage.Heartbeat(readIndex(in));
-            case REJECTED_FORMAT -> new PublisherMessage.Rejected(readBoundedText(in));
+            case REJECTED_FORMAT -> new PublisherMessage.Rejection(readBoundedText(in));
             default -> throw new UnknownFormatException("a publisher's message", format);
           };
         });
--- a/cluster/src/main/java/shalepaddle/encoding/ElectionCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/ElectionCodec.java
@@ -18,7 +18,7 @@
 
   static PreVoteRequest readPreVoteRequest(RaftMessageCodec.Header header, CborValues.Reader in)
       throws IOException {
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createPreVoteRequestBuilder()
         .setGroupId(header.group())
         .setSender(header.sender())
@@ -30,7 +30,7 @@
 
   static PreVoteResponse readPreVoteResponse(RaftMessageCodec.Header header, CborValues.Reader in)
       throws IOException {
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createPreVoteResponseBuilder()
         .setGroupId(header.group())
         .setSender(header.sender())
@@ -45,7 +45,7 @@
 
   static VoteRequest readVoteRequest(RaftMessageCodec.Header header, CborValues.Reader in)
       throws IOException {
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createVoteRequestBuilder()
         .setGroupId(header.group())
         .setSender(header.sender())
@@ -58,7 +58,7 @@
 
   static VoteResponse readVoteResponse(RaftMessageCodec.Header header, CborValues.Reader in)
       throws IOException {
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createVoteResponseBuilder()
         .setGroupId(header.group())
         .setSender(header.sender())
@@ -74,7 +74,7 @@
 
   static TriggerLeaderElectionRequest readTriggerElection(
       RaftMessageCodec.Header header, CborValues.Reader in) throws IOException {
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createTriggerLeaderElectionRequestBuilder()
         .setGroupId(header.group())
         .setSender(header.sender())
--- a/cluster/src/main/java/shalepaddle/encoding/InstallSnapshotCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/InstallSnapshotCodec.java
@@ -25,7 +25,7 @@
 
   static InstallSnapshotRequest readRequest(RaftMessageCodec.Header header, CborValues.Reader in)
       throws IOException {
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createInstallSnapshotRequestBuilder()
         .setGroupId(header.group())
         .setSender(header.sender())
@@ -53,7 +53,7 @@
 
   static InstallSnapshotResponse readResponse(RaftMessageCodec.Header header, CborValues.Reader in)
       throws IOException {
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createInstallSnapshotResponseBuilder()
         .setGroupId(header.group())
         .setSender(header.sender())
--- a/cluster/src/main/java/shalepaddle/encoding/LogEntryCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/LogEntryCodec.java
@@ -28,7 +28,7 @@
   private LogEntryCodec() {}
 
   /** The factory for MicroRaft's messages, entries and persistent states. */
-  public static RaftModelFactory model() {
+  public static RaftModelFactory modelFactory() {
     return MODEL_FACTORY;
   }
 
@@ -139,7 +139,7 @@
    * @param member the member's name
    * @param isVoting whether the member votes
    */
-  public static RaftEndpointPersistentState localEndpoint(String member, boolean isVoting) {
+  public static RaftEndpointPersistentState localEndpointState(String member, boolean isVoting) {
     return MODEL_FACTORY
         .createRaftEndpointPersistentStateBuilder()
         .setLocalEndpoint(new Endpoint(member))
@@ -153,7 +153,7 @@
    * @param votedFor the name of the member that the local member voted for in the term, null for
    *     none
    */
-  public static RaftTermPersistentState term(int term, String votedFor) {
+  public static RaftTermPersistentState termState(int term, String votedFor) {
     return MODEL_FACTORY
         .createRaftTermPersistentStateBuilder()
         .setTerm(term)
@@ -169,11 +169,11 @@
 
   /** Reads a term, and the local member's vote in that term. */
   public static RaftTermPersistentState readTerm(CborValues.Reader in) throws IOException {
-    return term(in.readInt(), in.readText());
+    return termState(in.readInt(), in.readText());
   }
 
   /** The names of members, sorted. */
-  public static List<String> names(Collection<RaftEndpoint> members) {
+  public static List<String> memberNames(Collection<RaftEndpoint> members) {
     List<String> names = new ArrayList<>();
     members.forEach(member -> names.add(Endpoint.nameOf(member)));
     names.sort(null);
--- a/cluster/src/main/java/shalepaddle/encoding/ReplicatedStateCodec.java
+++ b/cluster/src/main/java/shalepaddle/encoding/ReplicatedStateCodec.java
@@ -20,15 +20,16 @@
         (value, out) -> {
           out.put(value.id()).put(value.proposedAtMillis());
           if (value.command() instanceof StateCommand.SetExclusion exclusion) {
-            out.put(SET_EXCLUSION_KIND).put(exclusion.serverId()).put(exclusion.excluded());
-          } else if (value.command() instanceof StateCommand.Unknown unknownCommand) {
+            out.put(SET_EXCLUSION_KIND).put(exclusion.serverId()).put(exclusion.isExcluded());
+          } else if (value.command() instanceof StateCommand.UnknownCommand unknownCommand) {
             out.put(unknownCommand.kind());
           }
         });
   }
 
   /**
-   * Decodes a proposal. A command of a later version is decoded as {@link StateCommand.Unknown}.
+   * Decodes a proposal. A command of a later version is decoded as {@link
+   * StateCommand.UnknownCommand}.
    *
    * @throws MalformedMessageException if the bytes are not a proposal
    */
@@ -42,7 +43,7 @@
           StateCommand command =
               commandKind == SET_EXCLUSION_KIND
                   ? new StateCommand.SetExclusion(in.readText(), in.readBoolean())
-                  : new StateCommand.Unknown(commandKind);
+                  : new StateCommand.UnknownCommand(commandKind);
           return new Proposal(id, proposedAtMillis, command);
         });
   }
--- a/cluster/src/main/java/shalepaddle/raft/ElectionWatchdog.java
+++ b/cluster/src/main/java/shalepaddle/raft/ElectionWatchdog.java
@@ -17,14 +17,14 @@
    * The time after which a follower is considered stalled if it has neither heard from a leader nor
    * requested votes. In nanoseconds of real time, not of MicroRaft's clock.
    */
-  static final long STALL_NANOS =
+  static final long STALL_TIMEOUT_NANOS =
       TimeUnit.MILLISECONDS.toNanos(3 * RaftTimeouts.leaderLossTimeoutMillis());
 
   private volatile long lastLeaderMessageNanos;
   private volatile long lastVoteRequestNanos;
 
   /** Records that MicroRaft was started or restarted: the stall timeout starts again. */
-  void restarted(long nowNanos) {
+  void libraryStarted(long nowNanos) {
     lastLeaderMessageNanos = nowNanos;
     lastVoteRequestNanos = nowNanos;
   }
@@ -47,13 +47,13 @@
   boolean isStalled(long nowNanos, MemberStatus status) {
     return status.role() == MemberRole.FOLLOWER
         && status.isActive()
-        && nowNanos - lastLeaderMessageNanos > STALL_NANOS
-        && nowNanos - lastVoteRequestNanos > STALL_NANOS;
+        && nowNanos - lastLeaderMessageNanos > STALL_TIMEOUT_NANOS
+        && nowNanos - lastVoteRequestNanos > STALL_TIMEOUT_NANOS;
   }
 
   /**
-   * Adopts a later term from the rejection of a pre-vote, which MicroRaft ignores. Without this,
-   * if one of two members has the longer log and the other the later term, each rejects the other's
+   * Adopts a later term from the rejection of a pre-vote, which MicroRaft ignores. Without this, if
+   * one of two members has the longer log and the other the later term, each rejects the other's
    * pre-votes forever. The term is passed to MicroRaft as a vote request with an empty log, which
    * is never granted. A term that is only one later is ignored, since it may be the term of this
    * member's own request.
@@ -65,7 +65,7 @@
     if (currentTerm.getLeaderEndpoint() == null
         && rejection.getTerm() > currentTerm.getTerm() + 1) {
       node.handle(
-          LogEntryCodec.model()
+          LogEntryCodec.modelFactory()
               .createVoteRequestBuilder()
               .setGroupId(group)
               .setSender(rejection.getSender())
--- a/cluster/src/main/java/shalepaddle/raft/MemberStatus.java
+++ b/cluster/src/main/java/shalepaddle/raft/MemberStatus.java
@@ -26,7 +26,7 @@
     long lastLogIndex,
     String inactiveReason) {
   /** The status of a member that has not heard from its group yet. */
-  public static MemberStatus initial(String name, MemberRole role) {
+  public static MemberStatus initialStatus(String name, MemberRole role) {
     return new MemberStatus(name, role, null, 0, List.of(), List.of(), 0, 0, null);
   }
 
--- a/cluster/src/main/java/shalepaddle/raft/RaftMember.java
+++ b/cluster/src/main/java/shalepaddle/raft/RaftMember.java
@@ -133,20 +133,20 @@
     this.random = new Random(seed);
     this.listener = listener;
     members.forEach(member -> initialMembers.add(new Endpoint(member)));
-    status = MemberStatus.initial(name, MemberRole.FOLLOWER);
+    status = MemberStatus.initialStatus(name, MemberRole.FOLLOWER);
     node = buildNode(0);
   }
 
   /**
-   * Builds MicroRaft's node from the state in the log store, and resets everything that belongs
-   * to a single run of the node: the state machine, the snapshot boundary and the times of the
+   * Builds MicroRaft's node from the state in the log store, and resets everything that belongs to
+   * a single run of the node: the state machine, the snapshot boundary and the times of the
    * watchdog. Called by the constructor or on the member's thread.
    *
    * @param lastNotifiedIndex the index of the last entry of which the listener was notified
    */
   private RaftNode buildNode(long lastNotifiedIndex) {
     stateMachine = new ReplicatedStateMachine(lastNotifiedIndex, listener);
-    watchdog.restarted(executor.nanoTime());
+    watchdog.libraryStarted(executor.nanoTime());
     RaftNode.RaftNodeBuilder builder =
         RaftNode.newBuilder()
             .setGroupId(group)
@@ -157,7 +157,7 @@
             .setTransport(new SenderTransport())
             .setStateMachine(stateMachine)
             .setStore(logStore)
-            .setModelFactory(LogEntryCodec.model())
+            .setModelFactory(LogEntryCodec.modelFactory())
             .setRaftNodeReportListener(this::handleReport);
     RestoredRaftState restoredState = logStore.restoredState();
     snapshotBoundary =
@@ -198,14 +198,14 @@
    * called only once.
    */
   public CompletionStage<?> start() {
-    executor.schedule(ElectionWatchdog.STALL_NANOS, this::restartIfStalled);
+    executor.schedule(ElectionWatchdog.STALL_TIMEOUT_NANOS, this::restartIfStalled);
     executor.schedule(RECOVERY_INTERVAL_NANOS, this::recoverIfFailed);
     return node.start();
   }
 
   /**
-   * Recovers a failed log store and restarts MicroRaft from the recovered state, since its state
-   * in memory may be ahead of the disk.
+   * Recovers a failed log store and restarts MicroRaft from the recovered state, since its state in
+   * memory may be ahead of the disk.
    */
   private void recoverIfFailed() {
     if (isClosed) {
@@ -224,7 +224,7 @@
     if (watchdog.isStalled(executor.nanoTime(), status)) {
       restart();
     }
-    executor.schedule(ElectionWatchdog.STALL_NANOS / 3, this::restartIfStalled);
+    executor.schedule(ElectionWatchdog.STALL_TIMEOUT_NANOS / 3, this::restartIfStalled);
   }
 
   /** Replaces MicroRaft's node by a new one. Called on the member's thread. */
@@ -268,8 +268,8 @@
             MemberRole.of(report.getRole()),
             leader == null ? null : ((Endpoint) leader).name(),
             report.getTerm().getTerm(),
-            LogEntryCodec.names(report.getCommittedMembers().getMembers()),
-            LogEntryCodec.names(report.getCommittedMembers().getVotingMembers()),
+            LogEntryCodec.memberNames(report.getCommittedMembers().getMembers()),
+            LogEntryCodec.memberNames(report.getCommittedMembers().getVotingMembers()),
             report.getLog().getCommitIndex(),
             report.getLog().getLastLogOrSnapshotIndex(),
             inactiveReason(report));
@@ -378,7 +378,7 @@
 
   /** The names of the initial members of the group, which a joining member needs. */
   public List<String> initialMembers() {
-    return LogEntryCodec.names(node.getInitialMembers().getMembers());
+    return LogEntryCodec.memberNames(node.getInitialMembers().getMembers());
   }
 
   /** Terminates the Raft node, asynchronously. The log store stays open. */
--- a/cluster/src/main/java/shalepaddle/raft/SnapshotBoundary.java
+++ b/cluster/src/main/java/shalepaddle/raft/SnapshotBoundary.java
@@ -13,8 +13,8 @@
  * snapshot is committed, so every later leader has the same entry at the snapshot's index, and the
  * term of that entry needs no check. The request is passed to MicroRaft as if the log began with
  * the request's entries, and the index in the response is corrected. The request's commit index is
- * set to 0, since MicroRaft would apply the index to the shifted log; the next request contains
- * the commit index again.
+ * set to 0, since MicroRaft would apply the index to the shifted log; the next request contains the
+ * commit index again.
  *
  * <p>Thread-safe: messages are sent and received on any thread.
  */
@@ -46,7 +46,7 @@
     }
     shiftedRequestSender = request.getSender();
     shiftedRequestSequenceNumber = request.getFlowControlSequenceNumber();
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createAppendEntriesRequestBuilder()
         .setGroupId(request.getGroupId())
         .setSender(request.getSender())
@@ -68,7 +68,7 @@
         || response.getLastLogIndex() >= snapshotIndex) {
       return response;
     }
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createAppendEntriesSuccessResponseBuilder()
         .setGroupId(response.getGroupId())
         .setSender(response.getSender())
--- a/cluster/src/main/java/shalepaddle/storage/FileLogDirectory.java
+++ b/cluster/src/main/java/shalepaddle/storage/FileLogDirectory.java
@@ -54,7 +54,7 @@
   }
 
   @Override
-  public List<String> names() throws IOException {
+  public List<String> fileNames() throws IOException {
     try (Stream<Path> files = Files.list(directory)) {
       return files
           .map(file -> file.getFileName().toString())
@@ -88,7 +88,7 @@
   }
 
   @Override
-  public void syncNames() throws IOException {
+  public void syncDirectory() throws IOException {
     try (FileChannel directoryChannel = FileChannel.open(directory, StandardOpenOption.READ)) {
       directoryChannel.force(true);
     }
--- a/cluster/src/main/java/shalepaddle/storage/LogContents.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogContents.java
@@ -60,7 +60,7 @@
   }
 
   void setLocalEndpoint(boolean isVoting) {
-    localEndpoint = LogEntryCodec.localEndpoint(memberName, isVoting);
+    localEndpoint = LogEntryCodec.localEndpointState(memberName, isVoting);
   }
 
   void setInitialMembers(RaftGroupMembersView members) {
@@ -121,7 +121,7 @@
       SnapshotChunk firstChunk = chunks.values().iterator().next();
       if (chunks.size() == firstChunk.getSnapshotChunkCount()) {
         newestSnapshot =
-            LogEntryCodec.model()
+            LogEntryCodec.modelFactory()
                 .createSnapshotEntryBuilder()
                 .setIndex(firstChunk.getIndex())
                 .setTerm(firstChunk.getTerm())
@@ -159,7 +159,7 @@
     return new RestoredRaftState(
         localEndpoint,
         initialMembers,
-        term != null ? term : LogEntryCodec.term(0, null),
+        term != null ? term : LogEntryCodec.termState(0, null),
         snapshot,
         new ArrayList<>(entries.tailMap(snapshotIndex + 1).values()));
   }
--- a/cluster/src/main/java/shalepaddle/storage/LogDirectory.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogDirectory.java
@@ -10,7 +10,7 @@
  */
 public interface LogDirectory extends Closeable {
   /** The names of all files. */
-  List<String> names() throws IOException;
+  List<String> fileNames() throws IOException;
 
   /** The content of a file. */
   byte[] read(String name) throws IOException;
@@ -29,7 +29,7 @@
   void delete(String name) throws IOException;
 
   /** Syncs the directory: earlier creations, renames and deletions survive a power failure. */
-  void syncNames() throws IOException;
+  void syncDirectory() throws IOException;
 
   /** The directory's path, for messages. */
   String location();
--- a/cluster/src/main/java/shalepaddle/storage/LogRecovery.java
+++ b/cluster/src/main/java/shalepaddle/storage/LogRecovery.java
@@ -48,7 +48,7 @@
 
   /** The file name of the newest segment, empty if the directory has none. */
   static Optional<String> newestSegmentName(LogDirectory directory) throws IOException {
-    return directory.names().stream().filter(SegmentWriter::isSegment).max(String::compareTo);
+    return directory.fileNames().stream().filter(SegmentWriter::isSegment).max(String::compareTo);
   }
 
   /** Reads a segment; see {@link #read(LogDirectory, String, long)}. */
@@ -111,8 +111,8 @@
   static void deleteAllBut(LogDirectory directory, Optional<String> newestFileName)
       throws IOException {
     // The rename of the newest segment must be durable before the other segments are deleted.
-    directory.syncNames();
-    for (String fileName : directory.names()) {
+    directory.syncDirectory();
+    for (String fileName : directory.fileNames()) {
       if (newestFileName.isEmpty() || !fileName.equals(newestFileName.get())) {
         directory.delete(fileName);
       }
--- a/cluster/src/main/java/shalepaddle/storage/RaftLogStore.java
+++ b/cluster/src/main/java/shalepaddle/storage/RaftLogStore.java
@@ -135,7 +135,8 @@
               .orElseThrow(() -> CorruptLogException.withoutSegment(directory.location()));
       // A segment newer than the writer's is from a compaction that failed after the rename. It was
       // synced before the rename, so it is read to its end.
-      long maxBytes = writer.isCurrent(newestFileName) ? writer.syncedLength() : Integer.MAX_VALUE;
+      long maxBytes =
+          writer.isCurrent(newestFileName) ? writer.syncedLengthBytes() : Integer.MAX_VALUE;
       LogRecovery.NewestSegment segment = LogRecovery.read(directory, newestFileName, maxBytes);
       LogRecovery.deleteAllBut(directory, Optional.of(newestFileName));
       restore(segment);
@@ -167,13 +168,13 @@
     Collection<RaftEndpoint> endpoints = new LinkedHashSet<>();
     members.forEach(member -> endpoints.add(new Endpoint(member)));
     persistAndFlushInitialGroupMembers(
-        LogEntryCodec.model()
+        LogEntryCodec.modelFactory()
             .createRaftGroupMembersViewBuilder()
             .setLogIndex(0)
             .setMembers(endpoints)
             .setVotingMembers(endpoints)
             .build());
-    persistAndFlushLocalEndpoint(LogEntryCodec.localEndpoint(owner.member(), true));
+    persistAndFlushLocalEndpoint(LogEntryCodec.localEndpointState(owner.member(), true));
   }
 
   /** The state from which the member is restored, null if it has never been in a group. */
@@ -198,7 +199,7 @@
 
   /** The size of the current segment in bytes. */
   public long sizeBytes() {
-    return writer.length();
+    return writer.lengthBytes();
   }
 
   /** The failure since which nothing is persisted, null while the store works. */
--- a/cluster/src/main/java/shalepaddle/storage/SegmentWriter.java
+++ b/cluster/src/main/java/shalepaddle/storage/SegmentWriter.java
@@ -87,7 +87,7 @@
       newSegment.write(bytes);
       newSegment.sync();
       directory.rename(incompleteFileName, fileName(SEGMENT_PREFIX, newGeneration));
-      directory.syncNames();
+      directory.syncDirectory();
       return newSegment;
     } catch (IOException e) {
       newSegment.close();
@@ -117,12 +117,12 @@
   }
 
   /** The length of the current segment in bytes, synced or not. */
-  long length() {
+  long lengthBytes() {
     return lengthBytes;
   }
 
   /** The length of the synced part of the current segment, in bytes. */
-  long syncedLength() {
+  long syncedLengthBytes() {
     return syncedLengthBytes;
   }
 
--- a/cluster/src/test/java/shalepaddle/encoding/EncodedFormatsTest.java
+++ b/cluster/src/test/java/shalepaddle/encoding/EncodedFormatsTest.java
@@ -19,8 +19,8 @@
 import shalepaddle.replicatedstate.StateCommand;
 
 /**
- * Checks the byte formats against bytes that version 0.1.0 wrote, since members of that version
- * and of this one can run in one group.
+ * Checks the byte formats against bytes that version 0.1.0 wrote, since members of that version and
+ * of this one can run in one group.
  */
 class EncodedFormatsTest {
   private static final List<String> RAFT_MESSAGES_HEX =
@@ -67,7 +67,7 @@
   @Test
   void encodesRaftMessagesAsEarlierVersion() {
     List<String> encodedMessages = new ArrayList<>();
-    for (RaftMessage message : RaftMessageSamples.all()) {
+    for (RaftMessage message : RaftMessageSamples.allMessages()) {
       encodedMessages.add(toHex(RaftMessageCodec.encode(message)));
     }
     assertEquals(RAFT_MESSAGES_HEX, encodedMessages);
@@ -75,7 +75,7 @@
 
   @Test
   void decodesRaftMessagesOfEarlierVersion() throws IOException {
-    List<RaftMessage> samples = RaftMessageSamples.all();
+    List<RaftMessage> samples = RaftMessageSamples.allMessages();
     for (int i = 0; i < samples.size(); i++) {
       RaftMessage decodedMessage = RaftMessageCodec.decode(parseHex(RAFT_MESSAGES_HEX.get(i)));
       assertEquals(samples.get(i).getClass(), decodedMessage.getClass());
@@ -88,7 +88,7 @@
     List<Proposal> proposals =
         List.of(
             new Proposal("id-1", 1000, new StateCommand.SetExclusion("s-1", true)),
-            new Proposal("id-2", 1001, new StateCommand.Unknown(77)));
+            new Proposal("id-2", 1001, new StateCommand.UnknownCommand(77)));
     for (int i = 0; i < proposals.size(); i++) {
       assertEquals(
           PROPOSALS_HEX.get(i), toHex(ReplicatedStateCodec.encodeProposal(proposals.get(i))));
@@ -142,7 +142,7 @@
             new PublisherMessage.Entries(7, List.of(new ChangeEntry(9, new byte[] {1, 2}))),
             new PublisherMessage.Snapshot(9, new byte[] {3}),
             new PublisherMessage.Heartbeat(9),
-            new PublisherMessage.Rejected("catching up"));
+            new PublisherMessage.Rejection("catching up"));
     for (int i = 0; i < messages.size(); i++) {
       String hex = PUBLISHER_MESSAGES_HEX.get(i);
       assertEquals(hex, toHex(ChangeFeedCodec.encode(messages.get(i))));
@@ -165,8 +165,7 @@
         UnknownFormatException.class,
         () -> ChangeFeedCodec.decodeSubscriberMessage(messageOfFormat99));
     assertThrows(
-        UnknownFormatException.class,
-        () -> ReplicatedStateCodec.decodeSnapshot(messageOfFormat99));
+        UnknownFormatException.class, () -> ReplicatedStateCodec.decodeSnapshot(messageOfFormat99));
     byte[] message =
         CborValues.encode(99, (format, out) -> out.put(format).put("birds").put("m1").put(1));
     assertThrows(UnknownFormatException.class, () -> RaftMessageCodec.decode(message));
--- a/cluster/src/test/java/shalepaddle/encoding/RaftMessageSamples.java
+++ b/cluster/src/test/java/shalepaddle/encoding/RaftMessageSamples.java
@@ -14,7 +14,7 @@
 
 /** One message of each kind that members of a Raft group send, with distinct field values. */
 final class RaftMessageSamples {
-  private static final RaftModelFactory MODEL = LogEntryCodec.model();
+  private static final RaftModelFactory MODEL = LogEntryCodec.modelFactory();
   private static final Endpoint SENDER = new Endpoint("m1");
   private static final Collection<RaftEndpoint> MEMBERS =
       new LinkedHashSet<>(List.of(SENDER, new Endpoint("m2"), new Endpoint("m3")));
@@ -22,7 +22,7 @@
   private RaftMessageSamples() {}
 
   /** All messages, in the order of their format numbers. */
-  static List<RaftMessage> all() {
+  static List<RaftMessage> allMessages() {
     List<RaftMessage> messages = new ArrayList<>(appendEntriesMessages());
     messages.addAll(electionMessages());
     messages.addAll(installSnapshotMessages());
--- a/cluster/src/test/java/shalepaddle/raft/FinalStateCheck.java
+++ b/cluster/src/test/java/shalepaddle/raft/FinalStateCheck.java
@@ -67,7 +67,7 @@
   private void checkAcknowledged() {
     acknowledgedIndexes.forEach(
         (id, index) -> {
-          String appliedId = group.appliedIds.get(index);
+          String appliedId = group.appliedProposalIds.get(index);
           if (!id.equals(appliedId)) {
             violations.add(
                 id + " was acknowledged at index " + index + ", where the log has " + appliedId);
@@ -77,7 +77,7 @@
 
   private void checkEqualsReplayedLog(ReplicatedState.Snapshot state) {
     ReplicatedState replayedState = new ReplicatedState();
-    new TreeMap<>(group.appliedIds)
+    new TreeMap<>(group.appliedProposalIds)
         .forEach((index, id) -> replayedState.apply(index, proposals.get(id)));
     if (!replayedState.excludedServers().equals(state.excludedServers())) {
       violations.add(
--- a/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
@@ -54,12 +54,12 @@
   /**
    * The counts of a run and its violations.
    *
-   * @param acknowledged the number of acknowledged proposals
-   * @param reads the number of completed reads
-   * @param terms the number of terms that had a leader
+   * @param acknowledgedCount the number of acknowledged proposals
+   * @param readCount the number of completed reads
+   * @param termCount the number of terms that had a leader
    * @param violations a description of each violation, empty for a correct run
    */
-  record Report(int acknowledged, int reads, int terms, List<String> violations) {}
+  record Report(int acknowledgedCount, int readCount, int termCount, List<String> violations) {}
 
   Report run() throws IOException {
     group.startGroup(groupSize);
@@ -72,7 +72,7 @@
     isFaultPhaseOver = true;
     group.heal();
     for (VirtualGroup.Machine machine : group.machines.values()) {
-      machine.pausedUntil = 0;
+      machine.pausedUntilNanos = 0;
       machine.directory.setFailing(false);
       if (!machine.isUp()) {
         machine.start();
@@ -86,7 +86,7 @@
   /** Schedules the next random event, a fault or a repair, until the fault phase is over. */
   private void scheduleNextFault() {
     group.scheduleAt(
-        group.now + (100 + random.nextLong(700)) * VirtualGroup.MILLI,
+        group.nowNanos + (100 + random.nextLong(700)) * VirtualGroup.NANOS_PER_MILLI,
         () -> {
           if (isFaultPhaseOver) {
             return;
@@ -123,15 +123,17 @@
           machine.start();
         }
       }
-      case 2 -> group.cut(machine.name, otherMachine.name, true);
+      case 2 -> group.setLinkCut(machine.name, otherMachine.name, true);
       case 3 -> {
         for (String name : group.machines.keySet()) {
-          group.cut(machine.name, name, true);
-          group.cut(name, machine.name, random.nextBoolean());
+          group.setLinkCut(machine.name, name, true);
+          group.setLinkCut(name, machine.name, random.nextBoolean());
         }
       }
       case 4 -> group.lossRatio = random.nextDouble() * 0.3;
-      case 5 -> machine.pausedUntil = group.now + random.nextLong(5000) * VirtualGroup.MILLI;
+      case 5 ->
+          machine.pausedUntilNanos =
+              group.nowNanos + random.nextLong(5000) * VirtualGroup.NANOS_PER_MILLI;
       case 6 -> loseDisk(machine);
       default -> {
         group.heal();
@@ -152,7 +154,7 @@
     CrashingLogDirectory disk = machine.directory;
     disk.setFailing(true);
     group.scheduleAt(
-        group.now + random.nextLong(3000) * VirtualGroup.MILLI,
+        group.nowNanos + random.nextLong(3000) * VirtualGroup.NANOS_PER_MILLI,
         () -> {
           disk.setFailing(false);
           if (random.nextBoolean()
@@ -208,7 +210,7 @@
       leader.member.changeMembership(member, change);
     }
     group.scheduleAt(
-        group.now + 300 * VirtualGroup.MILLI,
+        group.nowNanos + 300 * VirtualGroup.NANOS_PER_MILLI,
         () -> changeMembership(member, change, whenEffective));
   }
 
@@ -244,14 +246,16 @@
       Proposal proposal =
           new Proposal(
               id,
-              group.now / VirtualGroup.MILLI,
+              group.nowNanos / VirtualGroup.NANOS_PER_MILLI,
               new StateCommand.SetExclusion(server, proposalCount % 3 != 0));
       proposals.put(id, proposal);
       send(proposal);
     }
 
     private void scheduleNextRequest() {
-      group.scheduleAt(group.now + random.nextLong(60) * VirtualGroup.MILLI, this::sendNextRequest);
+      group.scheduleAt(
+          group.nowNanos + random.nextLong(60) * VirtualGroup.NANOS_PER_MILLI,
+          this::sendNextRequest);
     }
 
     private VirtualGroup.Machine randomRequestTarget() {
@@ -270,11 +274,12 @@
       if (machine != null) {
         machine.member.propose(proposal).whenComplete(attempt::handleCompletion);
         if (defect == InjectedDefect.EARLY_ACKNOWLEDGEMENT && machine.member.status().isLeader()) {
-          group.scheduleAt(group.now, () -> attempt.acknowledgeEarly(machine));
+          group.scheduleAt(group.nowNanos, () -> attempt.acknowledgeEarly(machine));
         }
       }
       group.scheduleAt(
-          group.now + REQUEST_TIMEOUT_MILLIS * VirtualGroup.MILLI, attempt::handleTimeout);
+          group.nowNanos + REQUEST_TIMEOUT_MILLIS * VirtualGroup.NANOS_PER_MILLI,
+          attempt::handleTimeout);
     }
 
     /** One attempt at a proposal; only its first outcome counts: result, failure or timeout. */
@@ -300,7 +305,7 @@
             && !(failure instanceof CompletionException)) {
           violations.add("a proposal failed with an unexpected exception: " + failure);
         }
-        group.scheduleAt(group.now + 50 * VirtualGroup.MILLI, () -> send(proposal));
+        group.scheduleAt(group.nowNanos + 50 * VirtualGroup.NANOS_PER_MILLI, () -> send(proposal));
       }
 
       void acknowledgeEarly(VirtualGroup.Machine machine) {
--- a/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulationTest.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulationTest.java
@@ -29,8 +29,8 @@
     for (int seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
       RaftGroupSimulation.Report report = new RaftGroupSimulation(seed, defect).run();
       assertEquals(List.of(), report.violations(), "seed " + seed);
-      acknowledgedCount += report.acknowledged();
-      readCount += report.reads();
+      acknowledgedCount += report.acknowledgedCount();
+      readCount += report.readCount();
     }
     System.out.printf(
         "%s, %d seeds: %d acknowledged proposals, %d reads%n",
--- a/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
+++ b/cluster/src/test/java/shalepaddle/raft/VirtualGroup.java
@@ -27,7 +27,7 @@
  * time, and tests can replace their disks. A run is reproducible by its seed.
  */
 final class VirtualGroup {
-  static final long MILLI = 1_000_000;
+  static final long NANOS_PER_MILLI = 1_000_000;
 
   /** A task with its due time. Tasks due at the same time run in order of sequence number. */
   private record ScheduledTask(long dueNanos, long sequenceNumber, Runnable task) {}
@@ -40,7 +40,7 @@
     RaftMember member;
     RaftLogStore logStore;
     int incarnation;
-    long pausedUntil;
+    long pausedUntilNanos;
     long appliedIndex;
 
     Machine(String name, List<String> initialMembers) {
@@ -87,15 +87,15 @@
     public void schedule(long delayNanos, Runnable task) {
       int scheduledIncarnation = incarnation;
       scheduleAt(
-          now + delayNanos,
+          nowNanos + delayNanos,
           new Runnable() {
             @Override
             public void run() {
               if (incarnation != scheduledIncarnation) {
                 return;
               }
-              if (pausedUntil > now) {
-                scheduleAt(pausedUntil, this);
+              if (pausedUntilNanos > nowNanos) {
+                scheduleAt(pausedUntilNanos, this);
               } else {
                 task.run();
               }
@@ -105,12 +105,12 @@
 
     @Override
     public long nanoTime() {
-      return now;
+      return nowNanos;
     }
 
     @Override
     public void entryApplied(long index, byte[] body, Proposal proposal, CommandResult result) {
-      String earlierId = appliedIds.putIfAbsent(index, proposal.id());
+      String earlierId = appliedProposalIds.putIfAbsent(index, proposal.id());
       if (earlierId != null && !earlierId.equals(proposal.id())) {
         throw new AssertionError(
             "entry "
@@ -150,10 +150,10 @@
           Comparator.comparingLong(ScheduledTask::dueNanos)
               .thenComparingLong(ScheduledTask::sequenceNumber));
   private long taskCount;
-  long now;
+  long nowNanos;
   final SplittableRandom random;
   final Map<String, Machine> machines = new LinkedHashMap<>();
-  final Map<Long, String> appliedIds = new HashMap<>();
+  final Map<Long, String> appliedProposalIds = new HashMap<>();
   final Map<Integer, String> leaderByTerm = new HashMap<>();
   private final Set<String> cutLinks = new HashSet<>();
   double lossRatio;
@@ -172,13 +172,13 @@
 
   /** Advances the virtual time, and runs the tasks that become due. */
   void advance(long durationMillis) {
-    long endNanos = now + durationMillis * MILLI;
+    long endNanos = nowNanos + durationMillis * NANOS_PER_MILLI;
     while (!scheduledTasks.isEmpty() && scheduledTasks.peek().dueNanos() <= endNanos) {
       ScheduledTask task = scheduledTasks.poll();
-      now = Math.max(now, task.dueNanos());
+      nowNanos = Math.max(nowNanos, task.dueNanos());
       task.task().run();
     }
-    now = endNanos;
+    nowNanos = endNanos;
   }
 
   Machine startMachine(String name, List<String> initialMembers) throws IOException {
@@ -201,7 +201,7 @@
   }
 
   /** Cuts or restores a link in one direction; all messages over a cut link are lost. */
-  void cut(String sourceName, String targetName, boolean isCut) {
+  void setLinkCut(String sourceName, String targetName, boolean isCut) {
     if (isCut) {
       cutLinks.add(sourceName + ">" + targetName);
     } else {
@@ -222,10 +222,10 @@
     int copyCount = random.nextDouble() < lossRatio / 4 ? 2 : 1;
     for (int i = 0; i < copyCount; i++) {
       long delayNanos =
-          MILLI / 10
-              + random.nextLong(MILLI)
-              + (random.nextDouble() < lossRatio ? random.nextLong(300 * MILLI) : 0);
-      scheduleAt(now + delayNanos, () -> deliver(targetName, bytes));
+          NANOS_PER_MILLI / 10
+              + random.nextLong(NANOS_PER_MILLI)
+              + (random.nextDouble() < lossRatio ? random.nextLong(300 * NANOS_PER_MILLI) : 0);
+      scheduleAt(nowNanos + delayNanos, () -> deliver(targetName, bytes));
     }
   }
 
--- a/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/CrashingLogDirectory.java
@@ -61,7 +61,7 @@
   }
 
   /** Makes all file syncs fail from the sync with the given number on, counted from 0. */
-  CrashingLogDirectory failFromSync(int syncNumber) {
+  CrashingLogDirectory failSyncsFrom(int syncNumber) {
     firstFailingSync = syncNumber;
     return this;
   }
@@ -111,11 +111,11 @@
    */
   public CrashingLogDirectory afterCrash(double randomRatio) {
     return afterCrash(
-        (int) Math.round(randomRatio * 1000) % (unsyncedNameChanges() + 1), randomRatio);
+        (int) Math.round(randomRatio * 1000) % (unsyncedDirectoryChangeCount() + 1), randomRatio);
   }
 
   /** The number of unsynced creations, renames and deletions of files, which a crash may lose. */
-  int unsyncedNameChanges() {
+  int unsyncedDirectoryChangeCount() {
     return unsyncedDirectoryChanges.size();
   }
 
@@ -125,7 +125,7 @@
   }
 
   @Override
-  public List<String> names() {
+  public List<String> fileNames() {
     return List.copyOf(filesByName.keySet());
   }
 
@@ -161,7 +161,7 @@
   }
 
   @Override
-  public void syncNames() {
+  public void syncDirectory() {
     countCall();
     syncedFilesByName.clear();
     syncedFilesByName.putAll(filesByName);
--- a/cluster/src/test/java/shalepaddle/storage/ForwardingLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/ForwardingLogDirectory.java
@@ -9,8 +9,8 @@
   LogDirectory delegate();
 
   @Override
-  default List<String> names() throws IOException {
-    return delegate().names();
+  default List<String> fileNames() throws IOException {
+    return delegate().fileNames();
   }
 
   @Override
@@ -29,8 +29,8 @@
   }
 
   @Override
-  default void syncNames() throws IOException {
-    delegate().syncNames();
+  default void syncDirectory() throws IOException {
+    delegate().syncDirectory();
   }
 
   @Override
--- a/cluster/src/test/java/shalepaddle/storage/RaftLogFormatTest.java
+++ b/cluster/src/test/java/shalepaddle/storage/RaftLogFormatTest.java
@@ -80,7 +80,7 @@
     assertTrue(state.getLocalEndpointPersistentState().isVoting());
     assertEquals(
         List.of("m0", "m1", "m2"),
-        LogEntryCodec.names(state.getInitialGroupMembers().getMembers()));
+        LogEntryCodec.memberNames(state.getInitialGroupMembers().getMembers()));
     assertEquals(3, state.getTermPersistentState().getTerm());
     assertEquals(new Endpoint("m0"), state.getTermPersistentState().getVotedFor());
 
@@ -91,8 +91,8 @@
         assertInstanceOf(UpdateRaftGroupMembersOp.class, entries.get(0).getOperation());
     assertEquals(MembershipChangeMode.ADD_LEARNER, change.getMode());
     assertEquals(new Endpoint("m3"), change.getEndpoint());
-    assertEquals(List.of("m0", "m1", "m2", "m3"), LogEntryCodec.names(change.getMembers()));
-    assertEquals(List.of("m0", "m1", "m2"), LogEntryCodec.names(change.getVotingMembers()));
+    assertEquals(List.of("m0", "m1", "m2", "m3"), LogEntryCodec.memberNames(change.getMembers()));
+    assertEquals(List.of("m0", "m1", "m2"), LogEntryCodec.memberNames(change.getVotingMembers()));
     assertEquals(
         new Proposal("id-6", 1003, new StateCommand.SetExclusion("s-1", false)),
         decodeProposal(entries.get(1)));
@@ -101,7 +101,8 @@
         new Proposal("id-8", 1006, new StateCommand.SetExclusion("s-3", true)),
         decodeProposal(entries.get(3)));
     assertEquals(
-        new Proposal("id-9", 1007, new StateCommand.Unknown(79)), decodeProposal(entries.get(4)));
+        new Proposal("id-9", 1007, new StateCommand.UnknownCommand(79)),
+        decodeProposal(entries.get(4)));
   }
 
   @Test
--- a/cluster/src/test/java/shalepaddle/storage/RaftLogStoreTest.java
+++ b/cluster/src/test/java/shalepaddle/storage/RaftLogStoreTest.java
@@ -58,7 +58,7 @@
           // The machine crashed at this call.
         }
         for (int survivingChanges = 0;
-            survivingChanges <= directory.unsyncedNameChanges();
+            survivingChanges <= directory.unsyncedDirectoryChangeCount();
             survivingChanges++) {
           for (double survivingRatio : new double[] {0, 0.3, 0.5, 0.9, 1}) {
             String restoredState =
@@ -70,14 +70,15 @@
                             compactionThresholdBytes)
                         .restoredState());
             // The change during which the machine crashed may have survived as well.
-            int stateIndex = workload.states.lastIndexOf(restoredState);
+            int stateIndex = workload.expectedStates.lastIndexOf(restoredState);
             assertTrue(
-                stateIndex >= workload.lastSynced || restoredState.equals(workload.currentState()),
+                stateIndex >= workload.lastSyncedIndex
+                    || restoredState.equals(workload.currentState()),
                 () ->
                     "restored "
                         + restoredState
                         + " after syncing "
-                        + workload.states.get(workload.lastSynced));
+                        + workload.expectedStates.get(workload.lastSyncedIndex));
             checkedStates++;
           }
         }
@@ -94,7 +95,7 @@
     workload.run(new RaftLogStore(new UnsyncedLogDirectory(directory, false), "g", "a"));
     // Only the file names survive, without content.
     CrashingLogDirectory crashedDirectory =
-        directory.afterCrash(directory.unsyncedNameChanges(), 0);
+        directory.afterCrash(directory.unsyncedDirectoryChangeCount(), 0);
     assertThrows(CorruptLogException.class, () -> new RaftLogStore(crashedDirectory, "g", "a"));
   }
 
@@ -103,7 +104,7 @@
     CrashingLogDirectory directory = new CrashingLogDirectory(NO_LIMIT);
     RaftLogWorkload workload = new RaftLogWorkload();
     workload.run(new RaftLogStore(directory, "g", "a"));
-    String fileName = directory.names().get(0);
+    String fileName = directory.fileNames().get(0);
     int lengthBytes = directory.read(fileName).length;
     int reportedCount = 0;
     for (int position = 0; position < lengthBytes; position++) {
@@ -115,7 +116,8 @@
             1,
             store.recoveryWarnings().size(),
             "damage at the end must be reported as an incomplete write");
-        assertTrue(workload.states.contains(RaftLogWorkload.describe(store.restoredState())));
+        assertTrue(
+            workload.expectedStates.contains(RaftLogWorkload.describe(store.restoredState())));
       } catch (CorruptLogException e) {
         assertTrue(
             e.getMessage().contains(fileName)
@@ -131,19 +133,20 @@
   @Test
   void rejectsWritesAfterFailedSync() throws Exception {
     for (int failingSync = 1; failingSync < 12; failingSync++) {
-      CrashingLogDirectory directory = new CrashingLogDirectory(NO_LIMIT).failFromSync(failingSync);
+      CrashingLogDirectory directory =
+          new CrashingLogDirectory(NO_LIMIT).failSyncsFrom(failingSync);
       RaftLogWorkload workload = new RaftLogWorkload();
       RaftLogStore store = new RaftLogStore(directory, "g", "a");
       assertThrows(IOException.class, () -> workload.run(store));
       assertNotNull(store.failure());
-      byte[] bytesBefore = directory.read(directory.names().get(0));
+      byte[] bytesBefore = directory.read(directory.fileNames().get(0));
       LogStoreFailedException rejection =
           assertThrows(
               LogStoreFailedException.class,
               () -> store.persistLogEntries(List.of(RaftLogWorkload.entry(1, 1))));
       assertTrue(rejection.getMessage().contains("no space left"), rejection.getMessage());
       assertTrue(
-          Arrays.equals(bytesBefore, directory.read(directory.names().get(0))),
+          Arrays.equals(bytesBefore, directory.read(directory.fileNames().get(0))),
           "the store must write nothing after a failed sync");
     }
   }
@@ -152,16 +155,17 @@
   @Test
   void recoversSyncedStateAfterFailedSync() throws Exception {
     for (int failingSync = 1; failingSync < 12; failingSync++) {
-      CrashingLogDirectory directory = new CrashingLogDirectory(NO_LIMIT).failFromSync(failingSync);
+      CrashingLogDirectory directory =
+          new CrashingLogDirectory(NO_LIMIT).failSyncsFrom(failingSync);
       RaftLogWorkload workload = new RaftLogWorkload();
       RaftLogStore store = new RaftLogStore(directory, "g", "a");
       assertThrows(IOException.class, () -> workload.run(store));
       assertFalse(store.recover(), "recovery must fail while the disk still fails");
-      directory.failFromSync(NO_LIMIT);
+      directory.failSyncsFrom(NO_LIMIT);
       assertTrue(store.recover());
       assertNull(store.failure());
       String restoredState = RaftLogWorkload.describe(store.restoredState());
-      assertEquals(workload.states.get(workload.lastSynced), restoredState);
+      assertEquals(workload.expectedStates.get(workload.lastSyncedIndex), restoredState);
       store.flush();
       assertEquals(
           restoredState,
@@ -198,7 +202,7 @@
       store.truncateLogEntriesFrom(10);
       store.flush();
       assertTrue(store.sizeBytes() < 12_000, "the segment has " + store.sizeBytes() + " bytes");
-      assertEquals(1, directory.names().size());
+      assertEquals(1, directory.fileNames().size());
     }
     String stateBefore = RaftLogWorkload.describe(store.restoredState());
     assertEquals(
--- a/cluster/src/test/java/shalepaddle/storage/RaftLogWorkload.java
+++ b/cluster/src/test/java/shalepaddle/storage/RaftLogWorkload.java
@@ -41,30 +41,30 @@
   }
 
   /** The expected state after each change, in the form of {@link #describe}. */
-  final List<String> states = new ArrayList<>();
+  final List<String> expectedStates = new ArrayList<>();
 
-  /** The index in {@link #states} of the last synced state. */
-  int lastSynced;
+  /** The index in {@link #expectedStates} of the last synced state. */
+  int lastSyncedIndex;
 
   private final ExpectedState expectedState = new ExpectedState();
 
   RaftLogWorkload() {
-    states.add(expectedState.toString());
+    expectedStates.add(expectedState.toString());
   }
 
   private void recordState(boolean isSynced) {
-    states.add(expectedState.copy().toString());
-    lastSynced = isSynced ? states.size() - 1 : lastSynced;
+    expectedStates.add(expectedState.copy().toString());
+    lastSyncedIndex = isSynced ? expectedStates.size() - 1 : lastSyncedIndex;
   }
 
   void run(RaftLogStore store) throws IOException {
-    store.persistAndFlushLocalEndpoint(LogEntryCodec.localEndpoint("a", true));
+    store.persistAndFlushLocalEndpoint(LogEntryCodec.localEndpointState("a", true));
     store.persistAndFlushInitialGroupMembers(groupOfThree());
     recordState(true);
     for (int term = 1; term <= 3; term++) {
       expectedState.term = term;
       expectedState.votedFor = term % 2 == 0 ? null : "b";
-      store.persistAndFlushTerm(LogEntryCodec.term(term, expectedState.votedFor));
+      store.persistAndFlushTerm(LogEntryCodec.termState(term, expectedState.votedFor));
       recordState(true);
       long firstIndex = expectedState.snapshotIndex + expectedState.log.size() + 1;
       for (long index = firstIndex; index < firstIndex + 3; index++) {
@@ -110,7 +110,7 @@
 
   private static RaftGroupMembersView groupOfThree() {
     Set<RaftEndpoint> members = Set.of(new Endpoint("a"), new Endpoint("b"), new Endpoint("c"));
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createRaftGroupMembersViewBuilder()
         .setLogIndex(0)
         .setMembers(members)
@@ -119,7 +119,7 @@
   }
 
   static LogEntry entry(long index, int term) {
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createLogEntryBuilder()
         .setIndex(index)
         .setTerm(term)
@@ -128,7 +128,7 @@
   }
 
   private static SnapshotChunk chunk(long index, int chunkNumber, int chunkCount) {
-    return LogEntryCodec.model()
+    return LogEntryCodec.modelFactory()
         .createSnapshotChunkBuilder()
         .setIndex(index)
         .setTerm(1)
--- a/cluster/src/test/java/shalepaddle/storage/UnsyncedLogDirectory.java
+++ b/cluster/src/test/java/shalepaddle/storage/UnsyncedLogDirectory.java
@@ -18,9 +18,9 @@
   }
 
   @Override
-  public void syncNames() throws IOException {
+  public void syncDirectory() throws IOException {
     if (firstSyncTakesEffect) {
-      delegate.syncNames();
+      delegate.syncDirectory();
     }
   }
 
--- a/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
+++ b/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
@@ -152,7 +152,7 @@
     LinkedBlockingQueue<String> notifications = subscribe("birds", server);
     assertEquals("3 HELD", nextNotification(notifications));
     assertEquals("in contact", nextNotification(notifications));
-    applyEntry(server, 5, new StateCommand.Unknown(77));
+    applyEntry(server, 5, new StateCommand.UnknownCommand(77));
     applyEntry(server, 6, new StateCommand.SetExclusion("s-2", true));
     assertEquals("5 NOT_KNOWN", nextNotification(notifications));
     assertEquals("6 HELD", nextNotification(notifications));
--- a/core/src/main/java/shalepaddle/changefeed/ChangeFeedPublisher.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedPublisher.java
@@ -184,7 +184,7 @@
   }
 
   private void reject(long connection, String reason) {
-    output.send(connection, new PublisherMessage.Rejected(reason));
+    output.send(connection, new PublisherMessage.Rejection(reason));
     close(connection);
   }
 
--- a/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
+++ b/core/src/main/java/shalepaddle/changefeed/ChangeFeedSubscriber.java
@@ -252,7 +252,7 @@
     if (disconnectAfterStall(now) || !isConnected()) {
       return;
     }
-    if (message instanceof PublisherMessage.Rejected rejection) {
+    if (message instanceof PublisherMessage.Rejection rejection) {
       output.rejected(member, rejection.reason());
       output.close();
       switchMember(now);
--- a/core/src/main/java/shalepaddle/changefeed/PublisherMessage.java
+++ b/core/src/main/java/shalepaddle/changefeed/PublisherMessage.java
@@ -34,5 +34,5 @@
    *
    * @param reason the reason for operators
    */
-  record Rejected(String reason) implements PublisherMessage {}
+  record Rejection(String reason) implements PublisherMessage {}
 }
--- a/core/src/main/java/shalepaddle/coalescing/CoalescingConfig.java
+++ b/core/src/main/java/shalepaddle/coalescing/CoalescingConfig.java
@@ -1,13 +1,13 @@
 package shalepaddle.coalescing;
 
-import shalepaddle.model.ProtocolLimits;
+import shalepaddle.model.SettingChecks;
 
 /**
  * The settings of request coalescing that an operator may change. Immutable.
  *
- * @param enabled whether reads are coalesced
- * @param acrossTenants whether reads of different tenants share flights, since tenants see the same
- *     values
+ * @param isEnabled whether reads are coalesced
+ * @param sharesAcrossTenants whether reads of different tenants share flights, since tenants see
+ *     the same values
  * @param maxWaiters maximum number of reads in one flight, 2 to 100,000
  * @param maxAgeSeconds seconds after its beginning in which a flight may be joined, 0.001 to 60
  * @param maxFlights maximum number of open flights, 1 to 1,000,000; further reads are not coalesced
@@ -15,8 +15,8 @@
  *     to retry; 0 to 1
  */
 public record CoalescingConfig(
-    boolean enabled,
-    boolean acrossTenants,
+    boolean isEnabled,
+    boolean sharesAcrossTenants,
     int maxWaiters,
     double maxAgeSeconds,
     int maxFlights,
@@ -40,9 +40,9 @@
    *     and the range
    */
   public CoalescingConfig {
-    ProtocolLimits.checkRange("callers", maxWaiters, 2, 100_000);
-    ProtocolLimits.checkRange("age_ms", maxAgeSeconds * 1e3, 1, 60_000);
-    ProtocolLimits.checkRange("flights", maxFlights, 1, 1_000_000);
-    ProtocolLimits.checkRange("retries", retriesPerJoin, 0, 1);
+    SettingChecks.checkRange("callers", maxWaiters, 2, 100_000);
+    SettingChecks.checkRange("age_ms", maxAgeSeconds * 1e3, 1, 60_000);
+    SettingChecks.checkRange("flights", maxFlights, 1, 1_000_000);
+    SettingChecks.checkRange("retries", retriesPerJoin, 0, 1);
   }
 }
--- a/core/src/main/java/shalepaddle/coalescing/Flight.java
+++ b/core/src/main/java/shalepaddle/coalescing/Flight.java
@@ -85,22 +85,22 @@
     return coalescingKey;
   }
 
-  long beganAt() {
+  long beganAtNanos() {
     return beganAtNanos;
   }
 
   /** The number of callers that have joined, whether or not they still wait. */
-  int joined() {
+  int joinedCount() {
     return joinedCount;
   }
 
   /** The number of callers that wait. */
-  int waiting() {
+  int waitingCount() {
     return waitingCount;
   }
 
   /** The number of attempts after the first. */
-  int retries() {
+  int retryCount() {
     return retryCount;
   }
 
@@ -152,15 +152,15 @@
    * The latest deadline of the callers that joined. Callers that have ended are only left out after
    * a retry.
    */
-  public long deadline() {
+  public long latestDeadlineNanos() {
     return latestDeadlineNanos;
   }
 
   /**
-   * The earliest deadline of a waiter if it is before {@link #deadline}; otherwise {@code
-   * Long.MAX_VALUE}.
+   * The earliest deadline of a waiter if it is before {@link #latestDeadlineNanos}; otherwise
+   * {@code Long.MAX_VALUE}.
    */
-  public long nextDue() {
+  public long nextDeadline() {
     if (waitersByDeadline == null) {
       return Long.MAX_VALUE;
     }
--- a/core/src/main/java/shalepaddle/coalescing/FlightIndex.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightIndex.java
@@ -57,7 +57,7 @@
   }
 
   /** The number of keys with a flight that reads may join. */
-  int keys() {
+  int keyCount() {
     return flightsByKey.size();
   }
 }
--- a/core/src/main/java/shalepaddle/coalescing/FlightResult.java
+++ b/core/src/main/java/shalepaddle/coalescing/FlightResult.java
@@ -25,7 +25,8 @@
    * @param lastResult the result of the exchange's last attempt, null if it had none
    */
   public static FlightResult ofRejection(Outcome.Result lastResult) {
-    return lastResult != null && (lastResult.isConnectionFailure() || lastResult == Outcome.Result.MALFORMED_RESPONSE)
+    return lastResult != null
+            && (lastResult.isConnectionFailure() || lastResult == Outcome.Result.MALFORMED_RESPONSE)
         ? BROKEN
         : REJECTED;
   }
--- a/core/src/main/java/shalepaddle/coalescing/RequestCoalescer.java
+++ b/core/src/main/java/shalepaddle/coalescing/RequestCoalescer.java
@@ -55,8 +55,8 @@
   /**
    * Adds an idempotent read to the flight that it may join, or begins a flight for it. If it begins
    * a flight, it is the flight's {@linkplain Flight#leader leader}, and the caller of this method
-   * must start the attempt. If it extends {@link Flight#deadline}, the attempt's deadline must be
-   * extended too.
+   * must start the attempt. If it extends {@link Flight#latestDeadlineNanos}, the attempt's
+   * deadline must be extended too.
    *
    * @param key the key that it reads
    * @param serviceClass its service class
@@ -67,7 +67,7 @@
    */
   public FlightWaiter<C> join(
       String key, String serviceClass, String tenant, C caller, long deadlineNanos, long now) {
-    String visibleTenant = config.acrossTenants() ? null : tenant;
+    String visibleTenant = config.sharesAcrossTenants() ? null : tenant;
     Flight<C> flight = index.find(key, serviceClass, visibleTenant);
     if (flight != null && !isJoinable(flight, now)) {
       index.remove(flight);
@@ -91,7 +91,7 @@
   }
 
   private boolean isJoinable(Flight<C> flight, long now) {
-    return now - flight.beganAt() <= maxAgeNanos && flight.joined() < config.maxWaiters();
+    return now - flight.beganAtNanos() <= maxAgeNanos && flight.joinedCount() < config.maxWaiters();
   }
 
   /**
@@ -121,7 +121,7 @@
     if (flight.isClosed()) {
       return false;
     }
-    if (flight.waiting() > 0) {
+    if (flight.waitingCount() > 0) {
       departedWaiters += departures;
       return false;
     }
@@ -179,7 +179,7 @@
   }
 
   private boolean mayRetry(Flight<C> flight, long now) {
-    if (flight.waiting() <= 1 || flight.retries() >= MAX_RETRIES) {
+    if (flight.waitingCount() <= 1 || flight.retryCount() >= MAX_RETRIES) {
       return false;
     }
     if (retryTokens < 1) {
@@ -210,11 +210,19 @@
   /** The current values of all counters. */
   public CoalescingSnapshot snapshot() {
     return new CoalescingSnapshot(
-        startedFlights, joinedReads, uncoalescedReads, sharedAnswers, retries, deniedRetries, departedWaiters, openFlights, waiters);
+        startedFlights,
+        joinedReads,
+        uncoalescedReads,
+        sharedAnswers,
+        retries,
+        deniedRetries,
+        departedWaiters,
+        openFlights,
+        waiters);
   }
 
   /** The number of keys with a flight that reads may join. */
-  int keys() {
-    return index.keys();
+  int keyCount() {
+    return index.keyCount();
   }
 }
--- a/core/src/main/java/shalepaddle/model/Observation.java
+++ b/core/src/main/java/shalepaddle/model/Observation.java
@@ -5,13 +5,13 @@
  * node to learn from. Contains the raw data rather than conclusions, so that different versions of
  * the program can exchange it.
  *
- * @param endedAt when the attempt ended, in seconds since 1970
+ * @param endedAtSeconds when the attempt ended, in seconds since 1970
  * @param request the request that it was sent for
  * @param outcome how it ended; the request id and attempt number in it are ignored
  */
-public record Observation(double endedAt, Request request, Outcome outcome) {
+public record Observation(double endedAtSeconds, Request request, Outcome outcome) {
   /** When the attempt was sent, in seconds since 1970. */
-  public double sentAt() {
-    return endedAt - outcome.elapsedSeconds();
+  public double sentAtSeconds() {
+    return endedAtSeconds - outcome.elapsedSeconds();
   }
 }
--- a/core/src/main/java/shalepaddle/model/Request.java
+++ b/core/src/main/java/shalepaddle/model/Request.java
@@ -10,8 +10,8 @@
  * @param budgetSeconds time until the client stops waiting for this request
  * @param workSeconds its expected work in seconds of a standard core, 0 if unknown
  * @param sizeBytes the value's size, 0 if unknown
- * @param retry whether the client marked it as a retry
- * @param write whether it changes the value
+ * @param isRetry whether the client marked it as a retry
+ * @param isWrite whether it changes the value
  */
 public record Request(
     String id,
@@ -21,8 +21,8 @@
     double budgetSeconds,
     double workSeconds,
     double sizeBytes,
-    boolean retry,
-    boolean write) {
+    boolean isRetry,
+    boolean isWrite) {
 
   /** Returns this request with its budget limited to the given number of seconds. */
   public Request withBudgetAtMost(double seconds) {
@@ -32,6 +32,6 @@
   /** Returns this request with a budget of the given number of seconds. */
   public Request withBudget(double seconds) {
     return new Request(
-        id, key, serviceClass, tenant, seconds, workSeconds, sizeBytes, retry, write);
+        id, key, serviceClass, tenant, seconds, workSeconds, sizeBytes, isRetry, isWrite);
   }
 }
--- a/core/src/main/java/shalepaddle/model/ProtocolLimits.java
+++ b/core/src/main/java/shalepaddle/model/SettingChecks.java
@@ -1,8 +1,8 @@
 package shalepaddle.model;
 
 /** Checks of values that an operator sets. */
-public final class ProtocolLimits {
-  private ProtocolLimits() {}
+public final class SettingChecks {
+  private SettingChecks() {}
 
   /**
    * Checks that a value is in its range, including the bounds.
--- a/core/src/main/java/shalepaddle/model/Settings.java
+++ b/core/src/main/java/shalepaddle/model/Settings.java
@@ -88,7 +88,7 @@
   /**
    * How the caches work.
    *
-   * @param lookAside whether the instance itself fetches a value that a cache does not have from
+   * @param isLookAside whether the instance itself fetches a value that a cache does not have from
    *     the origin
    * @param originKind the origin's machine kind in the endpoint list, null if it is not listed
    * @param originOverloadRatio load at which the origin halts, as a multiple of its capacity; 0 if
@@ -96,7 +96,7 @@
    * @param originOverloadSeconds how long such a load lasts before the origin halts
    */
   public record CacheMode(
-      boolean lookAside,
+      boolean isLookAside,
       String originKind,
       double originOverloadRatio,
       double originOverloadSeconds) {}
@@ -151,26 +151,26 @@
   /**
    * The weights of the costs by which a deployment is rated, each applied to a fraction or a rate.
    *
-   * @param crossZone attempts that cross zones
-   * @param wastedWork work that contributed to no answer
-   * @param lateFailure priority weight of requests that failed after their latency objective
-   * @param originFetch fetches from the origin
-   * @param healthCheck health checks
-   * @param handshake new connections
-   * @param connection open connections
-   * @param gossip bytes sent between instances
-   * @param discovery endpoint list lines received
+   * @param crossZonePrice attempts that cross zones
+   * @param wastedWorkPrice work that contributed to no answer
+   * @param lateFailurePrice priority weight of requests that failed after their latency objective
+   * @param originFetchPrice fetches from the origin
+   * @param healthCheckPrice health checks
+   * @param handshakePrice new connections
+   * @param connectionPrice open connections
+   * @param gossipPrice bytes sent between instances
+   * @param discoveryPrice endpoint list lines received
    */
   public record Prices(
-      double crossZone,
-      double wastedWork,
-      double lateFailure,
-      double originFetch,
-      double healthCheck,
-      double handshake,
-      double connection,
-      double gossip,
-      double discovery) {}
+      double crossZonePrice,
+      double wastedWorkPrice,
+      double lateFailurePrice,
+      double originFetchPrice,
+      double healthCheckPrice,
+      double handshakePrice,
+      double connectionPrice,
+      double gossipPrice,
+      double discoveryPrice) {}
 
   /**
    * A class of requests.
@@ -185,7 +185,7 @@
    * @param idempotency the effect of running a request more than once
    * @param deduplicationScope which servers drop a repeated idempotency key
    * @param idempotencyWindowSeconds how long they do so, from the first attempt that may have run
-   * @param streamed whether answers are streamed
+   * @param isStreamed whether answers are streamed
    */
   public record ServiceClass(
       String name,
@@ -197,7 +197,7 @@
       Idempotency idempotency,
       DeduplicationScope deduplicationScope,
       double idempotencyWindowSeconds,
-      boolean streamed) {
+      boolean isStreamed) {
 
     /**
      * Returns the known class, or if it is null, a class for this request only, which is not
