--- a/core/src/main/java/shalepaddle/overload/AdmissionController.java
+++ b/core/src/main/java/shalepaddle/overload/AdmissionController.java
@@ -47,7 +47,7 @@
   /** Creates a controller that admits all requests until the event loop is overloaded. */
   public AdmissionController(OverloadConfig config, PriorityTiers tiers, long seed) {
     this(config, seed);
-    resetTiers(tiers.count());
+    resetTiers(tiers.tierCount());
   }
 
   AdmissionController(OverloadConfig config, long seed) {
@@ -111,7 +111,8 @@
     double offeredToLimitRatio =
         isLimiting() ? Math.max(1, sum(offeredPerSecond) / rateLimit.limitPerSecond()) : 1;
     double jitter = 0.5 + random.nextDouble();
-    return Math.min(MAX_RETRY_AFTER_SECONDS, config.minRetryAfterSeconds() * offeredToLimitRatio * jitter);
+    return Math.min(
+        MAX_RETRY_AFTER_SECONDS, config.minRetryAfterSeconds() * offeredToLimitRatio * jitter);
   }
 
   /**
@@ -120,7 +121,8 @@
    * @param delaySeconds the minimum delay of the event loop in the interval
    */
   public void onIntervalEnd(double delaySeconds, long now) {
-    double intervalSeconds = hasIntervalBegun ? Math.max(1e-3, (now - intervalBeganAtNanos) / 1e9) : 0;
+    double intervalSeconds =
+        hasIntervalBegun ? Math.max(1e-3, (now - intervalBeganAtNanos) / 1e9) : 0;
     intervalBeganAtNanos = now;
     if (!hasIntervalBegun) {
       hasIntervalBegun = true;
@@ -133,7 +135,8 @@
       }
       areRatesKnown = true;
       if (config.isSheddingEnabled()) {
-        rateLimit.update(delaySeconds, admittedCountInInterval / intervalSeconds, sum(offeredPerSecond));
+        rateLimit.update(
+            delaySeconds, admittedCountInInterval / intervalSeconds, sum(offeredPerSecond));
         updateAdmittedRatios();
         grantUnusedLimitToRetries(intervalSeconds);
       }
@@ -148,7 +151,8 @@
    */
   private void grantUnusedLimitToRetries(double intervalSeconds) {
     if (isLimiting()) {
-      double unusedTokens = (rateLimit.limitPerSecond() * intervalSeconds - admittedCountInInterval) / 2;
+      double unusedTokens =
+          (rateLimit.limitPerSecond() * intervalSeconds - admittedCountInInterval) / 2;
       retryTokens = Math.max(retryTokens, Math.min(unusedTokens, MAX_UNUSED_TOKENS));
     }
   }
@@ -157,7 +161,8 @@
     double remainingPerSecond = rateLimit.limitPerSecond();
     for (int tier = 0; tier < admittedRatio.length; tier++) {
       double ratePerSecond = offeredPerSecond[tier];
-      double admissibleRatio = ratePerSecond <= remainingPerSecond ? 1 : remainingPerSecond / ratePerSecond;
+      double admissibleRatio =
+          ratePerSecond <= remainingPerSecond ? 1 : remainingPerSecond / ratePerSecond;
       admittedRatio[tier] = Math.max(config.minAdmittedRatio(), admissibleRatio);
       remainingPerSecond = Math.max(0, remainingPerSecond - admissibleRatio * ratePerSecond);
     }
--- a/core/src/main/java/shalepaddle/overload/AimdRateLimit.java
+++ b/core/src/main/java/shalepaddle/overload/AimdRateLimit.java
@@ -99,11 +99,13 @@
       if (!isLimiting() || delaySeconds > FALLING_DELAY_RATIO * previousDelaySeconds) {
         double decreaseRatio =
             Math.min(
-                MAX_LIMIT_DECREASE_RATIO, LIMIT_DECREASE_PER_TARGET_RATIO * delaySeconds / targetDelaySeconds);
+                MAX_LIMIT_DECREASE_RATIO,
+                LIMIT_DECREASE_PER_TARGET_RATIO * delaySeconds / targetDelaySeconds);
         capacityPerSecond = Math.max(admittedPerSecond, capacityPerSecond);
         limitPerSecond =
             Math.max(
-                minLimitPerSecond(), Math.min(limitPerSecond, admittedPerSecond) * (1 - decreaseRatio));
+                minLimitPerSecond(),
+                Math.min(limitPerSecond, admittedPerSecond) * (1 - decreaseRatio));
       }
       unusedIntervals = 0;
     } else if (isLimiting()) {
--- a/core/src/main/java/shalepaddle/overload/DegradationPolicy.java
+++ b/core/src/main/java/shalepaddle/overload/DegradationPolicy.java
@@ -26,7 +26,8 @@
           case BUSY -> 16;
           case FULL -> 4;
         };
-    PressureLevel idleConnectionLevel = memoryLevel.compareTo(descriptorLevel) >= 0 ? memoryLevel : descriptorLevel;
+    PressureLevel idleConnectionLevel =
+        memoryLevel.compareTo(descriptorLevel) >= 0 ? memoryLevel : descriptorLevel;
     long idleNanos =
         switch (idleConnectionLevel) {
           case CALM -> CALM.maxIdleNanos();
--- a/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
+++ b/core/src/main/java/shalepaddle/overload/HysteresisGauge.java
@@ -11,19 +11,20 @@
   /**
    * The bounds between levels, in the unit of the readings.
    *
-   * @param busy lower bound of {@link PressureLevel#BUSY}
-   * @param full lower bound of {@link PressureLevel#FULL}
-   * @param release readings up to this one may lower the level {@code BUSY}
+   * @param busyBound lower bound of {@link PressureLevel#BUSY}
+   * @param fullBound lower bound of {@link PressureLevel#FULL}
+   * @param releaseBound readings up to this one may lower the level {@code BUSY}
    * @param releaseReadings the number of consecutive low readings that lower the level
    */
-  public record Bounds(double busy, double full, double release, int releaseReadings) {
+  public record Bounds(
+      double busyBound, double fullBound, double releaseBound, int releaseReadings) {
     /** Checks that the bounds are in ascending order. */
     public Bounds {
-      if (!(release < busy && busy < full) || releaseReadings < 1) {
+      if (!(releaseBound < busyBound && busyBound < fullBound) || releaseReadings < 1) {
         throw new IllegalArgumentException(
             ("bounds must satisfy release < busy < full and releaseReadings >= 1, but are"
                     + " release %s, busy %s, full %s, releaseReadings %d")
-                .formatted(release, busy, full, releaseReadings));
+                .formatted(releaseBound, busyBound, fullBound, releaseReadings));
       }
     }
   }
@@ -40,13 +41,13 @@
   /** Updates the level by a reading and returns it. NaN does not change the level. */
   public PressureLevel update(double reading) {
     PressureLevel readingLevel =
-        reading >= bounds.full()
+        reading >= bounds.fullBound()
             ? PressureLevel.FULL
-            : reading >= bounds.busy() ? PressureLevel.BUSY : PressureLevel.CALM;
+            : reading >= bounds.busyBound() ? PressureLevel.BUSY : PressureLevel.CALM;
     if (Double.isNaN(reading) || readingLevel.compareTo(level) >= 0) {
       readingsBelowRelease = 0;
       level = Double.isNaN(reading) ? level : readingLevel;
-    } else if (reading > bounds.release() && level == PressureLevel.BUSY) {
+    } else if (reading > bounds.releaseBound() && level == PressureLevel.BUSY) {
       readingsBelowRelease = 0;
     } else if (++readingsBelowRelease >= bounds.releaseReadings()) {
       // Lowers the level one step at a time, so that load returns gradually.
--- a/core/src/main/java/shalepaddle/overload/OverloadConfig.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadConfig.java
@@ -1,6 +1,6 @@
 package shalepaddle.overload;
 
-import shalepaddle.model.ProtocolLimits;
+import shalepaddle.model.SettingChecks;
 
 /**
  * The settings of overload control that an operator may change.
@@ -39,10 +39,10 @@
    *     and the range
    */
   public OverloadConfig {
-    ProtocolLimits.checkRange("target_ms", targetDelaySeconds * 1e3, 1, 1000);
-    ProtocolLimits.checkRange("learn", minAdmittedRatio, 0.001, 0.5);
-    ProtocolLimits.checkRange("repeats", retryRatio, 0, 10);
-    ProtocolLimits.checkRange("waits_ms", maxQueueSeconds * 1e3, 1, 10_000);
-    ProtocolLimits.checkRange("advice_ms", minRetryAfterSeconds * 1e3, 0, 60_000);
+    SettingChecks.checkRange("target_ms", targetDelaySeconds * 1e3, 1, 1000);
+    SettingChecks.checkRange("learn", minAdmittedRatio, 0.001, 0.5);
+    SettingChecks.checkRange("repeats", retryRatio, 0, 10);
+    SettingChecks.checkRange("waits_ms", maxQueueSeconds * 1e3, 1, 10_000);
+    SettingChecks.checkRange("advice_ms", minRetryAfterSeconds * 1e3, 0, 60_000);
   }
 }
--- a/core/src/main/java/shalepaddle/overload/OverloadControl.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadControl.java
@@ -64,14 +64,14 @@
   public void updateSettings(Settings newSettings) {
     settings = newSettings;
     tiers = new PriorityTiers(newSettings.services(), newSettings.overQuotaWeightRatio());
-    admissionController.resetTiers(tiers.count());
+    admissionController.resetTiers(tiers.tierCount());
     quotas = new TenantQuotas(newSettings.tenants(), newSettings.instances());
   }
 
   /** Creates a queue for admitted requests that wait for the event loop. */
   public <T> AdmissionQueue<T> newAdmissionQueue(int maxItems, Consumer<T> onRejected) {
     return new AdmissionQueue<>(
-        tiers.count(), maxItems, (long) (config.maxQueueSeconds() * 1e9), onRejected);
+        tiers.tierCount(), maxItems, (long) (config.maxQueueSeconds() * 1e9), onRejected);
   }
 
   /**
@@ -149,8 +149,8 @@
       return ADMITTED;
     }
     boolean isOverQuota = quotas.isOverQuota(tenant, now);
-    int tier = tiers.of(serviceClass, isMarkedRetry, isOverQuota);
-    if (ConnectionSlotReservation.rejects(tier, tiers.count(), connectionSlotRatio)) {
+    int tier = tiers.tierOf(serviceClass, isMarkedRetry, isOverQuota);
+    if (ConnectionSlotReservation.rejects(tier, tiers.tierCount(), connectionSlotRatio)) {
       return retryAfterMillis() + (isMarkedRetry ? RETRY_FLAG : 0);
     }
     if (!admissionController.isLimiting()) {
@@ -162,7 +162,7 @@
         isMarkedRetry
             || (!settings.clientsMarkRetries()
                 && retryInference.isLikelyRetry(keyHash, serviceClass, now));
-    if (admissionController.admit(tiers.of(serviceClass, isRetry, isOverQuota), isRetry)) {
+    if (admissionController.admit(tiers.tierOf(serviceClass, isRetry, isOverQuota), isRetry)) {
       return ADMITTED;
     }
     if (!settings.clientsMarkRetries()) {
@@ -175,7 +175,10 @@
   public long retryAfterMillis() {
     return settings.limits().sendsRetryAfter()
         ? Math.round(
-            1e3 * Math.min(settings.limits().maxRetryAfterSeconds(), admissionController.retryAfterSeconds()))
+            1e3
+                * Math.min(
+                    settings.limits().maxRetryAfterSeconds(),
+                    admissionController.retryAfterSeconds()))
         : 0;
   }
 
@@ -185,10 +188,10 @@
   public int tier(String serviceClass, boolean isRetry) {
     for (int i = 0; i < settings.services().size(); i++) {
       if (settings.services().get(i).name().equals(serviceClass)) {
-        return tiers.of(i, isRetry, false);
+        return tiers.tierOf(i, isRetry, false);
       }
     }
-    return tiers.count() - 1;
+    return tiers.tierCount() - 1;
   }
 
   /** The current degradation policy. */
@@ -204,7 +207,7 @@
   /** The current overload figures for operators. */
   public OverloadSnapshot snapshot() {
     List<OverloadSnapshot.Tier> tierSnapshots =
-        IntStream.range(0, tiers.count())
+        IntStream.range(0, tiers.tierCount())
             .mapToObj(
                 tier ->
                     new OverloadSnapshot.Tier(
--- a/core/src/main/java/shalepaddle/overload/OverloadMeter.java
+++ b/core/src/main/java/shalepaddle/overload/OverloadMeter.java
@@ -59,7 +59,8 @@
      * @param reading the standing delay in seconds for {@link Resource#CPU}, fraction of the limit
      *     for the other resources
      */
-    void changed(Resource resource, PressureLevel previousLevel, PressureLevel newLevel, double reading);
+    void onLevelChanged(
+        Resource resource, PressureLevel previousLevel, PressureLevel newLevel, double reading);
   }
 
   private final MinimumOverInterval minDelay = new MinimumOverInterval(INTERVAL_NANOS);
@@ -107,7 +108,8 @@
       return Double.NaN;
     }
     double delaySeconds = minDelay.takeMinimum(now);
-    update(Resource.CPU, isShedding ? Math.max(delaySeconds, DELAY_BOUNDS.busy()) : delaySeconds);
+    update(
+        Resource.CPU, isShedding ? Math.max(delaySeconds, DELAY_BOUNDS.busyBound()) : delaySeconds);
     return delaySeconds;
   }
 
@@ -134,7 +136,7 @@
     PressureLevel previousLevel = gauge.level();
     PressureLevel newLevel = gauge.update(reading);
     if (newLevel != previousLevel) {
-      listener.changed(resource, previousLevel, newLevel, reading);
+      listener.onLevelChanged(resource, previousLevel, newLevel, reading);
     }
   }
 
--- a/core/src/main/java/shalepaddle/overload/PriorityTiers.java
+++ b/core/src/main/java/shalepaddle/overload/PriorityTiers.java
@@ -48,12 +48,12 @@
    * @param isRetry whether it is a retry
    * @param isOverQuota whether its tenant is over its quota
    */
-  public int of(int serviceClass, boolean isRetry, boolean isOverQuota) {
+  public int tierOf(int serviceClass, boolean isRetry, boolean isOverQuota) {
     return tiers[4 * serviceClass + (isRetry ? 1 : 0) + (isOverQuota ? 2 : 0)];
   }
 
   /** The number of tiers. */
-  public int count() {
+  public int tierCount() {
     return tierCount;
   }
 }
--- a/core/src/main/java/shalepaddle/overload/RetryStormDetector.java
+++ b/core/src/main/java/shalepaddle/overload/RetryStormDetector.java
@@ -72,7 +72,9 @@
       isStorm |= ++earlyRetries > (wasStorm ? 0 : MAX_EARLY_RETRIES);
     }
     int dueSlot =
-        slot(currentInterval + Math.max(1, Math.min(INTERVAL_COUNT - 1, retryAfterNanos / INTERVAL_NANOS)));
+        slot(
+            currentInterval
+                + Math.max(1, Math.min(INTERVAL_COUNT - 1, retryAfterNanos / INTERVAL_NANOS)));
     retriesDueLater[dueSlot] = (byte) Math.min(MAX_DUE_RETRIES, retriesDueLater[dueSlot] + 1);
     return isStorm ? INTERVAL_NANOS : 0;
   }
--- a/core/src/main/java/shalepaddle/policy/PendingRequest.java
+++ b/core/src/main/java/shalepaddle/policy/PendingRequest.java
@@ -100,7 +100,7 @@
 
   @Override
   public boolean isWrite() {
-    return request.write();
+    return request.isWrite();
   }
 
   @Override
@@ -111,7 +111,7 @@
   }
 
   /** The number of ring jumps restricted to servers of the own zone, before all zones are tried. */
-  int localJumps() {
+  int ownZoneJumps() {
     return ownZoneJumps;
   }
 
@@ -210,7 +210,8 @@
     }
     Attempt firstAttempt = firstAttemptThatMayHaveRun();
     boolean isDeduplicated =
-        firstAttempt == null || serviceClass.deduplicationScope().spans(firstAttempt.entry, server.entry());
+        firstAttempt == null
+            || serviceClass.deduplicationScope().spans(firstAttempt.entry, server.entry());
     return isDeduplicated || isIdempotent() ? remainingRepeatSeconds(firstAttempt, nowSeconds) : 0;
   }
 
@@ -223,7 +224,8 @@
     boolean isBoundToServers =
         serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
             && serviceClass.deduplicationScope() != Settings.DeduplicationScope.ALL;
-    return firstAttempt == null || (!isBoundToServers && remainingRepeatSeconds(firstAttempt, nowSeconds) > 0);
+    return firstAttempt == null
+        || (!isBoundToServers && remainingRepeatSeconds(firstAttempt, nowSeconds) > 0);
   }
 
   boolean isIdempotent() {
--- a/core/src/main/java/shalepaddle/policy/RequestRouter.java
+++ b/core/src/main/java/shalepaddle/policy/RequestRouter.java
@@ -124,7 +124,8 @@
     return (int)
         registry.servers().stream()
             .filter(
-                server -> !countsAvoidedOnly || registry.isExcluded(server) || fleet.isAvoided(server))
+                server ->
+                    !countsAvoidedOnly || registry.isExcluded(server) || fleet.isAvoided(server))
             .count();
   }
 
@@ -168,7 +169,8 @@
     PendingRequest pendingRequest = accept(now, request);
     // The timer ensures an answer by the deadline, even if the request is held or an attempt never
     // ends.
-    actions.scheduleTimer(pendingRequest.serial(), Math.max(0, pendingRequest.deadlineSeconds() - now));
+    actions.scheduleTimer(
+        pendingRequest.serial(), Math.max(0, pendingRequest.deadlineSeconds() - now));
     if (LatencyAdmission.admits(
         inFlight - fetchLimiter.fetchesInFlight(),
         selector.readyCount(),
@@ -222,14 +224,19 @@
 
   private boolean isLikelyFetch(double now, PendingRequest pendingRequest, long keyServerHash) {
     boolean isCacheable =
-        !settings.cache().lookAside() && pendingRequest.request().key() != null && !pendingRequest.isWrite();
+        !settings.cache().isLookAside()
+            && pendingRequest.request().key() != null
+            && !pendingRequest.isWrite();
     return isCacheable && fetchLimiter.expectsMiss(now, keyServerHash);
   }
 
   private void startFetch(
       double now, PendingRequest pendingRequest, ServerHealth targetServer, long keyServerHash) {
     fetchLimiter.onFetchStarted(
-        keyServerHash, pendingRequest, pendingRequest.attemptCount(), fleet.isOutlier(now, targetServer));
+        keyServerHash,
+        pendingRequest,
+        pendingRequest.attemptCount(),
+        fleet.isOutlier(now, targetServer));
   }
 
   private void hold(double now, PendingRequest pendingRequest) {
@@ -241,7 +248,10 @@
   }
 
   private void send(double now, PendingRequest pendingRequest, ServerHealth targetServer) {
-    actions.send(pendingRequest.id(), targetServer.id(), pendingRequest.sendWithinSeconds(targetServer, now));
+    actions.send(
+        pendingRequest.id(),
+        targetServer.id(),
+        pendingRequest.sendWithinSeconds(targetServer, now));
     targetServer.onSent();
     pendingRequest.onSent(targetServer, now);
     inFlight++;
@@ -258,7 +268,9 @@
 
   /** Answers a request that has no attempt in flight and is not held. */
   private void answerIfDone(double now, PendingRequest pendingRequest) {
-    if (!pendingRequest.isAnswered() && !pendingRequest.hasAttemptInFlight() && !pendingRequest.isHeld()) {
+    if (!pendingRequest.isAnswered()
+        && !pendingRequest.hasAttemptInFlight()
+        && !pendingRequest.isHeld()) {
       answer(now, pendingRequest);
     }
   }
@@ -267,7 +279,7 @@
   private void answer(double now, PendingRequest pendingRequest) {
     if (!pendingRequest.hasAttemptInFlight() && pendingRequest.mayReject(now)) {
       double retryAfterSeconds =
-          RetryAfterAdvice.seconds(
+          RetryAfterAdvice.computeSeconds(
               settings.limits(), pendingRequestsById.size(), throughput.answersPerSecond(), random);
       actions.reject(pendingRequest.id(), retryAfterSeconds);
     } else {
@@ -286,8 +298,8 @@
   }
 
   /**
-   * Extends a request's deadline to that of another client that shares the answer.
-   * Never shortens the deadline; does nothing if the request is unknown.
+   * Extends a request's deadline to that of another client that shares the answer. Never shortens
+   * the deadline; does nothing if the request is unknown.
    */
   public void extendDeadline(String requestId, double deadlineSeconds) {
     PendingRequest pendingRequest = pendingRequestsById.get(requestId);
@@ -321,7 +333,9 @@
     // This call must precede a retry, since the retry may be a fetch too and a request records only
     // one fetch: the key of the ended fetch would never be released.
     recordOutcome(now, pendingRequest, server, outcome);
-    if (outcome.completesRequest() || outcome.result() == Result.OK || pendingRequest.isAnswered()) {
+    if (outcome.completesRequest()
+        || outcome.result() == Result.OK
+        || pendingRequest.isAnswered()) {
       complete(pendingRequest);
     } else if (!pendingRequest.hasAttemptInFlight()) {
       retryOrComplete(now, pendingRequest, outcome);
@@ -331,11 +345,11 @@
   private void updateHealth(double now, ServerHealth server, Outcome outcome) {
     boolean hasRefusedConnection =
         server.onAttemptEnded(
-            now, outcome, settings.limits().idleTimeoutSeconds(), fleet.areFailuresFew());
+            now, outcome, settings.limits().idleTimeoutSeconds(), fleet.areMostServersHealthy());
     if (hasRefusedConnection) {
       idleConnections.onConnectionRefused(now);
     }
-    if (idleConnections.closesIdle(now, server)) {
+    if (idleConnections.closesIdleConnections(now, server)) {
       actions.closeIdleConnections(server.id());
     }
     fleet.updatePanicState();
@@ -350,9 +364,9 @@
       fetchLimiter.onAnswered(now, keyServerHash(pendingRequest, server), outcome.cacheStatus());
     }
     recordFetch(now, pendingRequest, server, outcome);
-    for (PendingRequest heldRequest = fetchLimiter.pollHeld(now);
+    for (PendingRequest heldRequest = fetchLimiter.pollHeldRequest(now);
         heldRequest != null;
-        heldRequest = fetchLimiter.pollHeld(now)) {
+        heldRequest = fetchLimiter.pollHeldRequest(now)) {
       resume(now, heldRequest);
     }
   }
@@ -369,7 +383,8 @@
       boolean hasSucceeded = outcome.result() == Result.OK;
       double objectiveSeconds = pendingRequest.serviceClass().latencyObjectiveSeconds();
       boolean isLate = outcome.activeSeconds() > objectiveSeconds;
-      boolean isLateFetch = hasSucceeded && isLate && outcome.cacheStatus() != Outcome.CacheStatus.HIT;
+      boolean isLateFetch =
+          hasSucceeded && isLate && outcome.cacheStatus() != Outcome.CacheStatus.HIT;
       boolean isLost =
           isBusy || outcome.result() == Result.ERROR || outcome.isObservedTimeout() || isLateFetch;
       boolean isInTime = hasSucceeded && !isLate;
@@ -396,7 +411,8 @@
   }
 
   private void retryOrComplete(double now, PendingRequest pendingRequest, Outcome outcome) {
-    boolean hasTimeLeft = now < pendingRequest.deadlineSeconds() - settings.timerResolutionSeconds();
+    boolean hasTimeLeft =
+        now < pendingRequest.deadlineSeconds() - settings.timerResolutionSeconds();
     switch (retryPolicy.decide(outcome.result(), hasTimeLeft, fetchLimiter.isOriginDegraded())) {
       case RETRY -> dispatch(now, pendingRequest);
       case FETCH_FROM_ORIGIN -> {
--- a/core/src/main/java/shalepaddle/policy/ServerSelector.java
+++ b/core/src/main/java/shalepaddle/policy/ServerSelector.java
@@ -61,7 +61,8 @@
   void rebuildRing(ServerRegistry registry) {
     List<ServerHealth> readyServers = registry.readyServers();
     String originKind = settings.cache().originKind();
-    originServers = readyServers.stream().filter(server -> server.entry().kind().equals(originKind)).toList();
+    originServers =
+        readyServers.stream().filter(server -> server.entry().kind().equals(originKind)).toList();
     List<ServerHealth> readyCacheServers = new ArrayList<>(readyServers);
     readyCacheServers.removeAll(originServers);
     totalWeight = readyCacheServers.stream().mapToDouble(this::weight).sum();
@@ -101,12 +102,12 @@
    * @param inFlight all attempts that this load balancer has in flight
    */
   ServerHealth select(double nowSeconds, PendingRequest request, int inFlight) {
-    if (settings.cache().lookAside() && request.isWrite()) {
+    if (settings.cache().isLookAside() && request.isWrite()) {
       return selectOrigin(nowSeconds, request);
     }
     ServerHealth fallbackServer = null;
     double fallbackLoadRatio = Double.POSITIVE_INFINITY;
-    for (int ringJump = 0; ringJump < request.localJumps() + MAX_RING_JUMPS; ringJump++) {
+    for (int ringJump = 0; ringJump < request.ownZoneJumps() + MAX_RING_JUMPS; ringJump++) {
       ServerHealth server = ring.owner(request.keyHash(), request.hashAttempt(ringJump));
       if (server == null) {
         return null;
@@ -115,7 +116,7 @@
         continue;
       }
       if (fleet.isAvoided(server)) {
-        if (ringJump <= request.localJumps()
+        if (ringJump <= request.ownZoneJumps()
             && request.isIdempotent()
             && server.isTrialDue(nowSeconds)) {
           return server;
@@ -135,7 +136,9 @@
         fallbackLoadRatio = loadRatio;
       }
     }
-    return fallbackServer != null ? fallbackServer : selectLeastLoaded(nowSeconds, request, cacheServers);
+    return fallbackServer != null
+        ? fallbackServer
+        : selectLeastLoaded(nowSeconds, request, cacheServers);
   }
 
   /** The least loaded origin server for an attempt; null if none may take it. */
@@ -146,7 +149,7 @@
   private boolean mayReceive(
       double nowSeconds, PendingRequest request, ServerHealth server, int ringJump) {
     boolean isRemote =
-        ringJump < request.localJumps() && !server.entry().zone().equals(settings.zone());
+        ringJump < request.ownZoneJumps() && !server.entry().zone().equals(settings.zone());
     return !isRemote
         && request.sendWithinSeconds(server, nowSeconds) > 0
         && !request.wasSentTo(server);
--- a/core/src/main/java/shalepaddle/policy/admission/OriginFetchLimiter.java
+++ b/core/src/main/java/shalepaddle/policy/admission/OriginFetchLimiter.java
@@ -145,7 +145,7 @@
   }
 
   /** Removes the newest held request, which has the most time left; null if none may start. */
-  public T pollHeld(double nowSeconds) {
+  public T pollHeldRequest(double nowSeconds) {
     return heldRequests.isEmpty() || isFull(nowSeconds) ? null : heldRequests.pollLast();
   }
 
@@ -176,7 +176,11 @@
    * @return the requests that waited for it
    */
   public List<T> onFetchEnded(
-      double nowSeconds, T request, double latencyObjectiveSeconds, boolean isInTime, boolean isLost) {
+      double nowSeconds,
+      T request,
+      double latencyObjectiveSeconds,
+      boolean isInTime,
+      boolean isLost) {
     if (isLost
         && isOriginDegraded()
         && nowSeconds - shrunkAtSeconds > MIN_SHRINK_INTERVAL_RATIO * latencyObjectiveSeconds) {
--- a/core/src/main/java/shalepaddle/policy/hash/Hashing.java
+++ b/core/src/main/java/shalepaddle/policy/hash/Hashing.java
@@ -41,7 +41,7 @@
   }
 
   /** Maps a hash to a number in [0, 1). */
-  public static double fraction(long hash) {
+  public static double toFraction(long hash) {
     return (mix(hash) >>> 11) * 0x1.0p-53;
   }
 }
--- a/core/src/main/java/shalepaddle/policy/health/FleetHealth.java
+++ b/core/src/main/java/shalepaddle/policy/health/FleetHealth.java
@@ -69,7 +69,8 @@
         Math.max(
             MIN_GREATEST_KEY_FRACTION,
             quantile(GREATEST_RANK_RATIO, server -> server.keyFraction(nowSeconds)));
-    long failingServers = servers.stream().filter(server -> server.isFailingRecently(nowSeconds)).count();
+    long failingServers =
+        servers.stream().filter(server -> server.isFailingRecently(nowSeconds)).count();
     areMostServersHealthy = 3 * failingServers <= servers.size();
     fairScore =
         Math.max(
@@ -79,7 +80,7 @@
   }
 
   /** Whether at most a third of the servers failed repeatedly in the last second. */
-  public boolean areFailuresFew() {
+  public boolean areMostServersHealthy() {
     return areMostServersHealthy;
   }
 
--- a/core/src/main/java/shalepaddle/policy/health/IdleConnectionPolicy.java
+++ b/core/src/main/java/shalepaddle/policy/health/IdleConnectionPolicy.java
@@ -26,7 +26,7 @@
    *
    * @return whether the server's idle connections must be closed now
    */
-  public boolean closesIdle(double nowSeconds, ServerHealth server) {
+  public boolean closesIdleConnections(double nowSeconds, ServerHealth server) {
     boolean mustClose = nowSeconds < closingUntilSeconds && server.inFlight() == 0;
     if (mustClose) {
       server.onConnectionsClosed();
--- a/core/src/main/java/shalepaddle/policy/health/LoadScore.java
+++ b/core/src/main/java/shalepaddle/policy/health/LoadScore.java
@@ -18,7 +18,7 @@
   private static final double SCORE_GAIN_RATIO = 0.2;
 
   /** Time constant of the exponential decay of a score without new samples. */
-  static final double FADE_SECONDS = 3;
+  static final double DECAY_SECONDS = 3;
 
   private static final double MIN_KEY_FRACTION = 0.02;
 
@@ -70,14 +70,15 @@
     }
     // The key fraction recovers slowly even without samples, since a server with few keys has few
     // samples.
-    keyFraction += RECOVERY_PER_SECOND * Math.min(MAX_RECOVERY_SECONDS, Math.max(0, secondsSinceLastSample));
+    keyFraction +=
+        RECOVERY_PER_SECOND * Math.min(MAX_RECOVERY_SECONDS, Math.max(0, secondsSinceLastSample));
     keyFraction = Math.min(1, Math.max(MIN_KEY_FRACTION, keyFraction));
     sampledAtSeconds = nowSeconds;
   }
 
   /** The score with its decay, by which a server without requests does not stay overloaded. */
   double score(double nowSeconds) {
-    return score * Math.exp(Math.min(0, sampledAtSeconds - nowSeconds) / FADE_SECONDS);
+    return score * Math.exp(Math.min(0, sampledAtSeconds - nowSeconds) / DECAY_SECONDS);
   }
 
   /** The fraction of its keys that the server is offered, greater than 0 and at most 1. */
--- a/core/src/main/java/shalepaddle/policy/health/OutlierDetector.java
+++ b/core/src/main/java/shalepaddle/policy/health/OutlierDetector.java
@@ -166,7 +166,8 @@
     };
   }
 
-  private void countFailure(Outcome outcome, boolean wasServed, boolean hasFailed, boolean wasReset) {
+  private void countFailure(
+      Outcome outcome, boolean wasServed, boolean hasFailed, boolean wasReset) {
     if (wasServed) {
       consecutiveFailures = 0;
     } else if (wasReset || outcome.result() == Outcome.Result.SERVER_BUSY) {
--- a/core/src/main/java/shalepaddle/policy/health/ServerHealth.java
+++ b/core/src/main/java/shalepaddle/policy/health/ServerHealth.java
@@ -36,7 +36,8 @@
     // wait long and then send their first requests together.
     double instanceOffset = (double) settings.instanceNumber() / Math.max(1, settings.instances());
     this.slowStart =
-        new SlowStart(settings.contract(), (Hashing.fraction(id) + instanceOffset) % 1, nowSeconds);
+        new SlowStart(
+            settings.contract(), (Hashing.toFraction(id) + instanceOffset) % 1, nowSeconds);
     this.loadScore = new LoadScore(nowSeconds);
   }
 
@@ -143,7 +144,8 @@
   public boolean acceptsKey(double nowSeconds, long keyHash, double greatestKeyFraction) {
     double acceptedFraction =
         keyFraction(nowSeconds) / greatestKeyFraction * slowStart.keyFraction(nowSeconds);
-    return acceptedFraction >= 1 || Hashing.fraction(keyHash ^ Hashing.mix(id)) < acceptedFraction;
+    return acceptedFraction >= 1
+        || Hashing.toFraction(keyHash ^ Hashing.mix(id)) < acceptedFraction;
   }
 
   /**
@@ -154,7 +156,7 @@
   public double fetchLossRatio(double nowSeconds, double fleetLossRatio) {
     return fleetLossRatio
         + (fetchLossRatio - fleetLossRatio)
-            * Math.exp((fetchedAtSeconds - nowSeconds) / LoadScore.FADE_SECONDS);
+            * Math.exp((fetchedAtSeconds - nowSeconds) / LoadScore.DECAY_SECONDS);
   }
 
   /**
@@ -185,10 +187,14 @@
    * @return whether the server refused a connection but may be running
    */
   public boolean onAttemptEnded(
-      double nowSeconds, Outcome outcome, double idleTimeoutSeconds, boolean areMostServersHealthy) {
+      double nowSeconds,
+      Outcome outcome,
+      double idleTimeoutSeconds,
+      boolean areMostServersHealthy) {
     inFlight--;
     OutlierDetector.Finding finding =
-        outlierDetector.onAttemptEnded(nowSeconds, outcome, idleTimeoutSeconds, areMostServersHealthy);
+        outlierDetector.onAttemptEnded(
+            nowSeconds, outcome, idleTimeoutSeconds, areMostServersHealthy);
     if (finding == OutlierDetector.Finding.RESTARTED) {
       // Slow start begins now; the endpoint list may give the actual start later.
       slowStart.restart(nowSeconds, nowSeconds);
--- a/core/src/main/java/shalepaddle/policy/health/ServerStartTimes.java
+++ b/core/src/main/java/shalepaddle/policy/health/ServerStartTimes.java
@@ -11,11 +11,11 @@
  *
  * <p>The endpoint list gives start times by the wall clock of its author, which may differ from
  * this machine's clock by any amount and may step. A start that is listed while this load balancer
- * follows the list therefore counts from the time at which the update arrives. In the first
- * list, start times are only compared with each other: a server that started well before the newest
- * one is warm. The other servers count as started as recently as the listed times permit. If they
- * are more than half of the list, they count as warm unless this machine's clock also shows a
- * recent start, so that not all requests are rejected.
+ * follows the list therefore counts from the time at which the update arrives. In the first list,
+ * start times are only compared with each other: a server that started well before the newest one
+ * is warm. The other servers count as started as recently as the listed times permit. If they are
+ * more than half of the list, they count as warm unless this machine's clock also shows a recent
+ * start, so that not all requests are rejected.
  *
  * <p>Bounded to {@value #MAX_SERVERS} servers. Removed servers are included: one that is listed
  * again with the same start time has not restarted. Times are in seconds. Not thread-safe: owned by
@@ -54,13 +54,13 @@
   }
 
   /** The time at which the server started; {@link #LONG_AGO} if the list has no start of it. */
-  public double of(long id) {
+  public double startedAtSeconds(long id) {
     Start start = starts.get(id);
     return start == null ? LONG_AGO : start.localSeconds;
   }
 
   /** Counts the server as started now, until the list gives a different start. */
-  public void restarted(double nowSeconds, long id) {
+  public void markRestarted(double nowSeconds, long id) {
     Start knownStart = starts.get(id);
     starts.put(id, new Start(knownStart == null ? 0 : knownStart.listedSeconds, nowSeconds));
   }
@@ -70,7 +70,8 @@
     boolean isOlderList = update.version() < newestVersion;
     newestVersion = Math.max(newestVersion, update.version());
     boolean isDelta = update.kind() == MembershipUpdate.Kind.DELTA;
-    FirstList firstList = isFollowing || isDelta ? null : new FirstList(nowSeconds, update.entries());
+    FirstList firstList =
+        isFollowing || isDelta ? null : new FirstList(nowSeconds, update.entries());
     for (ServerEntry entry : update.entries()) {
       Start knownStart = starts.get(entry.id());
       double listedSeconds = entry.startedAtSeconds();
--- a/core/src/main/java/shalepaddle/policy/health/SlowStart.java
+++ b/core/src/main/java/shalepaddle/policy/health/SlowStart.java
@@ -65,8 +65,10 @@
     if (!(ageSeconds < contract.slowStartSeconds())) {
       return 1;
     }
-    double initialCapacityRatio = Math.max(MIN_CAPACITY_RATIO, Math.min(1, contract.slowStartMinRatio()));
-    return initialCapacityRatio + (1 - initialCapacityRatio) * Math.max(0, ageSeconds) / contract.slowStartSeconds();
+    double initialCapacityRatio =
+        Math.max(MIN_CAPACITY_RATIO, Math.min(1, contract.slowStartMinRatio()));
+    return initialCapacityRatio
+        + (1 - initialCapacityRatio) * Math.max(0, ageSeconds) / contract.slowStartSeconds();
   }
 
   /** The fraction of its keys that the server is offered; reaches 1 before it is warm. */
--- a/core/src/main/java/shalepaddle/policy/health/ThroughputEstimator.java
+++ b/core/src/main/java/shalepaddle/policy/health/ThroughputEstimator.java
@@ -66,7 +66,9 @@
     }
     double answerRatePerSecond = answers / periodSeconds;
     answersPerSecond =
-        Double.isInfinite(answersPerSecond) ? answerRatePerSecond : ANSWER_GAIN_RATIO * (answersPerSecond + answerRatePerSecond);
+        Double.isInfinite(answersPerSecond)
+            ? answerRatePerSecond
+            : ANSWER_GAIN_RATIO * (answersPerSecond + answerRatePerSecond);
     requestsPerSecond +=
         (requestsPerSecond == 0 ? 1 : REQUEST_GAIN_RATIO)
             * (requests / periodSeconds - requestsPerSecond);
--- a/core/src/main/java/shalepaddle/policy/membership/ServerRegistry.java
+++ b/core/src/main/java/shalepaddle/policy/membership/ServerRegistry.java
@@ -99,8 +99,11 @@
             ? excludedSinceSeconds.putIfAbsent(id, nowSeconds)
             : excludedSinceSeconds.remove(id);
     ServerHealth server = servers.get(id);
-    if (!isExcluded && excludedAtSeconds != null && server != null && startTimes.of(id) <= excludedAtSeconds) {
-      startTimes.restarted(nowSeconds, id);
+    if (!isExcluded
+        && excludedAtSeconds != null
+        && server != null
+        && startTimes.startedAtSeconds(id) <= excludedAtSeconds) {
+      startTimes.markRestarted(nowSeconds, id);
       put(nowSeconds, server.entry());
     }
   }
@@ -140,7 +143,8 @@
         Math.max(
             settings.contract().maxPollIntervalSeconds() * MAX_BACKOFF_RATIO,
             settings.timerResolutionSeconds());
-    double backoffSeconds = Math.min(maxBackoffSeconds, INITIAL_BACKOFF_SECONDS * Math.pow(2, consecutiveFailures));
+    double backoffSeconds =
+        Math.min(maxBackoffSeconds, INITIAL_BACKOFF_SECONDS * Math.pow(2, consecutiveFailures));
     schedulePoll(nowSeconds, backoffSeconds * (0.5 + 0.5 * random.nextDouble()));
   }
 
@@ -150,7 +154,7 @@
     } else {
       servers
           .computeIfAbsent(entry.id(), id -> new ServerHealth(entry, nowSeconds, settings))
-          .onListed(entry, startTimes.of(entry.id()), nowSeconds);
+          .onListed(entry, startTimes.startedAtSeconds(entry.id()), nowSeconds);
     }
   }
 
--- a/core/src/main/java/shalepaddle/policy/placement/BoundedLoad.java
+++ b/core/src/main/java/shalepaddle/policy/placement/BoundedLoad.java
@@ -38,8 +38,10 @@
     double meanInFlight = totalWeight > 0 ? inFlight * usableWeight(weight) / totalWeight : 0;
     int minCap =
         Math.max(
-            meanInFlight > MIN_MEAN_FOR_CAP_OF_TWO ? 2 : 1, (MIN_FLEET_CAP + instances - 1) / instances);
-    return (int) Math.max(minCap, Math.ceil((1 + MAX_EXCESS_RATIO) * meanInFlight - ROUNDING_TOLERANCE));
+            meanInFlight > MIN_MEAN_FOR_CAP_OF_TWO ? 2 : 1,
+            (MIN_FLEET_CAP + instances - 1) / instances);
+    return (int)
+        Math.max(minCap, Math.ceil((1 + MAX_EXCESS_RATIO) * meanInFlight - ROUNDING_TOLERANCE));
   }
 
   /** The weight, or 0 if it is not positive, too large or NaN. */
--- a/core/src/main/java/shalepaddle/policy/placement/ConsistentHashRing.java
+++ b/core/src/main/java/shalepaddle/policy/placement/ConsistentHashRing.java
@@ -40,7 +40,8 @@
     Arrays.fill(owners, null);
     double unitWeight = isWeighted ? unitWeight(servers) : 1;
     for (ServerHealth server : servers) {
-      int pointCount = isWeighted ? pointCount(server.entry().weight() / unitWeight) : POINTS_PER_UNIT_WEIGHT;
+      int pointCount =
+          isWeighted ? pointCount(server.entry().weight() / unitWeight) : POINTS_PER_UNIT_WEIGHT;
       for (int point = 0; point < pointCount; point++) {
         int slot = (int) Hashing.mix(Hashing.mix(server.id()) + point) & SLOT_MASK;
         if (owners[slot] == null || server.id() < owners[slot].id()) {
--- a/core/src/main/java/shalepaddle/policy/placement/HotKeyReplication.java
+++ b/core/src/main/java/shalepaddle/policy/placement/HotKeyReplication.java
@@ -66,16 +66,23 @@
     double observations = isWrite ? 0 : sketch.observe(nowSeconds, request.keyHash());
     double zoneCount = Math.max(1, settings.zones().size());
     double observationsInZone = observations * Math.max(1, settings.instances() / zoneCount);
-    double crossZonePrice = settings.prices().crossZone();
+    double crossZonePrice = settings.prices().crossZonePrice();
     boolean isLocal =
         crossZonePrice > 0 && (isWrite || observationsInZone * crossZonePrice >= MIN_SAVED_PRICE);
-    double keyFraction = observations / Math.max(sketch.total(), MIN_TOTAL_OBSERVATIONS);
+    double keyFraction =
+        observations / Math.max(sketch.totalObservations(), MIN_TOTAL_OBSERVATIONS);
     double candidateServers = isLocal ? readyServers / zoneCount : readyServers;
     int replicas =
-        (int) Math.max(1, Math.min(candidateServers, Math.ceil(keyFraction * candidateServers / HOT_KEY_LOAD_RATIO)));
+        (int)
+            Math.max(
+                1,
+                Math.min(
+                    candidateServers,
+                    Math.ceil(keyFraction * candidateServers / HOT_KEY_LOAD_RATIO)));
     int ownZoneJumps =
         isLocal ? (int) (replicas * zoneCount * OWN_ZONE_JUMPS_PER_ZONE_AND_REPLICA) : 0;
-    int firstReplica = replicas > 1 ? random.nextInt(replicas) * (isLocal ? (int) zoneCount : 1) : 0;
+    int firstReplica =
+        replicas > 1 ? random.nextInt(replicas) * (isLocal ? (int) zoneCount : 1) : 0;
     request.assignReplicas(replicas, ownZoneJumps, firstReplica);
   }
 }
--- a/core/src/main/java/shalepaddle/policy/placement/HotKeySketch.java
+++ b/core/src/main/java/shalepaddle/policy/placement/HotKeySketch.java
@@ -24,7 +24,7 @@
   private double decayedAtSeconds;
 
   /** The decayed number of observations of all keys. */
-  float total() {
+  float totalObservations() {
     return totalObservations;
   }
 
--- a/core/src/main/java/shalepaddle/policy/retry/RetryAfterAdvice.java
+++ b/core/src/main/java/shalepaddle/policy/retry/RetryAfterAdvice.java
@@ -21,8 +21,11 @@
    * @param responsesPerSecond rate at which servers respond, infinite while unknown
    * @param random source of the jitter; drawn from once if there is advice, otherwise not at all
    */
-  public static double seconds(
-      Settings.Limits limits, int pendingRequests, double responsesPerSecond, SplittableRandom random) {
+  public static double computeSeconds(
+      Settings.Limits limits,
+      int pendingRequests,
+      double responsesPerSecond,
+      SplittableRandom random) {
     if (!limits.sendsRetryAfter() || Double.isInfinite(responsesPerSecond)) {
       return 0;
     }
--- a/core/src/main/java/shalepaddle/policy/retry/RetryPolicy.java
+++ b/core/src/main/java/shalepaddle/policy/retry/RetryPolicy.java
@@ -61,6 +61,7 @@
     if (result == Outcome.Result.SERVER_BUSY && !isOriginDegraded) {
       return true;
     }
-    return budget.hasCapacity() && (result == Outcome.Result.MALFORMED_RESPONSE || !isOriginDegraded);
+    return budget.hasCapacity()
+        && (result == Outcome.Result.MALFORMED_RESPONSE || !isOriginDegraded);
   }
 }
--- a/core/src/main/java/shalepaddle/replicatedstate/ReplicatedState.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/ReplicatedState.java
@@ -92,7 +92,7 @@
     if (!(command instanceof StateCommand.SetExclusion exclusion)) {
       return CommandResult.Outcome.UNKNOWN_COMMAND;
     }
-    if (!exclusion.excluded()) {
+    if (!exclusion.isExcluded()) {
       excludedServers.remove(exclusion.serverId());
     } else if (!excludedServers.contains(exclusion.serverId())) {
       if (excludedServers.size() >= MAX_EXCLUDED_SERVERS) {
@@ -144,6 +144,8 @@
     excludedServers.clear();
     excludedServers.addAll(snapshot.excludedServers());
     retainedResults.clear();
-    snapshot.retainedResults().forEach(retainedResult -> retainedResults.put(retainedResult.id(), retainedResult));
+    snapshot
+        .retainedResults()
+        .forEach(retainedResult -> retainedResults.put(retainedResult.id(), retainedResult));
   }
 }
--- a/core/src/main/java/shalepaddle/replicatedstate/StateCommand.java
+++ b/core/src/main/java/shalepaddle/replicatedstate/StateCommand.java
@@ -6,14 +6,14 @@
    * Excludes a cache server from routing on all nodes, or includes it again.
    *
    * @param serverId the server's id in the discovery service
-   * @param excluded whether it is excluded
+   * @param isExcluded whether it is excluded
    */
-  record SetExclusion(String serverId, boolean excluded) implements StateCommand {}
+  record SetExclusion(String serverId, boolean isExcluded) implements StateCommand {}
 
   /**
    * A command that only a later version supports; it has no effect on this version.
    *
    * @param kind the command's number in the log
    */
-  record Unknown(int kind) implements StateCommand {}
+  record UnknownCommand(int kind) implements StateCommand {}
 }
--- a/core/src/test/java/shalepaddle/changefeed/ChangeFeedPublisherTest.java
+++ b/core/src/test/java/shalepaddle/changefeed/ChangeFeedPublisherTest.java
@@ -14,7 +14,8 @@
 
   /** Limits of two subscribers, 100 bytes of retained entries and 50 bytes in flight. */
   private static final ChangeFeedPublisher.Limits LIMITS =
-      new ChangeFeedPublisher.Limits(2, 100, 50, 250 * NANOS_PER_MILLI, 5000 * NANOS_PER_MILLI, 2500 * NANOS_PER_MILLI);
+      new ChangeFeedPublisher.Limits(
+          2, 100, 50, 250 * NANOS_PER_MILLI, 5000 * NANOS_PER_MILLI, 2500 * NANOS_PER_MILLI);
 
   private final List<String> sentMessages = new ArrayList<>();
   private long now;
@@ -56,7 +57,7 @@
     }
     return message instanceof PublisherMessage.Heartbeat heartbeat
         ? "heartbeat " + heartbeat.index()
-        : "rejected: " + ((PublisherMessage.Rejected) message).reason();
+        : "rejected: " + ((PublisherMessage.Rejection) message).reason();
   }
 
   /** Returns the messages sent since the last call, each after the number of its connection. */
@@ -130,8 +131,11 @@
     List<String> newMessages = takeSent();
     assertEquals(40, newMessages.stream().filter(line -> line.startsWith("2 ")).count());
     assertEquals(
-        3, newMessages.stream().filter(line -> line.startsWith("1 ")).count(), newMessages.toString());
-    assertTrue(publisher.inFlightBytes() <= 50 + 20, "bytes in flight: " + publisher.inFlightBytes());
+        3,
+        newMessages.stream().filter(line -> line.startsWith("1 ")).count(),
+        newMessages.toString());
+    assertTrue(
+        publisher.inFlightBytes() <= 50 + 20, "bytes in flight: " + publisher.inFlightBytes());
     assertEquals(100, publisher.retainedBytes());
     // The slow subscriber gets a snapshot, since the entries that it lacks are no longer retained.
     publisher.received(now, 1, new SubscriberMessage.Acknowledgement(3));
--- a/core/src/test/java/shalepaddle/changefeed/ChangeFeedSubscriberTest.java
+++ b/core/src/test/java/shalepaddle/changefeed/ChangeFeedSubscriberTest.java
@@ -162,7 +162,7 @@
     subscriber.connected(now);
     takeActions();
     subscriber.received(
-        now, new PublisherMessage.Rejected("it follows group 'fish', and this is 'birds'"));
+        now, new PublisherMessage.Rejection("it follows group 'fish', and this is 'birds'"));
     assertEquals(
         List.of("rejected: it follows group 'fish', and this is 'birds'", "close"), takeActions());
     assertEquals(0, subscriber.lastIndex());
--- a/core/src/test/java/shalepaddle/coalescing/RequestCoalescerModelTest.java
+++ b/core/src/test/java/shalepaddle/coalescing/RequestCoalescerModelTest.java
@@ -96,7 +96,8 @@
     void read(String key, String tenant, int timeoutMillis) {
       int id = nextId++;
       long deadlineNanos = now + timeoutMillis * NANOS_PER_MILLI;
-      FlightWaiter<Integer> waiter = realCoalescer.join(key, "read", tenant, id, deadlineNanos, now);
+      FlightWaiter<Integer> waiter =
+          realCoalescer.join(key, "read", tenant, id, deadlineNanos, now);
       String coalescingKey = key + "/" + tenant;
       int invalidationCount = invalidations.getOrDefault(key, 0);
       ModelFlight foundFlight = null;
@@ -117,15 +118,20 @@
         }
         foundFlight = new ModelFlight(coalescingKey, key, now, invalidationCount);
         flights.add(foundFlight);
-        assertEquals(waiter, waiter.flight().leader(), "the first waiter is the leader of a new flight");
+        assertEquals(
+            waiter, waiter.flight().leader(), "the first waiter is the leader of a new flight");
       } else {
         joinedReads++;
         retryTokens = Math.min(10, retryTokens + 0.02);
-        assertEquals(foundFlight.joinedWaiters.get(0).realWaiter.flight(), waiter.flight(), "the waiter joins the flight of the model");
+        assertEquals(
+            foundFlight.joinedWaiters.get(0).realWaiter.flight(),
+            waiter.flight(),
+            "the waiter joins the flight of the model");
       }
       foundFlight.joinedWaiters.add(new ModelWaiter(id, deadlineNanos, waiter));
-      long latestDeadlineNanos = foundFlight.waiting().stream().mapToLong(each -> each.deadlineNanos).max().getAsLong();
-      assertTrue(waiter.flight().deadline() >= latestDeadlineNanos);
+      long latestDeadlineNanos =
+          foundFlight.waiting().stream().mapToLong(each -> each.deadlineNanos).max().getAsLong();
+      assertTrue(waiter.flight().latestDeadlineNanos() >= latestDeadlineNanos);
     }
 
     void invalidate(String key) {
@@ -139,7 +145,8 @@
         return;
       }
       ModelFlight modelFlight = openFlights.get(random % openFlights.size());
-      ModelWaiter leavingWaiter = modelFlight.waiting().get(random / 7 % modelFlight.waiting().size());
+      ModelWaiter leavingWaiter =
+          modelFlight.waiting().get(random / 7 % modelFlight.waiting().size());
       leavingWaiter.isEnded = true;
       answers[leavingWaiter.id]++;
       modelFlight.isClosed = modelFlight.waiting().isEmpty();
@@ -163,15 +170,21 @@
               .peek(each -> each.isEnded = true)
               .map(each -> each.id)
               .toList();
-      List<Integer> expiredCallers = realCoalescer.expire(flight, now).stream().map(FlightWaiter::caller).toList();
+      List<Integer> expiredCallers =
+          realCoalescer.expire(flight, now).stream().map(FlightWaiter::caller).toList();
       assertEquals(dueCallers, expiredCallers);
       expiredCallers.forEach(id -> answers[id]++);
       modelFlight.isClosed = modelFlight.waiting().isEmpty();
       assertEquals(modelFlight.isClosed, flight.isClosed());
       long earliestDeadlineNanos =
-          modelFlight.waiting().stream().mapToLong(w -> w.deadlineNanos).min().orElse(Long.MAX_VALUE);
+          modelFlight.waiting().stream()
+              .mapToLong(w -> w.deadlineNanos)
+              .min()
+              .orElse(Long.MAX_VALUE);
       assertTrue(
-          flight.nextDue() == earliestDeadlineNanos || flight.deadline() == earliestDeadlineNanos || modelFlight.isClosed);
+          flight.nextDeadline() == earliestDeadlineNanos
+              || flight.latestDeadlineNanos() == earliestDeadlineNanos
+              || modelFlight.isClosed);
     }
 
     void complete(int random, FlightResult result) {
@@ -192,7 +205,7 @@
         }
       }
       List<ModelWaiter> recipients = isRetried ? modelWaiters.subList(0, 1) : modelWaiters;
-      assertEquals(isRetried, decision.retries());
+      assertEquals(isRetried, decision.isFlightRetried());
       assertEquals(
           recipients.stream().map(each -> each.id).toList(),
           decision.recipients().stream().map(FlightWaiter::caller).toList());
@@ -206,7 +219,8 @@
         retryCount++;
         modelFlight.retryCount++;
         assertEquals(
-            modelFlight.waiting().get(0).id, modelWaiters.get(1).realWaiter.flight().leader().caller());
+            modelFlight.waiting().get(0).id,
+            modelWaiters.get(1).realWaiter.flight().leader().caller());
       } else {
         modelFlight.isClosed = true;
       }
@@ -226,12 +240,12 @@
       }
       assertEquals(open().size(), snapshot.openFlights());
       assertEquals(waitingCount, snapshot.waiters());
-      assertEquals(flights.size(), snapshot.flights());
-      assertEquals(joinedReads, snapshot.joined());
-      assertEquals(uncoalescedReads, snapshot.uncoalesced());
-      assertEquals(retryCount, snapshot.retried());
-      assertEquals(deniedRetries, snapshot.retriesDenied());
-      assertTrue(realCoalescer.keys() <= open().size());
+      assertEquals(flights.size(), snapshot.startedFlights());
+      assertEquals(joinedReads, snapshot.joinedReads());
+      assertEquals(uncoalescedReads, snapshot.uncoalescedReads());
+      assertEquals(retryCount, snapshot.retries());
+      assertEquals(deniedRetries, snapshot.deniedRetries());
+      assertTrue(realCoalescer.keyCount() <= open().size());
     }
 
     /** Completes all open flights; each caller must then have exactly one answer. */
@@ -243,7 +257,7 @@
       for (int id = 0; id < nextId; id++) {
         assertEquals(1, answers[id], "answers of caller " + id);
       }
-      assertEquals(0, realCoalescer.keys());
+      assertEquals(0, realCoalescer.keyCount());
     }
 
     @Override
--- a/core/src/test/java/shalepaddle/coalescing/RequestCoalescerTest.java
+++ b/core/src/test/java/shalepaddle/coalescing/RequestCoalescerTest.java
@@ -29,7 +29,12 @@
   /** Joins a read of the next caller; callers are numbered from 0. */
   private FlightWaiter<Integer> read(String key, long deadlineMillis, long nowMillis) {
     return coalescer.join(
-        key, "read", "a", nextCaller++, deadlineMillis * NANOS_PER_MILLI, nowMillis * NANOS_PER_MILLI);
+        key,
+        "read",
+        "a",
+        nextCaller++,
+        deadlineMillis * NANOS_PER_MILLI,
+        nowMillis * NANOS_PER_MILLI);
   }
 
   private static List<Integer> callersOf(List<FlightWaiter<Integer>> waiters) {
@@ -41,9 +46,15 @@
     Flight<Integer> flight = read("k", 1000, 0).flight();
     assertSame(flight, read("k", 1000, 1).flight());
     assertNotSame(flight, read("other", 1000, 1).flight());
-    assertNotSame(flight, coalescer.join("k", "scan", "a", 9, 1000 * NANOS_PER_MILLI, NANOS_PER_MILLI).flight());
-    assertNotSame(flight, coalescer.join("k", "read", "b", 9, 1000 * NANOS_PER_MILLI, NANOS_PER_MILLI).flight());
-    assertNotSame(flight, coalescer.join("k", "read", null, 9, 1000 * NANOS_PER_MILLI, NANOS_PER_MILLI).flight());
+    assertNotSame(
+        flight,
+        coalescer.join("k", "scan", "a", 9, 1000 * NANOS_PER_MILLI, NANOS_PER_MILLI).flight());
+    assertNotSame(
+        flight,
+        coalescer.join("k", "read", "b", 9, 1000 * NANOS_PER_MILLI, NANOS_PER_MILLI).flight());
+    assertNotSame(
+        flight,
+        coalescer.join("k", "read", null, 9, 1000 * NANOS_PER_MILLI, NANOS_PER_MILLI).flight());
     assertSame(flight, read("k", 1000, 2).flight());
   }
 
@@ -62,18 +73,20 @@
     for (int i = 1; i < 50; i++) {
       read("k", 900 - i, 1);
     }
-    FlightDecision<Integer> decision = coalescer.complete(flight, FlightResult.SERVED, 5 * NANOS_PER_MILLI);
+    FlightDecision<Integer> decision =
+        coalescer.complete(flight, FlightResult.SERVED, 5 * NANOS_PER_MILLI);
     List<Integer> expectedOrder = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
       expectedOrder.add(i);
     }
     assertEquals(expectedOrder, callersOf(decision.recipients()));
-    assertFalse(decision.retries());
+    assertFalse(decision.isFlightRetried());
     assertTrue(flight.isClosed());
     assertEquals(new CoalescingSnapshot(1, 49, 0, 49, 0, 0, 0, 0, 0), coalescer.snapshot());
-    assertEquals(0, coalescer.keys());
+    assertEquals(0, coalescer.keyCount());
     assertEquals(
-        List.of(), coalescer.complete(flight, FlightResult.SERVED, 6 * NANOS_PER_MILLI).recipients());
+        List.of(),
+        coalescer.complete(flight, FlightResult.SERVED, 6 * NANOS_PER_MILLI).recipients());
   }
 
   @Test
@@ -89,7 +102,10 @@
     // The waiters of the flight that can no longer be joined are still answered.
     assertEquals(
         List.of(0, 1),
-        callersOf(coalescer.complete(expiredFlight, FlightResult.REJECTED, 300 * NANOS_PER_MILLI).recipients()));
+        callersOf(
+            coalescer
+                .complete(expiredFlight, FlightResult.REJECTED, 300 * NANOS_PER_MILLI)
+                .recipients()));
   }
 
   @Test
@@ -98,7 +114,7 @@
       read("k" + i, 1000, 0);
     }
     assertNull(read("k10", 1000, 0));
-    assertEquals(1, coalescer.snapshot().uncoalesced());
+    assertEquals(1, coalescer.snapshot().uncoalescedReads());
     assertTrue(read("k3", 1000, 0) != null, "a read joins a flight that is open");
   }
 
@@ -116,7 +132,8 @@
   @Test
   void doesNotJoinOlderFlightAfterCompletedReadOfSameKey() {
     Flight<Integer> olderFlight = read("k", 1000, 0).flight();
-    Flight<Integer> completedFlight = coalescer.join("k", "read", "b", 9, 1000 * NANOS_PER_MILLI, NANOS_PER_MILLI).flight();
+    Flight<Integer> completedFlight =
+        coalescer.join("k", "read", "b", 9, 1000 * NANOS_PER_MILLI, NANOS_PER_MILLI).flight();
     coalescer.complete(completedFlight, FlightResult.SERVED, 2 * NANOS_PER_MILLI);
     assertNotSame(olderFlight, read("k", 1000, 3).flight());
   }
@@ -136,18 +153,20 @@
   @Test
   void extendsFlightDeadlineToLatestOfItsWaiters() {
     Flight<Integer> flight = read("k", 100, 0).flight();
-    assertEquals(Long.MAX_VALUE, flight.nextDue(), "no waiter has an earlier deadline than the flight");
+    assertEquals(
+        Long.MAX_VALUE, flight.nextDeadline(), "no waiter has an earlier deadline than the flight");
     read("k", 2000, 10);
     read("k", 500, 20);
-    assertEquals(2000 * NANOS_PER_MILLI, flight.deadline());
-    assertEquals(100 * NANOS_PER_MILLI, flight.nextDue());
+    assertEquals(2000 * NANOS_PER_MILLI, flight.latestDeadlineNanos());
+    assertEquals(100 * NANOS_PER_MILLI, flight.nextDeadline());
     assertEquals(List.of(0), callersOf(coalescer.expire(flight, 100 * NANOS_PER_MILLI)));
-    assertEquals(500 * NANOS_PER_MILLI, flight.nextDue());
+    assertEquals(500 * NANOS_PER_MILLI, flight.nextDeadline());
     assertEquals(List.of(2), callersOf(coalescer.expire(flight, 500 * NANOS_PER_MILLI)));
-    assertEquals(Long.MAX_VALUE, flight.nextDue());
+    assertEquals(Long.MAX_VALUE, flight.nextDeadline());
     assertEquals(
         List.of(1),
-        callersOf(coalescer.complete(flight, FlightResult.SERVED, 700 * NANOS_PER_MILLI).recipients()));
+        callersOf(
+            coalescer.complete(flight, FlightResult.SERVED, 700 * NANOS_PER_MILLI).recipients()));
   }
 
   @Test
@@ -164,15 +183,20 @@
     Flight<Integer> flight = read("k", 1000, 0).flight();
     read("k", 500, 1);
     read("k", 800, 1);
-    FlightDecision<Integer> decision = coalescer.complete(flight, FlightResult.BROKEN, 10 * NANOS_PER_MILLI);
+    FlightDecision<Integer> decision =
+        coalescer.complete(flight, FlightResult.BROKEN, 10 * NANOS_PER_MILLI);
     assertEquals(List.of(0), callersOf(decision.recipients()));
-    assertTrue(decision.retries());
+    assertTrue(decision.isFlightRetried());
     assertEquals(1, flight.leader().caller());
-    assertEquals(800 * NANOS_PER_MILLI, flight.deadline(), "the flight has the latest deadline of the remaining waiters");
-    assertEquals(500 * NANOS_PER_MILLI, flight.nextDue());
+    assertEquals(
+        800 * NANOS_PER_MILLI,
+        flight.latestDeadlineNanos(),
+        "the flight has the latest deadline of the remaining waiters");
+    assertEquals(500 * NANOS_PER_MILLI, flight.nextDeadline());
     assertEquals(
         List.of(1, 2),
-        callersOf(coalescer.complete(flight, FlightResult.SERVED, 20 * NANOS_PER_MILLI).recipients()));
+        callersOf(
+            coalescer.complete(flight, FlightResult.SERVED, 20 * NANOS_PER_MILLI).recipients()));
   }
 
   @Test
@@ -182,7 +206,9 @@
       read("k", 1000, 1);
     }
     int attemptCount = 1;
-    while (coalescer.complete(flight, FlightResult.BROKEN, 10 * NANOS_PER_MILLI).retries()) {
+    while (coalescer
+        .complete(flight, FlightResult.BROKEN, 10 * NANOS_PER_MILLI)
+        .isFlightRetried()) {
       attemptCount++;
     }
     assertEquals(4, attemptCount);
@@ -196,21 +222,22 @@
     for (int i = 0; i < 1000; i++) {
       Flight<Integer> flight = read("k", 1000, 0).flight();
       read("k", 1000, 0);
-      while (coalescer.complete(flight, FlightResult.BROKEN, NANOS_PER_MILLI).retries()) {
+      while (coalescer.complete(flight, FlightResult.BROKEN, NANOS_PER_MILLI).isFlightRetried()) {
         retryCount++;
       }
     }
     assertTrue(retryCount >= 100 && retryCount <= 110, retryCount + " retries for 1000 joins");
-    assertEquals(1000 - retryCount, coalescer.snapshot().retriesDenied());
+    assertEquals(1000 - retryCount, coalescer.snapshot().deniedRetries());
   }
 
   @Test
   void doesNotRetryWhenNoWaiterHasTimeLeft() {
     Flight<Integer> flight = read("k", 1000, 0).flight();
     read("k", 10, 0);
-    FlightDecision<Integer> decision = coalescer.complete(flight, FlightResult.BROKEN, 20 * NANOS_PER_MILLI);
+    FlightDecision<Integer> decision =
+        coalescer.complete(flight, FlightResult.BROKEN, 20 * NANOS_PER_MILLI);
     assertEquals(List.of(0, 1), callersOf(decision.recipients()));
-    assertFalse(decision.retries());
+    assertFalse(decision.isFlightRetried());
   }
 
   @Test
--- a/core/src/test/java/shalepaddle/overload/AdmissionControllerTest.java
+++ b/core/src/test/java/shalepaddle/overload/AdmissionControllerTest.java
@@ -13,18 +13,22 @@
 class AdmissionControllerTest {
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  private final PriorityTiers tiers = new PriorityTiers(LoopModel.settings(true).services(), 0.1);
+  private final PriorityTiers tiers =
+      new PriorityTiers(EventLoopModel.settings(true).services(), 0.1);
 
   @Test
   void ordersTiersByWeightAndRetriesAfterFirstAttempts() {
-    int submitTier = tiers.of(1, false, false);
-    int submitRetryTier = tiers.of(1, true, false);
-    int readTier = tiers.of(0, false, false);
-    int readRetryTier = tiers.of(0, true, false);
+    int submitTier = tiers.tierOf(1, false, false);
+    int submitRetryTier = tiers.tierOf(1, true, false);
+    int readTier = tiers.tierOf(0, false, false);
+    int readRetryTier = tiers.tierOf(0, true, false);
     assertEquals(0, submitTier);
-    assertTrue(submitTier < submitRetryTier && submitRetryTier < readTier && readTier < readRetryTier);
-    assertTrue(readRetryTier < tiers.of(1, false, true), "requests over quota have a lower priority than others");
-    assertEquals(tiers.count() - 1, tiers.of(0, true, true));
+    assertTrue(
+        submitTier < submitRetryTier && submitRetryTier < readTier && readTier < readRetryTier);
+    assertTrue(
+        readRetryTier < tiers.tierOf(1, false, true),
+        "requests over quota have a lower priority than others");
+    assertEquals(tiers.tierCount() - 1, tiers.tierOf(0, true, true));
   }
 
   @Test
@@ -35,9 +39,14 @@
     rateLimit.update(0.05, 1000, 3000);
     assertEquals(700, rateLimit.limitPerSecond(), 1, "the limit decreases by at most 30%");
     rateLimit.update(0.03, 700, 3000);
-    assertEquals(700, rateLimit.limitPerSecond(), 1, "the limit is unchanged while the queue drains");
+    assertEquals(
+        700, rateLimit.limitPerSecond(), 1, "the limit is unchanged while the queue drains");
     rateLimit.update(0.005, 600, 3000);
-    assertEquals(805, rateLimit.limitPerSecond(), 1, "the limit increases fast while the delay is at the target");
+    assertEquals(
+        805,
+        rateLimit.limitPerSecond(),
+        1,
+        "the limit increases fast while the delay is at the target");
     rateLimit.update(0.006, 600, 3000);
     assertEquals(
         528,
@@ -51,7 +60,11 @@
         1,
         "the limit increases fast up to the known capacity when the delay no longer grows");
     rateLimit.update(0.0075, 528, 3000);
-    assertEquals(449, rateLimit.limitPerSecond(), 1, "the limit decreases again when the delay is 1.5 times the target");
+    assertEquals(
+        449,
+        rateLimit.limitPerSecond(),
+        1,
+        "the limit decreases again when the delay is 1.5 times the target");
     int intervalCount = 0;
     while (rateLimit.isLimiting()) {
       rateLimit.update(0, 500, 500);
@@ -77,17 +90,17 @@
     long now = 1;
     admission.onIntervalEnd(0, now);
     for (int i = 0; i < 300; i++) {
-      admission.admit(tiers.of(0, false, false), false);
+      admission.admit(tiers.tierOf(0, false, false), false);
       if (i % 10 == 0) {
-        admission.admit(tiers.of(1, false, false), false);
+        admission.admit(tiers.tierOf(1, false, false), false);
       }
     }
     admission.onIntervalEnd(0.05, now + 100 * NANOS_PER_MILLI);
     assertTrue(admission.isLimiting());
-    assertEquals(1, admission.admittedRatio(tiers.of(1, false, false)));
-    double thresholdRatio = admission.admittedRatio(tiers.of(0, false, false));
+    assertEquals(1, admission.admittedRatio(tiers.tierOf(1, false, false)));
+    double thresholdRatio = admission.admittedRatio(tiers.tierOf(0, false, false));
     assertEquals((3300 * 0.7 - 300) / 3000, thresholdRatio, 0.01);
-    assertEquals(0.02, admission.admittedRatio(tiers.count() - 1), 1.0, "no tier is starved");
+    assertEquals(0.02, admission.admittedRatio(tiers.tierCount() - 1), 1.0, "no tier is starved");
   }
 
   @Test
@@ -97,8 +110,8 @@
     admission.admit(0, false);
     admission.onIntervalEnd(0.015, 1 + 100 * NANOS_PER_MILLI);
     assertTrue(admission.isLimiting());
-    int firstAttemptTier = tiers.of(1, false, false);
-    int retryTier = tiers.of(1, true, false);
+    int firstAttemptTier = tiers.tierOf(1, false, false);
+    int retryTier = tiers.tierOf(1, true, false);
     int admittedRetries = 0;
     for (int i = 0; i < 1000; i++) {
       admission.admit(firstAttemptTier, false);
@@ -142,14 +155,20 @@
     assertFalse(retryInference.isLikelyRetry(42, 0, 0));
     retryInference.recordRejection(42, 0, 0);
     assertTrue(retryInference.isLikelyRetry(42, 0, 500 * NANOS_PER_MILLI));
-    assertFalse(retryInference.isLikelyRetry(42, 1, 500 * NANOS_PER_MILLI), "a request of another class is no retry");
-    assertFalse(retryInference.isLikelyRetry(43, 0, 500 * NANOS_PER_MILLI), "a request for another key is no retry");
-    assertFalse(retryInference.isLikelyRetry(42, 0, 1500 * NANOS_PER_MILLI), "a request is no retry more than 1 s after the rejection");
+    assertFalse(
+        retryInference.isLikelyRetry(42, 1, 500 * NANOS_PER_MILLI),
+        "a request of another class is no retry");
+    assertFalse(
+        retryInference.isLikelyRetry(43, 0, 500 * NANOS_PER_MILLI),
+        "a request for another key is no retry");
+    assertFalse(
+        retryInference.isLikelyRetry(42, 0, 1500 * NANOS_PER_MILLI),
+        "a request is no retry more than 1 s after the rejection");
   }
 
   @Test
   void detectsTenantOverItsQuota() {
-    TenantQuotas quotas = new TenantQuotas(LoopModel.settings(true).tenants(), 2);
+    TenantQuotas quotas = new TenantQuotas(EventLoopModel.settings(true).tenants(), 2);
     int overQuotaCount = 0;
     for (int i = 0; i < 1000; i++) {
       overQuotaCount += quotas.isOverQuota(0, 1 + i * 10L * NANOS_PER_MILLI) ? 1 : 0;
@@ -166,17 +185,27 @@
   @Test
   void pollsByTierAndNewestFirstWhenQueueIsStanding() {
     List<String> rejectedItems = new ArrayList<>();
-    AdmissionQueue<String> queue = new AdmissionQueue<>(2, 4, 50 * NANOS_PER_MILLI, rejectedItems::add);
+    AdmissionQueue<String> queue =
+        new AdmissionQueue<>(2, 4, 50 * NANOS_PER_MILLI, rejectedItems::add);
     queue.offer("read 1", 1, 0);
     queue.offer("read 2", 1, 0);
     queue.offer("submit", 0, 0);
     assertEquals("submit", queue.poll(NANOS_PER_MILLI));
-    assertEquals("read 1", queue.poll(NANOS_PER_MILLI), "the order is first in, first out while the queue is short-lived");
+    assertEquals(
+        "read 1",
+        queue.poll(NANOS_PER_MILLI),
+        "the order is first in, first out while the queue is short-lived");
     for (int i = 1; i <= 5; i++) {
       queue.offer("late " + i, 1, (80 + i) * NANOS_PER_MILLI);
     }
-    assertEquals(List.of("read 2", "late 1"), rejectedItems, "the oldest requests of the lowest tier are rejected");
-    assertEquals("late 5", queue.poll(110 * NANOS_PER_MILLI), "the order is last in, first out in a standing queue");
+    assertEquals(
+        List.of("read 2", "late 1"),
+        rejectedItems,
+        "the oldest requests of the lowest tier are rejected");
+    assertEquals(
+        "late 5",
+        queue.poll(110 * NANOS_PER_MILLI),
+        "the order is last in, first out in a standing queue");
     assertEquals(28 * NANOS_PER_MILLI, queue.oldestWaitNanos(110 * NANOS_PER_MILLI));
     assertEquals(null, queue.poll(200 * NANOS_PER_MILLI));
     assertEquals(List.of("read 2", "late 1", "late 2", "late 3", "late 4"), rejectedItems);
@@ -190,7 +219,7 @@
   void doesNotShedWhenMemoryIsShort() {
     OverloadControl control =
         new OverloadControl(
-            LoopModel.settings(true),
+            EventLoopModel.settings(true),
             OverloadConfig.DEFAULT,
             1,
             (resource, previousLevel, newLevel, reading) -> {});
--- a/core/src/test/java/shalepaddle/overload/LoopModel.java
+++ b/core/src/test/java/shalepaddle/overload/EventLoopModel.java
@@ -16,10 +16,10 @@
  * the kernel's queue and are read in turns, like by a selector. Clients send new requests at a
  * given rate, independent of earlier answers, and may retry rejected requests.
  */
-final class LoopModel {
-  static final long MILLI = 1_000_000L;
-  static final long SECOND = 1000 * MILLI;
-  static final int SUBMIT = 1;
+final class EventLoopModel {
+  static final long NANOS_PER_MILLI = 1_000_000L;
+  static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
+  static final int SUBMIT_CLASS_INDEX = 1;
 
   /**
    * A request of a client.
@@ -44,10 +44,10 @@
 
   /** The final result of a request. */
   record RequestResult(
-      long firstSentAtNanos, int serviceClass, int retries, boolean served, long latencyNanos) {}
+      long firstSentAtNanos, int serviceClass, int retries, boolean isServed, long latencyNanos) {}
 
   private final SplittableRandom random = new SplittableRandom(17);
-  private final OverloadControl control;
+  private final OverloadControl overloadControl;
   private final double rejectionCostRatio;
   private final int maxRetries;
   private final ArrayDeque<SimulatedRequest> queue = new ArrayDeque<>();
@@ -55,24 +55,24 @@
       new PriorityQueue<>(Comparator.comparingLong(SimulatedRequest::arrivesAtNanos));
   private final IdentityHashMap<SimulatedRequest, ClosedLoopClient> clientsByRequest =
       new IdentityHashMap<>();
-  final List<RequestResult> fates = new ArrayList<>();
+  final List<RequestResult> results = new ArrayList<>();
 
   /** The changes of the CPU pressure level, each with its time in milliseconds. */
-  final List<String> levels = new ArrayList<>();
+  final List<String> levelChanges = new ArrayList<>();
 
   /** The lengths of all turns in nanoseconds; a request waits until the end of the current turn. */
-  final List<Long> turns = new ArrayList<>();
+  final List<Long> turnNanos = new ArrayList<>();
 
   /** Maximum number of requests read in a turn: those from one read of each connection. */
   private static final int MAX_REQUESTS_PER_TURN = 4096;
 
-  private static final long SERVING_TIME_NANOS = MILLI / 10;
+  private static final long SERVING_TIME_NANOS = NANOS_PER_MILLI / 10;
 
   /** How long a client waits for and retries a request. */
-  private static final long CLIENT_TIMEOUT_NANOS = 2 * SECOND;
+  private static final long CLIENT_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
 
   /** The time from an answer to the next request of a client that does not wait. */
-  private static final long NEXT_REQUEST_DELAY_NANOS = MILLI / 20;
+  private static final long NEXT_REQUEST_DELAY_NANOS = NANOS_PER_MILLI / 20;
 
   /**
    * The connection of each request, represented by its detector, if the number of connections is
@@ -83,10 +83,11 @@
 
   /** The connections that no request uses, each represented by its detector. */
   private final ArrayDeque<RetryStormDetector> idleConnections = new ArrayDeque<>();
+
   private final ArrayDeque<SimulatedRequest> waitingForConnection = new ArrayDeque<>();
   private boolean limitsConnections;
   private boolean suspendsEarlyRetries = true;
-  long now = SECOND;
+  long nowNanos = NANOS_PER_SECOND;
   private double requestsPerSecond;
   private double submitRatio = 0.08;
   private long nextArrivalNanos = Long.MAX_VALUE;
@@ -101,16 +102,17 @@
    * @param rejectionCostRatio the cost of a rejection, as a fraction of the cost of serving
    * @param maxRetries how often a rejected request is retried, each time after 5 to 50 ms
    */
-  LoopModel(boolean isSheddingEnabled, double rejectionCostRatio, int maxRetries) {
+  EventLoopModel(boolean isSheddingEnabled, double rejectionCostRatio, int maxRetries) {
     this.rejectionCostRatio = rejectionCostRatio;
     this.maxRetries = maxRetries;
-    control =
+    overloadControl =
         isSheddingEnabled
             ? new OverloadControl(
                 settings(true),
                 OverloadConfig.DEFAULT,
                 7,
-                (resource, previousLevel, newLevel, reading) -> levels.add(now / MILLI + " " + newLevel))
+                (resource, previousLevel, newLevel, reading) ->
+                    levelChanges.add(nowNanos / NANOS_PER_MILLI + " " + newLevel))
             : null;
   }
 
@@ -154,8 +156,8 @@
         false);
   }
 
-  OverloadControl control() {
-    return control;
+  OverloadControl overloadControl() {
+    return overloadControl;
   }
 
   /**
@@ -163,10 +165,10 @@
    *
    * @param submitRatio the fraction of them in the class "submit"; the others are reads
    */
-  LoopModel load(double requestsPerSecond, double submitRatio) {
+  EventLoopModel load(double requestsPerSecond, double submitRatio) {
     this.requestsPerSecond = requestsPerSecond;
     this.submitRatio = submitRatio;
-    nextArrivalNanos = now + nextInterarrivalNanos();
+    nextArrivalNanos = nowNanos + nextInterarrivalNanos();
     return this;
   }
 
@@ -174,24 +176,25 @@
    * Adds clients that each send the next request as soon as the last one is answered, even if it
    * was rejected: they ignore the Retry-After.
    */
-  LoopModel clients(int clientCount) {
+  EventLoopModel clients(int clientCount) {
     return clients(clientCount, Long.MAX_VALUE);
   }
 
   /** Adds clients as {@link #clients(int)} does, which stop at the given time. */
-  LoopModel clients(int clientCount, long untilNanos) {
+  EventLoopModel clients(int clientCount, long untilNanos) {
     return clients(clientCount, untilNanos, false);
   }
 
   /** Adds clients that retry each rejected request at once and ignore the Retry-After. */
-  LoopModel insisting(int clientCount) {
+  EventLoopModel retryingClients(int clientCount) {
     return clients(clientCount, Long.MAX_VALUE, true);
   }
 
-  private LoopModel clients(int clientCount, long untilNanos, boolean retriesRejections) {
+  private EventLoopModel clients(int clientCount, long untilNanos, boolean retriesRejections) {
     List<SimulatedRequest> firstRequests = new ArrayList<>();
     for (int i = 0; i < clientCount; i++) {
-      firstRequests.add(new SimulatedRequest(now, now, i % 12 == 0 ? SUBMIT : 0, 0));
+      firstRequests.add(
+          new SimulatedRequest(nowNanos, nowNanos, i % 12 == 0 ? SUBMIT_CLASS_INDEX : 0, 0));
     }
     firstRequests.forEach(
         request ->
@@ -207,7 +210,7 @@
    * waits for a free connection. A rejected request is retried at once on its connection, until 2 s
    * after it was first sent.
    */
-  LoopModel storm(double requestsPerSecond, int connections) {
+  EventLoopModel loadOverConnections(double requestsPerSecond, int connections) {
     for (int i = 0; i < connections; i++) {
       idleConnections.add(new RetryStormDetector());
     }
@@ -219,9 +222,9 @@
   private void assignConnections() {
     while (!waitingForConnection.isEmpty()
         && (!idleConnections.isEmpty()
-            || waitingForConnection.peek().arrivesAtNanos() + CLIENT_TIMEOUT_NANOS < now)) {
+            || waitingForConnection.peek().arrivesAtNanos() + CLIENT_TIMEOUT_NANOS < nowNanos)) {
       SimulatedRequest request = waitingForConnection.poll();
-      if (request.arrivesAtNanos() + CLIENT_TIMEOUT_NANOS >= now) {
+      if (request.arrivesAtNanos() + CLIENT_TIMEOUT_NANOS >= nowNanos) {
         connectionsByRequest.put(request, idleConnections.poll());
         queue.add(request);
       }
@@ -232,18 +235,18 @@
   private void onConnectionAnswered(
       RetryStormDetector connection, SimulatedRequest request, long retryAfterMillisOrAdmitted) {
     if (retryAfterMillisOrAdmitted == OverloadControl.ADMITTED
-        || now - request.firstSentAtNanos() >= CLIENT_TIMEOUT_NANOS) {
+        || nowNanos - request.firstSentAtNanos() >= CLIENT_TIMEOUT_NANOS) {
       idleConnections.add(connection);
       return;
     }
     long pauseNanos =
         suspendsEarlyRetries
             ? connection.recordRejection(
-                request.retries() > 0, retryAfterMillisOrAdmitted * MILLI, now)
+                request.retries() > 0, retryAfterMillisOrAdmitted * NANOS_PER_MILLI, nowNanos)
             : 0;
     SimulatedRequest nextRequest =
         new SimulatedRequest(
-            now + NEXT_REQUEST_DELAY_NANOS + pauseNanos,
+            nowNanos + NEXT_REQUEST_DELAY_NANOS + pauseNanos,
             request.firstSentAtNanos(),
             request.serviceClass(),
             request.retries() + 1);
@@ -252,7 +255,7 @@
   }
 
   /** Disables the suspension of reading from connections with early retries. */
-  LoopModel withoutInsistence() {
+  EventLoopModel withoutReadSuspension() {
     suspendsEarlyRetries = false;
     return this;
   }
@@ -261,43 +264,44 @@
    * Simulates a cold start: serving costs a multiple of the usual time now, and falls to the usual
    * time within the given number of nanoseconds.
    */
-  LoopModel cold(double costRatio, long durationNanos) {
+  EventLoopModel coldStart(double costRatio, long durationNanos) {
     initialCostRatio = costRatio;
-    coldSinceNanos = now;
+    coldSinceNanos = nowNanos;
     warmupNanos = durationNanos;
     return this;
   }
 
   private double costRatio() {
-    double coldRatio = 1 - (now - coldSinceNanos) / (double) warmupNanos;
+    double coldRatio = 1 - (nowNanos - coldSinceNanos) / (double) warmupNanos;
     return coldRatio > 0 ? 1 + (initialCostRatio - 1) * coldRatio : 1;
   }
 
   private long nextInterarrivalNanos() {
     return requestsPerSecond == 0
         ? Long.MAX_VALUE / 2
-        : (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * SECOND);
+        : (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * NANOS_PER_SECOND);
   }
 
   /** Stops the process for a time in nanoseconds, while requests continue to arrive. */
-  void stop(long durationNanos) {
-    now += durationNanos;
-    control.onEventLoopStall(durationNanos, now);
+  void stall(long durationNanos) {
+    nowNanos += durationNanos;
+    overloadControl.onEventLoopStall(durationNanos, nowNanos);
   }
 
   /** Runs the loop for a time in nanoseconds. */
   void run(long durationNanos) {
-    for (long untilNanos = now + durationNanos; now < untilNanos; ) {
+    for (long untilNanos = nowNanos + durationNanos; nowNanos < untilNanos; ) {
       enqueueArrivals();
-      long turnBeganAtNanos = now;
+      long turnBeganAtNanos = nowNanos;
       runTurn();
-      turns.add(now - turnBeganAtNanos);
-      if (control != null) {
-        control.onLoopTurnEnd(turnBeganAtNanos, now, 0);
+      turnNanos.add(nowNanos - turnBeganAtNanos);
+      if (overloadControl != null) {
+        overloadControl.onLoopTurnEnd(turnBeganAtNanos, nowNanos, 0);
       }
       if (queue.isEmpty()) {
         // Sleeps until a request arrives, at most for 10 ms.
-        now = Math.min(Math.max(now + 1, nextEventNanos()), now + 10 * MILLI);
+        nowNanos =
+            Math.min(Math.max(nowNanos + 1, nextEventNanos()), nowNanos + 10 * NANOS_PER_MILLI);
       }
     }
   }
@@ -309,14 +313,14 @@
   }
 
   private void enqueueArrivals() {
-    while (nextArrivalNanos <= now) {
-      int serviceClass = random.nextDouble() < submitRatio ? SUBMIT : 0;
+    while (nextArrivalNanos <= nowNanos) {
+      int serviceClass = random.nextDouble() < submitRatio ? SUBMIT_CLASS_INDEX : 0;
       SimulatedRequest request =
           new SimulatedRequest(nextArrivalNanos, nextArrivalNanos, serviceClass, 0);
       (limitsConnections ? waitingForConnection : queue).add(request);
       nextArrivalNanos += nextInterarrivalNanos();
     }
-    while (!scheduledRequests.isEmpty() && scheduledRequests.peek().arrivesAtNanos() <= now) {
+    while (!scheduledRequests.isEmpty() && scheduledRequests.peek().arrivesAtNanos() <= nowNanos) {
       queue.add(scheduledRequests.poll());
     }
     assignConnections();
@@ -324,29 +328,31 @@
 
   /** Serves or rejects all requests in the queue, up to the maximum of a turn. */
   private void runTurn() {
-    for (int requestsLeft = Math.min(queue.size(), MAX_REQUESTS_PER_TURN); requestsLeft > 0; requestsLeft--) {
+    for (int requestsLeft = Math.min(queue.size(), MAX_REQUESTS_PER_TURN);
+        requestsLeft > 0;
+        requestsLeft--) {
       SimulatedRequest request = queue.poll();
       RetryStormDetector connection = connectionsByRequest.remove(request);
       long retryAfterMillisOrAdmitted =
-          control == null
+          overloadControl == null
               ? OverloadControl.ADMITTED
-              : control.admit(
+              : overloadControl.admit(
                   request.serviceClass(),
                   -1,
                   request.firstSentAtNanos(),
                   request.retries() > 0,
-                  now);
+                  nowNanos);
       boolean isServed = retryAfterMillisOrAdmitted == OverloadControl.ADMITTED;
-      now += (long) (SERVING_TIME_NANOS * costRatio() * (isServed ? 1 : rejectionCostRatio));
+      nowNanos += (long) (SERVING_TIME_NANOS * costRatio() * (isServed ? 1 : rejectionCostRatio));
       ClosedLoopClient client = clientsByRequest.remove(request);
-      if (client != null && now < client.untilNanos()) {
+      if (client != null && nowNanos < client.untilNanos()) {
         onClientAnswered(client, request, retryAfterMillisOrAdmitted);
       }
       if (connection != null) {
         onConnectionAnswered(connection, request, retryAfterMillisOrAdmitted);
       }
       if (!isServed && request.retries() < maxRetries) {
-        long sentAtNanos = now + 5 * MILLI + random.nextLong(45 * MILLI);
+        long sentAtNanos = nowNanos + 5 * NANOS_PER_MILLI + random.nextLong(45 * NANOS_PER_MILLI);
         scheduledRequests.add(
             new SimulatedRequest(
                 sentAtNanos,
@@ -354,13 +360,13 @@
                 request.serviceClass(),
                 request.retries() + 1));
       } else {
-        fates.add(
+        results.add(
             new RequestResult(
                 request.firstSentAtNanos(),
                 request.serviceClass(),
                 request.retries(),
                 isServed,
-                now - request.firstSentAtNanos()));
+                nowNanos - request.firstSentAtNanos()));
       }
     }
   }
@@ -374,9 +380,10 @@
         isRetry
             ? client
                 .stormDetector()
-                .recordRejection(request.retries() > 0, retryAfterMillisOrAdmitted * MILLI, now)
+                .recordRejection(
+                    request.retries() > 0, retryAfterMillisOrAdmitted * NANOS_PER_MILLI, nowNanos)
             : 0;
-    long sentAtNanos = now + NEXT_REQUEST_DELAY_NANOS + pauseNanos;
+    long sentAtNanos = nowNanos + NEXT_REQUEST_DELAY_NANOS + pauseNanos;
     SimulatedRequest nextRequest =
         new SimulatedRequest(
             sentAtNanos,
@@ -391,9 +398,9 @@
    * The fraction of the requests of a class, first sent at {@code sinceNanos} or later, that were
    * served within {@code maxLatencyNanos}.
    */
-  double within(int serviceClass, long sinceNanos, long maxLatencyNanos) {
+  double servedWithinRatio(int serviceClass, long sinceNanos, long maxLatencyNanos) {
     List<RequestResult> sentRequests =
-        fates.stream()
+        results.stream()
             .filter(
                 result ->
                     result.serviceClass() == serviceClass
@@ -401,7 +408,7 @@
             .toList();
     long servedInTime =
         sentRequests.stream()
-            .filter(result -> result.served() && result.latencyNanos() <= maxLatencyNanos)
+            .filter(result -> result.isServed() && result.latencyNanos() <= maxLatencyNanos)
             .count();
     return (double) servedInTime / sentRequests.size();
   }
@@ -411,31 +418,31 @@
    * sent in the given period.
    */
   double goodput(long sinceNanos, long untilNanos) {
-    return fates.stream()
+    return results.stream()
             .filter(
                 result ->
                     result.firstSentAtNanos() >= sinceNanos
                         && result.firstSentAtNanos() < untilNanos
-                        && result.served())
+                        && result.isServed())
             .mapToDouble(
                 result ->
-                    result.serviceClass() == SUBMIT
-                        ? result.latencyNanos() <= 300 * MILLI ? 5 : 0
-                        : result.latencyNanos() <= 750 * MILLI ? 2 : 0)
+                    result.serviceClass() == SUBMIT_CLASS_INDEX
+                        ? result.latencyNanos() <= 300 * NANOS_PER_MILLI ? 5 : 0
+                        : result.latencyNanos() <= 750 * NANOS_PER_MILLI ? 2 : 0)
             .sum()
-        / ((untilNanos - sinceNanos) / (double) SECOND);
+        / ((untilNanos - sinceNanos) / (double) NANOS_PER_SECOND);
   }
 
   /**
    * The usual serving time of all requests that were served in the given period, as a fraction of
    * the period.
    */
-  double served(long sinceNanos, long untilNanos) {
+  double servingTimeRatio(long sinceNanos, long untilNanos) {
     long servedRequests =
-        fates.stream()
+        results.stream()
             .filter(
                 result ->
-                    result.served()
+                    result.isServed()
                         && result.firstSentAtNanos() + result.latencyNanos() >= sinceNanos
                         && result.firstSentAtNanos() + result.latencyNanos() < untilNanos)
             .count();
@@ -443,9 +450,10 @@
   }
 
   /** The 99th percentile of turn lengths in milliseconds, after the first {@code skippedTurns}. */
-  double longTurn(int skippedTurns) {
-    long[] sortedTurnNanos = turns.stream().skip(skippedTurns).mapToLong(Long::longValue).toArray();
+  double p99TurnMillis(int skippedTurns) {
+    long[] sortedTurnNanos =
+        turnNanos.stream().skip(skippedTurns).mapToLong(Long::longValue).toArray();
     Arrays.sort(sortedTurnNanos);
-    return sortedTurnNanos[(int) (0.99 * sortedTurnNanos.length)] / (double) MILLI;
+    return sortedTurnNanos[(int) (0.99 * sortedTurnNanos.length)] / (double) NANOS_PER_MILLI;
   }
 }
--- a/core/src/test/java/shalepaddle/overload/OverloadMeterTest.java
+++ b/core/src/test/java/shalepaddle/overload/OverloadMeterTest.java
@@ -16,19 +16,25 @@
 
   private final List<String> levelChanges = new ArrayList<>();
   private final OverloadMeter meter =
-      new OverloadMeter((resource, previousLevel, newLevel, reading) -> levelChanges.add(resource + " " + newLevel));
+      new OverloadMeter(
+          (resource, previousLevel, newLevel, reading) ->
+              levelChanges.add(resource + " " + newLevel));
   private long now = 1000 * NANOS_PER_MILLI;
 
   /** Ends a turn of the given length every 10 ms, for a duration. */
   private void runTurns(long durationMillis, double turnMillis) {
-    for (long untilNanos = now + durationMillis * NANOS_PER_MILLI; now < untilNanos; now += 10 * NANOS_PER_MILLI) {
+    for (long untilNanos = now + durationMillis * NANOS_PER_MILLI;
+        now < untilNanos;
+        now += 10 * NANOS_PER_MILLI) {
       meter.onLoopTurnEnd(now - (long) (turnMillis * NANOS_PER_MILLI), now, false);
     }
   }
 
   /** Reports the use of memory and descriptors every 25 ms, for a duration. */
   private void useResources(long durationMillis, double memoryRatio, double descriptorRatio) {
-    for (long untilNanos = now + durationMillis * NANOS_PER_MILLI; now < untilNanos; now += 25 * NANOS_PER_MILLI) {
+    for (long untilNanos = now + durationMillis * NANOS_PER_MILLI;
+        now < untilNanos;
+        now += 25 * NANOS_PER_MILLI) {
       meter.onResourceUsage(memoryRatio, descriptorRatio, now);
     }
   }
--- a/core/src/test/java/shalepaddle/overload/SheddingTest.java
+++ b/core/src/test/java/shalepaddle/overload/SheddingTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static shalepaddle.overload.LoopModel.MILLI;
-import static shalepaddle.overload.LoopModel.SECOND;
-import static shalepaddle.overload.LoopModel.SUBMIT;
+import static shalepaddle.overload.EventLoopModel.NANOS_PER_MILLI;
+import static shalepaddle.overload.EventLoopModel.NANOS_PER_SECOND;
+import static shalepaddle.overload.EventLoopModel.SUBMIT_CLASS_INDEX;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,106 +19,119 @@
 
   @Test
   void servesFewRequestsInTimeWithoutShedding() {
-    LoopModel loop = new LoopModel(false, REJECTION_COST_RATIO, 0).load(30000, 0.08);
-    loop.run(3 * SECOND);
-    long sinceNanos = loop.now;
-    loop.run(10 * SECOND);
-    assertTrue(loop.within(SUBMIT, sinceNanos, 300 * MILLI) < 0.05);
-    assertTrue(loop.goodput(sinceNanos, loop.now) < 2000);
+    EventLoopModel loop = new EventLoopModel(false, REJECTION_COST_RATIO, 0).load(30000, 0.08);
+    loop.run(3 * NANOS_PER_SECOND);
+    long sinceNanos = loop.nowNanos;
+    loop.run(10 * NANOS_PER_SECOND);
+    assertTrue(
+        loop.servedWithinRatio(SUBMIT_CLASS_INDEX, sinceNanos, 300 * NANOS_PER_MILLI) < 0.05);
+    assertTrue(loop.goodput(sinceNanos, loop.nowNanos) < 2000);
   }
 
   @ParameterizedTest
   @CsvSource({"3, 0", "3, 3", "2, 2", "5, 0"})
   void servesHigherPriorityRequestsUnderOverload(double loadRatio, int maxRetries) {
-    LoopModel loop =
-        new LoopModel(true, REJECTION_COST_RATIO, maxRetries).load(10000 * loadRatio, 0.08);
+    EventLoopModel loop =
+        new EventLoopModel(true, REJECTION_COST_RATIO, maxRetries).load(10000 * loadRatio, 0.08);
     // Waits until the queue that grew before shedding began has drained, including retries of the
     // requests in it.
-    loop.run((maxRetries == 0 && loadRatio <= 3 ? 2 : 6) * SECOND);
-    long sinceNanos = loop.now;
-    int skippedTurns = loop.turns.size();
-    loop.run(20 * SECOND);
-    double submitsInTimeRatio = loop.within(SUBMIT, sinceNanos, 300 * MILLI);
-    assertTrue(submitsInTimeRatio >= 0.99, "ratio of requests of the class \"submit\" served in time: " + submitsInTimeRatio);
-    double p99Millis = loop.longTurn(skippedTurns);
+    loop.run((maxRetries == 0 && loadRatio <= 3 ? 2 : 6) * NANOS_PER_SECOND);
+    long sinceNanos = loop.nowNanos;
+    int skippedTurns = loop.turnNanos.size();
+    loop.run(20 * NANOS_PER_SECOND);
+    double submitsInTimeRatio =
+        loop.servedWithinRatio(SUBMIT_CLASS_INDEX, sinceNanos, 300 * NANOS_PER_MILLI);
+    assertTrue(
+        submitsInTimeRatio >= 0.99,
+        "ratio of requests of the class \"submit\" served in time: " + submitsInTimeRatio);
+    double p99Millis = loop.p99TurnMillis(skippedTurns);
     assertTrue(p99Millis < 20, "99th percentile of turn lengths: " + p99Millis + " ms");
   }
 
   @Test
   void keepsGoodputAtThreeTimesTheLoad() {
-    LoopModel usualLoop = new LoopModel(true, REJECTION_COST_RATIO, 0).load(9000, 0.08);
-    usualLoop.run(20 * SECOND);
-    LoopModel overloadedLoop = new LoopModel(true, REJECTION_COST_RATIO, 0).load(27000, 0.08);
-    overloadedLoop.run(20 * SECOND);
+    EventLoopModel usualLoop = new EventLoopModel(true, REJECTION_COST_RATIO, 0).load(9000, 0.08);
+    usualLoop.run(20 * NANOS_PER_SECOND);
+    EventLoopModel overloadedLoop =
+        new EventLoopModel(true, REJECTION_COST_RATIO, 0).load(27000, 0.08);
+    overloadedLoop.run(20 * NANOS_PER_SECOND);
     double goodputRatio =
-        overloadedLoop.goodput(3 * SECOND, 19 * SECOND) / usualLoop.goodput(3 * SECOND, 19 * SECOND);
+        overloadedLoop.goodput(3 * NANOS_PER_SECOND, 19 * NANOS_PER_SECOND)
+            / usualLoop.goodput(3 * NANOS_PER_SECOND, 19 * NANOS_PER_SECOND);
     assertTrue(goodputRatio >= 0.9, "ratio of goodput at three times the load: " + goodputRatio);
   }
 
   @Test
   void shedsInFirstSecondWhenOverloadBeginsAtStart() {
-    LoopModel loop = new LoopModel(true, REJECTION_COST_RATIO, 0).load(30000, 0.08);
-    loop.run(SECOND);
-    assertTrue(loop.control().isShedding());
-    loop.run(SECOND);
-    long sinceNanos = loop.now;
-    loop.run(3 * SECOND);
-    assertTrue(loop.within(SUBMIT, sinceNanos, 300 * MILLI) >= 0.99);
+    EventLoopModel loop = new EventLoopModel(true, REJECTION_COST_RATIO, 0).load(30000, 0.08);
+    loop.run(NANOS_PER_SECOND);
+    assertTrue(loop.overloadControl().isShedding());
+    loop.run(NANOS_PER_SECOND);
+    long sinceNanos = loop.nowNanos;
+    loop.run(3 * NANOS_PER_SECOND);
+    assertTrue(
+        loop.servedWithinRatio(SUBMIT_CLASS_INDEX, sinceNanos, 300 * NANOS_PER_MILLI) >= 0.99);
   }
 
   @Test
   void restoresFullServiceThreeSecondsAfterOverloadAndChangesLevelRarely() {
-    LoopModel loop = new LoopModel(true, REJECTION_COST_RATIO, 0).load(30000, 0.08);
-    loop.run(20 * SECOND);
-    long changeCount = loop.levels.size();
-    assertTrue(changeCount <= 6, "changes of the level in 20 s: " + loop.levels);
+    EventLoopModel loop = new EventLoopModel(true, REJECTION_COST_RATIO, 0).load(30000, 0.08);
+    loop.run(20 * NANOS_PER_SECOND);
+    long changeCount = loop.levelChanges.size();
+    assertTrue(changeCount <= 6, "changes of the level in 20 s: " + loop.levelChanges);
     loop.load(5000, 0.08);
-    loop.run(3 * SECOND);
-    long sinceNanos = loop.now;
-    loop.run(5 * SECOND);
-    assertEquals(1, loop.within(0, sinceNanos, 750 * MILLI), 0.001);
-    assertFalse(loop.control().isShedding());
-    assertTrue(loop.levels.size() <= changeCount + 3, "changes of the level: " + loop.levels);
+    loop.run(3 * NANOS_PER_SECOND);
+    long sinceNanos = loop.nowNanos;
+    loop.run(5 * NANOS_PER_SECOND);
+    assertEquals(1, loop.servedWithinRatio(0, sinceNanos, 750 * NANOS_PER_MILLI), 0.001);
+    assertFalse(loop.overloadControl().isShedding());
+    assertTrue(
+        loop.levelChanges.size() <= changeCount + 3, "changes of the level: " + loop.levelChanges);
   }
 
   /** Guards against oscillation: a load slightly above capacity must change the level rarely. */
   @ParameterizedTest
   @ValueSource(doubles = {9000, 10000, 10500, 12000, 15000})
   void changesLevelRarelyWhenLoadIsNearCapacity(double requestsPerSecond) {
-    LoopModel loop = new LoopModel(true, REJECTION_COST_RATIO, 1).load(requestsPerSecond, 0.08);
-    loop.run(60 * SECOND);
-    assertTrue(loop.levels.size() <= 20, loop.levels.size() + " changes of the level: " + loop.levels);
+    EventLoopModel loop =
+        new EventLoopModel(true, REJECTION_COST_RATIO, 1).load(requestsPerSecond, 0.08);
+    loop.run(60 * NANOS_PER_SECOND);
+    assertTrue(
+        loop.levelChanges.size() <= 20,
+        loop.levelChanges.size() + " changes of the level: " + loop.levelChanges);
   }
 
   @Test
   void recoversFromRetryStormAfterBurst() {
-    LoopModel loop = new LoopModel(true, REJECTION_COST_RATIO, 3).load(8000, 0.08);
-    loop.run(5 * SECOND);
+    EventLoopModel loop = new EventLoopModel(true, REJECTION_COST_RATIO, 3).load(8000, 0.08);
+    loop.run(5 * NANOS_PER_SECOND);
     loop.load(40000, 0.08);
-    loop.run(3 * SECOND);
+    loop.run(3 * NANOS_PER_SECOND);
     loop.load(8000, 0.08);
-    loop.run(3 * SECOND);
-    long sinceNanos = loop.now;
-    loop.run(5 * SECOND);
-    assertTrue(loop.within(0, sinceNanos, 750 * MILLI) > 0.99, "the retry storm did not sustain itself");
-    assertTrue(loop.control().snapshot().rejectedRetryCount() > 0);
+    loop.run(3 * NANOS_PER_SECOND);
+    long sinceNanos = loop.nowNanos;
+    loop.run(5 * NANOS_PER_SECOND);
+    assertTrue(
+        loop.servedWithinRatio(0, sinceNanos, 750 * NANOS_PER_MILLI) > 0.99,
+        "the retry storm did not sustain itself");
+    assertTrue(loop.overloadControl().snapshot().rejectedRetryCount() > 0);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {50, 300, 1000, 3000})
   void doesNotShedAfterProcessStall(int stallMillis) {
-    LoopModel loop = new LoopModel(true, REJECTION_COST_RATIO, 0).load(3000, 0.08);
+    EventLoopModel loop = new EventLoopModel(true, REJECTION_COST_RATIO, 0).load(3000, 0.08);
     for (int i = 0; i < 5; i++) {
-      loop.run(4 * SECOND);
-      loop.stop(stallMillis * MILLI);
+      loop.run(4 * NANOS_PER_SECOND);
+      loop.stall(stallMillis * NANOS_PER_MILLI);
     }
-    loop.run(4 * SECOND);
-    long rejectedCount = loop.fates.stream().filter(result -> !result.served()).count();
+    loop.run(4 * NANOS_PER_SECOND);
+    long rejectedCount = loop.results.stream().filter(result -> !result.isServed()).count();
     // The requests that arrive during a stall of seconds are an overload, and may be rejected.
     assertTrue(
         rejectedCount <= (stallMillis <= 300 ? 0 : 5 * stallMillis * 3000 / 1000),
         rejectedCount + " requests rejected");
-    assertFalse(loop.control().isShedding());
+    assertFalse(loop.overloadControl().isShedding());
   }
 
   /**
@@ -128,23 +141,28 @@
   @ParameterizedTest
   @CsvSource({"20, 0.2", "70, 0.2", "100, 0.1", "130, 0.2", "130, 0.4"})
   void recoversWhenRejectedClientsSendNextRequestAtOnce(int clients, double rejectionCostRatio) {
-    LoopModel loop = new LoopModel(true, rejectionCostRatio, 0).clients(clients);
-    loop.run(4 * SECOND);
+    EventLoopModel loop = new EventLoopModel(true, rejectionCostRatio, 0).clients(clients);
+    loop.run(4 * NANOS_PER_SECOND);
     StringBuilder measuredRatios = new StringBuilder();
-    measuredRatios.append(loop.served(loop.now - SECOND, loop.now)).append(" in steady state; ");
-    loop.stop(SECOND);
-    loop.run(2 * SECOND);
-    measuredRatios.append(loop.served(loop.now - SECOND, loop.now)).append(" after a stall; ");
-    loop.clients(4 * clients, loop.now + 2 * SECOND);
-    loop.run(4 * SECOND);
-    long sinceNanos = loop.now;
-    loop.run(SECOND);
-    double servingRatioAfter = loop.served(sinceNanos, loop.now);
+    measuredRatios
+        .append(loop.servingTimeRatio(loop.nowNanos - NANOS_PER_SECOND, loop.nowNanos))
+        .append(" in steady state; ");
+    loop.stall(NANOS_PER_SECOND);
+    loop.run(2 * NANOS_PER_SECOND);
+    measuredRatios
+        .append(loop.servingTimeRatio(loop.nowNanos - NANOS_PER_SECOND, loop.nowNanos))
+        .append(" after a stall; ");
+    loop.clients(4 * clients, loop.nowNanos + 2 * NANOS_PER_SECOND);
+    loop.run(4 * NANOS_PER_SECOND);
+    long sinceNanos = loop.nowNanos;
+    loop.run(NANOS_PER_SECOND);
+    double servingRatioAfter = loop.servingTimeRatio(sinceNanos, loop.nowNanos);
     measuredRatios.append(servingRatioAfter).append(" after a burst");
     assertTrue(
         servingRatioAfter >= 0.95,
         "ratio of time spent serving with %d clients: %s; limit %s requests/s"
-            .formatted(clients, measuredRatios, loop.control().snapshot().limitPerSecond()));
+            .formatted(
+                clients, measuredRatios, loop.overloadControl().snapshot().limitPerSecond()));
   }
 
   /**
@@ -155,16 +173,22 @@
   @CsvSource({"150, 0.2", "300, 0.2", "300, 0.4", "600, 0.2"})
   void spendsLittleTimeOnRejectionsWhenAllClientsRetryAtOnce(
       int clients, double rejectionCostRatio) {
-    LoopModel loop = new LoopModel(true, rejectionCostRatio, 0).insisting(clients);
-    loop.run(4 * SECOND);
-    double servingRatioBefore = loop.served(loop.now - SECOND, loop.now);
-    loop.stop(SECOND);
-    loop.run(2 * SECOND);
-    long sinceNanos = loop.now;
-    loop.run(SECOND);
-    double servingRatioAfter = loop.served(sinceNanos, loop.now);
+    EventLoopModel loop = new EventLoopModel(true, rejectionCostRatio, 0).retryingClients(clients);
+    loop.run(4 * NANOS_PER_SECOND);
+    double servingRatioBefore =
+        loop.servingTimeRatio(loop.nowNanos - NANOS_PER_SECOND, loop.nowNanos);
+    loop.stall(NANOS_PER_SECOND);
+    loop.run(2 * NANOS_PER_SECOND);
+    long sinceNanos = loop.nowNanos;
+    loop.run(NANOS_PER_SECOND);
+    double servingRatioAfter = loop.servingTimeRatio(sinceNanos, loop.nowNanos);
     assertTrue(
-        servingRatioBefore >= 0.85 && servingRatioAfter >= 0.85, "ratio of time spent serving: " + servingRatioBefore + " in steady state, " + servingRatioAfter + " after a stall");
+        servingRatioBefore >= 0.85 && servingRatioAfter >= 0.85,
+        "ratio of time spent serving: "
+            + servingRatioBefore
+            + " in steady state, "
+            + servingRatioAfter
+            + " after a stall");
   }
 
   /** Before JIT compilation, serving takes eight times as long; after 2 s, the usual time. */
@@ -172,12 +196,13 @@
   @CsvSource({"4000, 0, 0.4", "7000, 0, 0.7", "0, 64, 1", "0, 130, 1"})
   void reachesFullServiceTwoSecondsAfterColdStart(
       int requestsPerSecond, int clients, double fullRatio) {
-    LoopModel loop = new LoopModel(true, 0.2, 0).load(requestsPerSecond, 0.08).clients(clients);
-    loop.cold(8, 2 * SECOND);
-    loop.run(4 * SECOND);
-    long sinceNanos = loop.now;
-    loop.run(SECOND);
-    double servingRatio = loop.served(sinceNanos, loop.now);
+    EventLoopModel loop =
+        new EventLoopModel(true, 0.2, 0).load(requestsPerSecond, 0.08).clients(clients);
+    loop.coldStart(8, 2 * NANOS_PER_SECOND);
+    loop.run(4 * NANOS_PER_SECOND);
+    long sinceNanos = loop.nowNanos;
+    loop.run(NANOS_PER_SECOND);
+    double servingRatio = loop.servingTimeRatio(sinceNanos, loop.nowNanos);
     assertTrue(servingRatio >= 0.95 * fullRatio, "ratio of time spent serving: " + servingRatio);
   }
 
@@ -188,14 +213,16 @@
   @ParameterizedTest
   @CsvSource({"4000, 0.4", "7000, 0.1", "7000, 0.2", "7000, 0.4"})
   void endsRetryStormTwoSecondsAfterColdStart(int requestsPerSecond, double rejectionCostRatio) {
-    LoopModel loop = new LoopModel(true, rejectionCostRatio, 0).storm(requestsPerSecond, 256);
-    loop.cold(8, 2 * SECOND);
-    loop.run(4 * SECOND);
-    long sinceNanos = loop.now;
-    loop.run(SECOND);
-    double servingRatio = loop.served(sinceNanos, loop.now);
+    EventLoopModel loop =
+        new EventLoopModel(true, rejectionCostRatio, 0).loadOverConnections(requestsPerSecond, 256);
+    loop.coldStart(8, 2 * NANOS_PER_SECOND);
+    loop.run(4 * NANOS_PER_SECOND);
+    long sinceNanos = loop.nowNanos;
+    loop.run(NANOS_PER_SECOND);
+    double servingRatio = loop.servingTimeRatio(sinceNanos, loop.nowNanos);
     assertTrue(
-        servingRatio >= 0.95 * requestsPerSecond / 10_000, "ratio of time spent serving: " + servingRatio);
+        servingRatio >= 0.95 * requestsPerSecond / 10_000,
+        "ratio of time spent serving: " + servingRatio);
   }
 
   /**
@@ -204,19 +231,20 @@
    */
   @Test
   void retryStormPersistsWhenReadingIsNotSuspended() {
-    LoopModel loop = new LoopModel(true, 0.4, 0).storm(7000, 256).withoutInsistence();
-    loop.cold(8, 2 * SECOND);
-    loop.run(4 * SECOND);
-    long sinceNanos = loop.now;
-    loop.run(SECOND);
-    assertTrue(loop.served(sinceNanos, loop.now) < 0.95 * 0.7);
+    EventLoopModel loop =
+        new EventLoopModel(true, 0.4, 0).loadOverConnections(7000, 256).withoutReadSuspension();
+    loop.coldStart(8, 2 * NANOS_PER_SECOND);
+    loop.run(4 * NANOS_PER_SECOND);
+    long sinceNanos = loop.nowNanos;
+    loop.run(NANOS_PER_SECOND);
+    assertTrue(loop.servingTimeRatio(sinceNanos, loop.nowNanos) < 0.95 * 0.7);
   }
 
   @Test
   void admitsMinimumRatioOfEveryTier() {
-    LoopModel loop = new LoopModel(true, REJECTION_COST_RATIO, 1).load(60000, 0.3);
-    loop.run(10 * SECOND);
-    for (OverloadSnapshot.Tier tier : loop.control().snapshot().tiers()) {
+    EventLoopModel loop = new EventLoopModel(true, REJECTION_COST_RATIO, 1).load(60000, 0.3);
+    loop.run(10 * NANOS_PER_SECOND);
+    for (OverloadSnapshot.Tier tier : loop.overloadControl().snapshot().tiers()) {
       assertTrue(
           tier.admittedRatio() >= OverloadConfig.DEFAULT.minAdmittedRatio(), tier.toString());
       assertTrue(
--- a/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
+++ b/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
@@ -18,27 +18,27 @@
   DeadlineExtensionTest() {
     router.onMembershipUpdate(100, PolicyFixture.fleet(3));
     router.onRequest(100, PolicyFixture.request("a", "key", "safe", 0.3));
-    token = actions.of("scheduleTimer").get(0).number();
+    token = actions.named("scheduleTimer").get(0).number();
   }
 
   @Test
   void failsRequestAtExtendedDeadlineWhenNoServerAnswers() {
     router.extendDeadline("a", 101.5);
     router.onTimer(100.3, token);
-    assertEquals(List.of(), actions.of("fail"));
-    PolicyFixture.Act secondTimer = actions.of("scheduleTimer").get(1);
+    assertEquals(List.of(), actions.named("fail"));
+    PolicyFixture.RecordedAction secondTimer = actions.named("scheduleTimer").get(1);
     assertEquals(token, secondTimer.number());
-    assertEquals(1.2, secondTimer.value(), 1e-9);
+    assertEquals(1.2, secondTimer.seconds(), 1e-9);
     router.onTimer(101.5, token);
-    assertEquals(1, actions.of("fail").size());
+    assertEquals(1, actions.named("fail").size());
   }
 
   @Test
   void retriesBrokenAttemptWithinExtendedDeadline() {
     router.extendDeadline("a", 101.5);
-    long server = actions.of("send").get(0).number();
+    long server = actions.named("send").get(0).number();
     router.onOutcome(100.4, PolicyFixture.outcome("a", 0, server, Outcome.Result.RESET));
-    assertEquals(2, actions.of("send").size());
+    assertEquals(2, actions.named("send").size());
   }
 
   @Test
@@ -46,6 +46,6 @@
     router.extendDeadline("a", 100.1);
     router.extendDeadline("unknown", 200);
     router.onTimer(100.3, token);
-    assertEquals(1, actions.of("fail").size());
+    assertEquals(1, actions.named("fail").size());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/EventLoopStallDecisionTest.java
+++ b/core/src/test/java/shalepaddle/policy/EventLoopStallDecisionTest.java
@@ -34,7 +34,9 @@
         server.onAttemptEnded(102 + 2 * i, outcome(result, 1, stalledSeconds), 60, true);
       }
       assertEquals(
-          stalledSeconds == 0, server.isEjected(), "ejection when the event loop stalled for " + stalledSeconds + " s of a timeout of 1 s");
+          stalledSeconds == 0,
+          server.isEjected(),
+          "ejection when the event loop stalled for " + stalledSeconds + " s of a timeout of 1 s");
     }
   }
 
@@ -44,9 +46,11 @@
     int timeoutCount = 0;
     while (!server.isEjected() && timeoutCount < 100) {
       server.onSent();
-      server.onAttemptEnded(102 + timeoutCount++, outcome(Outcome.Result.TIMEOUT, 1, 0.9), 60, true);
+      server.onAttemptEnded(
+          102 + timeoutCount++, outcome(Outcome.Result.TIMEOUT, 1, 0.9), 60, true);
     }
-    assertTrue(timeoutCount >= 10 && timeoutCount <= 40, timeoutCount + " timeouts until the ejection");
+    assertTrue(
+        timeoutCount >= 10 && timeoutCount <= 40, timeoutCount + " timeouts until the ejection");
   }
 
   /**
@@ -63,7 +67,7 @@
       double now = 100 + requestNumber * 0.05;
       String id = "q" + requestNumber;
       router.onRequest(now, PolicyFixture.request(id, "key" + requestNumber % 7, "safe", 2));
-      PolicyFixture.Act lastSend = actions.acts.get(actions.acts.size() - 1);
+      PolicyFixture.RecordedAction lastSend = actions.recorded.get(actions.recorded.size() - 1);
       router.onOutcome(now, PolicyFixture.outcome(id, 0, lastSend.number(), Outcome.Result.OK));
     }
     for (int stall = 0; stall < 5; stall++) {
@@ -75,7 +79,7 @@
         router.onRequest(now, PolicyFixture.request("p" + requestNumber++, "key" + i, "unsafe", 9));
       }
     }
-    return actions.of("reject").size();
+    return actions.named("reject").size();
   }
 
   @Test
--- a/core/src/test/java/shalepaddle/policy/ExclusionTest.java
+++ b/core/src/test/java/shalepaddle/policy/ExclusionTest.java
@@ -21,14 +21,14 @@
 
   /** The server of the last attempt, which must be the last recorded action. */
   private long lastServer() {
-    return actions.acts.get(actions.acts.size() - 1).number();
+    return actions.recorded.get(actions.recorded.size() - 1).number();
   }
 
   /** Sends a request; returns whether the router sent an attempt at once. */
   private boolean onRequestSendsAttempt(double now, String id, String key) {
-    int sendsBefore = actions.of("send").size();
+    int sendsBefore = actions.named("send").size();
     router.onRequest(now, PolicyFixture.request(id, key, "safe", 1));
-    return actions.of("send").size() > sendsBefore;
+    return actions.named("send").size() > sendsBefore;
   }
 
   @Test
@@ -45,7 +45,7 @@
         ServerEntry.State state = List.of(ServerEntry.State.values()).get(random.nextInt(3));
         ServerEntry entry = PolicyFixture.server(3, state, random.nextBoolean() ? now - 1 : 0);
         router.onMembershipUpdate(
-            now, PolicyFixture.list(MembershipUpdate.Kind.DELTA, List.of(entry)));
+            now, PolicyFixture.membershipUpdate(MembershipUpdate.Kind.DELTA, List.of(entry)));
       }
       if (onRequestSendsAttempt(now, "r" + i, "k" + i % 200)) {
         long server = lastServer();
@@ -57,7 +57,7 @@
       }
     }
     assertTrue(
-        actions.of("send").stream().noneMatch(act -> act.number() == 3),
+        actions.named("send").stream().noneMatch(act -> act.number() == 3),
         "the excluded server gets no retries");
     assertTrue(attemptCount > 1000, attemptCount + " attempts at the other servers");
   }
@@ -68,7 +68,7 @@
     router.setExcluded(100, 1, true);
     router.setExcluded(100, 2, true);
     assertFalse(onRequestSendsAttempt(100.1, "r1", "k"));
-    assertEquals(1, actions.of("reject").size());
+    assertEquals(1, actions.named("reject").size());
     assertEquals(2, router.serverCount(false));
     assertEquals(2, router.serverCount(true));
     router.setExcluded(101, 1, false);
@@ -83,7 +83,7 @@
     // Server 2 restarted at 101 s, so that it is warm at 125 s, and its start is listed.
     router.onMembershipUpdate(
         105,
-        PolicyFixture.list(
+        PolicyFixture.membershipUpdate(
             MembershipUpdate.Kind.DELTA,
             List.of(PolicyFixture.server(2, ServerEntry.State.READY, 101))));
     router.setExcluded(125, 1, false);
@@ -101,7 +101,10 @@
     assertTrue(warmAttempts > 150, warmAttempts + " attempts at the warm server");
     assertTrue(
         slowStartAttempts < 0.25 * warmAttempts,
-        slowStartAttempts + " attempts at the server in slow start, " + warmAttempts + " at the warm server");
+        slowStartAttempts
+            + " attempts at the server in slow start, "
+            + warmAttempts
+            + " at the warm server");
   }
 
   @Test
@@ -122,13 +125,20 @@
     // Request "old" may have run and was accepted as not idempotent: it must fail and not be
     // rejected, since a rejection states that the request has not run.
     router.onOutcome(100.1, PolicyFixture.outcome("old", 0, 0, Outcome.Result.ERROR));
-    assertEquals(List.of("old"), actions.of("fail").stream().map(PolicyFixture.Act::id).toList());
-    long sendsBefore = actions.of("send").size();
+    assertEquals(
+        List.of("old"),
+        actions.named("fail").stream().map(PolicyFixture.RecordedAction::requestId).toList());
+    long sendsBefore = actions.named("send").size();
     router.onOutcome(100.1, PolicyFixture.outcome("many", 0, 0, Outcome.Result.RESET));
-    assertEquals(sendsBefore + 1, actions.of("send").size(), "request \"many\" was accepted with four attempts and is retried");
+    assertEquals(
+        sendsBefore + 1,
+        actions.named("send").size(),
+        "request \"many\" was accepted with four attempts and is retried");
     // Request "new", which arrives after the change, has one attempt, and its class is idempotent.
     router.onRequest(100.2, PolicyFixture.request("new", "k", "unsafe", 1));
     router.onOutcome(100.3, PolicyFixture.outcome("new", 0, 0, Outcome.Result.ERROR));
-    assertEquals(List.of("new"), actions.of("reject").stream().map(PolicyFixture.Act::id).toList());
+    assertEquals(
+        List.of("new"),
+        actions.named("reject").stream().map(PolicyFixture.RecordedAction::requestId).toList());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/FleetTest.java
+++ b/core/src/test/java/shalepaddle/policy/FleetTest.java
@@ -63,9 +63,9 @@
       int key = random.nextInt(3000);
       String id = "r" + nextRequestNumber++;
       PolicyFixture.Recorder recorder = actions.get(nodeNumber);
-      recorder.acts.clear();
+      recorder.recorded.clear();
       nodes.get(nodeNumber).onRequest(now, PolicyFixture.request(id, "k" + key, "safe", 1));
-      for (PolicyFixture.Act act : recorder.of("send")) {
+      for (PolicyFixture.RecordedAction act : recorder.named("send")) {
         attemptsByServer[(int) act.number()]++;
         serversByKey.computeIfAbsent(key, k -> new HashSet<>()).add(act.number());
         nodes
@@ -79,7 +79,8 @@
   private void restart(List<ServerEntry> startedServers) {
     nodes.forEach(
         node ->
-            node.onMembershipUpdate(110, PolicyFixture.list(MembershipUpdate.Kind.DELTA, startedServers)));
+            node.onMembershipUpdate(
+                110, PolicyFixture.membershipUpdate(MembershipUpdate.Kind.DELTA, startedServers)));
   }
 
   /**
@@ -109,11 +110,20 @@
       totalAttempts += attemptsByServer[id];
       assertTrue(
           attemptsByServer[id] <= 3 * capacityPerServer + 3,
-          "server " + id + " got " + attemptsByServer[id] + " attempts, capacity " + capacityPerServer);
+          "server "
+              + id
+              + " got "
+              + attemptsByServer[id]
+              + " attempts, capacity "
+              + capacityPerServer);
     }
     double totalCapacity = STARTED_SERVERS * capacityPerServer;
-    assertTrue(totalAttempts > 1.3 * totalCapacity, totalAttempts + " attempts at the started servers, capacity " + totalCapacity);
-    assertTrue(totalAttempts < 2.2 * totalCapacity, totalAttempts + " attempts at the started servers, capacity " + totalCapacity);
+    assertTrue(
+        totalAttempts > 1.3 * totalCapacity,
+        totalAttempts + " attempts at the started servers, capacity " + totalCapacity);
+    assertTrue(
+        totalAttempts < 2.2 * totalCapacity,
+        totalAttempts + " attempts at the started servers, capacity " + totalCapacity);
   }
 
   @Test
@@ -129,10 +139,11 @@
             keysAtServer.add(key);
           }
         });
-    assertTrue(keysAtServer.size() > 10, "number of keys served by the warming server: " + keysAtServer.size());
+    assertTrue(
+        keysAtServer.size() > 10,
+        "number of keys served by the warming server: " + keysAtServer.size());
     // Each key is at one other server at most, which serves it until server 5 is warm enough.
     assertEquals(
-        List.of(),
-        keysAtServer.stream().filter(key -> serversByKey.get(key).size() > 2).toList());
+        List.of(), keysAtServer.stream().filter(key -> serversByKey.get(key).size() > 2).toList());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
+++ b/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
@@ -31,13 +31,13 @@
 
   /** Sends a request; returns the server of its first attempt, 0 if it has none. */
   private long send(String id, String key) {
-    int actionsBefore = actions.acts.size();
+    int actionsBefore = actions.recorded.size();
     router.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
-    return actions.acts.stream()
+    return actions.recorded.stream()
         .skip(actionsBefore)
-        .filter(act -> act.what().equals("send"))
+        .filter(act -> act.name().equals("send"))
         .findFirst()
-        .map(PolicyFixture.Act::number)
+        .map(PolicyFixture.RecordedAction::number)
         .orElse(0L);
   }
 
@@ -46,12 +46,12 @@
     for (int i = 0; i < KEYS; i++) {
       observe("k" + i, 1 + i % 6, i % 7 == 0 ? Result.TIMEOUT : Result.OK);
     }
-    assertEquals(0, actions.of("reject").size() + actions.of("fail").size(), "answers");
-    assertEquals(0, actions.of("scheduleTimer").size(), "timers");
+    assertEquals(0, actions.named("reject").size() + actions.named("fail").size(), "answers");
+    assertEquals(0, actions.named("scheduleTimer").size(), "timers");
     // A late or repeated end of an observed attempt has no effect.
     router.onOutcome(now, PolicyFixture.outcome("~0", 0, 1, Result.ERROR));
     router.onTimer(now, 2);
-    assertEquals(0, actions.of("reject").size() + actions.of("fail").size(), "answers");
+    assertEquals(0, actions.named("reject").size() + actions.named("fail").size(), "answers");
   }
 
   @Test
@@ -81,17 +81,14 @@
    * @param isCached whether the servers have the key cached
    */
   private void sendAndObserve(
-      RequestRouter sender,
-      PolicyFixture.Recorder actionsOfSender,
-      String key,
-      boolean isCached) {
+      RequestRouter sender, PolicyFixture.Recorder actionsOfSender, String key, boolean isCached) {
     String id = "~" + attempts++;
-    int actionsBefore = actionsOfSender.acts.size();
-    PolicyFixture.Act lastSend = null;
+    int actionsBefore = actionsOfSender.recorded.size();
+    PolicyFixture.RecordedAction lastSend = null;
     sender.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
-    for (PolicyFixture.Act act :
-        actionsOfSender.acts.subList(actionsBefore, actionsOfSender.acts.size())) {
-      lastSend = act.what().equals("send") ? act : lastSend;
+    for (PolicyFixture.RecordedAction act :
+        actionsOfSender.recorded.subList(actionsBefore, actionsOfSender.recorded.size())) {
+      lastSend = act.name().equals("send") ? act : lastSend;
     }
     if (lastSend != null) {
       router.observeAttempt(now, PolicyFixture.request(id, key, "safe", 1), lastSend.number());
@@ -99,7 +96,14 @@
           isCached
               ? PolicyFixture.outcome(id, 0, lastSend.number(), Result.OK)
               : new Outcome(
-                  id, 0, lastSend.number(), Result.TIMEOUT, 1, true, Outcome.CacheStatus.NONE, null);
+                  id,
+                  0,
+                  lastSend.number(),
+                  Result.TIMEOUT,
+                  1,
+                  true,
+                  Outcome.CacheStatus.NONE,
+                  null);
       sender.onOutcome(now, outcome);
       router.onOutcome(now, outcome);
     }
@@ -132,7 +136,7 @@
   @Test
   void ignoresObservedAttemptAtServerThatIsNotListed() {
     observe("k", 77, Result.OK);
-    assertEquals(0, actions.acts.size());
+    assertEquals(0, actions.recorded.size());
     assertTrue(send("r", "k") > 0);
   }
 }
--- a/core/src/test/java/shalepaddle/policy/OriginFetchTest.java
+++ b/core/src/test/java/shalepaddle/policy/OriginFetchTest.java
@@ -30,12 +30,12 @@
    * @return the server that served the request, 0 if none did
    */
   private long serve(String id, String key, boolean isCached, LongPredicate lacksCapacity) {
-    int actionsBefore = actions.acts.size();
+    int actionsBefore = actions.recorded.size();
     router.onRequest(now += 0.004, PolicyFixture.request(id, key, "safe", 1));
     int attempt = 0;
-    for (int i = actionsBefore; i < actions.acts.size(); i++) {
-      PolicyFixture.Act action = actions.acts.get(i);
-      if (!action.what().equals("send")) {
+    for (int i = actionsBefore; i < actions.recorded.size(); i++) {
+      PolicyFixture.RecordedAction action = actions.recorded.get(i);
+      if (!action.name().equals("send")) {
         continue;
       }
       boolean isBusy = lacksCapacity.test(action.number()) && !isCached;
@@ -67,17 +67,22 @@
     busyReplies = 0;
     int servedByOwner = 0;
     for (int i = 0; i < 400; i++) {
-      assertTrue(serve("m" + i, "more" + i, false, server -> server <= 5) > 5, "a server with capacity for fetches serves the request");
+      assertTrue(
+          serve("m" + i, "more" + i, false, server -> server <= 5) > 5,
+          "a server with capacity for fetches serves the request");
       servedByOwner +=
           serve("g" + i, "cached" + i % owners.length, true, s -> s <= 5) == owners[i % 200]
               ? 1
               : 0;
     }
     assertTrue(
-        busyReplies < 60, busyReplies + " fetches of 400 requests rejected; 220 expected if all nine servers got fetches");
+        busyReplies < 60,
+        busyReplies
+            + " fetches of 400 requests rejected; 220 expected if all nine servers got fetches");
     assertTrue(
-        servedByOwner > 360, servedByOwner + " of 400 reads of cached keys served by the server that has them cached");
-    assertEquals(0, actions.of("reject").size());
+        servedByOwner > 360,
+        servedByOwner + " of 400 reads of cached keys served by the server that has them cached");
+    assertEquals(0, actions.named("reject").size());
   }
 
   @Test
@@ -86,8 +91,9 @@
       serve("n" + i, "new" + i, false, server -> true);
     }
     assertEquals(0, servedRequests);
-    assertTrue(busyReplies < 400 * 1.6, busyReplies + " busy replies to the attempts of 400 requests");
-    assertEquals(400, actions.of("reject").size(), "each request is rejected exactly once");
+    assertTrue(
+        busyReplies < 400 * 1.6, busyReplies + " busy replies to the attempts of 400 requests");
+    assertEquals(400, actions.named("reject").size(), "each request is rejected exactly once");
   }
 
   @Test
@@ -95,15 +101,16 @@
     for (int i = 0; i < 400; i++) {
       String id = "n" + i;
       router.onRequest(now += 0.01, PolicyFixture.request(id, "new" + i, "safe", 1));
-      List<PolicyFixture.Act> sends = actions.of("send");
-      PolicyFixture.Act lastSend = sends.get(sends.size() - 1);
+      List<PolicyFixture.RecordedAction> sends = actions.named("send");
+      PolicyFixture.RecordedAction lastSend = sends.get(sends.size() - 1);
       Result result = lastSend.number() == 1 ? Result.ERROR : Result.OK;
       router.onOutcome(now, PolicyFixture.outcome(id, 0, lastSend.number(), result));
     }
     for (int i = 0; i < 60; i++) {
       router.onRequest(now, PolicyFixture.request("o" + i, "other" + i, "safe", 1));
     }
-    assertEquals(60, actions.of("send").stream().filter(a -> a.id().startsWith("o")).count());
+    assertEquals(
+        60, actions.named("send").stream().filter(a -> a.requestId().startsWith("o")).count());
   }
 
   @Test
@@ -114,8 +121,8 @@
     for (int i = 0; i < 60; i++) {
       String id = "n" + i;
       singleAttempt.onRequest(now += 0.3, PolicyFixture.request(id, "new" + i, "safe", 1));
-      List<PolicyFixture.Act> sends = actions.of("send");
-      if (!sends.isEmpty() && sends.get(sends.size() - 1).id().equals(id)) {
+      List<PolicyFixture.RecordedAction> sends = actions.named("send");
+      if (!sends.isEmpty() && sends.get(sends.size() - 1).requestId().equals(id)) {
         long server = sends.get(sends.size() - 1).number();
         // An error after a cache miss is attributed to the origin.
         singleAttempt.onOutcome(
@@ -123,12 +130,13 @@
             new Outcome(id, 0, server, Result.ERROR, 0.05, false, Outcome.CacheStatus.MISS, null));
       }
     }
-    int rejectionsBefore = actions.of("reject").size() + actions.of("fail").size();
+    int rejectionsBefore = actions.named("reject").size() + actions.named("fail").size();
     now += 0.001;
     for (int i = 0; i < 100; i++) {
       singleAttempt.onRequest(now, PolicyFixture.request("q" + i, "queued" + i, "safe", 1));
     }
-    int rejections = actions.of("reject").size() + actions.of("fail").size() - rejectionsBefore;
+    int rejections =
+        actions.named("reject").size() + actions.named("fail").size() - rejectionsBefore;
     assertTrue(rejections >= 90, rejections + " of 100 requests rejected at once");
     assertFalse(rejections == 100, "some of the 100 requests are held");
   }
--- a/core/src/test/java/shalepaddle/policy/PolicyFixture.java
+++ b/core/src/test/java/shalepaddle/policy/PolicyFixture.java
@@ -13,55 +13,55 @@
   /**
    * A recorded action.
    *
-   * @param what the name of the called method
-   * @param id the request id, empty if the action has none
+   * @param name the name of the called method
+   * @param requestId the request id, empty if the action has none
    * @param number the server id, attempt number or timer token, by the kind of action
-   * @param value the time limit, Retry-After or delay in seconds, by the kind of action
+   * @param seconds the time limit, Retry-After or delay in seconds, by the kind of action
    */
-  record Act(String what, String id, long number, double value) {}
+  record RecordedAction(String name, String requestId, long number, double seconds) {}
 
   /** Records every action. */
   static class Recorder implements RoutingActions {
-    final List<Act> acts = new ArrayList<>();
+    final List<RecordedAction> recorded = new ArrayList<>();
 
     @Override
     public void send(String requestId, long server, double withinSeconds) {
-      acts.add(new Act("send", requestId, server, withinSeconds));
+      recorded.add(new RecordedAction("send", requestId, server, withinSeconds));
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
-      acts.add(new Act("cancel", requestId, attempt, 0));
+      recorded.add(new RecordedAction("cancel", requestId, attempt, 0));
     }
 
     @Override
     public void reject(String requestId, double retryAfterSeconds) {
-      acts.add(new Act("reject", requestId, 0, retryAfterSeconds));
+      recorded.add(new RecordedAction("reject", requestId, 0, retryAfterSeconds));
     }
 
     @Override
     public void fail(String requestId) {
-      acts.add(new Act("fail", requestId, 0, 0));
+      recorded.add(new RecordedAction("fail", requestId, 0, 0));
     }
 
     @Override
     public void scheduleTimer(long token, double delaySeconds) {
-      acts.add(new Act("scheduleTimer", "", token, delaySeconds));
+      recorded.add(new RecordedAction("scheduleTimer", "", token, delaySeconds));
     }
 
     @Override
     public void subscribe(boolean on) {
-      acts.add(new Act("subscribe", "", on ? 1 : 0, 0));
+      recorded.add(new RecordedAction("subscribe", "", on ? 1 : 0, 0));
     }
 
     @Override
     public void closeIdleConnections(long server) {
-      acts.add(new Act("closeIdle", "", server, 0));
+      recorded.add(new RecordedAction("closeIdle", "", server, 0));
     }
 
     /** Returns the recorded actions with this name. */
-    List<Act> of(String name) {
-      return acts.stream().filter(act -> act.what().equals(name)).toList();
+    List<RecordedAction> named(String name) {
+      return recorded.stream().filter(act -> act.name().equals(name)).toList();
     }
   }
 
@@ -140,7 +140,8 @@
         id, id % 2 == 0 ? "a" : "b", "box", (int) id % 3, state, 1, startedAtSeconds);
   }
 
-  public static MembershipUpdate list(MembershipUpdate.Kind kind, List<ServerEntry> entries) {
+  public static MembershipUpdate membershipUpdate(
+      MembershipUpdate.Kind kind, List<ServerEntry> entries) {
     return new MembershipUpdate(kind, 1, entries);
   }
 
@@ -149,7 +150,7 @@
     for (long id = 1; id <= size; id++) {
       entries.add(server(id));
     }
-    return list(MembershipUpdate.Kind.CACHED, entries);
+    return membershipUpdate(MembershipUpdate.Kind.CACHED, entries);
   }
 
   /** Returns a request; it is a read if its class is "safe", otherwise a write. */
--- a/core/src/test/java/shalepaddle/policy/RequestRouterFailureTest.java
+++ b/core/src/test/java/shalepaddle/policy/RequestRouterFailureTest.java
@@ -25,8 +25,8 @@
   /** Sends a request and answers it at once with a hit; returns the server that got it. */
   private long serve(double now, String id, String key) {
     router.onRequest(now, PolicyFixture.request(id, key, "safe", 1));
-    PolicyFixture.Act send = actions.acts.get(actions.acts.size() - 1);
-    assertEquals("send", send.what());
+    PolicyFixture.RecordedAction send = actions.recorded.get(actions.recorded.size() - 1);
+    assertEquals("send", send.name());
     router.onOutcome(now, PolicyFixture.outcome(id, 0, send.number(), Outcome.Result.OK));
     return send.number();
   }
@@ -43,7 +43,9 @@
       }
       serve(100 + i * 0.001, "o" + i, "other" + i);
     }
-    assertTrue(hotKeyServers.size() >= 8, "number of servers of the key that half of all requests are for: " + hotKeyServers.size());
+    assertTrue(
+        hotKeyServers.size() >= 8,
+        "number of servers of the key that half of all requests are for: " + hotKeyServers.size());
     assertEquals(1, rareKeyServers.size());
   }
 
@@ -54,17 +56,18 @@
       String id = "r" + i;
       router.onRequest(100 + i * 0.001, PolicyFixture.request(id, null, "safe", 1));
       for (int attempt = 0; attempt < 4; attempt++) {
-        List<PolicyFixture.Act> sends = actions.of("send");
-        PolicyFixture.Act lastSend = sends.get(sends.size() - 1);
-        if (lastSend.id().equals(id)) {
+        List<PolicyFixture.RecordedAction> sends = actions.named("send");
+        PolicyFixture.RecordedAction lastSend = sends.get(sends.size() - 1);
+        if (lastSend.requestId().equals(id)) {
           router.onOutcome(
               100 + i * 0.001,
               PolicyFixture.outcome(id, attempt, lastSend.number(), Outcome.Result.ERROR));
         }
       }
     }
-    assertTrue(actions.of("send").size() <= 211, "number of sends: " + actions.of("send").size());
-    assertEquals(200, actions.of("reject").size());
+    assertTrue(
+        actions.named("send").size() <= 211, "number of sends: " + actions.named("send").size());
+    assertEquals(200, actions.named("reject").size());
   }
 
   /** Lets the router observe an attempt at this server, for a new key. */
@@ -97,7 +100,8 @@
     for (double now = 100; now < 105; now += 0.05) {
       for (long server = 1; server <= 6; server++) {
         boolean isFailing = server <= 3 && now > 102;
-        observeAttempt(now, requestNumber++, server, isFailing ? Outcome.Result.ERROR : Outcome.Result.OK);
+        observeAttempt(
+            now, requestNumber++, server, isFailing ? Outcome.Result.ERROR : Outcome.Result.OK);
       }
     }
     assertTrue(router.serverCount(true) <= 2, router.serverCount(true) + " servers ejected");
@@ -108,22 +112,27 @@
     router.onMembershipUpdate(100, PolicyFixture.fleet(1));
     router.onRequest(100, PolicyFixture.request("a", "k", "unsafe", 1));
     router.onOutcome(100.1, PolicyFixture.outcome("a", 0, 1, Outcome.Result.OK));
-    assertEquals(0, actions.of("closeIdle").size());
+    assertEquals(0, actions.named("closeIdle").size());
     router.onMembershipUpdate(101, PolicyFixture.fleet(2));
     for (int i = 0; i < 40; i++) {
       router.onRequest(102, PolicyFixture.request("r" + i, "key" + i, "unsafe", 1));
     }
-    List<PolicyFixture.Act> sends = actions.of("send");
-    PolicyFixture.Act refusedSend =
+    List<PolicyFixture.RecordedAction> sends = actions.named("send");
+    PolicyFixture.RecordedAction refusedSend =
         sends.stream().filter(act -> act.number() == 2).findFirst().orElseThrow();
-    router.onOutcome(103, PolicyFixture.outcome(refusedSend.id(), 0, 2, Outcome.Result.CONNECT_FAILED));
-    assertEquals(0, actions.of("closeIdle").stream().filter(act -> act.number() == 1).count());
-    for (PolicyFixture.Act act : actions.of("send")) {
-      router.onOutcome(104, PolicyFixture.outcome(act.id(), 0, act.number(), Outcome.Result.OK));
+    router.onOutcome(
+        103, PolicyFixture.outcome(refusedSend.requestId(), 0, 2, Outcome.Result.CONNECT_FAILED));
+    assertEquals(0, actions.named("closeIdle").stream().filter(act -> act.number() == 1).count());
+    for (PolicyFixture.RecordedAction act : actions.named("send")) {
+      router.onOutcome(
+          104, PolicyFixture.outcome(act.requestId(), 0, act.number(), Outcome.Result.OK));
     }
-    List<PolicyFixture.Act> closings =
-        actions.of("closeIdle").stream().filter(act -> act.number() == 1).toList();
-    assertEquals(1, closings.size(), "idle connections are closed once, after the last attempt at the server has ended");
+    List<PolicyFixture.RecordedAction> closings =
+        actions.named("closeIdle").stream().filter(act -> act.number() == 1).toList();
+    assertEquals(
+        1,
+        closings.size(),
+        "idle connections are closed once, after the last attempt at the server has ended");
   }
 
   @Test
@@ -131,10 +140,10 @@
     router.onMembershipUpdate(100, PolicyFixture.fleet(1));
     router.onRequest(100, PolicyFixture.request("a", "k", "safe", 1));
     router.onRequest(100, PolicyFixture.request("b", "k", "safe", 1));
-    assertEquals(1, actions.of("send").size());
+    assertEquals(1, actions.named("send").size());
     router.onOutcome(100.1, PolicyFixture.outcome("a", 0, 1, Outcome.Result.OK));
-    assertEquals(2, actions.of("send").size());
-    assertEquals("b", actions.of("send").get(1).id());
+    assertEquals(2, actions.named("send").size());
+    assertEquals("b", actions.named("send").get(1).requestId());
   }
 
   @Test
@@ -144,38 +153,46 @@
     router.onOutcome(100.1, PolicyFixture.outcome("warm", 0, 1, Outcome.Result.OK));
     router.onMembershipUpdate(101, PolicyFixture.fleet(2));
     router.onRequest(102, PolicyFixture.request("a", "k", "safe", 1));
-    List<PolicyFixture.Act> sends = actions.of("send");
+    List<PolicyFixture.RecordedAction> sends = actions.named("send");
     long owner = sends.get(sends.size() - 1).number();
     router.onOutcome(102.1, PolicyFixture.outcome("a", 0, owner, Outcome.Result.ERROR));
     router.onOutcome(102.2, PolicyFixture.outcome("a", 1, 3 - owner, Outcome.Result.OK));
-    actions.acts.clear();
+    actions.recorded.clear();
     router.onRequest(103, PolicyFixture.request("b", "k", "safe", 1));
-    assertEquals(1, actions.of("send").size(), "the request is not held for a fetch that has ended");
+    assertEquals(
+        1, actions.named("send").size(), "the request is not held for a fetch that has ended");
   }
 
   @Test
   void entersPanicModeWhenMoreThanHalfOfServersWouldBeEjected() {
     for (int failingServers = 1; failingServers <= 4; failingServers++) {
       PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
-      RequestRouter singleAttemptRouter = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, recorder);
+      RequestRouter singleAttemptRouter =
+          new RequestRouter(PolicyFixture.settings(false, 1, true), 1, recorder);
       singleAttemptRouter.onMembershipUpdate(100, PolicyFixture.fleet(4));
       for (int i = 0; i < 100; i++) {
-        singleAttemptRouter.onRequest(100 + i * 0.001, PolicyFixture.request("r" + i, "k" + i, "unsafe", 1));
+        singleAttemptRouter.onRequest(
+            100 + i * 0.001, PolicyFixture.request("r" + i, "k" + i, "unsafe", 1));
       }
       double now = 100.2;
-      for (PolicyFixture.Act act : List.copyOf(recorder.of("send"))) {
+      for (PolicyFixture.RecordedAction act : List.copyOf(recorder.named("send"))) {
         Outcome.Result result =
             act.number() <= failingServers ? Outcome.Result.CONNECT_FAILED : Outcome.Result.OK;
         now += 0.06;
-        singleAttemptRouter.onOutcome(now, PolicyFixture.outcome(act.id(), 0, act.number(), result));
+        singleAttemptRouter.onOutcome(
+            now, PolicyFixture.outcome(act.requestId(), 0, act.number(), result));
       }
-      recorder.acts.clear();
+      recorder.recorded.clear();
       for (int i = 0; i < 40; i++) {
-        singleAttemptRouter.onRequest(now + 0.1, PolicyFixture.request("s" + i, "k" + i, "unsafe", 1));
+        singleAttemptRouter.onRequest(
+            now + 0.1, PolicyFixture.request("s" + i, "k" + i, "unsafe", 1));
       }
       TreeSet<Long> usedServers = new TreeSet<>();
-      recorder.of("send").forEach(act -> usedServers.add(act.number()));
-      assertEquals(failingServers <= 2 ? 4 - failingServers : 4, usedServers.size(), failingServers + " servers failing, requests sent to " + usedServers);
+      recorder.named("send").forEach(act -> usedServers.add(act.number()));
+      assertEquals(
+          failingServers <= 2 ? 4 - failingServers : 4,
+          usedServers.size(),
+          failingServers + " servers failing, requests sent to " + usedServers);
     }
   }
 
@@ -187,13 +204,13 @@
       router.onRequest(now, PolicyFixture.request("a" + i, "k", "unsafe", 1));
       router.onOutcome(now + 0.05, PolicyFixture.outcome("a" + i, 0, 1, Outcome.Result.OK));
     }
-    assertEquals(0, actions.of("reject").size());
+    assertEquals(0, actions.named("reject").size());
     // At ten answers per second and an objective of 0.5 s, only a few of 100 simultaneous requests
     // can be answered in time.
     for (int i = 0; i < 100; i++) {
       router.onRequest(103.1, PolicyFixture.request("b" + i, "k", "unsafe", 1));
     }
-    int rejected = actions.of("reject").size();
+    int rejected = actions.named("reject").size();
     assertTrue(rejected > 85 && rejected < 100, rejected + " of 100 requests rejected");
   }
 
@@ -229,11 +246,13 @@
       for (int key = 0; key < 30; key++) {
         String id = "k" + key;
         localRouter.onRequest(100 + key, PolicyFixture.request(id, "key" + key, "safe", 1));
-        PolicyFixture.Act send = recorder.of("send").get(key);
+        PolicyFixture.RecordedAction send = recorder.named("send").get(key);
         localRouter.onOutcome(
-            100.1 + key, PolicyFixture.outcome(send.id(), 0, send.number(), Outcome.Result.OK));
+            100.1 + key,
+            PolicyFixture.outcome(send.requestId(), 0, send.number(), Outcome.Result.OK));
       }
-      crossZoneSends[i] = recorder.of("send").stream().filter(act -> act.number() % 2 == 1).count();
+      crossZoneSends[i] =
+          recorder.named("send").stream().filter(act -> act.number() % 2 == 1).count();
     }
     assertTrue(
         crossZoneSends[0] <= 2 && crossZoneSends[1] >= 8,
@@ -243,9 +262,12 @@
 
   /** The outcome of a fetch, with the server's utilization in its load report. */
   private static Outcome fetchOutcome(
-      PolicyFixture.Act send, Outcome.Result result, double elapsedSeconds, double utilization) {
+      PolicyFixture.RecordedAction send,
+      Outcome.Result result,
+      double elapsedSeconds,
+      double utilization) {
     return new Outcome(
-        send.id(),
+        send.requestId(),
         0,
         send.number(),
         result,
@@ -262,17 +284,19 @@
       RequestRouter otherRouter = new RequestRouter(SETTINGS, 1, recorder);
       otherRouter.onMembershipUpdate(100, PolicyFixture.fleet(1));
       for (int i = 0; i < 40; i++) {
-        otherRouter.onRequest(100 + i * 0.7, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
-        PolicyFixture.Act send = recorder.of("send").get(i);
+        otherRouter.onRequest(
+            100 + i * 0.7, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
+        PolicyFixture.RecordedAction send = recorder.named("send").get(i);
         otherRouter.onOutcome(
-            100 + i * 0.7 + elapsedSeconds, fetchOutcome(send, Outcome.Result.OK, elapsedSeconds, 0.1));
+            100 + i * 0.7 + elapsedSeconds,
+            fetchOutcome(send, Outcome.Result.OK, elapsedSeconds, 0.1));
       }
       for (int i = 0; i < 3; i++) {
         otherRouter.onRequest(128, PolicyFixture.request("b" + i, "burst" + i, "safe", 1));
       }
       assertEquals(
           elapsedSeconds > 0.5 ? 1 : 3,
-          recorder.of("send").size() - 40,
+          recorder.named("send").size() - 40,
           "fetches that start together after fetches of " + elapsedSeconds + " s");
     }
   }
@@ -285,14 +309,16 @@
       int sendCount;
       int attempt = 0;
       do {
-        sendCount = actions.of("send").size();
-        PolicyFixture.Act lastSend = actions.of("send").get(sendCount - 1);
+        sendCount = actions.named("send").size();
+        PolicyFixture.RecordedAction lastSend = actions.named("send").get(sendCount - 1);
         router.onOutcome(
             100 + i * 0.3,
-            PolicyFixture.outcome(lastSend.id(), attempt++, lastSend.number(), Outcome.Result.ERROR));
-      } while (actions.of("send").size() > sendCount);
+            PolicyFixture.outcome(
+                lastSend.requestId(), attempt++, lastSend.number(), Outcome.Result.ERROR));
+      } while (actions.named("send").size() > sendCount);
     }
-    assertTrue(actions.of("send").size() <= 43, "number of sends: " + actions.of("send").size());
+    assertTrue(
+        actions.named("send").size() <= 43, "number of sends: " + actions.named("send").size());
   }
 
   @Test
@@ -302,7 +328,7 @@
     for (int i = 0; i < 900; i++) {
       double now = 100 + i * 0.02;
       router.onRequest(now, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
-      PolicyFixture.Act send = actions.of("send").get(i);
+      PolicyFixture.RecordedAction send = actions.named("send").get(i);
       router.onOutcome(
           now, fetchOutcome(send, Outcome.Result.OK, 0.01, send.number() == 1 ? 1 : 0.2));
       if (i > 450) {
@@ -310,7 +336,8 @@
       }
     }
     assertTrue(
-        laterSends.get(1L) * 3 < laterSends.get(2L) + laterSends.get(3L), "sends by server: " + laterSends);
+        laterSends.get(1L) * 3 < laterSends.get(2L) + laterSends.get(3L),
+        "sends by server: " + laterSends);
   }
 
   @Test
@@ -321,17 +348,19 @@
       localRouter.onRequest(100, PolicyFixture.request("w" + i, "k" + i, "unsafe", 1));
     }
     Map<Boolean, Integer> sendsByInZone = new TreeMap<>();
-    for (PolicyFixture.Act act : actions.of("send")) {
+    for (PolicyFixture.RecordedAction act : actions.named("send")) {
       sendsByInZone.merge(act.number() % 2 == 0, 1, Integer::sum);
     }
-    assertTrue(sendsByInZone.get(true) >= 9, "sends by whether they stay in the own zone: " + sendsByInZone);
+    assertTrue(
+        sendsByInZone.get(true) >= 9,
+        "sends by whether they stay in the own zone: " + sendsByInZone);
   }
 
   @Test
   void selectsServerWhenListAndLoadReportsHaveInvalidValues() {
     router.onMembershipUpdate(
         100,
-        PolicyFixture.list(
+        PolicyFixture.membershipUpdate(
             MembershipUpdate.Kind.FULL,
             List.of(
                 new ServerEntry(1, "", "", -1, ServerEntry.State.READY, -5, -1),
@@ -340,8 +369,8 @@
       Request request =
           new Request("n" + i, i % 2 == 0 ? null : "k", "nobody", null, 1, -1, -1, true, false);
       router.onRequest(100 + i, request);
-      PolicyFixture.Act lastSend = actions.acts.get(actions.acts.size() - 1);
-      assertEquals("send", lastSend.what());
+      PolicyFixture.RecordedAction lastSend = actions.recorded.get(actions.recorded.size() - 1);
+      assertEquals("send", lastSend.name());
       double invalidValue = i % 3 == 0 ? Double.NaN : i % 3 == 1 ? -7 : 1e18;
       router.onOutcome(
           100 + i,
@@ -354,21 +383,29 @@
               true,
               Outcome.CacheStatus.HIT,
               new LoadReport(
-                  invalidValue, invalidValue, invalidValue, invalidValue, invalidValue, invalidValue, invalidValue, invalidValue)));
+                  invalidValue,
+                  invalidValue,
+                  invalidValue,
+                  invalidValue,
+                  invalidValue,
+                  invalidValue,
+                  invalidValue,
+                  invalidValue)));
     }
   }
 
   @Test
   void offersFewerKeysToServerThatHangs() {
-    RequestRouter singleAttemptRouter = new RequestRouter(PolicyFixture.settings(false, 1, true), 1, actions);
+    RequestRouter singleAttemptRouter =
+        new RequestRouter(PolicyFixture.settings(false, 1, true), 1, actions);
     singleAttemptRouter.onMembershipUpdate(100, PolicyFixture.fleet(2));
     TreeMap<Long, Integer> laterSends = new TreeMap<>();
     for (int i = 0; i < 600; i++) {
       double now = 100 + i * 0.02;
       String id = "q" + i;
       singleAttemptRouter.onRequest(now, PolicyFixture.request(id, "fresh" + i, "safe", 1));
-      PolicyFixture.Act lastSend = actions.acts.get(actions.acts.size() - 1);
-      if (lastSend.what().equals("send")) {
+      PolicyFixture.RecordedAction lastSend = actions.recorded.get(actions.recorded.size() - 1);
+      if (lastSend.name().equals("send")) {
         // Server 1 hangs on one in eight requests, too few to attribute them to the origin.
         boolean isHanging = lastSend.number() == 1 && i % 8 == 0;
         singleAttemptRouter.onOutcome(
@@ -388,9 +425,9 @@
     router.onMembershipUpdate(100, PolicyFixture.fleet(3));
     router.onRequest(100, PolicyFixture.request("gone", "k", "safe", 1));
     router.onClientDisconnected(100.1, "gone");
-    assertEquals(1, actions.of("cancel").size());
-    long token = actions.of("scheduleTimer").get(0).number();
+    assertEquals(1, actions.named("cancel").size());
+    long token = actions.named("scheduleTimer").get(0).number();
     router.onTimer(101, token);
-    assertTrue(actions.of("fail").isEmpty() && actions.of("reject").isEmpty());
+    assertTrue(actions.named("fail").isEmpty() && actions.named("reject").isEmpty());
   }
 }
--- a/core/src/test/java/shalepaddle/policy/RingProbingTest.java
+++ b/core/src/test/java/shalepaddle/policy/RingProbingTest.java
@@ -15,7 +15,7 @@
 /** Tests the selection: the key's owner, ring jumps past servers at their cap, and the fallback. */
 class RingProbingTest {
   private static List<Long> serversSentTo(PolicyFixture.Recorder actions) {
-    return actions.of("send").stream().map(PolicyFixture.Act::number).toList();
+    return actions.named("send").stream().map(PolicyFixture.RecordedAction::number).toList();
   }
 
   private static RequestRouter router(PolicyFixture.Recorder actions, long seed) {
@@ -60,7 +60,9 @@
     }
     assertEquals(500, serversSentTo(actions).size());
     long sendsToFirst = serversSentTo(actions).stream().filter(id -> id == 1).count();
-    assertTrue(sendsToFirst > 150 && sendsToFirst < 350, "sends to the first of two servers, of 500: " + sendsToFirst);
+    assertTrue(
+        sendsToFirst > 150 && sendsToFirst < 350,
+        "sends to the first of two servers, of 500: " + sendsToFirst);
   }
 
   @Test
@@ -73,12 +75,14 @@
     incrementalRouter.onMembershipUpdate(100, PolicyFixture.fleet(4));
     for (long id = 12; id >= 5; id--) {
       incrementalRouter.onMembershipUpdate(
-          100, PolicyFixture.list(MembershipUpdate.Kind.DELTA, List.of(PolicyFixture.server(id))));
+          100,
+          PolicyFixture.membershipUpdate(
+              MembershipUpdate.Kind.DELTA, List.of(PolicyFixture.server(id))));
     }
     for (long id = 10; id <= 12; id++) {
       incrementalRouter.onMembershipUpdate(
           100,
-          PolicyFixture.list(
+          PolicyFixture.membershipUpdate(
               MembershipUpdate.Kind.DELTA,
               List.of(PolicyFixture.server(id, ServerEntry.State.REMOVED, 0))));
     }
--- a/core/src/test/java/shalepaddle/policy/RuleChecker.java
+++ b/core/src/test/java/shalepaddle/policy/RuleChecker.java
@@ -26,73 +26,74 @@
   /** The state of an attempt, independent of the router's own state. */
   static final class Attempt {
     final long server;
-    final double sentAt;
-    boolean out = true;
+    final double sentAtSeconds;
+    boolean isInFlight = true;
     boolean mayHaveRun = true;
 
     Attempt(long server, double sentAt) {
       this.server = server;
-      this.sentAt = sentAt;
+      this.sentAtSeconds = sentAt;
     }
   }
 
   /** The state of a request, independent of the router's own state. */
-  static final class Tracked {
+  static final class TrackedRequest {
     final Request request;
     final Settings.ServiceClass serviceClass;
-    final double deadline;
+    final double deadlineSeconds;
     final List<Attempt> attempts = new ArrayList<>();
-    boolean over;
+    boolean isCompleted;
 
-    Tracked(Request request, Settings.ServiceClass serviceClass, double deadline) {
+    TrackedRequest(Request request, Settings.ServiceClass serviceClass, double deadline) {
       this.request = request;
       this.serviceClass = serviceClass;
-      this.deadline = deadline;
+      this.deadlineSeconds = deadline;
     }
   }
 
   final Settings settings;
-  final Map<String, Tracked> requests = new LinkedHashMap<>();
+  final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
   final Map<Long, ServerEntry> servers = new HashMap<>();
   final List<String> violations = new ArrayList<>();
   final Map<Long, List<Double>> sendsInSlowStart = new HashMap<>();
   double now;
 
   /** Attempts per second that a warm server can serve. */
-  double warmRate = Double.POSITIVE_INFINITY;
+  double warmSendsPerSecond = Double.POSITIVE_INFINITY;
 
   RuleChecker(Settings settings) {
     this.settings = settings;
   }
 
-  void arrives(Request request) {
+  void onRequestArrived(Request request) {
     Settings.ServiceClass serviceClass =
         settings.services().stream()
             .filter(s -> s.name().equals(request.serviceClass()))
             .findFirst()
             .orElseThrow();
-    requests.put(request.id(), new Tracked(request, serviceClass, now + request.budgetSeconds()));
+    requests.put(
+        request.id(), new TrackedRequest(request, serviceClass, now + request.budgetSeconds()));
   }
 
-  void ends(String id, int attempt, Outcome.Result result) {
+  void onAttemptEnded(String id, int attempt, Outcome.Result result) {
     Attempt a = requests.get(id).attempts.get(attempt);
-    a.out = false;
+    a.isInFlight = false;
     a.mayHaveRun = !result.provesNotRun();
     if (result == Outcome.Result.OK) {
-      requests.get(id).over = true;
+      requests.get(id).isCompleted = true;
     }
   }
 
-  void disconnects(String id) {
-    requests.get(id).over = true;
+  void onClientDisconnected(String id) {
+    requests.get(id).isCompleted = true;
   }
 
   /** Records a violation for each request without an answer by its deadline. */
   void checkDeadlines() {
-    for (Tracked t : requests.values()) {
-      if (!t.over && now > t.deadline + settings.contract().responseGraceSeconds()) {
+    for (TrackedRequest t : requests.values()) {
+      if (!t.isCompleted && now > t.deadlineSeconds + settings.contract().responseGraceSeconds()) {
         violations.add("one answer: no answer for " + t.request.id());
-        t.over = true;
+        t.isCompleted = true;
       }
     }
   }
@@ -100,9 +101,9 @@
   @Override
   public void send(String requestId, long server, double withinSeconds) {
     super.send(requestId, server, withinSeconds);
-    Tracked t = requests.get(requestId);
+    TrackedRequest t = requests.get(requestId);
     ServerEntry target = servers.get(server);
-    if (t.over) {
+    if (t.isCompleted) {
       violations.add("one answer: sent after its final answer: " + requestId);
     }
     if (target == null || target.state() != ServerEntry.State.READY) {
@@ -113,10 +114,10 @@
     }
     Attempt firstAttempt = null;
     for (Attempt a : t.attempts) {
-      if (a.out && !settings.limits().allowsParallelAttempts()) {
+      if (a.isInFlight && !settings.limits().allowsParallelAttempts()) {
         violations.add("no double effect: two attempts in flight at the same time");
       }
-      if (firstAttempt == null && (a.out || a.mayHaveRun)) {
+      if (firstAttempt == null && (a.isInFlight || a.mayHaveRun)) {
         firstAttempt = a;
       }
     }
@@ -131,26 +132,33 @@
               case ZONE -> firstServer != null && firstServer.zone().equals(target.zone());
               case CELL -> firstServer != null && firstServer.cell() == target.cell();
             };
-        if (!isSameScope || now > firstAttempt.sentAt + t.serviceClass.idempotencyWindowSeconds()) {
-          violations.add("no double effect: keyed request sent outside its deduplication scope or window");
+        if (!isSameScope
+            || now > firstAttempt.sentAtSeconds + t.serviceClass.idempotencyWindowSeconds()) {
+          violations.add(
+              "no double effect: keyed request sent outside its deduplication scope or window");
         }
-        if (now + withinSeconds > firstAttempt.sentAt + t.serviceClass.idempotencyWindowSeconds()) {
-          violations.add("no double effect: keyed request may be written after its deduplication window");
+        if (now + withinSeconds
+            > firstAttempt.sentAtSeconds + t.serviceClass.idempotencyWindowSeconds()) {
+          violations.add(
+              "no double effect: keyed request may be written after its deduplication window");
         }
       }
     }
     t.attempts.add(new Attempt(server, now));
     double slowStartSeconds = settings.contract().slowStartSeconds();
-    if (target != null && target.startedAtSeconds() > 0 && now - target.startedAtSeconds() < slowStartSeconds) {
+    if (target != null
+        && target.startedAtSeconds() > 0
+        && now - target.startedAtSeconds() < slowStartSeconds) {
       List<Double> sends = sendsInSlowStart.computeIfAbsent(server, s -> new ArrayList<>());
       sends.add(now);
       double windowSeconds = settings.contract().overloadSeconds();
       double minCapacityRatio = settings.contract().slowStartMinRatio();
       double capacityRatio =
-          minCapacityRatio + (1 - minCapacityRatio) * (now - target.startedAtSeconds()) / slowStartSeconds;
+          minCapacityRatio
+              + (1 - minCapacityRatio) * (now - target.startedAtSeconds()) / slowStartSeconds;
       long recentSends = sends.stream().filter(at -> at > now - windowSeconds).count();
       double permittedSends =
-          settings.contract().overloadRatio() * capacityRatio * warmRate * windowSeconds;
+          settings.contract().overloadRatio() * capacityRatio * warmSendsPerSecond * windowSeconds;
       if (recentSends > permittedSends + 2) {
         violations.add("slow start: server overloaded in slow start");
       }
@@ -160,14 +168,15 @@
   @Override
   public void reject(String requestId, double retryAfterSeconds) {
     super.reject(requestId, retryAfterSeconds);
-    Tracked t = recordAnswer(requestId);
-    Attempt firstAttempt = t.attempts.stream().filter(a -> a.out || a.mayHaveRun).findFirst().orElse(null);
+    TrackedRequest t = recordAnswer(requestId);
+    Attempt firstAttempt =
+        t.attempts.stream().filter(a -> a.isInFlight || a.mayHaveRun).findFirst().orElse(null);
     boolean isRetrySafe =
         firstAttempt == null
             || t.serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT
             || (t.serviceClass.idempotency() == Settings.Idempotency.IDEMPOTENT_WITH_KEY
                 && t.serviceClass.deduplicationScope() == Settings.DeduplicationScope.ALL
-                && now < firstAttempt.sentAt + t.serviceClass.idempotencyWindowSeconds());
+                && now < firstAttempt.sentAtSeconds + t.serviceClass.idempotencyWindowSeconds());
     if (!isRetrySafe) {
       violations.add("no double effect: rejected a request that may have run");
     }
@@ -180,12 +189,12 @@
   }
 
   /** Marks a request as answered; records a violation if it was answered before. */
-  private Tracked recordAnswer(String requestId) {
-    Tracked t = requests.get(requestId);
-    if (t.over) {
+  private TrackedRequest recordAnswer(String requestId) {
+    TrackedRequest t = requests.get(requestId);
+    if (t.isCompleted) {
       violations.add("one answer: answered twice: " + requestId);
     }
-    t.over = true;
+    t.isCompleted = true;
     return t;
   }
 }
--- a/core/src/test/java/shalepaddle/policy/RulesTest.java
+++ b/core/src/test/java/shalepaddle/policy/RulesTest.java
@@ -32,7 +32,7 @@
     for (ServerEntry line : entries) {
       checker.servers.put(line.id(), line);
     }
-    router.onMembershipUpdate(checker.now, PolicyFixture.list(kind, entries));
+    router.onMembershipUpdate(checker.now, PolicyFixture.membershipUpdate(kind, entries));
   }
 
   /** Plays random events on a new router; returns its actions as a text. */
@@ -64,7 +64,7 @@
         String key = random.nextInt(9) == 0 ? null : "k" + random.nextInt(40);
         var request =
             PolicyFixture.request("r" + step, key, serviceClass, 0.05 + random.nextDouble());
-        checker.arrives(request);
+        checker.onRequestArrived(request);
         router.onRequest(checker.now, request);
       } else if (event == 4 && random.nextInt(8) == 0) {
         long id = 1L + random.nextInt(12);
@@ -77,35 +77,35 @@
             List.of(PolicyFixture.server(id, state, startedAtSeconds)));
       } else if (event == 5 && random.nextInt(20) == 0) {
         router.onMembershipUpdate(
-            checker.now, PolicyFixture.list(MembershipUpdate.Kind.FAILED, List.of()));
+            checker.now, PolicyFixture.membershipUpdate(MembershipUpdate.Kind.FAILED, List.of()));
       } else {
         endAttempts(checker, router, random);
       }
-      for (; seenActions < checker.acts.size(); seenActions++) {
-        PolicyFixture.Act act = checker.acts.get(seenActions);
-        if (act.what().equals("scheduleTimer")) {
+      for (; seenActions < checker.recorded.size(); seenActions++) {
+        PolicyFixture.RecordedAction act = checker.recorded.get(seenActions);
+        if (act.name().equals("scheduleTimer")) {
           timers
-              .computeIfAbsent(checker.now + Math.max(1e-6, act.value()), t -> new ArrayList<>())
+              .computeIfAbsent(checker.now + Math.max(1e-6, act.seconds()), t -> new ArrayList<>())
               .add(act.number());
         }
       }
       checker.checkDeadlines();
     }
     violations.addAll(checker.violations);
-    return checker.acts.toString();
+    return checker.recorded.toString();
   }
 
   /** Ends random attempts, and those past their deadline; disconnects random clients. */
   private static void endAttempts(RuleChecker checker, RequestRouter router, Random random) {
-    for (RuleChecker.Tracked t : new ArrayList<>(checker.requests.values())) {
+    for (RuleChecker.TrackedRequest t : new ArrayList<>(checker.requests.values())) {
       for (int i = 0; i < t.attempts.size(); i++) {
         RuleChecker.Attempt a = t.attempts.get(i);
-        boolean isDue = checker.now >= t.deadline;
-        if (a.out && (isDue || random.nextInt(6) == 0)) {
+        boolean isDue = checker.now >= t.deadlineSeconds;
+        if (a.isInFlight && (isDue || random.nextInt(6) == 0)) {
           var results = Outcome.Result.values();
           var result = isDue ? Outcome.Result.TIMEOUT : results[random.nextInt(results.length - 1)];
-          boolean isCompleted = t.over;
-          checker.ends(t.request.id(), i, result);
+          boolean isCompleted = t.isCompleted;
+          checker.onAttemptEnded(t.request.id(), i, result);
           router.onOutcome(
               checker.now,
               new Outcome(
@@ -113,18 +113,21 @@
                   i,
                   a.server,
                   result,
-                  checker.now - a.sentAt,
+                  checker.now - a.sentAtSeconds,
                   isCompleted || result == Outcome.Result.OK,
                   random.nextBoolean() ? Outcome.CacheStatus.HIT : Outcome.CacheStatus.MISS,
                   null));
         }
       }
-      if (!t.over && random.nextInt(300) == 0) {
-        checker.disconnects(t.request.id());
+      if (!t.isCompleted && random.nextInt(300) == 0) {
+        checker.onClientDisconnected(t.request.id());
         router.onClientDisconnected(checker.now, t.request.id());
       }
     }
-    checker.requests.values().removeIf(t -> t.over && t.attempts.stream().noneMatch(a -> a.out));
+    checker
+        .requests
+        .values()
+        .removeIf(t -> t.isCompleted && t.attempts.stream().noneMatch(a -> a.isInFlight));
   }
 
   @ParameterizedTest
@@ -152,7 +155,7 @@
     }
     updateMembership(checker, router, MembershipUpdate.Kind.CACHED, fleetEntries);
     Random random = new Random(4);
-    checker.warmRate = 200.0 / 8;
+    checker.warmSendsPerSecond = 200.0 / 8;
     int warmingSends = 0;
     for (int i = 0; i < 6000; i++) {
       checker.now += 0.005;
@@ -164,20 +167,20 @@
             List.of(PolicyFixture.server(3, ServerEntry.State.READY, checker.now)));
       }
       var request = PolicyFixture.request("r" + i, "k" + random.nextInt(500), "safe", 1);
-      checker.arrives(request);
+      checker.onRequestArrived(request);
       router.onRequest(checker.now, request);
-      for (RuleChecker.Tracked t : new ArrayList<>(checker.requests.values())) {
+      for (RuleChecker.TrackedRequest t : new ArrayList<>(checker.requests.values())) {
         for (int a = 0; a < t.attempts.size(); a++) {
-          if (t.attempts.get(a).out) {
+          if (t.attempts.get(a).isInFlight) {
             long server = t.attempts.get(a).server;
             warmingSends += i > 2000 && i < 4000 && server == 3 ? 1 : 0;
-            checker.ends(t.request.id(), a, Outcome.Result.OK);
+            checker.onAttemptEnded(t.request.id(), a, Outcome.Result.OK);
             router.onOutcome(
                 checker.now, PolicyFixture.outcome(t.request.id(), a, server, Outcome.Result.OK));
           }
         }
       }
-      checker.requests.values().removeIf(t -> t.over);
+      checker.requests.values().removeIf(t -> t.isCompleted);
     }
     assertEquals(List.of(), checker.violations);
     assertTrue(warmingSends > 20, "attempts at the warming server: " + warmingSends);
@@ -196,37 +199,39 @@
   @Test
   void checkerDetectsMissingAndSecondAnswer() {
     RuleChecker checker = checkerWithServers();
-    checker.arrives(PolicyFixture.request("x", "k", "safe", 1));
+    checker.onRequestArrived(PolicyFixture.request("x", "k", "safe", 1));
     checker.now += 2;
     checker.checkDeadlines();
     checker.fail("x");
     assertEquals(2, checker.violations.size());
-    assertTrue(checker.violations.stream().allMatch(violation -> violation.startsWith("one answer")));
+    assertTrue(
+        checker.violations.stream().allMatch(violation -> violation.startsWith("one answer")));
   }
 
   @Test
   void checkerDetectsRepeatedSendOfUnsafeRequest() {
     RuleChecker checker = checkerWithServers();
-    checker.arrives(PolicyFixture.request("x", "k", "unsafe", 1));
+    checker.onRequestArrived(PolicyFixture.request("x", "k", "unsafe", 1));
     checker.send("x", 1, 0);
-    checker.ends("x", 0, Outcome.Result.TIMEOUT);
+    checker.onAttemptEnded("x", 0, Outcome.Result.TIMEOUT);
     checker.send("x", 1, 0);
     checker.reject("x", 0);
     assertEquals(
         List.of(
-            "no double effect: unsafe request sent again", "no double effect: rejected a request that may have run"),
+            "no double effect: unsafe request sent again",
+            "no double effect: rejected a request that may have run"),
         checker.violations);
   }
 
   @Test
   void checkerDetectsRetryThatMayBeWrittenTooLate() {
     RuleChecker checker = checkerWithServers();
-    checker.arrives(PolicyFixture.request("x", "k", "all", 3));
+    checker.onRequestArrived(PolicyFixture.request("x", "k", "all", 3));
     checker.send("x", 1, Double.POSITIVE_INFINITY);
-    checker.ends("x", 0, Outcome.Result.RESET);
+    checker.onAttemptEnded("x", 0, Outcome.Result.RESET);
     checker.now += 0.5;
     checker.send("x", 1, 0.6);
-    checker.ends("x", 1, Outcome.Result.RESET);
+    checker.onAttemptEnded("x", 1, Outcome.Result.RESET);
     checker.now += 0.6;
     checker.reject("x", 0);
     assertEquals(
@@ -239,7 +244,7 @@
   @Test
   void checkerDetectsSendToDrainingServer() {
     RuleChecker checker = checkerWithServers();
-    checker.arrives(PolicyFixture.request("x", "k", "safe", 1));
+    checker.onRequestArrived(PolicyFixture.request("x", "k", "safe", 1));
     checker.send("x", 2, 0);
     assertEquals(List.of("ready servers: sent to a server that is not ready"), checker.violations);
   }
@@ -247,9 +252,9 @@
   @Test
   void checkerDetectsOverloadDuringSlowStart() {
     RuleChecker checker = checkerWithServers();
-    checker.warmRate = 10;
+    checker.warmSendsPerSecond = 10;
     for (int i = 0; i < 20; i++) {
-      checker.arrives(PolicyFixture.request("x" + i, "k", "safe", 1));
+      checker.onRequestArrived(PolicyFixture.request("x" + i, "k", "safe", 1));
       checker.send("x" + i, 3, 0);
     }
     assertTrue(checker.violations.contains("slow start: server overloaded in slow start"));
--- a/core/src/test/java/shalepaddle/policy/SlowStartTest.java
+++ b/core/src/test/java/shalepaddle/policy/SlowStartTest.java
@@ -107,7 +107,8 @@
    */
   @ParameterizedTest
   @MethodSource("fleets")
-  void doesNotOverloadServersInSlowStart(int nodeCount, double requestsPerSecond, Start start, Load load) {
+  void doesNotOverloadServersInSlowStart(
+      int nodeCount, double requestsPerSecond, Start start, Load load) {
     for (int nodeNumber = 0; nodeNumber < nodeCount; nodeNumber++) {
       PolicyFixture.Recorder recorder = new PolicyFixture.Recorder();
       actions.add(recorder);
@@ -128,7 +129,8 @@
       nodes.forEach(
           node ->
               node.onMembershipUpdate(
-                  startSeconds, PolicyFixture.list(MembershipUpdate.Kind.DELTA, List.of(entry))));
+                  startSeconds,
+                  PolicyFixture.membershipUpdate(MembershipUpdate.Kind.DELTA, List.of(entry))));
     }
     double lastStartSeconds = START_SECONDS + (start.servers - 1) * start.intervalSeconds;
     sendRequests(lastStartSeconds, END_SECONDS, requestsPerSecond, load);
@@ -136,16 +138,17 @@
   }
 
   /** Sends requests from random nodes, which the servers answer at once. */
-  private void sendRequests(double fromSeconds, double untilSeconds, double requestsPerSecond, Load load) {
+  private void sendRequests(
+      double fromSeconds, double untilSeconds, double requestsPerSecond, Load load) {
     double stepSeconds = 1 / (load.rateRatio * requestsPerSecond * SERVERS);
     for (double now = fromSeconds + stepSeconds; now <= untilSeconds; now += stepSeconds) {
       int nodeNumber = random.nextInt(nodes.size());
       String id = "r" + nextRequestNumber++;
       int key = random.nextDouble() < load.hotKeyRatio ? HOT_KEY : random.nextInt(KEYS);
       PolicyFixture.Recorder recorder = actions.get(nodeNumber);
-      recorder.acts.clear();
+      recorder.recorded.clear();
       nodes.get(nodeNumber).onRequest(now, PolicyFixture.request(id, "k" + key, "safe", 1));
-      for (PolicyFixture.Act act : recorder.of("send")) {
+      for (PolicyFixture.RecordedAction act : recorder.named("send")) {
         recordSend(now, act.number(), requestsPerSecond);
         nodes
             .get(nodeNumber)
@@ -177,14 +180,20 @@
           contract.slowStartMinRatio()
               + (1 - contract.slowStartMinRatio()) * ageSeconds / contract.slowStartSeconds();
       double allowedSends =
-          contract.overloadRatio() * capacityRatio * requestsPerSecond / USUAL_LOAD_RATIO * windowSeconds;
-      double toleratedSends = allowedSends < 30 ? 3 * Math.sqrt(allowedSends) + 3 : 2 * Math.sqrt(allowedSends) + 2;
+          contract.overloadRatio()
+              * capacityRatio
+              * requestsPerSecond
+              / USUAL_LOAD_RATIO
+              * windowSeconds;
+      double toleratedSends =
+          allowedSends < 30 ? 3 * Math.sqrt(allowedSends) + 3 : 2 * Math.sqrt(allowedSends) + 2;
       double excessSends = sends.size() - allowedSends - toleratedSends;
       if (excessSends > worstExcess) {
         worstExcess = excessSends;
         worstCase =
             "server %d at %.2f s after its start: %d requests in %.1f s, allowed are %.1f + %.1f"
-                .formatted(server, ageSeconds, sends.size(), windowSeconds, allowedSends, toleratedSends);
+                .formatted(
+                    server, ageSeconds, sends.size(), windowSeconds, allowedSends, toleratedSends);
       }
     }
   }
--- a/core/src/test/java/shalepaddle/policy/admission/OriginFetchLimiterTest.java
+++ b/core/src/test/java/shalepaddle/policy/admission/OriginFetchLimiterTest.java
@@ -79,7 +79,11 @@
     }
     assertTrue(
         startedFetches[0] * 3 < startedFetches[1],
-        "fetches started in 1 s: " + startedFetches[0] + " with a failing origin, " + startedFetches[1] + " with a recovered origin");
+        "fetches started in 1 s: "
+            + startedFetches[0]
+            + " with a failing origin, "
+            + startedFetches[1]
+            + " with a recovered origin");
   }
 
   @Test
--- a/core/src/test/java/shalepaddle/policy/health/ServerHealthTest.java
+++ b/core/src/test/java/shalepaddle/policy/health/ServerHealthTest.java
@@ -31,7 +31,9 @@
     for (int i = 0; i < 20; i++) {
       slowServer.recordLoad(100 + i * 0.1, 3, 1);
     }
-    assertTrue(slowServer.keyFraction(102) < 0.2, "key fraction of the slow server: " + slowServer.keyFraction(102));
+    assertTrue(
+        slowServer.keyFraction(102) < 0.2,
+        "key fraction of the slow server: " + slowServer.keyFraction(102));
     int acceptedKeys = 0;
     for (long key = 0; key < 1000; key++) {
       acceptedKeys += slowServer.acceptsKey(102, Hashing.mix(key), 1) ? 1 : 0;
@@ -147,8 +149,7 @@
               60,
               mostServersHealthy);
         }
-        assertEquals(
-            mostServersHealthy, server.isEjected(), result + ", " + mostServersHealthy);
+        assertEquals(mostServersHealthy, server.isEjected(), result + ", " + mostServersHealthy);
         assertFalse(mostServersHealthy && server.isTrialDue(102.1));
         endAttempt(server, 103, Outcome.Result.OK);
         assertFalse(server.isEjected());
--- a/core/src/test/java/shalepaddle/policy/health/ServerStartTimesTest.java
+++ b/core/src/test/java/shalepaddle/policy/health/ServerStartTimesTest.java
@@ -35,7 +35,7 @@
     double startSeconds = NOW + skewSeconds - 600;
     learn(NOW, Kind.CACHED, startSeconds, startSeconds + 1, startSeconds + 2, 0);
     for (int id = 1; id <= 4; id++) {
-      assertEquals(ServerStartTimes.LONG_AGO, starts.of(id));
+      assertEquals(ServerStartTimes.LONG_AGO, starts.startedAtSeconds(id));
     }
   }
 
@@ -43,19 +43,28 @@
   @ValueSource(doubles = {0, 3600, -3600})
   void countsNewestServersOfFirstListAsJustStarted(double skewSeconds) {
     double listNowSeconds = NOW + skewSeconds;
-    learn(NOW, Kind.CACHED, listNowSeconds - 600, listNowSeconds - 500, listNowSeconds - 4, listNowSeconds - 1, listNowSeconds - 12);
-    assertEquals(ServerStartTimes.LONG_AGO, starts.of(1));
-    assertEquals(NOW - 3, starts.of(3), "the server started 3 s before the newest");
-    assertEquals(NOW, starts.of(4));
+    learn(
+        NOW,
+        Kind.CACHED,
+        listNowSeconds - 600,
+        listNowSeconds - 500,
+        listNowSeconds - 4,
+        listNowSeconds - 1,
+        listNowSeconds - 12);
+    assertEquals(ServerStartTimes.LONG_AGO, starts.startedAtSeconds(1));
+    assertEquals(NOW - 3, starts.startedAtSeconds(3), "the server started 3 s before the newest");
+    assertEquals(NOW, starts.startedAtSeconds(4));
     assertEquals(
-        ServerStartTimes.LONG_AGO, starts.of(5), "a server that started 11 s before the newest is warm");
+        ServerStartTimes.LONG_AGO,
+        starts.startedAtSeconds(5),
+        "a server that started 11 s before the newest is warm");
   }
 
   @Test
   void countsServersStartedTogetherAsWarmingUpWhenClocksAgree() {
     learn(NOW, Kind.FULL, NOW - 2, NOW - 1, NOW - 1);
-    assertEquals(NOW - 1, starts.of(1));
-    assertEquals(NOW, starts.of(2));
+    assertEquals(NOW - 1, starts.startedAtSeconds(1));
+    assertEquals(NOW, starts.startedAtSeconds(2));
   }
 
   @ParameterizedTest
@@ -63,17 +72,18 @@
   void usesArrivalTimeForStartListedInLaterUpdate(double stepSeconds) {
     learn(NOW, Kind.FULL, NOW - 600, NOW - 900);
     learn(NOW + 50, Kind.DELTA, NOW + 49 + stepSeconds);
-    assertEquals(NOW + 50, starts.of(1));
-    assertEquals(ServerStartTimes.LONG_AGO, starts.of(2));
+    assertEquals(NOW + 50, starts.startedAtSeconds(1));
+    assertEquals(ServerStartTimes.LONG_AGO, starts.startedAtSeconds(2));
     learn(NOW + 90, Kind.FULL, NOW + 49 + stepSeconds, NOW - 900);
-    assertEquals(NOW + 50, starts.of(1), "the same listed start is not counted again");
+    assertEquals(
+        NOW + 50, starts.startedAtSeconds(1), "the same listed start is not counted again");
   }
 
   @Test
   void usesArrivalTimeOfDeltaForStartListedBeforeFullList() {
     learn(NOW, Kind.CACHED, NOW - 600, NOW - 700, NOW - 800);
     learn(NOW + 1, Kind.DELTA, NOW - 2);
-    assertEquals(NOW + 1, starts.of(1));
+    assertEquals(NOW + 1, starts.startedAtSeconds(1));
   }
 
   @Test
@@ -82,10 +92,10 @@
     learn(NOW, Kind.FULL, NOW - 60, NOW - 600);
     version = 4;
     learn(NOW + 1, Kind.FULL, NOW - 900, NOW - 600);
-    assertEquals(ServerStartTimes.LONG_AGO, starts.of(2));
+    assertEquals(ServerStartTimes.LONG_AGO, starts.startedAtSeconds(2));
     version = 6;
     learn(NOW + 2, Kind.FULL, NOW - 60, NOW - 600);
-    assertEquals(NOW, starts.of(1), "the start in the first list");
+    assertEquals(NOW, starts.startedAtSeconds(1), "the start in the first list");
   }
 
   @Test
@@ -93,16 +103,16 @@
     learn(NOW, Kind.FULL, NOW - 600, NOW - 900);
     learn(NOW + 10, Kind.FULL);
     learn(NOW + 20, Kind.FULL, NOW - 600, NOW - 900);
-    assertEquals(ServerStartTimes.LONG_AGO, starts.of(2));
+    assertEquals(ServerStartTimes.LONG_AGO, starts.startedAtSeconds(2));
   }
 
   @Test
   void countsRestartedServerAsStartedUntilAnotherStartIsListed() {
     learn(NOW, Kind.FULL, NOW - 600);
-    starts.restarted(NOW + 5, 1);
+    starts.markRestarted(NOW + 5, 1);
     learn(NOW + 6, Kind.FULL, NOW - 600);
-    assertEquals(NOW + 5, starts.of(1));
+    assertEquals(NOW + 5, starts.startedAtSeconds(1));
     learn(NOW + 7, Kind.FULL, NOW + 4);
-    assertEquals(NOW + 7, starts.of(1));
+    assertEquals(NOW + 7, starts.startedAtSeconds(1));
   }
 }
--- a/core/src/test/java/shalepaddle/policy/placement/BoundedLoadTest.java
+++ b/core/src/test/java/shalepaddle/policy/placement/BoundedLoadTest.java
@@ -23,7 +23,10 @@
     assertEquals(6, BoundedLoad.cap(1, 1, 10, 2));
     assertEquals(2, BoundedLoad.cap(1, 1, 10, 7));
     assertEquals(1, BoundedLoad.cap(3, 1, 40, 30));
-    assertEquals(2, BoundedLoad.cap(5, 1, 40, 30), "the cap is two, since two requests often coincide by chance");
+    assertEquals(
+        2,
+        BoundedLoad.cap(5, 1, 40, 30),
+        "the cap is two, since two requests often coincide by chance");
   }
 
   @Test
--- a/core/src/test/java/shalepaddle/policy/placement/ConsistentHashRingTest.java
+++ b/core/src/test/java/shalepaddle/policy/placement/ConsistentHashRingTest.java
@@ -86,7 +86,9 @@
     }
     for (int i = 1; i <= 25; i++) {
       double portionRatio = keysByServer[i] * 25.0 / owners.length;
-      assertTrue(portionRatio > 0.65 && portionRatio < 1.4, "ratio of the server's keys to an equal portion: " + portionRatio);
+      assertTrue(
+          portionRatio > 0.65 && portionRatio < 1.4,
+          "ratio of the server's keys to an equal portion: " + portionRatio);
     }
   }
 
--- a/core/src/test/java/shalepaddle/replicatedstate/ReplicatedStateTest.java
+++ b/core/src/test/java/shalepaddle/replicatedstate/ReplicatedStateTest.java
@@ -41,7 +41,8 @@
 
   @Test
   void ignoresCommandOfLaterVersion() {
-    CommandResult result = state.apply(7, new Proposal("x", 5, new StateCommand.Unknown(99)));
+    CommandResult result =
+        state.apply(7, new Proposal("x", 5, new StateCommand.UnknownCommand(99)));
     assertEquals(new CommandResult(CommandResult.Outcome.UNKNOWN_COMMAND, 7), result);
     assertEquals(7, state.index());
     assertEquals(List.of(), state.excludedServers());
@@ -71,8 +72,7 @@
   void retainsResultsByLogTimeThatNeverGoesBackwards() {
     setExclusion("a", "s-1", true, 5_000_000);
     setExclusion("b", "s-2", true, 1);
-    assertEquals(
-        5_000_000, state.snapshot().logTimeMillis(), "log time never goes backwards");
+    assertEquals(5_000_000, state.snapshot().logTimeMillis(), "log time never goes backwards");
     setExclusion("c", "s-3", true, 5_000_000 + ReplicatedState.RESULT_RETENTION_MILLIS);
     assertEquals(1, state.retainedResult("a").index());
     setExclusion("d", "s-4", true, 5_000_001 + ReplicatedState.RESULT_RETENTION_MILLIS);
--- a/daemon/src/test/java/shalepaddle/daemon/AcceptFailureIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/AcceptFailureIT.java
@@ -22,17 +22,17 @@
   @Test
   void keepsConnectionsAndAcceptsSoonAfterDescriptorShortage() throws Exception {
     try (Fleet fleet = new Fleet(2);
-        StoppableNode node = new StoppableNode(folder, fleet, 256);
+        PausableNode node = new PausableNode(folder, fleet, 256);
         ScriptedPeer earlierClient = ScriptedPeer.connect(node.address())) {
       assertEquals("VA 5 Oa", earlierClient.write(formatReadCommand("a")).readLine());
       assertEquals("value", earlierClient.readLine());
       for (int i = 0; i < 5; i++) {
-        node.descriptors().set(node.descriptors().inUse());
+        node.descriptorLimit().setSoftLimit(node.descriptorLimit().openDescriptors());
         long sentAtNanos = System.nanoTime();
         try (ScriptedPeer clientDuringShortage = ScriptedPeer.connect(node.address())) {
           clientDuringShortage.write(formatReadCommand("b" + i));
           TimeUnit.MILLISECONDS.sleep(30);
-          node.descriptors().set(256);
+          node.descriptorLimit().setSoftLimit(256);
           assertEquals("VA 5 Ob" + i, clientDuringShortage.readLine());
         }
         long answerMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos);
--- a/daemon/src/test/java/shalepaddle/daemon/AnswerTimeIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/AnswerTimeIT.java
@@ -36,7 +36,7 @@
 
   @TempDir private Path folder;
   private Fleet fleet;
-  private StoppableNode node;
+  private PausableNode node;
   private final List<ScriptedPeer> clients = new ArrayList<>();
 
   @BeforeEach
@@ -52,7 +52,7 @@
    */
   private void start(int serverCount, int answerMillis, int maxDescriptors) throws Exception {
     fleet = new Fleet(serverCount, Integer.MAX_VALUE, answerMillis);
-    node = new StoppableNode(folder, fleet, maxDescriptors);
+    node = new PausableNode(folder, fleet, maxDescriptors);
     // The first request of a process takes longer than later ones, so it is sent before the test.
     ScriptedPeer warmupClient = connect();
     warmupClient.write(formatReadCommand("warm", 300, ""));
@@ -163,7 +163,7 @@
   @Test
   void answersInTimeWhenRequestArrivesWhileNodeIsPaused() throws Exception {
     ScriptedPeer client = connect();
-    node.stop();
+    node.pause();
     TimeUnit.MILLISECONDS.sleep(20);
     long sentAtNanos = System.nanoTime();
     client.write(formatReadCommand("a", 400, ""));
@@ -177,14 +177,14 @@
   @Test
   void givesOneAnswerWhenDeadlineExpiresBeforeRead() throws Exception {
     try (Socket socket = new Socket(node.address().getAddress(), node.address().getPort())) {
-      node.stop();
+      node.pause();
       socket
           .getOutputStream()
           .write(formatReadCommand("late", 50, "").getBytes(StandardCharsets.US_ASCII));
       TimeUnit.MILLISECONDS.sleep(200);
       node.resume();
       socket.setSoTimeout(500);
-      assertTrue(Fleet.line(socket.getInputStream()).startsWith("SERVER_ERROR"));
+      assertTrue(Fleet.readLine(socket.getInputStream()).startsWith("SERVER_ERROR"));
       boolean hasReceivedMore = true;
       try {
         socket.getInputStream().read();
--- a/daemon/src/test/java/shalepaddle/daemon/ClosedLoopClients.java
+++ b/daemon/src/test/java/shalepaddle/daemon/ClosedLoopClients.java
@@ -72,22 +72,22 @@
   }
 
   /** Waits until all clients have ended; returns false if the timeout expires first. */
-  boolean await(long timeoutMillis) throws InterruptedException {
+  boolean awaitEnd(long timeoutMillis) throws InterruptedException {
     return activeClients.await(timeoutMillis, TimeUnit.MILLISECONDS);
   }
 
   /** Makes each client end when it can't connect or finds its connection closed. */
-  void leaveWhenRefused() {
+  void endOnConnectionFailure() {
     endOnConnectionFailure = true;
   }
 
   /** Stops sending requests; those in flight continue. */
-  void finish() {
+  void stopSending() {
     remainingRequests.set(0);
   }
 
   /** Returns how many requests were sent again because their connection was being closed. */
-  int crossed() {
+  int resentRequests() {
     return resentRequests.get();
   }
 
@@ -95,19 +95,19 @@
    * Like {@link #assertAllAnswered}, but allows lost requests, for tests that kill processes with
    * requests in flight.
    */
-  void assertNoneLeftWaiting(Fleet fleet) {
+  void assertNoClientWaits(Fleet fleet) {
     assertEquals(0, activeClients.getCount(), "number of clients that still wait for an answer");
     assertEquals(List.of(), List.copyOf(protocolErrors));
     for (String id : writeIds) {
-      assertTrue(fleet.executions(id) <= 1, id + " was executed more than once");
+      assertTrue(fleet.writeExecutions(id) <= 1, id + " was executed more than once");
     }
   }
 
-  int refused() {
+  int refusedRequests() {
     return refusedRequests.get();
   }
 
-  int answered() {
+  int answeredRequests() {
     return answeredRequests.get();
   }
 
@@ -134,7 +134,7 @@
         maxLatenessMillis <= maxPauseMillis + 250,
         "slowest answer late by " + maxLatenessMillis + " ms");
     for (String id : writeIds) {
-      assertTrue(fleet.executions(id) <= 1, id + " was executed more than once");
+      assertTrue(fleet.writeExecutions(id) <= 1, id + " was executed more than once");
     }
     assertTrue(
         resentRequests.get() <= 5, resentRequests + " requests were sent again after a close");
@@ -255,7 +255,7 @@
       String line;
       try {
         socket.getOutputStream().write(command.getBytes(StandardCharsets.US_ASCII));
-        line = Fleet.line(in);
+        line = Fleet.readLine(in);
       } catch (IOException e) {
         line = null;
       }
@@ -274,7 +274,7 @@
         return connect();
       }
       if (line.startsWith("VA 5 O" + id) && !isWrite) {
-        if (!"value".equals(Fleet.line(in))) {
+        if (!"value".equals(Fleet.readLine(in))) {
           protocolErrors.add(id + ": answer without its value");
         }
       } else if (line.equals("SERVER_ERROR failed")) {
--- a/daemon/src/test/java/shalepaddle/daemon/DeployFile.java
+++ b/daemon/src/test/java/shalepaddle/daemon/DeployFile.java
@@ -12,13 +12,13 @@
   private DeployFile() {}
 
   /** Returns a builder for the named command, with standard error merged into its output. */
-  static ProcessBuilder command(String commandName) throws IOException {
-    return new ProcessBuilder(List.of("/bin/sh", "-c", shell(commandName)))
+  static ProcessBuilder commandBuilder(String commandName) throws IOException {
+    return new ProcessBuilder(List.of("/bin/sh", "-c", shellCommand(commandName)))
         .redirectErrorStream(true);
   }
 
   /** Returns the shell command line of the named command. */
-  static String shell(String commandName) throws IOException {
+  static String shellCommand(String commandName) throws IOException {
     String line =
         Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
             .filter(text -> text.startsWith(commandName + " = "))
@@ -28,7 +28,7 @@
   }
 
   /** Returns a free port of the loopback address. */
-  static int freePort() throws IOException {
+  static int findFreePort() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return socket.getLocalPort();
     }
--- a/daemon/src/test/java/shalepaddle/daemon/DescriptorLimit.java
+++ b/daemon/src/test/java/shalepaddle/daemon/DescriptorLimit.java
@@ -17,14 +17,14 @@
   }
 
   /** Returns how many descriptors the process has open. */
-  int inUse() throws IOException {
+  int openDescriptors() throws IOException {
     try (Stream<Path> openDescriptors = Files.list(Path.of("/proc", Long.toString(pid), "fd"))) {
       return (int) openDescriptors.count();
     }
   }
 
   /** Sets the process's soft limit on open descriptors. */
-  void set(int softLimit) throws IOException, InterruptedException {
+  void setSoftLimit(int softLimit) throws IOException, InterruptedException {
     int exitCode =
         new ProcessBuilder(
                 "prlimit", "--pid", Long.toString(pid), "--nofile=" + softLimit + ":" + HARD_LIMIT)
--- a/daemon/src/test/java/shalepaddle/daemon/DirectClient.java
+++ b/daemon/src/test/java/shalepaddle/daemon/DirectClient.java
@@ -57,7 +57,7 @@
    *
    * @return a description of the first closed connection or late answer, null if there is none
    */
-  String repeatRejected() throws IOException {
+  String repeatWithoutBackoff() throws IOException {
     try (ScriptedPeer client = ScriptedPeer.connect(node)) {
       for (int i = 0; i < REQUESTS_WITH_REPEATS; i++) {
         long sentAtNanos = System.nanoTime();
--- a/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import shalepaddle.daemon.FaultyCalls.Errno;
+import shalepaddle.daemon.FaultySystemCalls.Errno;
 import shalepaddle.testkit.EffectLog;
 import shalepaddle.testkit.Fault;
 import shalepaddle.testkit.LoopbackTransport;
@@ -43,12 +43,12 @@
   private static final int WRITE_DEADLINE_MILLIS = 600;
   private static final long[] CLOCK_STEPS_SECONDS = {0, 5, -5, 3600, -3600};
 
-  private static final FaultyCalls.Call[] FAILING_CALLS = {
-    FaultyCalls.Call.READ,
-    FaultyCalls.Call.WRITE,
-    FaultyCalls.Call.ACCEPT,
-    FaultyCalls.Call.CONNECT,
-    FaultyCalls.Call.SOCKET
+  private static final FaultySystemCalls.Call[] FAILING_CALLS = {
+    FaultySystemCalls.Call.READ,
+    FaultySystemCalls.Call.WRITE,
+    FaultySystemCalls.Call.ACCEPT,
+    FaultySystemCalls.Call.CONNECT,
+    FaultySystemCalls.Call.SOCKET
   };
 
   private static final Errno[] HARMLESS_ERRORS = {Errno.EINTR, Errno.EAGAIN, Errno.SHORT};
@@ -66,6 +66,7 @@
 
   /** How long after an answer a command that was sent before it may still reach a server. */
   private static final long MAX_DELIVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
+
   private static final double ABANDONED_REQUESTS_FRACTION = 0.05;
 
   /** How long clients open new connections to a process after its SIGTERM. */
@@ -77,7 +78,8 @@
   private static final int MAX_RANDOM_FAULT_MILLIS = 2500;
 
   /** Violations that a pause by SIGSTOP causes: an answer was due while the process was paused. */
-  private static final List<String> KINDS_EXCUSED_BY_PAUSES = List.of("answered_late", "unanswered");
+  private static final List<String> KINDS_EXCUSED_BY_PAUSES =
+      List.of("answered_late", "unanswered");
 
   /** The kinds of faults, several of which may be active at a time. */
   private enum FaultKind {
@@ -107,14 +109,14 @@
   /** A node's process and what the test has done to it. */
   private static final class NodeProcess {
     private final String name;
-    private final StoppableNode daemon;
-    private final FaultyCalls calls;
+    private final PausableNode daemon;
+    private final FaultySystemCalls calls;
     private boolean isPaused;
     private boolean wasEverPaused;
     private boolean isEnding;
     private boolean isKilled;
 
-    NodeProcess(String name, StoppableNode daemon, FaultyCalls calls) {
+    NodeProcess(String name, PausableNode daemon, FaultySystemCalls calls) {
       this.name = name;
       this.daemon = daemon;
       this.calls = calls;
@@ -148,7 +150,7 @@
     this.seed = seed;
     this.random = new SplittableRandom(seed);
     this.folder = folder;
-    this.library = FaultyCalls.build(folder);
+    this.library = FaultySystemCalls.buildLibrary(folder);
     this.origin = new StandInOrigin(transport, seed, 16, 0.02);
     this.misbehavingClients = new MisbehavingClients(transport, seed);
     this.clients =
@@ -169,7 +171,14 @@
     for (int i = 0; i < SERVER_COUNT; i++) {
       StandInServer server =
           new StandInServer(
-              transport, "s" + i, "a", ServerModel.defaults(), origin, effectLog, servers, seed + i);
+              transport,
+              "s" + i,
+              "a",
+              ServerModel.defaults(),
+              origin,
+              effectLog,
+              servers,
+              seed + i);
       server.start().sync();
     }
     runOnLoop(
@@ -221,10 +230,10 @@
   private NodeProcess startNode() throws Exception {
     String name = "n" + startedNodes++;
     String serverList = callOnLoop(discovery::listJson);
-    FaultyCalls calls = new FaultyCalls(library, folder.resolve(name + ".control"));
-    calls.stepWallClock(drawClockStep());
-    StoppableNode daemon =
-        new StoppableNode(folder, name, port -> config(port, serverList), calls.environment());
+    FaultySystemCalls calls = new FaultySystemCalls(library, folder.resolve(name + ".control"));
+    calls.setWallClockOffset(drawClockStep());
+    PausableNode daemon =
+        new PausableNode(folder, name, port -> config(port, serverList), calls.environment());
     NodeProcess node = new NodeProcess(name, daemon, calls);
     nodes.add(node);
     return node;
@@ -273,7 +282,7 @@
       case RELOAD_NODE -> reload(drawNode());
       case SHORT_DESCRIPTORS -> exhaustDescriptors(drawNode());
       case PIPELINE_AFTER_ERROR -> runDirectCheck(drawNode(), DirectClient::pipelineAfterError);
-      case REPEATED_REQUESTS -> runDirectCheck(drawNode(), DirectClient::repeatRejected);
+      case REPEATED_REQUESTS -> runDirectCheck(drawNode(), DirectClient::repeatWithoutBackoff);
       case STEP_NODE_CLOCK -> stepClock(drawNode());
       case STEP_LIST_CLOCK -> listClockOffsetMillis = TimeUnit.SECONDS.toMillis(drawClockStep());
       case FAILING_CALLS -> failCalls(drawNode(), durationMillis);
@@ -360,7 +369,7 @@
           clients.recordPause(node.name, pauseMillis + 50);
           misbehavingClients.recordPause(pauseMillis + 50);
         });
-    node.daemon.stopFor(pauseMillis);
+    node.daemon.pauseFor(pauseMillis);
     node.isPaused = false;
   }
 
@@ -390,8 +399,8 @@
   private void reload(NodeProcess node) throws Exception {
     if (node != null) {
       String serverList = callOnLoop(discovery::listJson);
-      node.daemon.configure(config(node.daemon.address().getPort(), serverList));
-      node.daemon.hangUp();
+      node.daemon.replaceConfig(config(node.daemon.address().getPort(), serverList));
+      node.daemon.sendReloadSignal();
     }
   }
 
@@ -400,10 +409,10 @@
     if (node == null) {
       return;
     }
-    DescriptorLimit descriptorLimit = node.daemon.descriptors();
-    descriptorLimit.set(descriptorLimit.inUse());
+    DescriptorLimit descriptorLimit = node.daemon.descriptorLimit();
+    descriptorLimit.setSoftLimit(descriptorLimit.openDescriptors());
     TimeUnit.MILLISECONDS.sleep(30 + random.nextInt(170));
-    descriptorLimit.set(MAX_DESCRIPTORS);
+    descriptorLimit.setSoftLimit(MAX_DESCRIPTORS);
   }
 
   private long drawClockStep() {
@@ -412,7 +421,7 @@
 
   private void stepClock(NodeProcess node) {
     if (node != null) {
-      node.calls.stepWallClock(drawClockStep());
+      node.calls.setWallClockOffset(drawClockStep());
     }
   }
 
@@ -421,15 +430,15 @@
     if (node == null) {
       return;
     }
-    FaultyCalls.Call call = FAILING_CALLS[random.nextInt(FAILING_CALLS.length)];
+    FaultySystemCalls.Call call = FAILING_CALLS[random.nextInt(FAILING_CALLS.length)];
     Errno[] errors =
         switch (call) {
           case READ, WRITE -> HARMLESS_ERRORS;
           case ACCEPT -> ACCEPT_ERRORS;
           default -> CONNECT_ERRORS;
         };
-    node.calls.fail(call, errors[random.nextInt(errors.length)], 0, 2 + random.nextInt(6));
-    schedule(durationMillis, node.calls::clear);
+    node.calls.addRule(call, errors[random.nextInt(errors.length)], 0, 2 + random.nextInt(6));
+    schedule(durationMillis, node.calls::clearRules);
   }
 
   /** A check by a client, which returns a violation, or null if there is none. */
@@ -456,7 +465,7 @@
           servers.forEach(StandInServer::clearFaults);
           servers.forEach(server -> server.setUnresponsive(false));
           discovery.setSilent(false);
-          nodes.forEach(node -> node.calls.clear());
+          nodes.forEach(node -> node.calls.clearRules());
         });
   }
 
@@ -489,7 +498,7 @@
           violations.addAll(misbehavingClients.violations());
         });
     for (NodeProcess node : nodes) {
-      for (String line : node.daemon.logged()) {
+      for (String line : node.daemon.logLines()) {
         if (isViolation(node, line)) {
           violations.add(node.name + ": " + line);
         }
--- a/daemon/src/test/java/shalepaddle/daemon/FaultSoakIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultSoakIT.java
@@ -11,8 +11,7 @@
 
 /**
  * Injects random faults into real processes. The build runs one seed with few processes; for longer
- * runs see CONTRIBUTING: {@code -Dsoak.first=1 -Dsoak.seeds=20 -Dsoak.nodes=20
- * -Dsoak.seconds=40}.
+ * runs see CONTRIBUTING: {@code -Dsoak.first=1 -Dsoak.seeds=20 -Dsoak.nodes=20 -Dsoak.seconds=40}.
  */
 class FaultSoakIT {
   private static final long FIRST_SEED = Long.getLong("soak.first", 1);
--- a/daemon/src/test/java/shalepaddle/daemon/FaultyCalls.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultySystemCalls.java
@@ -18,7 +18,7 @@
  * Failures injected into the transport's Java code would not cover how the JDK and Netty themselves
  * handle a failed call, which is where faults of this kind were found.
  */
-final class FaultyCalls implements Closeable {
+final class FaultySystemCalls implements Closeable {
   /** The system calls that can fail; the numbers match {@code enum call} of the C library. */
   enum Call {
     NONE(0),
@@ -79,12 +79,12 @@
   private int ruleCount;
 
   /** Creates the control file of one process, and builds the library in the same folder. */
-  FaultyCalls(Path folder) throws IOException, InterruptedException {
-    this(build(folder), folder.resolve("faulty_calls.control"));
+  FaultySystemCalls(Path folder) throws IOException, InterruptedException {
+    this(buildLibrary(folder), folder.resolve("faulty_calls.control"));
   }
 
   /** Creates the control file of one process, with a library that is built already. */
-  FaultyCalls(Path library, Path controlFile) throws IOException {
+  FaultySystemCalls(Path library, Path controlFile) throws IOException {
     this.library = library;
     this.controlFile = controlFile;
     Files.write(controlFile, new byte[CONTROL_BYTES]);
@@ -96,7 +96,7 @@
   }
 
   /** Builds the library in a folder and returns its file. */
-  static Path build(Path folder) throws IOException, InterruptedException {
+  static Path buildLibrary(Path folder) throws IOException, InterruptedException {
     Path library = folder.resolve("faulty_calls.so");
     Process compiler =
         new ProcessBuilder(
@@ -131,7 +131,7 @@
    * @param port local or remote port of the socket, 0 for any
    * @param interval n; 1 makes each matching call fail
    */
-  void fail(Call call, Errno error, int port, int interval) {
+  void addRule(Call call, Errno error, int port, int interval) {
     if (ruleCount == MAX_RULES) {
       throw new IllegalStateException("cannot add a rule: " + MAX_RULES + " rules exist already");
     }
@@ -146,7 +146,7 @@
   }
 
   /** Returns how many calls have failed because of the current rules. */
-  int failed() {
+  int failedCalls() {
     int failedCalls = 0;
     for (int i = 0; i < ruleCount; i++) {
       failedCalls += controlBuffer.getInt(RULES_OFFSET + i * RULE_BYTES + FAILED_CALLS_OFFSET);
@@ -155,7 +155,7 @@
   }
 
   /** Removes all rules. */
-  void clear() {
+  void clearRules() {
     for (int i = 0; i < MAX_RULES; i++) {
       controlBuffer.putInt(RULES_OFFSET + i * RULE_BYTES, Call.NONE.callNumber);
     }
@@ -163,13 +163,13 @@
   }
 
   /** Sets by how many seconds the process's wall clock is ahead of the machine's. */
-  void stepWallClock(long aheadSeconds) {
+  void setWallClockOffset(long aheadSeconds) {
     controlBuffer.putLong(0, TimeUnit.SECONDS.toNanos(aheadSeconds));
   }
 
   @Override
   public void close() {
-    clear();
-    stepWallClock(0);
+    clearRules();
+    setWallClockOffset(0);
   }
 }
