--- a/daemon/src/test/java/shalepaddle/daemon/Fleet.java
+++ b/daemon/src/test/java/shalepaddle/daemon/Fleet.java
@@ -109,7 +109,7 @@
   }
 
   /** Reads the next line without its CRLF; returns null at the end of the stream. */
-  static String line(InputStream in) throws IOException {
+  static String readLine(InputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
     for (int c = in.read(); c >= 0; c = in.read()) {
       if (c == '\n') {
@@ -138,7 +138,7 @@
       try {
         if (connectionCounts[serverIndex].incrementAndGet() > maxConnections) {
           rejectedConnections.incrementAndGet();
-          line(socket.getInputStream());
+          readLine(socket.getInputStream());
           socket
               .getOutputStream()
               .write("SERVER_ERROR busy\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -146,7 +146,7 @@
         }
         InputStream in = new BufferedInputStream(socket.getInputStream());
         OutputStream out = socket.getOutputStream();
-        for (String line = line(in); line != null; line = line(in)) {
+        for (String line = readLine(in); line != null; line = readLine(in)) {
           String[] commandWords = line.split(" ", 0);
           String id = commandWords[3].substring(1);
           String answer = "VA 5 O" + id + " h1\r\nvalue\r\n";
@@ -196,12 +196,12 @@
   }
 
   /** Returns how many connections were rejected because their server had too many. */
-  int turnedDown() {
+  int rejectedConnections() {
     return rejectedConnections.get();
   }
 
   /** Returns how many requests to watch the server list were received. */
-  int watches() {
+  int watchRequests() {
     return watchRequests.get();
   }
 
@@ -209,7 +209,7 @@
     return serverSockets[serverIndex].getLocalPort();
   }
 
-  int served(int serverIndex) {
+  int servedRequests(int serverIndex) {
     return servedRequests[serverIndex].get();
   }
 
@@ -220,7 +220,7 @@
   }
 
   /** Returns how often the write with this id was executed. */
-  int executions(String id) {
+  int writeExecutions(String id) {
     AtomicInteger count = writeExecutions.get(id);
     return count == null ? 0 : count.get();
   }
@@ -230,7 +230,7 @@
   }
 
   /** Sets the time at which a server started, by discovery's clock, and publishes a new list. */
-  synchronized void tellStart(int serverIndex, long timeMillis) {
+  synchronized void setStartTime(int serverIndex, long timeMillis) {
     startTimeMillis[serverIndex] = timeMillis;
     listVersion++;
     notifyAll();
@@ -282,8 +282,8 @@
     watchSockets.removeIf(Socket::isClosed);
     watchSockets.add(socket);
     InputStream in = new BufferedInputStream(socket.getInputStream());
-    for (String line = line(in); line != null && !line.isEmpty(); ) {
-      line = line(in);
+    for (String line = readLine(in); line != null && !line.isEmpty(); ) {
+      line = readLine(in);
     }
     OutputStream out = socket.getOutputStream();
     out.write(
--- a/daemon/src/test/java/shalepaddle/daemon/IgnoredReloadSignalIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/IgnoredReloadSignalIT.java
@@ -21,15 +21,15 @@
 
   @Test
   void reportsIgnoredSighupInLogAndTelemetry() throws Exception {
-    int clientPort = DeployFile.freePort();
+    int clientPort = DeployFile.findFreePort();
     var managementAddress =
-        new InetSocketAddress(InetAddress.getLoopbackAddress(), DeployFile.freePort());
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), DeployFile.findFreePort());
     Path config = folder.resolve("node.json");
     Path log = folder.resolve("node.log");
     try (Fleet fleet = new Fleet(1)) {
       Files.writeString(config, fleet.config(clientPort, 256));
       ProcessBuilder builder =
-          new ProcessBuilder("/bin/sh", "-c", "trap '' HUP; " + DeployFile.shell("run"))
+          new ProcessBuilder("/bin/sh", "-c", "trap '' HUP; " + DeployFile.shellCommand("run"))
               .redirectErrorStream(true)
               .redirectOutput(log.toFile());
       builder.environment().put("ROUTER_CONFIG", config.toString());
@@ -61,7 +61,8 @@
           .write("GET /api/telemetry HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       telemetry = new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
-    return telemetry.lines()
+    return telemetry
+        .lines()
         .filter(line -> line.startsWith("app_sighup_rejected "))
         .mapToInt(line -> Integer.parseInt(line.substring(line.lastIndexOf(' ') + 1)))
         .findAny()
--- a/daemon/src/test/java/shalepaddle/daemon/JarIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/JarIT.java
@@ -30,7 +30,7 @@
 
   @Test
   void simCommandAnswersBatchMessageWithDone() throws Exception {
-    Process process = DeployFile.command("sim").start();
+    Process process = DeployFile.commandBuilder("sim").start();
     try (OutputStream in = process.getOutputStream()) {
       in.write(
           """
@@ -45,7 +45,7 @@
 
   @Test
   void runLoadsClassesFromArchive() throws Exception {
-    ProcessBuilder builder = DeployFile.command("run");
+    ProcessBuilder builder = DeployFile.commandBuilder("run");
     builder.environment().put("JAVA_TOOL_OPTIONS", "-Xlog:class+load:stdout");
     builder.environment().remove("ROUTER_CONFIG");
     String loadingLogLine =
@@ -59,7 +59,7 @@
 
   @Test
   void runServesAndReloadsUntilTerminated() throws Exception {
-    int port = DeployFile.freePort();
+    int port = DeployFile.findFreePort();
     Path config = folder.resolve("config.json");
     Files.writeString(
         config,
@@ -70,7 +70,7 @@
          "settings":{"services":[{"name":"read","effect":"retryable","slo":0.5,"give-up":1}]}}
         """
             .formatted(port));
-    ProcessBuilder builder = DeployFile.command("run");
+    ProcessBuilder builder = DeployFile.commandBuilder("run");
     builder.environment().put("ROUTER_CONFIG", config.toString());
     Path classLog = folder.resolve("classes");
     builder.environment().put("JAVA_TOOL_OPTIONS", "-Xlog:class+load:file=" + classLog);
@@ -139,7 +139,7 @@
     Path config = folder.resolve("config.json");
     for (String text : List.of("", "{", "{}", "{\"limits\":{},\"settings\":{}}")) {
       Files.writeString(config, text);
-      ProcessBuilder builder = DeployFile.command("run");
+      ProcessBuilder builder = DeployFile.commandBuilder("run");
       builder.environment().put("ROUTER_CONFIG", config.toString());
       Process process = builder.start();
       String output = readOutput(process);
@@ -147,7 +147,7 @@
       assertTrue(output.startsWith("serve: " + config + ": "), output);
       assertEquals(2, process.waitFor());
     }
-    ProcessBuilder builder = DeployFile.command("run");
+    ProcessBuilder builder = DeployFile.commandBuilder("run");
     builder.environment().remove("ROUTER_CONFIG");
     Process process = builder.start();
     assertEquals("serve: ROUTER_CONFIG does not name a file\n", readOutput(process));
--- a/daemon/src/test/java/shalepaddle/daemon/StoppableNode.java
+++ b/daemon/src/test/java/shalepaddle/daemon/PausableNode.java
@@ -16,7 +16,7 @@
  * A process started by the deploy file's {@code run} command, which tests can pause by SIGSTOP and
  * resume by SIGCONT.
  */
-final class StoppableNode implements Closeable {
+final class PausableNode implements Closeable {
   private static final long START_TIMEOUT_MILLIS = 30_000;
 
   private final Process process;
@@ -29,7 +29,7 @@
    *
    * @param maxDescriptors limit on the node's descriptors
    */
-  StoppableNode(Path folder, Fleet fleet, int maxDescriptors) throws Exception {
+  PausableNode(Path folder, Fleet fleet, int maxDescriptors) throws Exception {
     this(folder, "node", port -> fleet.config(port, maxDescriptors));
     if (!awaitListening()) {
       throw new IOException("the node does not listen on " + address);
@@ -42,30 +42,27 @@
    * @param name prefix of the node's files in the folder
    * @param configForPort returns the configuration for the port on which the node is to listen
    */
-  StoppableNode(Path folder, String name, IntFunction<String> configForPort) throws Exception {
+  PausableNode(Path folder, String name, IntFunction<String> configForPort) throws Exception {
     this(folder, name, configForPort, Map.of());
   }
 
   /** Starts a node with additional environment variables, without waiting until it listens. */
-  StoppableNode(
-      Path folder,
-      String name,
-      IntFunction<String> configForPort,
-      Map<String, String> environment)
+  PausableNode(
+      Path folder, String name, IntFunction<String> configForPort, Map<String, String> environment)
       throws Exception {
-    int port = DeployFile.freePort();
+    int port = DeployFile.findFreePort();
     address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     configFile = folder.resolve(name + ".json");
     logFile = folder.resolve(name + ".log");
-    configure(configForPort.apply(port));
-    ProcessBuilder builder = DeployFile.command("run").redirectOutput(logFile.toFile());
+    replaceConfig(configForPort.apply(port));
+    ProcessBuilder builder = DeployFile.commandBuilder("run").redirectOutput(logFile.toFile());
     builder.environment().put("ROUTER_CONFIG", configFile.toString());
     builder.environment().putAll(environment);
     process = builder.start();
   }
 
   /** Replaces the configuration file; the node reads it after SIGHUP. */
-  void configure(String newConfig) throws IOException {
+  void replaceConfig(String newConfig) throws IOException {
     Files.writeString(configFile, newConfig);
   }
 
@@ -87,7 +84,7 @@
     return process;
   }
 
-  List<String> logged() throws IOException {
+  List<String> logLines() throws IOException {
     return Files.readAllLines(logFile);
   }
 
@@ -95,7 +92,7 @@
     return address;
   }
 
-  void stop() throws Exception {
+  void pause() throws Exception {
     DeployFile.signal(process, "STOP");
   }
 
@@ -103,13 +100,13 @@
     DeployFile.signal(process, "CONT");
   }
 
-  void stopFor(long pauseMillis) throws Exception {
-    stop();
+  void pauseFor(long pauseMillis) throws Exception {
+    pause();
     TimeUnit.MILLISECONDS.sleep(pauseMillis);
     resume();
   }
 
-  void hangUp() throws Exception {
+  void sendReloadSignal() throws Exception {
     DeployFile.signal(process, "HUP");
   }
 
@@ -117,7 +114,7 @@
     DeployFile.signal(process, "TERM");
   }
 
-  DescriptorLimit descriptors() {
+  DescriptorLimit descriptorLimit() {
     return new DescriptorLimit(process.pid());
   }
 
--- a/daemon/src/test/java/shalepaddle/daemon/Platform.java
+++ b/daemon/src/test/java/shalepaddle/daemon/Platform.java
@@ -63,14 +63,14 @@
   /** The flags O_WRONLY, O_CREAT and O_APPEND of Linux. */
   private static final int LOG_OPEN_FLAGS = 01 | 0100 | 02000;
 
-  static final int KILL = 9;
-  static final int TERM = 15;
-  static final int HUP = 1;
+  static final int SIGKILL = 9;
+  static final int SIGTERM = 15;
+  static final int SIGHUP = 1;
   private static final int WNOHANG = 1;
 
   private final int listeningSocket;
   private final int port;
-  private final List<Started> startedProcesses = new ArrayList<>();
+  private final List<StartedProcess> startedProcesses = new ArrayList<>();
 
   Platform() throws IOException {
     listeningSocket = CLibrary.INSTANCE.socket(AF_INET, SOCK_STREAM, 0);
@@ -92,11 +92,11 @@
   }
 
   /** A process that the platform started. */
-  static final class Started {
+  static final class StartedProcess {
     private final int pid;
     private boolean hasEnded;
 
-    private Started(int pid) {
+    private StartedProcess(int pid) {
       this.pid = pid;
     }
 
@@ -104,22 +104,22 @@
       CLibrary.INSTANCE.kill(pid, signal);
     }
 
-    boolean running() {
+    boolean isRunning() {
       hasEnded |= CLibrary.INSTANCE.waitpid(pid, new IntByReference(), WNOHANG) != 0;
       return !hasEnded;
     }
 
     boolean awaitEnd(long timeoutMillis) throws InterruptedException {
       for (long remainingMillis = timeoutMillis;
-          remainingMillis > 0 && running();
+          remainingMillis > 0 && isRunning();
           remainingMillis -= 10) {
         Thread.sleep(10);
       }
-      return !running();
+      return !isRunning();
     }
 
     /** Returns the process's CPU time in milliseconds, or -1 after the process has ended. */
-    long processorMillis() {
+    long cpuMillis() {
       try {
         String statLine = Files.readString(Path.of("/proc/" + pid + "/stat"));
         String[] statFields = statLine.substring(statLine.lastIndexOf(')') + 2).split(" ", 0);
@@ -141,7 +141,8 @@
   }
 
   /** Starts a shell command with the socket as descriptor 0; its output goes to a log file. */
-  Started start(String command, Map<String, String> environment, Path logFile) throws IOException {
+  StartedProcess start(String command, Map<String, String> environment, Path logFile)
+      throws IOException {
     Memory fileActions = new Memory(256);
     CLibrary.INSTANCE.posix_spawn_file_actions_init(fileActions);
     CLibrary.INSTANCE.posix_spawn_file_actions_adddup2(fileActions, listeningSocket, 0);
@@ -163,16 +164,16 @@
       throw new IOException(
           "posix_spawn of '" + command + "' failed with error number " + errorNumber);
     }
-    Started process = new Started(pid.getValue());
+    StartedProcess process = new StartedProcess(pid.getValue());
     startedProcesses.add(process);
     return process;
   }
 
   @Override
   public void close() throws IOException {
-    for (Started process : startedProcesses) {
-      if (process.running()) {
-        process.signal(KILL);
+    for (StartedProcess process : startedProcesses) {
+      if (process.isRunning()) {
+        process.signal(SIGKILL);
         try {
           process.awaitEnd(10_000);
         } catch (InterruptedException e) {
--- a/daemon/src/test/java/shalepaddle/daemon/ProcessStallIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/ProcessStallIT.java
@@ -26,12 +26,12 @@
   @ValueSource(ints = {50, 300, 1000, 3000})
   void answersAllRequestsWhenPausedRepeatedly(int pauseMillis) throws Exception {
     try (Fleet fleet = new Fleet(4);
-        StoppableNode node = new StoppableNode(folder, fleet, 512);
+        PausableNode node = new PausableNode(folder, fleet, 512);
         ClosedLoopClients clients = new ClosedLoopClients(node.address(), CLIENT_COUNT, 900)) {
       // With short pauses, the first pause begins within the first second.
       int runMillis = 1000 - Math.min(700, pauseMillis);
-      while (!clients.await(runMillis)) {
-        node.stopFor(pauseMillis);
+      while (!clients.awaitEnd(runMillis)) {
+        node.pauseFor(pauseMillis);
       }
       clients.assertAllAnswered(pauseMillis, fleet);
     }
@@ -40,10 +40,10 @@
   @Test
   void answersAllRequestsWhenRunningForTenthOfTime() throws Exception {
     try (Fleet fleet = new Fleet(4);
-        StoppableNode node = new StoppableNode(folder, fleet, 512);
+        PausableNode node = new PausableNode(folder, fleet, 512);
         ClosedLoopClients clients = new ClosedLoopClients(node.address(), 60, 120)) {
-      while (!clients.await(10)) {
-        node.stopFor(90);
+      while (!clients.awaitEnd(10)) {
+        node.pauseFor(90);
       }
       // A node that is mostly paused answers late; the test checks that each request gets one
       // answer and no write runs twice.
@@ -54,17 +54,18 @@
   @Test
   void usesAllServersRightAfterPause() throws Exception {
     try (Fleet fleet = new Fleet(4);
-        StoppableNode node = new StoppableNode(folder, fleet, 512)) {
+        PausableNode node = new PausableNode(folder, fleet, 512)) {
       try (ClosedLoopClients clients = new ClosedLoopClients(node.address(), 60, 300)) {
-        clients.await(500);
-        node.stopFor(1000);
+        clients.awaitEnd(500);
+        node.pauseFor(1000);
         fleet.resetCounts();
         // The wait is shorter than the shortest time for which a failed server is excluded.
-        clients.await(400);
+        clients.awaitEnd(400);
         for (int i = 0; i < 4; i++) {
-          assertTrue(fleet.served(i) > 0, "server " + i + " got no requests after the pause");
+          assertTrue(
+              fleet.servedRequests(i) > 0, "server " + i + " got no requests after the pause");
         }
-        clients.await(20_000);
+        clients.awaitEnd(20_000);
         clients.assertAllAnswered(1000, fleet);
       }
     }
@@ -73,10 +74,10 @@
   @Test
   void answersAllRequestsWhenServersCloseConnectionsDuringPause() throws Exception {
     try (Fleet fleet = new Fleet(4);
-        StoppableNode node = new StoppableNode(folder, fleet, 512);
+        PausableNode node = new PausableNode(folder, fleet, 512);
         ClosedLoopClients clients = new ClosedLoopClients(node.address(), 60, 200)) {
-      while (!clients.await(500)) {
-        node.stop();
+      while (!clients.awaitEnd(500)) {
+        node.pause();
         TimeUnit.MILLISECONDS.sleep(150);
         fleet.closeIdleConnections();
         TimeUnit.MILLISECONDS.sleep(150);
@@ -93,16 +94,16 @@
   @Test
   void answersAllRequestsWhenPausedDuringReloads() throws Exception {
     try (Fleet fleet = new Fleet(4);
-        StoppableNode node = new StoppableNode(folder, fleet, 512);
+        PausableNode node = new PausableNode(folder, fleet, 512);
         ClosedLoopClients clients = new ClosedLoopClients(node.address(), 60, 200)) {
       SplittableRandom random = new SplittableRandom(3);
-      while (!clients.await(200 + random.nextInt(400))) {
+      while (!clients.awaitEnd(200 + random.nextInt(400))) {
         if (random.nextBoolean()) {
-          node.hangUp();
-          node.stopFor(300);
+          node.sendReloadSignal();
+          node.pauseFor(300);
         } else {
-          node.stop();
-          node.hangUp();
+          node.pause();
+          node.sendReloadSignal();
           TimeUnit.MILLISECONDS.sleep(300);
           node.resume();
         }
@@ -124,15 +125,15 @@
   void answersAcceptedRequestsWhenPausedDuringDrain(int delayMillis, int pauseMillis)
       throws Exception {
     try (Fleet fleet = new Fleet(4);
-        StoppableNode node = new StoppableNode(folder, fleet, 512);
+        PausableNode node = new PausableNode(folder, fleet, 512);
         ClosedLoopClients clients = new ClosedLoopClients(node.address(), 60, 1_000_000)) {
-      clients.await(500);
-      clients.leaveWhenRefused();
+      clients.awaitEnd(500);
+      clients.endOnConnectionFailure();
       node.terminate();
       TimeUnit.MILLISECONDS.sleep(delayMillis);
-      node.stopFor(pauseMillis);
+      node.pauseFor(pauseMillis);
       assertTrue(node.awaitEnd(20_000), "the node did not end");
-      clients.await(20_000);
+      clients.awaitEnd(20_000);
       clients.assertAllAnswered(pauseMillis, fleet);
     }
   }
--- a/daemon/src/test/java/shalepaddle/daemon/SystemCallFailureIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/SystemCallFailureIT.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import shalepaddle.daemon.FaultyCalls.Call;
-import shalepaddle.daemon.FaultyCalls.Errno;
+import shalepaddle.daemon.FaultySystemCalls.Call;
+import shalepaddle.daemon.FaultySystemCalls.Errno;
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
@@ -41,21 +41,21 @@
   private static final int REQUESTS_PER_CONNECTION = 4;
 
   @TempDir private static Path folder;
-  private static FaultyCalls calls;
+  private static FaultySystemCalls calls;
   private static Fleet fleet;
-  private static StoppableNode node;
+  private static PausableNode node;
   private static InetSocketAddress managementAddress;
   private static int nextRequestNumber;
 
   @BeforeAll
   static void start() throws Exception {
-    calls = new FaultyCalls(folder);
+    calls = new FaultySystemCalls(folder);
     fleet = new Fleet(2);
     managementAddress =
-        new InetSocketAddress(InetAddress.getLoopbackAddress(), DeployFile.freePort());
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), DeployFile.findFreePort());
     Map<String, String> environment = new HashMap<>(calls.environment());
     environment.put("ROUTER_MANAGEMENT", "127.0.0.1:" + managementAddress.getPort());
-    node = new StoppableNode(folder, "node", port -> fleet.config(port, 256), environment);
+    node = new PausableNode(folder, "node", port -> fleet.config(port, 256), environment);
     assertTrue(node.awaitListening(), "the node does not listen");
     assertEquals(CONNECTIONS * REQUESTS_PER_CONNECTION, sendRequests().successfulAnswers);
   }
@@ -70,7 +70,7 @@
   /** Waits until the node serves again, since it may have excluded servers after failed calls. */
   @AfterEach
   void awaitServing() throws Exception {
-    calls.clear();
+    calls.clearRules();
     await(
         () -> {
           Outcome outcome = new Outcome();
@@ -187,9 +187,9 @@
   @ParameterizedTest
   @MethodSource
   void servesAllRequestsWhenClientSocketCallsFail(Fault fault) throws Exception {
-    calls.fail(fault.call(), fault.error(), node.address().getPort(), fault.interval());
+    calls.addRule(fault.call(), fault.error(), node.address().getPort(), fault.interval());
     Outcome outcome = sendRequests(true);
-    assertTrue(calls.failed() > 0);
+    assertTrue(calls.failedCalls() > 0);
     assertEquals(
         CONNECTIONS * REQUESTS_PER_CONNECTION, outcome.successfulAnswers, outcome::toString);
     assertTrue(outcome.maxAnswerMillis < 250, outcome::toString);
@@ -206,9 +206,9 @@
   @ParameterizedTest
   @MethodSource
   void closesOnlyConnectionsWhoseCallsFail(Fault fault) throws Exception {
-    calls.fail(fault.call(), fault.error(), node.address().getPort(), fault.interval());
+    calls.addRule(fault.call(), fault.error(), node.address().getPort(), fault.interval());
     Outcome outcome = sendRequests();
-    int failedCalls = calls.failed();
+    int failedCalls = calls.failedCalls();
     assertTrue(failedCalls > 0);
     assertTrue(outcome.closedConnections <= failedCalls, outcome + ", failed calls " + failedCalls);
     assertEquals(outcome.answers, outcome.successfulAnswers, outcome::toString);
@@ -228,9 +228,9 @@
   void answersAllRequestsWhenCallsOnConnectionsToServerFail(Fault fault) throws Exception {
     boolean isTransient = transientFaults().anyMatch(fault::equals);
     // The calls fail for one of the two servers only, so requests can be retried at the other.
-    calls.fail(fault.call(), fault.error(), fleet.serverPort(0), fault.interval());
+    calls.addRule(fault.call(), fault.error(), fleet.serverPort(0), fault.interval());
     Outcome outcome = sendRequests(isTransient);
-    assertTrue(calls.failed() > 0);
+    assertTrue(calls.failedCalls() > 0);
     assertAllAnswered(outcome);
     assertTrue(
         outcome.successfulAnswers >= (isTransient ? 1.0 : 0.9) * outcome.answers,
@@ -256,7 +256,7 @@
   @ParameterizedTest
   @MethodSource
   void answersAllRequestsWhenConnectsFail(Fault fault) throws Exception {
-    calls.fail(fault.call(), fault.error(), 0, fault.interval());
+    calls.addRule(fault.call(), fault.error(), 0, fault.interval());
     Outcome outcome = new Outcome();
     for (int i = 0; i < 6; i++) {
       fleet.closeIdleConnections();
@@ -266,7 +266,7 @@
         sendRequest(client, outcome);
       }
     }
-    assertTrue(calls.failed() > 0);
+    assertTrue(calls.failedCalls() > 0);
     assertEquals(12, outcome.answers, outcome::toString);
     assertTrue(outcome.maxAnswerMillis < DEADLINE_MILLIS + TOLERANCE_MILLIS, outcome::toString);
   }
@@ -291,16 +291,16 @@
   void servesAllRequestsWhenDiscoveryCallsFail(Fault fault) throws Exception {
     // Calls of socket() can't be selected by port, since they precede the connect.
     int port = fault.call() == Call.SOCKET ? 0 : fleet.discoveryPort();
-    calls.fail(fault.call(), fault.error(), port, fault.interval());
+    calls.addRule(fault.call(), fault.error(), port, fault.interval());
     Outcome outcome = sendRequests();
     assertAllAnswered(outcome);
     assertEquals(outcome.answers, outcome.successfulAnswers, outcome::toString);
     reopenWatchUntilCallFails();
-    calls.clear();
-    int previousWatchRequests = fleet.watches();
+    calls.clearRules();
+    int previousWatchRequests = fleet.watchRequests();
     fleet.closeWatches();
     await(
-        () -> fleet.watches() > previousWatchRequests,
+        () -> fleet.watchRequests() > previousWatchRequests,
         "the node does not request the list again");
   }
 
@@ -309,7 +309,7 @@
     await(
         () -> {
           fleet.closeWatches();
-          return calls.failed() > 0;
+          return calls.failedCalls() > 0;
         },
         "no call has failed although the watch was closed repeatedly");
   }
@@ -329,7 +329,7 @@
   @ParameterizedTest
   @MethodSource
   void answersManagementRequestsWhenCallsFail(Fault fault) throws Exception {
-    calls.fail(fault.call(), fault.error(), managementAddress.getPort(), fault.interval());
+    calls.addRule(fault.call(), fault.error(), managementAddress.getPort(), fault.interval());
     List<Long> answerMillis = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       long sentAtNanos = System.nanoTime();
@@ -339,14 +339,14 @@
       }
       answerMillis.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos));
     }
-    assertTrue(calls.failed() > 0);
+    assertTrue(calls.failedCalls() > 0);
     assertTrue(answerMillis.stream().allMatch(millis -> millis < 300), answerMillis::toString);
   }
 
   @Test
   void servesRequestsWhenWallClockSteps() throws Exception {
     for (long seconds : new long[] {3600, -3600, 0}) {
-      calls.stepWallClock(seconds);
+      calls.setWallClockOffset(seconds);
       Outcome outcome = sendRequests();
       assertEquals(
           CONNECTIONS * REQUESTS_PER_CONNECTION, outcome.successfulAnswers, outcome::toString);
--- a/daemon/src/test/java/shalepaddle/daemon/UpgradeIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/UpgradeIT.java
@@ -36,7 +36,7 @@
   private long lastCpuMillis;
 
   /** A process and the address of its management port. */
-  private record Node(Platform.Started process, InetSocketAddress managementAddress) {
+  private record Node(Platform.StartedProcess process, InetSocketAddress managementAddress) {
     /** Sends a management request; returns the answer's status, or 0 if there is no answer. */
     int httpStatus(String request) throws IOException {
       return Integer.parseInt(answer(request + " HTTP/1.1\r\n\r\n", "0").split(" ", 0)[0]);
@@ -58,7 +58,7 @@
 
     Node awaitReady() throws Exception {
       while (httpStatus("GET /api/ready") != 200) {
-        assertTrue(process.running(), "the process ended before it was ready");
+        assertTrue(process.isRunning(), "the process ended before it was ready");
         Thread.sleep(20);
       }
       return this;
@@ -67,7 +67,7 @@
 
   private Node start(Platform platform, Fleet fleet, Map<String, String> extraVariables)
       throws Exception {
-    int port = DeployFile.freePort();
+    int port = DeployFile.findFreePort();
     Path config = folder.resolve("config.json");
     // ROUTER_MANAGEMENT must override the management address that is written to the file here.
     String configText = fleet.config(platform.address().getPort(), 512);
@@ -79,9 +79,9 @@
     environment.put("ROUTER_MANAGEMENT", "127.0.0.1:" + port);
     environment.put("TMPDIR", folder.toString());
     environment.putAll(extraVariables);
-    Platform.Started process =
+    Platform.StartedProcess process =
         platform.start(
-            DeployFile.shell("run"), environment, folder.resolve("log-" + startedNodes++));
+            DeployFile.shellCommand("run"), environment, folder.resolve("log-" + startedNodes++));
     return new Node(process, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
   }
 
@@ -94,16 +94,16 @@
   }
 
   /** Waits for the end of a process, and stores the last CPU time that was read before the end. */
-  private boolean awaitEnd(Platform.Started process, long timeoutMillis)
+  private boolean awaitEnd(Platform.StartedProcess process, long timeoutMillis)
       throws InterruptedException {
     for (long remainingMillis = timeoutMillis;
-        remainingMillis > 0 && process.running();
+        remainingMillis > 0 && process.isRunning();
         remainingMillis -= 5) {
       lastCpuMillis =
-          Math.max(process.processorMillis(), remainingMillis == timeoutMillis ? 0 : lastCpuMillis);
+          Math.max(process.cpuMillis(), remainingMillis == timeoutMillis ? 0 : lastCpuMillis);
       Thread.sleep(5);
     }
-    return !process.running();
+    return !process.isRunning();
   }
 
   @Test
@@ -112,7 +112,7 @@
         Fleet fleet = new Fleet(4, MAX_SERVER_CONNECTIONS, 50)) {
       Node oldNode = start(platform, fleet).awaitReady();
       try (ClosedLoopClients clients = new ClosedLoopClients(platform.address(), 60, 1_000_000)) {
-        clients.await(300);
+        clients.awaitEnd(300);
         long maxResidentKilobytes = 0;
         long maxShutdownCpuMillis = 0;
         for (int i = 0; i < UPGRADES; i++) {
@@ -121,23 +121,22 @@
               Math.max(
                   maxResidentKilobytes,
                   oldNode.process().residentKilobytes() + newNode.process().residentKilobytes());
-          long cpuMillisBefore = oldNode.process().processorMillis();
-          oldNode.process().signal(Platform.TERM);
+          long cpuMillisBefore = oldNode.process().cpuMillis();
+          oldNode.process().signal(Platform.SIGTERM);
           // The platform kills the old process 0.7 s after the longest deadline, which is 2 s.
           assertTrue(awaitEnd(oldNode.process(), 2700), "the old process did not end");
           maxShutdownCpuMillis = Math.max(maxShutdownCpuMillis, lastCpuMillis - cpuMillisBefore);
           assertTrue(
-              readLog(i).contains("handing over") && readLog(i).endsWith("drained\n"),
-              readLog(i));
+              readLog(i).contains("handing over") && readLog(i).endsWith("drained\n"), readLog(i));
           assertTrue(readLog(i + 1).contains("warm start: replayed "), readLog(i + 1));
           oldNode = newNode;
         }
-        clients.finish();
-        assertTrue(clients.await(20_000));
+        clients.stopSending();
+        assertTrue(clients.awaitEnd(20_000));
         clients.assertAllAnswered(0, fleet);
         assertTrue(
-            clients.crossed() <= 2 * UPGRADES,
-            clients.crossed() + " requests were sent again after a close");
+            clients.resentRequests() <= 2 * UPGRADES,
+            clients.resentRequests() + " requests were sent again after a close");
         assertTrue(
             maxResidentKilobytes < 220_000,
             maxResidentKilobytes + " kB resident in the old and the new process together");
@@ -145,12 +144,12 @@
             ("%d of %d requests refused, %d server connections rejected,"
                     + " up to %d ms CPU per shutdown")
                 .formatted(
-                    clients.refused(),
-                    clients.answered(),
-                    fleet.turnedDown(),
+                    clients.refusedRequests(),
+                    clients.answeredRequests(),
+                    fleet.rejectedConnections(),
                     maxShutdownCpuMillis);
         System.out.println(summary);
-        assertTrue(clients.refused() <= clients.answered() / 80, summary);
+        assertTrue(clients.refusedRequests() <= clients.answeredRequests() / 80, summary);
         assertTrue(maxShutdownCpuMillis < 1000, summary);
       }
     }
@@ -173,15 +172,15 @@
         for (int i = 0; i < 4; i++) {
           Node killedNode = start(platform, fleet);
           Thread.sleep(random.nextInt(700));
-          killedNode.process().signal(Platform.KILL);
+          killedNode.process().signal(Platform.SIGKILL);
           assertTrue(killedNode.process().awaitEnd(5000));
         }
-        assertTrue(node.process().running());
+        assertTrue(node.process().isRunning());
         assertEquals(200, node.httpStatus("GET /api/ready"));
-        clients.finish();
-        assertTrue(clients.await(20_000));
+        clients.stopSending();
+        assertTrue(clients.awaitEnd(20_000));
         // Requests that a killed process had accepted may be lost.
-        clients.assertNoneLeftWaiting(fleet);
+        clients.assertNoClientWaits(fleet);
       }
     }
   }
@@ -199,8 +198,8 @@
       assertEquals(200, firstNode.httpStatus("PUT /api/include?member=s-1"));
       awaitEjected(secondNode, 1);
       // Killed processes leave their exclusions behind: a process that starts later applies them.
-      firstNode.process().signal(Platform.KILL);
-      secondNode.process().signal(Platform.KILL);
+      firstNode.process().signal(Platform.SIGKILL);
+      secondNode.process().signal(Platform.SIGKILL);
       assertTrue(firstNode.process().awaitEnd(5000) && secondNode.process().awaitEnd(5000));
       Node thirdNode = start(platform, fleet).awaitReady();
       awaitEjected(thirdNode, 1);
@@ -218,7 +217,7 @@
         Fleet fleet = new Fleet(2)) {
       Node node = start(platform, fleet).awaitReady();
       // As no other process takes over, the node accepts connections while it drains.
-      node.process().signal(Platform.TERM);
+      node.process().signal(Platform.SIGTERM);
       assertFalse(node.process().awaitEnd(1000), "the process ended without draining");
       assertTrue(node.process().awaitEnd(2700));
       assertTrue(readLog(0).contains("draining") && readLog(0).endsWith("drained\n"), readLog(0));
--- a/daemon/src/test/java/shalepaddle/daemon/WallClockIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/WallClockIT.java
@@ -34,14 +34,14 @@
   private static final double MAX_COLD_FRACTION = 0.5;
 
   @TempDir private Path folder;
-  private FaultyCalls calls;
+  private FaultySystemCalls calls;
   private Fleet fleet;
-  private StoppableNode node;
+  private PausableNode node;
   private int nextRequestNumber;
 
   @BeforeEach
   void prepare() throws Exception {
-    calls = new FaultyCalls(folder);
+    calls = new FaultySystemCalls(folder);
     fleet = new Fleet(SERVER_COUNT);
   }
 
@@ -55,7 +55,7 @@
 
   private void startNode() throws Exception {
     node =
-        new StoppableNode(
+        new PausableNode(
             folder,
             "node",
             port -> fleet.config(port, 256).replace("\"warm-within\":1", "\"warm-within\":20"),
@@ -93,12 +93,12 @@
     long startTimeMillis =
         System.currentTimeMillis() + discoveryClockAheadSeconds * 1000 - WARM_SERVER_AGE_MILLIS;
     for (int i = 0; i < SERVER_COUNT; i++) {
-      fleet.tellStart(i, startTimeMillis + i);
+      fleet.setStartTime(i, startTimeMillis + i);
     }
-    calls.stepWallClock(nodeClockAheadSeconds);
+    calls.setWallClockOffset(nodeClockAheadSeconds);
     startNode();
     assertEquals(REQUEST_COUNT, sendReads());
-    fleet.tellStart(0, startTimeMillis);
+    fleet.setStartTime(0, startTimeMillis);
     assertEquals(REQUEST_COUNT, sendReads());
   }
 
@@ -111,17 +111,17 @@
   void limitsLoadOnServerThatStartsAfterNode(
       long nodeClockAheadSeconds, long discoveryClockAheadSeconds) throws Exception {
     for (int i = 0; i < SERVER_COUNT; i++) {
-      fleet.tellStart(i, System.currentTimeMillis() - WARM_SERVER_AGE_MILLIS + i);
+      fleet.setStartTime(i, System.currentTimeMillis() - WARM_SERVER_AGE_MILLIS + i);
     }
     startNode();
-    calls.stepWallClock(nodeClockAheadSeconds);
+    calls.setWallClockOffset(nodeClockAheadSeconds);
     assertEquals(REQUEST_COUNT, sendReads());
-    int warmRequests = fleet.served(0);
-    fleet.tellStart(0, System.currentTimeMillis() + discoveryClockAheadSeconds * 1000);
+    int warmRequests = fleet.servedRequests(0);
+    fleet.setStartTime(0, System.currentTimeMillis() + discoveryClockAheadSeconds * 1000);
     TimeUnit.MILLISECONDS.sleep(100);
     fleet.resetCounts();
     assertEquals(REQUEST_COUNT, sendReads());
-    int coldRequests = fleet.served(0);
+    int coldRequests = fleet.servedRequests(0);
     assertTrue(
         coldRequests < MAX_COLD_FRACTION * warmRequests,
         "the server served "
@@ -139,14 +139,14 @@
   @ValueSource(longs = {0, 3600, -3600})
   void limitsLoadOnServerThatStartedJustBeforeNode(long nodeClockAheadSeconds) throws Exception {
     for (int i = 0; i < SERVER_COUNT; i++) {
-      fleet.tellStart(i, System.currentTimeMillis() - WARM_SERVER_AGE_MILLIS + i);
+      fleet.setStartTime(i, System.currentTimeMillis() - WARM_SERVER_AGE_MILLIS + i);
     }
-    fleet.tellStart(0, System.currentTimeMillis());
-    calls.stepWallClock(nodeClockAheadSeconds);
+    fleet.setStartTime(0, System.currentTimeMillis());
+    calls.setWallClockOffset(nodeClockAheadSeconds);
     startNode();
     assertEquals(REQUEST_COUNT, sendReads());
-    int warmRequests = fleet.served(1) + fleet.served(2);
-    int coldRequests = fleet.served(0);
+    int warmRequests = fleet.servedRequests(1) + fleet.servedRequests(2);
+    int coldRequests = fleet.servedRequests(0);
     assertTrue(
         coldRequests < MAX_COLD_FRACTION * warmRequests / 2,
         "two warm servers served " + warmRequests + " requests, the cold one " + coldRequests);
--- a/engine/src/main/java/shalepaddle/admin/AdminOperations.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminOperations.java
@@ -28,7 +28,7 @@
    * @param onResult receives the result once, on any thread, unless the command is revoked first
    * @return a handle to revoke the command
    */
-  Revocable exclude(String member, boolean isExcluded, Consumer<Result> onResult);
+  Revocable setExcluded(String member, boolean isExcluded, Consumer<Result> onResult);
 
   /** A command that can be revoked until it has run. */
   interface Revocable {
--- a/engine/src/main/java/shalepaddle/admin/AdminRequestHandler.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminRequestHandler.java
@@ -54,7 +54,7 @@
       if (bodyBytes > MAX_BODY_BYTES) {
         respond(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "no call has a body\n");
       } else if (message instanceof LastHttpContent) {
-        server.requestComplete(ctx.channel());
+        server.markRequestComplete(ctx.channel());
         handle(ctx);
       }
     }
@@ -113,7 +113,7 @@
     }
     String member = members.get(0);
     AdminOperations.Revocable command =
-        operations.exclude(
+        operations.setExcluded(
             member,
             isExcluded,
             result -> ctx.executor().execute(() -> respondWithResult(ctx, result)));
@@ -125,7 +125,7 @@
                     ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "too busy: nothing was done\n");
               }
             },
-            AdminServer.COMMAND_MILLIS,
+            AdminServer.COMMAND_TIMEOUT_MILLIS,
             TimeUnit.MILLISECONDS);
   }
 
@@ -148,7 +148,7 @@
       return;
     }
     hasResponded = true;
-    server.requestComplete(ctx.channel());
+    server.markRequestComplete(ctx.channel());
     var response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, status, ByteBufUtil.writeUtf8(ctx.alloc(), text));
--- a/engine/src/main/java/shalepaddle/admin/AdminServer.java
+++ b/engine/src/main/java/shalepaddle/admin/AdminServer.java
@@ -33,7 +33,7 @@
   static final long MAX_CONNECTION_MILLIS = 5000;
 
   /** The time limit for a command on the node's event loop; a response is due within 1 s. */
-  static final long COMMAND_MILLIS = 800;
+  static final long COMMAND_TIMEOUT_MILLIS = 800;
 
   private static final int MAX_LINE_BYTES = 1024;
   private static final int MAX_HEADER_BYTES = 4096;
@@ -117,7 +117,7 @@
   }
 
   /** Records that the request of this connection is complete. */
-  void requestComplete(Channel caller) {
+  void markRequestComplete(Channel caller) {
     if (callersSendingRequest.remove(caller)) {
       callersAwaitingResponse.add(caller);
     }
--- a/engine/src/main/java/shalepaddle/admin/PrometheusExposition.java
+++ b/engine/src/main/java/shalepaddle/admin/PrometheusExposition.java
@@ -19,18 +19,24 @@
     RequestMetricsSnapshot metrics = telemetry.requestMetrics();
     exposition.writeHeader("results", "counter", "Requests ended, by class and disposition.");
     for (RequestMetricsSnapshot.Results results : metrics.results()) {
-      exposition.writeResult(results.service(), "succeeded", results.succeeded());
-      exposition.writeResult(results.service(), "declined", results.rejected());
-      exposition.writeResult(results.service(), "aborted", results.failed());
+      exposition.writeResult(results.service(), "succeeded", results.succeededRequests());
+      exposition.writeResult(results.service(), "declined", results.rejectedRequests());
+      exposition.writeResult(results.service(), "aborted", results.failedRequests());
     }
     exposition.writeMetric(
-        "forwards", "counter", "Attempts written whole to cache servers.", metrics.forwards());
+        "forwards",
+        "counter",
+        "Attempts written whole to cache servers.",
+        metrics.forwardedAttempts());
     exposition.writeMetric(
-        "outstanding", "gauge", "Requests taken and not ended.", metrics.outstanding());
+        "outstanding", "gauge", "Requests taken and not ended.", metrics.outstandingRequests());
     exposition.writeMetric(
-        "discovered", "gauge", "Cache servers in the list.", telemetry.discovered());
+        "discovered", "gauge", "Cache servers in the list.", telemetry.discoveredServerCount());
     exposition.writeMetric(
-        "ejected", "gauge", "Listed cache servers that get nothing new now.", telemetry.ejected());
+        "ejected",
+        "gauge",
+        "Listed cache servers that get nothing new now.",
+        telemetry.ejectedServerCount());
     exposition.writeMetric(
         "sighup_applied", "counter", "Configurations taken at SIGHUP.", telemetry.reloadsApplied());
     exposition.writeMetric(
@@ -55,13 +61,13 @@
   /** Writes one metric for each kind of event, labelled with the reason. */
   private void writeEvents(EventCounts counts) {
     String metric = null;
-    for (Event event : Event.counted()) {
+    for (Event event : Event.countedEvents()) {
       if (!event.metric().equals(metric)) {
         metric = event.metric();
         writeHeader(metric, "counter", "Events of this kind, by reason.");
       }
       text.append(PREFIX).append(metric).append("{reason=\"").append(event.reason());
-      text.append("\"} ").append(counts.of(event)).append('\n');
+      text.append("\"} ").append(counts.countOf(event)).append('\n');
     }
   }
 
--- a/engine/src/main/java/shalepaddle/admin/Telemetry.java
+++ b/engine/src/main/java/shalepaddle/admin/Telemetry.java
@@ -8,16 +8,16 @@
  *
  * @param requestMetrics the counts of requests and attempts by outcome
  * @param events the counts of events
- * @param discovered the number of cache servers in the endpoint list
- * @param ejected the number of cache servers in the endpoint list that currently receive no new
- *     requests, since they are ejected or excluded
+ * @param discoveredServerCount the number of cache servers in the endpoint list
+ * @param ejectedServerCount the number of cache servers in the endpoint list that currently receive
+ *     no new requests, since they are ejected or excluded
  * @param reloadsApplied the number of configurations applied at SIGHUP
  * @param reloadsRejected the number of configurations rejected at SIGHUP
  */
 public record Telemetry(
     RequestMetricsSnapshot requestMetrics,
     EventCounts events,
-    int discovered,
-    int ejected,
+    int discoveredServerCount,
+    int ejectedServerCount,
     long reloadsApplied,
     long reloadsRejected) {}
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaClientCodec.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaClientCodec.java
@@ -40,7 +40,7 @@
 
   /** Stops accepting removed classes that have expired. */
   public void expireRemovedClasses(long now) {
-    names.expireRemoved(now);
+    names.expireRemovedClasses(now);
   }
 
   @Override
@@ -55,11 +55,11 @@
 
   @Override
   public ByteBuf encodeStreamEnd() {
-    return MetaReplies.streamEnd();
+    return MetaReplies.encodeStreamEnd();
   }
 
   @Override
   public ByteBuf encodeDuplicateId(ByteBufAllocator allocator) {
-    return MetaReplies.line(allocator, WireNames.CLIENT_ERROR + " id in use");
+    return MetaReplies.encodeLine(allocator, WireNames.CLIENT_ERROR + " id in use");
   }
 }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaCommandDecoder.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaCommandDecoder.java
@@ -78,7 +78,7 @@
       // Netty treats a message that was decoded without reading a byte as a bug of the decoder.
       in.skipBytes(in.readableBytes());
       String line = WireNames.CLIENT_ERROR + " " + e.getMessage();
-      out.add(ClientCommand.answer(MetaReplies.line(ctx.alloc(), line), true, true));
+      out.add(ClientCommand.answer(MetaReplies.encodeLine(ctx.alloc(), line), true, true));
     }
   }
 
@@ -130,20 +130,20 @@
         isAdmitted = true;
         break;
       }
-      long retryAfterMillis = admissionResult & ~RequestAdmission.RETRY;
+      long retryAfterMillis = admissionResult & ~RequestAdmission.RETRY_FLAG;
       int retries = admissionResult == retryAfterMillis ? 0 : 1;
       in.skipBytes(newlineOffset + 1);
       if (peek.isWrite()) {
         ByteBuf answer = allocator.buffer(MetaReplies.BUSY_LINE_BYTES);
         expectValue(
             ClientCommand.rejected(
-                MetaReplies.busy(answer, retryAfterMillis),
+                MetaReplies.appendBusy(answer, retryAfterMillis),
                 new Rejections(1, retries, retryAfterMillis)),
             null,
             peek.valueBytes());
       } else {
         answers = answers == null ? allocator.buffer(MetaReplies.BUSY_LINE_BYTES) : answers;
-        MetaReplies.busy(answers, retryAfterMillis);
+        MetaReplies.appendBusy(answers, retryAfterMillis);
         rejections =
             new Rejections(
                 rejections.count() + 1, rejections.retries() + retries, retryAfterMillis);
@@ -170,7 +170,7 @@
       missingBytes -= bytes;
     }
     if (missingBytes == MetaLine.CRLF_BYTES && in.readableBytes() >= MetaLine.CRLF_BYTES) {
-      MetaLine.readEnd(in);
+      MetaLine.readCrlf(in);
       if (pendingPayload != null) {
         pendingPayload.endValue();
       }
@@ -184,12 +184,13 @@
   /** Parses the command on a line. A write must not be passed on before its value is read. */
   private ClientCommand parse(ByteBufAllocator allocator, MetaLine line)
       throws MetaLine.MalformedException {
-    line.next();
-    if (line.is(WireNames.HEALTH_CHECK)) {
-      return ClientCommand.answer(MetaReplies.line(allocator, WireNames.HEALTHY), false, false);
+    line.nextToken();
+    if (line.tokenEquals(WireNames.HEALTH_CHECK)) {
+      return ClientCommand.answer(
+          MetaReplies.encodeLine(allocator, WireNames.HEALTHY), false, false);
     }
-    boolean isWrite = line.is(WireNames.WRITE);
-    if (!isWrite && !line.is(WireNames.READ)) {
+    boolean isWrite = line.tokenEquals(WireNames.WRITE);
+    if (!isWrite && !line.tokenEquals(WireNames.READ)) {
       return createError(allocator, WireNames.UNKNOWN_COMMAND);
     }
     parser.parseKey(line);
@@ -209,7 +210,7 @@
       // No request is rejected now: this call only counts the request.
       admission.admit(parser.serviceClassIndex(), parser.tenantIndex(), 0, parser.isRetry());
     }
-    return ClientCommand.of(parser.request(isWrite), parser.payload(line, budget));
+    return ClientCommand.of(parser.createRequest(isWrite), parser.createPayload(line, budget));
   }
 
   /** Reserves memory for the value of a write; rejects the write if the budget is used up. */
@@ -224,14 +225,14 @@
       admission.rejectedAfterAdmission(command.request().serviceClass());
       command.release();
       ByteBuf answer = allocator.buffer(MetaReplies.BUSY_LINE_BYTES);
-      write = ClientCommand.rejected(MetaReplies.busy(answer, 0), new Rejections(1, 0, 0));
+      write = ClientCommand.rejected(MetaReplies.appendBusy(answer, 0), new Rejections(1, 0, 0));
     }
     expectValue(write, payload, valueBytes);
     return write;
   }
 
   private static ClientCommand createError(ByteBufAllocator allocator, String line) {
-    return ClientCommand.answer(MetaReplies.line(allocator, line), true, false);
+    return ClientCommand.answer(MetaReplies.encodeLine(allocator, line), true, false);
   }
 
   private void releaseWrite() {
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaLine.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaLine.java
@@ -62,7 +62,7 @@
   }
 
   /** Moves to the next token; returns false at the end of the line. */
-  boolean next() {
+  boolean nextToken() {
     while (position < bytes.length && bytes[position] == ' ') {
       position++;
     }
@@ -72,12 +72,12 @@
   }
 
   /** The index of the first byte of the token. */
-  int start() {
+  int tokenStart() {
     return tokenStart;
   }
 
   /** The index after the last byte of the token. */
-  int end() {
+  int tokenEnd() {
     return position;
   }
 
@@ -86,7 +86,7 @@
     return (char) bytes[tokenStart];
   }
 
-  boolean is(String token) {
+  boolean tokenEquals(String token) {
     return matches(tokenStart, position, token);
   }
 
@@ -104,7 +104,7 @@
   }
 
   /** The text of the token without its first {@code offset} characters. */
-  String token(int offset) {
+  String tokenFrom(int offset) {
     return text(tokenStart + offset, position);
   }
 
@@ -113,7 +113,7 @@
   }
 
   /** The decimal number between two indices, -1 if it is malformed or has over nine digits. */
-  int number(int fromIndex, int toIndex) {
+  int parseNumber(int fromIndex, int toIndex) {
     if (fromIndex >= toIndex || toIndex - fromIndex > MAX_NUMBER_DIGITS) {
       return -1;
     }
@@ -130,7 +130,7 @@
 
   /** Reads the next token as the length of a value, in bytes. */
   int readValueLength() throws MalformedException {
-    int valueBytes = next() ? number(tokenStart, position) : -1;
+    int valueBytes = nextToken() ? parseNumber(tokenStart, position) : -1;
     if (valueBytes < 0 || valueBytes > MAX_VALUE_BYTES) {
       throw new MalformedException("bad data length");
     }
@@ -148,7 +148,7 @@
   }
 
   /** Reads the CRLF after a value from the buffer, which must have at least two bytes. */
-  static void readEnd(ByteBuf in) throws MalformedException {
+  static void readCrlf(ByteBuf in) throws MalformedException {
     if (in.readByte() != '\r' || in.readByte() != '\n') {
       throw new MalformedException("bad data chunk");
     }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaLinePeek.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaLinePeek.java
@@ -102,7 +102,7 @@
     while (propertyStart < end) {
       int propertyEnd = indexOf(in, WireNames.PROPERTY_SEPARATOR, propertyStart, end);
       if (propertyEnd - propertyStart > 2
-          && in.getByte(propertyStart + 1) == WireNames.PROPERTY_VALUE) {
+          && in.getByte(propertyStart + 1) == WireNames.PROPERTY_VALUE_SEPARATOR) {
         readProperty(in, (char) in.getByte(propertyStart), propertyStart + 2, propertyEnd);
       }
       propertyStart = propertyEnd + 1;
@@ -141,7 +141,7 @@
     return index;
   }
 
-  /** The decimal number between two indices of the buffer, see {@link MetaLine#number}. */
+  /** The decimal number between two indices of the buffer, see {@link MetaLine#parseNumber}. */
   private static int parseNumber(ByteBuf in, int fromIndex, int toIndex) {
     if (fromIndex >= toIndex || toIndex - fromIndex > 9) {
       return NONE;
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaReplies.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaReplies.java
@@ -34,10 +34,10 @@
       return encodeValue(allocator, id, valueReply.value());
     }
     if (reply instanceof Reply.Streamed streamedReply) {
-      return appendValueHead(allocator.buffer(id.length() + 16), id, streamedReply.length());
+      return appendValueHead(allocator.buffer(id.length() + 16), id, streamedReply.valueBytes());
     }
     if (reply instanceof Reply.Receipt receiptReply) {
-      return line(
+      return encodeLine(
           allocator,
           WireNames.STORED
               + " "
@@ -48,13 +48,13 @@
               + receiptReply.receipt());
     }
     if (reply instanceof Reply.Rejected rejection) {
-      return busy(allocator.buffer(BUSY_LINE_BYTES), rejection.retryAfterMillis());
+      return appendBusy(allocator.buffer(BUSY_LINE_BYTES), rejection.retryAfterMillis());
     }
-    return line(allocator, WireNames.SERVER_ERROR + " " + WireNames.FAILED);
+    return encodeLine(allocator, WireNames.SERVER_ERROR + " " + WireNames.FAILED);
   }
 
   /** Appends a rejection and returns {@code bytes}. A Retry-After of 0 is omitted. */
-  static ByteBuf busy(ByteBuf bytes, long retryAfterMillis) {
+  static ByteBuf appendBusy(ByteBuf bytes, long retryAfterMillis) {
     ByteBufUtil.writeAscii(bytes, BUSY);
     if (retryAfterMillis > 0) {
       bytes.writeByte(' ');
@@ -64,14 +64,14 @@
   }
 
   /** Encodes a line of ASCII text with its CRLF. */
-  public static ByteBuf line(ByteBufAllocator allocator, String text) {
+  public static ByteBuf encodeLine(ByteBufAllocator allocator, String text) {
     ByteBuf line = allocator.buffer(text.length() + 2);
     ByteBufUtil.writeAscii(line, text);
     return line.writeShort(CRLF);
   }
 
   /** Returns the bytes that follow the last chunk of a streamed value. */
-  static ByteBuf streamEnd() {
+  static ByteBuf encodeStreamEnd() {
     return CRLF_BUFFER.duplicate();
   }
 
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaReplyDecoder.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaReplyDecoder.java
@@ -84,7 +84,8 @@
     // The next handler owns the slice.
     ByteBuf value = in.readRetainedSlice(valueBytes);
     in.skipBytes(MetaLine.CRLF_BYTES);
-    out.add(new ServerReply(head.result(), head.id(), null, value, head.note(), head.load()));
+    out.add(
+        new ServerReply(head.result(), head.id(), null, value, head.cacheStatus(), head.load()));
     head = null;
     state = State.LINE;
   }
@@ -97,7 +98,7 @@
       // The next handler owns the slice.
       out.add(in.readRetainedSlice(bytes));
     } else if (in.readableBytes() >= MetaLine.CRLF_BYTES) {
-      MetaLine.readEnd(in);
+      MetaLine.readCrlf(in);
       state = State.LINE;
       out.add(LargeReply.END);
     }
@@ -105,14 +106,14 @@
 
   /** Parses the line of a reply and sets {@link #valueBytes}. */
   private ServerReply parse(MetaLine line) throws MetaLine.MalformedException {
-    line.next();
+    line.nextToken();
     Outcome.Result result = Outcome.Result.OK;
     valueBytes = -1;
-    if (line.is(WireNames.VALUE)) {
+    if (line.tokenEquals(WireNames.VALUE)) {
       valueBytes = line.readValueLength();
-    } else if (line.is(WireNames.SERVER_ERROR)) {
+    } else if (line.tokenEquals(WireNames.SERVER_ERROR)) {
       result = parseError(line);
-    } else if (!line.is(WireNames.STORED)) {
+    } else if (!line.tokenEquals(WireNames.STORED)) {
       throw new MetaLine.MalformedException("unknown reply");
     }
     ServerReply reply = parseFlags(line, result);
@@ -123,10 +124,10 @@
   }
 
   private static Outcome.Result parseError(MetaLine line) throws MetaLine.MalformedException {
-    if (!line.next()) {
+    if (!line.nextToken()) {
       throw new MetaLine.MalformedException("SERVER_ERROR without an error code");
     }
-    return line.is(WireNames.BUSY) ? Outcome.Result.SERVER_BUSY : Outcome.Result.ERROR;
+    return line.tokenEquals(WireNames.BUSY) ? Outcome.Result.SERVER_BUSY : Outcome.Result.ERROR;
   }
 
   private static ServerReply parseFlags(MetaLine line, Outcome.Result result) {
@@ -134,15 +135,17 @@
     String receipt = null;
     Outcome.CacheStatus cacheStatus = Outcome.CacheStatus.NONE;
     LoadReport load = null;
-    while (line.next()) {
+    while (line.nextToken()) {
       switch (line.flag()) {
-        case WireNames.REQUEST_ID -> id = line.token(1);
-        case WireNames.RECEIPT -> receipt = line.token(1);
+        case WireNames.REQUEST_ID -> id = line.tokenFrom(1);
+        case WireNames.RECEIPT -> receipt = line.tokenFrom(1);
         case WireNames.CACHE_LOOKUP ->
             cacheStatus =
-                line.is(WireNames.CACHE_HIT) ? Outcome.CacheStatus.HIT : Outcome.CacheStatus.MISS;
+                line.tokenEquals(WireNames.CACHE_HIT)
+                    ? Outcome.CacheStatus.HIT
+                    : Outcome.CacheStatus.MISS;
         case WireNames.FETCH_PENDING -> cacheStatus = Outcome.CacheStatus.MISS_PENDING;
-        case WireNames.LOAD_REPORT -> load = LoadReportParser.parse(line.token(1));
+        case WireNames.LOAD_REPORT -> load = LoadReportParser.parse(line.tokenFrom(1));
         default -> {
           // This node does not use other flags.
         }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaRequestParser.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaRequestParser.java
@@ -41,8 +41,10 @@
   /** Resets the parser and parses the key, which is the next token of the line. */
   void parseKey(MetaLine line) {
     boolean isKeyValid =
-        line.next() && line.end() - line.start() <= MAX_KEY_BYTES && line.isTokenPrintable();
-    key = isKeyValid ? line.token(0) : null;
+        line.nextToken()
+            && line.tokenEnd() - line.tokenStart() <= MAX_KEY_BYTES
+            && line.isTokenPrintable();
+    key = isKeyValid ? line.tokenFrom(0) : null;
     error = isKeyValid ? null : "bad key";
     id = null;
     serviceClass = null;
@@ -59,11 +61,11 @@
 
   /** Parses the rest of the line. */
   void parseFlags(MetaLine line) {
-    while (line.next()) {
+    while (line.nextToken()) {
       if (!line.isTokenPrintable()) {
         error = "bad flag";
       } else if (line.flag() == WireNames.REQUEST_ID) {
-        id = line.end() - line.start() - 1 <= MAX_ID_BYTES ? line.token(1) : null;
+        id = line.tokenEnd() - line.tokenStart() - 1 <= MAX_ID_BYTES ? line.tokenFrom(1) : null;
       } else if (line.flag() == WireNames.PROPERTIES) {
         parseProperties(line);
       }
@@ -86,15 +88,15 @@
   }
 
   private void parseProperties(MetaLine line) {
-    int propertyStart = line.start() + 1;
-    while (propertyStart < line.end()) {
-      int propertyEnd = line.indexOf(WireNames.PROPERTY_SEPARATOR, propertyStart, line.end());
-      int nameEnd = line.indexOf(WireNames.PROPERTY_VALUE, propertyStart, propertyEnd);
+    int propertyStart = line.tokenStart() + 1;
+    while (propertyStart < line.tokenEnd()) {
+      int propertyEnd = line.indexOf(WireNames.PROPERTY_SEPARATOR, propertyStart, line.tokenEnd());
+      int nameEnd = line.indexOf(WireNames.PROPERTY_VALUE_SEPARATOR, propertyStart, propertyEnd);
       int valueStart = Math.min(nameEnd + 1, propertyEnd);
       if (nameEnd - propertyStart == 1) {
         parseProperty(line, line.charAt(propertyStart), valueStart, propertyEnd);
       } else if (line.matches(propertyStart, nameEnd, WireNames.VALUE_SIZE)) {
-        sizeBytes = Math.max(0, line.number(valueStart, propertyEnd));
+        sizeBytes = Math.max(0, line.parseNumber(valueStart, propertyEnd));
       }
       propertyStart = propertyEnd + 1;
     }
@@ -113,11 +115,11 @@
       case WireNames.DEADLINE_MILLIS -> {
         deadlineStart = fromIndex;
         deadlineEnd = toIndex;
-        deadlineMillis = line.number(fromIndex, toIndex);
+        deadlineMillis = line.parseNumber(fromIndex, toIndex);
       }
-      case WireNames.RETRY -> isRetry = line.number(fromIndex, toIndex) == 1;
+      case WireNames.RETRY -> isRetry = line.parseNumber(fromIndex, toIndex) == 1;
       case WireNames.WORK_MICROS ->
-          workSeconds = Math.max(0, line.number(fromIndex, toIndex)) / MICROS_PER_SECOND;
+          workSeconds = Math.max(0, line.parseNumber(fromIndex, toIndex)) / MICROS_PER_SECOND;
       default -> {
         // Other properties are meant for the cache server, which receives all of them unchanged.
       }
@@ -144,7 +146,7 @@
   }
 
   /** The request. Only valid for a line without an error. */
-  Request request(boolean isWrite) {
+  Request createRequest(boolean isWrite) {
     return new Request(
         id,
         key,
@@ -158,7 +160,7 @@
   }
 
   /** The payload to forward. Only valid for a line without an error. */
-  MetaPayload payload(MetaLine line, MemoryBudget budget) {
+  MetaPayload createPayload(MetaLine line, MemoryBudget budget) {
     return new MetaPayload(line.bytes(), deadlineStart, deadlineEnd, budget);
   }
 }
--- a/engine/src/main/java/shalepaddle/codec/meta/MetaServerCodec.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/MetaServerCodec.java
@@ -27,16 +27,16 @@
     Request request = call.request();
     ByteBuf value = call.payload().value();
     StringBuilder line = new StringBuilder(96);
-    line.append(request.write() ? WireNames.WRITE : WireNames.READ).append(' ');
+    line.append(request.isWrite() ? WireNames.WRITE : WireNames.READ).append(' ');
     line.append(request.key()).append(' ');
-    if (request.write()) {
+    if (request.isWrite()) {
       line.append(value == null ? 0 : value.readableBytes());
     } else {
       line.append(WireNames.WANTS_VALUE);
     }
     line.append(' ').append(WireNames.REQUEST_ID).append(request.id());
     line.append(' ').append(WireNames.PROPERTIES).append(WireNames.SERVICE_CLASS);
-    line.append(WireNames.PROPERTY_VALUE).append(request.serviceClass());
+    line.append(WireNames.PROPERTY_VALUE_SEPARATOR).append(request.serviceClass());
     if (request.tenant() != null) {
       appendProperty(line, WireNames.TENANT).append(request.tenant());
     }
@@ -44,13 +44,13 @@
     if (call.payload().idempotencyKey() != null) {
       appendProperty(line, WireNames.IDEMPOTENCY_KEY).append(call.payload().idempotencyKey());
     }
-    if (request.retry()) {
+    if (request.isRetry()) {
       appendProperty(line, WireNames.RETRY).append(1);
     }
     ByteBuf head = allocator.buffer(line.length() + 2);
     ByteBufUtil.writeAscii(head, line);
     head.writeShort(MetaReplies.CRLF);
-    if (!request.write()) {
+    if (!request.isWrite()) {
       return head;
     }
     ByteBuf crlf = allocator.buffer(2).writeShort(MetaReplies.CRLF);
@@ -59,6 +59,8 @@
   }
 
   private static StringBuilder appendProperty(StringBuilder line, char name) {
-    return line.append(WireNames.PROPERTY_SEPARATOR).append(name).append(WireNames.PROPERTY_VALUE);
+    return line.append(WireNames.PROPERTY_SEPARATOR)
+        .append(name)
+        .append(WireNames.PROPERTY_VALUE_SEPARATOR);
   }
 }
--- a/engine/src/main/java/shalepaddle/codec/meta/RequestNames.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/RequestNames.java
@@ -48,7 +48,7 @@
   }
 
   /** Stops accepting removed classes that have expired. */
-  void expireRemoved(long now) {
+  void expireRemovedClasses(long now) {
     if (!removedClasses.isEmpty() && now - removedClassesExpireAtNanos >= 0) {
       removedClasses = List.of();
       classes = new NameTable(currentClasses);
--- a/engine/src/main/java/shalepaddle/codec/meta/WireNames.java
+++ b/engine/src/main/java/shalepaddle/codec/meta/WireNames.java
@@ -13,7 +13,7 @@
   static final char REQUEST_ID = 'O';
   static final char PROPERTIES = 'P';
   static final char PROPERTY_SEPARATOR = ',';
-  static final char PROPERTY_VALUE = '=';
+  static final char PROPERTY_VALUE_SEPARATOR = '=';
 
   static final char SERVICE_CLASS = 'c';
   static final char TENANT = 't';
--- a/engine/src/main/java/shalepaddle/config/NodeConfig.java
+++ b/engine/src/main/java/shalepaddle/config/NodeConfig.java
@@ -16,9 +16,9 @@
  * The platform's configuration of a node, from the file that {@code ROUTER_CONFIG} names.
  * Immutable.
  *
- * @param listen the listen address for clients
+ * @param listenAddress the listen address for clients
  * @param adminAddress the listen address of the admin server, null for none
- * @param discovery the address of the discovery service
+ * @param discoveryAddress the address of the discovery service
  * @param seed the seed of random numbers
  * @param maxDescriptors the number of file descriptors that the process may open
  * @param memoryMb the memory that the process may use, in MiB
@@ -27,9 +27,9 @@
  * @param settings the settings of the policy, in the same format as for the simulator
  */
 public record NodeConfig(
-    InetSocketAddress listen,
+    InetSocketAddress listenAddress,
     InetSocketAddress adminAddress,
-    InetSocketAddress discovery,
+    InetSocketAddress discoveryAddress,
     long seed,
     int maxDescriptors,
     int memoryMb,
@@ -99,7 +99,7 @@
   }
 
   /** A configuration for a start without a platform: local addresses and no discovery service. */
-  public static NodeConfig rehearsal() throws FormatException {
+  public static NodeConfig forRehearsal() throws FormatException {
     return parse(
         JsonObject.parse(
             """
@@ -147,15 +147,23 @@
   /** This configuration with another known endpoint list. */
   public NodeConfig withKnownMembers(MemberList list) {
     return new NodeConfig(
-        listen, adminAddress, discovery, seed, maxDescriptors, memoryMb, cores, list, settings);
+        listenAddress,
+        adminAddress,
+        discoveryAddress,
+        seed,
+        maxDescriptors,
+        memoryMb,
+        cores,
+        list,
+        settings);
   }
 
   /** This configuration with other settings. */
   public NodeConfig withSettings(Settings newSettings) {
     return new NodeConfig(
-        listen,
+        listenAddress,
         adminAddress,
-        discovery,
+        discoveryAddress,
         seed,
         maxDescriptors,
         memoryMb,
@@ -176,9 +184,9 @@
       return this;
     }
     return new NodeConfig(
-        listen,
+        listenAddress,
         MemberList.parseAddress(address),
-        discovery,
+        discoveryAddress,
         seed,
         maxDescriptors,
         memoryMb,
--- a/engine/src/main/java/shalepaddle/config/OperatorFile.java
+++ b/engine/src/main/java/shalepaddle/config/OperatorFile.java
@@ -94,8 +94,8 @@
       throws FormatException {
     CoalescingConfig defaults = CoalescingConfig.OFF;
     return new CoalescingConfig(
-        reader.readFlag(table, "join", defaults.enabled()),
-        reader.readFlag(table, "across_tenants", defaults.acrossTenants()),
+        reader.readFlag(table, "join", defaults.isEnabled()),
+        reader.readFlag(table, "across_tenants", defaults.sharesAcrossTenants()),
         reader.readInteger(table, "callers", defaults.maxWaiters()),
         reader.readNumber(table, "age_ms", defaults.maxAgeSeconds() * 1e3) / 1e3,
         reader.readInteger(table, "flights", defaults.maxFlights()),
--- a/engine/src/main/java/shalepaddle/diagnostics/Event.java
+++ b/engine/src/main/java/shalepaddle/diagnostics/Event.java
@@ -85,7 +85,7 @@
   }
 
   /** The events that a metric counts, grouped by metric. */
-  public static List<Event> counted() {
+  public static List<Event> countedEvents() {
     return COUNTED_EVENTS;
   }
 
--- a/engine/src/main/java/shalepaddle/diagnostics/EventCounts.java
+++ b/engine/src/main/java/shalepaddle/diagnostics/EventCounts.java
@@ -11,7 +11,7 @@
   /** The number of times this event had occurred. */
   // An array by ordinal: counting is on the request path and must not allocate.
   @SuppressWarnings("EnumOrdinal")
-  public long of(Event event) {
+  public long countOf(Event event) {
     return counts[event.ordinal()];
   }
 }
--- a/engine/src/main/java/shalepaddle/diagnostics/FlightRecorder.java
+++ b/engine/src/main/java/shalepaddle/diagnostics/FlightRecorder.java
@@ -105,7 +105,7 @@
   /** All non-zero counts as fields of a log line, such as {@code rejections.policy=12}. */
   public String totals() {
     StringBuilder text = new StringBuilder();
-    for (Event event : Event.counted()) {
+    for (Event event : Event.countedEvents()) {
       if (count(event) > 0) {
         text.append(text.isEmpty() ? "" : " ");
         text.append(event.metric()).append('.').append(event.reason());
--- a/engine/src/main/java/shalepaddle/engine/AnswerDelivery.java
+++ b/engine/src/main/java/shalepaddle/engine/AnswerDelivery.java
@@ -24,7 +24,7 @@
     recorder.record(Event.ANSWERED, call.request().id(), kindOf(reply));
     // The answer with a streamed value is counted when the value ends.
     if (!CoalescedReads.isShared(call) && !(reply instanceof Reply.Streamed)) {
-      metrics.answered(call.request().serviceClass(), reply);
+      metrics.countAnswered(call.request().serviceClass(), reply);
     }
     deliver(call, reply);
   }
@@ -40,14 +40,14 @@
     try {
       call.sink().reply(reply);
     } catch (RuntimeException e) {
-      log.failure("reply sink", e);
+      log.writeFailure("reply sink", e);
     }
   }
 
   /** Counts a call whose client disconnected before the answer. */
   void clientDisconnected(Call call) {
     if (!CoalescedReads.isShared(call)) {
-      metrics.clientDisconnected();
+      metrics.countDisconnected();
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/AnswerMargin.java
+++ b/engine/src/main/java/shalepaddle/engine/AnswerMargin.java
@@ -26,15 +26,15 @@
   private AnswerMargin() {}
 
   /** The time that is reserved if stalls of the given length are expected. */
-  static long allowance(long expectedStallNanos) {
+  static long allowanceNanos(long expectedStallNanos) {
     return Math.min(MAX_ALLOWANCE_NANOS, expectedStallNanos);
   }
 
   /** How long before its client's deadline a request with this time budget must be answered. */
-  static long of(long budgetNanos, long expectedStallNanos) {
+  static long marginNanos(long budgetNanos, long expectedStallNanos) {
     long usualStallNanos = Math.min(USUAL_STALL_NANOS, budgetNanos / USUAL_STALL_DIVISOR);
     long repeatedStallsNanos =
-        Math.min(allowance(expectedStallNanos), budgetNanos / ALLOWANCE_DIVISOR);
+        Math.min(allowanceNanos(expectedStallNanos), budgetNanos / ALLOWANCE_DIVISOR);
     return Math.max(usualStallNanos, repeatedStallsNanos);
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/Attempt.java
+++ b/engine/src/main/java/shalepaddle/engine/Attempt.java
@@ -9,7 +9,7 @@
  */
 public final class Attempt {
   /** A connection to a cache server, which attempts are written to. */
-  public interface Carrier {
+  public interface Connection {
     /**
      * Stops waiting for an attempt, which ends right after this call.
      *
@@ -45,7 +45,7 @@
   private Call call;
 
   /** Null while the attempt waits for a connection. */
-  private Carrier connection;
+  private Connection connection;
 
   private boolean isAbandoned;
   private Timers.Timer responseTimer;
@@ -119,12 +119,12 @@
   }
 
   /** The connection that the attempt is assigned to, null while it waits for one. */
-  public Carrier carrier() {
+  public Connection connection() {
     return connection;
   }
 
   /** Assigns the attempt to the connection that is about to write it. */
-  public void assignTo(Carrier connection) {
+  public void assignTo(Connection connection) {
     this.connection = connection;
   }
 
@@ -232,7 +232,7 @@
 
   /** Whether a reply whose value has not been received yet can answer this attempt. */
   public boolean matchesValue(ServerReply reply) {
-    return hasRequestId(reply.id()) && !exchange.call().request().write();
+    return hasRequestId(reply.id()) && !exchange.call().request().isWrite();
   }
 
   /** Whether a reply can answer this attempt: by its id, and with a value only for a read. */
@@ -240,6 +240,6 @@
     boolean matchesId = reply.id() == null || hasRequestId(reply.id());
     boolean isServed = reply.result() == Outcome.Result.OK;
     boolean hasValue = reply.value() != null;
-    return matchesId && (!isServed || hasValue != exchange.call().request().write());
+    return matchesId && (!isServed || hasValue != exchange.call().request().isWrite());
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/AttemptLifecycle.java
+++ b/engine/src/main/java/shalepaddle/engine/AttemptLifecycle.java
@@ -76,7 +76,7 @@
     }
     deadlines.startResponseTimer(attempt, now);
     deadlines.startWriteTimer(attempt, now);
-    clock.whenBacklogRead(() -> upstream.send(attempt));
+    clock.runWhenBacklogRead(() -> upstream.send(attempt));
   }
 
   /** The event to record for the next attempt: the first attempt, a hedge or a retry. */
@@ -88,11 +88,11 @@
   }
 
   /** Records that the last byte was handed to the socket: from now on the attempt may run. */
-  void written(Attempt attempt) {
+  void onWritten(Attempt attempt) {
     attempt.markWritten();
     recorder.record(Event.ATTEMPT_WRITTEN, attempt.exchange().id());
     attempt.cancelWriteTimer();
-    metrics.forwarded();
+    metrics.countForwarded();
   }
 
   /**
@@ -122,7 +122,7 @@
               ? new Reply.Value(reply.value().retain())
               : new Reply.Receipt(reply.receipt()));
     }
-    end(attempt, reply.result(), reply.note(), reply.load());
+    end(attempt, reply.result(), reply.cacheStatus(), reply.load());
   }
 
   /**
@@ -140,12 +140,13 @@
       String service = exchange.call().request().serviceClass();
       exchanges.finish(
           exchange,
-          new Reply.Streamed(reply.length(), new MeteredValueSource(metrics, service, source)));
+          new Reply.Streamed(reply.valueBytes(), new MeteredValueSource(metrics, service, source)));
     } else {
-      exchange.collect();
-      source.start(new ValueAggregator(reply.length(), value -> exchanges.finish(exchange, value)));
+      exchange.markCollecting();
+      source.start(
+          new ValueAggregator(reply.valueBytes(), value -> exchanges.finish(exchange, value)));
     }
-    end(attempt, reply.head().result(), reply.head().note(), reply.head().load());
+    end(attempt, reply.head().result(), reply.head().cacheStatus(), reply.head().load());
     return true;
   }
 
@@ -165,7 +166,7 @@
    * run, and ends as a failure to connect.
    */
   void timeOut(Attempt attempt) {
-    boolean isUnsent = attempt.carrier() == null;
+    boolean isUnsent = attempt.connection() == null;
     withdraw(attempt, true, isUnsent ? Outcome.Result.CONNECT_FAILED : Outcome.Result.TIMEOUT);
   }
 
@@ -217,7 +218,7 @@
           try {
             router.onOutcome(now, outcome);
           } finally {
-            exchanges.settle(exchange);
+            exchanges.cleanUpIfEnded(exchange);
           }
         });
   }
--- a/engine/src/main/java/shalepaddle/engine/CoalescedRead.java
+++ b/engine/src/main/java/shalepaddle/engine/CoalescedRead.java
@@ -30,7 +30,7 @@
   }
 
   /** The exchange that this read waits for. */
-  SharedExchange shared() {
+  SharedExchange sharedExchange() {
     return sharedExchange;
   }
 
--- a/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
+++ b/engine/src/main/java/shalepaddle/engine/CoalescedReads.java
@@ -53,23 +53,23 @@
     this.clock = clock;
     this.timers = timers;
     this.coalescer = new RequestCoalescer<>(config);
-    retune(settings);
+    updateSettings(settings);
   }
 
   /** Applies new settings to reads that are submitted from now on. */
-  void retune(Settings settings) {
+  void updateSettings(Settings settings) {
     maxRetryAfterMillis = Math.round(settings.limits().maxRetryAfterSeconds() * 1e3);
     coalescibleClasses =
         settings.services().stream()
             .filter(
-                type -> type.idempotency() == Settings.Idempotency.IDEMPOTENT && !type.streamed())
+                type -> type.idempotency() == Settings.Idempotency.IDEMPOTENT && !type.isStreamed())
             .map(Settings.ServiceClass::name)
             .collect(Collectors.toUnmodifiableSet());
   }
 
   /** Whether a request may share its answer with other requests. */
   private boolean isCoalescible(Request request) {
-    return !request.write()
+    return !request.isWrite()
         && request.key() != null
         && coalescibleClasses.contains(request.serviceClass());
   }
@@ -102,7 +102,7 @@
    */
   CoalescedRead submit(Call call, Request request, long deadlineNanos, long now) {
     if (!isCoalescible(request)) {
-      if (request.write()) {
+      if (request.isWrite()) {
         coalescer.invalidate(request.key());
       }
       return null;
@@ -121,7 +121,7 @@
       read.join(sharedExchange, waiter);
       sharedExchange.begin(read, request, now);
     } else {
-      SharedExchange sharedExchange = leader.shared();
+      SharedExchange sharedExchange = leader.sharedExchange();
       read.join(sharedExchange, waiter);
       joinedReads.put(read.id(), read);
       sharedExchange.extend(now);
@@ -133,7 +133,7 @@
    * Invalidates the flights of a key after an exchange of a single client was answered: later reads
    * must not get an older value.
    */
-  void answered(Exchange exchange) {
+  void invalidateFlights(Exchange exchange) {
     String key = exchange.call().request().key();
     if (key != null && !isShared(exchange.call())) {
       coalescer.invalidate(key);
@@ -141,11 +141,11 @@
   }
 
   /** Handles a disconnect of a read's client. */
-  void leave(CoalescedRead read) {
+  void clientDisconnected(CoalescedRead read) {
     if (read.isEnded()) {
       return;
     }
-    SharedExchange sharedExchange = read.shared();
+    SharedExchange sharedExchange = read.sharedExchange();
     end(read);
     answers.clientDisconnected(read.call());
     if (coalescer.leave(read.waiter())) {
--- a/engine/src/main/java/shalepaddle/engine/Dispatcher.java
+++ b/engine/src/main/java/shalepaddle/engine/Dispatcher.java
@@ -98,7 +98,7 @@
             overload,
             requestSettings);
     queue = new RequestQueue(loop, loopClock, overload, exchanges::route, exchanges::rejectQueued);
-    reads = coalescing.enabled() ? newCoalescedReads(settings, coalescing) : null;
+    reads = coalescing.isEnabled() ? newCoalescedReads(settings, coalescing) : null;
     intake =
         new RequestIntake(loop, loopClock, drain, exchanges, reads, overload, recorder, metrics);
     connect(deadlines);
@@ -119,7 +119,7 @@
 
   /**
    * Starts the dispatcher with the connections to servers and the source of the server list. The
-   * last known list must be passed to {@link #membership} next.
+   * last known list must be passed to {@link #onMembershipUpdate} next.
    */
   public void start(Upstream upstream, MemberSource memberSource) {
     this.memberSource = memberSource;
@@ -148,12 +148,12 @@
    * they were accepted; queued requests are routed first, since the queue is ordered by the old
    * tiers.
    */
-  public void retune(Settings newSettings) {
-    queue.retune(newSettings);
+  public void updateSettings(Settings newSettings) {
+    queue.updateSettings(newSettings);
     requestSettings.replace(newSettings);
     metrics.registerServices(requestSettings.serviceNames());
     if (reads != null) {
-      reads.retune(newSettings);
+      reads.updateSettings(newSettings);
     }
     policy.post((router, now) -> router.updateSettings(newSettings));
   }
@@ -209,7 +209,7 @@
     if (submission instanceof Exchange exchange) {
       exchanges.clientDisconnected(exchange);
     } else if (submission instanceof CoalescedRead read) {
-      reads.leave(read);
+      reads.clientDisconnected(read);
     }
   }
 
@@ -223,14 +223,14 @@
    * stalls of the event loop; 0 if none is expected.
    */
   public long stallAllowanceNanos() {
-    return AnswerMargin.allowance(loopClock.expectedStallNanos());
+    return AnswerMargin.allowanceNanos(loopClock.expectedStallNanos());
   }
 
   // Methods that server connections call.
 
   /** Records that an attempt's last byte was handed to the socket: from now on it may run. */
   public void attemptWritten(Attempt attempt) {
-    attempts.written(attempt);
+    attempts.onWritten(attempt);
   }
 
   /**
@@ -239,7 +239,7 @@
    *
    * @return whether the attempt may be written again
    */
-  public boolean mayRewrite(Attempt attempt) {
+  public boolean prepareRewrite(Attempt attempt) {
     return attempts.prepareRewrite(attempt);
   }
 
@@ -275,12 +275,12 @@
   // Methods that the node calls.
 
   /** Notifies the policy of the server list or a change of it, already applied by the upstream. */
-  public void membership(MembershipUpdate update) {
+  public void onMembershipUpdate(MembershipUpdate update) {
     policy.post((router, now) -> router.onMembershipUpdate(now, update));
   }
 
   /** Excludes a server by an operator's command, or includes it again. */
-  public void exclude(long server, boolean isExcluded) {
+  public void setExcluded(long server, boolean isExcluded) {
     policy.post((router, now) -> router.setExcluded(now, server, isExcluded));
   }
 
@@ -355,16 +355,16 @@
 
   /** Logs an unexpected exception and where it occurred. */
   public void reportFailure(String location, Throwable cause) {
-    log.failure(location, cause);
+    log.writeFailure(location, cause);
   }
 
   /** Writes a line to the node's log; the text is built only if the line is written. */
   public void log(Supplier<String> text) {
-    log.line(text);
+    log.writeLine(text);
   }
 
   /** Writes a line to the node's log. */
   public void log(String text) {
-    log.line(text);
+    log.writeLine(text);
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/EngineDrain.java
+++ b/engine/src/main/java/shalepaddle/engine/EngineDrain.java
@@ -59,7 +59,7 @@
   }
 
   /** Limits a request's deadline to the end of the drain, if the engine is draining. */
-  long limit(long deadlineNanos) {
+  long limitDeadline(long deadlineNanos) {
     boolean isAfterDrain = state == State.DRAINING && deadlineNanos - answerByNanos > 0;
     return isAfterDrain ? answerByNanos : deadlineNanos;
   }
--- a/engine/src/main/java/shalepaddle/engine/Exchange.java
+++ b/engine/src/main/java/shalepaddle/engine/Exchange.java
@@ -95,22 +95,22 @@
   }
 
   /** Records that the exchange is handed to the policy. */
-  void route() {
+  void markRouted() {
     state = State.ROUTED;
   }
 
   /** Records that a server's value is being collected; no further attempt is sent. */
-  void collect() {
+  void markCollecting() {
     state = State.COLLECTING;
   }
 
   /** Records that the final answer is given. */
-  void answer() {
+  void markAnswered() {
     state = State.ANSWERED;
   }
 
   /** Records that the client has disconnected. */
-  void disconnect() {
+  void markDisconnected() {
     state = State.DISCONNECTED;
   }
 
--- a/engine/src/main/java/shalepaddle/engine/ExchangeLifecycle.java
+++ b/engine/src/main/java/shalepaddle/engine/ExchangeLifecycle.java
@@ -13,7 +13,8 @@
 
 /**
  * The lifecycle of exchanges, from opening to the final answer and the outcome of the last attempt.
- * Every final answer is given by {@link #finish}, and every exchange is removed by {@link #settle}.
+ * Every final answer is given by {@link #finish}, and every exchange is removed by {@link
+ * #cleanUpIfEnded}.
  *
  * <p>Owned by the event loop's thread.
  */
@@ -97,7 +98,7 @@
    * no request is written to a connection that the server has closed.
    */
   void start(Exchange exchange, Request request) {
-    clock.whenBacklogRead(() -> queue.enter(exchange, request));
+    clock.runWhenBacklogRead(() -> queue.routeOrEnqueue(exchange, request));
   }
 
   /** Hands an exchange to the policy. */
@@ -105,7 +106,7 @@
     if (!guard.mayRoute(exchange)) {
       return;
     }
-    exchange.route();
+    exchange.markRouted();
     double remainingSeconds = (exchange.deadlineNanos() - clock.now()) / 1e9;
     Request routedRequest = request.withBudget(Math.max(0, remainingSeconds));
     policy.post(
@@ -151,13 +152,13 @@
     if (exchange.isEnded()) {
       return;
     }
-    exchange.disconnect();
+    exchange.markDisconnected();
     recorder.record(Event.CLIENT_DISCONNECTED, exchange.id());
     answers.clientDisconnected(exchange.call());
     policy.post(
         (router, now) -> {
           router.onClientDisconnected(now, exchange.id());
-          settle(exchange);
+          cleanUpIfEnded(exchange);
         });
   }
 
@@ -165,7 +166,7 @@
   void end(Exchange exchange, Reply reply) {
     if (!exchange.isEnded()) {
       finish(exchange, reply);
-      settle(exchange);
+      cleanUpIfEnded(exchange);
     }
   }
 
@@ -186,13 +187,13 @@
 
   /**
    * Gives the final answer. The caller ensures that no answer was given before, and calls {@link
-   * #settle} for the cleanup.
+   * #cleanUpIfEnded} for the cleanup.
    */
   void finish(Exchange exchange, Reply reply) {
-    Reply checkedReply = guard.answer(exchange, reply, clock.now());
-    exchange.answer();
+    Reply checkedReply = guard.checkAnswer(exchange, reply, clock.now());
+    exchange.markAnswered();
     if (reads != null) {
-      reads.answered(exchange);
+      reads.invalidateFlights(exchange);
     }
     answers.answer(exchange.call(), checkedReply);
   }
@@ -203,7 +204,7 @@
    * not been sent, and must not be sent once the request is answered or its client has
    * disconnected.
    */
-  void settle(Exchange exchange) {
+  void cleanUpIfEnded(Exchange exchange) {
     if (!exchange.isEnded()) {
       return;
     }
@@ -211,7 +212,7 @@
     // attempt, which ends immediately.
     for (int i = 0; i < exchange.attempts().size(); i++) {
       Attempt attempt = exchange.attempts().get(i);
-      if (attempt.carrier() == null) {
+      if (attempt.connection() == null) {
         attempts.withdraw(attempt, Outcome.Result.NOT_SENT);
       }
     }
--- a/engine/src/main/java/shalepaddle/engine/InvariantGuard.java
+++ b/engine/src/main/java/shalepaddle/engine/InvariantGuard.java
@@ -89,7 +89,7 @@
    * run: the rejection of a request that is not idempotent and may have run is replaced by a
    * failure.
    */
-  Reply answer(Exchange exchange, Reply reply, long now) {
+  Reply checkAnswer(Exchange exchange, Reply reply, long now) {
     if (now - exchange.clientDeadlineNanos() > ANSWER_SLACK_NANOS) {
       reportViolation(Event.VIOLATION_ANSWERED_LATE, exchange.id(), null);
     }
@@ -104,17 +104,17 @@
   }
 
   /** Reports a second answer to a request, which the caller drops. */
-  public void answeredTwice(String requestId, String connection) {
+  public void reportAnsweredTwice(String requestId, String connection) {
     reportViolation(Event.VIOLATION_ANSWERED_TWICE, requestId, connection);
   }
 
   /** Reports a request without an answer whose client disconnected after the whole time budget. */
-  public void unanswered(String requestId, String connection) {
+  public void reportUnanswered(String requestId, String connection) {
     reportViolation(Event.VIOLATION_UNANSWERED, requestId, connection);
   }
 
   /** Reports that this node closes a connection on which a request has no answer. */
-  public void closedUnanswered(String requestId, String connection) {
+  public void reportClosedUnanswered(String requestId, String connection) {
     reportViolation(Event.VIOLATION_CLOSED_UNANSWERED, requestId, connection);
   }
 
@@ -132,7 +132,7 @@
     if (!mayLogHistory()) {
       return;
     }
-    log.line(
+    log.writeLine(
         () ->
             "event=violation kind="
                 + kind.reason()
--- a/engine/src/main/java/shalepaddle/engine/LargeReply.java
+++ b/engine/src/main/java/shalepaddle/engine/LargeReply.java
@@ -5,9 +5,9 @@
  * a sequence of buffers, terminated by {@link #END}.
  *
  * @param head the reply without its value
- * @param length the length of the value in bytes
+ * @param valueBytes the length of the value in bytes
  */
-public record LargeReply(ServerReply head, int length) {
+public record LargeReply(ServerReply head, int valueBytes) {
   /** Marks the end of the value. */
   public static final Object END = new Object();
 }
--- a/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
+++ b/engine/src/main/java/shalepaddle/engine/MeteredValueSource.java
@@ -34,7 +34,7 @@
   public void cancel() {
     if (!isEnded) {
       isEnded = true;
-      metrics.clientDisconnected();
+      metrics.countDisconnected();
       source.cancel();
     }
   }
@@ -47,14 +47,14 @@
   @Override
   public void onComplete() {
     isEnded = true;
-    metrics.streamed(service);
+    metrics.countStreamed(service);
     receiver.onComplete();
   }
 
   @Override
   public void onFailure() {
     isEnded = true;
-    metrics.answered(service, new Reply.Failed(true));
+    metrics.countAnswered(service, new Reply.Failed(true));
     receiver.onFailure();
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/PolicyActions.java
+++ b/engine/src/main/java/shalepaddle/engine/PolicyActions.java
@@ -64,7 +64,7 @@
     }
     Exchange exchange = exchanges.find(requestId);
     if (exchange == null) {
-      log.line("policy decision ignored: send for unknown request " + requestId);
+      log.writeLine("policy decision ignored: send for unknown request " + requestId);
       return;
     }
     attempts.send(exchange, server, writeWithinSeconds);
--- a/engine/src/main/java/shalepaddle/engine/PolicyEventLoop.java
+++ b/engine/src/main/java/shalepaddle/engine/PolicyEventLoop.java
@@ -72,7 +72,7 @@
 
   /** Logs an exception of the policy. */
   void logFailure(Throwable cause) {
-    log.failure("policy", cause);
+    log.writeFailure("policy", cause);
   }
 
   /**
@@ -83,10 +83,10 @@
    */
   void replay(MembershipUpdate lastUpdate, List<Observation> observations) {
     try {
-      WarmStartLog.replay(router, lastUpdate, WarmStartLog.inTime(clock.now(), observations));
+      WarmStartLog.replay(router, lastUpdate, WarmStartLog.rebaseTimes(clock.now(), observations));
     } catch (RuntimeException e) {
       // The node starts with the observations that were replayed before the failure.
-      log.failure("policy, while replaying observations", e);
+      log.writeFailure("policy, while replaying observations", e);
     }
   }
 
--- a/engine/src/main/java/shalepaddle/engine/Reply.java
+++ b/engine/src/main/java/shalepaddle/engine/Reply.java
@@ -15,10 +15,10 @@
    * A read is being served with a large value, whose head has been received. Given only to a sink
    * that {@linkplain ReplySink#acceptsStream accepts streams}.
    *
-   * @param length the length of the value in bytes
+   * @param valueBytes the length of the value in bytes
    * @param source passes the value on as it arrives; the receiver of the reply starts or cancels it
    */
-  record Streamed(int length, ValueSource source) implements Reply {}
+  record Streamed(int valueBytes, ValueSource source) implements Reply {}
 
   /**
    * A write was carried out.
--- a/engine/src/main/java/shalepaddle/engine/RequestIntake.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestIntake.java
@@ -52,8 +52,9 @@
    * @return null if another open request has its id
    */
   Submission submitRemote(Call call, long sentAtNanos) {
-    long budgetNanos = RequestSettings.nanos(call.request().budgetSeconds());
-    return submit(call, sentAtNanos, AnswerMargin.of(budgetNanos, clock.expectedStallNanos()));
+    long budgetNanos = RequestSettings.toNanos(call.request().budgetSeconds());
+    return submit(
+        call, sentAtNanos, AnswerMargin.marginNanos(budgetNanos, clock.expectedStallNanos()));
   }
 
   /**
@@ -70,19 +71,19 @@
   private Submission submit(Call call, long sentAtNanos, long marginNanos) {
     Request request = call.request();
     String id = request.id();
-    metrics.requestReceived();
+    metrics.countReceived();
     if (exchanges.find(id) != null || (reads != null && reads.hasId(id))) {
-      metrics.answered(request.serviceClass(), new Reply.Failed(false));
+      metrics.countAnswered(request.serviceClass(), new Reply.Failed(false));
       call.payload().release();
       return null;
     }
     long now = clock.refresh();
     recorder.record(Event.REQUEST_READ, id);
-    long clientDeadlineNanos = sentAtNanos + RequestSettings.nanos(request.budgetSeconds());
+    long clientDeadlineNanos = sentAtNanos + RequestSettings.toNanos(request.budgetSeconds());
     if (drain.isClosed()) {
       return reject(call, clientDeadlineNanos, Event.REJECTED_SHUTDOWN, 0);
     }
-    long deadlineNanos = drain.limit(clientDeadlineNanos - marginNanos);
+    long deadlineNanos = drain.limitDeadline(clientDeadlineNanos - marginNanos);
     if (deadlineNanos - now <= AttemptDeadlines.ANSWER_MARGIN_NANOS) {
       return reject(call, clientDeadlineNanos, Event.REJECTED_EXPIRED, overload.retryAfterMillis());
     }
@@ -99,7 +100,7 @@
       // The request waited unread in the socket, and its client may have disconnected meanwhile. A
       // disconnect is read in a separate turn and handled after that turn's reads: starting later
       // avoids working for a client that is gone.
-      clock.afterNextPoll(() -> loop.execute(() -> exchanges.start(exchange, call.request())));
+      clock.runAfterNextPoll(() -> loop.execute(() -> exchanges.start(exchange, call.request())));
     } else {
       exchanges.start(exchange, call.request());
     }
--- a/engine/src/main/java/shalepaddle/engine/RequestMetrics.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestMetrics.java
@@ -7,7 +7,7 @@
 
 /**
  * Counters of requests and attempts since the start of the process. At any time received =
- * succeeded + rejected + failed + disconnected + {@link #outstanding}.
+ * succeeded + rejected + failed + disconnected + {@link #outstandingRequests}.
  *
  * <p>A service class that is removed from the settings keeps its counters, and continues with them
  * if it is added again. Classes beyond {@value #MAX_CLASSES} share the counters of one class with
@@ -46,12 +46,12 @@
   }
 
   /** Counts a request that was received completely. */
-  void requestReceived() {
+  void countReceived() {
     receivedRequests++;
   }
 
   /** Counts the final answer to a request. */
-  void answered(String service, Reply reply) {
+  void countAnswered(String service, Reply reply) {
     answeredRequests++;
     Counts counts = countsOf(service);
     if (reply instanceof Reply.Rejected) {
@@ -64,30 +64,30 @@
   }
 
   /** Counts a streamed answer whose last byte was received. */
-  void streamed(String service) {
+  void countStreamed(String service) {
     answeredRequests++;
     countsOf(service).succeededRequests++;
   }
 
   /** Counts a request that was rejected before it was parsed, as received and as answered. */
-  public void rejectedBeforeParsing(String service) {
+  public void countRejectedBeforeParsing(String service) {
     receivedRequests++;
     answeredRequests++;
     countsOf(service).rejectedRequests++;
   }
 
   /** Counts a request whose client disconnected before the answer. */
-  void clientDisconnected() {
+  void countDisconnected() {
     disconnectedRequests++;
   }
 
   /** Counts an attempt whose last byte was handed to the socket. */
-  void forwarded() {
+  void countForwarded() {
     forwardedAttempts++;
   }
 
   /** The number of requests that were received and have not ended. */
-  public long outstanding() {
+  public long outstandingRequests() {
     return receivedRequests - answeredRequests - disconnectedRequests;
   }
 
@@ -105,7 +105,7 @@
     return new RequestMetricsSnapshot(
         receivedRequests,
         disconnectedRequests,
-        outstanding(),
+        outstandingRequests(),
         forwardedAttempts,
         List.copyOf(results));
   }
--- a/engine/src/main/java/shalepaddle/engine/RequestQueue.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestQueue.java
@@ -66,7 +66,7 @@
   }
 
   /** Routes all queued requests, then applies new settings to the queue. */
-  void retune(Settings newSettings) {
+  void updateSettings(Settings newSettings) {
     long now = clock.now();
     for (QueuedRequest queuedRequest = queue.poll(now);
         queuedRequest != null;
@@ -78,7 +78,7 @@
   }
 
   /** Routes a request now, or queues it if this turn has used up its routing time. */
-  void enter(Exchange exchange, Request request) {
+  void routeOrEnqueue(Exchange exchange, Request request) {
     long now = clock.now();
     if (queue.size() == 0 && !hasUsedRoutingTime(now)) {
       route.accept(exchange, request);
@@ -89,7 +89,7 @@
     }
     queue.offer(
         new QueuedRequest(exchange, request),
-        overload.tier(request.serviceClass(), request.retry()),
+        overload.tier(request.serviceClass(), request.isRetry()),
         now);
   }
 
--- a/engine/src/main/java/shalepaddle/engine/RequestSettings.java
+++ b/engine/src/main/java/shalepaddle/engine/RequestSettings.java
@@ -44,7 +44,7 @@
 
   /** How long requests may still be sent to a server after it is known to be draining. */
   long drainGraceNanos() {
-    return nanos(settings.contract().drainGraceSeconds());
+    return toNanos(settings.contract().drainGraceSeconds());
   }
 
   /** The timer resolution of the settings, limited to a range that suits a real clock. */
@@ -56,7 +56,7 @@
   }
 
   /** Converts seconds to nanoseconds. */
-  static long nanos(double seconds) {
+  static long toNanos(double seconds) {
     return (long) (seconds * 1e9);
   }
 }
--- a/engine/src/main/java/shalepaddle/engine/ServerReply.java
+++ b/engine/src/main/java/shalepaddle/engine/ServerReply.java
@@ -12,7 +12,7 @@
  * @param receipt the token that confirms a write, null for other replies
  * @param value the value of a read, null for other replies; released by the connection it was read
  *     from
- * @param note the cache status in the reply: hit, miss or none
+ * @param cacheStatus the cache status in the reply: hit, miss or none
  * @param load the server's load report, null if the reply has none
  */
 public record ServerReply(
@@ -20,5 +20,5 @@
     String id,
     String receipt,
     ByteBuf value,
-    Outcome.CacheStatus note,
+    Outcome.CacheStatus cacheStatus,
     LoadReport load) {}
--- a/engine/src/main/java/shalepaddle/engine/SharedExchange.java
+++ b/engine/src/main/java/shalepaddle/engine/SharedExchange.java
@@ -44,7 +44,7 @@
   void begin(CoalescedRead read, Request request, long now) {
     leader = read;
     Call call = new Call(request, read.call().payload(), this);
-    exchange = exchanges.open(call, flight.deadline(), flight.deadline());
+    exchange = exchanges.open(call, flight.latestDeadlineNanos(), flight.latestDeadlineNanos());
     updateExpiryTimer(now);
     // This call is the last: the exchange may be answered immediately and started again for the
     // next leader.
@@ -53,7 +53,7 @@
 
   /** Extends the exchange for a read that has joined, if the read's deadline is the latest. */
   void extend(long now) {
-    exchanges.extend(exchange, flight.deadline());
+    exchanges.extend(exchange, flight.latestDeadlineNanos());
     updateExpiryTimer(now);
   }
 
@@ -73,7 +73,7 @@
   }
 
   private void updateExpiryTimer(long now) {
-    long nextDueNanos = flight.nextDue();
+    long nextDueNanos = flight.nextDeadline();
     if (nextDueNanos != expiryAtNanos) {
       cancelExpiryTimer();
       expiryAtNanos = nextDueNanos;
@@ -119,14 +119,17 @@
     FlightDecision<CoalescedRead> decision = reads.complete(flight, exchange, reply, now);
     answer(decision.recipients(), reply);
     // A sink may have cancelled the other reads when it was called.
-    if (decision.retries() && !flight.isClosed()) {
+    if (decision.isFlightRetried() && !flight.isClosed()) {
       retry(flight.leader().caller(), now);
     }
   }
 
   private void retry(CoalescedRead newLeader, long now) {
     reads.promote(newLeader);
-    begin(newLeader, newLeader.call().request().withBudget((flight.deadline() - now) / 1e9), now);
+    begin(
+        newLeader,
+        newLeader.call().request().withBudget((flight.latestDeadlineNanos() - now) / 1e9),
+        now);
   }
 
   private void answer(List<FlightWaiter<CoalescedRead>> recipients, Reply reply) {
--- a/engine/src/main/java/shalepaddle/engine/WarmStartLog.java
+++ b/engine/src/main/java/shalepaddle/engine/WarmStartLog.java
@@ -36,13 +36,14 @@
   synchronized void add(Observation observation) {
     latestObservations.addLast(observation);
     while (latestObservations.size() > MAX_OBSERVATIONS
-        || observation.endedAt() - latestObservations.peekFirst().endedAt() > MAX_AGE_SECONDS) {
+        || observation.endedAtSeconds() - latestObservations.peekFirst().endedAtSeconds()
+            > MAX_AGE_SECONDS) {
       latestObservations.removeFirst();
     }
   }
 
   /** The retained observations, in the order in which the attempts ended. */
-  public synchronized List<Observation> all() {
+  public synchronized List<Observation> observations() {
     return List.copyOf(latestObservations);
   }
 
@@ -54,9 +55,9 @@
    *
    * @param nowSeconds this process's time, in seconds since 1970
    */
-  static List<Observation> inTime(double nowSeconds, List<Observation> observations) {
+  static List<Observation> rebaseTimes(double nowSeconds, List<Observation> observations) {
     double lastEndSeconds =
-        observations.stream().mapToDouble(Observation::endedAt).max().orElse(nowSeconds);
+        observations.stream().mapToDouble(Observation::endedAtSeconds).max().orElse(nowSeconds);
     double ageSeconds = nowSeconds - lastEndSeconds;
     if (ageSeconds >= 0 && ageSeconds <= MAX_AGE_SECONDS) {
       return observations;
@@ -65,7 +66,7 @@
         .map(
             observation ->
                 new Observation(
-                    observation.endedAt() + ageSeconds,
+                    observation.endedAtSeconds() + ageSeconds,
                     observation.request(),
                     observation.outcome()))
         .toList();
@@ -80,19 +81,19 @@
   static void replay(
       RequestRouter router, MembershipUpdate lastUpdate, List<Observation> observations) {
     List<Observation> bySendTime = new ArrayList<>(observations);
-    bySendTime.sort(Comparator.comparingDouble(Observation::sentAt));
-    router.onMembershipUpdate(bySendTime.get(0).sentAt(), lastUpdate);
+    bySendTime.sort(Comparator.comparingDouble(Observation::sentAtSeconds));
+    router.onMembershipUpdate(bySendTime.get(0).sentAtSeconds(), lastUpdate);
     PriorityQueue<ReplayedAttempt> inFlightAttempts =
         new PriorityQueue<>(Comparator.comparingDouble(ReplayedAttempt::endedAtSeconds));
     long requestNumber = 0;
     for (Observation observation : bySendTime) {
       // If an attempt ends at the same time as another is sent, the end is replayed first.
-      endUntil(router, inFlightAttempts, observation.sentAt());
+      endUntil(router, inFlightAttempts, observation.sentAtSeconds());
       Request request = withId(observation.request(), "~" + requestNumber++);
-      router.observeAttempt(observation.sentAt(), request, observation.outcome().server());
+      router.observeAttempt(observation.sentAtSeconds(), request, observation.outcome().server());
       inFlightAttempts.add(
           new ReplayedAttempt(
-              observation.endedAt(), withId(observation.outcome(), request.id())));
+              observation.endedAtSeconds(), withId(observation.outcome(), request.id())));
     }
     endUntil(router, inFlightAttempts, Double.POSITIVE_INFINITY);
   }
@@ -119,8 +120,8 @@
         request.budgetSeconds(),
         request.workSeconds(),
         request.sizeBytes(),
-        request.retry(),
-        request.write());
+        request.isRetry(),
+        request.isWrite());
   }
 
   private static Outcome withId(Outcome outcome, String id) {
--- a/engine/src/main/java/shalepaddle/front/ArrivalTracker.java
+++ b/engine/src/main/java/shalepaddle/front/ArrivalTracker.java
@@ -53,8 +53,10 @@
     if (!isReading) {
       isReading = true;
       readingSinceNanos = clock.refresh();
-      boolean wasPolledBefore = isSocketPolled && polledSinceNanos - clock.previousPollAt() <= 0;
-      arrivalNanos = wasPolledBefore ? latest(emptyAtNanos, clock.earliestArrival()) : emptyAtNanos;
+      boolean wasPolledBefore =
+          isSocketPolled && polledSinceNanos - clock.previousPollAtNanos() <= 0;
+      arrivalNanos =
+          wasPolledBefore ? latest(emptyAtNanos, clock.earliestArrivalNanos()) : emptyAtNanos;
     }
     return arrivalNanos;
   }
--- a/engine/src/main/java/shalepaddle/front/ClientConnections.java
+++ b/engine/src/main/java/shalepaddle/front/ClientConnections.java
@@ -225,7 +225,7 @@
   }
 
   /** Removes a connection that was closed in this status. */
-  void closed(ClientHandler client, Status status) {
+  void connectionClosed(ClientHandler client, Status status) {
     connectionsByStatus.get(status).remove(client);
     notifyIfDrained();
   }
@@ -350,7 +350,7 @@
     if (connectionCount() > 0) {
       loop.schedule(() -> closeIdleStep(loop), idleCloseDelayMillis, TimeUnit.MILLISECONDS);
       loop.schedule(
-          () -> clock.whenBacklogRead(this::stopReadingOnAll),
+          () -> clock.runWhenBacklogRead(this::stopReadingOnAll),
           idleCloseDelayMillis + readStopDelayMillis,
           TimeUnit.MILLISECONDS);
     }
@@ -363,7 +363,7 @@
    */
   private void stopReadingOnAll() {
     for (Status status : Status.values()) {
-      List.copyOf(connectionsByStatus.get(status).keySet()).forEach(ClientHandler::lastCall);
+      List.copyOf(connectionsByStatus.get(status).keySet()).forEach(ClientHandler::drain);
     }
   }
 
--- a/engine/src/main/java/shalepaddle/front/ClientFront.java
+++ b/engine/src/main/java/shalepaddle/front/ClientFront.java
@@ -50,7 +50,7 @@
       channel.close();
       return;
     }
-    long connectedSinceNanos = ClientListener.waitingSince(channel, clock);
+    long connectedSinceNanos = ClientListener.waitingSinceNanos(channel, clock);
     InboundBuffer inboundBuffer = new InboundBuffer(inboundBudget, clock, connectedSinceNanos);
     ClientCodec.CommandDecoder decoder = codec.decoder();
     channel
--- a/engine/src/main/java/shalepaddle/front/ClientHandler.java
+++ b/engine/src/main/java/shalepaddle/front/ClientHandler.java
@@ -134,7 +134,7 @@
       answerAtOnce(slot, answer, isError, command.isDesynchronized());
     }
     if (requests > 0) {
-      readControl.requestsRead(requests, command.rejections());
+      readControl.onRequestsRead(requests, command.rejections());
     }
     if (readControl.hasTooManyPending()) {
       readControl.update();
@@ -157,7 +157,7 @@
   private void answerAtOnce(
       ResponseSlot slot, ByteBuf answer, boolean isError, boolean isDesynchronized) {
     if (isError) {
-      readControl.clientError();
+      readControl.onClientError();
     }
     if (isDesynchronized || readControl.hasTooManyErrors()) {
       slot.setClosesConnection();
@@ -182,9 +182,9 @@
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     if (status != null) {
-      connections.closed(this, status);
+      connections.connectionClosed(this, status);
     }
-    responses.disconnected();
+    responses.discardAll();
   }
 
   @Override
@@ -263,7 +263,7 @@
     if (isClosing()) {
       return false;
     }
-    if (!hasSkippedClose && (inboundBuffer.hasBytes() || ClientListener.hasUnread(channel))) {
+    if (!hasSkippedClose && (inboundBuffer.hasBytes() || ClientListener.hasUnreadBytes(channel))) {
       hasSkippedClose = status == ClientConnections.Status.MID_COMMAND;
       return false;
     }
@@ -281,7 +281,7 @@
    * idle: their last requests would be lost when the process ends. By the protocol a client sends
    * requests that this node has not read again to another node.
    */
-  void lastCall() {
+  void drain() {
     if (!isClosing()) {
       state = State.STOPPED_READING;
       readControl.stop();
--- a/engine/src/main/java/shalepaddle/front/ClientListener.java
+++ b/engine/src/main/java/shalepaddle/front/ClientListener.java
@@ -64,17 +64,17 @@
   }
 
   @Override
-  protected TcpConnection connection(SocketChannel socket) {
+  protected TcpConnection createConnection(SocketChannel socket) {
     return new Connection(this, socket);
   }
 
   @Override
-  protected void backlogEmpty() {
+  protected void onBacklogEmpty() {
     backlog = new Backlog();
   }
 
   @Override
-  protected void acceptFailed() {
+  protected void onAcceptFailed() {
     backlog.acceptFailed(eventLoop().ticker().nanoTime());
   }
 
@@ -132,8 +132,8 @@
    * The earliest time at which a connection that was accepted in this turn can have arrived, by the
    * loop's clock.
    */
-  static long waitingSince(Channel channel, LoopClock clock) {
-    long polledNanos = clock.earliestArrival();
+  static long waitingSinceNanos(Channel channel, LoopClock clock) {
+    long polledNanos = clock.earliestArrivalNanos();
     return channel instanceof Connection connection
         ? connection.backlog.earliestArrivalNanos(polledNanos, clock.turn())
         : polledNanos;
@@ -143,7 +143,7 @@
    * Whether the kernel has unread bytes of this connection. Queries the kernel, since the event
    * loop may not have polled the connection for some time.
    */
-  static boolean hasUnread(Channel channel) {
+  static boolean hasUnreadBytes(Channel channel) {
     try {
       return channel instanceof Connection connection
           && connection.isActive()
--- a/engine/src/main/java/shalepaddle/front/ReadControl.java
+++ b/engine/src/main/java/shalepaddle/front/ReadControl.java
@@ -143,7 +143,7 @@
   }
 
   /** Counts a protocol error of the client and pauses reading. */
-  void clientError() {
+  void onClientError() {
     errorCount++;
     pause(Event.READ_PAUSE_CLIENT_ERROR, TimeUnit.MILLISECONDS.toNanos(ERROR_PAUSE_MILLIS));
   }
@@ -154,7 +154,7 @@
   }
 
   /** Pauses reading if requests, some of them rejected before parsing, exceed a limit. */
-  void requestsRead(int requests, ClientCommand.Rejections rejections) {
+  void onRequestsRead(int requests, ClientCommand.Rejections rejections) {
     pause(
         Event.READ_PAUSE_FAIR_SHARE,
         fairReadScheduler.pauseNanos(requestCount, requests, clock.now()));
--- a/engine/src/main/java/shalepaddle/front/RequestAdmission.java
+++ b/engine/src/main/java/shalepaddle/front/RequestAdmission.java
@@ -13,7 +13,7 @@
   long ADMITTED = OverloadControl.ADMITTED;
 
   /** Added to the Retry-After of a rejected request that is known to be a retry. */
-  long RETRY = OverloadControl.RETRY_FLAG;
+  long RETRY_FLAG = OverloadControl.RETRY_FLAG;
 
   /** Admits all requests and counts none. */
   RequestAdmission ADMIT_ALL =
@@ -39,8 +39,8 @@
    * @param tenant the index of the tenant in the settings, -1 for no known tenant
    * @param keyHash a hash of the key, 0 if the request is admitted in any case
    * @param isRetry whether the client marked the request as a retry
-   * @return {@link #ADMITTED}, or the Retry-After in milliseconds, 0 for none, with {@link #RETRY}
-   *     added if the request is a retry
+   * @return {@link #ADMITTED}, or the Retry-After in milliseconds, 0 for none, with {@link
+   *     #RETRY_FLAG} added if the request is a retry
    */
   long admit(int serviceClass, int tenant, long keyHash, boolean isRetry);
 
--- a/engine/src/main/java/shalepaddle/front/ResponseQueue.java
+++ b/engine/src/main/java/shalepaddle/front/ResponseQueue.java
@@ -67,7 +67,7 @@
     return codec.encode(channel.alloc(), requestId, reply);
   }
 
-  ByteBuf streamEnd() {
+  ByteBuf encodeStreamEnd() {
     return codec.encodeStreamEnd();
   }
 
@@ -135,20 +135,20 @@
 
   /** Reports a second response to a request, which is a bug of this node. */
   void reportSecondResponse(ResponseSlot slot) {
-    dispatcher.guard().answeredTwice(slot.requestId(), connection.name());
+    dispatcher.guard().reportAnsweredTwice(slot.requestId(), connection.name());
   }
 
   /** Reports the unanswered requests of a connection that this node is about to close. */
   void checkAnswered() {
     for (ResponseSlot slot : slots) {
       if (slot.isUnanswered()) {
-        dispatcher.guard().closedUnanswered(slot.requestId(), connection.name());
+        dispatcher.guard().reportClosedUnanswered(slot.requestId(), connection.name());
       }
     }
   }
 
   /** Discards pending responses and cancels their requests after a client's disconnect. */
-  void disconnected() {
+  void discardAll() {
     for (ResponseSlot slot = slots.poll(); slot != null; slot = slots.poll()) {
       slot.discard();
       if (slot.submission() != null) {
@@ -162,7 +162,7 @@
   private void reportUnanswered(ResponseSlot slot) {
     long now = dispatcher.clock().now();
     if (slot.isPastBudget(now)) {
-      dispatcher.guard().unanswered(slot.requestId(), connection.name());
+      dispatcher.guard().reportUnanswered(slot.requestId(), connection.name());
     } else if (slot.isPastHalfBudget(now)) {
       dispatcher.log(
           () ->
--- a/engine/src/main/java/shalepaddle/front/ResponseSlot.java
+++ b/engine/src/main/java/shalepaddle/front/ResponseSlot.java
@@ -168,7 +168,7 @@
   public void onComplete() {
     source = null;
     state = State.PENDING;
-    complete(responses.streamEnd());
+    complete(responses.encodeStreamEnd());
   }
 
   /** Closes the connection: the client detects by the length that the value is incomplete. */
--- a/engine/src/main/java/shalepaddle/hotrestart/HotRestart.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/HotRestart.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import shalepaddle.hotrestart.ProcessFiles.Others;
+import shalepaddle.hotrestart.ProcessFiles.OtherProcesses;
 import shalepaddle.model.Observation;
 
 /**
@@ -89,18 +89,18 @@
   public synchronized void poll() {
     try {
       publish();
-      Others otherProcesses = files.readOthers();
+      OtherProcesses otherProcesses = files.readOthers();
       int clientConnections = 0;
       int serverConnections = 0;
       boolean isOtherStarting = false;
-      for (ProcessState other : otherProcesses.partners()) {
-        clientConnections += other.clients();
+      for (ProcessState other : otherProcesses.liveProcesses()) {
+        clientConnections += other.clientConnections();
         serverConnections += other.serverConnections();
         isOtherStarting |= other.stage() == ProcessState.Stage.STARTING;
       }
       listener.onPoll(
           otherProcesses.exclusions(),
-          otherProcesses.partners().size(),
+          otherProcesses.liveProcesses().size(),
           clientConnections,
           serverConnections);
       if (isOtherStarting && ownState.get().stage() == ProcessState.Stage.READY) {
@@ -130,7 +130,7 @@
 
   /** Whether another process of this node is currently ready for clients. */
   public boolean isSuccessorReady() {
-    return files.readOthers().partners().stream()
+    return files.readOthers().liveProcesses().stream()
         .anyMatch(other -> other.stage() == ProcessState.Stage.READY);
   }
 
--- a/engine/src/main/java/shalepaddle/hotrestart/ObservationFormat.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ObservationFormat.java
@@ -41,7 +41,7 @@
     Request request = observation.request();
     Outcome outcome = observation.outcome();
     json.writeStartArray();
-    json.writeNumber(observation.endedAt());
+    json.writeNumber(observation.endedAtSeconds());
     json.writeNumber(outcome.server());
     json.writeString(storedName(outcome.result()));
     json.writeString(outcome.cacheStatus().name());
@@ -53,20 +53,20 @@
     json.writeNumber(request.budgetSeconds());
     json.writeNumber(request.workSeconds());
     json.writeNumber(request.sizeBytes());
-    json.writeBoolean(request.retry());
-    json.writeBoolean(request.write());
+    json.writeBoolean(request.isRetry());
+    json.writeBoolean(request.isWrite());
     if (outcome.load() != null) {
       LoadReport load = outcome.load();
       for (double value :
           new double[] {
-            load.inFlight(),
-            load.queued(),
+            load.requestsInFlight(),
+            load.queuedRequests(),
             load.utilization(),
             load.latencyMillis(),
-            load.requestRate(),
-            load.errorRate(),
-            load.extra0(),
-            load.extra1()
+            load.requestsPerSecond(),
+            load.errorsPerSecond(),
+            load.deploymentValue0(),
+            load.deploymentValue1()
           }) {
         json.writeNumber(value); // The generator writes a value that is not finite as a string.
       }
@@ -122,15 +122,7 @@
     return new Observation(
         endedAtSeconds,
         new Request(
-            "",
-            key,
-            service,
-            tenant,
-            budgetSeconds,
-            workSeconds,
-            sizeBytes,
-            isRetry,
-            isWrite),
+            "", key, service, tenant, budgetSeconds, workSeconds, sizeBytes, isRetry, isWrite),
         new Outcome(
             "", 0, server, result, elapsedSeconds, stalledSeconds, true, cacheStatus, load));
   }
--- a/engine/src/main/java/shalepaddle/hotrestart/ProcessFiles.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ProcessFiles.java
@@ -22,13 +22,13 @@
  * atomically, by a rename.
  *
  * <p>No process waits for another. A file that cannot be read is skipped. If a process has ended,
- * or has not written its file for {@link #SILENT_MILLIS}, only its exclusions are used. At most
- * {@link #MAX_FILES} files of at most {@link #MAX_FILE_BYTES} are read. Thread-safe; all methods
- * block on the file system.
+ * or has not written its file for {@link #MAX_SILENCE_MILLIS}, only its exclusions are used. At
+ * most {@link #MAX_FILES} files of at most {@link #MAX_FILE_BYTES} are read. Thread-safe; all
+ * methods block on the file system.
  */
 public final class ProcessFiles {
   /** A process that has not written its file for this time is ignored; others write sooner. */
-  static final long SILENT_MILLIS = 2000;
+  static final long MAX_SILENCE_MILLIS = 2000;
 
   private static final int MAX_FILES = 16;
   private static final long MAX_FILE_BYTES = 1 << 20;
@@ -97,10 +97,7 @@
       }
       Files.write(temporaryFile, bytes);
       Files.move(
-          temporaryFile,
-          file,
-          StandardCopyOption.ATOMIC_MOVE,
-          StandardCopyOption.REPLACE_EXISTING);
+          temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
       return true;
     } catch (IOException e) {
       logOnce("cannot publish to other processes of this node: " + e);
@@ -114,7 +111,7 @@
    */
   public synchronized List<Observation> takeObservations() {
     List<Observation> allObservations = new ArrayList<>();
-    for (ProcessState other : readOthers().partners()) {
+    for (ProcessState other : readOthers().liveProcesses()) {
       Path file = observationsFile(other.pid());
       try {
         if (Files.exists(file) && Files.size(file) <= MAX_FILE_BYTES) {
@@ -133,14 +130,14 @@
   /**
    * The data that the other processes have published.
    *
-   * @param partners the states of the live processes
+   * @param liveProcesses the states of the live processes
    * @param exclusions operators' exclusions, including those from processes that have ended
    */
-  public record Others(List<ProcessState> partners, List<ServerExclusion> exclusions) {
+  public record OtherProcesses(List<ProcessState> liveProcesses, List<ServerExclusion> exclusions) {
     /** The newest endpoint list of a live process, null if there is none. */
     public MemberList newestMemberList() {
-      return partners.stream()
-          .map(ProcessState::list)
+      return liveProcesses.stream()
+          .map(ProcessState::memberList)
           .filter(Objects::nonNull)
           .max(Comparator.comparingLong(MemberList::version))
           .orElse(null);
@@ -148,7 +145,7 @@
   }
 
   /** Reads the files of the other processes; removes files of processes that have ended. */
-  public synchronized Others readOthers() {
+  public synchronized OtherProcesses readOthers() {
     List<ProcessState> liveProcesses = new ArrayList<>();
     List<ServerExclusion> exclusions = new ArrayList<>();
     try (DirectoryStream<Path> files =
@@ -162,7 +159,7 @@
     } catch (IOException e) {
       logOnce("cannot list the files of other processes of this node: " + e);
     }
-    return new Others(liveProcesses, exclusions);
+    return new OtherProcesses(liveProcesses, exclusions);
   }
 
   /** Reads the state file of another process, and adds its content to the lists. */
@@ -178,7 +175,7 @@
       exclusions.addAll(state.exclusions());
       if (!isAlive.test(state.pid())) {
         removeFilesOfEndedProcess(file, state, sinceWrittenMillis);
-      } else if (sinceWrittenMillis < SILENT_MILLIS) {
+      } else if (sinceWrittenMillis < MAX_SILENCE_MILLIS) {
         liveProcesses.add(state);
       }
     } catch (FormatException e) {
@@ -195,7 +192,7 @@
   private void removeFilesOfEndedProcess(Path file, ProcessState state, long sinceWrittenMillis)
       throws IOException {
     Files.deleteIfExists(observationsFile(state.pid()));
-    if (state.exclusions().isEmpty() || sinceWrittenMillis > 2 * SILENT_MILLIS) {
+    if (state.exclusions().isEmpty() || sinceWrittenMillis > 2 * MAX_SILENCE_MILLIS) {
       Files.deleteIfExists(file);
     }
   }
--- a/engine/src/main/java/shalepaddle/hotrestart/ProcessState.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ProcessState.java
@@ -8,18 +8,18 @@
  *
  * @param pid the process id
  * @param stage the stage of the process's service to clients
- * @param clients the number of the process's open client connections
+ * @param clientConnections the number of the process's open client connections
  * @param serverConnections the number of the process's open connections to cache servers
  * @param exclusions the operators' exclusions and inclusions that the process knows
- * @param list the complete endpoint list that the process knows, null if it has no list yet
+ * @param memberList the complete endpoint list that the process knows, null if it has no list yet
  */
 public record ProcessState(
     long pid,
     Stage stage,
-    int clients,
+    int clientConnections,
     int serverConnections,
     List<ServerExclusion> exclusions,
-    MemberList list) {
+    MemberList memberList) {
   /** The stage of a process's service to clients. */
   public enum Stage {
     STARTING,
--- a/engine/src/main/java/shalepaddle/hotrestart/ServerExclusions.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/ServerExclusions.java
@@ -29,16 +29,18 @@
     latestByServer.put(exclusion.server(), exclusion);
     if (latestByServer.size() > MAX_EXCLUSIONS) {
       latestByServer.values().stream()
-          .filter(entry -> !entry.excluded())
+          .filter(entry -> !entry.isExcluded())
           .findFirst()
           .ifPresent(entry -> latestByServer.remove(entry.server()));
     }
-    return previous == null ? exclusion.excluded() : previous.excluded() != exclusion.excluded();
+    return previous == null
+        ? exclusion.isExcluded()
+        : previous.isExcluded() != exclusion.isExcluded();
   }
 
   /**
-   * Records the exclusions and inclusions that another process knows; returns those records
-   * that change a server's state.
+   * Records the exclusions and inclusions that another process knows; returns those records that
+   * change a server's state.
    */
   public List<ServerExclusion> merge(Collection<ServerExclusion> otherExclusions) {
     List<ServerExclusion> changes = new ArrayList<>();
@@ -51,7 +53,7 @@
   }
 
   /** The latest exclusion or inclusion of each server, in the order in which they were recorded. */
-  public List<ServerExclusion> all() {
+  public List<ServerExclusion> latestRecords() {
     return List.copyOf(latestByServer.values());
   }
 }
--- a/engine/src/main/java/shalepaddle/hotrestart/StateFormat.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/StateFormat.java
@@ -25,21 +25,21 @@
       json.writeStartObject();
       json.writeNumberField("pid", state.pid());
       json.writeStringField("stage", state.stage().name());
-      json.writeNumberField("clients", state.clients());
+      json.writeNumberField("clients", state.clientConnections());
       json.writeNumberField("connections", state.serverConnections());
       json.writeArrayFieldStart("words");
       for (ServerExclusion exclusion : state.exclusions()) {
         json.writeStartObject();
         json.writeNumberField("server", exclusion.server());
-        json.writeBooleanField("out", exclusion.excluded());
-        json.writeNumberField("at", exclusion.atMillis());
+        json.writeBooleanField("out", exclusion.isExcluded());
+        json.writeNumberField("at", exclusion.commandedAtMillis());
         json.writeEndObject();
       }
       json.writeEndArray();
-      if (state.list() != null) {
-        json.writeNumberField("version", state.list().version());
+      if (state.memberList() != null) {
+        json.writeNumberField("version", state.memberList().version());
         json.writeArrayFieldStart("servers");
-        for (MemberList.Member member : state.list().members()) {
+        for (MemberList.Member member : state.memberList().members()) {
           writeMember(json, member);
         }
         json.writeEndArray();
@@ -49,8 +49,7 @@
     return Frame.wrap(VERSION, text.toString());
   }
 
-  private static void writeMember(JsonGenerator json, MemberList.Member member)
-      throws IOException {
+  private static void writeMember(JsonGenerator json, MemberList.Member member) throws IOException {
     ServerEntry entry = member.entry();
     InetSocketAddress address = (InetSocketAddress) member.address();
     json.writeStartObject();
--- a/engine/src/main/java/shalepaddle/hotrestart/package-info.java
+++ b/engine/src/main/java/shalepaddle/hotrestart/package-info.java
@@ -4,7 +4,6 @@
  * makes no decisions on servers, and no process waits for another.
  *
  * <p>{@link shalepaddle.hotrestart.HotRestart} polls on a separate thread and passes results to the
- * node's event loop. The package may call {@code membership}, {@code model} and {@code
- * settings}.
+ * node's event loop. The package may call {@code membership}, {@code model} and {@code settings}.
  */
 package shalepaddle.hotrestart;
--- a/engine/src/main/java/shalepaddle/loop/Log.java
+++ b/engine/src/main/java/shalepaddle/loop/Log.java
@@ -28,12 +28,12 @@
   }
 
   /** Writes a line. */
-  public void line(String text) {
-    line(() -> text);
+  public void writeLine(String text) {
+    writeLine(() -> text);
   }
 
   /** Writes a line; the text is built only if the line is not dropped. */
-  public void line(Supplier<String> text) {
+  public void writeLine(Supplier<String> text) {
     long nowSeconds = ticker.nanoTime() / 1_000_000_000L;
     if (nowSeconds != currentSecond) {
       currentSecond = nowSeconds;
@@ -45,8 +45,8 @@
   }
 
   /** Logs an unexpected exception: where it occurred, its text and its first stack frame. */
-  public void failure(String location, Throwable cause) {
+  public void writeFailure(String location, Throwable cause) {
     StackTraceElement[] trace = cause.getStackTrace();
-    line(location + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
+    writeLine(location + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
   }
 }
--- a/engine/src/main/java/shalepaddle/loop/LoopClock.java
+++ b/engine/src/main/java/shalepaddle/loop/LoopClock.java
@@ -15,7 +15,7 @@
  * consequences. First, {@link #activeNanos} does not advance during a stall; the silence of peers
  * is measured by it. Second, the loop {@linkplain #hasBacklog has a backlog} until it has read the
  * bytes that arrived meanwhile; time-outs of peers and of requests are delayed until then, see
- * {@link #whenBacklogRead}. Clients' deadlines are not measured in active time.
+ * {@link #runWhenBacklogRead}. Clients' deadlines are not measured in active time.
  *
  * <p>Prevents connections with requests from being closed, and servers from being ejected, because
  * of a stall of this process. Cost: if every turn is as long as a stall, silence is detected some
@@ -138,18 +138,18 @@
    * The earliest time at which bytes that are read in this turn can have arrived, on a connection
    * that was included in all recent polls and was empty when it was last read.
    */
-  public long earliestArrival() {
-    return pollTimes.earliestArrival();
+  public long earliestArrivalNanos() {
+    return pollTimes.earliestArrivalNanos();
   }
 
   /** When the poll of the previous turn returned. */
-  public long previousPollAt() {
-    return pollTimes.previousPollAt();
+  public long previousPollAtNanos() {
+    return pollTimes.previousPollAtNanos();
   }
 
   /** The length of the stall to expect, by recent stalls; 0 for none. */
   public long expectedStallNanos() {
-    return stallHistory.expected(refreshedAtNanos);
+    return stallHistory.expectedStallNanos(refreshedAtNanos);
   }
 
   /** Forgets all stalls: stalls at the start of a process do not predict later stalls. */
@@ -178,7 +178,7 @@
   }
 
   /** Runs a task once the backlog of a stall is read, or immediately if there is no backlog. */
-  public void whenBacklogRead(Runnable task) {
+  public void runWhenBacklogRead(Runnable task) {
     if (hasBacklog()) {
       tasksWhenBacklogRead.add(task);
     } else {
@@ -187,12 +187,12 @@
   }
 
   /** Runs a task at the end of the next turn, after all sockets have been polled again. */
-  public void afterNextPoll(Runnable task) {
+  public void runAfterNextPoll(Runnable task) {
     tasksAfterNextPoll.add(task);
   }
 
   /** Whether the next poll must not sleep. */
-  boolean pollsAtOnce() {
+  boolean mustNotSleep() {
     return hasBacklog() || !tasksAfterThisPoll.isEmpty();
   }
 
--- a/engine/src/main/java/shalepaddle/loop/PollTimes.java
+++ b/engine/src/main/java/shalepaddle/loop/PollTimes.java
@@ -49,13 +49,13 @@
     }
   }
 
-  /** See {@link LoopClock#previousPollAt}. */
-  long previousPollAt() {
+  /** See {@link LoopClock#previousPollAtNanos}. */
+  long previousPollAtNanos() {
     return previousReturnedAtNanos;
   }
 
-  /** See {@link LoopClock#earliestArrival}. */
-  long earliestArrival() {
+  /** See {@link LoopClock#earliestArrivalNanos}. */
+  long earliestArrivalNanos() {
     boolean hasSlept = mayBlock && hasReturned && returnedAtNanos - beganAtNanos >= MIN_SLEEP_NANOS;
     return hasSlept
         ? Math.max(previousReturnedAtNanos, returnedAtNanos - MAX_WAKE_UP_NANOS)
--- a/engine/src/main/java/shalepaddle/loop/StallHistory.java
+++ b/engine/src/main/java/shalepaddle/loop/StallHistory.java
@@ -27,7 +27,7 @@
   }
 
   /** The length in nanoseconds of the stall to expect, 0 for none. */
-  long expected(long now) {
+  long expectedStallNanos(long now) {
     advance(now);
     long shorterOfLongestNanos = Math.min(longestNanos[0], longestNanos[1]);
     return Math.max(shorterOfLongestNanos, Math.max(secondLongestNanos[0], secondLongestNanos[1]));
--- a/engine/src/main/java/shalepaddle/loop/Timers.java
+++ b/engine/src/main/java/shalepaddle/loop/Timers.java
@@ -67,7 +67,7 @@
    * Runs a task once the event loop has been {@linkplain LoopClock#activeNanos active} for the
    * given time. Used for time-outs of silent peers.
    */
-  public Timer afterActiveTime(long delayNanos, Runnable task) {
+  public Timer runAfterActiveTime(long delayNanos, Runnable task) {
     Timer timer = new Timer(task);
     runAfterActive(clock.activeNanos() + delayNanos, timer);
     return timer;
@@ -79,10 +79,10 @@
    * Netty's bootstrap is not used: after a stall it may run before an established connection is
    * noticed, so that a peer that is up would be considered down.
    */
-  public void limitConnect(ChannelFuture connectFuture, long timeoutNanos) {
+  public void limitConnectTime(ChannelFuture connectFuture, long timeoutNanos) {
     Timer timeoutTimer =
-        afterActiveTime(timeoutNanos, () -> ConnectCompletion.close(connectFuture.channel()));
-    ConnectCompletion.whenDone(connectFuture, loop, done -> timeoutTimer.cancel());
+        runAfterActiveTime(timeoutNanos, () -> ConnectCompletion.close(connectFuture.channel()));
+    ConnectCompletion.runWhenDone(connectFuture, loop, done -> timeoutTimer.cancel());
   }
 
   private void runAfterActive(long untilActiveNanos, Timer timer) {
@@ -143,7 +143,7 @@
   /** Runs due timers. After a stall, bytes that arrived in time are read first. */
   private void onWakeUp() {
     clock.refresh();
-    clock.whenBacklogRead(this::runDue);
+    clock.runWhenBacklogRead(this::runDue);
   }
 
   private void runDue() {
@@ -155,7 +155,7 @@
           try {
             timer.task.run();
           } catch (RuntimeException e) {
-            log.failure("timer", e);
+            log.writeFailure("timer", e);
           }
         }
       }
--- a/engine/src/main/java/shalepaddle/loop/WatchedIoHandler.java
+++ b/engine/src/main/java/shalepaddle/loop/WatchedIoHandler.java
@@ -38,7 +38,7 @@
       implements IoHandlerContext {
     @Override
     public boolean canBlock() {
-      boolean canBlock = !clock.pollsAtOnce() && context.canBlock();
+      boolean canBlock = !clock.mustNotSleep() && context.canBlock();
       if (canBlock) {
         clock.pollMayBlock();
       }
--- a/engine/src/main/java/shalepaddle/membership/DiscoveryCall.java
+++ b/engine/src/main/java/shalepaddle/membership/DiscoveryCall.java
@@ -53,8 +53,8 @@
    *
    * @param reason the reason to log
    * @param isConnectionClosed whether the service closed the connection without an error
-   * @param mayRetryAtOnce whether the next call needs no backoff, since this call ended by its
-   *     time limit
+   * @param mayRetryAtOnce whether the next call needs no backoff, since this call ended by its time
+   *     limit
    */
   record End(String reason, boolean isConnectionClosed, boolean mayRetryAtOnce) {}
 
@@ -113,8 +113,8 @@
     listDecoder = new MemberListDecoder(() -> receivedAtNanos);
     var connectFuture = bootstrap.clone().handler(channelInitializer()).connect(address);
     channel = connectFuture.channel();
-    timers.limitConnect(connectFuture, limits.connectTimeoutMillis() * 1_000_000);
-    ConnectCompletion.whenDone(
+    timers.limitConnectTime(connectFuture, limits.connectTimeoutMillis() * 1_000_000);
+    ConnectCompletion.runWhenDone(
         connectFuture,
         loop,
         done -> {
@@ -173,7 +173,7 @@
   }
 
   private long silentSinceNanos() {
-    return listDecoder.isInsideList() ? listDecoder.listBegunAt() : receivedAtNanos;
+    return listDecoder.isInsideList() ? listDecoder.listStartedAt() : receivedAtNanos;
   }
 
   private long maxSilenceNanos() {
@@ -226,8 +226,8 @@
         return;
       }
       MemberList list = MemberList.parse(JsonObject.parse(json.toString(StandardCharsets.UTF_8)));
-      list.requireDistinct();
-      listDecoder.listComplete();
+      list.requireDistinctServers();
+      listDecoder.markListComplete();
       observer.onList(list);
     }
 
--- a/engine/src/main/java/shalepaddle/membership/DiscoveryClient.java
+++ b/engine/src/main/java/shalepaddle/membership/DiscoveryClient.java
@@ -95,14 +95,7 @@
     if (call == null) {
       call =
           new DiscoveryCall(
-              bootstrap,
-              loop,
-              timers,
-              clock,
-              address,
-              knownVersion,
-              callLimits(),
-              newObserver());
+              bootstrap, loop, timers, clock, address, knownVersion, callLimits(), newObserver());
     }
   }
 
@@ -116,7 +109,7 @@
     return new DiscoveryCall.Observer() {
       @Override
       public void onList(MemberList list) {
-        knownVersion = list.full() ? list.version() : Math.max(knownVersion, list.version());
+        knownVersion = list.isComplete() ? list.version() : Math.max(knownVersion, list.version());
         listener.onList(list);
       }
 
--- a/engine/src/main/java/shalepaddle/membership/MemberList.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberList.java
@@ -22,11 +22,11 @@
 /**
  * The list of cache servers, or a change of it, as received from discovery. Immutable.
  *
- * @param full whether it is the complete list
+ * @param isComplete whether it is the complete list
  * @param version the list's version
  * @param members the list's entries
  */
-public record MemberList(boolean full, long version, List<Member> members) {
+public record MemberList(boolean isComplete, long version, List<Member> members) {
 
   /**
    * One cache server.
@@ -43,7 +43,7 @@
    */
   public MemberList appliedTo(MemberList knownList) {
     Map<Long, Member> membersByNumber = new TreeMap<>();
-    if (knownList != null && !full) {
+    if (knownList != null && !isComplete) {
       knownList.members.forEach(member -> membersByNumber.put(member.entry().id(), member));
     }
     for (Member member : members) {
@@ -61,7 +61,7 @@
    *
    * @throws FormatException if a server has two entries
    */
-  public void requireDistinct() throws FormatException {
+  public void requireDistinctServers() throws FormatException {
     Set<Long> seenNumbers = new HashSet<>();
     for (Member member : members) {
       if (!seenNumbers.add(member.entry().id())) {
@@ -73,8 +73,8 @@
   /**
    * This list, in which servers that are known to drain keep draining if this list is of an older
    * version. A lagging replica of discovery can send such a list, and must not make a draining
-   * server ready again. A server that was restarted since then is ready. Otherwise an older list
-   * is applied unchanged, since discovery may have been restored to an older state.
+   * server ready again. A server that was restarted since then is ready. Otherwise an older list is
+   * applied unchanged, since discovery may have been restored to an older state.
    *
    * @param knownList the known complete list, null for none
    */
@@ -97,7 +97,7 @@
               && member.entry().startedAtSeconds() <= drainingMember.entry().startedAtSeconds();
       mergedMembers.add(isOutdated ? drainingMember : member);
     }
-    return new MemberList(full, version, List.copyOf(mergedMembers));
+    return new MemberList(isComplete, version, List.copyOf(mergedMembers));
   }
 
   /** This list as an update for the policy. */
--- a/engine/src/main/java/shalepaddle/membership/MemberListDecoder.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberListDecoder.java
@@ -33,12 +33,12 @@
   }
 
   /** When the incomplete list started, in nanoseconds of the event loop's time. */
-  long listBegunAt() {
+  long listStartedAt() {
     return listStartedAtNanos;
   }
 
   /** Records that a list is complete; any remaining data starts the next one. */
-  void listComplete() {
+  void markListComplete() {
     isInsideList = false;
   }
 
--- a/engine/src/main/java/shalepaddle/membership/MemberSource.java
+++ b/engine/src/main/java/shalepaddle/membership/MemberSource.java
@@ -6,7 +6,7 @@
  */
 public interface MemberSource {
   /** A list that never changes. */
-  MemberSource FIXED =
+  MemberSource FIXED_LIST =
       new MemberSource() {
         @Override
         public void follow() {
--- a/engine/src/main/java/shalepaddle/node/AdmissionFilter.java
+++ b/engine/src/main/java/shalepaddle/node/AdmissionFilter.java
@@ -57,7 +57,7 @@
       dispatcher.recorder().count(Event.REJECTED_ADMISSION, 1);
       dispatcher
           .metrics()
-          .rejectedBeforeParsing(settings.get().services().get(serviceClass).name());
+          .countRejectedBeforeParsing(settings.get().services().get(serviceClass).name());
     }
     return decision;
   }
@@ -65,6 +65,6 @@
   @Override
   public void rejectedAfterAdmission(String serviceClass) {
     dispatcher.recorder().count(Event.REJECTED_MEMORY, 1);
-    dispatcher.metrics().rejectedBeforeParsing(serviceClass);
+    dispatcher.metrics().countRejectedBeforeParsing(serviceClass);
   }
 }
--- a/engine/src/main/java/shalepaddle/node/CoalescingMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/CoalescingMetrics.java
@@ -50,15 +50,18 @@
   public void bindTo(MeterRegistry registry) {
     SnapshotMeters<CoalescingSnapshot> meters =
         new SnapshotMeters<>(registry, PREFIX, this::snapshotOrZero);
-    meters.counter("reads", "reads", tags.and("as", "first"), CoalescingSnapshot::flights);
-    meters.counter("reads", "reads", tags.and("as", "joined"), CoalescingSnapshot::joined);
-    meters.counter("reads", "reads", tags.and("as", "alone"), CoalescingSnapshot::uncoalesced);
-    meters.counter("shared", "reads", tags, CoalescingSnapshot::shared);
-    meters.counter("left", "reads", tags, CoalescingSnapshot::left);
-    meters.counter("retried", "tries", tags, CoalescingSnapshot::retried);
-    meters.counter("spent", "tries", tags, CoalescingSnapshot::retriesDenied);
-    meters.gauge("open", "flights", tags, CoalescingSnapshot::openFlights);
-    meters.gauge("waiting", "reads", tags, CoalescingSnapshot::waiters);
+    meters.registerCounter(
+        "reads", "reads", tags.and("as", "first"), CoalescingSnapshot::startedFlights);
+    meters.registerCounter(
+        "reads", "reads", tags.and("as", "joined"), CoalescingSnapshot::joinedReads);
+    meters.registerCounter(
+        "reads", "reads", tags.and("as", "alone"), CoalescingSnapshot::uncoalescedReads);
+    meters.registerCounter("shared", "reads", tags, CoalescingSnapshot::sharedAnswers);
+    meters.registerCounter("left", "reads", tags, CoalescingSnapshot::departedWaiters);
+    meters.registerCounter("retried", "tries", tags, CoalescingSnapshot::retries);
+    meters.registerCounter("spent", "tries", tags, CoalescingSnapshot::deniedRetries);
+    meters.registerGauge("open", "flights", tags, CoalescingSnapshot::openFlights);
+    meters.registerGauge("waiting", "reads", tags, CoalescingSnapshot::waiters);
   }
 
   private CoalescingSnapshot snapshotOrZero() {
--- a/engine/src/main/java/shalepaddle/node/DescriptorBudget.java
+++ b/engine/src/main/java/shalepaddle/node/DescriptorBudget.java
@@ -9,11 +9,11 @@
  * that the node does not run out of them: without a free descriptor it can neither accept clients
  * nor connect to a server. Immutable.
  *
- * @param limit the number of descriptors that the process may open
- * @param reserved the number of descriptors reserved for the process's own files, pipes and
- *     selectors, and for admin callers
+ * @param maxDescriptors the number of descriptors that the process may open
+ * @param reservedDescriptors the number of descriptors reserved for the process's own files, pipes
+ *     and selectors, and for admin callers
  */
-record DescriptorBudget(int limit, int reserved) {
+record DescriptorBudget(int maxDescriptors, int reservedDescriptors) {
   /**
    * The fraction of the descriptors for client connections. By the protocol, clients use a third at
    * most, which is {@link #REQUEST_RATIO}.
@@ -47,12 +47,12 @@
 
   /** The maximum number of client connections that all processes of this node open together. */
   int maxClientConnections() {
-    return (int) (limit * CLIENT_RATIO);
+    return (int) (maxDescriptors * CLIENT_RATIO);
   }
 
   /** The maximum number of server connections that all processes of this node open together. */
   private int maxServerConnections() {
-    return (int) (limit * (1 - CLIENT_RATIO)) - reserved;
+    return (int) (maxDescriptors * (1 - CLIENT_RATIO)) - reservedDescriptors;
   }
 
   /**
@@ -74,12 +74,12 @@
 
   /** The ratio of open requests to the request limit; above 1 if the limit is exceeded. */
   double requestRatio(int openRequests) {
-    return openRequests / (limit * REQUEST_RATIO);
+    return openRequests / (maxDescriptors * REQUEST_RATIO);
   }
 
   /** The fraction of all descriptors that is in use with the given connections. */
   double usedRatio(int clientConnections, int serverConnections) {
-    double usedDescriptors = reserved + clientConnections + serverConnections;
-    return usedDescriptors / limit;
+    double usedDescriptors = reservedDescriptors + clientConnections + serverConnections;
+    return usedDescriptors / maxDescriptors;
   }
 }
--- a/engine/src/main/java/shalepaddle/node/EventLoopThreads.java
+++ b/engine/src/main/java/shalepaddle/node/EventLoopThreads.java
@@ -10,7 +10,7 @@
  */
 final class EventLoopThreads implements ThreadFactory {
   /** The exit code of a process whose event loop has failed. */
-  static final int EXIT_CODE = 70;
+  static final int LOOP_FAILURE_EXIT_CODE = 70;
 
   private final Log log;
   private final Runnable onFailure;
@@ -45,7 +45,7 @@
     }
     if (!isShutdownAllowed) {
       try {
-        log.line("event=event_loop_failed cause=" + cause);
+        log.writeLine("event=event_loop_failed cause=" + cause);
       } finally {
         onFailure.run();
       }
--- a/engine/src/main/java/shalepaddle/node/GracefulShutdown.java
+++ b/engine/src/main/java/shalepaddle/node/GracefulShutdown.java
@@ -82,7 +82,7 @@
   }
 
   /** Sets the channel that accepts clients, which {@link #stopAccepting} stops. */
-  void listensOn(Channel channel) {
+  void setListener(Channel channel) {
     listener = channel;
   }
 
@@ -111,7 +111,7 @@
         .runNoEarlierThan(
             TimeUnit.MILLISECONDS.toNanos(untilCloseIdleMillis),
             () -> {
-              log.line("draining " + front.connectionCount() + " client connections");
+              log.writeLine("draining " + front.connectionCount() + " client connections");
               front.drain(
                   loop,
                   0,
@@ -124,7 +124,7 @@
   void handOver(Runnable onDrained) {
     long untilAnsweredMillis = beginShutdown();
     stopAccepting();
-    log.line("handing over " + front.connectionCount() + " client connections");
+    log.writeLine("handing over " + front.connectionCount() + " client connections");
     // With short deadlines, the process may be killed before MAX_HAND_OVER_IDLE_MILLIS have passed.
     long maxIdleMillis =
         Math.min(
@@ -148,10 +148,11 @@
    * @return the milliseconds from now until all requests are to be answered
    */
   private long beginShutdown() {
-    snapshots.enter(ProcessState.Stage.DRAINING);
+    snapshots.enterStage(ProcessState.Stage.DRAINING);
     snapshots.publishState();
-    log.line("event=totals " + dispatcher.recorder().totals());
-    long sinceSignalMillis = TimeUnit.NANOSECONDS.toMillis(clock.now() - clock.earliestArrival());
+    log.writeLine("event=totals " + dispatcher.recorder().totals());
+    long sinceSignalMillis =
+        TimeUnit.NANOSECONDS.toMillis(clock.now() - clock.earliestArrivalNanos());
     long untilAnsweredMillis = Math.max(0, maxDrainMillis() - sinceSignalMillis);
     dispatcher.drainBy(clock.now() + TimeUnit.MILLISECONDS.toNanos(untilAnsweredMillis));
     return untilAnsweredMillis;
--- a/engine/src/main/java/shalepaddle/node/LoadBalancer.java
+++ b/engine/src/main/java/shalepaddle/node/LoadBalancer.java
@@ -121,7 +121,7 @@
     descriptors = DescriptorBudget.of(config);
     overload =
         new OverloadControl(
-            settings, operator.overload(), config.seed(), ResourceMonitor.levelLog(log));
+            settings, operator.overload(), config.seed(), ResourceMonitor.newLevelLog(log));
     dispatcher =
         new Dispatcher(
             settings, config.seed(), loop, clock, nodeClock, log, overload, operator.coalescing());
@@ -174,7 +174,7 @@
         loop,
         dispatcher.timers(),
         clock,
-        config.discovery(),
+        config.discoveryAddress(),
         settings.pollsEndpointList(),
         settings.contract().drainGraceSeconds(),
         config.knownMembers().version(),
@@ -216,11 +216,11 @@
 
   /** Starts with the endpoint list of the configuration, and follows its changes. */
   public void start() {
-    startAfter(List.of());
+    startWithObservations(List.of());
   }
 
   /** Like {@link #start}, but first replays what another process of this node has observed. */
-  void startAfter(List<Observation> pastObservations) {
+  void startWithObservations(List<Observation> pastObservations) {
     if (!pastObservations.isEmpty()) {
       dispatcher.replay(
           config.knownMembers().toUpdate(MembershipUpdate.Kind.CACHED), pastObservations);
@@ -257,8 +257,8 @@
     bindFuture.addListener(
         done -> {
           if (done.isSuccess()) {
-            shutdown.listensOn(bindFuture.channel());
-            snapshots.enter(ProcessState.Stage.READY);
+            shutdown.setListener(bindFuture.channel());
+            snapshots.enterStage(ProcessState.Stage.READY);
             clock.forgetStalls();
             monitor.start();
           }
@@ -268,7 +268,7 @@
 
   /** The state of overload control, a few milliseconds old. May be called from any thread. */
   public OverloadSnapshot overloadSnapshot() {
-    return snapshots.overload();
+    return snapshots.overloadSnapshot();
   }
 
   /**
@@ -276,7 +276,7 @@
    * May be called from any thread.
    */
   public CoalescingSnapshot coalescingSnapshot() {
-    return snapshots.coalescing();
+    return snapshots.coalescingSnapshot();
   }
 
   /**
@@ -311,7 +311,7 @@
    * @param clientConnections the number of open client connections of the other processes
    * @param serverConnections the number of connections of the other processes to cache servers
    */
-  public void updatePartners(
+  public void updatePeerProcesses(
       List<ServerExclusion> exclusions,
       int processCount,
       int clientConnections,
@@ -332,22 +332,22 @@
    * New limits, listen addresses and seeds take effect only at the next start.
    */
   public void applyConfiguration(NodeConfig newConfig) {
-    log.line("configuration applied, discovery at " + newConfig.discovery());
+    log.writeLine("configuration applied, discovery at " + newConfig.discoveryAddress());
     Settings settings = newConfig.settings();
-    dispatcher.retune(settings);
+    dispatcher.updateSettings(settings);
     long now = clock.now();
     codec.updateSettings(settings, now, now + REMOVED_CLASS_GRACE_NANOS);
     dispatcher
         .timers()
         .runNoEarlierThan(REMOVED_CLASS_GRACE_NANOS, () -> codec.expireRemovedClasses(clock.now()));
     config = config.withSettings(settings);
-    discovery.switchTo(newConfig.discovery());
+    discovery.switchTo(newConfig.discoveryAddress());
     snapshots.countReloadApplied();
   }
 
   /** Logs and counts a configuration that was rejected; the current one remains in force. */
   public void rejectConfiguration(String reason) {
-    log.line("configuration rejected, keeping the current one: " + reason);
+    log.writeLine("configuration rejected, keeping the current one: " + reason);
     snapshots.countReloadRejected();
   }
 
@@ -397,7 +397,7 @@
   /** Closes at once: answers every open request, and accepts and sends nothing new. */
   public void close() {
     monitor.stop();
-    snapshots.enter(ProcessState.Stage.DRAINING);
+    snapshots.enterStage(ProcessState.Stage.DRAINING);
     shutdown.stopAccepting();
     engine.close();
     pools.close();
@@ -419,7 +419,7 @@
 
   /** The number of connections to cache servers that are open or being opened. */
   public int serverConnections() {
-    return pools.connections();
+    return pools.connectionCount();
   }
 
   /** The number of requests that have not ended, or of which an attempt is in flight. */
--- a/engine/src/main/java/shalepaddle/node/MemberTracker.java
+++ b/engine/src/main/java/shalepaddle/node/MemberTracker.java
@@ -25,7 +25,7 @@
   private final CountDownLatch firstListLatch = new CountDownLatch(1);
 
   /** The complete list, null before the first call of {@link #apply}. */
-  private MemberList current;
+  private MemberList currentList;
 
   /** The failure that was logged last, null if a list has arrived since. */
   private String loggedFailure;
@@ -40,7 +40,7 @@
   @Override
   public void onList(MemberList list) {
     loggedFailure = null;
-    apply(list, list.full() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.DELTA);
+    apply(list, list.isComplete() ? MembershipUpdate.Kind.FULL : MembershipUpdate.Kind.DELTA);
     firstListLatch.countDown();
   }
 
@@ -49,28 +49,28 @@
     // A failure is logged once until the next list: discovery is polled repeatedly while down.
     if (!reason.equals(loggedFailure)) {
       loggedFailure = reason;
-      log.line("discovery: " + reason);
+      log.writeLine("discovery: " + reason);
     }
-    dispatcher.membership(new MembershipUpdate(MembershipUpdate.Kind.FAILED, 0, List.of()));
+    dispatcher.onMembershipUpdate(new MembershipUpdate(MembershipUpdate.Kind.FAILED, 0, List.of()));
   }
 
   /** Applies a complete list, or a change of the current list. */
   void apply(MemberList update, MembershipUpdate.Kind kind) {
-    MemberList list = update.withKnownDrains(current);
-    current = list.appliedTo(current);
+    MemberList list = update.withKnownDrains(currentList);
+    currentList = list.appliedTo(currentList);
     pools.update(list, nodeClock.now());
-    dispatcher.membership(list.toUpdate(kind));
+    dispatcher.onMembershipUpdate(list.toUpdate(kind));
     pools.failUnroutable();
   }
 
   /** The complete list, null before the first call of {@link #apply}. */
-  MemberList current() {
-    return current;
+  MemberList currentList() {
+    return currentList;
   }
 
   /**
-   * Waits for the first list from discovery, for at most {@code timeoutMillis}. May be called
-   * from any thread except the event loop.
+   * Waits for the first list from discovery, for at most {@code timeoutMillis}. May be called from
+   * any thread except the event loop.
    */
   void awaitFirstList(long timeoutMillis) throws InterruptedException {
     // A time-out is no failure: the list of the configuration is used then.
--- a/engine/src/main/java/shalepaddle/node/NettyLog.java
+++ b/engine/src/main/java/shalepaddle/node/NettyLog.java
@@ -34,7 +34,7 @@
 
   private void write(String level, String message, Object... arguments) {
     String values = arguments.length == 0 ? "" : " " + Arrays.toString(arguments);
-    log.line("event=transport level=" + level + " logger=" + name() + " " + message + values);
+    log.writeLine("event=transport level=" + level + " logger=" + name() + " " + message + values);
   }
 
   @Override
--- a/engine/src/main/java/shalepaddle/node/Node.java
+++ b/engine/src/main/java/shalepaddle/node/Node.java
@@ -119,7 +119,7 @@
   private void handleLoopFailure() {
     isListening = false;
     if (haltsOnLoopFailure) {
-      Runtime.getRuntime().halt(EventLoopThreads.EXIT_CODE);
+      Runtime.getRuntime().halt(EventLoopThreads.LOOP_FAILURE_EXIT_CODE);
     }
   }
 
@@ -138,7 +138,7 @@
     public void onStall(long stallNanos) {
       // Stalls during startup are not logged: loading and compiling classes causes many.
       if (stallNanos > MIN_LOGGED_STALL_NANOS && isListening) {
-        log.line("event loop stalled for " + stallNanos / 1_000_000 + " ms");
+        log.writeLine("event loop stalled for " + stallNanos / 1_000_000 + " ms");
       }
       balancer.recordStall(stallNanos);
     }
@@ -150,13 +150,14 @@
 
     @Override
     public void onTaskFailure(RuntimeException cause) {
-      log.failure("task after an event-loop stall", cause);
+      log.writeFailure("task after an event-loop stall", cause);
     }
   }
 
   /**
-   * From now on a failed event loop ends the process, with {@link EventLoopThreads#EXIT_CODE}: a
-   * process without its event loop looks healthy but answers no request.
+   * From now on a failed event loop ends the process, with {@link
+   * EventLoopThreads#LOOP_FAILURE_EXIT_CODE}: a process without its event loop looks healthy but
+   * answers no request.
    */
   void haltOnLoopFailure() {
     haltsOnLoopFailure = true;
@@ -218,11 +219,11 @@
         new HotRestart(
             files,
             balancer::processState,
-            observations::all,
+            observations::observations,
             (exclusions, processCount, clientConnections, serverConnections) ->
                 loop.execute(
                     () ->
-                        balancer.updatePartners(
+                        balancer.updatePeerProcesses(
                             exclusions, processCount, clientConnections, serverConnections)));
     // Polling starts before the warm-up: the other process publishes observations meanwhile.
     hotRestart.start();
@@ -231,14 +232,12 @@
     loop.submit(
             () -> {
               balancer.recordObservations(observations);
-              balancer.startAfter(pastObservations);
+              balancer.startWithObservations(pastObservations);
             })
         .await();
     if (!pastObservations.isEmpty()) {
-      log.line(
-          "warm start: replayed "
-              + pastObservations.size()
-              + " attempts of the previous process");
+      log.writeLine(
+          "warm start: replayed " + pastObservations.size() + " attempts of the previous process");
     }
     // This poll applies the other processes' exclusions before the first request.
     hotRestart.poll();
@@ -254,7 +253,7 @@
     balancer.awaitPushedList(FIRST_LIST_TIMEOUT_MILLIS);
     ChannelFuture bindFuture =
         (inheritedListener == null
-                ? balancer.listen(config.listen())
+                ? balancer.listen(config.listenAddress())
                 : balancer.listen(inheritedListener))
             .await();
     if (!bindFuture.isSuccess()) {
@@ -284,7 +283,7 @@
         });
     try {
       boolean isDrainComplete = awaitDrained(balancer.maxDrainMillis() + LINGER_MILLIS);
-      log.line(
+      log.writeLine(
           isDrainComplete
               ? "drained"
               : "event=drain_timeout client_connections=" + balancer.clientConnections());
--- a/engine/src/main/java/shalepaddle/node/NodeAdminOperations.java
+++ b/engine/src/main/java/shalepaddle/node/NodeAdminOperations.java
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public Revocable exclude(String member, boolean isExcluded, Consumer<Result> onResult) {
+  public Revocable setExcluded(String member, boolean isExcluded, Consumer<Result> onResult) {
     // The flag is set by the event loop, which then runs the command, or by the revoking caller.
     AtomicBoolean isClaimed = new AtomicBoolean();
     try {
--- a/engine/src/main/java/shalepaddle/node/NodeProcess.java
+++ b/engine/src/main/java/shalepaddle/node/NodeProcess.java
@@ -121,7 +121,7 @@
     } catch (IOException e) {
       int exitCode =
           reportStartFailure(
-              "cannot listen on " + startup.config().listen() + ": " + e.getMessage());
+              "cannot listen on " + startup.config().listenAddress() + ": " + e.getMessage());
       node.close();
       // Halting skips the shutdown hook: there is nothing to drain.
       Runtime.getRuntime().halt(exitCode);
@@ -142,7 +142,7 @@
         node.loop().execute(() -> node.balancer().rejectConfiguration(RELOAD_SIGNAL_IGNORED));
       }
     } catch (ReflectiveOperationException | IllegalArgumentException e) {
-      node.log().line("event=reload_signal_unavailable cause=" + e);
+      node.log().writeLine("event=reload_signal_unavailable cause=" + e);
     }
   }
 
@@ -152,7 +152,7 @@
    * that read the operator's file. Returns the exit code.
    */
   public static int rehearse(String operatorFile) throws InterruptedException {
-    try (Node node = new Node(NodeConfig.rehearsal(), OperatorFile.load(operatorFile))) {
+    try (Node node = new Node(NodeConfig.forRehearsal(), OperatorFile.load(operatorFile))) {
       node.start();
       for (String methodAndPath : REHEARSED_CALLS) {
         callAdminServer(node.adminAddress(), methodAndPath);
--- a/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
+++ b/engine/src/main/java/shalepaddle/node/OperatorExclusions.java
@@ -46,7 +46,8 @@
     if (!isKnown(member)) {
       return false;
     }
-    log.line("event=" + (isExcluded ? "server_excluded" : "server_included") + " member=" + member);
+    log.writeLine(
+        "event=" + (isExcluded ? "server_excluded" : "server_included") + " member=" + member);
     recordAndApply(MemberList.serverNumber(member), isExcluded);
     return true;
   }
@@ -64,9 +65,9 @@
   private void recordAndApply(long server, boolean isExcluded) {
     // The time is later than that of the known record, even if another process's clock is ahead.
     long latestKnownMillis =
-        latestExclusions.all().stream()
+        latestExclusions.latestRecords().stream()
             .filter(known -> known.server() == server)
-            .mapToLong(ServerExclusion::atMillis)
+            .mapToLong(ServerExclusion::commandedAtMillis)
             .findAny()
             .orElse(0);
     long commandMillis = Math.max((long) (nodeClock.now() * 1e3), latestKnownMillis + 1);
@@ -76,13 +77,13 @@
   }
 
   private void apply(ServerExclusion exclusion) {
-    pools.setExcluded(exclusion.server(), exclusion.excluded());
-    dispatcher.exclude(exclusion.server(), exclusion.excluded());
+    pools.setExcluded(exclusion.server(), exclusion.isExcluded());
+    dispatcher.setExcluded(exclusion.server(), exclusion.isExcluded());
     onChange.run();
   }
 
   /** The latest exclusion or inclusion of each server, in the order in which they were recorded. */
-  List<ServerExclusion> all() {
-    return latestExclusions.all();
+  List<ServerExclusion> latestRecords() {
+    return latestExclusions.latestRecords();
   }
 }
--- a/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
+++ b/engine/src/main/java/shalepaddle/node/OverloadMetrics.java
@@ -60,18 +60,19 @@
     registerUsedRatio(meters, "processor", OverloadSnapshot::processorRatio);
     registerUsedRatio(meters, "memory", OverloadSnapshot::memoryRatio);
     registerUsedRatio(meters, "descriptors", OverloadSnapshot::descriptorRatio);
-    meters.gauge("delay", "seconds", tags, OverloadSnapshot::delaySeconds);
-    meters.gauge(
+    meters.registerGauge("delay", "seconds", tags, OverloadSnapshot::delaySeconds);
+    meters.registerGauge(
         "limit", "requests/second", tags, snapshot -> nanIfInfinite(snapshot.limitPerSecond()));
-    meters.counter("repeats.refused", "requests", tags, OverloadSnapshot::rejectedRetryCount);
+    meters.registerCounter(
+        "repeats.refused", "requests", tags, OverloadSnapshot::rejectedRetryCount);
     for (int i = 0; i < latestSnapshot.get().tiers().size(); i++) {
       int tier = i;
       Tags tierTags = tags.and("tier", Integer.toString(tier));
-      meters.gauge(
+      meters.registerGauge(
           "passing", null, tierTags, snapshot -> snapshot.tiers().get(tier).admittedRatio());
-      meters.counter(
+      meters.registerCounter(
           "offered", "requests", tierTags, snapshot -> snapshot.tiers().get(tier).offeredCount());
-      meters.counter(
+      meters.registerCounter(
           "refused", "requests", tierTags, snapshot -> snapshot.tiers().get(tier).rejectedCount());
     }
   }
@@ -84,13 +85,13 @@
       SnapshotMeters<OverloadSnapshot> meters,
       String resource,
       ToDoubleFunction<OverloadSnapshot> value) {
-    meters.gauge("level", null, tags.and("resource", resource), value);
+    meters.registerGauge("level", null, tags.and("resource", resource), value);
   }
 
   private void registerUsedRatio(
       SnapshotMeters<OverloadSnapshot> meters,
       String resource,
       ToDoubleFunction<OverloadSnapshot> value) {
-    meters.gauge("use", null, tags.and("resource", resource), value);
+    meters.registerGauge("use", null, tags.and("resource", resource), value);
   }
 }
--- a/engine/src/main/java/shalepaddle/node/ResourceMonitor.java
+++ b/engine/src/main/java/shalepaddle/node/ResourceMonitor.java
@@ -66,13 +66,13 @@
   }
 
   /** A listener that logs one line for each change of a resource's pressure level. */
-  static OverloadMeter.Listener levelLog(Log log) {
+  static OverloadMeter.Listener newLevelLog(Log log) {
     return (resource, previousLevel, level, value) -> {
       String cause =
           resource == Resource.CPU
               ? String.format(Locale.ROOT, "%.1f ms queueing delay in the event loop", value * 1e3)
               : String.format(Locale.ROOT, "%.0f%% in use", value * 100);
-      log.line("overload: " + resource + " " + previousLevel + " -> " + level + ", " + cause);
+      log.writeLine("overload: " + resource + " " + previousLevel + " -> " + level + ", " + cause);
     };
   }
 
@@ -105,7 +105,7 @@
     overload.onResourceUsage(
         processorUse.usedRatio(now),
         Double.isNaN(bufferRatio) ? heapRatio : Math.max(heapRatio, bufferRatio),
-        descriptors.usedRatio(front.connectionCount(), pools.connections()),
+        descriptors.usedRatio(front.connectionCount(), pools.connectionCount()),
         now);
     snapshots.publishMetrics();
     if (overload.degradationPolicy().shrinksBuffers()
@@ -120,7 +120,7 @@
     loop.schedule(
         () -> {
           clock.refresh();
-          clock.whenBacklogRead(this::closeExpiredConnections);
+          clock.runWhenBacklogRead(this::closeExpiredConnections);
         },
         SWEEP_INTERVAL_MILLIS,
         TimeUnit.MILLISECONDS);
--- a/engine/src/main/java/shalepaddle/node/SnapshotMeters.java
+++ b/engine/src/main/java/shalepaddle/node/SnapshotMeters.java
@@ -14,27 +14,27 @@
  *
  * @param registry where the meters are registered
  * @param prefix the start of each meter's name
- * @param latest returns the newest snapshot; called from any thread
+ * @param latestSnapshot returns the newest snapshot; called from any thread
  * @param <S> the type of the snapshot
  */
-record SnapshotMeters<S>(MeterRegistry registry, String prefix, Supplier<S> latest) {
+record SnapshotMeters<S>(MeterRegistry registry, String prefix, Supplier<S> latestSnapshot) {
   /** Registers a value that never decreases. */
-  void counter(String name, String unit, Tags tags, ToDoubleFunction<S> value) {
-    FunctionCounter.builder(prefix + name, latest, ignored -> readLatest(value))
+  void registerCounter(String name, String unit, Tags tags, ToDoubleFunction<S> value) {
+    FunctionCounter.builder(prefix + name, latestSnapshot, ignored -> readLatest(value))
         .baseUnit(unit)
         .tags(tags)
         .register(registry);
   }
 
   /** Registers a value that may decrease; {@code unit} is null for a value without unit. */
-  void gauge(String name, String unit, Tags tags, ToDoubleFunction<S> value) {
-    Gauge.builder(prefix + name, latest, ignored -> readLatest(value))
+  void registerGauge(String name, String unit, Tags tags, ToDoubleFunction<S> value) {
+    Gauge.builder(prefix + name, latestSnapshot, ignored -> readLatest(value))
         .baseUnit(unit)
         .tags(tags)
         .register(registry);
   }
 
   private double readLatest(ToDoubleFunction<S> value) {
-    return value.applyAsDouble(latest.get());
+    return value.applyAsDouble(latestSnapshot.get());
   }
 }
--- a/engine/src/main/java/shalepaddle/node/SnapshotPublisher.java
+++ b/engine/src/main/java/shalepaddle/node/SnapshotPublisher.java
@@ -27,8 +27,8 @@
   private long reloadsRejected;
 
   private volatile ProcessState.Stage stage = ProcessState.Stage.STARTING;
-  private volatile OverloadSnapshot overload;
-  private volatile CoalescingSnapshot coalescing;
+  private volatile OverloadSnapshot overloadSnapshot;
+  private volatile CoalescingSnapshot coalescingSnapshot;
   private volatile Telemetry telemetry;
   private volatile ProcessState processState;
 
@@ -50,8 +50,8 @@
 
   /** Publishes all snapshots. Called on the event loop only. */
   void publishMetrics() {
-    overload = overloadControl.snapshot();
-    coalescing = dispatcher.coalescingSnapshot();
+    overloadSnapshot = overloadControl.snapshot();
+    coalescingSnapshot = dispatcher.coalescingSnapshot();
     publishState();
   }
 
@@ -73,16 +73,16 @@
             pid,
             stage,
             front.connectionCount(),
-            pools.connections(),
-            exclusions.all(),
-            members.current());
+            pools.connectionCount(),
+            exclusions.latestRecords(),
+            members.currentList());
   }
 
   /**
    * Enters a stage, which other processes see at the next publication. Called on the event loop
    * only.
    */
-  void enter(ProcessState.Stage newStage) {
+  void enterStage(ProcessState.Stage newStage) {
     stage = newStage;
   }
 
@@ -102,12 +102,12 @@
     return stage == ProcessState.Stage.READY;
   }
 
-  OverloadSnapshot overload() {
-    return overload;
+  OverloadSnapshot overloadSnapshot() {
+    return overloadSnapshot;
   }
 
-  CoalescingSnapshot coalescing() {
-    return coalescing;
+  CoalescingSnapshot coalescingSnapshot() {
+    return coalescingSnapshot;
   }
 
   Telemetry telemetry() {
--- a/engine/src/main/java/shalepaddle/node/SocketTransport.java
+++ b/engine/src/main/java/shalepaddle/node/SocketTransport.java
@@ -60,8 +60,7 @@
     return acceptor(loop, () -> new ClientListener(listeningSocket));
   }
 
-  private ServerBootstrap acceptor(
-      EventLoop loop, ChannelFactory<ClientListener> listenerFactory) {
+  private ServerBootstrap acceptor(EventLoop loop, ChannelFactory<ClientListener> listenerFactory) {
     return new ServerBootstrap()
         .group(loop)
         .channelFactory(listenerFactory)
--- a/engine/src/main/java/shalepaddle/node/Warmup.java
+++ b/engine/src/main/java/shalepaddle/node/Warmup.java
@@ -45,7 +45,8 @@
  * loop and uses no socket, file or port that the warm-up might have to wait for, so the system
  * calls of sockets are not warmed up.
  *
- * <p>Called from the thread that starts the node, which it blocks for {@link #MAX_MILLIS} at most.
+ * <p>Called from the thread that starts the node, which it blocks for {@link #MAX_DURATION_MILLIS}
+ * at most.
  */
 final class Warmup {
   /**
@@ -58,7 +59,7 @@
   static final int CONCURRENT_REQUESTS = 4;
 
   /** The warm-up is cut short after this time. */
-  static final long MAX_MILLIS = 1500;
+  static final long MAX_DURATION_MILLIS = 1500;
 
   private static final int SERVER_COUNT = 4;
   private static final int VALUE_MEMORY_BYTES = 1 << 20;
@@ -101,13 +102,13 @@
     Clock nodeClock = new Clock(loop.ticker(), System.currentTimeMillis());
     Dispatcher dispatcher = newDispatcher(nodeClock);
     ServerPools pools = newServerPools(dispatcher);
-    loop.submit(() -> dispatcher.start(pools, MemberSource.FIXED)).await();
+    loop.submit(() -> dispatcher.start(pools, MemberSource.FIXED_LIST)).await();
     applyList(newServerList(serverAddress), dispatcher, pools, nodeClock);
     listen(clientAddress, newClientFront(dispatcher));
     WarmupClient client = new WarmupClient(config.settings());
     connect(client, clientAddress);
-    if (!client.awaitAllAnswered(MAX_MILLIS)) {
-      log.line("event=warmup_cut_short answered=" + client.answered());
+    if (!client.awaitAllAnswered(MAX_DURATION_MILLIS)) {
+      log.writeLine("event=warmup_cut_short answered=" + client.answeredCount());
     }
     loop.submit(
             () -> {
@@ -115,7 +116,7 @@
               pools.close();
             })
         .await();
-    return client.answered();
+    return client.answeredCount();
   }
 
   private Dispatcher newDispatcher(Clock nodeClock) {
@@ -159,7 +160,7 @@
     loop.submit(
             () -> {
               pools.update(list, nodeClock.now());
-              dispatcher.membership(list.toUpdate(MembershipUpdate.Kind.FULL));
+              dispatcher.onMembershipUpdate(list.toUpdate(MembershipUpdate.Kind.FULL));
             })
         .await();
   }
@@ -232,7 +233,7 @@
 
     @Override
     public void onTaskFailure(RuntimeException cause) {
-      log.failure("warm-up", cause);
+      log.writeFailure("warm-up", cause);
     }
   }
 }
--- a/engine/src/main/java/shalepaddle/node/WarmupCacheServer.java
+++ b/engine/src/main/java/shalepaddle/node/WarmupCacheServer.java
@@ -32,7 +32,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ClientCommand command) {
       String id = command.request().id();
-      boolean isWrite = command.request().write();
+      boolean isWrite = command.request().isWrite();
       ByteBuf reply = ctx.alloc().buffer();
       ByteBufUtil.writeAscii(
           reply, isWrite ? "HD O" + id + " c1\r\n" : "VA 8 O" + id + " h1\r\nwarm-up!\r\n");
--- a/engine/src/main/java/shalepaddle/node/WarmupClient.java
+++ b/engine/src/main/java/shalepaddle/node/WarmupClient.java
@@ -12,7 +12,7 @@
 
 /**
  * Sends the requests of a {@link Warmup}, a few at the same time, and counts the responses. Runs on
- * the event loop of the warm-up, except {@link #awaitAllAnswered} and {@link #answered}.
+ * the event loop of the warm-up, except {@link #awaitAllAnswered} and {@link #answeredCount}.
  */
 final class WarmupClient extends SimpleChannelInboundHandler<ByteBuf> {
   /**
@@ -20,7 +20,7 @@
    * a second, requests with a shorter deadline would expire, end the warm-up and be logged like
    * requests of a client.
    */
-  private static final long DEADLINE_MILLIS = 40 * Warmup.MAX_MILLIS;
+  private static final long DEADLINE_MILLIS = 40 * Warmup.MAX_DURATION_MILLIS;
 
   private static final int DISTINCT_KEY_COUNT = 100;
 
@@ -29,7 +29,7 @@
   private int sentCount;
 
   /** The number of responses, incremented by the event loop and read by any thread. */
-  private final AtomicInteger answered = new AtomicInteger();
+  private final AtomicInteger answeredCount = new AtomicInteger();
 
   WarmupClient(Settings settings) {
     services = settings.services();
@@ -40,8 +40,8 @@
     return allAnswered.await(timeoutMillis, TimeUnit.MILLISECONDS);
   }
 
-  int answered() {
-    return answered.get();
+  int answeredCount() {
+    return answeredCount.get();
   }
 
   /**
@@ -76,13 +76,13 @@
     while (bytes.isReadable()) {
       // Each response contains this letter once, in its request id token, and not in its value.
       if (bytes.readByte() == 'O') {
-        answered.incrementAndGet();
+        answeredCount.incrementAndGet();
         if (sentCount < Warmup.REQUEST_COUNT) {
           send(ctx);
         }
       }
     }
-    if (answered.get() >= Warmup.REQUEST_COUNT) {
+    if (answeredCount.get() >= Warmup.REQUEST_COUNT) {
       allAnswered.countDown();
     }
   }
--- a/engine/src/main/java/shalepaddle/sockets/AcceptBackoff.java
+++ b/engine/src/main/java/shalepaddle/sockets/AcceptBackoff.java
@@ -7,20 +7,20 @@
  * thread-safe.
  */
 final class AcceptBackoff {
-  static final long INITIAL_MILLIS = 2;
-  static final long MAX_MILLIS = 50;
+  static final long INITIAL_DELAY_MILLIS = 2;
+  static final long MAX_DELAY_MILLIS = 50;
 
-  private long nextDelayMillis = INITIAL_MILLIS;
+  private long nextDelayMillis = INITIAL_DELAY_MILLIS;
 
   /** Returns the delay in milliseconds until the next attempt, after a failure to accept. */
   long nextDelayMillis() {
     long delayMillis = nextDelayMillis;
-    nextDelayMillis = Math.min(MAX_MILLIS, 2 * nextDelayMillis);
+    nextDelayMillis = Math.min(MAX_DELAY_MILLIS, 2 * nextDelayMillis);
     return delayMillis;
   }
 
   /** Resets the delay after a connection was accepted. */
   void reset() {
-    nextDelayMillis = INITIAL_MILLIS;
+    nextDelayMillis = INITIAL_DELAY_MILLIS;
   }
 }
--- a/engine/src/main/java/shalepaddle/sockets/ConnectCompletion.java
+++ b/engine/src/main/java/shalepaddle/sockets/ConnectCompletion.java
@@ -14,7 +14,7 @@
   private ConnectCompletion() {}
 
   /** Runs the step on the event loop once the connection is open or has failed. */
-  public static void whenDone(
+  public static void runWhenDone(
       ChannelFuture connectFuture, EventLoop loop, Consumer<ChannelFuture> step) {
     connectFuture.addListener(
         done -> {
--- a/engine/src/main/java/shalepaddle/sockets/TcpListener.java
+++ b/engine/src/main/java/shalepaddle/sockets/TcpListener.java
@@ -23,15 +23,15 @@
   }
 
   /** Creates the channel of an accepted connection. */
-  protected TcpConnection connection(SocketChannel socket) {
+  protected TcpConnection createConnection(SocketChannel socket) {
     return new TcpConnection(this, socket);
   }
 
   /** Called when no connection waits to be accepted. */
-  protected void backlogEmpty() {}
+  protected void onBacklogEmpty() {}
 
   /** Called when accepting has failed: connections may wait from now on. */
-  protected void acceptFailed() {}
+  protected void onAcceptFailed() {}
 
   /** Accepts one connection, if any waits. */
   @Override
@@ -44,12 +44,12 @@
       return 0;
     }
     if (socket == null) {
-      backlogEmpty();
+      onBacklogEmpty();
       return 0;
     }
     backoff.reset();
     try {
-      acceptedConnections.add(connection(socket));
+      acceptedConnections.add(createConnection(socket));
     } catch (RuntimeException e) {
       // The connection ended before it could be set up.
       closeQuietly(socket);
@@ -66,7 +66,7 @@
   }
 
   private void retryLater() {
-    acceptFailed();
+    onAcceptFailed();
     config().setAutoRead(false);
     eventLoop().schedule(this::resumeAccepting, backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
   }
--- a/engine/src/main/java/shalepaddle/upstream/ConnectionBudget.java
+++ b/engine/src/main/java/shalepaddle/upstream/ConnectionBudget.java
@@ -24,7 +24,7 @@
   }
 
   /** The number of connections of this process that are open or being opened. */
-  int taken() {
+  int openConnections() {
     return openConnections;
   }
 
@@ -43,11 +43,11 @@
   }
 
   /** Counts a connection that is being opened; {@link #release} must follow after its end. */
-  void take() {
+  void acquire() {
     openConnections++;
   }
 
-  /** Releases a connection that was closed or failed to open; once for each {@link #take}. */
+  /** Releases a connection that was closed or failed to open; once for each {@link #acquire}. */
   void release() {
     openConnections--;
   }
--- a/engine/src/main/java/shalepaddle/upstream/ConnectionLimit.java
+++ b/engine/src/main/java/shalepaddle/upstream/ConnectionLimit.java
@@ -42,7 +42,7 @@
   }
 
   /** The number of connections that this process may have to the server now; at least one. */
-  int current() {
+  int currentLimit() {
     while (observedLimit < maxConnections && clock.refresh() - changedAtNanos > recoveryNanos) {
       observedLimit++;
       changedAtNanos += recoveryNanos;
@@ -60,12 +60,14 @@
    * of usable connections.
    */
   void connectFailed(int usableConnections) {
-    lower(Math.max(Math.max(1, usableConnections), current() - 1), CONNECT_FAILED_RECOVERY_NANOS);
+    lower(
+        Math.max(Math.max(1, usableConnections), currentLimit() - 1),
+        CONNECT_FAILED_RECOVERY_NANOS);
   }
 
   /** Lowers the limit to the usable connections after the server rejected a further connection. */
   void connectionRejected(int usableConnections) {
-    lower(Math.max(1, Math.min(current(), usableConnections)), REJECTED_RECOVERY_NANOS);
+    lower(Math.max(1, Math.min(currentLimit(), usableConnections)), REJECTED_RECOVERY_NANOS);
   }
 
   private void lower(int newLimit, long newRecoveryNanos) {
--- a/engine/src/main/java/shalepaddle/upstream/InFlightAttempts.java
+++ b/engine/src/main/java/shalepaddle/upstream/InFlightAttempts.java
@@ -57,7 +57,7 @@
   }
 
   /** The attempt that the next reply should answer, null if there is none. */
-  Attempt oldest() {
+  Attempt oldestAttempt() {
     return attempts.peek();
   }
 
--- a/engine/src/main/java/shalepaddle/upstream/ReceiveActivity.java
+++ b/engine/src/main/java/shalepaddle/upstream/ReceiveActivity.java
@@ -19,11 +19,11 @@
 
   ReceiveActivity(LoopClock clock) {
     this.clock = clock;
-    mark();
+    markActive();
   }
 
   /** Records that bytes were received now, or that reading was enabled or disabled. */
-  void mark() {
+  void markActive() {
     receivedAtNanos = clock.refresh();
     receivedAtActiveNanos = clock.activeNanos();
   }
--- a/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerConnection.java
@@ -20,7 +20,7 @@
  * A connection to a cache server. Replies are sent in the order of the requests, so each is matched
  * with the oldest attempt in flight. Called only on the event loop.
  */
-final class ServerConnection extends ChannelInboundHandlerAdapter implements Attempt.Carrier {
+final class ServerConnection extends ChannelInboundHandlerAdapter implements Attempt.Connection {
   /**
    * A server without capacity for a connection rejects the first request on it and closes it
    * immediately. If no close follows within this time, the server has rejected only the request.
@@ -166,14 +166,14 @@
       channel.close();
     }
     if (isOverdue && receiveActivity.receivedAtNanos() - attempt.sentAtNanos() < 0) {
-      pool.suspectSilence(attempt.sentAtNanos());
+      pool.drainIfSilentSince(attempt.sentAtNanos());
     }
   }
 
   /** Handles a decoded message, and takes ownership of a buffer in it. */
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
-    receiveActivity.mark();
+    receiveActivity.markActive();
     isReadInProgress = true;
     if (message instanceof ByteBuf chunk) {
       chunkReceived(chunk);
@@ -237,7 +237,7 @@
     switch (inFlightAttempts.match(reply, isLarge)) {
       case OLDEST -> {
         reportIdlePeriod(false);
-        return inFlightAttempts.oldest();
+        return inFlightAttempts.oldestAttempt();
       }
       case DUPLICATE -> drain();
       case NONE -> closeCorrupted("reply matches no request in flight");
@@ -292,7 +292,7 @@
   /** Enables or disables reading from the socket. */
   void setReading(boolean isReading) {
     if (channel.config().isAutoRead() != isReading) {
-      receiveActivity.mark();
+      receiveActivity.markActive();
       channel.config().setAutoRead(isReading);
     }
   }
@@ -311,7 +311,7 @@
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    receiveActivity.mark();
+    receiveActivity.markActive();
     isReadInProgress = false;
     if (inFlightAttempts.isEmpty() && decoder.isMidReply()) {
       closeCorrupted("unexpected bytes after the last reply");
--- a/engine/src/main/java/shalepaddle/upstream/ServerEndpoint.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerEndpoint.java
@@ -35,7 +35,7 @@
    * @param nowSeconds the time by the list's clock
    * @return which of the server's connections are obsolete from now on
    */
-  Obsolete update(SocketAddress newAddress, ServerEntry newEntry, double nowSeconds) {
+  ObsoleteConnections update(SocketAddress newAddress, ServerEntry newEntry, double nowSeconds) {
     boolean hasMoved = !newAddress.equals(address);
     hasChangedCell |= entry != null && !Settings.DeduplicationScope.CELL.spans(entry, newEntry);
     if (newEntry.state() != ServerEntry.State.READY && !isDraining()) {
@@ -49,7 +49,7 @@
     entry = newEntry;
     address = newAddress;
     updatedAtNanos = clock.now();
-    return new Obsolete(hasMoved, hasRestarted, startedAtNanos);
+    return new ObsoleteConnections(hasMoved, hasRestarted, startedAtNanos);
   }
 
   /**
@@ -61,9 +61,9 @@
    * @param startedAtNanos when the present process started, by the loop's clock; 0 if it has not
    *     restarted
    */
-  record Obsolete(boolean hasMoved, boolean hasRestarted, long startedAtNanos) {
+  record ObsoleteConnections(boolean hasMoved, boolean hasRestarted, long startedAtNanos) {
     /** Whether connections that were opened at this time, by the loop's clock, are obsolete. */
-    boolean contains(long openedAtNanos) {
+    boolean includesOpenedAt(long openedAtNanos) {
       return hasMoved || (hasRestarted && openedAtNanos - startedAtNanos < 0);
     }
   }
--- a/engine/src/main/java/shalepaddle/upstream/ServerPool.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPool.java
@@ -23,17 +23,17 @@
   /**
    * Limits of the connections to each server.
    *
-   * @param maxPerServer the maximum number of connections of the node to one server
-   * @param maxTotal the maximum number of connections to all servers together; the first connection
-   *     to each server is allowed beyond it
-   * @param maxInFlight the maximum number of attempts in flight on one connection
+   * @param maxConnectionsPerServer the maximum number of connections of the node to one server
+   * @param maxConnections the maximum number of connections to all servers together; the first
+   *     connection to each server is allowed beyond it
+   * @param maxInFlightPerConnection the maximum number of attempts in flight on one connection
    * @param maxIdleNanos how long an unused connection is kept open
    * @param connectTimeoutNanos how long connecting may take, in the event loop's active time
    */
   public record Limits(
-      int maxPerServer,
-      int maxTotal,
-      int maxInFlight,
+      int maxConnectionsPerServer,
+      int maxConnections,
+      int maxInFlightPerConnection,
       long maxIdleNanos,
       long connectTimeoutNanos) {}
 
@@ -72,14 +72,14 @@
     this.dispatcher = dispatcher;
     this.clock = dispatcher.clock();
     this.endpoint = new ServerEndpoint(clock, address);
-    this.connectionLimit = new ConnectionLimit(clock, budget, limits.maxPerServer());
+    this.connectionLimit = new ConnectionLimit(clock, budget, limits.maxConnectionsPerServer());
   }
 
   /** Applies the server's latest entry, and drains connections to an earlier address or process. */
   void update(SocketAddress address, ServerEntry entry, double nowSeconds) {
-    ServerEndpoint.Obsolete obsolete = endpoint.update(address, entry, nowSeconds);
+    ServerEndpoint.ObsoleteConnections obsolete = endpoint.update(address, entry, nowSeconds);
     for (ServerConnection connection : List.copyOf(connections)) {
-      if (obsolete.contains(connection.openedAtNanos())) {
+      if (obsolete.includesOpenedAt(connection.openedAtNanos())) {
         connection.drain();
       }
     }
@@ -135,7 +135,7 @@
       return;
     }
     int usableOrConnectingCount = usableConnections() + connectingCount;
-    if (usableOrConnectingCount < connectionLimit.current()
+    if (usableOrConnectingCount < connectionLimit.currentLimit()
         && (usableOrConnectingCount == 0 || budget.hasCapacity())) {
       queue.add(attempt);
       if (connectingCount < queue.size()) {
@@ -163,7 +163,8 @@
           && staleConnections.isLikelyStale(now - connection.usedAtNanos(), now)) {
         connection.drain();
       }
-      if (connection.load() < limits.maxInFlight() && isPreferred(connection, bestConnection)) {
+      if (connection.load() < limits.maxInFlightPerConnection()
+          && isPreferred(connection, bestConnection)) {
         bestConnection = connection;
       }
     }
@@ -209,14 +210,14 @@
 
   private void connect() {
     connectingCount++;
-    budget.take();
+    budget.acquire();
     long startedAtNanos = clock.refresh();
     int drainCountBefore = drainCount;
     SocketAddress address = endpoint.address();
     ServerConnection connection = new ServerConnection(this, codec, dispatcher);
     ChannelFuture future = connection.open(bootstrap, address);
-    dispatcher.timers().limitConnect(future, limits.connectTimeoutNanos());
-    ConnectCompletion.whenDone(
+    dispatcher.timers().limitConnectTime(future, limits.connectTimeoutNanos());
+    ConnectCompletion.runWhenDone(
         future,
         dispatcher.loop(),
         done -> {
@@ -255,7 +256,7 @@
    */
   private void connectFailed(long startedAtNanos, boolean hasTimedOut) {
     if (hasTimedOut) {
-      suspectSilence(startedAtNanos);
+      drainIfSilentSince(startedAtNanos);
     }
     boolean hasUsableConnection = bestConnection() != null;
     if (hasUsableConnection) {
@@ -288,7 +289,7 @@
     connectionLimit.connectionRejected(usableConnections());
     // Opens no connection for the attempt, since the server may be excluded by now.
     ServerConnection bestConnection = endpoint.isDraining() ? null : bestConnection();
-    if (bestConnection != null && !attempt.isEnded() && dispatcher.mayRewrite(attempt)) {
+    if (bestConnection != null && !attempt.isEnded() && dispatcher.prepareRewrite(attempt)) {
       bestConnection.write(attempt);
     } else {
       dispatcher.attemptEnded(attempt, Outcome.Result.CONNECTION_LIMIT_REACHED);
@@ -331,7 +332,7 @@
    * Connections to a machine that is unreachable stay open and silent: after the drain, the next
    * attempt opens a new connection and detects the failure within the connect time-out.
    */
-  void suspectSilence(long sinceNanos) {
+  void drainIfSilentSince(long sinceNanos) {
     for (ServerConnection connection : connections) {
       if (connection.receivedAtNanos() - sinceNanos > 0) {
         return;
--- a/engine/src/main/java/shalepaddle/upstream/ServerPools.java
+++ b/engine/src/main/java/shalepaddle/upstream/ServerPools.java
@@ -46,7 +46,7 @@
     this.codec = codec;
     this.limits = limits;
     this.dispatcher = dispatcher;
-    this.budget = new ConnectionBudget(limits.maxTotal());
+    this.budget = new ConnectionBudget(limits.maxConnections());
   }
 
   /**
@@ -56,7 +56,7 @@
    * @param nowSeconds the time by the list's clock
    */
   public void update(MemberList list, double nowSeconds) {
-    if (list.full()) {
+    if (list.isComplete()) {
       removedServers.addAll(pools.keySet());
     }
     for (MemberList.Member member : list.members()) {
@@ -127,8 +127,8 @@
 
   @Override
   public void withdraw(Attempt attempt, boolean isOverdue) {
-    if (attempt.carrier() != null) {
-      attempt.carrier().abandon(attempt, isOverdue);
+    if (attempt.connection() != null) {
+      attempt.connection().abandon(attempt, isOverdue);
     } else {
       ServerPool pool = pools.get(attempt.server());
       if (pool != null) {
@@ -152,8 +152,8 @@
   }
 
   /** The number of connections to all servers that are open or being opened. */
-  public int connections() {
-    return budget.taken();
+  public int connectionCount() {
+    return budget.openConnections();
   }
 
   /** Sets the number of other processes of this node and the number of their connections. */
--- a/engine/src/test/java/shalepaddle/diagnostics/FlightRecorderTest.java
+++ b/engine/src/test/java/shalepaddle/diagnostics/FlightRecorderTest.java
@@ -44,7 +44,7 @@
 
   @Test
   void countedEventsHaveMetricAndReason() {
-    Event.counted()
+    Event.countedEvents()
         .forEach(
             event -> {
               assertNotNull(event.metric());
--- a/engine/src/test/java/shalepaddle/engine/AnswerMarginTest.java
+++ b/engine/src/test/java/shalepaddle/engine/AnswerMarginTest.java
@@ -24,7 +24,7 @@
       long budgetMillis, long expectedStallMillis, long marginMillis) {
     assertEquals(
         marginMillis * NANOS_PER_MILLI,
-        AnswerMargin.of(
+        AnswerMargin.marginNanos(
             budgetMillis * NANOS_PER_MILLI, expectedStallMillis * NANOS_PER_MILLI));
   }
 }
--- a/engine/src/test/java/shalepaddle/engine/InvariantGuardTest.java
+++ b/engine/src/test/java/shalepaddle/engine/InvariantGuardTest.java
@@ -58,7 +58,7 @@
     assertTrue(guard.mayRoute(exchange));
     assertTrue(guard.maySend(attempt(exchange), DEADLINE_NANOS, false));
     Reply reply = new Reply.Rejected(0);
-    assertEquals(reply, guard.answer(exchange, reply, DEADLINE_NANOS + SLACK_NANOS));
+    assertEquals(reply, guard.checkAnswer(exchange, reply, DEADLINE_NANOS + SLACK_NANOS));
     assertEquals(List.of(), logLines);
   }
 
@@ -83,7 +83,7 @@
   void withholdsAttemptAfterAnswer() {
     Exchange exchange = exchange(Idempotency.IDEMPOTENT);
     Attempt attempt = attempt(exchange);
-    exchange.answer();
+    exchange.markAnswered();
     assertFalse(guard.maySend(attempt, 0, false));
     assertViolated(Event.VIOLATION_SENT_AFTER_END);
   }
@@ -117,7 +117,7 @@
   void replacesRejectionByFailureWhenRequestMayHaveRun() {
     Exchange exchange = exchange(Idempotency.NOT_IDEMPOTENT);
     attempt(exchange).markWritten();
-    assertInstanceOf(Reply.Failed.class, guard.answer(exchange, new Reply.Rejected(0), 0));
+    assertInstanceOf(Reply.Failed.class, guard.checkAnswer(exchange, new Reply.Rejected(0), 0));
     assertViolated(Event.VIOLATION_REJECTED_AFTER_RUN);
   }
 
@@ -126,7 +126,7 @@
     Reply reply = new Reply.Failed(false);
     assertEquals(
         reply,
-        guard.answer(
+        guard.checkAnswer(
             exchange(Idempotency.IDEMPOTENT), reply, DEADLINE_NANOS + SLACK_NANOS + 1));
     assertViolated(Event.VIOLATION_ANSWERED_LATE);
   }
@@ -134,7 +134,7 @@
   @Test
   void countsAllViolationsAndLogsTwoHistoriesPerSecond() {
     for (int i = 0; i < 100; i++) {
-      guard.answer(
+      guard.checkAnswer(
           exchange(Idempotency.IDEMPOTENT),
           new Reply.Failed(false),
           DEADLINE_NANOS + SLACK_NANOS + 1);
@@ -146,7 +146,7 @@
   @Test
   void mayRouteRequestOnlyOnce() {
     Exchange exchange = exchange(Idempotency.IDEMPOTENT);
-    exchange.route();
+    exchange.markRouted();
     assertFalse(guard.mayRoute(exchange));
     assertViolated(Event.VIOLATION_BEGUN_TWICE);
   }
--- a/engine/src/test/java/shalepaddle/engine/WarmStartLogTest.java
+++ b/engine/src/test/java/shalepaddle/engine/WarmStartLogTest.java
@@ -25,8 +25,8 @@
   private static List<Double> convertedEndTimes(double... endTimesSeconds) {
     List<Observation> observations =
         Arrays.stream(endTimesSeconds).mapToObj(WarmStartLogTest::endedAt).toList();
-    return WarmStartLog.inTime(NOW_SECONDS, observations).stream()
-        .map(Observation::endedAt)
+    return WarmStartLog.rebaseTimes(NOW_SECONDS, observations).stream()
+        .map(Observation::endedAtSeconds)
         .toList();
   }
 
--- a/engine/src/test/java/shalepaddle/front/ReadFairnessTest.java
+++ b/engine/src/test/java/shalepaddle/front/FairReadSchedulerTest.java
@@ -9,7 +9,7 @@
 import shalepaddle.overload.PressureLevel;
 
 /** Simulates one connection that sends half of all requests, in virtual time. */
-class ReadFairnessTest {
+class FairReadSchedulerTest {
   private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
   private static final int OTHER_CONNECTIONS = 50;
 
@@ -22,7 +22,7 @@
   private long otherConnectionsPauseNanos;
   private int requestsReadFromHeavySender;
 
-  ReadFairnessTest() {
+  FairReadSchedulerTest() {
     for (int i = 0; i < OTHER_CONNECTIONS; i++) {
       otherCounts[i] = new FairReadScheduler.RequestCount();
     }
--- a/engine/src/test/java/shalepaddle/hotrestart/HotRestartTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/HotRestartTest.java
@@ -52,6 +52,8 @@
     }
     assertEquals(List.of(new ListenerCall(exclusions, 1, 12, 34)), listenerCalls);
     assertEquals(
-        1, filesOf(2).readOthers().partners().size(), "poll() must publish this process's state");
+        1,
+        filesOf(2).readOthers().liveProcesses().size(),
+        "poll() must publish this process's state");
   }
 }
--- a/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ObservationFormatTest.java
@@ -73,8 +73,7 @@
             + "null,\"read\",null,1.5,0.002,100.0,true,false]]";
     assertEquals(
         goldenFile,
-        new String(
-            ObservationFormat.write(observations().subList(1, 2)), StandardCharsets.UTF_8));
+        new String(ObservationFormat.write(observations().subList(1, 2)), StandardCharsets.UTF_8));
     assertEquals(
         observations().subList(1, 2),
         ObservationFormat.read(goldenFile.getBytes(StandardCharsets.UTF_8)));
--- a/engine/src/test/java/shalepaddle/hotrestart/ProcessFilesTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ProcessFilesTest.java
@@ -52,10 +52,10 @@
     ProcessState publishedState =
         state(2, ProcessState.Stage.READY, new ServerExclusion(Long.MAX_VALUE, true, now));
     assertTrue(filesOf(2).publish(publishedState));
-    assertEquals(List.of(publishedState), filesOf(1).readOthers().partners());
+    assertEquals(List.of(publishedState), filesOf(1).readOthers().liveProcesses());
     assertEquals(
-        List.of(), filesOf(2).readOthers().partners(), "a process must not read its own file");
-    assertEquals(publishedState.list(), filesOf(1).readOthers().newestMemberList());
+        List.of(), filesOf(2).readOthers().liveProcesses(), "a process must not read its own file");
+    assertEquals(publishedState.memberList(), filesOf(1).readOthers().newestMemberList());
     assertNull(filesOf(2).readOthers().newestMemberList());
   }
 
@@ -76,7 +76,7 @@
     Files.write(folder.resolve("shalepaddle-3.process"), new byte[2 << 20]);
     ProcessFiles files = filesOf(1);
     for (int i = 0; i < 100; i++) {
-      assertEquals(List.of(), files.readOthers().partners());
+      assertEquals(List.of(), files.readOthers().liveProcesses());
     }
     assertEquals(2, log.size(), "each unreadable file must be logged once: " + log);
   }
@@ -86,12 +86,12 @@
     ServerExclusion exclusion = new ServerExclusion(5, true, now);
     filesOf(2).publish(state(2, ProcessState.Stage.READY, exclusion));
     Path file = folder.resolve("shalepaddle-2.process");
-    Files.setLastModifiedTime(file, FileTime.fromMillis(now - ProcessFiles.SILENT_MILLIS));
-    assertEquals(List.of(), filesOf(1).readOthers().partners());
+    Files.setLastModifiedTime(file, FileTime.fromMillis(now - ProcessFiles.MAX_SILENCE_MILLIS));
+    assertEquals(List.of(), filesOf(1).readOthers().liveProcesses());
     assertEquals(List.of(exclusion), filesOf(1).readOthers().exclusions());
     livePids.remove(2L);
     assertEquals(List.of(exclusion), filesOf(1).readOthers().exclusions());
-    now += 3 * ProcessFiles.SILENT_MILLIS;
+    now += 3 * ProcessFiles.MAX_SILENCE_MILLIS;
     assertEquals(List.of(exclusion), filesOf(1).readOthers().exclusions());
     assertFalse(
         Files.exists(file),
@@ -102,7 +102,7 @@
   void readsAndPublishesNothingWithoutFolder() {
     ProcessFiles files =
         new ProcessFiles(folder.resolve("none"), 1, () -> now, livePids::contains, log::add);
-    assertEquals(List.of(), files.readOthers().partners());
+    assertEquals(List.of(), files.readOthers().liveProcesses());
     assertFalse(
         files.publish(new ProcessState(1, ProcessState.Stage.READY, 0, 0, List.of(), null)));
     assertEquals(2, log.size());
