--- a/engine/src/test/java/shalepaddle/hotrestart/ServerExclusionsTest.java
+++ b/engine/src/test/java/shalepaddle/hotrestart/ServerExclusionsTest.java
@@ -26,11 +26,13 @@
       Collections.shuffle(recordedExclusions, random);
       ServerExclusions secondExclusions = new ServerExclusions();
       secondExclusions.merge(recordedExclusions);
-      secondExclusions.merge(firstExclusions.all());
-      firstExclusions.merge(secondExclusions.all());
-      assertEquals(new HashSet<>(firstExclusions.all()), new HashSet<>(secondExclusions.all()));
+      secondExclusions.merge(firstExclusions.latestRecords());
+      firstExclusions.merge(secondExclusions.latestRecords());
+      assertEquals(
+          new HashSet<>(firstExclusions.latestRecords()),
+          new HashSet<>(secondExclusions.latestRecords()));
       assertTrue(
-          firstExclusions.merge(secondExclusions.all()).isEmpty(),
+          firstExclusions.merge(secondExclusions.latestRecords()).isEmpty(),
           "a repeated merge must report no changes");
     }
   }
@@ -40,9 +42,7 @@
     ServerExclusions exclusions = new ServerExclusions();
     assertTrue(exclusions.record(new ServerExclusion(1, true, 10)));
     assertEquals(
-        false,
-        exclusions.record(new ServerExclusion(1, true, 20)),
-        "server 1 is excluded already");
+        false, exclusions.record(new ServerExclusion(1, true, 20)), "server 1 is excluded already");
     assertEquals(
         false,
         exclusions.record(new ServerExclusion(1, false, 15)),
@@ -51,9 +51,7 @@
         exclusions.record(new ServerExclusion(1, false, 30)),
         "one inclusion must revert both exclusions");
     assertEquals(
-        false,
-        exclusions.record(new ServerExclusion(2, false, 30)),
-        "server 2 was never excluded");
+        false, exclusions.record(new ServerExclusion(2, false, 30)), "server 2 was never excluded");
   }
 
   @Test
@@ -64,7 +62,7 @@
       exclusions.record(new ServerExclusion(i, true, 2));
       exclusions.record(new ServerExclusion(i, false, 3));
     }
-    assertTrue(exclusions.all().size() <= 4096);
-    assertTrue(exclusions.all().contains(new ServerExclusion(-1, true, 1)));
+    assertTrue(exclusions.latestRecords().size() <= 4096);
+    assertTrue(exclusions.latestRecords().contains(new ServerExclusion(-1, true, 1)));
   }
 }
--- a/engine/src/test/java/shalepaddle/loop/LoopClockTest.java
+++ b/engine/src/test/java/shalepaddle/loop/LoopClockTest.java
@@ -58,7 +58,7 @@
     clock.refresh(now);
     assertEquals(
         firstPollNanos,
-        clock.earliestArrival(),
+        clock.earliestArrivalNanos(),
         "the loop was busy since the poll of the previous turn");
     clock.turnEnds(now, 1);
     clock.turnBegins(now);
@@ -66,7 +66,9 @@
     now += 5 * NANOS_PER_MILLI;
     clock.refresh(now);
     assertEquals(
-        now - NANOS_PER_MILLI, clock.earliestArrival(), "the loop slept until the bytes arrived");
+        now - NANOS_PER_MILLI,
+        clock.earliestArrivalNanos(),
+        "the loop slept until the bytes arrived");
     clock.turnEnds(now, 1);
     long thirdPollNanos = now;
     clock.turnBegins(now);
@@ -74,7 +76,7 @@
     clock.refresh(now);
     assertEquals(
         thirdPollNanos,
-        clock.earliestArrival(),
+        clock.earliestArrivalNanos(),
         "the process was stopped in a poll that cannot sleep");
   }
 
@@ -91,7 +93,7 @@
     clock.pollEnds(now);
     now += 5 * NANOS_PER_MILLI;
     clock.refresh(now);
-    assertEquals(previousPollNanos, clock.earliestArrival());
+    assertEquals(previousPollNanos, clock.earliestArrivalNanos());
   }
 
   @Test
@@ -101,11 +103,11 @@
     clock.turnBegins(now);
     now += 300 * NANOS_PER_MILLI;
     clock.refresh(now);
-    assertEquals(stallStartNanos, clock.earliestArrival());
+    assertEquals(stallStartNanos, clock.earliestArrivalNanos());
     clock.turnEnds(now, 1);
     // A second turn reads the remaining bytes, which can be as old as the first turn's poll.
     runTurn(0, 1, 0);
-    assertTrue(clock.earliestArrival() <= stallStartNanos + 300 * NANOS_PER_MILLI);
+    assertTrue(clock.earliestArrivalNanos() <= stallStartNanos + 300 * NANOS_PER_MILLI);
   }
 
   /** A disconnect is read in a separate turn, after the bytes that arrived before it. */
@@ -113,12 +115,12 @@
   void afterNextPollRunsTaskAtEndOfNextTurn() {
     List<String> ranTasks = new ArrayList<>();
     clock.turnBegins(now);
-    clock.afterNextPoll(() -> ranTasks.add("late request"));
+    clock.runAfterNextPoll(() -> ranTasks.add("late request"));
     clock.turnEnds(now, 1);
     assertEquals(List.of(), ranTasks);
-    assertFalse(clock.pollsAtOnce());
+    assertFalse(clock.mustNotSleep());
     clock.turnBegins(now);
-    assertTrue(clock.pollsAtOnce());
+    assertTrue(clock.mustNotSleep());
     assertEquals(List.of(), ranTasks);
     clock.turnEnds(now, 1);
     assertEquals(List.of("late request"), ranTasks);
@@ -134,7 +136,7 @@
     for (int i = 0; i < 50; i++) {
       long delayedSinceNanos = now;
       int ranBefore = ranAtNanos.size();
-      clock.whenBacklogRead(() -> ranAtNanos.add(now));
+      clock.runWhenBacklogRead(() -> ranAtNanos.add(now));
       while (ranAtNanos.size() == ranBefore) {
         runTurn(0, 5, 50 * NANOS_PER_MILLI);
       }
@@ -176,16 +178,16 @@
     List<String> ranTasks = new ArrayList<>();
     now += 300 * NANOS_PER_MILLI;
     clock.turnBegins(now);
-    clock.whenBacklogRead(() -> ranTasks.add("first"));
+    clock.runWhenBacklogRead(() -> ranTasks.add("first"));
     clock.turnEnds(now, 7);
     assertTrue(clock.hasBacklog());
-    clock.whenBacklogRead(() -> ranTasks.add("second"));
+    clock.runWhenBacklogRead(() -> ranTasks.add("second"));
     runTurn(0, 2, NANOS_PER_MILLI);
     assertEquals(List.of(), ranTasks);
     runTurn(0, 0, NANOS_PER_MILLI);
     assertEquals(List.of("first", "second"), ranTasks);
     assertFalse(clock.hasBacklog());
-    clock.whenBacklogRead(() -> ranTasks.add("third"));
+    clock.runWhenBacklogRead(() -> ranTasks.add("third"));
     assertEquals(3, ranTasks.size());
   }
 
@@ -196,7 +198,7 @@
     clock.turnBegins(now);
     now += 500 * NANOS_PER_MILLI;
     clock.turnEnds(now, 0);
-    clock.whenBacklogRead(() -> ranTasks.add("ran"));
+    clock.runWhenBacklogRead(() -> ranTasks.add("ran"));
     assertTrue(clock.hasBacklog());
     runTurn(0, 0, NANOS_PER_MILLI);
     assertEquals(List.of("ran"), ranTasks);
@@ -208,7 +210,7 @@
     int[] runCount = {0};
     int turns = 2000;
     for (int i = 0; i < turns; i++) {
-      clock.whenBacklogRead(() -> runCount[0]++);
+      clock.runWhenBacklogRead(() -> runCount[0]++);
       // The process runs for 10 ms and is stopped for 90 ms, between turns or in a poll.
       if (random.nextBoolean()) {
         now += 90 * NANOS_PER_MILLI;
@@ -227,11 +229,11 @@
     List<String> ranTasks = new ArrayList<>();
     now += 300 * NANOS_PER_MILLI;
     clock.refresh(now);
-    clock.whenBacklogRead(
+    clock.runWhenBacklogRead(
         () -> {
           throw new IllegalStateException("expected by the test");
         });
-    clock.whenBacklogRead(() -> ranTasks.add("next"));
+    clock.runWhenBacklogRead(() -> ranTasks.add("next"));
     runTurn(0, 0, 0);
     assertEquals(List.of("next"), ranTasks);
     assertEquals(1, recorder.failures.size());
--- a/engine/src/test/java/shalepaddle/loop/StallHistoryTest.java
+++ b/engine/src/test/java/shalepaddle/loop/StallHistoryTest.java
@@ -13,7 +13,7 @@
   @Test
   void expectsNoStallAfterSingleStall() {
     history.add(400 * NANOS_PER_MILLI, NANOS_PER_SECOND);
-    assertEquals(0, history.expected(2 * NANOS_PER_SECOND));
+    assertEquals(0, history.expectedStallNanos(2 * NANOS_PER_SECOND));
   }
 
   @Test
@@ -21,18 +21,18 @@
     history.add(400 * NANOS_PER_MILLI, NANOS_PER_SECOND);
     history.add(50 * NANOS_PER_MILLI, 2 * NANOS_PER_SECOND);
     history.add(120 * NANOS_PER_MILLI, 3 * NANOS_PER_SECOND);
-    assertEquals(120 * NANOS_PER_MILLI, history.expected(4 * NANOS_PER_SECOND));
+    assertEquals(120 * NANOS_PER_MILLI, history.expectedStallNanos(4 * NANOS_PER_SECOND));
   }
 
   @Test
   void forgetsStallsAfterTwoWindowsAndWhenCleared() {
     history.add(400 * NANOS_PER_MILLI, 14 * NANOS_PER_SECOND);
     history.add(70 * NANOS_PER_MILLI, 16 * NANOS_PER_SECOND);
-    assertEquals(70 * NANOS_PER_MILLI, history.expected(29 * NANOS_PER_SECOND));
-    assertEquals(0, history.expected(31 * NANOS_PER_SECOND));
+    assertEquals(70 * NANOS_PER_MILLI, history.expectedStallNanos(29 * NANOS_PER_SECOND));
+    assertEquals(0, history.expectedStallNanos(31 * NANOS_PER_SECOND));
     history.add(90 * NANOS_PER_MILLI, 100 * NANOS_PER_SECOND);
     history.add(90 * NANOS_PER_MILLI, 101 * NANOS_PER_SECOND);
     history.clear();
-    assertEquals(0, history.expected(101 * NANOS_PER_SECOND));
+    assertEquals(0, history.expectedStallNanos(101 * NANOS_PER_SECOND));
   }
 }
--- a/engine/src/test/java/shalepaddle/loop/TimersTest.java
+++ b/engine/src/test/java/shalepaddle/loop/TimersTest.java
@@ -143,7 +143,7 @@
           .submit(
               () -> {
                 Timers timers = new Timers(fixture.loop, fixture.clock, new Log(), TICK_NANOS);
-                timers.afterActiveTime(300_000_000, activeTimeTimerRan::countDown);
+                timers.runAfterActiveTime(300_000_000, activeTimeTimerRan::countDown);
                 timers.runNoEarlierThan(300_000_000, realTimeTimerRan::countDown);
                 pause(400);
               })
--- a/engine/src/test/java/shalepaddle/node/AdminServerTest.java
+++ b/engine/src/test/java/shalepaddle/node/AdminServerTest.java
@@ -147,7 +147,7 @@
 
   @Test
   void answersDuringEventLoopStall() throws Exception {
-    rig.pausedWhile(
+    rig.stallLoopWhile(
         1,
         () -> {
           assertEquals(200, call("GET", "/api/ready").status());
@@ -155,15 +155,15 @@
           // A command that times out is never run.
           assertEquals(503, call("PUT", "/api/exclude?member=" + serverId).status());
         });
-    rig.settled();
+    rig.awaitLoopTurns();
     assertEquals(0, readMetric("app_ejected"));
   }
 
   @Test
   void metricsCountEachRequestAndEachAttemptOnce() throws Exception {
     assertEquals(0, readMetric("app_results{service=\"read\",disposition=\"succeeded\"}"));
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 2000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     awaitMetric("app_outstanding", 1);
@@ -173,20 +173,20 @@
     client.readLine();
     awaitMetric("app_results{service=\"read\",disposition=\"succeeded\"}", 1);
     awaitMetric("app_outstanding", 0);
-    client.write(NodeFixture.put("a2", 2000, "v"));
+    client.write(NodeFixture.writeCommand("a2", 2000, "v"));
     cache.readLine();
     cache.readLine();
     cache.write("SERVER_ERROR failed\r\n");
     client.readLine();
     awaitMetric("app_results{service=\"put\",disposition=\"aborted\"}", 1);
-    client.write(NodeFixture.put("a3", 2000, "v"));
+    client.write(NodeFixture.writeCommand("a3", 2000, "v"));
     cache.readLine();
     cache.readLine();
     cache.write("SERVER_ERROR busy\r\n");
     client.readLine();
     awaitMetric("app_results{service=\"put\",disposition=\"declined\"}", 1);
     // A request also ends when its client disconnects.
-    client.write(NodeFixture.get("a4", 2000));
+    client.write(NodeFixture.readCommand("a4", 2000));
     cache.readLine();
     awaitMetric("app_outstanding", 1);
     client.close();
@@ -197,8 +197,8 @@
 
   @Test
   void sendsNothingToExcludedServerUntilIncluded() throws Exception {
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 2000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     assertEquals(200, call("PUT", "/api/exclude?member=" + serverId).status());
@@ -209,25 +209,25 @@
     assertEquals("VA 1 Oa1", client.readLine());
     client.readLine();
     assertTrue(cache.closedByPeer());
-    client.write(NodeFixture.get("a2", 2000));
+    client.write(NodeFixture.readCommand("a2", 2000));
     assertEquals("SERVER_ERROR busy", client.readLine());
     // The exclusion outlasts lists that remove the server and add it again.
     ScriptedPeer discovery = rig.acceptDiscovery();
     while (!discovery.readLine().isEmpty()) {}
     discovery.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    discovery.write(NodeFixture.chunk(NodeFixture.members(8, true) + "\n"));
+    discovery.write(NodeFixture.chunk(NodeFixture.serverListJson(8, true) + "\n"));
     awaitMetric("app_discovered", 0);
     assertEquals(200, call("PUT", "/api/exclude?member=" + serverId).status());
     discovery.write(
-        NodeFixture.chunk(NodeFixture.members(9, true, rig.cache.getLocalPort()) + "\n"));
+        NodeFixture.chunk(NodeFixture.serverListJson(9, true, rig.cache.getLocalPort()) + "\n"));
     awaitMetric("app_discovered", 1);
-    client.write(NodeFixture.get("a3", 2000));
+    client.write(NodeFixture.readCommand("a3", 2000));
     assertEquals("SERVER_ERROR busy", client.readLine());
     assertEquals(200, call("PUT", "/api/include?member=" + serverId).status());
     assertEquals(0, readMetric("app_ejected"));
     // The server is in slow start: for a second, a node without load may send it nothing.
     for (int i = 0; ; i++) {
-      client.write(NodeFixture.get("b" + i, 2000) + "mn\r\n");
+      client.write(NodeFixture.readCommand("b" + i, 2000) + "mn\r\n");
       rig.cache.setSoTimeout(100);
       try {
         ScriptedPeer newConnection = rig.acceptCache();
@@ -245,12 +245,12 @@
 
   @Test
   void doesNotSendQueuedRequestToExcludedServer() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     ScriptedPeer[] serverConnections = new ScriptedPeer[1];
-    rig.pausedWhile(
+    rig.stallLoopWhile(
         1,
         () -> {
-          client.write(NodeFixture.get("a1", 2000));
+          client.write(NodeFixture.readCommand("a1", 2000));
           Thread excludeThread =
               new Thread(
                   () -> {
@@ -278,8 +278,8 @@
     Path file = folder.resolve("config.json");
     String text = rig.configText(ADMIN_SERVER_SETTING);
     JsonObject startupJson = JsonObject.parse(text);
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.put("a1", 2000, "v"));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.writeCommand("a1", 2000, "v"));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     cache.readLine();
@@ -300,7 +300,7 @@
     // An open request keeps its settings: it is not idempotent and may have run, so it fails.
     cache.write("SERVER_ERROR failed\r\n");
     assertEquals("SERVER_ERROR failed", client.readLine());
-    client.write(NodeFixture.put("a2", 2000, "v"));
+    client.write(NodeFixture.writeCommand("a2", 2000, "v"));
     for (int attempt = 0; attempt < 2; attempt++) {
       assertTrue(cache.readLine().contains("Oa2 "));
       cache.readLine();
@@ -339,8 +339,8 @@
 
   @Test
   void isNotReadyWhileDraining() throws Exception {
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 2000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     Thread drainThread = new Thread(rig.node::drain);
--- a/engine/src/test/java/shalepaddle/node/ClientConnectionsTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientConnectionsTest.java
@@ -16,7 +16,7 @@
 class ClientConnectionsTest {
   private static void serveRequest(NodeFixture rig, ScriptedPeer client, String id)
       throws Exception {
-    client.write(NodeFixture.get(id, 5000));
+    client.write(NodeFixture.readCommand(id, 5000));
     try (ScriptedPeer cache = rig.acceptCache()) {
       assertTrue(cache.readLine().contains("O" + id + " "));
       cache.write("VA 1 O" + id + "\r\nx\r\n");
@@ -30,9 +30,9 @@
     try (NodeFixture rig = new NodeFixture(1, 128)) {
       List<ScriptedPeer> silentClients = new ArrayList<>();
       for (int i = 0; i < 128; i++) {
-        silentClients.add(rig.client());
+        silentClients.add(rig.connectClient());
       }
-      serveRequest(rig, rig.client(), "a1");
+      serveRequest(rig, rig.connectClient(), "a1");
       // At most half of the descriptors are for clients: the oldest connections were closed.
       for (ScriptedPeer client : silentClients.subList(0, 64)) {
         assertTrue(client.closedByPeer());
@@ -43,12 +43,12 @@
   @Test
   void keepsClientWithPendingResponseWhenConnectionLimitIsReached() throws Exception {
     try (NodeFixture rig = new NodeFixture(1, 128)) {
-      ScriptedPeer waitingClient = rig.client();
-      waitingClient.write(NodeFixture.get("a1", 60_000));
+      ScriptedPeer waitingClient = rig.connectClient();
+      waitingClient.write(NodeFixture.readCommand("a1", 60_000));
       ScriptedPeer cache = rig.acceptCache();
       assertTrue(cache.readLine().contains("Oa1 "));
       for (int i = 0; i < 128; i++) {
-        rig.client().write("mg ke");
+        rig.connectClient().write("mg ke");
       }
       cache.write("VA 1 Oa1\r\nx\r\n");
       assertEquals("VA 1 Oa1", waitingClient.readLine());
@@ -58,12 +58,12 @@
   @Test
   void closesClientsWithoutRequestsBeforeIdleClientWithRequest() throws Exception {
     try (NodeFixture rig = new NodeFixture(1, 128)) {
-      ScriptedPeer activeClient = rig.client();
+      ScriptedPeer activeClient = rig.connectClient();
       serveRequest(rig, activeClient, "a1");
       // A connection that is idle for 300 ms may be closed when many connections are in use.
       Thread.sleep(400);
       for (int i = 0; i < 128; i++) {
-        rig.client().write("mn\r\n");
+        rig.connectClient().write("mn\r\n");
       }
       serveRequest(rig, activeClient, "a2");
     }
@@ -76,8 +76,8 @@
       List<ScriptedPeer> clients = new ArrayList<>();
       ScriptedPeer cache = null;
       for (int i = 0; i < 40; i++) {
-        clients.add(rig.client());
-        clients.get(i).write(NodeFixture.get("a" + i, 5000));
+        clients.add(rig.connectClient());
+        clients.get(i).write(NodeFixture.readCommand("a" + i, 5000));
         cache = cache == null ? rig.acceptCache() : cache;
         assertTrue(cache.readLine().contains("Oa" + i + " "));
         cache.write("VA 1 Oa" + i + "\r\nx\r\n");
@@ -95,14 +95,14 @@
   @Test
   void closesClientThatSendsNothing() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
-      assertTrue(rig.client().closedByPeer());
+      assertTrue(rig.connectClient().closedByPeer());
     }
   }
 
   @Test
   void closesClientThatStaysIdleAfterOneRequest() throws Exception {
     try (NodeFixture rig = new NodeFixture()) {
-      ScriptedPeer client = rig.client();
+      ScriptedPeer client = rig.connectClient();
       client.write("mn\r\n");
       assertEquals("MN", client.readLine());
       assertTrue(client.closedByPeer());
@@ -111,8 +111,8 @@
 
   /**
    * A client that sends a request while the node closes its connection must see the end of the
-   * stream and no reset: only then does it know that it may send the request again. A write after
-   * a reset fails, one after the end of the stream does not.
+   * stream and no reset: only then does it know that it may send the request again. A write after a
+   * reset fails, one after the end of the stream does not.
    */
   @Test
   void doesNotResetConnectionWhenRequestArrivesAfterClose() throws Exception {
@@ -127,7 +127,7 @@
       drainThread.start();
       assertEquals(-1, client.read(answer));
       client.write(
-          ByteBuffer.wrap(NodeFixture.get("a1", 2000).getBytes(StandardCharsets.US_ASCII)));
+          ByteBuffer.wrap(NodeFixture.readCommand("a1", 2000).getBytes(StandardCharsets.US_ASCII)));
       drainThread.join();
       assertEquals(1, client.write(ByteBuffer.wrap(new byte[1])));
     }
@@ -136,13 +136,13 @@
   @Test
   void closesClientsSilentWithinCommandBeforeSlowClient() throws Exception {
     try (NodeFixture rig = new NodeFixture(1, 128)) {
-      ScriptedPeer slowClient = rig.client();
-      String command = NodeFixture.get("a1", 5000);
+      ScriptedPeer slowClient = rig.connectClient();
+      String command = NodeFixture.readCommand("a1", 5000);
       slowClient.write(command.substring(0, 3));
       for (int i = 3; i < command.length(); i++) {
         // Meanwhile more clients connect and send incomplete commands than the limit allows.
         for (int j = 0; j < 4; j++) {
-          rig.client().write("mg ke");
+          rig.connectClient().write("mg ke");
         }
         Thread.sleep(40);
         slowClient.write(command.substring(i, i + 1));
@@ -160,8 +160,8 @@
     String settings =
         ",\"services\":[{\"name\":\"read\",\"effect\":\"retryable\",\"slo\":1,\"give-up\":6}]";
     try (NodeFixture rig = new NodeFixture(settings)) {
-      ScriptedPeer client = rig.client();
-      client.write(NodeFixture.get("a1", 6000));
+      ScriptedPeer client = rig.connectClient();
+      client.write(NodeFixture.readCommand("a1", 6000));
       ScriptedPeer cache = rig.acceptCache();
       cache.readLine();
       long startedAtNanos = System.nanoTime();
@@ -169,7 +169,7 @@
       drainThread.start();
       Thread.sleep(600);
       // The deadline of a request that comes during the drain is shortened to the time left.
-      client.write(NodeFixture.get("a2", 6000));
+      client.write(NodeFixture.readCommand("a2", 6000));
       // The deadline of a1, which was open before the drain, is shortened too: a1 fails, since it
       // may have run.
       assertEquals("SERVER_ERROR failed", client.readLine());
--- a/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
@@ -21,8 +21,8 @@
 import shalepaddle.testkit.ScriptedPeer;
 
 /**
- * Requests whose clients disconnect while they wait are not forwarded. For each reason to wait,
- * the clients of 1,000 requests disconnect; the requests that still reach the server before a later
+ * Requests whose clients disconnect while they wait are not forwarded. For each reason to wait, the
+ * clients of 1,000 requests disconnect; the requests that still reach the server before a later
  * request are counted. Most tests run with settings under which attempts may not be cancelled: a
  * request that was not written needs no cancelling.
  */
@@ -70,7 +70,7 @@
   private List<ScriptedPeer> sendFromNewClients(int count) throws IOException {
     List<ScriptedPeer> clients = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      clients.add(rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS)));
+      clients.add(rig.connectClient().write(NodeFixture.readCommand(nextId(), DEADLINE_MILLIS)));
     }
     return clients;
   }
@@ -88,7 +88,7 @@
     Callable<Integer> openRequests = rig.node.dispatcher()::openRequests;
     while (rig.node.loop().submit(openRequests).get() > 1
         && System.nanoTime() - startedAtNanos < 300_000_000) {
-      rig.settled();
+      rig.awaitLoopTurns();
     }
   }
 
@@ -100,7 +100,8 @@
   /** Sends one more request, and returns how many other requests reach the server before it. */
   private int countForwardedBeforeNewRequest(ScriptedPeer cache) throws Exception {
     String lastId = nextId();
-    ScriptedPeer client = rig.client().write(NodeFixture.get(lastId, DEADLINE_MILLIS));
+    ScriptedPeer client =
+        rig.connectClient().write(NodeFixture.readCommand(lastId, DEADLINE_MILLIS));
     int otherRequests = 0;
     for (String line = cache.readLine(); ; line = cache.readLine()) {
       assertTrue(line != null, "the server connection ended before the new request");
@@ -120,11 +121,12 @@
     int forwardedCount = 0;
     ScriptedPeer cache = null;
     for (int batch = 0; batch < BATCH_COUNT; batch++) {
-      ScriptedPeer firstClient = rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
+      ScriptedPeer firstClient =
+          rig.connectClient().write(NodeFixture.readCommand(nextId(), DEADLINE_MILLIS));
       cache = cache == null ? rig.acceptCache() : cache;
       String inFlightLine = cache.readLine();
       List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
-      rig.settled();
+      rig.awaitLoopTurns();
       disconnect(waitingClients);
       serve(cache, inFlightLine);
       firstClient.readLine();
@@ -153,11 +155,11 @@
     List<Socket> backlogSockets = fillBacklog(rig.cache);
     List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
     // The clients disconnect only after their requests have waited for some turns.
-    rig.settled();
+    rig.awaitLoopTurns();
     for (int batch = 1; batch < BATCH_COUNT; batch++) {
       disconnect(waitingClients);
       waitingClients = sendFromNewClients(BATCH_SIZE);
-      rig.settled();
+      rig.awaitLoopTurns();
     }
     disconnect(waitingClients);
     for (Socket socket : backlogSockets) {
@@ -177,13 +179,14 @@
     rig = startWithoutShedding(MULTIPLEXED_SETTINGS.formatted(false));
     int valueBytes = 4 << 20;
     ScriptedPeer firstClient =
-        rig.client().write(NodeFixture.put("w", DEADLINE_MILLIS, "v".repeat(valueBytes)));
+        rig.connectClient()
+            .write(NodeFixture.writeCommand("w", DEADLINE_MILLIS, "v".repeat(valueBytes)));
     // The server reads nothing yet, so the large write fills the send buffer.
     ScriptedPeer cache = rig.acceptCache();
-    rig.settled();
+    rig.awaitLoopTurns();
     for (int batch = 0; batch < BATCH_COUNT; batch++) {
       List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
-      rig.settled();
+      rig.awaitLoopTurns();
       disconnect(waitingClients);
     }
     assertTrue(cache.readLine().startsWith("ms "));
@@ -210,7 +213,7 @@
       }
       disconnect(waitingClients);
       cache.reset();
-      rig.settled();
+      rig.awaitLoopTurns();
       forwardedCount += countForwardedOnNewConnection();
       rig.close();
     }
@@ -220,7 +223,7 @@
   /** Does {@link #countForwardedBeforeNewRequest} on a new connection, and then closes it. */
   private int countForwardedOnNewConnection() throws Exception {
     ScriptedPeer client =
-        rig.client().write(NodeFixture.get("last" + requestCount, DEADLINE_MILLIS));
+        rig.connectClient().write(NodeFixture.readCommand("last" + requestCount, DEADLINE_MILLIS));
     ScriptedPeer cache = rig.acceptCache();
     int otherRequests = 0;
     String line = cache.readLine();
@@ -232,7 +235,7 @@
     client.readLine();
     client.close();
     cache.close();
-    rig.settled();
+    rig.awaitLoopTurns();
     return otherRequests;
   }
 
@@ -243,22 +246,23 @@
     ScriptedPeer cache = null;
     int requestsPerClient = 100;
     for (int batch = 0; batch < BATCH_COUNT; batch++) {
-      ScriptedPeer firstClient = rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
+      ScriptedPeer firstClient =
+          rig.connectClient().write(NodeFixture.readCommand(nextId(), DEADLINE_MILLIS));
       cache = cache == null ? rig.acceptCache() : cache;
       String inFlightLine = cache.readLine();
       List<ScriptedPeer> waitingClients = new ArrayList<>();
       for (int i = 0; i < BATCH_SIZE / requestsPerClient; i++) {
-        ScriptedPeer client = rig.client();
+        ScriptedPeer client = rig.connectClient();
         waitingClients.add(client);
         for (int j = 0; j < requestsPerClient; j++) {
-          client.write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
+          client.write(NodeFixture.readCommand(nextId(), DEADLINE_MILLIS));
           if (j == 70) {
             // The node reads no more requests: too many responses are pending on the connection.
-            rig.settled();
+            rig.awaitLoopTurns();
           }
         }
       }
-      rig.settled();
+      rig.awaitLoopTurns();
       disconnect(waitingClients);
       serve(cache, inFlightLine);
       firstClient.readLine();
@@ -273,7 +277,8 @@
     int forwardedCount = 0;
     ScriptedPeer cache = null;
     for (int batch = 0; batch < BATCH_COUNT; batch++) {
-      ScriptedPeer firstClient = rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
+      ScriptedPeer firstClient =
+          rig.connectClient().write(NodeFixture.readCommand(nextId(), DEADLINE_MILLIS));
       cache = cache == null ? rig.acceptCache() : cache;
       String inFlightLine = cache.readLine();
       List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
@@ -281,7 +286,7 @@
         // After the unknown command the node pauses reading, after the malformed write it closes.
         waitingClients.get(i).write(i % 2 == 0 ? "what\r\n" : "ms key -1 Ox Pc=put\r\n");
       }
-      rig.settled();
+      rig.awaitLoopTurns();
       disconnect(waitingClients);
       serve(cache, inFlightLine);
       firstClient.readLine();
@@ -295,13 +300,14 @@
   @ValueSource(ints = {BATCH_SIZE / 5, BATCH_SIZE})
   void doesNotForwardRequestsOfClientsThatDisconnectInSameStall(int batchSize) throws Exception {
     rig = startWithoutShedding(ONE_IN_FLIGHT_SETTINGS);
-    ScriptedPeer firstClient = rig.client().write(NodeFixture.get(nextId(), DEADLINE_MILLIS));
+    ScriptedPeer firstClient =
+        rig.connectClient().write(NodeFixture.readCommand(nextId(), DEADLINE_MILLIS));
     ScriptedPeer cache = rig.acceptCache();
     serve(cache, cache.readLine());
     firstClient.readLine();
     int forwardedCount = 0;
     for (int batch = 0; batch < BATCH_COUNT * BATCH_SIZE / batchSize; batch++) {
-      rig.pausedWhile(
+      rig.stallLoopWhile(
           () -> {
             for (ScriptedPeer client : sendFromNewClients(batchSize)) {
               client.close();
@@ -326,12 +332,12 @@
     for (int batch = 0; batch < BATCH_COUNT; batch++) {
       // A write is never coalesced.
       ScriptedPeer firstClient =
-          rig.client().write(NodeFixture.put(nextId(), DEADLINE_MILLIS, "v"));
+          rig.connectClient().write(NodeFixture.writeCommand(nextId(), DEADLINE_MILLIS, "v"));
       cache = cache == null ? rig.acceptCache() : cache;
       String inFlightLine = cache.readLine();
       cache.readLine();
       List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
-      rig.settled();
+      rig.awaitLoopTurns();
       disconnect(waitingClients);
       String id = inFlightLine.replaceAll(".* O(\\S+) .*", "$1");
       cache.write("HD O" + id + " c1\r\n");
--- a/engine/src/test/java/shalepaddle/node/ClientReadingTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientReadControlTest.java
@@ -27,11 +27,11 @@
 import shalepaddle.overload.DegradationPolicy;
 
 /** Pauses in reading from a client: after its early retries, and while its connection drains. */
-class ClientReadingTest {
+class ClientReadControlTest {
   private static final long RETRY_AFTER_MILLIS = 200;
 
-  private final VirtualEngine engine =
-      new VirtualEngine(
+  private final VirtualTimeEngine engine =
+      new VirtualTimeEngine(
           new LoopClock.Listener() {
             @Override
             public void onStall(long stallNanos) {}
@@ -50,7 +50,7 @@
       implements DuplexChannel {
     private boolean isOutputShut;
 
-    DuplexEmbeddedChannel(VirtualEngine engine, ClientFront front) {
+    DuplexEmbeddedChannel(VirtualTimeEngine engine, ClientFront front) {
       super(EmbeddedChannel.builder().ticker(engine.ticker).handlers(front));
     }
 
@@ -104,9 +104,9 @@
   private final ClientFront front;
   private final DuplexEmbeddedChannel client;
 
-  ClientReadingTest() throws Exception {
+  ClientReadControlTest() throws Exception {
     Dispatcher dispatcher =
-        engine.start(
+        engine.startDispatcher(
             "\"attempts-cap\":1",
             """
             {"name":"read","effect":"retryable","slo":0.75,"give-up":2,"credit":2}
@@ -134,7 +134,7 @@
 
           @Override
           public long admit(int serviceClass, int tenant, long keyHash, boolean isRetry) {
-            return RETRY_AFTER_MILLIS + (isRetry ? RETRY : 0);
+            return RETRY_AFTER_MILLIS + (isRetry ? RETRY_FLAG : 0);
           }
         };
     try (NodeFixture rig = new NodeFixture()) {
@@ -221,7 +221,7 @@
   void doesNotReadForSomeTimeAfterOutputShutdown() {
     sendRequest(false);
     front.drain(engine.loop, 0, 300, () -> {});
-    engine.pass(2);
+    engine.advanceMillis(2);
     assertTrue(client.isOutputShutdown());
     assertFalse(client.config().isAutoRead());
     advanceClock(97);
@@ -243,10 +243,10 @@
     assertNull(
         client.readOutbound(), "a request was answered while reading is paused after an error");
     front.drain(engine.loop, 0, 5, () -> {});
-    engine.pass(4);
+    engine.advanceMillis(4);
     client.runPendingTasks();
     assertFalse(client.isOutputShutdown());
-    engine.pass(2);
+    engine.advanceMillis(2);
     client.runPendingTasks();
     ByteBuf answer = client.readOutbound();
     assertEquals("SERVER_ERROR busy 200\r\n", answer.toString(StandardCharsets.US_ASCII));
--- a/engine/src/test/java/shalepaddle/node/JoinedReadsTest.java
+++ b/engine/src/test/java/shalepaddle/node/CoalescedReadsTest.java
@@ -36,7 +36,7 @@
 import shalepaddle.model.ServerEntry;
 
 /** Tests that a dispatcher coalesces reads, in virtual time and without real servers. */
-class JoinedReadsTest {
+class CoalescedReadsTest {
   private static final long TICK_MILLIS = 1;
 
   private final List<Attempt> sentAttempts = new ArrayList<>();
@@ -47,6 +47,7 @@
 
   /** Virtual time of each reply by request id, in milliseconds. */
   private final Map<String, Long> answeredAtMillis = new LinkedHashMap<>();
+
   private final Map<String, Submission> submissions = new LinkedHashMap<>();
   private int submittedCount;
 
@@ -56,8 +57,8 @@
   /** Whether each attempt fails before {@link Upstream#send} returns. */
   private boolean isFailingAtOnce;
 
-  private final VirtualEngine engine =
-      new VirtualEngine(
+  private final VirtualTimeEngine engine =
+      new VirtualTimeEngine(
           new LoopClock.Listener() {
             @Override
             public void onStall(long stallNanos) {}
@@ -73,13 +74,13 @@
 
   private Dispatcher dispatcher;
 
-  JoinedReadsTest() throws Exception {
+  CoalescedReadsTest() throws Exception {
     start(1);
   }
 
   private void start(int maxAttempts) throws Exception {
     dispatcher =
-        engine.start(
+        engine.startDispatcher(
             """
             "attempts-cap":%d,"cancel":true,"retry-after":true,"max-retry-after":1
             """
@@ -125,7 +126,8 @@
     assertEquals(0, dispatcher.timers().size());
     assertEquals(0, dispatcher.coalescingSnapshot().waiters());
     assertEquals(0, dispatcher.coalescingSnapshot().openFlights());
-    assertEquals(submittedCount, engine.released, "not each submitted payload was released once");
+    assertEquals(
+        submittedCount, engine.releasedPayloads, "not each submitted payload was released once");
     for (Reply reply : replies.values()) {
       if (reply instanceof Reply.Value served && served.value().refCnt() > 0) {
         served.value().release();
@@ -151,10 +153,10 @@
         dispatcher.submit(
             new Call(
                 request,
-                engine.payload(),
+                engine.createPayload(),
                 reply -> {
                   assertNull(replies.put(id, reply), id + " was answered twice");
-                  answeredAtMillis.put(id, engine.millis());
+                  answeredAtMillis.put(id, engine.elapsedMillis());
                   onReply.run();
                 }));
     submissions.put(id, submission);
@@ -215,7 +217,7 @@
       expectedOrder.add("r" + i);
     }
     assertEquals(1, sentAttempts.size());
-    engine.pass(40);
+    engine.advanceMillis(40);
     ByteBuf value = serve(sentAttempts.get(0), "hello");
     assertEquals(expectedOrder, new ArrayList<>(replies.keySet()));
     assertEquals(100, value.refCnt(), "the replies do not all retain one buffer");
@@ -242,7 +244,7 @@
               "the attempt was not withdrawn, though no other read waits");
         }
       }
-      engine.pass(i % 10 == 0 ? 1 : 0);
+      engine.advanceMillis(i % 10 == 0 ? 1 : 0);
       if (i > 0) {
         expectedOrder.add("r" + i);
       }
@@ -257,9 +259,9 @@
     for (int i = 0; i < 100; i++) {
       read("r" + i, 10L * (i + 1));
     }
-    engine.pass(504);
+    engine.advanceMillis(504);
     serve(sentAttempts.get(0), "late");
-    engine.pass(600);
+    engine.advanceMillis(600);
     assertEquals(1, sentAttempts.size());
     for (int i = 0; i < 100; i++) {
       long dueMillis = 10L * (i + 1);
@@ -278,13 +280,13 @@
   @Test
   void servesReadWithLaterDeadlineWhenFirstHasExpired() {
     read("hasty", 100);
-    engine.pass(20);
+    engine.advanceMillis(20);
     read("patient", 1000);
-    engine.pass(100);
+    engine.advanceMillis(100);
     assertInstanceOf(Reply.Failed.class, replies.get("hasty"));
     assertEquals(
         List.of(), withdrawnAttempts, "the attempt was withdrawn, though another read waits");
-    engine.pass(500);
+    engine.advanceMillis(500);
     serve(sentAttempts.get(0), "v");
     assertEquals("v", servedText("patient"));
   }
@@ -295,7 +297,7 @@
     hasNoConnection = true;
     read("a", 50);
     read("b", 800);
-    engine.pass(60);
+    engine.advanceMillis(60);
     assertEquals(List.of("a"), List.copyOf(replies.keySet()));
     Attempt attempt = sentAttempts.get(0);
     assertEquals("b", idOf(attempt), "the attempt does not have the id of a read that waits");
@@ -377,7 +379,7 @@
 
   @Test
   void rejectsReadsAtOnceWhenServerListIsEmpty() {
-    dispatcher.membership(new MembershipUpdate(MembershipUpdate.Kind.FULL, 2, List.of()));
+    dispatcher.onMembershipUpdate(new MembershipUpdate(MembershipUpdate.Kind.FULL, 2, List.of()));
     for (int i = 0; i < 3; i++) {
       read("r" + i, 1000);
       assertInstanceOf(Reply.Rejected.class, replies.get("r" + i));
@@ -403,7 +405,7 @@
     read("b", 300);
     dispatcher.attemptEnded(sentAttempts.get(0), Outcome.Result.RESET);
     read("c", 2000);
-    engine.pass(400);
+    engine.advanceMillis(400);
     assertInstanceOf(Reply.Failed.class, replies.get("b"));
     serve(sentAttempts.get(1), "v");
     assertEquals("v", servedText("c"));
@@ -484,7 +486,7 @@
     read("a", 300);
     dispatcher.drainBy(engine.clock.now() + TimeUnit.MILLISECONDS.toNanos(500));
     read("b", 2000);
-    engine.pass(510);
+    engine.advanceMillis(510);
     assertTrue(
         answeredAtMillis.get("b") <= 500, "milliseconds of the replies: " + answeredAtMillis);
     assertEquals(2, replies.size());
@@ -531,7 +533,7 @@
     readKeyOnce();
     read("a", 2000);
     for (int i = 0; i < 40; i++) {
-      engine.pass(20);
+      engine.advanceMillis(20);
       read("r" + i, 2000);
     }
     assertTrue(
@@ -567,7 +569,7 @@
     submit("w", "once", 1000, () -> {});
     Attempt attempt = sentAttempts.get(0);
     // An attempt must end 2 ms before its request.
-    engine.pass(997);
+    engine.advanceMillis(997);
     engine.ticker.advance(600, TimeUnit.MICROSECONDS);
     dispatcher.attemptEnded(attempt, Outcome.Result.CONNECT_FAILED);
     assertEquals(1, sentAttempts.size());
@@ -579,7 +581,7 @@
     read("a", 2000);
     Attempt firstAttempt = sentAttempts.get(0);
     long otherServerId = firstAttempt.server() == 7 ? 8 : 7;
-    dispatcher.membership(
+    dispatcher.onMembershipUpdate(
         new MembershipUpdate(
             MembershipUpdate.Kind.DELTA,
             2,
--- a/engine/src/test/java/shalepaddle/node/MetersTest.java
+++ b/engine/src/test/java/shalepaddle/node/CoalescingMetricsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import shalepaddle.coalescing.CoalescingSnapshot;
 
-class MetersTest {
+class CoalescingMetricsTest {
   private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
 
   @Test
--- a/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
@@ -41,7 +41,7 @@
   private List<ScriptedPeer> connectClients(int count) throws Exception {
     List<ScriptedPeer> clients = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      clients.add(rig.client());
+      clients.add(rig.connectClient());
     }
     return clients;
   }
@@ -49,14 +49,14 @@
   /** Sends a read of one key from each client, and waits until all of them are waiters. */
   private void readFromAll(List<ScriptedPeer> clients) throws Exception {
     for (int i = 0; i < clients.size(); i++) {
-      clients.get(i).write(NodeFixture.get("r" + i, 2000));
+      clients.get(i).write(NodeFixture.readCommand("r" + i, 2000));
     }
     awaitWaiters(clients.size());
   }
 
   private void awaitWaiters(int count) throws Exception {
     for (int i = 0; i < 500 && coalescingSnapshot().waiters() != count; i++) {
-      rig.settled();
+      rig.awaitLoopTurns();
     }
     assertEquals(count, coalescingSnapshot().waiters());
   }
@@ -79,7 +79,7 @@
       assertEquals("VA 5 Or" + i, clients.get(i).readLine());
       assertEquals("abcde", clients.get(i).readLine());
     }
-    rig.settled();
+    rig.awaitLoopTurns();
     CoalescingSnapshot snapshot = coalescingSnapshot();
     assertEquals(new CoalescingSnapshot(1, 99, 0, 99, 0, 0, 0, 0, 0), snapshot);
   }
@@ -88,18 +88,16 @@
   @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
   void keepsFetchWhenFirstClientDisconnects(int lastReadBeforeDisconnect) throws Exception {
     rig = new NodeFixture("", COALESCING_ENABLED);
-    ScriptedPeer firstClient = rig.client();
-    firstClient.write(NodeFixture.get("first", 2000));
+    ScriptedPeer firstClient = rig.connectClient();
+    firstClient.write(NodeFixture.readCommand("first", 2000));
     awaitWaiters(1);
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.readLine().contains(" Ofirst "));
     List<ScriptedPeer> otherClients = connectClients(10);
     for (int i = 0; i < 10; i++) {
-      otherClients.get(i).write(NodeFixture.get("r" + i, 2000));
+      otherClients.get(i).write(NodeFixture.readCommand("r" + i, 2000));
       awaitWaiters(
-          i < lastReadBeforeDisconnect
-              ? i + 2
-              : i + 1 + (i == lastReadBeforeDisconnect ? 1 : 0));
+          i < lastReadBeforeDisconnect ? i + 2 : i + 1 + (i == lastReadBeforeDisconnect ? 1 : 0));
       if (i == lastReadBeforeDisconnect) {
         firstClient.close();
         awaitWaiters(i + 1);
@@ -110,14 +108,14 @@
       assertEquals("VA 2 Or" + i, otherClients.get(i).readLine());
       assertEquals("ok", otherClients.get(i).readLine());
     }
-    assertEquals(1, coalescingSnapshot().flights());
+    assertEquals(1, coalescingSnapshot().startedFlights());
   }
 
   @Test
   void coalescesReadsOfDifferentFronts() throws Exception {
     rig = new NodeFixture("", COALESCING_ENABLED);
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("socket", 2000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("socket", 2000));
     awaitWaiters(1);
     BlockingQueue<Reply> replies = new LinkedBlockingQueue<>();
     Request sameRead = new Request("call", "key", "read", null, 2, 0, 0, false, false);
@@ -145,7 +143,7 @@
     assertNull(coalescingSnapshot());
     List<ScriptedPeer> clients = connectClients(2);
     for (int i = 0; i < 2; i++) {
-      clients.get(i).write(NodeFixture.get("r" + i, 2000));
+      clients.get(i).write(NodeFixture.readCommand("r" + i, 2000));
     }
     // The policy does not know the key, so it delays the second read until the first one ends.
     ScriptedPeer cache = rig.acceptCache();
--- a/engine/src/test/java/shalepaddle/node/DescriptorBudgetTest.java
+++ b/engine/src/test/java/shalepaddle/node/DescriptorBudgetTest.java
@@ -12,7 +12,7 @@
 
   private static DescriptorBudget rehearsalBudget() {
     try {
-      return DescriptorBudget.of(NodeConfig.rehearsal());
+      return DescriptorBudget.of(NodeConfig.forRehearsal());
     } catch (FormatException e) {
       throw new AssertionError(e);
     }
@@ -21,7 +21,7 @@
   @Test
   void reservesDescriptorsForServersAndProcess() {
     assertEquals(128, budget.maxClientConnections());
-    assertEquals(40, budget.reserved());
+    assertEquals(40, budget.reservedDescriptors());
     assertEquals(1, budget.usedRatio(128, 256 - 128 - 40));
   }
 
--- a/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
+++ b/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
@@ -40,7 +40,7 @@
       newServer.setSoTimeout(ScriptedPeer.TIMEOUT_MILLIS);
       ScriptedPeer discovery = rig.acceptDiscovery();
       assertEquals(WATCH_REQUEST.formatted(7), readRequest(discovery));
-      String list = NodeFixture.members(8, true, newServer.getLocalPort()) + "\n";
+      String list = NodeFixture.serverListJson(8, true, newServer.getLocalPort()) + "\n";
       discovery.write(
           RESPONSE_HEAD
               + NodeFixture.chunk(list.substring(0, 9))
@@ -50,7 +50,7 @@
       // A delta may change the address of a known server.
       String delta =
           "{\"version\":9,\"full\":false,\"servers\":["
-              + NodeFixture.member(
+              + NodeFixture.serverJson(
                   "s-" + newServer.getLocalPort(), rig.cache.getLocalPort(), "active")
               + "]}\n";
       discovery.write(NodeFixture.chunk(delta));
@@ -70,7 +70,7 @@
     server.setSoTimeout(100);
     for (int i = 0; i < ScriptedPeer.TIMEOUT_MILLIS / 100; i++) {
       try (ScriptedPeer client = ScriptedPeer.connect(rig.address)) {
-        client.write(NodeFixture.get(id + i, 60_000));
+        client.write(NodeFixture.readCommand(id + i, 60_000));
         ScriptedPeer cache = new ScriptedPeer(server.accept());
         String line = cache.readLine();
         if (line == null) {
@@ -114,7 +114,8 @@
       readRequest(discovery);
       discovery.write(
           RESPONSE_HEAD
-              + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
+              + NodeFixture.chunk(
+                  NodeFixture.serverListJson(8, true, rig.cache.getLocalPort()) + "\n"));
       assertTrue(discovery.closedByPeer());
       assertEquals(WATCH_REQUEST.formatted(8), readRequest(rig.acceptDiscovery()));
     }
@@ -139,7 +140,8 @@
       readRequest(firstWatch);
       firstWatch.write(
           RESPONSE_HEAD
-              + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
+              + NodeFixture.chunk(
+                  NodeFixture.serverListJson(8, true, rig.cache.getLocalPort()) + "\n"));
       serveRequest(rig, rig.cache, "before");
       String oldAddress = "127.0.0.1:" + rig.discovery.getLocalPort();
       String newText =
@@ -160,7 +162,8 @@
         assertTrue(secondWatch.closedByPeer());
         newWatch.write(
             RESPONSE_HEAD
-                + NodeFixture.chunk(NodeFixture.members(9, true, rig.cache.getLocalPort()) + "\n"));
+                + NodeFixture.chunk(
+                    NodeFixture.serverListJson(9, true, rig.cache.getLocalPort()) + "\n"));
         serveRequest(rig, rig.cache, "after");
       }
     }
@@ -171,32 +174,33 @@
     ServerSocket newServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     try (NodeFixture rig = new NodeFixture(3)) {
       newServer.setSoTimeout(ScriptedPeer.TIMEOUT_MILLIS);
-      rig.client().write(NodeFixture.get("a1", 60_000));
+      rig.connectClient().write(NodeFixture.readCommand("a1", 60_000));
       assertTrue(rig.acceptCache().readLine().contains("Oa1 "));
       // The server has moved: the connection to its old address only completes open attempts.
       ScriptedPeer discovery = rig.acceptDiscovery();
       readRequest(discovery);
       String movedServer =
-          NodeFixture.member("s-" + rig.cache.getLocalPort(), newServer.getLocalPort(), "active");
+          NodeFixture.serverJson(
+              "s-" + rig.cache.getLocalPort(), newServer.getLocalPort(), "active");
       discovery.write(
           RESPONSE_HEAD
               + NodeFixture.chunk(
                   "{\"version\":8,\"full\":true,\"servers\":[" + movedServer + "]}\n"));
       discovery.close();
       assertEquals(WATCH_REQUEST.formatted(8), readRequest(rig.acceptDiscovery()));
-      rig.client().write(NodeFixture.get("a2", 60_000));
+      rig.connectClient().write(NodeFixture.readCommand("a2", 60_000));
       ScriptedPeer newConnection = new ScriptedPeer(newServer.accept());
       assertTrue(newConnection.readLine().contains("Oa2 "));
       // No further connection can be opened now, so a3 must share the open one. The node must not
       // loop endlessly over attempts that find no connection of their own.
       newServer.close();
-      rig.client().write(NodeFixture.get("a3", 60_000));
+      rig.connectClient().write(NodeFixture.readCommand("a3", 60_000));
       assertTrue(newConnection.readLine().contains("Oa3 "));
     }
   }
 
   private static String serverJson(int port, String state) {
-    return NodeFixture.member("s-" + port, port, state);
+    return NodeFixture.serverJson("s-" + port, port, state);
   }
 
   private static String listJson(int version, String... servers) {
@@ -341,8 +345,8 @@
       ScriptedPeer thirdWatch = rig.acceptDiscovery();
       assertEquals(
           WATCH_REQUEST.formatted(8), readRequest(thirdWatch), "the older list was not applied");
-      ScriptedPeer client = rig.client();
-      client.write(NodeFixture.get("late", 200));
+      ScriptedPeer client = rig.connectClient();
+      client.write(NodeFixture.readCommand("late", 200));
       assertTrue(client.readLine().startsWith("SERVER_ERROR"));
       rig.cache.setSoTimeout(20);
       assertThrows(java.net.SocketTimeoutException.class, rig.cache::accept);
@@ -373,7 +377,8 @@
       assertFalse(rig.hasAnotherDiscoveryCall(2500));
       discovery.write(
           RESPONSE_HEAD
-              + NodeFixture.chunk(NodeFixture.members(8, true, rig.cache.getLocalPort()) + "\n"));
+              + NodeFixture.chunk(
+                  NodeFixture.serverListJson(8, true, rig.cache.getLocalPort()) + "\n"));
       serveRequest(rig, rig.cache, "told");
     }
   }
@@ -431,7 +436,7 @@
               });
       agentThread.start();
       try (NodeFixture rig = new NodeFixture(agent, leavingServer, ",\"discovery\":\"push\"")) {
-        ScriptedPeer client = rig.client().write(NodeFixture.get("first", 5000));
+        ScriptedPeer client = rig.connectClient().write(NodeFixture.readCommand("first", 5000));
         try (ScriptedPeer cache = new ScriptedPeer(readyServer.accept())) {
           assertTrue(cache.readLine().contains("Ofirst "));
           cache.write("VA 1 Ofirst\r\nx\r\n");
@@ -448,7 +453,7 @@
     try (ServerSocket agent = NodeFixture.listen();
         ServerSocket knownServer = NodeFixture.listen();
         NodeFixture rig = new NodeFixture(agent, knownServer, ",\"discovery\":\"push\"")) {
-      ScriptedPeer client = rig.client().write("mn\r\n");
+      ScriptedPeer client = rig.connectClient().write("mn\r\n");
       assertEquals("MN", client.readLine());
     }
   }
--- a/engine/src/test/java/shalepaddle/node/DrainTest.java
+++ b/engine/src/test/java/shalepaddle/node/DrainTest.java
@@ -87,7 +87,7 @@
   @Test
   void closesConnectionOfBusyClientWithoutLosingRequests() throws Exception {
     rig = new NodeFixture(",\"instances\":28" + servicesSetting(0.3));
-    ScriptedPeer client = rig.client().write(NodeFixture.get("r0", 300));
+    ScriptedPeer client = rig.connectClient().write(NodeFixture.readCommand("r0", 300));
     Set<String> arrivedIds = serveAll();
     Set<String> answeredIds = ConcurrentHashMap.newKeySet();
     long startedAtNanos = startDrain();
@@ -95,7 +95,7 @@
     String line = "";
     while (line != null && millisSince(startedAtNanos) < 5000) {
       try {
-        client.write(NodeFixture.get("r" + nextId++, 300));
+        client.write(NodeFixture.readCommand("r" + nextId++, 300));
       } catch (IOException e) {
         // The connection is closed; responses that were sent before that can still be read.
       }
@@ -121,11 +121,11 @@
   @Test
   void closesSilentClientBeforeProcessMayBeKilled() throws Exception {
     rig = new NodeFixture(servicesSetting(0.1));
-    ScriptedPeer earlyClient = rig.client();
-    ScriptedPeer incompleteClient = rig.client().write("mg ke");
-    rig.settled();
+    ScriptedPeer earlyClient = rig.connectClient();
+    ScriptedPeer incompleteClient = rig.connectClient().write("mg ke");
+    rig.awaitLoopTurns();
     long startedAtNanos = startDrain();
-    ScriptedPeer lateClient = rig.client();
+    ScriptedPeer lateClient = rig.connectClient();
     assertTrue(lateClient.closedByPeer());
     assertTrue(incompleteClient.closedByPeer());
     assertTrue(earlyClient.closedByPeer());
@@ -140,7 +140,7 @@
   @Test
   void closesIdleClientOnHandOverBeforeProcessMayBeKilled() throws Exception {
     rig = new NodeFixture(servicesSetting(0.1));
-    ScriptedPeer client = rig.client().write(NodeFixture.get("a1", 5000));
+    ScriptedPeer client = rig.connectClient().write(NodeFixture.readCommand("a1", 5000));
     serveAll();
     assertEquals("VA 1 Oa1", client.readLine());
     client.readLine();
@@ -160,11 +160,11 @@
     rig = new NodeFixture();
     ScriptedPeer[] lateClients = new ScriptedPeer[20];
     startDrain();
-    rig.pausedWhile(
+    rig.stallLoopWhile(
         600,
         () -> {
           for (int i = 0; i < lateClients.length; i++) {
-            lateClients[i] = rig.client().write("mn\r\n");
+            lateClients[i] = rig.connectClient().write("mn\r\n");
           }
         });
     for (ScriptedPeer client : lateClients) {
--- a/engine/src/test/java/shalepaddle/node/EngineSubmissionTest.java
+++ b/engine/src/test/java/shalepaddle/node/EngineSubmissionTest.java
@@ -92,7 +92,7 @@
     assertEquals("value", cache.readLine());
     cache.write("HD Ow1 c9\r\n");
     assertEquals(new Reply.Receipt("9"), awaitReply());
-    rig.settled();
+    rig.awaitLoopTurns();
     assertEquals(0, value.bytes.refCnt());
   }
 
--- a/engine/src/test/java/shalepaddle/node/EngineTest.java
+++ b/engine/src/test/java/shalepaddle/node/EngineTest.java
@@ -102,7 +102,7 @@
     engine.submit(write.toCall());
     acceptWrite("w1").write("HD Ow1 c9\r\n");
     assertEquals(new Reply.Receipt("9"), write.awaitReply());
-    rig.settled();
+    rig.awaitLoopTurns();
     assertEquals(0, write.bytes.refCnt());
   }
 
@@ -125,7 +125,7 @@
     ScriptedPeer cache = acceptWrite("w1");
     ticket.cancel();
     assertTrue(cache.closedByPeer());
-    rig.settled();
+    rig.awaitLoopTurns();
     assertEquals(0, write.bytes.refCnt());
     assertNull(write.replies.poll());
   }
@@ -140,7 +140,7 @@
     cache.readBytes(1000);
     assertTrue(write.bytes.refCnt() > 0);
     ticket.cancel();
-    rig.settled();
+    rig.awaitLoopTurns();
     assertEquals(0, write.bytes.refCnt());
     assertNull(write.replies.poll());
     // The connection is closed: a write that was cut short cannot run.
@@ -155,16 +155,16 @@
     WriteCall write = new WriteCall("w1");
     Engine.Ticket ticket = engine.submit(write.toCall());
     ScriptedPeer cache = acceptWrite("w1");
-    rig.pausedWhile(
+    rig.stallLoopWhile(
         10,
         () -> {
           cache.write("HD Ow1 c9\r\n");
           ticket.cancel();
           Thread.sleep(5);
         });
-    rig.settled();
+    rig.awaitLoopTurns();
     ticket.cancel();
-    rig.settled();
+    rig.awaitLoopTurns();
     assertEquals(0, write.bytes.refCnt());
     assertTrue(write.replies.size() <= 1, write.replies.toString());
     // The first call is removed completely: its id may be used again.
@@ -188,7 +188,7 @@
       otherWrites.add(otherWrite);
       engine.submit(otherWrite.toCall());
     }
-    rig.settled();
+    rig.awaitLoopTurns();
     engine.close();
     assertEquals(new Reply.Failed(true), sentWrite.awaitReply());
     int rejectedCount = 0;
@@ -205,7 +205,7 @@
     engine.submit(lateWrite.toCall());
     assertEquals(new Reply.Rejected(0), lateWrite.awaitReply());
     engine.close();
-    rig.settled();
+    rig.awaitLoopTurns();
     for (WriteCall write : otherWrites) {
       assertEquals(0, write.bytes.refCnt());
       assertTrue(write.replies.isEmpty());
@@ -215,7 +215,7 @@
   @Test
   void rejectsCallsAtOnceWhenTooManyWait() throws Exception {
     List<WriteCall> writes = new ArrayList<>();
-    rig.pausedWhile(
+    rig.stallLoopWhile(
         () -> {
           for (int i = 0; i < 5000; i++) {
             WriteCall write = new WriteCall("w" + i);
--- a/engine/src/test/java/shalepaddle/node/EventLoopStallTest.java
+++ b/engine/src/test/java/shalepaddle/node/EventLoopStallTest.java
@@ -33,7 +33,7 @@
 
   /** Serves one read, after which the client's connection is idle. */
   private ScriptedPeer serveFirstRead(ScriptedPeer client, String id) throws Exception {
-    client.write(NodeFixture.get(id, 2000));
+    client.write(NodeFixture.readCommand(id, 2000));
     ScriptedPeer cache = rig.acceptCache();
     serve(cache, id);
     assertEquals("VA 1 O" + id, client.readLine());
@@ -49,16 +49,16 @@
 
   @Test
   void answersRequestThatArrivedInStallOnIdleConnection() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     ScriptedPeer cache = serveFirstRead(client, "a1");
     // When the loop runs again, the connection has been idle for more than 4 s of real time, after
     // which the node closes idle connections.
-    rig.pausedWhile(
+    rig.stallLoopWhile(
         () -> {
           Thread.sleep(4300);
           // The deadline must be long enough even if the request was sent as the stall began,
           // which is what the node has to assume.
-          client.write(NodeFixture.get("a2", 6500));
+          client.write(NodeFixture.readCommand("a2", 6500));
         });
     serve(cache, "a2");
     assertEquals("VA 1 Oa2", client.readLine());
@@ -67,24 +67,24 @@
   /** A turn accepts a limited number of connections, and does not check whether more wait. */
   @Test
   void doesNotShortenDeadlineOfClientThatConnectsLongAfterStall() throws Exception {
-    ScriptedPeer cache = serveFirstRead(rig.client(), "a1");
-    rig.pausedWhile(
+    ScriptedPeer cache = serveFirstRead(rig.connectClient(), "a1");
+    rig.stallLoopWhile(
         () -> {
           for (int i = 0; i < 16; i++) {
-            rig.client();
+            rig.connectClient();
           }
         });
     Thread.sleep(1500);
-    ScriptedPeer client = rig.client().write(NodeFixture.get("a2", 1000));
+    ScriptedPeer client = rig.connectClient().write(NodeFixture.readCommand("a2", 1000));
     serve(cache, "a2");
     assertEquals("VA 1 Oa2", client.readLine());
   }
 
   @Test
   void answersFirstRequestThatArrivedInStall() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     client.write("mg key v Oa1 Pc=read");
-    rig.pausedWhile(
+    rig.stallLoopWhile(
         () -> {
           Thread.sleep(2300);
           client.write(",d=4500\r\n");
@@ -99,17 +99,17 @@
     rig = new NodeFixture(1, 128);
     List<ScriptedPeer> clients = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
-      clients.add(rig.client());
+      clients.add(rig.connectClient());
     }
-    rig.client().write("mn\r\n").readLine(); // All earlier clients are accepted.
+    rig.connectClient().write("mn\r\n").readLine(); // All earlier clients are accepted.
     Thread.sleep(100); // Unused connections may now be closed for new ones.
-    rig.pausedWhile(
+    rig.stallLoopWhile(
         () -> {
           for (ScriptedPeer client : clients) {
             client.write("mn\r\n");
           }
           for (int i = 0; i < 20; i++) {
-            rig.client();
+            rig.connectClient();
           }
         });
     for (ScriptedPeer client : clients) {
@@ -119,13 +119,13 @@
 
   @Test
   void keepsConnectionToServerThatAnsweredInStall() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     ScriptedPeer cache = serveFirstRead(client, "a1");
-    client.write(NodeFixture.get("a2", 1000));
+    client.write(NodeFixture.readCommand("a2", 1000));
     String line = cache.readLine();
     assertTrue(line.contains("Oa2 "), line);
     // The server answers in the stall, in which the time allowed for its answer passes.
-    rig.pausedWhile(
+    rig.stallLoopWhile(
         1100,
         () -> {
           cache.write("VA 1 Oa2\r\nx\r\n");
@@ -134,19 +134,19 @@
     assertEquals("VA 1 Oa2", client.readLine());
     assertEquals("x", client.readLine());
     // The connection to this server is kept: the next request is sent on it.
-    client.write(NodeFixture.get("a3", 2000));
+    client.write(NodeFixture.readCommand("a3", 2000));
     serve(cache, "a3");
   }
 
   @Test
   void servesResponseThatBeginsBeforeStallAndEndsAfterIt() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     ScriptedPeer cache = serveFirstRead(client, "a1");
-    client.write(NodeFixture.get("a2", 3000));
+    client.write(NodeFixture.readCommand("a2", 3000));
     cache.readLine();
     cache.write("VA 10 Oa2\r\n01234");
-    rig.settled();
-    rig.pausedWhile(
+    rig.awaitLoopTurns();
+    rig.stallLoopWhile(
         () -> {
           Thread.sleep(500);
         });
@@ -158,11 +158,11 @@
 
   @Test
   void doesNotWriteToConnectionThatWasClosedInStall() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     ScriptedPeer cache = serveFirstRead(client, "a1");
-    rig.pausedWhile(
+    rig.stallLoopWhile(
         () -> {
-          client.write(NodeFixture.put("a2", 2000, "v"));
+          client.write(NodeFixture.writeCommand("a2", 2000, "v"));
           cache.close();
           Thread.sleep(300);
         });
@@ -175,16 +175,16 @@
 
   @Test
   void answersRequestsThatExpiredInStallOnceWithoutSendingThemAgain() throws Exception {
-    ScriptedPeer reader = rig.client();
+    ScriptedPeer reader = rig.connectClient();
     ScriptedPeer cache = serveFirstRead(reader, "a1");
-    ScriptedPeer writer = rig.client();
-    writer.write(NodeFixture.put("w1", 300, "v"));
+    ScriptedPeer writer = rig.connectClient();
+    writer.write(NodeFixture.writeCommand("w1", 300, "v"));
     String writeLine = cache.readLine();
     assertTrue(writeLine.startsWith("ms ") && writeLine.contains("Ow1 "), writeLine);
     cache.readLine();
-    rig.pausedWhile(
+    rig.stallLoopWhile(
         () -> {
-          reader.write(NodeFixture.get("a2", 300));
+          reader.write(NodeFixture.readCommand("a2", 300));
           Thread.sleep(1000);
         });
     assertEquals("SERVER_ERROR failed", writer.readLine());
@@ -211,9 +211,9 @@
       line = watch.readLine();
     }
     watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-    rig.settled();
+    rig.awaitLoopTurns();
     Thread.sleep(2000);
-    rig.pausedWhile(
+    rig.stallLoopWhile(
         () -> {
           // Discovery goes on sending empty lines, which the kernel receives for the node.
           for (int remainingMillis = stallMillis; remainingMillis > 0; remainingMillis -= 1000) {
@@ -221,10 +221,10 @@
             watch.write("1\r\n\n\r\n");
           }
         });
-    rig.settled();
-    String list = NodeFixture.members(8, false, rig.cache.getLocalPort()) + "\n";
+    rig.awaitLoopTurns();
+    String list = NodeFixture.serverListJson(8, false, rig.cache.getLocalPort()) + "\n";
     watch.write(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
-    rig.settled();
+    rig.awaitLoopTurns();
     watch.write("1\r\n\n\r\n");
     assertFalse(rig.hasAnotherDiscoveryCall(300), "the watch was closed and reopened");
   }
@@ -241,8 +241,8 @@
       line = watch.readLine();
     }
     watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-    rig.settled();
-    rig.pausedWhile(() -> Thread.sleep(3300));
+    rig.awaitLoopTurns();
+    rig.stallLoopWhile(() -> Thread.sleep(3300));
     assertTrue(rig.hasAnotherDiscoveryCall(1000), "the silent watch was not reopened");
   }
 }
--- a/engine/src/test/java/shalepaddle/node/IdempotencyWindowRetryTest.java
+++ b/engine/src/test/java/shalepaddle/node/IdempotencyWindowRetryTest.java
@@ -49,8 +49,7 @@
   private static void assertNextRequest(ScriptedPeer cache, String id) throws IOException {
     String line = cache.readLine();
     assertTrue(
-        line != null && line.contains("O" + id + " "),
-        "expected request " + id + ", got " + line);
+        line != null && line.contains("O" + id + " "), "expected request " + id + ", got " + line);
   }
 
   private ScriptedPeer acceptWrite() throws IOException {
@@ -63,11 +62,11 @@
   @Test
   void doesNotRetryWhenConnectionIsFreeOnlyAfterWindow() throws Exception {
     rig = new NodeFixture(SETTINGS.formatted(false, 1, WINDOW_MILLIS / 1000));
-    ScriptedPeer writer = rig.client().write(NodeFixture.put("k1", 20_000, "v"));
+    ScriptedPeer writer = rig.connectClient().write(NodeFixture.writeCommand("k1", 20_000, "v"));
     final long sentAtNanos = System.nanoTime();
     ScriptedPeer cache = acceptWrite();
-    ScriptedPeer reader = rig.client().write(NodeFixture.get("r1", 20_000));
-    rig.settled();
+    ScriptedPeer reader = rig.connectClient().write(NodeFixture.readCommand("r1", 20_000));
+    rig.awaitLoopTurns();
     cache.reset();
     ScriptedPeer newConnection = rig.acceptCache();
     assertNextRequest(newConnection, "r1");
@@ -75,29 +74,29 @@
     newConnection.write("VA 1 Or1\r\nx\r\n");
     assertEquals("VA 1 Or1", reader.readLine());
     assertEquals("x", reader.readLine());
-    reader.write(NodeFixture.get("r2", 20_000));
+    reader.write(NodeFixture.readCommand("r2", 20_000));
     assertNextRequest(newConnection, "r2");
   }
 
   @Test
   void doesNotRetryBehindBytesWrittenOnlyAfterWindow() throws Exception {
     rig = new NodeFixture(SETTINGS.formatted(true, 400, WINDOW_MILLIS / 1000));
-    ScriptedPeer writer = rig.client().write(NodeFixture.put("k1", 20_000, "v"));
+    ScriptedPeer writer = rig.connectClient().write(NodeFixture.writeCommand("k1", 20_000, "v"));
     final long sentAtNanos = System.nanoTime();
     ScriptedPeer cache = acceptWrite();
     int valueBytes = 4 << 20;
-    String largeWrite = NodeFixture.put("w1", 20_000, "v".repeat(valueBytes));
-    ScriptedPeer otherWriter = rig.client().write(largeWrite.replace("c=put", "c=other"));
+    String largeWrite = NodeFixture.writeCommand("w1", 20_000, "v".repeat(valueBytes));
+    ScriptedPeer otherWriter = rig.connectClient().write(largeWrite.replace("c=put", "c=other"));
     // The server reads only the first line of the large write; the rest fills the socket buffers.
     assertNextRequest(cache, "w1");
-    rig.settled();
+    rig.awaitLoopTurns();
     // This response does not say whether the write k1 ran, so the node retries k1.
     cache.write("SERVER_ERROR failed\r\n");
     assertAnsweredWhenWindowEnds(writer, sentAtNanos);
     cache.readBytes(valueBytes + 2);
     cache.write("HD Ow1 c1\r\n");
     assertEquals("HD Ow1 c1", otherWriter.readLine());
-    ScriptedPeer lastReader = rig.client().write(NodeFixture.get("r1", 20_000));
+    ScriptedPeer lastReader = rig.connectClient().write(NodeFixture.readCommand("r1", 20_000));
     assertNextRequest(cache, "r1");
     cache.write("VA 1 Or1\r\nx\r\n");
     assertEquals("VA 1 Or1", lastReader.readLine());
@@ -106,10 +105,10 @@
   @Test
   void retriesWhenConnectionIsFreeWithinWindow() throws Exception {
     rig = new NodeFixture(SETTINGS.formatted(false, 1, "10"));
-    ScriptedPeer writer = rig.client().write(NodeFixture.put("k1", 20_000, "v"));
+    ScriptedPeer writer = rig.connectClient().write(NodeFixture.writeCommand("k1", 20_000, "v"));
     ScriptedPeer cache = acceptWrite();
-    ScriptedPeer reader = rig.client().write(NodeFixture.get("r1", 20_000));
-    rig.settled();
+    ScriptedPeer reader = rig.connectClient().write(NodeFixture.readCommand("r1", 20_000));
+    rig.awaitLoopTurns();
     cache.reset();
     ScriptedPeer newConnection = rig.acceptCache();
     assertNextRequest(newConnection, "r1");
--- a/engine/src/test/java/shalepaddle/node/LargeValuesTest.java
+++ b/engine/src/test/java/shalepaddle/node/LargeValuesTest.java
@@ -66,7 +66,7 @@
   }
 
   private ScriptedPeer sendRead(ScriptedPeer client, String id) throws Exception {
-    client.write(NodeFixture.get(id, 2000));
+    client.write(NodeFixture.readCommand(id, 2000));
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.readLine().contains("O" + id + " "));
     return cache;
@@ -76,13 +76,13 @@
   @ValueSource(ints = {65536, 65537, 100_000, 1 << 20, MAX_VALUE_BYTES})
   void servesLargeValueAndReusesConnection(int valueBytes) throws Exception {
     byte[] value = randomValue(valueBytes);
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     ScriptedPeer cache = sendRead(client, "a1");
     writeInBackground(cache, replyBytes("a1", value));
     assertEquals("VA " + valueBytes + " Oa1", client.readLine());
     assertArrayEquals(value, client.readBytes(valueBytes));
     assertEquals("", client.readLine());
-    client.write(NodeFixture.get("a2", 2000));
+    client.write(NodeFixture.readCommand("a2", 2000));
     assertTrue(cache.readLine().contains("Oa2 "), "the server connection is not used again");
     cache.write("VA 1 Oa2\r\nx\r\n");
     assertEquals("VA 1 Oa2", client.readLine());
@@ -92,8 +92,8 @@
   void forwardsPartsOfValueAsTheyArriveAlsoPastDeadline() throws Exception {
     byte[] value = randomValue(200_000);
     byte[] reply = replyBytes("a1", value);
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 400));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 400));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     cache.write(Arrays.copyOf(reply, 50_000));
@@ -109,7 +109,7 @@
   @Test
   void readsReplySplitAtAnyByteOfHeadAndAtChunkBoundaries() throws Exception {
     byte[] value = randomValue(70_000);
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     ScriptedPeer cache = null;
     int headBytes = replyBytes("b00", value).length - value.length - 2;
     int[] valueOffsets = {16_383, 16_384, 16_385, value.length - 1, value.length, value.length + 1};
@@ -118,11 +118,11 @@
       byte[] reply = replyBytes(id, value);
       int splitOffset =
           caseNumber < headBytes ? caseNumber : headBytes + valueOffsets[caseNumber - headBytes];
-      client.write(NodeFixture.get(id, 5000));
+      client.write(NodeFixture.readCommand(id, 5000));
       cache = cache == null ? rig.acceptCache() : cache;
       cache.readLine();
       cache.write(Arrays.copyOf(reply, splitOffset));
-      rig.settled();
+      rig.awaitLoopTurns();
       cache.write(Arrays.copyOfRange(reply, splitOffset, reply.length));
       assertEquals("VA 70000 O" + id, client.readLine());
       assertArrayEquals(value, client.readBytes(value.length));
@@ -133,7 +133,7 @@
   @Test
   void closesClientConnectionWhenServerBreaksOffWithinValue() throws Exception {
     byte[] reply = replyBytes("a1", randomValue(1 << 20));
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     ScriptedPeer cache = sendRead(client, "a1");
     cache.write(Arrays.copyOf(reply, 300_000));
     cache.close();
@@ -149,7 +149,7 @@
 
   @Test
   void answersErrorWhenServerBreaksOffBeforeForwardingBegins() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     ScriptedPeer cache = sendRead(client, "a1");
     cache.write(Arrays.copyOf(replyBytes("a1", randomValue(1 << 20)), 10_000));
     cache.close();
@@ -158,7 +158,7 @@
 
   @Test
   void closesServerConnectionWhenClientDisconnectsWithinValue() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     ScriptedPeer cache = sendRead(client, "a1");
     Thread writerThread = writeInBackground(cache, replyBytes("a1", randomValue(MAX_VALUE_BYTES)));
     assertEquals("VA 4194304 Oa1", client.readLine());
@@ -166,7 +166,7 @@
     assertTrue(cache.closedByPeer());
     writerThread.join();
     // Other requests are still served.
-    ScriptedPeer otherClient = rig.client();
+    ScriptedPeer otherClient = rig.connectClient();
     ScriptedPeer newConnection = sendRead(otherClient, "a2");
     newConnection.write("VA 1 Oa2\r\nx\r\n");
     assertEquals("VA 1 Oa2", otherClient.readLine());
@@ -175,15 +175,15 @@
   @Test
   void largeValueWaitsForPreviousResponse() throws Exception {
     byte[] value = randomValue(500_000);
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 5000) + NodeFixture.get("a2", 5000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 5000) + NodeFixture.readCommand("a2", 5000));
     ScriptedPeer oneConnection = rig.acceptCache();
     ScriptedPeer otherConnection = rig.acceptCache();
     boolean isFirstRequestOnOneConnection = oneConnection.readLine().contains("Oa1 ");
     otherConnection.readLine();
     writeInBackground(
         isFirstRequestOnOneConnection ? otherConnection : oneConnection, replyBytes("a2", value));
-    rig.settled();
+    rig.awaitLoopTurns();
     (isFirstRequestOnOneConnection ? oneConnection : otherConnection).write("VA 1 Oa1\r\nx\r\n");
     assertEquals("VA 1 Oa1", client.readLine());
     assertEquals("x", client.readLine());
@@ -193,7 +193,7 @@
 
   @Test
   void rejectsValueOneByteLongerThanMaximum() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     ScriptedPeer cache = sendRead(client, "a1");
     cache.write("VA " + (MAX_VALUE_BYTES + 1) + " Oa1\r\n");
     assertEquals("SERVER_ERROR busy", client.readLine());
@@ -204,13 +204,12 @@
   @Test
   void forwardsLargeWriteThatArrivesSlowly() throws Exception {
     byte[] value = randomValue(MAX_VALUE_BYTES);
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     client.write("ms key " + MAX_VALUE_BYTES + " Oa1 Pc=put,d=2000\r\n");
     // In all, the write takes longer than the node waits for a client that stops within a command.
     for (int i = 0; i < 16; i++) {
       client.write(
-          Arrays.copyOfRange(
-              value, i * (MAX_VALUE_BYTES / 16), (i + 1) * (MAX_VALUE_BYTES / 16)));
+          Arrays.copyOfRange(value, i * (MAX_VALUE_BYTES / 16), (i + 1) * (MAX_VALUE_BYTES / 16)));
       TimeUnit.MILLISECONDS.sleep(160);
     }
     client.write("\r\n");
--- a/engine/src/test/java/shalepaddle/node/NodeFixture.java
+++ b/engine/src/test/java/shalepaddle/node/NodeFixture.java
@@ -119,7 +119,8 @@
           "services":[{"name":"read","effect":"retryable","slo":0.75,"give-up":2},
                       {"name":"put","effect":"fragile","slo":0.3,"give-up":2}]%s}}
         """
-        .formatted(discovery.getLocalPort(), members(7, true, cache.getLocalPort()), settings);
+        .formatted(
+            discovery.getLocalPort(), serverListJson(7, true, cache.getLocalPort()), settings);
   }
 
   NodeConfig config(String settings) throws Exception {
@@ -137,15 +138,15 @@
   }
 
   /** A server list with one active server for each port. */
-  static String members(int version, boolean isFull, int... ports) {
+  static String serverListJson(int version, boolean isFull, int... ports) {
     StringBuilder servers = new StringBuilder();
     for (int port : ports) {
-      servers.append(servers.isEmpty() ? "" : ",").append(member("s-" + port, port, "active"));
+      servers.append(servers.isEmpty() ? "" : ",").append(serverJson("s-" + port, port, "active"));
     }
     return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, isFull, servers);
   }
 
-  static String member(String id, int port, String state) {
+  static String serverJson(String id, int port, String state) {
     return """
         {"id":"%s","addr":"127.0.0.1:%d","zone":"a","kind":"m","cell":0,"state":"%s","weight":1.0,\
         "started_ms":0}"""
@@ -158,12 +159,12 @@
   }
 
   /** A read command with a deadline in milliseconds. */
-  static String get(String id, int deadlineMillis) {
+  static String readCommand(String id, int deadlineMillis) {
     return "mg key v O" + id + " Pc=read,d=" + deadlineMillis + "\r\n";
   }
 
   /** A write command with a deadline in milliseconds. */
-  static String put(String id, int deadlineMillis, String value) {
+  static String writeCommand(String id, int deadlineMillis, String value) {
     return "ms key "
         + value.length()
         + " O"
@@ -175,22 +176,22 @@
         + "\r\n";
   }
 
-  ScriptedPeer client() throws IOException {
+  ScriptedPeer connectClient() throws IOException {
     return closeAtEnd(ScriptedPeer.connect(address));
   }
 
   /** An action of a test during a stall of the event loop. */
-  interface Meanwhile {
-    void happens() throws Exception;
+  interface StallAction {
+    void run() throws Exception;
   }
 
   /** Stalls the event loop for 120 ms, and then until the action has run. */
-  void pausedWhile(Meanwhile action) throws Exception {
-    pausedWhile(120, action);
+  void stallLoopWhile(StallAction action) throws Exception {
+    stallLoopWhile(120, action);
   }
 
   /** Stalls the event loop for the given milliseconds, and then until the action has run. */
-  void pausedWhile(long minStallMillis, Meanwhile action) throws Exception {
+  void stallLoopWhile(long minStallMillis, StallAction action) throws Exception {
     CountDownLatch stallBegun = new CountDownLatch(1);
     CountDownLatch actionEnded = new CountDownLatch(1);
     Runnable stall =
@@ -208,7 +209,7 @@
             });
     stallBegun.await();
     try {
-      action.happens();
+      action.run();
     } finally {
       actionEnded.countDown();
     }
@@ -223,7 +224,7 @@
   }
 
   /** Waits for three turns, in which the event loop reads what has arrived. */
-  void settled() throws InterruptedException {
+  void awaitLoopTurns() throws InterruptedException {
     for (int i = 0; i < 3; i++) {
       CountDownLatch turnEnded = new CountDownLatch(1);
       node.loop().schedule(turnEnded::countDown, 5, TimeUnit.MILLISECONDS);
--- a/engine/src/test/java/shalepaddle/node/NodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/NodeTest.java
@@ -45,7 +45,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"", " h1", " h0", " h0 Z", " h1 Linflight=7,queue=2,util=0.61"})
   void servesReadWithAnyResponseFlags(String responseFlags) throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     String command = "mg key v Oa1 Pc=read,t=acme,d=2000,x=y\r\n";
     client.write(command);
     ScriptedPeer cache = rig.acceptCache();
@@ -61,7 +61,7 @@
 
   @Test
   void forwardsWriteAndReturnsItsReceipt() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     String command = "ms key 4 Oa1 Pc=put,d=2000,k=77\r\n\r\n\r\n\r\n";
     client.write(command);
     ScriptedPeer cache = rig.acceptCache();
@@ -73,8 +73,9 @@
 
   @Test
   void readsCommandSentInSingleBytes() throws Exception {
-    ScriptedPeer client = rig.client();
-    for (byte b : NodeFixture.put("a1", 2000, "hello").getBytes(StandardCharsets.ISO_8859_1)) {
+    ScriptedPeer client = rig.connectClient();
+    for (byte b :
+        NodeFixture.writeCommand("a1", 2000, "hello").getBytes(StandardCharsets.ISO_8859_1)) {
       client.write(new byte[] {b});
     }
     ScriptedPeer cache = rig.acceptCache();
@@ -88,8 +89,9 @@
 
   @Test
   void answersPipelinedCommandsInOrder() throws Exception {
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 2000) + "mn\r\n" + NodeFixture.get("a2", 2000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(
+        NodeFixture.readCommand("a1", 2000) + "mn\r\n" + NodeFixture.readCommand("a2", 2000));
     ScriptedPeer firstConnection = rig.acceptCache();
     ScriptedPeer secondConnection = rig.acceptCache();
     String id = firstConnection.readLine().contains("Oa1 ") ? "a1" : "a2";
@@ -107,15 +109,15 @@
 
   @Test
   void reusesServerConnectionForNextRequest() throws Exception {
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 2000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     for (int i = 1; i < 4; i++) {
       assertTrue(cache.readLine().contains("Oa" + i + " "));
       cache.write("VA 1 Oa" + i + "\r\nx\r\n");
       assertEquals("VA 1 Oa" + i, client.readLine());
       assertEquals("x", client.readLine());
-      client.write(NodeFixture.get("a" + (i + 1), 2000));
+      client.write(NodeFixture.readCommand("a" + (i + 1), 2000));
     }
   }
 
@@ -134,11 +136,11 @@
   })
   void failsWriteThatMayHaveRunAndRejectsOtherRequests(
       String serviceClass, String reply, String expectedAnswer) throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     client.write(
         serviceClass.equals("put")
-            ? NodeFixture.put("a1", 2000, "v")
-            : NodeFixture.get("a1", 2000));
+            ? NodeFixture.writeCommand("a1", 2000, "v")
+            : NodeFixture.readCommand("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     cache.write(reply + "\r\n");
@@ -147,8 +149,8 @@
 
   @Test
   void closesServerConnectionWhenResponseIdDoesNotMatch() throws Exception {
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 2000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     cache.write("VA 1 Oa2\r\nx\r\n");
@@ -159,15 +161,15 @@
   @Test
   void rejectsWriteWhenServerIsUnreachable() throws Exception {
     rig.cache.close();
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.put("a1", 2000, "v"));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.writeCommand("a1", 2000, "v"));
     assertEquals("SERVER_ERROR busy", client.readLine());
   }
 
   @Test
   void failsWriteWhenConnectionBreaksAfterLastByte() throws Exception {
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.put("a1", 2000, "v"));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.writeCommand("a1", 2000, "v"));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     cache.readLine();
@@ -177,15 +179,15 @@
 
   @Test
   void keepsUsingServerThatResetsSingleConnections() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     for (int i = 0; i < 4; i++) {
-      client.write(NodeFixture.get("a" + i, 2000));
+      client.write(NodeFixture.readCommand("a" + i, 2000));
       ScriptedPeer cache = rig.acceptCache();
       assertTrue(cache.readLine().contains("Oa" + i + " "));
       cache.reset();
       assertEquals("SERVER_ERROR busy", client.readLine());
     }
-    client.write(NodeFixture.get("b", 2000));
+    client.write(NodeFixture.readCommand("b", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     cache.write("VA 1 Ob\r\nx\r\n");
@@ -194,17 +196,17 @@
 
   @Test
   void doesNotTreatRefusedConnectAsConnectionLimit() throws Exception {
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 20_000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     rig.cache.close();
-    client.write(NodeFixture.get("a2", 20_000));
+    client.write(NodeFixture.readCommand("a2", 20_000));
     assertTrue(
         cache.readLine().startsWith("mg key v Oa2 "),
         "a2 was not sent on the open connection, though no other could be opened");
     try (ServerSocket restartedServer = NodeFixture.listen(rig.cache.getLocalPort())) {
-      client.write(NodeFixture.get("a3", 20_000));
+      client.write(NodeFixture.readCommand("a3", 20_000));
       try (ScriptedPeer newConnection = new ScriptedPeer(restartedServer.accept())) {
         assertTrue(newConnection.readLine().startsWith("mg key v Oa3 "));
       }
@@ -219,8 +221,8 @@
             """
             ,"caps":{"attempts-cap":1,"parallel-tries":true,"multiplex":100,"conn-idle":60,\
             "connect-timeout":0.15,"retry-after":true,"max-retry-after":0.4}""");
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 2000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 2000));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     cache.write("SERVER_ERROR busy\r\n");
@@ -228,7 +230,7 @@
         "SERVER_ERROR busy", client.readLine(), "a Retry-After was sent before rates are measured");
     // Rates are measured over a second.
     Thread.sleep(1100);
-    client.write(NodeFixture.get("a2", 2000));
+    client.write(NodeFixture.readCommand("a2", 2000));
     cache.readLine();
     cache.write("SERVER_ERROR busy\r\n");
     assertEquals(
@@ -239,10 +241,10 @@
 
   @Test
   void stopsReusingConnectionsThatBreakAfterPauses() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     String reusedLine = null;
     for (int i = 0; i < 100; i++) {
-      client.write(NodeFixture.get("a" + i, 2000));
+      client.write(NodeFixture.readCommand("a" + i, 2000));
       ScriptedPeer cache = rig.acceptCache();
       cache.readLine();
       cache.write("VA 1 Oa" + i + "\r\nx\r\n");
@@ -250,7 +252,7 @@
       client.readLine();
       // The connection is idle for this time before it is used again.
       Thread.sleep(20);
-      client.write(NodeFixture.get("b" + i, 2000));
+      client.write(NodeFixture.readCommand("b" + i, 2000));
       reusedLine = cache.readLine();
       if (reusedLine == null) {
         ScriptedPeer newConnection = rig.acceptCache();
@@ -273,21 +275,21 @@
             """
             ,"instances":28,"caps":{"attempts-cap":1,"parallel-tries":true,"multiplex":100,\
             "connect-timeout":0.15,"conn-idle":60}""");
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     // While the server reads nothing, the writes exceed the socket buffers of one connection. The
     // system lets these grow to 4 MB, about as much as one client can have open, so two clients
     // write.
     int writesPerClient = 64;
     for (int i = 0; i < writesPerClient; i++) {
-      client.write(NodeFixture.put("a" + i, 20_000, "v".repeat(1 << 16)));
+      client.write(NodeFixture.writeCommand("a" + i, 20_000, "v".repeat(1 << 16)));
     }
-    ScriptedPeer lastClient = rig.client();
+    ScriptedPeer lastClient = rig.connectClient();
     for (int i = 0; i < writesPerClient; i++) {
-      lastClient.write(NodeFixture.put("b" + i, 20_000, "v".repeat(1 << 16)));
+      lastClient.write(NodeFixture.writeCommand("b" + i, 20_000, "v".repeat(1 << 16)));
     }
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
-    ScriptedPeer otherClient = rig.client();
+    ScriptedPeer otherClient = rig.connectClient();
     otherClient.write("mn\r\n");
     assertEquals("MN", otherClient.readLine());
     // For writes that the node reads only after the reset, there is no server to connect to.
@@ -303,8 +305,8 @@
 
   @Test
   void answersAtDeadlineAndClosesServerConnections() throws Exception {
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.put("a1", 200, "v") + NodeFixture.get("a2", 200));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.writeCommand("a1", 200, "v") + NodeFixture.readCommand("a2", 200));
     ScriptedPeer cache = rig.acceptCache();
     ScriptedPeer otherConnection = rig.acceptCache();
     assertEquals("SERVER_ERROR failed", client.readLine());
@@ -323,8 +325,8 @@
 
   @Test
   void cancelsAttemptWhenClientDisconnects() throws Exception {
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 60_000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 60_000));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     client.close();
@@ -350,7 +352,7 @@
       })
   void answersBadCommandWithErrorAndReadsNextCommand(String command, String expectedAnswer)
       throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     client.write(command + "\r\nmn\r\n");
     assertEquals(expectedAnswer, client.readLine());
     assertEquals("MN", client.readLine());
@@ -358,7 +360,7 @@
 
   @Test
   void skipsValueOfBadWrite() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     client.write("ms key 4 Pc=put,d=5\r\nmn\r\n\r\nmn\r\n");
     assertEquals("CLIENT_ERROR bad or missing id", client.readLine());
     assertEquals("MN", client.readLine());
@@ -376,8 +378,8 @@
         "\n",
       })
   void closesConnectionWhenCommandsCannotBeDelimited(String commandText) throws Exception {
-    ScriptedPeer client = rig.client();
-    ScriptedPeer otherClient = rig.client();
+    ScriptedPeer client = rig.connectClient();
+    ScriptedPeer otherClient = rig.connectClient();
     client.write(commandText);
     assertTrue(client.readLine().startsWith("CLIENT_ERROR "));
     assertNull(client.readLine());
@@ -387,7 +389,7 @@
 
   @Test
   void closesConnectionWhenLineIsTooLong() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     client.write("\0".repeat(MetaLine.MAX_LINE_BYTES));
     assertEquals("CLIENT_ERROR line too long", client.readLine());
     assertNull(client.readLine());
@@ -397,17 +399,17 @@
   void cancelsAttemptWithoutBreakingOthersOnItsConnection() throws Exception {
     rig.close();
     rig = new NodeFixture(1);
-    ScriptedPeer leavingClient = rig.client();
-    leavingClient.write(NodeFixture.get("a1", 60_000));
+    ScriptedPeer leavingClient = rig.connectClient();
+    leavingClient.write(NodeFixture.readCommand("a1", 60_000));
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.readLine().contains("Oa1 "));
-    ScriptedPeer stayingClient = rig.client();
-    stayingClient.write(NodeFixture.get("a2", 60_000));
+    ScriptedPeer stayingClient = rig.connectClient();
+    stayingClient.write(NodeFixture.readCommand("a2", 60_000));
     assertTrue(cache.readLine().contains("Oa2 "));
     leavingClient.close();
     // The next request goes on a new connection: one with a cancelled attempt is not used again.
-    ScriptedPeer laterClient = rig.client();
-    laterClient.write(NodeFixture.get("a3", 60_000));
+    ScriptedPeer laterClient = rig.connectClient();
+    laterClient.write(NodeFixture.readCommand("a3", 60_000));
     assertTrue(rig.acceptCache().readLine().contains("Oa3 "));
     cache.write("VA 1 Oa1\r\n1\r\nVA 1 Oa2\r\n2\r\n");
     assertEquals("VA 1 Oa2", stayingClient.readLine());
@@ -416,18 +418,18 @@
 
   @Test
   void drainServesRequestsAndClosesConnectionsAfterResponses() throws Exception {
-    ScriptedPeer idleClient = rig.client();
+    ScriptedPeer idleClient = rig.connectClient();
     idleClient.write("mn\r\n");
     assertEquals("MN", idleClient.readLine());
-    ScriptedPeer waitingClient = rig.client();
-    waitingClient.write(NodeFixture.get("a1", 20_000));
+    ScriptedPeer waitingClient = rig.connectClient();
+    waitingClient.write(NodeFixture.readCommand("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
-    ScriptedPeer unusedClient = rig.client();
+    ScriptedPeer unusedClient = rig.connectClient();
     Thread drainThread = new Thread(rig.node::drain);
     drainThread.start();
     // Clients that connect at the beginning of the restart are still accepted.
-    ScriptedPeer lateClient = rig.client();
+    ScriptedPeer lateClient = rig.connectClient();
     lateClient.write("mn\r\n");
     assertEquals("MN", lateClient.readLine());
     unusedClient.write("mn\r\n");
@@ -435,7 +437,7 @@
     rig.awaitClosedListener();
     // Guards against clients that no process serves in a restart: a draining node still serves
     // open connections, with deadlines shortened to the time left until its drain must end.
-    idleClient.write(NodeFixture.get("a2", 20_000));
+    idleClient.write(NodeFixture.readCommand("a2", 20_000));
     ScriptedPeer newConnection = rig.acceptCache();
     assertTrue(deadlineMillis(newConnection.readLine()) < 3000);
     newConnection.write("VA 1 Oa2\r\nx\r\n");
@@ -455,7 +457,7 @@
 
   @Test
   void closesClientThatStopsSendingWithinCommand() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     client.write("mg ke");
     assertTrue(client.closedByPeer());
   }
@@ -464,15 +466,15 @@
   void closesServerConnectionAfterDuplicateResponse() throws Exception {
     rig.close();
     rig = new NodeFixture(1);
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 5000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 5000));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     // The duplicate must not be read as the response to the write below, which is sent only once.
     cache.write("VA 1 Oa1\r\nx\r\nVA 1 Oa1\r\nx\r\n");
     assertEquals("VA 1 Oa1", client.readLine());
     assertEquals("x", client.readLine());
-    client.write(NodeFixture.put("a2", 5000, "v"));
+    client.write(NodeFixture.writeCommand("a2", 5000, "v"));
     ScriptedPeer newConnection = rig.acceptCache();
     newConnection.readLine();
     newConnection.readLine();
@@ -484,15 +486,15 @@
   @ParameterizedTest
   @ValueSource(strings = {"noise", "noise\r\n", "SERVER_ERROR busy\r\n", "VA 9 O"})
   void closesServerConnectionWithBytesAfterLastResponse(String trailingBytes) throws Exception {
-    ScriptedPeer client = rig.client();
-    client.write(NodeFixture.get("a1", 5000));
+    ScriptedPeer client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 5000));
     ScriptedPeer cache = rig.acceptCache();
     cache.readLine();
     cache.write("VA 1 Oa1\r\nx\r\n" + trailingBytes);
     assertEquals("VA 1 Oa1", client.readLine());
     assertEquals("x", client.readLine());
     assertTrue(cache.closedByPeer());
-    client.write(NodeFixture.put("a2", 5000, "v"));
+    client.write(NodeFixture.writeCommand("a2", 5000, "v"));
     ScriptedPeer newConnection = rig.acceptCache();
     newConnection.readLine();
     newConnection.readLine();
@@ -523,12 +525,12 @@
       ScriptedPeer discovery = rig.acceptDiscovery();
       discovery.readLine();
       String list =
-          NodeFixture.members(8, true, rig.cache.getLocalPort(), secondServer.getLocalPort())
+          NodeFixture.serverListJson(8, true, rig.cache.getLocalPort(), secondServer.getLocalPort())
               + "\n";
       discovery.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
       assertTrue(rig.acceptDiscovery().readLine().contains("since=8 "));
-      ScriptedPeer client = rig.client();
-      client.write(NodeFixture.get("a1", 60_000));
+      ScriptedPeer client = rig.connectClient();
+      client.write(NodeFixture.readCommand("a1", 60_000));
       ScriptedPeer brokenConnection = NodeFixture.acceptEither(rig.cache, secondServer);
       brokenConnection.readLine();
       brokenConnection.write(malformedResponse);
@@ -544,14 +546,14 @@
 
   @Test
   void closesClientAfterRepeatedErrors() throws Exception {
-    ScriptedPeer client = rig.client();
+    ScriptedPeer client = rig.connectClient();
     client.write("nonsense\r\n".repeat(300));
     String line = client.readLine();
     while (line != null) {
       assertEquals("ERROR", line);
       line = client.readLine();
     }
-    ScriptedPeer otherClient = rig.client();
+    ScriptedPeer otherClient = rig.connectClient();
     otherClient.write("mn\r\n");
     assertEquals("MN", otherClient.readLine());
   }
--- a/engine/src/test/java/shalepaddle/node/TurnsTest.java
+++ b/engine/src/test/java/shalepaddle/node/RequestQueueTest.java
@@ -22,14 +22,14 @@
  * Requests that a turn of the event loop has no time to route. A send takes 2 ms of virtual time, a
  * turn without a send 1 µs.
  */
-class TurnsTest {
+class RequestQueueTest {
   private final List<String> sentIds = new ArrayList<>();
   private final List<Reply> replies = new ArrayList<>();
   private final List<String> rejectedIds = new ArrayList<>();
   private final List<Long> turnDurationsMillis = new ArrayList<>();
 
-  private final VirtualEngine engine =
-      new VirtualEngine(
+  private final VirtualTimeEngine engine =
+      new VirtualTimeEngine(
           new LoopClock.Listener() {
             @Override
             public void onStall(long stallNanos) {
@@ -49,9 +49,9 @@
 
   private final Dispatcher dispatcher;
 
-  TurnsTest() throws Exception {
+  RequestQueueTest() throws Exception {
     dispatcher =
-        engine.start(
+        engine.startDispatcher(
             """
             "attempts-cap":1
             """,
@@ -80,7 +80,8 @@
   void closeAndAssertPayloadsReleased() {
     dispatcher.close();
     assertEquals(0, dispatcher.openRequests());
-    assertEquals(engine.released, replies.size(), "released payloads do not match the replies");
+    assertEquals(
+        engine.releasedPayloads, replies.size(), "released payloads do not match the replies");
     engine.close();
   }
 
@@ -90,7 +91,7 @@
     return dispatcher.submit(
         new Call(
             request,
-            engine.payload(),
+            engine.createPayload(),
             reply -> {
               replies.add(reply);
               if (reply instanceof Reply.Rejected) {
--- a/engine/src/test/java/shalepaddle/node/SheddingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/RequestRejectionTest.java
@@ -20,7 +20,7 @@
 import shalepaddle.overload.OverloadSnapshot;
 
 /** Tests rejection of requests before they are parsed, and reading of the requests after them. */
-class SheddingNodeTest {
+class RequestRejectionTest {
   /** Rejects all requests of the first service class, with a Retry-After of 40 ms. */
   private static final class RejectingAdmission implements RequestAdmission {
     private final List<String> admitCalls = new ArrayList<>();
@@ -62,7 +62,8 @@
   @Test
   void rejectsReadAndAdmitsWriteOfOtherClass() throws Exception {
     EmbeddedChannel channel = createChannel();
-    channel.writeInbound(toBytes(NodeFixture.get("a1", 500) + NodeFixture.put("w1", 500, "value")));
+    channel.writeInbound(
+        toBytes(NodeFixture.readCommand("a1", 500) + NodeFixture.writeCommand("w1", 500, "value")));
     ClientCommand readCommand = channel.readInbound();
     assertEquals(1, readCommand.rejections().count());
     assertEquals("SERVER_ERROR busy 40\r\n", releaseAndGetAnswer(readCommand));
@@ -82,7 +83,8 @@
       channel.writeInbound(toBytes(writeText.substring(0, splitOffset)));
       assertNull(channel.<ClientCommand>readInbound());
       channel.writeInbound(
-          toBytes(writeText.substring(splitOffset) + NodeFixture.get("a" + splitOffset, 500)));
+          toBytes(
+              writeText.substring(splitOffset) + NodeFixture.readCommand("a" + splitOffset, 500)));
       ClientCommand rejectedCommand = channel.readInbound();
       assertEquals(1, rejectedCommand.rejections().count());
       assertEquals(40, rejectedCommand.rejections().retryAfterMillis());
@@ -100,11 +102,11 @@
     EmbeddedChannel channel = createChannel();
     StringBuilder requestText = new StringBuilder();
     for (int i = 0; i < 5; i++) {
-      requestText.append(NodeFixture.get("a" + i, 500));
+      requestText.append(NodeFixture.readCommand("a" + i, 500));
     }
     requestText
-        .append(NodeFixture.put("w1", 500, "v"))
-        .append(NodeFixture.get("b1", 500))
+        .append(NodeFixture.writeCommand("w1", 500, "v"))
+        .append(NodeFixture.readCommand("b1", 500))
         .append("mg ke");
     channel.writeInbound(toBytes(requestText.toString()));
     ClientCommand combinedRejections = channel.readInbound();
@@ -150,7 +152,8 @@
   void callsAdmissionForEachRequestWhenNothingIsRejected() throws Exception {
     admission.isRejecting = false;
     EmbeddedChannel channel = createChannel();
-    channel.writeInbound(toBytes(NodeFixture.get("a1", 500) + NodeFixture.put("w1", 500, "value")));
+    channel.writeInbound(
+        toBytes(NodeFixture.readCommand("a1", 500) + NodeFixture.writeCommand("w1", 500, "value")));
     ClientCommand readCommand = channel.readInbound();
     assertEquals(0, readCommand.rejections().count());
     readCommand.release();
--- a/engine/src/test/java/shalepaddle/node/ServerConnectionRejectedTest.java
+++ b/engine/src/test/java/shalepaddle/node/ServerConnectionRejectedTest.java
@@ -30,11 +30,11 @@
   /** Sends a1 on an open connection, and the given request b1 as the first on a new connection. */
   private void sendOnOpenAndNewConnection(int maxAttempts, String secondRequest) throws Exception {
     rig = new NodeFixture(CAPS_SETTING.formatted(maxAttempts));
-    client = rig.client();
-    client.write(NodeFixture.get("a1", 5000));
+    client = rig.connectClient();
+    client.write(NodeFixture.readCommand("a1", 5000));
     openConnection = rig.acceptCache();
     assertTrue(openConnection.readLine().contains("Oa1 "));
-    secondClient = rig.client();
+    secondClient = rig.connectClient();
     secondClient.write(secondRequest);
     newConnection = rig.acceptCache();
     assertTrue(newConnection.readLine().contains("Ob1 "));
@@ -52,7 +52,7 @@
 
   @Test
   void sendsRequestAgainOnOpenConnection() throws Exception {
-    sendOnOpenAndNewConnection(2, NodeFixture.get("b1", 5000));
+    sendOnOpenAndNewConnection(2, NodeFixture.readCommand("b1", 5000));
     rejectNewConnection();
     assertTrue(openConnection.readLine().contains("Ob1 "));
     openConnection.write("VA 1 Oa1\r\nx\r\nVA 1 Ob1\r\ny\r\n");
@@ -62,7 +62,7 @@
 
   @Test
   void sendsNonIdempotentWriteAgainOnOpenConnection() throws Exception {
-    sendOnOpenAndNewConnection(2, NodeFixture.put("b1", 5000, "v"));
+    sendOnOpenAndNewConnection(2, NodeFixture.writeCommand("b1", 5000, "v"));
     rejectNewConnection();
     assertTrue(openConnection.readLine().contains("Ob1 "));
     assertEquals("v", openConnection.readLine());
@@ -72,11 +72,11 @@
 
   @Test
   void doesNotOpenMoreConnectionsForSomeTimeAfterRejection() throws Exception {
-    sendOnOpenAndNewConnection(2, NodeFixture.get("b1", 5000));
+    sendOnOpenAndNewConnection(2, NodeFixture.readCommand("b1", 5000));
     rejectNewConnection();
     assertTrue(openConnection.readLine().contains("Ob1 "));
-    ScriptedPeer thirdClient = rig.client();
-    thirdClient.write(NodeFixture.put("c1", 5000, "v"));
+    ScriptedPeer thirdClient = rig.connectClient();
+    thirdClient.write(NodeFixture.writeCommand("c1", 5000, "v"));
     assertTrue(openConnection.readLine().contains("Oc1 "));
     rig.cache.setSoTimeout(20);
     assertThrows(SocketTimeoutException.class, rig::acceptCache);
@@ -84,7 +84,7 @@
 
   @Test
   void rejectionOfConnectionCountsAsAttemptOfRequest() throws Exception {
-    sendOnOpenAndNewConnection(1, NodeFixture.put("b1", 5000, "v"));
+    sendOnOpenAndNewConnection(1, NodeFixture.writeCommand("b1", 5000, "v"));
     rejectNewConnection();
     assertEquals("SERVER_ERROR busy", secondClient.readLine());
     openConnection.write("VA 1 Oa1\r\nx\r\n");
@@ -93,10 +93,10 @@
 
   @Test
   void doesNotSendRequestAgainWhenConnectionStaysOpen() throws Exception {
-    sendOnOpenAndNewConnection(1, NodeFixture.get("b1", 5000));
+    sendOnOpenAndNewConnection(1, NodeFixture.readCommand("b1", 5000));
     newConnection.write("SERVER_ERROR busy\r\n");
     assertEquals("SERVER_ERROR busy", secondClient.readLine());
-    secondClient.write(NodeFixture.put("b2", 5000, "v"));
+    secondClient.write(NodeFixture.writeCommand("b2", 5000, "v"));
     String line = newConnection.readLine();
     assertTrue(
         line != null && line.contains("Ob2 "), "the new connection is not used again: " + line);
--- a/engine/src/test/java/shalepaddle/node/ServerDrainingTest.java
+++ b/engine/src/test/java/shalepaddle/node/ServerDrainingTest.java
@@ -56,9 +56,9 @@
         "{\"version\":%d,\"full\":true,\"servers\":[%s,%s]}"
             .formatted(
                 version,
-                NodeFixture.member("s-" + port, port, isMoved ? "active" : state)
+                NodeFixture.serverJson("s-" + port, port, isMoved ? "active" : state)
                     .replace("\"cell\":0", isMoved ? "\"cell\":1" : "\"cell\":0"),
-                NodeFixture.member("s-other", otherServer.getLocalPort(), "active"));
+                NodeFixture.serverJson("s-other", otherServer.getLocalPort(), "active"));
     discovery.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     discovery.write(NodeFixture.chunk(list + "\n"));
   }
@@ -67,11 +67,11 @@
   @ValueSource(strings = {"leaving", "left", "moved", "active"})
   void whatWaitsForAPlaceGoesElsewhere(String state) throws Exception {
     rig = new NodeFixture(CAPS_SETTING.formatted(28, false, 1) + ADMIN_SERVER_SETTING);
-    client = rig.client().write(NodeFixture.get("a1", 20_000));
+    client = rig.connectClient().write(NodeFixture.readCommand("a1", 20_000));
     ScriptedPeer cache = rig.acceptCache();
     assertTrue(cache.readLine().contains("Oa1 "));
-    waitingClient = rig.client().write(NodeFixture.put("b1", 20_000, "v"));
-    rig.settled();
+    waitingClient = rig.connectClient().write(NodeFixture.writeCommand("b1", 20_000, "v"));
+    rig.awaitLoopTurns();
     sendList(8, state);
     if (state.equals("active")) {
       // The list does not change the server; an operator excludes it instead.
@@ -90,7 +90,7 @@
     // The attempt in flight may complete; the node sends nothing more to its server.
     cache.write("VA 1 Oa1\r\nx\r\n");
     assertEquals("VA 1 Oa1", client.readLine());
-    rig.settled();
+    rig.awaitLoopTurns();
     rig.node.close();
     assertNull(cache.readLine());
   }
@@ -102,16 +102,16 @@
   @Test
   void doesNotRewriteRejectedAttemptToDrainingServer() throws Exception {
     rig = new NodeFixture(CAPS_SETTING.formatted(1, true, 32));
-    client = rig.client().write(NodeFixture.get("a1", 20_000));
+    client = rig.connectClient().write(NodeFixture.readCommand("a1", 20_000));
     ScriptedPeer openConnection = rig.acceptCache();
     assertTrue(openConnection.readLine().contains("Oa1 "));
-    waitingClient = rig.client().write(NodeFixture.put("b1", 20_000, "v"));
+    waitingClient = rig.connectClient().write(NodeFixture.writeCommand("b1", 20_000, "v"));
     ScriptedPeer newConnection = rig.acceptCache();
     assertTrue(newConnection.readLine().contains("Ob1 "));
     newConnection.readLine();
     sendList(8, "leaving");
     // When a request goes to the other server, the node has applied the list.
-    ScriptedPeer probeClient = rig.client().write(NodeFixture.get("c1", 20_000));
+    ScriptedPeer probeClient = rig.connectClient().write(NodeFixture.readCommand("c1", 20_000));
     try (ScriptedPeer otherConnection = new ScriptedPeer(otherServer.accept())) {
       assertTrue(otherConnection.readLine().contains("Oc1 "));
       otherConnection.write("VA 1 Oc1\r\nx\r\n");
--- a/engine/src/test/java/shalepaddle/node/VirtualEngine.java
+++ b/engine/src/test/java/shalepaddle/node/VirtualTimeEngine.java
@@ -24,15 +24,15 @@
 import shalepaddle.settings.JsonObject;
 
 /** Dispatchers on an event loop that the test itself runs, in virtual time. */
-final class VirtualEngine {
+final class VirtualTimeEngine {
   final MockTicker ticker = Ticker.newMockTicker();
   final LoopClock clock;
   final ManualIoEventLoop loop;
 
   /** Number of payloads that have been released. */
-  int released;
+  int releasedPayloads;
 
-  VirtualEngine(LoopClock.Listener listener) {
+  VirtualTimeEngine(LoopClock.Listener listener) {
     clock = new LoopClock(ticker, listener);
     loop =
         new ManualIoEventLoop(
@@ -43,12 +43,12 @@
   }
 
   /** Milliseconds of virtual time since the start. */
-  long millis() {
+  long elapsedMillis() {
     return TimeUnit.NANOSECONDS.toMillis(ticker.nanoTime() - ticker.initialNanoTime());
   }
 
   /** Advances the time by the given milliseconds, and runs the loop after each millisecond. */
-  void pass(long millis) {
+  void advanceMillis(long millis) {
     for (long i = 0; i < millis; i++) {
       ticker.advance(1, TimeUnit.MILLISECONDS);
       loop.runNow();
@@ -62,7 +62,7 @@
    * @param services the service classes of the settings, as JSON
    * @param servers the ids of the servers, all of which are ready
    */
-  Dispatcher start(
+  Dispatcher startDispatcher(
       String caps, String services, CoalescingConfig coalescing, Upstream upstream, long... servers)
       throws Exception {
     NodeConfig config =
@@ -91,8 +91,8 @@
             new Log(ticker, line -> {}),
             overload,
             coalescing);
-    dispatcher.start(upstream, MemberSource.FIXED);
-    dispatcher.membership(
+    dispatcher.start(upstream, MemberSource.FIXED_LIST);
+    dispatcher.onMembershipUpdate(
         new MembershipUpdate(
             MembershipUpdate.Kind.FULL,
             1,
@@ -103,7 +103,7 @@
   }
 
   /** Returns a payload without a value, whose first release is counted. */
-  Payload payload() {
+  Payload createPayload() {
     return new Payload() {
       private boolean isReleased;
 
@@ -114,7 +114,7 @@
 
       @Override
       public void release() {
-        released += isReleased ? 0 : 1;
+        releasedPayloads += isReleased ? 0 : 1;
         isReleased = true;
       }
     };
--- a/engine/src/test/java/shalepaddle/node/WarmupTest.java
+++ b/engine/src/test/java/shalepaddle/node/WarmupTest.java
@@ -15,6 +15,7 @@
   @RepeatedTest(25)
   void warmupRequestsAreAllAnswered() throws Exception {
     assertEquals(
-        Warmup.REQUEST_COUNT, Warmup.run(NodeConfig.rehearsal(), Transport.sockets(), new Log()));
+        Warmup.REQUEST_COUNT,
+        Warmup.run(NodeConfig.forRehearsal(), Transport.sockets(), new Log()));
   }
 }
--- a/engine/src/test/java/shalepaddle/sockets/AcceptBackoffTest.java
+++ b/engine/src/test/java/shalepaddle/sockets/AcceptBackoffTest.java
@@ -13,12 +13,12 @@
     for (int i = 0; i < 20; i++) {
       long delayMillis = backoff.nextDelayMillis();
       assertEquals(
-          i == 0 ? AcceptBackoff.INITIAL_MILLIS : Math.min(50, 2 * previousDelayMillis),
+          i == 0 ? AcceptBackoff.INITIAL_DELAY_MILLIS : Math.min(50, 2 * previousDelayMillis),
           delayMillis);
       previousDelayMillis = delayMillis;
     }
-    assertEquals(AcceptBackoff.MAX_MILLIS, previousDelayMillis);
+    assertEquals(AcceptBackoff.MAX_DELAY_MILLIS, previousDelayMillis);
     backoff.reset();
-    assertEquals(AcceptBackoff.INITIAL_MILLIS, backoff.nextDelayMillis());
+    assertEquals(AcceptBackoff.INITIAL_DELAY_MILLIS, backoff.nextDelayMillis());
   }
 }
--- a/engine/src/test/java/shalepaddle/upstream/ConnectionLimitTest.java
+++ b/engine/src/test/java/shalepaddle/upstream/ConnectionLimitTest.java
@@ -29,39 +29,39 @@
   @Test
   void recoversByOneConnectionAfterEachPeriod() {
     limit.connectFailed(1);
-    assertEquals(3, limit.current());
+    assertEquals(3, limit.currentLimit());
     limit.connectFailed(1);
-    assertEquals(2, limit.current());
+    assertEquals(2, limit.currentLimit());
     ticker.advance(2000, TimeUnit.MILLISECONDS);
-    assertEquals(2, limit.current(), "the limit recovers only after the recovery period");
+    assertEquals(2, limit.currentLimit(), "the limit recovers only after the recovery period");
     ticker.advance(1, TimeUnit.MILLISECONDS);
-    assertEquals(3, limit.current());
+    assertEquals(3, limit.currentLimit());
     ticker.advance(2000, TimeUnit.MILLISECONDS);
-    assertEquals(4, limit.current());
+    assertEquals(4, limit.currentLimit());
   }
 
   @Test
   void recoversSoonerAfterServerRejectedConnection() {
     limit.connectionRejected(2);
-    assertEquals(2, limit.current());
+    assertEquals(2, limit.currentLimit());
     ticker.advance(251, TimeUnit.MILLISECONDS);
-    assertEquals(3, limit.current());
+    assertEquals(3, limit.currentLimit());
   }
 
   @Test
   void currentLimitIsAtLeastOneAndAtLeastUsableConnections() {
     limit.connectionRejected(0);
-    assertEquals(1, limit.current());
+    assertEquals(1, limit.currentLimit());
     limit.connectFailed(3);
-    assertEquals(3, limit.current(), "three connections are usable");
+    assertEquals(3, limit.currentLimit(), "three connections are usable");
   }
 
   @Test
   void dividesMaximumAmongProcesses() {
     budget.setPeerProcessUsage(1, 7);
-    assertEquals(2, limit.current());
+    assertEquals(2, limit.currentLimit());
     assertEquals(2, limit.share());
     budget.setPeerProcessUsage(9, 7);
-    assertEquals(1, limit.current(), "at least one connection is allowed");
+    assertEquals(1, limit.currentLimit(), "at least one connection is allowed");
   }
 }
--- a/simhost/src/main/java/shalepaddle/sim/ActionWriter.java
+++ b/simhost/src/main/java/shalepaddle/sim/ActionWriter.java
@@ -92,7 +92,7 @@
   }
 
   /** Reports that the policy threw an exception. */
-  void exception(String text) {
+  void reportException(String text) {
     writeAction("EXCEPTION", () -> out.writeStringField("text", text));
   }
 }
--- a/simhost/src/main/java/shalepaddle/sim/Dialect.java
+++ b/simhost/src/main/java/shalepaddle/sim/EventReader.java
@@ -14,10 +14,10 @@
  * Converts events of the simulator's protocol to model types. The package description lists the
  * names. Stateless.
  */
-final class Dialect {
-  private Dialect() {}
+final class EventReader {
+  private EventReader() {}
 
-  static MembershipUpdate membership(JsonObject event) throws FormatException {
+  static MembershipUpdate readMembershipUpdate(JsonObject event) throws FormatException {
     List<ServerEntry> entries = new ArrayList<>();
     for (JsonObject server : event.objects("lines")) {
       entries.add(
@@ -47,7 +47,7 @@
         entries);
   }
 
-  static Request request(JsonObject event) throws FormatException {
+  static Request readRequest(JsonObject event) throws FormatException {
     return new Request(
         event.requiredText("handle"),
         event.text("target-key", null),
@@ -60,12 +60,12 @@
         event.flag("update"));
   }
 
-  static Outcome outcome(JsonObject event) throws FormatException {
+  static Outcome readOutcome(JsonObject event) throws FormatException {
     return new Outcome(
         event.requiredText("handle"),
         (int) event.number("trial", 0),
         event.requiredInteger("server"),
-        result(event),
+        readResult(event),
         event.number("delay-seen", 0),
         event.flag("ended"),
         switch ((int) event.number("info", 0)) {
@@ -74,10 +74,10 @@
           case 3 -> Outcome.CacheStatus.MISS_PENDING;
           default -> Outcome.CacheStatus.NONE;
         },
-        load(event));
+        readLoadReport(event));
   }
 
-  static Outcome.Result result(JsonObject event) throws FormatException {
+  static Outcome.Result readResult(JsonObject event) throws FormatException {
     String ending = event.requiredText("ending");
     return switch (ending) {
       case "completed" -> Outcome.Result.OK;
@@ -93,7 +93,7 @@
     };
   }
 
-  static LoadReport load(JsonObject event) {
+  static LoadReport readLoadReport(JsonObject event) {
     if (!event.has("pressure")) {
       return null;
     }
--- a/simhost/src/main/java/shalepaddle/sim/SimHost.java
+++ b/simhost/src/main/java/shalepaddle/sim/SimHost.java
@@ -129,11 +129,11 @@
       throws FormatException {
     switch (type) {
       case "SYNC" -> {
-        var update = Dialect.membership(message);
+        var update = EventReader.readMembershipUpdate(message);
         reportExceptions(actions, () -> router.onMembershipUpdate(nowSeconds, update));
       }
       case "REQUEST" -> {
-        var request = Dialect.request(message);
+        var request = EventReader.readRequest(message);
         reportExceptions(actions, () -> router.onRequest(nowSeconds, request));
       }
       case "FLOWING" -> {
@@ -142,7 +142,7 @@
         reportExceptions(actions, () -> router.onStreamStarted(nowSeconds, id, attempt));
       }
       case "FINISHED" -> {
-        var outcome = Dialect.outcome(message);
+        var outcome = EventReader.readOutcome(message);
         reportExceptions(actions, () -> router.onOutcome(nowSeconds, outcome));
       }
       case "DROPPED" -> {
@@ -156,7 +156,7 @@
       case "HEALTH_RESULT" -> {
         // The message is only validated: the policy uses trial requests instead of health checks.
         message.requiredInteger("server");
-        Dialect.result(message);
+        EventReader.readResult(message);
       }
       case "WHISPER" ->
           // The message is only validated: routers exchange no gossip.
@@ -171,7 +171,7 @@
       step.run();
     } catch (RuntimeException e) {
       StackTraceElement[] stackTrace = e.getStackTrace();
-      actions.exception(e + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
+      actions.reportException(e + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
     }
   }
 }
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioNodeConfig.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioNodeConfig.java
@@ -11,8 +11,8 @@
    *
    * @param discovery the load balancer's discovery service; the load balancer starts with the
    *     service's current endpoint list
-   * @param nodeCount number of load balancers added so far; the random seed of this one
-   *     depends on it
+   * @param nodeCount number of load balancers added so far; the random seed of this one depends on
+   *     it
    */
   static String json(ScenarioPlan plan, StandInDiscovery discovery, int nodeCount) {
     int deadlineDivisor = plan.deployment().deadlineDivisor();
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioPlan.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioPlan.java
@@ -13,8 +13,7 @@
  * @param seed seed of the scenario and of all random draws while it runs
  * @param serverCount number of cache servers at the start
  * @param nodeCount number of load balancers
- * @param polling whether load balancers poll discovery for the endpoint list instead of
- *     watching it
+ * @param polling whether load balancers poll discovery for the endpoint list instead of watching it
  * @param maxAttempts maximum number of attempts per request
  * @param parallelAttempts whether two attempts of a request may be in flight at the same time
  * @param attemptsPerConnection attempts that may share a connection to a server
@@ -49,15 +48,19 @@
    * Further properties of a deployment.
    *
    * @param mayCancelAttempts whether attempts may be cancelled
-   * @param delayedConnectShare share of the connections to servers and discovery that are established with a
-   *     delay
+   * @param delayedConnectShare share of the connections to servers and discovery that are
+   *     established with a delay
    * @param connectDelayMillis delay of these connections in milliseconds
-   * @param indentedLists whether endpoint lists are indented over many lines and split into chunks at
-   *     arbitrary positions
+   * @param indentedLists whether endpoint lists are indented over many lines and split into chunks
+   *     at arbitrary positions
    * @param deadlineDivisor divisor of all deadlines and latency objectives
    */
   public record Deployment(
-      boolean mayCancelAttempts, double delayedConnectShare, long connectDelayMillis, boolean indentedLists, int deadlineDivisor) {
+      boolean mayCancelAttempts,
+      double delayedConnectShare,
+      long connectDelayMillis,
+      boolean indentedLists,
+      int deadlineDivisor) {
     /** The deployment of {@link ScenarioPlan#of}. */
     public static final Deployment DEFAULT = new Deployment(true, 0, 0, false, 1);
   }
@@ -166,14 +169,20 @@
    *
    * @param atMillis start of the event, in milliseconds after clients start to send requests
    * @param kind kind of the event
-   * @param targetIndex index of the affected server or load balancer, if the event affects a single one
+   * @param targetIndex index of the affected server or load balancer, if the event affects a single
+   *     one
    * @param durationMillis duration of the event in milliseconds, if its kind has a duration
    * @param strength the affected share, the factor, the number of clients or of bytes, depending on
    *     the kind
    * @param fault the fault of responses; null for kinds without one
    */
   public record Event(
-      long atMillis, Kind kind, int targetIndex, long durationMillis, double strength, Fault fault) {}
+      long atMillis,
+      Kind kind,
+      int targetIndex,
+      long durationMillis,
+      double strength,
+      Fault fault) {}
 
   /**
    * Draws the scenario of this seed.
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
@@ -126,8 +126,8 @@
       StandInDiscovery discovery) {}
 
   /**
-   * Handlers that tests add to the load balancers' connections to make the load balancers
-   * violate a rule, and so verify that the checks detect the violation.
+   * Handlers that tests add to the load balancers' connections to make the load balancers violate a
+   * rule, and so verify that the checks detect the violation.
    *
    * @param onOpened called with each connection that is opened to a server or discovery
    * @param onAccepted called with each connection that is accepted from a client
@@ -201,7 +201,7 @@
 
   private static long sharedReads(Node node) {
     CoalescingSnapshot coalescingSnapshot = node.balancer().coalescingSnapshot();
-    return coalescingSnapshot == null ? 0 : coalescingSnapshot.shared();
+    return coalescingSnapshot == null ? 0 : coalescingSnapshot.sharedAnswers();
   }
 
   private void schedule(long delayMillis, Runnable task) {
@@ -212,7 +212,8 @@
     ServerModel model =
         ServerModel.defaults()
             .withWorkers(4, 0.02)
-            .withColdStart(COLD_CAPACITY_SHARE, WARM_UP_SECONDS, COLLAPSE_MULTIPLE, COLLAPSE_WINDOW_SECONDS);
+            .withColdStart(
+                COLD_CAPACITY_SHARE, WARM_UP_SECONDS, COLLAPSE_MULTIPLE, COLLAPSE_WINDOW_SECONDS);
     String zone = fleet.size() % 2 == 0 ? "a" : "b";
     zonesByServerId.put(id, zone);
     return new StandInServer(
@@ -262,7 +263,8 @@
         () ->
             balancer
                 .listen(address)
-                .addListener(done -> loopback.loop().execute(() -> clients.addTarget(name, address))));
+                .addListener(
+                    done -> loopback.loop().execute(() -> clients.addTarget(name, address))));
   }
 
   /**
@@ -479,7 +481,11 @@
       }
       if (!plan.parallelAttempts() && entry.maxInFlight() > 1) {
         violations.add(
-            id + " had " + entry.maxInFlight() + " attempts in flight together: " + entry.arrivals());
+            id
+                + " had "
+                + entry.maxInFlight()
+                + " attempts in flight together: "
+                + entry.arrivals());
       }
       for (EffectLog.Arrival arrival : entry.arrivals()) {
         checkDrainGrace(id, arrival);
@@ -545,14 +551,19 @@
    */
   private void checkRequestTotals(Node node) {
     RequestMetricsSnapshot metrics = node.balancer().requestMetrics();
-    long endedRequests = metrics.disconnected();
+    long endedRequests = metrics.disconnectedRequests();
     for (RequestMetricsSnapshot.Results results : metrics.results()) {
-      endedRequests += results.succeeded() + results.rejected() + results.failed();
+      endedRequests +=
+          results.succeededRequests() + results.rejectedRequests() + results.failedRequests();
     }
-    if (endedRequests != metrics.received() || metrics.outstanding() != 0) {
+    if (endedRequests != metrics.receivedRequests() || metrics.outstandingRequests() != 0) {
       violations.add(
           "%s received %d requests, of which %d ended and %d are outstanding"
-              .formatted(node.name(), metrics.received(), endedRequests, metrics.outstanding()));
+              .formatted(
+                  node.name(),
+                  metrics.receivedRequests(),
+                  endedRequests,
+                  metrics.outstandingRequests()));
     }
   }
 
--- a/simulation/src/main/java/shalepaddle/simulation/package-info.java
+++ b/simulation/src/main/java/shalepaddle/simulation/package-info.java
@@ -5,8 +5,8 @@
  *
  * <ol>
  *   <li>Each request gets exactly one response in time, and no attempt is sent after its end.
- *   <li>The number of attempts of a request is limited, and an attempt is repeated only where
- *       that is safe.
+ *   <li>The number of attempts of a request is limited, and an attempt is repeated only where that
+ *       is safe.
  *   <li>No request is sent to a server after the grace of its drain.
  *   <li>A server that is warming up is not overloaded until it collapses.
  * </ol>
--- a/simulation/src/test/java/shalepaddle/simulation/RaceWindowTest.java
+++ b/simulation/src/test/java/shalepaddle/simulation/RaceWindowTest.java
@@ -28,7 +28,8 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void playReportsNoViolationWhenEventsOverlap(long seed) {
-    ScenarioReport report = ScenarioSimulation.play(ScenarioPlan.ofConcurrentEvents(seed, DURATION_MILLIS));
+    ScenarioReport report =
+        ScenarioSimulation.play(ScenarioPlan.ofConcurrentEvents(seed, DURATION_MILLIS));
     assertEquals(List.of(), report.violations(), report::toString);
   }
 
--- a/testkit/src/main/java/shalepaddle/testkit/MisbehavingClients.java
+++ b/testkit/src/main/java/shalepaddle/testkit/MisbehavingClients.java
@@ -63,7 +63,8 @@
       String payload = PAYLOADS.get(random.nextInt(PAYLOADS.size()));
       startedClients++;
       openConnections++;
-      transport.connector()
+      transport
+          .connector()
           .handler(
               new ChannelInitializer<>() {
                 @Override
--- a/testkit/src/main/java/shalepaddle/testkit/ServerModel.java
+++ b/testkit/src/main/java/shalepaddle/testkit/ServerModel.java
@@ -4,8 +4,8 @@
  * How a {@link StandInServer} behaves as long as no fault is injected.
  *
  * @param workers requests that it processes in parallel
- * @param meanServiceSeconds mean processing time of a request in seconds; each time is drawn uniformly
- *     from 0.5 to 1.5 times the mean
+ * @param meanServiceSeconds mean processing time of a request in seconds; each time is drawn
+ *     uniformly from 0.5 to 1.5 times the mean
  * @param maxQueued requests that may wait for a worker; further ones are rejected
  * @param maxKeys keys that its cache holds; the least recently used one is evicted
  * @param maxConnections connections that it accepts; further ones are closed at once
@@ -13,11 +13,11 @@
  * @param coldCapacityShare share of its capacity that is available right after a cold start
  * @param warmUpSeconds time in seconds after a cold start until its full capacity is available; the
  *     share grows linearly
- * @param collapseMultiple it collapses if it receives more than this multiple of its current capacity
- *     while it warms up; 0 to never collapse
+ * @param collapseMultiple it collapses if it receives more than this multiple of its current
+ *     capacity while it warms up; 0 to never collapse
  * @param collapseWindowSeconds period in seconds over which the received load is measured
- * @param dedupWindowSeconds how long its idempotency group drops repeats of a write with an idempotency
- *     key, in seconds
+ * @param dedupWindowSeconds how long its idempotency group drops repeats of a write with an
+ *     idempotency key, in seconds
  */
 public record ServerModel(
     int workers,
--- a/testkit/src/main/java/shalepaddle/testkit/StandInClients.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInClients.java
@@ -30,8 +30,8 @@
  * write had no effect.
  *
  * <p>Connections are reused, with one request on each at a time, and more are opened when all are
- * in use. As the protocol prescribes, a request is sent once more on a new connection
- * if the load balancer closes its first connection just as the request is sent.
+ * in use. As the protocol prescribes, a request is sent once more on a new connection if the load
+ * balancer closes its first connection just as the request is sent.
  */
 public final class StandInClients {
   /**
@@ -143,7 +143,8 @@
       outstandingRequests--;
       outcomes.put(
           id,
-          new RequestOutcomes.Outcome(requestClass, target.name, result, transport.nowNanos(), receipt));
+          new RequestOutcomes.Outcome(
+              requestClass, target.name, result, transport.nowNanos(), receipt));
     }
   }
 
@@ -169,7 +170,8 @@
     this.random = new SplittableRandom(seed);
     SplittableRandom samplerRandom = random.split();
     this.keySampler =
-        RejectionInversionZipfSampler.of(samplerRandom::nextLong, traffic.keyCount(), traffic.zipfExponent());
+        RejectionInversionZipfSampler.of(
+            samplerRandom::nextLong, traffic.keyCount(), traffic.zipfExponent());
     this.interArrivalSeconds = ZigguratSampler.Exponential.of(samplerRandom::nextLong);
   }
 
@@ -243,7 +245,8 @@
    */
   private void scheduleNextRequest() {
     nextDueAtNanos += (long) (interArrivalSeconds.sample() / ratePerSecond * 1e9);
-    transport.loop()
+    transport
+        .loop()
         .schedule(
             () -> {
               if (transport.nowNanos() - stopAtNanos < 0) {
@@ -269,7 +272,8 @@
     boolean willDisconnect = random.nextDouble() < traffic.disconnectShare();
     send(request);
     if (willDisconnect) {
-      transport.loop()
+      transport
+          .loop()
           .schedule(
               () -> disconnect(request),
               random.nextInt(Math.max(1, requestClass.deadlineMillis() / 4)),
@@ -337,7 +341,8 @@
     Connection connection = new Connection(request.target);
     request.target.connectionCount++;
     ChannelFuture connectFuture =
-        transport.connector()
+        transport
+            .connector()
             .handler(
                 new ChannelInitializer<>() {
                   @Override
@@ -400,13 +405,15 @@
      */
     private void scheduleTimeout(ClientRequest request, long delayNanos, long postponedNanos) {
       request.timeoutTask =
-          transport.loop()
+          transport
+              .loop()
               .schedule(
                   () -> {
                     long responseDueNanos =
                         request.sentAtNanos
                             + TimeUnit.MILLISECONDS.toNanos(request.requestClass.deadlineMillis());
-                    long pausedNanos = target.pauses.pausedNanos(responseDueNanos, transport.nowNanos());
+                    long pausedNanos =
+                        target.pauses.pausedNanos(responseDueNanos, transport.nowNanos());
                     if (pausedNanos > postponedNanos) {
                       scheduleTimeout(request, pausedNanos - postponedNanos, pausedNanos);
                     } else {
@@ -441,7 +448,8 @@
           recordViolation(request, "served with another request's response: " + line);
         } else if (sharedResponseCheck != null) {
           String violation =
-              sharedResponseCheck.findViolation(request.id, response.value(), target.pauses::pausedNanos);
+              sharedResponseCheck.findViolation(
+                  request.id, response.value(), target.pauses::pausedNanos);
           if (violation != null) {
             recordViolation(request, violation);
           }
--- a/testkit/src/main/java/shalepaddle/testkit/StandInDiscovery.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInDiscovery.java
@@ -178,8 +178,8 @@
 
   /**
    * Time at which this state of the server was first sent to any client, in the transport's
-   * nanoseconds; -1 if the state was never sent. A state that a muted watch misses counts as
-   * sent as well, at a later time; see {@link #muteWatches}.
+   * nanoseconds; -1 if the state was never sent. A state that a muted watch misses counts as sent
+   * as well, at a later time; see {@link #muteWatches}.
    */
   public long firstSentNanos(String id, State state) {
     return firstSentNanosByState.getOrDefault(id + state, -1L);
@@ -282,7 +282,8 @@
     }
 
     private void scheduleHeartbeat() {
-      transport.loop()
+      transport
+          .loop()
           .schedule(
               () -> {
                 if (channel.isActive()) {
--- a/testkit/src/main/java/shalepaddle/testkit/StandInServer.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInServer.java
@@ -266,7 +266,8 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, MetaRequest request) {
-      long arrivedAtNanos = readDelayedSinceNanos >= 0 ? readDelayedSinceNanos : transport.nowNanos();
+      long arrivedAtNanos =
+          readDelayedSinceNanos >= 0 ? readDelayedSinceNanos : transport.nowNanos();
       effectLog.recordArrival(request.id(), new EffectLog.Arrival(id, group, arrivedAtNanos));
       Job job = new Job(this, request, drawFault());
       outstandingJobs.add(job);
--- a/testkit/src/main/java/shalepaddle/testkit/Traffic.java
+++ b/testkit/src/main/java/shalepaddle/testkit/Traffic.java
@@ -12,7 +12,11 @@
  * @param disconnectShare share of the requests whose client disconnects before the response
  */
 public record Traffic(
-    double ratePerSecond, int keyCount, double zipfExponent, List<RequestClass> classes, double disconnectShare) {
+    double ratePerSecond,
+    int keyCount,
+    double zipfExponent,
+    List<RequestClass> classes,
+    double disconnectShare) {
 
   /**
    * A request class.
--- a/testkit/src/main/java/shalepaddle/testkit/WarmUp.java
+++ b/testkit/src/main/java/shalepaddle/testkit/WarmUp.java
@@ -45,7 +45,9 @@
     }
     double secondsSinceStart = (transport.nowNanos() - startedAtNanos) / 1e9;
     return Math.min(
-        1, model.coldCapacityShare() + (1 - model.coldCapacityShare()) * secondsSinceStart / model.warmUpSeconds());
+        1,
+        model.coldCapacityShare()
+            + (1 - model.coldCapacityShare()) * secondsSinceStart / model.warmUpSeconds());
   }
 
   /**
--- a/testkit/src/test/java/shalepaddle/testkit/SharedResponseCheckTest.java
+++ b/testkit/src/test/java/shalepaddle/testkit/SharedResponseCheckTest.java
@@ -21,7 +21,8 @@
     recordRead("b", "n0", "k", 10);
     assertNull(check.findViolation("b", "k|a....", NOT_PAUSED));
     assertNull(check.findViolation("b", "k|b", NOT_PAUSED));
-    assertNull(check.findViolation("a", "k|b", NOT_PAUSED), "value of an equal read that was sent later");
+    assertNull(
+        check.findViolation("a", "k|b", NOT_PAUSED), "value of an equal read that was sent later");
   }
 
   @Test
@@ -30,7 +31,8 @@
     recordRead("b", "n1", "k", 0);
     check.recordRead("c", "n0", "k", "scan", 0);
     recordRead("r", "n0", "k", 10);
-    assertEquals("served with another key's value", check.findViolation("r", "other|a", NOT_PAUSED));
+    assertEquals(
+        "served with another key's value", check.findViolation("r", "other|a", NOT_PAUSED));
     for (String sourceId : new String[] {"a", "b", "c", "unknown"}) {
       assertEquals(
           "served with the value of " + sourceId + ", which is not an equal read",
--- a/testkit/src/test/java/shalepaddle/testkit/StandInServerTest.java
+++ b/testkit/src/test/java/shalepaddle/testkit/StandInServerTest.java
@@ -58,7 +58,8 @@
 
     Node(StandInServer target) {
       channel =
-          transport.connector()
+          transport
+              .connector()
               .handler(
                   new ChannelInitializer<>() {
                     @Override
@@ -114,7 +115,8 @@
     Node node = new Node(otherServer).send(readCommand("a1"));
     Node writingNode = new Node(server).send(writeCommand("w1", ""));
     assertEquals(
-        "HD Ow1 c" + effectLog.entryOf("w1").receipt() + "\r\n", writingNode.receivedText.toString());
+        "HD Ow1 c" + effectLog.entryOf("w1").receipt() + "\r\n",
+        writingNode.receivedText.toString());
     assertEquals(1, effectLog.entryOf("w1").effectCount());
     node.send(readCommand("a2"));
     assertEquals(2, origin.fetches("key"));
@@ -224,7 +226,8 @@
     // right after the cold start. The server collapses if it receives more than three times its
     // current capacity.
     StandInServer coldServer =
-        startServer("s2", ServerModel.defaults().withWorkers(4, 0.02).withColdStart(0.12, 1000, 3, 2));
+        startServer(
+            "s2", ServerModel.defaults().withWorkers(4, 0.02).withColdStart(0.12, 1000, 3, 2));
     coldServer.kill();
     coldServer.startCold();
     advance(1);
