--- a/capacity/src/main/java/shalepaddle/capacity/CapacityRun.java
+++ b/capacity/src/main/java/shalepaddle/capacity/CapacityRun.java
@@ -26,22 +26,24 @@
   }
 
   /**
-   * The conditions under which the change feed is measured. Their descriptions are parts of the
-   * figures' names.
+   * The conditions under which the change feed is measured. Their names in figures are stored in
+   * the JSON report, as parts of the figures' names, and so they don't change.
    */
   private enum FeedCondition {
-    NORMAL("all well", 0, -1),
-    LEADER_LOST("the leader's machine gone", 0, 0),
-    MEMBER_LOST("another member's machine gone", 0, 1),
-    PACKET_LOSS("1% lost", 0.01, -1);
+    NORMAL("all well", "no faults", 0, -1),
+    LEADER_LOST("the leader's machine gone", "leader's machine lost", 0, 0),
+    MEMBER_LOST("another member's machine gone", "machine of a non-leader lost", 0, 1),
+    PACKET_LOSS("1% lost", "1% of packets lost", 0.01, -1);
 
+    private final String nameInFigures;
     private final String description;
     private final double packetLossRate;
 
     /** Number of the member whose machine is lost, -1 for none. */
     private final int lostMember;
 
-    FeedCondition(String description, double packetLossRate, int lostMember) {
+    FeedCondition(String nameInFigures, String description, double packetLossRate, int lostMember) {
+      this.nameInFigures = nameInFigures;
       this.description = description;
       this.packetLossRate = packetLossRate;
       this.lostMember = lostMember;
@@ -60,7 +62,7 @@
   /** How long entries are committed, in seconds of virtual time. */
   private static final int FEED_SECONDS = 20;
 
-  /** Calls per second that discovery can answer, for each of the known sites. */
+  /** Calls per second that discovery can answer, for each of two known deployments. */
   private static final double[] DISCOVERY_CALLS_PER_SECOND = {2.5, 6};
 
   private static final int READS_PER_ROUND = 20_000;
@@ -340,7 +342,7 @@
                     result.violations()));
       }
       String sizeName = "nodes";
-      String figureSuffix = ", " + condition.description;
+      String figureSuffix = ", " + condition.nameInFigures;
       addSlope(
           "feed",
           "half have it" + figureSuffix,
@@ -391,7 +393,7 @@
   /**
    * Adds the slope of one figure to the result.
    *
-   * @param figure the name of the figure, which is written to the JSON report
+   * @param figure the name of the figure, which is stored in the JSON report and so doesn't change
    * @param steps the sizes at which the figure was measured
    * @param measurements the measurement at each of these sizes
    * @param toValue returns the value of the figure in a measurement
--- a/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
@@ -176,8 +176,8 @@
     assertTrue(
         largeResult.restartLoadRatio() > 0.1 && largeResult.restartLoadRatio() < 1,
         "load of restarted servers with 216 nodes: " + largeResult);
-    // Measured: 0.42 of the overload limit at 27 nodes and 0.43 at 108 nodes, so the load does not
-    // grow with the nodes.
+    // Measured: the greatest load of a restarted server was 0.42 of its overload limit at 27 nodes
+    // and 0.43 at 108 nodes, so it does not grow with the nodes.
     assertTrue(
         largeResult.restartLoadRatio() < 1.5 * smallResult.restartLoadRatio(),
         "load of restarted servers with 27 and 216 nodes: " + smallResult + " and " + largeResult);
--- a/cli/src/main/java/shalepaddle/cli/CapacityCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/CapacityCommand.java
@@ -124,7 +124,7 @@
     }
     long peakBytes = peakResidentBytes();
     out.printf(
-        "seed %d, %.0f s, peak memory %d MB of %d MB that may be used%n",
+        "seed %d, took %.0f s, peak memory %d MB of %d MB that may be used%n",
         seed,
         (System.nanoTime() - startedAtNanos) / 1e9,
         peakBytes >> 20,
--- a/cli/src/main/java/shalepaddle/cli/SimulateCommand.java
+++ b/cli/src/main/java/shalepaddle/cli/SimulateCommand.java
@@ -132,7 +132,7 @@
       pool.shutdownNow();
     }
     out.printf(
-        "%d scenarios of %d s, %d requests, %.1f%% served%s, %d failing%s, %.1f s%n",
+        "%d scenarios of %d s, %d requests, %.1f%% served%s, %d failing%s, took %.1f s%n",
         scenarioCount,
         loadSeconds,
         requests,
--- a/cli/src/test/java/shalepaddle/cli/ChangeFeedIT.java
+++ b/cli/src/test/java/shalepaddle/cli/ChangeFeedIT.java
@@ -110,9 +110,9 @@
             Integer.toString(SUBSCRIBERS_PER_PROCESS)));
   }
 
-  private void signal(String name, String signal) throws IOException, InterruptedException {
+  private void sendSignal(String name, String signalName) throws IOException, InterruptedException {
     long pid = processes.get(name).pid();
-    new ProcessBuilder("kill", "-" + signal, Long.toString(pid)).start().waitFor();
+    new ProcessBuilder("kill", "-" + signalName, Long.toString(pid)).start().waitFor();
   }
 
   @AfterEach
@@ -173,7 +173,7 @@
       }
       links.forEach(FaultyLink::clearFaults);
       for (String name : processes.keySet()) {
-        signal(name, "CONT");
+        sendSignal(name, "CONT");
       }
     }
     String expectedProgress =
@@ -211,8 +211,8 @@
       }
       case 50 -> processes.get("a").destroyForcibly().waitFor();
       case 70 -> startMember("a");
-      case 90 -> signal("g", "STOP");
-      case 110 -> signal("g", "CONT");
+      case 90 -> sendSignal("g", "STOP");
+      case 110 -> sendSignal("g", "CONT");
       default -> {
         if (commandNumber % 10 == 5) {
           FaultyLink link = links.get(random.nextInt(links.size()));
--- a/cli/src/test/java/shalepaddle/cli/ClusterIT.java
+++ b/cli/src/test/java/shalepaddle/cli/ClusterIT.java
@@ -78,8 +78,8 @@
       return ClusterProcess.start(folder.resolve("log-" + name), command);
     }
 
-    void signal(String signal) throws IOException, InterruptedException {
-      new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
+    void sendSignal(String signalName) throws IOException, InterruptedException {
+      new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid())).start().waitFor();
     }
 
     void kill() throws InterruptedException {
@@ -225,9 +225,9 @@
           case 1 -> link.closeConnections();
           case 2 -> link.setDelayMillis(1 + random.nextInt(80));
           case 3 -> {
-            faultyMachine.signal("STOP");
+            faultyMachine.sendSignal("STOP");
             Thread.sleep(random.nextInt(1500));
-            faultyMachine.signal("CONT");
+            faultyMachine.sendSignal("CONT");
           }
           case 4 -> {
             faultyMachine.kill();
--- a/cluster/src/main/java/shalepaddle/raft/RaftTimeouts.java
+++ b/cluster/src/main/java/shalepaddle/raft/RaftTimeouts.java
@@ -98,7 +98,10 @@
     };
   }
 
-  /** Runs MicroRaft's tasks on the member's thread, with delays on the scale of its clock. */
+  /**
+   * Runs MicroRaft's tasks on the member's thread. MicroRaft's delays are in the time of its clock,
+   * and are converted to real time.
+   */
   static RaftNodeExecutor executor(MemberExecutor executor) {
     return new RaftNodeExecutor() {
       @Override
--- a/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
+++ b/core/src/test/java/shalepaddle/policy/DeadlineExtensionTest.java
@@ -18,7 +18,7 @@
   DeadlineExtensionTest() {
     router.onMembershipUpdate(100, PolicyFixture.fleet(3));
     router.onRequest(100, PolicyFixture.request("a", "key", "safe", 0.3));
-    token = actions.named("scheduleTimer").get(0).number();
+    token = actions.named("scheduleTimer").get(0).numericArgument();
   }
 
   @Test
@@ -27,7 +27,7 @@
     router.onTimer(100.3, token);
     assertEquals(List.of(), actions.named("fail"));
     PolicyFixture.RecordedAction secondTimer = actions.named("scheduleTimer").get(1);
-    assertEquals(token, secondTimer.number());
+    assertEquals(token, secondTimer.numericArgument());
     assertEquals(1.2, secondTimer.seconds(), 1e-9);
     router.onTimer(101.5, token);
     assertEquals(1, actions.named("fail").size());
@@ -36,7 +36,7 @@
   @Test
   void retriesBrokenAttemptWithinExtendedDeadline() {
     router.extendDeadline("a", 101.5);
-    long server = actions.named("send").get(0).number();
+    long server = actions.named("send").get(0).numericArgument();
     router.onOutcome(100.4, PolicyFixture.outcome("a", 0, server, Outcome.Result.RESET));
     assertEquals(2, actions.named("send").size());
   }
--- a/core/src/test/java/shalepaddle/policy/EventLoopStallDecisionTest.java
+++ b/core/src/test/java/shalepaddle/policy/EventLoopStallDecisionTest.java
@@ -68,7 +68,8 @@
       String id = "q" + requestNumber;
       router.onRequest(now, PolicyFixture.request(id, "key" + requestNumber % 7, "safe", 2));
       PolicyFixture.RecordedAction lastSend = actions.recorded.get(actions.recorded.size() - 1);
-      router.onOutcome(now, PolicyFixture.outcome(id, 0, lastSend.number(), Outcome.Result.OK));
+      router.onOutcome(
+          now, PolicyFixture.outcome(id, 0, lastSend.numericArgument(), Outcome.Result.OK));
     }
     for (int stall = 0; stall < 5; stall++) {
       double now = 111.5 + stall * 1.5;
--- a/core/src/test/java/shalepaddle/policy/ExclusionTest.java
+++ b/core/src/test/java/shalepaddle/policy/ExclusionTest.java
@@ -21,7 +21,7 @@
 
   /** The server of the last attempt, which must be the last recorded action. */
   private long lastServer() {
-    return actions.recorded.get(actions.recorded.size() - 1).number();
+    return actions.recorded.get(actions.recorded.size() - 1).numericArgument();
   }
 
   /** Sends a request; returns whether the router sent an attempt at once. */
@@ -57,7 +57,7 @@
       }
     }
     assertTrue(
-        actions.named("send").stream().noneMatch(act -> act.number() == 3),
+        actions.named("send").stream().noneMatch(act -> act.numericArgument() == 3),
         "the excluded server gets no retries");
     assertTrue(attemptCount > 1000, attemptCount + " attempts at the other servers");
   }
--- a/core/src/test/java/shalepaddle/policy/FleetTest.java
+++ b/core/src/test/java/shalepaddle/policy/FleetTest.java
@@ -66,11 +66,11 @@
       recorder.recorded.clear();
       nodes.get(nodeNumber).onRequest(now, PolicyFixture.request(id, "k" + key, "safe", 1));
       for (PolicyFixture.RecordedAction act : recorder.named("send")) {
-        attemptsByServer[(int) act.number()]++;
-        serversByKey.computeIfAbsent(key, k -> new HashSet<>()).add(act.number());
+        attemptsByServer[(int) act.numericArgument()]++;
+        serversByKey.computeIfAbsent(key, k -> new HashSet<>()).add(act.numericArgument());
         nodes
             .get(nodeNumber)
-            .onOutcome(now, PolicyFixture.outcome(id, 0, act.number(), Outcome.Result.OK));
+            .onOutcome(now, PolicyFixture.outcome(id, 0, act.numericArgument(), Outcome.Result.OK));
       }
     }
   }
--- a/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
+++ b/core/src/test/java/shalepaddle/policy/ObservedAttemptTest.java
@@ -37,7 +37,7 @@
         .skip(actionsBefore)
         .filter(act -> act.name().equals("send"))
         .findFirst()
-        .map(PolicyFixture.RecordedAction::number)
+        .map(PolicyFixture.RecordedAction::numericArgument)
         .orElse(0L);
   }
 
@@ -91,14 +91,15 @@
       lastSend = act.name().equals("send") ? act : lastSend;
     }
     if (lastSend != null) {
-      router.observeAttempt(now, PolicyFixture.request(id, key, "safe", 1), lastSend.number());
+      router.observeAttempt(
+          now, PolicyFixture.request(id, key, "safe", 1), lastSend.numericArgument());
       Outcome outcome =
           isCached
-              ? PolicyFixture.outcome(id, 0, lastSend.number(), Result.OK)
+              ? PolicyFixture.outcome(id, 0, lastSend.numericArgument(), Result.OK)
               : new Outcome(
                   id,
                   0,
-                  lastSend.number(),
+                  lastSend.numericArgument(),
                   Result.TIMEOUT,
                   1,
                   true,
--- a/core/src/test/java/shalepaddle/policy/OriginFetchTest.java
+++ b/core/src/test/java/shalepaddle/policy/OriginFetchTest.java
@@ -38,16 +38,16 @@
       if (!action.name().equals("send")) {
         continue;
       }
-      boolean isBusy = lacksCapacity.test(action.number()) && !isCached;
+      boolean isBusy = lacksCapacity.test(action.numericArgument()) && !isCached;
       now += isBusy ? 0.016 : 0.004;
       busyReplies += isBusy ? 1 : 0;
       servedRequests += isBusy ? 0 : 1;
       router.onOutcome(
           now,
           PolicyFixture.outcome(
-              id, attempt++, action.number(), isBusy ? Result.SERVER_BUSY : Result.OK));
+              id, attempt++, action.numericArgument(), isBusy ? Result.SERVER_BUSY : Result.OK));
       if (!isBusy) {
-        return action.number();
+        return action.numericArgument();
       }
     }
     return 0;
@@ -103,8 +103,8 @@
       router.onRequest(now += 0.01, PolicyFixture.request(id, "new" + i, "safe", 1));
       List<PolicyFixture.RecordedAction> sends = actions.named("send");
       PolicyFixture.RecordedAction lastSend = sends.get(sends.size() - 1);
-      Result result = lastSend.number() == 1 ? Result.ERROR : Result.OK;
-      router.onOutcome(now, PolicyFixture.outcome(id, 0, lastSend.number(), result));
+      Result result = lastSend.numericArgument() == 1 ? Result.ERROR : Result.OK;
+      router.onOutcome(now, PolicyFixture.outcome(id, 0, lastSend.numericArgument(), result));
     }
     for (int i = 0; i < 60; i++) {
       router.onRequest(now, PolicyFixture.request("o" + i, "other" + i, "safe", 1));
@@ -123,7 +123,7 @@
       singleAttempt.onRequest(now += 0.3, PolicyFixture.request(id, "new" + i, "safe", 1));
       List<PolicyFixture.RecordedAction> sends = actions.named("send");
       if (!sends.isEmpty() && sends.get(sends.size() - 1).requestId().equals(id)) {
-        long server = sends.get(sends.size() - 1).number();
+        long server = sends.get(sends.size() - 1).numericArgument();
         // An error after a cache miss is attributed to the origin.
         singleAttempt.onOutcome(
             now,
--- a/core/src/test/java/shalepaddle/policy/PolicyFixture.java
+++ b/core/src/test/java/shalepaddle/policy/PolicyFixture.java
@@ -15,10 +15,10 @@
    *
    * @param name the name of the called method
    * @param requestId the request id, empty if the action has none
-   * @param number the server id, attempt number or timer token, by the kind of action
+   * @param numericArgument the server id, attempt number or timer token, by the kind of action
    * @param seconds the time limit, Retry-After or delay in seconds, by the kind of action
    */
-  record RecordedAction(String name, String requestId, long number, double seconds) {}
+  record RecordedAction(String name, String requestId, long numericArgument, double seconds) {}
 
   /** Records every action. */
   static class Recorder implements RoutingActions {
--- a/core/src/test/java/shalepaddle/policy/RequestRouterFailureTest.java
+++ b/core/src/test/java/shalepaddle/policy/RequestRouterFailureTest.java
@@ -27,8 +27,8 @@
     router.onRequest(now, PolicyFixture.request(id, key, "safe", 1));
     PolicyFixture.RecordedAction send = actions.recorded.get(actions.recorded.size() - 1);
     assertEquals("send", send.name());
-    router.onOutcome(now, PolicyFixture.outcome(id, 0, send.number(), Outcome.Result.OK));
-    return send.number();
+    router.onOutcome(now, PolicyFixture.outcome(id, 0, send.numericArgument(), Outcome.Result.OK));
+    return send.numericArgument();
   }
 
   @Test
@@ -61,7 +61,7 @@
         if (lastSend.requestId().equals(id)) {
           router.onOutcome(
               100 + i * 0.001,
-              PolicyFixture.outcome(id, attempt, lastSend.number(), Outcome.Result.ERROR));
+              PolicyFixture.outcome(id, attempt, lastSend.numericArgument(), Outcome.Result.ERROR));
         }
       }
     }
@@ -119,16 +119,17 @@
     }
     List<PolicyFixture.RecordedAction> sends = actions.named("send");
     PolicyFixture.RecordedAction refusedSend =
-        sends.stream().filter(act -> act.number() == 2).findFirst().orElseThrow();
+        sends.stream().filter(act -> act.numericArgument() == 2).findFirst().orElseThrow();
     router.onOutcome(
         103, PolicyFixture.outcome(refusedSend.requestId(), 0, 2, Outcome.Result.CONNECT_FAILED));
-    assertEquals(0, actions.named("closeIdle").stream().filter(act -> act.number() == 1).count());
+    assertEquals(
+        0, actions.named("closeIdle").stream().filter(act -> act.numericArgument() == 1).count());
     for (PolicyFixture.RecordedAction act : actions.named("send")) {
       router.onOutcome(
-          104, PolicyFixture.outcome(act.requestId(), 0, act.number(), Outcome.Result.OK));
+          104, PolicyFixture.outcome(act.requestId(), 0, act.numericArgument(), Outcome.Result.OK));
     }
     List<PolicyFixture.RecordedAction> closings =
-        actions.named("closeIdle").stream().filter(act -> act.number() == 1).toList();
+        actions.named("closeIdle").stream().filter(act -> act.numericArgument() == 1).toList();
     assertEquals(
         1,
         closings.size(),
@@ -154,7 +155,7 @@
     router.onMembershipUpdate(101, PolicyFixture.fleet(2));
     router.onRequest(102, PolicyFixture.request("a", "k", "safe", 1));
     List<PolicyFixture.RecordedAction> sends = actions.named("send");
-    long owner = sends.get(sends.size() - 1).number();
+    long owner = sends.get(sends.size() - 1).numericArgument();
     router.onOutcome(102.1, PolicyFixture.outcome("a", 0, owner, Outcome.Result.ERROR));
     router.onOutcome(102.2, PolicyFixture.outcome("a", 1, 3 - owner, Outcome.Result.OK));
     actions.recorded.clear();
@@ -177,10 +178,12 @@
       double now = 100.2;
       for (PolicyFixture.RecordedAction act : List.copyOf(recorder.named("send"))) {
         Outcome.Result result =
-            act.number() <= failingServers ? Outcome.Result.CONNECT_FAILED : Outcome.Result.OK;
+            act.numericArgument() <= failingServers
+                ? Outcome.Result.CONNECT_FAILED
+                : Outcome.Result.OK;
         now += 0.06;
         singleAttemptRouter.onOutcome(
-            now, PolicyFixture.outcome(act.requestId(), 0, act.number(), result));
+            now, PolicyFixture.outcome(act.requestId(), 0, act.numericArgument(), result));
       }
       recorder.recorded.clear();
       for (int i = 0; i < 40; i++) {
@@ -188,7 +191,7 @@
             now + 0.1, PolicyFixture.request("s" + i, "k" + i, "unsafe", 1));
       }
       TreeSet<Long> usedServers = new TreeSet<>();
-      recorder.named("send").forEach(act -> usedServers.add(act.number()));
+      recorder.named("send").forEach(act -> usedServers.add(act.numericArgument()));
       assertEquals(
           failingServers <= 2 ? 4 - failingServers : 4,
           usedServers.size(),
@@ -249,10 +252,10 @@
         PolicyFixture.RecordedAction send = recorder.named("send").get(key);
         localRouter.onOutcome(
             100.1 + key,
-            PolicyFixture.outcome(send.requestId(), 0, send.number(), Outcome.Result.OK));
+            PolicyFixture.outcome(send.requestId(), 0, send.numericArgument(), Outcome.Result.OK));
       }
       crossZoneSends[i] =
-          recorder.named("send").stream().filter(act -> act.number() % 2 == 1).count();
+          recorder.named("send").stream().filter(act -> act.numericArgument() % 2 == 1).count();
     }
     assertTrue(
         crossZoneSends[0] <= 2 && crossZoneSends[1] >= 8,
@@ -269,7 +272,7 @@
     return new Outcome(
         send.requestId(),
         0,
-        send.number(),
+        send.numericArgument(),
         result,
         elapsedSeconds,
         result == Outcome.Result.OK,
@@ -314,7 +317,7 @@
         router.onOutcome(
             100 + i * 0.3,
             PolicyFixture.outcome(
-                lastSend.requestId(), attempt++, lastSend.number(), Outcome.Result.ERROR));
+                lastSend.requestId(), attempt++, lastSend.numericArgument(), Outcome.Result.ERROR));
       } while (actions.named("send").size() > sendCount);
     }
     assertTrue(
@@ -330,9 +333,9 @@
       router.onRequest(now, PolicyFixture.request("f" + i, "fresh" + i, "safe", 1));
       PolicyFixture.RecordedAction send = actions.named("send").get(i);
       router.onOutcome(
-          now, fetchOutcome(send, Outcome.Result.OK, 0.01, send.number() == 1 ? 1 : 0.2));
+          now, fetchOutcome(send, Outcome.Result.OK, 0.01, send.numericArgument() == 1 ? 1 : 0.2));
       if (i > 450) {
-        laterSends.merge(send.number(), 1, Integer::sum);
+        laterSends.merge(send.numericArgument(), 1, Integer::sum);
       }
     }
     assertTrue(
@@ -349,7 +352,7 @@
     }
     Map<Boolean, Integer> sendsByInZone = new TreeMap<>();
     for (PolicyFixture.RecordedAction act : actions.named("send")) {
-      sendsByInZone.merge(act.number() % 2 == 0, 1, Integer::sum);
+      sendsByInZone.merge(act.numericArgument() % 2 == 0, 1, Integer::sum);
     }
     assertTrue(
         sendsByInZone.get(true) >= 9,
@@ -377,7 +380,7 @@
           new Outcome(
               "n" + i,
               0,
-              lastSend.number(),
+              lastSend.numericArgument(),
               Outcome.Result.OK,
               0.1,
               true,
@@ -407,13 +410,16 @@
       PolicyFixture.RecordedAction lastSend = actions.recorded.get(actions.recorded.size() - 1);
       if (lastSend.name().equals("send")) {
         // Server 1 hangs on one in eight requests, too few to attribute them to the origin.
-        boolean isHanging = lastSend.number() == 1 && i % 8 == 0;
+        boolean isHanging = lastSend.numericArgument() == 1 && i % 8 == 0;
         singleAttemptRouter.onOutcome(
             now,
             PolicyFixture.outcome(
-                id, 0, lastSend.number(), isHanging ? Outcome.Result.TIMEOUT : Outcome.Result.OK));
+                id,
+                0,
+                lastSend.numericArgument(),
+                isHanging ? Outcome.Result.TIMEOUT : Outcome.Result.OK));
         if (i > 200) {
-          laterSends.merge(lastSend.number(), 1, Integer::sum);
+          laterSends.merge(lastSend.numericArgument(), 1, Integer::sum);
         }
       }
     }
@@ -426,7 +432,7 @@
     router.onRequest(100, PolicyFixture.request("gone", "k", "safe", 1));
     router.onClientDisconnected(100.1, "gone");
     assertEquals(1, actions.named("cancel").size());
-    long token = actions.named("scheduleTimer").get(0).number();
+    long token = actions.named("scheduleTimer").get(0).numericArgument();
     router.onTimer(101, token);
     assertTrue(actions.named("fail").isEmpty() && actions.named("reject").isEmpty());
   }
--- a/core/src/test/java/shalepaddle/policy/RingProbingTest.java
+++ b/core/src/test/java/shalepaddle/policy/RingProbingTest.java
@@ -15,7 +15,9 @@
 /** Tests the selection: the key's owner, ring jumps past servers at their cap, and the fallback. */
 class RingProbingTest {
   private static List<Long> serversSentTo(PolicyFixture.Recorder actions) {
-    return actions.named("send").stream().map(PolicyFixture.RecordedAction::number).toList();
+    return actions.named("send").stream()
+        .map(PolicyFixture.RecordedAction::numericArgument)
+        .toList();
   }
 
   private static RequestRouter router(PolicyFixture.Recorder actions, long seed) {
--- a/core/src/test/java/shalepaddle/policy/RulesTest.java
+++ b/core/src/test/java/shalepaddle/policy/RulesTest.java
@@ -86,7 +86,7 @@
         if (act.name().equals("scheduleTimer")) {
           timers
               .computeIfAbsent(checker.now + Math.max(1e-6, act.seconds()), t -> new ArrayList<>())
-              .add(act.number());
+              .add(act.numericArgument());
         }
       }
       checker.checkDeadlines();
--- a/core/src/test/java/shalepaddle/policy/SlowStartTest.java
+++ b/core/src/test/java/shalepaddle/policy/SlowStartTest.java
@@ -149,10 +149,10 @@
       recorder.recorded.clear();
       nodes.get(nodeNumber).onRequest(now, PolicyFixture.request(id, "k" + key, "safe", 1));
       for (PolicyFixture.RecordedAction act : recorder.named("send")) {
-        recordSend(now, act.number(), requestsPerSecond);
+        recordSend(now, act.numericArgument(), requestsPerSecond);
         nodes
             .get(nodeNumber)
-            .onOutcome(now, PolicyFixture.outcome(id, 0, act.number(), Outcome.Result.OK));
+            .onOutcome(now, PolicyFixture.outcome(id, 0, act.numericArgument(), Outcome.Result.OK));
       }
     }
   }
--- a/daemon/src/test/java/shalepaddle/daemon/DeployFile.java
+++ b/daemon/src/test/java/shalepaddle/daemon/DeployFile.java
@@ -34,8 +34,9 @@
     }
   }
 
-  /** Sends a signal, given by its name without SIG. */
-  static void signal(Process process, String signalName) throws IOException, InterruptedException {
+  /** Sends the process a signal, whose name is given without the prefix SIG. */
+  static void sendSignal(Process process, String signalName)
+      throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid())).start().waitFor();
   }
 }
--- a/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
@@ -425,7 +425,10 @@
     }
   }
 
-  /** Makes some of a node's calls fail for a time, with errors that close no client connection. */
+  /**
+   * Makes some of a node's system calls fail for a time, with errors that close no client
+   * connection.
+   */
   private void failCalls(NodeProcess node, int durationMillis) {
     if (node == null) {
       return;
--- a/daemon/src/test/java/shalepaddle/daemon/FaultySystemCalls.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultySystemCalls.java
@@ -126,7 +126,7 @@
   }
 
   /**
-   * Adds a rule by which every n-th matching call fails.
+   * Adds a rule by which every n-th matching system call fails.
    *
    * @param port local or remote port of the socket, 0 for any
    * @param interval n; 1 makes each matching call fail
@@ -145,7 +145,7 @@
     controlBuffer.putInt(offset, call.callNumber);
   }
 
-  /** Returns how many calls have failed because of the current rules. */
+  /** Returns how many system calls have failed because of the current rules. */
   int failedCalls() {
     int failedCalls = 0;
     for (int i = 0; i < ruleCount; i++) {
@@ -154,7 +154,7 @@
     return failedCalls;
   }
 
-  /** Removes all rules. */
+  /** Removes all rules, so that no further system call fails. */
   void clearRules() {
     for (int i = 0; i < MAX_RULES; i++) {
       controlBuffer.putInt(RULES_OFFSET + i * RULE_BYTES, Call.NONE.callNumber);
--- a/daemon/src/test/java/shalepaddle/daemon/JarIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/JarIT.java
@@ -89,10 +89,10 @@
               new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII));
       String validConfig = Files.readString(config).replace(":9\"", ":10\"");
       Files.writeString(config, validConfig.substring(0, validConfig.length() / 2));
-      DeployFile.signal(process, "HUP");
+      DeployFile.sendSignal(process, "HUP");
       awaitLine(log, "configuration rejected, keeping the current one: ");
       Files.writeString(config, validConfig);
-      DeployFile.signal(process, "HUP");
+      DeployFile.sendSignal(process, "HUP");
       awaitLine(log, "discovery at /127.0.0.1:10");
       client.getOutputStream().write("mn\r\n".getBytes(StandardCharsets.US_ASCII));
       assertEquals("MN", in.readLine());
--- a/daemon/src/test/java/shalepaddle/daemon/PausableNode.java
+++ b/daemon/src/test/java/shalepaddle/daemon/PausableNode.java
@@ -93,11 +93,11 @@
   }
 
   void pause() throws Exception {
-    DeployFile.signal(process, "STOP");
+    DeployFile.sendSignal(process, "STOP");
   }
 
   void resume() throws Exception {
-    DeployFile.signal(process, "CONT");
+    DeployFile.sendSignal(process, "CONT");
   }
 
   void pauseFor(long pauseMillis) throws Exception {
@@ -107,11 +107,11 @@
   }
 
   void sendReloadSignal() throws Exception {
-    DeployFile.signal(process, "HUP");
+    DeployFile.sendSignal(process, "HUP");
   }
 
   void terminate() throws Exception {
-    DeployFile.signal(process, "TERM");
+    DeployFile.sendSignal(process, "TERM");
   }
 
   DescriptorLimit descriptorLimit() {
--- a/daemon/src/test/java/shalepaddle/daemon/Platform.java
+++ b/daemon/src/test/java/shalepaddle/daemon/Platform.java
@@ -100,7 +100,7 @@
       this.pid = pid;
     }
 
-    void signal(int signal) {
+    void sendSignal(int signal) {
       CLibrary.INSTANCE.kill(pid, signal);
     }
 
@@ -173,7 +173,7 @@
   public void close() throws IOException {
     for (StartedProcess process : startedProcesses) {
       if (process.isRunning()) {
-        process.signal(SIGKILL);
+        process.sendSignal(SIGKILL);
         try {
           process.awaitEnd(10_000);
         } catch (InterruptedException e) {
--- a/daemon/src/test/java/shalepaddle/daemon/SystemCallFailureIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/SystemCallFailureIT.java
@@ -67,7 +67,10 @@
     calls.close();
   }
 
-  /** Waits until the node serves again, since it may have excluded servers after failed calls. */
+  /**
+   * Waits until the node serves again, since it may have excluded servers after failed system
+   * calls.
+   */
   @AfterEach
   void awaitServing() throws Exception {
     calls.clearRules();
@@ -149,7 +152,7 @@
     outcome.maxAnswerMillis = Math.max(outcome.maxAnswerMillis, answerMillis);
   }
 
-  /** One of {@code interval} calls fails with an error. */
+  /** One of {@code interval} system calls fails with an error. */
   record Fault(Call call, Errno error, int interval) {
     @Override
     public String toString() {
@@ -161,7 +164,7 @@
     return Stream.of(errors).map(error -> new Fault(call, error, interval));
   }
 
-  /** Failures after which a repeated call succeeds and no bytes are lost. */
+  /** Failures after which a repeated system call succeeds and no bytes are lost. */
   private static Stream<Fault> transientFaults() {
     return Stream.concat(
         faults(Call.READ, 3, Errno.EINTR, Errno.EAGAIN, Errno.SHORT),
@@ -210,7 +213,8 @@
     Outcome outcome = sendRequests();
     int failedCalls = calls.failedCalls();
     assertTrue(failedCalls > 0);
-    assertTrue(outcome.closedConnections <= failedCalls, outcome + ", failed calls " + failedCalls);
+    assertTrue(
+        outcome.closedConnections <= failedCalls, outcome + ", failed system calls " + failedCalls);
     assertEquals(outcome.answers, outcome.successfulAnswers, outcome::toString);
   }
 
@@ -227,7 +231,8 @@
   @MethodSource
   void answersAllRequestsWhenCallsOnConnectionsToServerFail(Fault fault) throws Exception {
     boolean isTransient = transientFaults().anyMatch(fault::equals);
-    // The calls fail for one of the two servers only, so requests can be retried at the other.
+    // The system calls fail for one of the two servers only, so requests can be retried at the
+    // other.
     calls.addRule(fault.call(), fault.error(), fleet.serverPort(0), fault.interval());
     Outcome outcome = sendRequests(isTransient);
     assertTrue(calls.failedCalls() > 0);
@@ -304,14 +309,17 @@
         "the node does not request the list again");
   }
 
-  /** Closes the node's watch, which the node opens again with new calls, until a call failed. */
+  /**
+   * Closes the node's watch repeatedly until a system call has failed. The node makes new system
+   * calls each time it opens the watch again.
+   */
   private static void reopenWatchUntilCallFails() throws Exception {
     await(
         () -> {
           fleet.closeWatches();
           return calls.failedCalls() > 0;
         },
-        "no call has failed although the watch was closed repeatedly");
+        "no system call failed although the node had to open its watch again repeatedly");
   }
 
   private static void await(Callable<Boolean> condition, String failureMessage) throws Exception {
--- a/daemon/src/test/java/shalepaddle/daemon/UpgradeIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/UpgradeIT.java
@@ -37,20 +37,20 @@
 
   /** A process and the address of its management port. */
   private record Node(Platform.StartedProcess process, InetSocketAddress managementAddress) {
-    /** Sends a management request; returns the answer's status, or 0 if there is no answer. */
+    /** Sends a management request; returns the response's status, or 0 if none arrives. */
     int httpStatus(String request) throws IOException {
-      return Integer.parseInt(answer(request + " HTTP/1.1\r\n\r\n", "0").split(" ", 0)[0]);
+      return Integer.parseInt(fetchResponse(request + " HTTP/1.1\r\n\r\n", "0").split(" ", 0)[0]);
     }
 
     /** Returns the HTTP response from its status code on, or {@code fallback} if none arrives. */
-    String answer(String request, String fallback) throws IOException {
+    String fetchResponse(String request, String fallback) throws IOException {
       try (Socket socket =
           new Socket(managementAddress.getAddress(), managementAddress.getPort())) {
         socket.setSoTimeout(2000);
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-        String answer =
+        String response =
             new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-        return answer.isEmpty() ? fallback : answer.substring(9);
+        return response.isEmpty() ? fallback : response.substring(9);
       } catch (IOException e) {
         return fallback;
       }
@@ -122,7 +122,7 @@
                   maxResidentKilobytes,
                   oldNode.process().residentKilobytes() + newNode.process().residentKilobytes());
           long cpuMillisBefore = oldNode.process().cpuMillis();
-          oldNode.process().signal(Platform.SIGTERM);
+          oldNode.process().sendSignal(Platform.SIGTERM);
           // The platform kills the old process 0.7 s after the longest deadline, which is 2 s.
           assertTrue(awaitEnd(oldNode.process(), 2700), "the old process did not end");
           maxShutdownCpuMillis = Math.max(maxShutdownCpuMillis, lastCpuMillis - cpuMillisBefore);
@@ -172,7 +172,7 @@
         for (int i = 0; i < 4; i++) {
           Node killedNode = start(platform, fleet);
           Thread.sleep(random.nextInt(700));
-          killedNode.process().signal(Platform.SIGKILL);
+          killedNode.process().sendSignal(Platform.SIGKILL);
           assertTrue(killedNode.process().awaitEnd(5000));
         }
         assertTrue(node.process().isRunning());
@@ -198,8 +198,8 @@
       assertEquals(200, firstNode.httpStatus("PUT /api/include?member=s-1"));
       awaitEjected(secondNode, 1);
       // Killed processes leave their exclusions behind: a process that starts later applies them.
-      firstNode.process().signal(Platform.SIGKILL);
-      secondNode.process().signal(Platform.SIGKILL);
+      firstNode.process().sendSignal(Platform.SIGKILL);
+      secondNode.process().sendSignal(Platform.SIGKILL);
       assertTrue(firstNode.process().awaitEnd(5000) && secondNode.process().awaitEnd(5000));
       Node thirdNode = start(platform, fleet).awaitReady();
       awaitEjected(thirdNode, 1);
@@ -217,7 +217,7 @@
         Fleet fleet = new Fleet(2)) {
       Node node = start(platform, fleet).awaitReady();
       // As no other process takes over, the node accepts connections while it drains.
-      node.process().signal(Platform.SIGTERM);
+      node.process().sendSignal(Platform.SIGTERM);
       assertFalse(node.process().awaitEnd(1000), "the process ended without draining");
       assertTrue(node.process().awaitEnd(2700));
       assertTrue(readLog(0).contains("draining") && readLog(0).endsWith("drained\n"), readLog(0));
@@ -230,7 +230,7 @@
 
   private static void awaitEjected(Node node, int ejectedServers) throws Exception {
     for (int i = 0; i < 200; i++) {
-      String telemetry = node.answer("GET /api/telemetry HTTP/1.1\r\n\r\n", "");
+      String telemetry = node.fetchResponse("GET /api/telemetry HTTP/1.1\r\n\r\n", "");
       if (telemetry.contains("\napp_ejected " + ejectedServers + "\n")) {
         return;
       }
--- a/engine/src/main/java/shalepaddle/node/GracefulShutdown.java
+++ b/engine/src/main/java/shalepaddle/node/GracefulShutdown.java
@@ -130,9 +130,9 @@
         Math.min(
             MAX_HAND_OVER_IDLE_MILLIS,
             Math.max(0, untilAnsweredMillis - CLOSE_IDLE_BEFORE_ANSWERED_MILLIS));
-    long closingMillis =
+    long closeIdleToAnsweredMillis =
         Math.min(untilAnsweredMillis - maxIdleMillis, CLOSE_IDLE_BEFORE_ANSWERED_MILLIS);
-    front.drain(loop, maxIdleMillis, untilStopReadingMillis(closingMillis), onDrained);
+    front.drain(loop, maxIdleMillis, untilStopReadingMillis(closeIdleToAnsweredMillis), onDrained);
   }
 
   /**
--- a/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
@@ -175,7 +175,7 @@
   }
 
   @Test
-  void doesNotForwardRequestsBehindUnwrittenBytes() throws Exception {
+  void doesNotForwardRequestsQueuedBehindUnwrittenBytes() throws Exception {
     rig = startWithoutShedding(MULTIPLEXED_SETTINGS.formatted(false));
     int valueBytes = 4 << 20;
     ScriptedPeer firstClient =
--- a/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
+++ b/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
@@ -85,7 +85,8 @@
         cache.close();
         return;
       } catch (java.net.SocketTimeoutException e) {
-        // No request has reached this server yet: the next one may.
+        // The node did not send this request to the server in time; the next request may be routed
+        // to it.
       }
     }
     throw new AssertionError("no request reached the server of the new list");
@@ -135,7 +136,7 @@
   void callsDiscoveryOfNewConfiguration(@TempDir Path folder) throws Exception {
     Path configFile = folder.resolve("config.json");
     try (NodeFixture rig = new NodeFixture();
-        ServerSocket newService = NodeFixture.listen()) {
+        ServerSocket newDiscovery = NodeFixture.listen()) {
       ScriptedPeer firstWatch = rig.acceptDiscovery();
       readRequest(firstWatch);
       firstWatch.write(
@@ -145,7 +146,7 @@
       serveRequest(rig, rig.cache, "before");
       String oldAddress = "127.0.0.1:" + rig.discovery.getLocalPort();
       String newText =
-          rig.configText("").replace(oldAddress, "127.0.0.1:" + newService.getLocalPort());
+          rig.configText("").replace(oldAddress, "127.0.0.1:" + newDiscovery.getLocalPort());
       // A truncated file and one without a valid address are rejected; the old configuration stays.
       Files.writeString(configFile, newText.substring(0, newText.length() / 2));
       rig.node.reload(configFile.toString(), JsonObject.parse(newText));
@@ -157,7 +158,7 @@
       assertEquals(WATCH_REQUEST.formatted(8), readRequest(secondWatch));
       Files.writeString(configFile, newText);
       rig.node.reload(configFile.toString(), JsonObject.parse(newText));
-      try (ScriptedPeer newWatch = new ScriptedPeer(newService.accept())) {
+      try (ScriptedPeer newWatch = new ScriptedPeer(newDiscovery.accept())) {
         assertEquals(WATCH_REQUEST.formatted(8), readRequest(newWatch));
         assertTrue(secondWatch.closedByPeer());
         newWatch.write(
@@ -383,13 +384,16 @@
     }
   }
 
-  /** A node must have the new service's list at most 4 s after the reload signal. */
+  /**
+   * A node must have the endpoint list of the new discovery service at most 4 s after the reload
+   * signal.
+   */
   @Test
-  void failuresOfOldServiceDoNotDelayCallsToNewService(@TempDir Path folder) throws Exception {
+  void failuresOfOldDiscoveryDoNotDelayCallsToNewDiscovery(@TempDir Path folder) throws Exception {
     String busyResponse = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     Path configFile = folder.resolve("config.json");
     try (NodeFixture rig = new NodeFixture();
-        ServerSocket newService = NodeFixture.listen()) {
+        ServerSocket newDiscovery = NodeFixture.listen()) {
       for (int i = 0; i < 3; i++) {
         ScriptedPeer discoveryCall = rig.acceptDiscovery();
         readRequest(discoveryCall);
@@ -397,14 +401,14 @@
       }
       String oldAddress = "127.0.0.1:" + rig.discovery.getLocalPort();
       String newText =
-          rig.configText("").replace(oldAddress, "127.0.0.1:" + newService.getLocalPort());
+          rig.configText("").replace(oldAddress, "127.0.0.1:" + newDiscovery.getLocalPort());
       Files.writeString(configFile, newText);
       rig.node.reload(configFile.toString(), JsonObject.parse(newText));
-      ScriptedPeer discoveryCall = new ScriptedPeer(newService.accept());
+      ScriptedPeer discoveryCall = new ScriptedPeer(newDiscovery.accept());
       readRequest(discoveryCall);
       discoveryCall.write(busyResponse);
-      newService.setSoTimeout(1500);
-      readRequest(new ScriptedPeer(newService.accept()));
+      newDiscovery.setSoTimeout(1500);
+      readRequest(new ScriptedPeer(newDiscovery.accept()));
     }
   }
 
--- a/engine/src/test/java/shalepaddle/node/IdempotencyWindowRetryTest.java
+++ b/engine/src/test/java/shalepaddle/node/IdempotencyWindowRetryTest.java
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void doesNotRetryBehindBytesWrittenOnlyAfterWindow() throws Exception {
+  void doesNotRetryWhenConnectionIsBlockedUntilWindowEnds() throws Exception {
     rig = new NodeFixture(SETTINGS.formatted(true, 400, WINDOW_MILLIS / 1000));
     ScriptedPeer writer = rig.connectClient().write(NodeFixture.writeCommand("k1", 20_000, "v"));
     final long sentAtNanos = System.nanoTime();
--- a/engine/src/test/java/shalepaddle/node/NodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/NodeTest.java
@@ -277,8 +277,8 @@
             "connect-timeout":0.15,"conn-idle":60}""");
     ScriptedPeer client = rig.connectClient();
     // While the server reads nothing, the writes exceed the socket buffers of one connection. The
-    // system lets these grow to 4 MB, about as much as one client can have open, so two clients
-    // write.
+    // system lets these grow to 4 MB, about as much as the values of all the writes that one client
+    // can have pending, so two clients write.
     int writesPerClient = 64;
     for (int i = 0; i < writesPerClient; i++) {
       client.write(NodeFixture.writeCommand("a" + i, 20_000, "v".repeat(1 << 16)));
--- a/engine/src/test/java/shalepaddle/node/RequestRejectionTest.java
+++ b/engine/src/test/java/shalepaddle/node/RequestRejectionTest.java
@@ -113,7 +113,10 @@
     assertEquals(5, combinedRejections.rejections().count());
     assertEquals("SERVER_ERROR busy 40\r\n".repeat(5), releaseAndGetAnswer(combinedRejections));
     ClientCommand writeCommand = channel.readInbound();
-    assertEquals("w1", writeCommand.request().id(), "the admitted request is out of order");
+    assertEquals(
+        "w1",
+        writeCommand.request().id(),
+        "the admitted write did not come right after the rejected reads");
     writeCommand.release();
     assertEquals("SERVER_ERROR busy 40\r\n", releaseAndGetAnswer(channel.readInbound()));
     assertNull(channel.<ClientCommand>readInbound(), "a command was read from an incomplete line");
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioNodeConfig.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioNodeConfig.java
@@ -43,7 +43,7 @@
             ScenarioSimulation.DRAIN_GRACE_MILLIS / 1e3,
             ScenarioSimulation.COLD_CAPACITY_SHARE,
             ScenarioSimulation.WARM_UP_SECONDS,
-            ScenarioSimulation.COLLAPSE_MULTIPLE,
+            ScenarioSimulation.COLLAPSE_CAPACITY_MULTIPLE,
             ScenarioSimulation.COLLAPSE_WINDOW_SECONDS,
             0.75 / deadlineDivisor,
             2.0 / deadlineDivisor,
--- a/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
+++ b/simulation/src/main/java/shalepaddle/simulation/ScenarioSimulation.java
@@ -74,7 +74,7 @@
   private static final int MAX_DEADLINE_MILLIS = 2000;
   static final double COLD_CAPACITY_SHARE = 0.12;
   static final double WARM_UP_SECONDS = 10;
-  static final double COLLAPSE_MULTIPLE = 3;
+  static final double COLLAPSE_CAPACITY_MULTIPLE = 3;
   static final double COLLAPSE_WINDOW_SECONDS = 2;
 
   /**
@@ -213,7 +213,10 @@
         ServerModel.defaults()
             .withWorkers(4, 0.02)
             .withColdStart(
-                COLD_CAPACITY_SHARE, WARM_UP_SECONDS, COLLAPSE_MULTIPLE, COLLAPSE_WINDOW_SECONDS);
+                COLD_CAPACITY_SHARE,
+                WARM_UP_SECONDS,
+                COLLAPSE_CAPACITY_MULTIPLE,
+                COLLAPSE_WINDOW_SECONDS);
     String zone = fleet.size() % 2 == 0 ? "a" : "b";
     zonesByServerId.put(id, zone);
     return new StandInServer(
@@ -315,23 +318,23 @@
   }
 
   private StandInDiscovery.Member newMember(
-      StandInServer server, StandInDiscovery.State state, long startedMillis) {
+      StandInServer server, StandInDiscovery.State state, long startUnixMillis) {
     return new StandInDiscovery.Member(
-        server.id(), server.address(), zonesByServerId.get(server.id()), 0, state, startedMillis);
+        server.id(), server.address(), zonesByServerId.get(server.id()), 0, state, startUnixMillis);
   }
 
   private void publishState(StandInServer server, StandInDiscovery.State state) {
     for (Node node : nodes) {
       StandInDiscovery.Member previousMember = node.discovery().member(server.id());
-      long startedMillis = previousMember == null ? 0 : previousMember.startedMillis();
-      node.discovery().put(newMember(server, state, startedMillis));
+      long startUnixMillis = previousMember == null ? 0 : previousMember.startUnixMillis();
+      node.discovery().put(newMember(server, state, startUnixMillis));
     }
   }
 
   private void publishStart(StandInServer server) {
-    long startedMillis = START_UNIX_MILLIS + virtualTime.elapsedMillis();
+    long startUnixMillis = START_UNIX_MILLIS + virtualTime.elapsedMillis();
     for (Node node : nodes) {
-      node.discovery().put(newMember(server, StandInDiscovery.State.ACTIVE, startedMillis));
+      node.discovery().put(newMember(server, StandInDiscovery.State.ACTIVE, startUnixMillis));
     }
   }
 
--- a/testkit/src/main/java/shalepaddle/testkit/ServerModel.java
+++ b/testkit/src/main/java/shalepaddle/testkit/ServerModel.java
@@ -13,8 +13,8 @@
  * @param coldCapacityShare share of its capacity that is available right after a cold start
  * @param warmUpSeconds time in seconds after a cold start until its full capacity is available; the
  *     share grows linearly
- * @param collapseMultiple it collapses if it receives more than this multiple of its current
- *     capacity while it warms up; 0 to never collapse
+ * @param collapseCapacityMultiple it collapses if it receives more than this multiple of its
+ *     current capacity while it warms up; 0 to never collapse
  * @param collapseWindowSeconds period in seconds over which the received load is measured
  * @param dedupWindowSeconds how long its idempotency group drops repeats of a write with an
  *     idempotency key, in seconds
@@ -28,7 +28,7 @@
     int minValueBytes,
     double coldCapacityShare,
     double warmUpSeconds,
-    double collapseMultiple,
+    double collapseCapacityMultiple,
     double collapseWindowSeconds,
     double dedupWindowSeconds) {
 
@@ -42,14 +42,14 @@
    *
    * @param coldCapacityShare share of its capacity right after a cold start
    * @param warmUpSeconds time in seconds until its full capacity is available
-   * @param collapseMultiple received load, as a multiple of its current capacity, above which it
-   *     collapses
+   * @param collapseCapacityMultiple received load, as a multiple of its current capacity, above
+   *     which it collapses
    * @param collapseWindowSeconds period in seconds over which the received load is measured
    */
   public ServerModel withColdStart(
       double coldCapacityShare,
       double warmUpSeconds,
-      double collapseMultiple,
+      double collapseCapacityMultiple,
       double collapseWindowSeconds) {
     return new ServerModel(
         workers,
@@ -60,7 +60,7 @@
         minValueBytes,
         coldCapacityShare,
         warmUpSeconds,
-        collapseMultiple,
+        collapseCapacityMultiple,
         collapseWindowSeconds,
         dedupWindowSeconds);
   }
@@ -76,7 +76,7 @@
         minValueBytes,
         coldCapacityShare,
         warmUpSeconds,
-        collapseMultiple,
+        collapseCapacityMultiple,
         collapseWindowSeconds,
         dedupWindowSeconds);
   }
--- a/testkit/src/main/java/shalepaddle/testkit/StandInDiscovery.java
+++ b/testkit/src/main/java/shalepaddle/testkit/StandInDiscovery.java
@@ -68,15 +68,15 @@
    * @param zone zone of the server
    * @param cell cell of the server
    * @param state state of the server
-   * @param startedMillis Unix time of the last start of the server; 0 if it started long ago
+   * @param startUnixMillis Unix time of the last start of the server; 0 if it started long ago
    */
   public record Member(
-      String id, String address, String zone, int cell, State state, long startedMillis) {
+      String id, String address, String zone, int cell, State state, long startUnixMillis) {
     private String json() {
       return """
           {"id":"%s","addr":"%s","zone":"%s","kind":"m","cell":%d,"state":"%s","weight":1.0,\
           "started_ms":%d}"""
-          .formatted(id, address, zone, cell, state.wireName(), startedMillis);
+          .formatted(id, address, zone, cell, state.wireName(), startUnixMillis);
     }
   }
 
@@ -94,7 +94,7 @@
   private SocketAddress address;
   private Channel serverChannel;
 
-  /** Creates a service with an empty list that does not listen yet. */
+  /** Creates a discovery service with an empty endpoint list; it does not listen yet. */
   public StandInDiscovery(LoopbackTransport transport) {
     this.transport = transport;
   }
--- a/testkit/src/main/java/shalepaddle/testkit/WarmUp.java
+++ b/testkit/src/main/java/shalepaddle/testkit/WarmUp.java
@@ -57,7 +57,7 @@
    * @param workSeconds processing time of the request at full capacity
    */
   void checkOverload(double workSeconds) {
-    if (model.collapseMultiple() <= 0 || !hasStartedCold || capacityShare() >= 1) {
+    if (model.collapseCapacityMultiple() <= 0 || !hasStartedCold || capacityShare() >= 1) {
       return;
     }
     long nowNanos = transport.nowNanos();
@@ -72,7 +72,7 @@
     }
     double capacitySeconds = model.workers() * capacityShare() * model.collapseWindowSeconds();
     if (nowNanos - startedAtNanos >= windowNanos
-        && receivedWorkSeconds > model.collapseMultiple() * capacitySeconds) {
+        && receivedWorkSeconds > model.collapseCapacityMultiple() * capacitySeconds) {
       collapsed = true;
     }
   }
