--- a/daemon/src/test/java/shalepaddle/daemon/SystemCallFailureIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/SystemCallFailureIT.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.MethodOrderer;
+import org.junit.jupiter.api.Order;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.TestMethodOrder;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -29,7 +32,11 @@
 /**
  * Makes each system call on sockets fail temporarily, on each kind of socket of the real process:
  * to clients, cache servers, discovery and the management port.
+ *
+ * <p>The tests share one node, and failed connects make it exclude servers for a while: their test
+ * runs last.
  */
+@TestMethodOrder(MethodOrderer.OrderAnnotation.class)
 @Timeout(60)
 class SystemCallFailureIT {
   private static final int DEADLINE_MILLIS = 1000;
@@ -189,6 +196,7 @@
 
   @ParameterizedTest
   @MethodSource
+  @Order(1)
   void servesAllRequestsWhenClientSocketCallsFail(Fault fault) throws Exception {
     calls.addRule(fault.call(), fault.error(), node.address().getPort(), fault.interval());
     Outcome outcome = sendRequests(true);
@@ -208,6 +216,7 @@
 
   @ParameterizedTest
   @MethodSource
+  @Order(4)
   void closesOnlyConnectionsWhoseCallsFail(Fault fault) throws Exception {
     calls.addRule(fault.call(), fault.error(), node.address().getPort(), fault.interval());
     Outcome outcome = sendRequests();
@@ -229,6 +238,7 @@
 
   @ParameterizedTest
   @MethodSource
+  @Order(5)
   void answersAllRequestsWhenCallsOnConnectionsToServerFail(Fault fault) throws Exception {
     boolean isTransient = transientFaults().anyMatch(fault::equals);
     // The system calls fail for one of the two servers only, so requests can be retried at the
@@ -260,6 +270,7 @@
 
   @ParameterizedTest
   @MethodSource
+  @Order(7)
   void answersAllRequestsWhenConnectsFail(Fault fault) throws Exception {
     calls.addRule(fault.call(), fault.error(), 0, fault.interval());
     Outcome outcome = new Outcome();
@@ -293,6 +304,7 @@
 
   @ParameterizedTest
   @MethodSource
+  @Order(3)
   void servesAllRequestsWhenDiscoveryCallsFail(Fault fault) throws Exception {
     // Calls of socket() can't be selected by port, since they precede the connect.
     int port = fault.call() == Call.SOCKET ? 0 : fleet.discoveryPort();
@@ -336,6 +348,7 @@
 
   @ParameterizedTest
   @MethodSource
+  @Order(6)
   void answersManagementRequestsWhenCallsFail(Fault fault) throws Exception {
     calls.addRule(fault.call(), fault.error(), managementAddress.getPort(), fault.interval());
     List<Long> answerMillis = new ArrayList<>();
@@ -352,6 +365,7 @@
   }
 
   @Test
+  @Order(2)
   void servesRequestsWhenWallClockSteps() throws Exception {
     for (long seconds : new long[] {3600, -3600, 0}) {
       calls.setWallClockOffset(seconds);
