--- a/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
@@ -68,7 +68,8 @@
   private static DecisionCost.MeasuredRouter createQuadraticRouter(
       FleetSize size, RoutingActions actions) {
     DecisionCost.MeasuredRouter productionRouter = DecisionCost.createRouter(size, actions);
-    long[] serverValues = new long[size.servers()];
+    // One value for each server, computed only to take time.
+    long[] dummyValues = new long[size.servers()];
     return new DecisionCost.MeasuredRouter() {
       @Override
       public void onMembershipUpdate(double now, MembershipUpdate update) {
@@ -77,9 +78,9 @@
 
       @Override
       public void onRequest(double now, Request request) {
-        for (int a = 0; a < serverValues.length; a++) {
-          for (int b = 0; b < serverValues.length; b++) {
-            serverValues[a] = Long.rotateLeft(serverValues[a] ^ serverValues[b], 7) % 1_000_003;
+        for (int a = 0; a < dummyValues.length; a++) {
+          for (int b = 0; b < dummyValues.length; b++) {
+            dummyValues[a] = Long.rotateLeft(dummyValues[a] ^ dummyValues[b], 7) % 1_000_003;
           }
         }
         productionRouter.onRequest(now, request);
@@ -172,15 +173,18 @@
     HollowFleet.Result largeResult = simulateFleet(216);
     assertTrue(
         smallResult.restartLoadRatio() > 0.1 && smallResult.restartLoadRatio() < 1,
-        "load of restarted servers with 27 nodes: " + smallResult);
+        "with 27 nodes, restartLoadRatio must be between 0.1 and 1: " + smallResult);
     assertTrue(
         largeResult.restartLoadRatio() > 0.1 && largeResult.restartLoadRatio() < 1,
-        "load of restarted servers with 216 nodes: " + largeResult);
+        "with 216 nodes, restartLoadRatio must be between 0.1 and 1: " + largeResult);
     // Measured: the greatest load of a restarted server was 0.42 of its overload limit at 27 nodes
     // and 0.43 at 108 nodes, so it does not grow with the nodes.
     assertTrue(
         largeResult.restartLoadRatio() < 1.5 * smallResult.restartLoadRatio(),
-        "load of restarted servers with 27 and 216 nodes: " + smallResult + " and " + largeResult);
+        "from 27 to 216 nodes, restartLoadRatio must grow to less than 1.5 times: "
+            + smallResult
+            + " and "
+            + largeResult);
   }
 
   @Test
@@ -190,10 +194,16 @@
     assertEquals(0, largeResult.rejectedRatio(), 0.001);
     assertTrue(
         largeResult.copiesPerKey() < 1.3 * smallResult.copiesPerKey(),
-        "copies per key with 27 and 216 nodes: " + smallResult + " and " + largeResult);
+        "from 27 to 216 nodes, copiesPerKey must grow to less than 1.3 times: "
+            + smallResult
+            + " and "
+            + largeResult);
     assertTrue(
         largeResult.missRatio() < 1.3 * smallResult.missRatio(),
-        "misses with 27 and 216 nodes: " + smallResult + " and " + largeResult);
+        "from 27 to 216 nodes, missRatio must grow to less than 1.3 times: "
+            + smallResult
+            + " and "
+            + largeResult);
   }
 
   @Test
@@ -214,7 +224,7 @@
   }
 
   @Test
-  void nodeStepsDoubleWithoutDuplicatesUpToTwiceNodeCount() {
+  void nodeStepsReturnsDoublingNodeCountsWithoutDuplicates() {
     assertEquals(List.of(27, 54, 108, 215, 430, 860), FleetSize.PLANNED.nodeSteps());
     assertEquals(List.of(1, 2), new FleetSize(1, 1, 1, 1).nodeSteps());
   }
--- a/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
+++ b/cluster/src/test/java/shalepaddle/transport/ChangeFeedClientTest.java
@@ -108,7 +108,8 @@
 
   /**
    * Starts a client, and returns the queue of its notifications. A notification of an entry
-   * consists of its index and the wire name of its outcome; HELD is the wire name of COMMITTED.
+   * consists of its index and the wire name of its outcome; HELD is the wire name of COMMITTED. A
+   * notification of a snapshot consists of its index and the excluded servers.
    */
   private LinkedBlockingQueue<String> subscribe(String group, ChangeFeedServer server) {
     LinkedBlockingQueue<String> notifications = new LinkedBlockingQueue<>();
@@ -121,7 +122,8 @@
 
           @Override
           public void snapshotInstalled(ReplicatedState.Snapshot snapshot) {
-            notifications.add("restored to " + snapshot.index() + " " + snapshot.excludedServers());
+            notifications.add(
+                "snapshot at " + snapshot.index() + " excludes " + snapshot.excludedServers());
           }
 
           @Override
@@ -174,7 +176,7 @@
     ChangeFeedServer server = startServer();
     state.apply(9, new Proposal("id9", 1, new StateCommand.SetExclusion("s-9", true)));
     memberThread.submit(() -> server.snapshotInstalled(9)).get();
-    assertEquals("restored to 9 [s-9]", nextNotification(subscribe("birds", server)));
+    assertEquals("snapshot at 9 excludes [s-9]", nextNotification(subscribe("birds", server)));
   }
 
   @Test
@@ -191,7 +193,7 @@
     while (line.startsWith("cannot decode the snapshot at index 9:")) {
       line = nextNotification(notifications);
     }
-    assertEquals("restored to 9 [s-9]", line);
+    assertEquals("snapshot at 9 excludes [s-9]", line);
   }
 
   @Test
--- a/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
+++ b/daemon/src/test/java/shalepaddle/daemon/FaultSoak.java
@@ -521,8 +521,8 @@
   }
 
   /**
-   * Whether a text starts with the prefix, unless the violation named after it is explained by the
-   * node's pauses.
+   * Whether a text starts with the prefix, and the node's pauses don't explain the violation whose
+   * kind follows the prefix.
    */
   private static boolean reportsViolation(NodeProcess node, String text, String prefix) {
     boolean isExcused =
--- a/daemon/src/test/java/shalepaddle/daemon/WallClockIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/WallClockIT.java
@@ -116,18 +116,18 @@
     startNode();
     calls.setWallClockOffset(nodeClockAheadSeconds);
     assertEquals(REQUEST_COUNT, sendReads());
-    int warmRequests = fleet.servedRequests(0);
+    int requestsWhenWarm = fleet.servedRequests(0);
     fleet.setStartTime(0, System.currentTimeMillis() + discoveryClockAheadSeconds * 1000);
     TimeUnit.MILLISECONDS.sleep(100);
     fleet.resetCounts();
     assertEquals(REQUEST_COUNT, sendReads());
-    int coldRequests = fleet.servedRequests(0);
+    int requestsWhenCold = fleet.servedRequests(0);
     assertTrue(
-        coldRequests < MAX_COLD_FRACTION * warmRequests,
+        requestsWhenCold < MAX_COLD_FRACTION * requestsWhenWarm,
         "the server served "
-            + warmRequests
+            + requestsWhenWarm
             + " requests when warm and "
-            + coldRequests
+            + requestsWhenCold
             + " when cold");
   }
 
@@ -145,10 +145,13 @@
     calls.setWallClockOffset(nodeClockAheadSeconds);
     startNode();
     assertEquals(REQUEST_COUNT, sendReads());
-    int warmRequests = fleet.servedRequests(1) + fleet.servedRequests(2);
-    int coldRequests = fleet.servedRequests(0);
+    int requestsOfWarmServers = fleet.servedRequests(1) + fleet.servedRequests(2);
+    int requestsOfColdServer = fleet.servedRequests(0);
     assertTrue(
-        coldRequests < MAX_COLD_FRACTION * warmRequests / 2,
-        "two warm servers served " + warmRequests + " requests, the cold one " + coldRequests);
+        requestsOfColdServer < MAX_COLD_FRACTION * requestsOfWarmServers / 2,
+        "two warm servers served "
+            + requestsOfWarmServers
+            + " requests, the cold one "
+            + requestsOfColdServer);
   }
 }
--- a/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientDisconnectTest.java
@@ -204,7 +204,8 @@
   void doesNotRetryAfterClientsDisconnected(boolean mayCancel) throws Exception {
     int forwardedCount = 0;
     for (int batch = 0; batch < BATCH_COUNT; batch++) {
-      // Each batch needs a new node: after so many resets a node avoids the server for a while.
+      // Each batch of clients needs a new node: a node that has seen the connection resets of all
+      // batches avoids the server for a while.
       rig = startWithoutShedding(MULTIPLEXED_SETTINGS.formatted(mayCancel));
       List<ScriptedPeer> waitingClients = sendFromNewClients(BATCH_SIZE);
       ScriptedPeer cache = rig.acceptCache();
--- a/engine/src/test/java/shalepaddle/node/DescriptorBudgetTest.java
+++ b/engine/src/test/java/shalepaddle/node/DescriptorBudgetTest.java
@@ -8,9 +8,9 @@
 
 class DescriptorBudgetTest {
   /** The descriptor budget of a node with 256 descriptors and an admin server. */
-  private final DescriptorBudget budget = rehearsalBudget();
+  private final DescriptorBudget budget = createBudget();
 
-  private static DescriptorBudget rehearsalBudget() {
+  private static DescriptorBudget createBudget() {
     try {
       return DescriptorBudget.of(NodeConfig.forRehearsal());
     } catch (FormatException e) {
--- a/engine/src/test/java/shalepaddle/node/EngineTest.java
+++ b/engine/src/test/java/shalepaddle/node/EngineTest.java
@@ -245,7 +245,7 @@
     CountDownLatch startSignal = new CountDownLatch(1);
     List<Thread> submitters = new ArrayList<>();
     for (int threadIndex = 0; threadIndex < threadCount; threadIndex++) {
-      List<WriteCall> ownWrites =
+      List<WriteCall> writesOfThread =
           writes.subList(threadIndex * callsPerThread, (threadIndex + 1) * callsPerThread);
       Thread thread =
           new Thread(
@@ -255,7 +255,7 @@
                 } catch (InterruptedException e) {
                   return;
                 }
-                ownWrites.forEach(write -> engine.submit(write.toCall()));
+                writesOfThread.forEach(write -> engine.submit(write.toCall()));
               });
       thread.start();
       submitters.add(thread);
--- a/engine/src/test/java/shalepaddle/node/NodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/NodeTest.java
@@ -242,7 +242,7 @@
   @Test
   void stopsReusingConnectionsThatBreakAfterPauses() throws Exception {
     ScriptedPeer client = rig.connectClient();
-    String reusedLine = null;
+    String lineOnReusedConnection = null;
     for (int i = 0; i < 100; i++) {
       client.write(NodeFixture.readCommand("a" + i, 2000));
       ScriptedPeer cache = rig.acceptCache();
@@ -253,8 +253,8 @@
       // The connection is idle for this time before it is used again.
       Thread.sleep(20);
       client.write(NodeFixture.readCommand("b" + i, 2000));
-      reusedLine = cache.readLine();
-      if (reusedLine == null) {
+      lineOnReusedConnection = cache.readLine();
+      if (lineOnReusedConnection == null) {
         ScriptedPeer newConnection = rig.acceptCache();
         assertTrue(newConnection.readLine().contains("Ob" + i + " "));
         newConnection.write("VA 1 Ob" + i + "\r\nx\r\n");
@@ -264,7 +264,7 @@
       cache.reset();
       assertEquals("SERVER_ERROR busy", client.readLine());
     }
-    assertNull(reusedLine, "requests are still sent on connections that were idle");
+    assertNull(lineOnReusedConnection, "requests are still sent on connections that were idle");
   }
 
   @Test
@@ -304,7 +304,7 @@
   }
 
   @Test
-  void answersAtDeadlineAndClosesServerConnections() throws Exception {
+  void answersAtDeadlineAndClosesConnectionsWhenServerIsSilent() throws Exception {
     ScriptedPeer client = rig.connectClient();
     client.write(NodeFixture.writeCommand("a1", 200, "v") + NodeFixture.readCommand("a2", 200));
     ScriptedPeer cache = rig.acceptCache();
--- a/engine/src/test/java/shalepaddle/node/ServerConnectionRejectedTest.java
+++ b/engine/src/test/java/shalepaddle/node/ServerConnectionRejectedTest.java
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void sendsRequestAgainOnOpenConnection() throws Exception {
+  void sendsRequestOnOpenConnectionWhenNewConnectionIsRejected() throws Exception {
     sendOnOpenAndNewConnection(2, NodeFixture.readCommand("b1", 5000));
     rejectNewConnection();
     assertTrue(openConnection.readLine().contains("Ob1 "));
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void sendsNonIdempotentWriteAgainOnOpenConnection() throws Exception {
+  void sendsNonIdempotentWriteOnOpenConnectionWhenNewConnectionIsRejected() throws Exception {
     sendOnOpenAndNewConnection(2, NodeFixture.writeCommand("b1", 5000, "v"));
     rejectNewConnection();
     assertTrue(openConnection.readLine().contains("Ob1 "));
