--- a/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
+++ b/capacity/src/test/java/shalepaddle/capacity/CapacityRunTest.java
@@ -72,23 +72,23 @@
     long[] dummyValues = new long[size.servers()];
     return new DecisionCost.MeasuredRouter() {
       @Override
-      public void onMembershipUpdate(double now, MembershipUpdate update) {
-        productionRouter.onMembershipUpdate(now, update);
+      public void onMembershipUpdate(double nowSeconds, MembershipUpdate update) {
+        productionRouter.onMembershipUpdate(nowSeconds, update);
       }
 
       @Override
-      public void onRequest(double now, Request request) {
+      public void onRequest(double nowSeconds, Request request) {
         for (int a = 0; a < dummyValues.length; a++) {
           for (int b = 0; b < dummyValues.length; b++) {
             dummyValues[a] = Long.rotateLeft(dummyValues[a] ^ dummyValues[b], 7) % 1_000_003;
           }
         }
-        productionRouter.onRequest(now, request);
+        productionRouter.onRequest(nowSeconds, request);
       }
 
       @Override
-      public void onOutcome(double now, Outcome outcome) {
-        productionRouter.onOutcome(now, outcome);
+      public void onOutcome(double nowSeconds, Outcome outcome) {
+        productionRouter.onOutcome(nowSeconds, outcome);
       }
     };
   }
@@ -142,14 +142,14 @@
     return (node, actions) ->
         new DiscoveryPolling.PollingClient() {
           @Override
-          public void onMembershipUpdate(double now, MembershipUpdate update) {
+          public void onMembershipUpdate(double nowSeconds, MembershipUpdate update) {
             if (update.kind() != MembershipUpdate.Kind.FULL) {
               actions.scheduleTimer(0, 0.05);
             }
           }
 
           @Override
-          public void onTimer(double now, long token) {
+          public void onTimer(double nowSeconds, long token) {
             actions.subscribe(true);
           }
         };
--- a/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
+++ b/cluster/src/test/java/shalepaddle/raft/RaftGroupSimulation.java
@@ -201,7 +201,7 @@
   private void changeMembership(
       String member, RaftMember.MembershipChange change, Runnable whenEffective) {
     VirtualGroup.Machine leader = group.leader();
-    boolean isDone = leader != null && isEffective(leader, member, change);
+    boolean isDone = leader != null && isMembershipChangeEffective(leader, member, change);
     if (isDone) {
       whenEffective.run();
       return;
@@ -214,7 +214,7 @@
         () -> changeMembership(member, change, whenEffective));
   }
 
-  private static boolean isEffective(
+  private static boolean isMembershipChangeEffective(
       VirtualGroup.Machine leader, String member, RaftMember.MembershipChange change) {
     MemberStatus status = leader.member.status();
     return switch (change) {
--- a/engine/src/test/java/shalepaddle/node/ClientConnectionsTest.java
+++ b/engine/src/test/java/shalepaddle/node/ClientConnectionsTest.java
@@ -134,7 +134,7 @@
   }
 
   @Test
-  void closesClientsSilentWithinCommandBeforeSlowClient() throws Exception {
+  void closesClientsSilentWithinCommandRatherThanSlowClientAtConnectionLimit() throws Exception {
     try (NodeFixture rig = new NodeFixture(1, 128)) {
       ScriptedPeer slowClient = rig.connectClient();
       String command = NodeFixture.readCommand("a1", 5000);
--- a/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/CoalescingNodeTest.java
@@ -134,8 +134,9 @@
   }
 
   /**
-   * Coalescing is off in the deployed operator file: on the platform each request needs a response
-   * of its own.
+   * Coalescing is off in {@code deploy/operator.toml}. The platform that this file is for counts a
+   * response to a client only if a cache server sent it for that very request; a read answered with
+   * the response to another read counts as lost.
    */
   @Test
   void doesNotCoalesceWithDeployedOperatorFile() throws Exception {
--- a/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
+++ b/engine/src/test/java/shalepaddle/node/DiscoveryTest.java
@@ -145,19 +145,19 @@
                   NodeFixture.serverListJson(8, true, rig.cache.getLocalPort()) + "\n"));
       serveRequest(rig, rig.cache, "before");
       String oldAddress = "127.0.0.1:" + rig.discovery.getLocalPort();
-      String newText =
+      String newConfigText =
           rig.configText("").replace(oldAddress, "127.0.0.1:" + newDiscovery.getLocalPort());
       // A truncated file and one without a valid address are rejected; the old configuration stays.
-      Files.writeString(configFile, newText.substring(0, newText.length() / 2));
-      rig.node.reload(configFile.toString(), JsonObject.parse(newText));
-      Files.writeString(configFile, newText.replaceAll("127.0.0.1:\\d+", "nowhere"));
-      rig.node.reload(configFile.toString(), JsonObject.parse(newText));
+      Files.writeString(configFile, newConfigText.substring(0, newConfigText.length() / 2));
+      rig.node.reload(configFile.toString(), JsonObject.parse(newConfigText));
+      Files.writeString(configFile, newConfigText.replaceAll("127.0.0.1:\\d+", "nowhere"));
+      rig.node.reload(configFile.toString(), JsonObject.parse(newConfigText));
       serveRequest(rig, rig.cache, "between");
       firstWatch.close();
       ScriptedPeer secondWatch = rig.acceptDiscovery();
       assertEquals(WATCH_REQUEST.formatted(8), readRequest(secondWatch));
-      Files.writeString(configFile, newText);
-      rig.node.reload(configFile.toString(), JsonObject.parse(newText));
+      Files.writeString(configFile, newConfigText);
+      rig.node.reload(configFile.toString(), JsonObject.parse(newConfigText));
       try (ScriptedPeer newWatch = new ScriptedPeer(newDiscovery.accept())) {
         assertEquals(WATCH_REQUEST.formatted(8), readRequest(newWatch));
         assertTrue(secondWatch.closedByPeer());
@@ -400,10 +400,10 @@
         discoveryCall.write(busyResponse);
       }
       String oldAddress = "127.0.0.1:" + rig.discovery.getLocalPort();
-      String newText =
+      String newConfigText =
           rig.configText("").replace(oldAddress, "127.0.0.1:" + newDiscovery.getLocalPort());
-      Files.writeString(configFile, newText);
-      rig.node.reload(configFile.toString(), JsonObject.parse(newText));
+      Files.writeString(configFile, newConfigText);
+      rig.node.reload(configFile.toString(), JsonObject.parse(newConfigText));
       ScriptedPeer discoveryCall = new ScriptedPeer(newDiscovery.accept());
       readRequest(discoveryCall);
       discoveryCall.write(busyResponse);
--- a/engine/src/test/java/shalepaddle/node/NodeFixture.java
+++ b/engine/src/test/java/shalepaddle/node/NodeFixture.java
@@ -93,7 +93,7 @@
   }
 
   /** Accepts the next connection to either of two servers. */
-  static ScriptedPeer acceptEither(ServerSocket oneServer, ServerSocket otherServer)
+  static ScriptedPeer acceptOnEitherServer(ServerSocket oneServer, ServerSocket otherServer)
       throws IOException {
     for (int i = 0; i < ScriptedPeer.TIMEOUT_MILLIS / 20; i++) {
       ServerSocket server = i % 2 == 0 ? oneServer : otherServer;
--- a/engine/src/test/java/shalepaddle/node/NodeTest.java
+++ b/engine/src/test/java/shalepaddle/node/NodeTest.java
@@ -531,10 +531,11 @@
       assertTrue(rig.acceptDiscovery().readLine().contains("since=8 "));
       ScriptedPeer client = rig.connectClient();
       client.write(NodeFixture.readCommand("a1", 60_000));
-      ScriptedPeer brokenConnection = NodeFixture.acceptEither(rig.cache, secondServer);
+      ScriptedPeer brokenConnection = NodeFixture.acceptOnEitherServer(rig.cache, secondServer);
       brokenConnection.readLine();
       brokenConnection.write(malformedResponse);
-      try (ScriptedPeer workingConnection = NodeFixture.acceptEither(rig.cache, secondServer)) {
+      try (ScriptedPeer workingConnection =
+          NodeFixture.acceptOnEitherServer(rig.cache, secondServer)) {
         assertTrue(workingConnection.readLine().contains("Oa1 "));
         workingConnection.write("VA 1 Oa1\r\ny\r\n");
         assertEquals("VA 1 Oa1", client.readLine());
