--- a/daemon/src/test/java/shalepaddle/daemon/SystemCallFailureIT.java
+++ b/daemon/src/test/java/shalepaddle/daemon/SystemCallFailureIT.java
@@ -6,6 +6,8 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,6 +15,8 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.AfterEach;
@@ -75,8 +79,9 @@
   }
 
   /**
-   * Waits until the node serves again, since it may have excluded servers after failed system
-   * calls.
+   * Waits until the node serves again and excludes no server, as it does for a while after failed
+   * system calls. Otherwise the next test would meet a node that rejects requests or connects to no
+   * server.
    */
   @AfterEach
   void awaitServing() throws Exception {
@@ -87,9 +92,23 @@
           try (ScriptedPeer client = ScriptedPeer.connect(node.address())) {
             sendRequest(client, outcome);
           }
-          return outcome.successfulAnswers == 1;
+          return outcome.successfulAnswers == 1 && excludedServers() == 0;
         },
-        "the node does not serve again");
+        "the node does not serve again from all servers");
+  }
+
+  /** Returns how many listed servers get no requests from the node now. */
+  private static int excludedServers() throws IOException {
+    try (Socket socket = new Socket(managementAddress.getAddress(), managementAddress.getPort())) {
+      socket
+          .getOutputStream()
+          .write("GET /api/telemetry HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+      String response =
+          new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+      Matcher metric = Pattern.compile("(?m)^app_ejected (\\d+)$").matcher(response);
+      assertTrue(metric.find(), response);
+      return Integer.parseInt(metric.group(1));
+    }
   }
 
   /** Results of requests, and the number of connections that were closed before an answer. */
